--- a/crates/ledgelead-lab/src/fleet/orders.rs
+++ b/crates/ledgelead-lab/src/fleet/orders.rs
@@ -446,7 +446,7 @@
     /// A machine stands still, and its steady clock with it.
     fn suspend(&mut self, index: usize, lasts: Duration) {
         let until = self.now + lasts;
-        let counts = self.settings.clock == ClockSource::SinceBoot;
+        let counts = self.settings.clock == ClockSource::Boottime;
         let simulated = &mut self.nodes[index];
         if simulated.frozen_until > self.now {
             return;
--- a/crates/ledgelead-lab/src/fleet/transport.rs
+++ b/crates/ledgelead-lab/src/fleet/transport.rs
@@ -41,8 +41,8 @@
     /// As the product's runtime sets its connections up.
     pub const OF_RUNTIME: Transport = Transport {
         holds_bytes: true,
-        resets: transport::RESETS_BROKEN_OFF,
-        user_timeout: transport::USER_TIMEOUT,
+        resets: transport::RESET_ABORTED_EXCHANGES,
+        user_timeout: transport::TCP_USER_TIMEOUT,
     };
 }
 
--- a/crates/ledgelead-lab/tests/fleet_suspended.rs
+++ b/crates/ledgelead-lab/tests/fleet_suspended.rs
@@ -29,7 +29,7 @@
 #[gtest]
 fn the_checker_sees_two_owners_by_a_clock_that_stands_still() {
     let report = World::new(FleetSettings {
-        clock: ClockSource::Steady,
+        clock: ClockSource::Monotonic,
         ..drawn_suspended(1_807, NODES, Protections::default())
     })
     .run();
--- a/crates/ledgelead-runtime/src/clock.rs
+++ b/crates/ledgelead-runtime/src/clock.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClockSource {
     /// It stands still while the machine is suspended.
-    Steady,
+    Monotonic,
     /// It goes on while the machine is suspended.
-    SinceBoot,
+    Boottime,
 }
 
 impl ClockSource {
     /// The time on this clock.
     fn read(self) -> Duration {
         let clock = match self {
-            ClockSource::Steady => ClockId::Monotonic,
-            ClockSource::SinceBoot => ClockId::Boottime,
+            ClockSource::Monotonic => ClockId::Monotonic,
+            ClockSource::Boottime => ClockId::Boottime,
         };
         let time = clock_gettime(clock);
         // Both count from the start of the machine, so neither part is negative.
@@ -37,7 +37,7 @@
 impl ProcessClock {
     /// The clock by which processes go. A process that was suspended has to know, else it
     /// takes its authority and leases for younger than they are, and keys get two owners.
-    pub const SOURCE: ClockSource = ClockSource::SinceBoot;
+    pub const SOURCE: ClockSource = ClockSource::Boottime;
 
     /// A clock that starts now.
     pub fn start() -> ProcessClock {
--- a/crates/ledgelead-runtime/src/transport.rs
+++ b/crates/ledgelead-runtime/src/transport.rs
@@ -11,14 +11,14 @@
 
 /// Whether the connection of an exchange that is broken off is reset, so that the kernel
 /// drops what has not arrived.
-pub const RESETS_BROKEN_OFF: bool = true;
+pub const RESET_ABORTED_EXCHANGES: bool = true;
 /// How long the kernel goes on to repeat bytes that nobody acknowledges, also once the
 /// process has ended, when nobody resets.
-pub const USER_TIMEOUT: Option<Duration> = Some(ORDER_TRANSIT);
+pub const TCP_USER_TIMEOUT: Option<Duration> = Some(ORDER_TRANSIT);
 
 /// Bounds how long the kernel repeats what is written on a connection.
 pub(crate) fn bound_repeats(stream: &TcpStream) -> io::Result<()> {
-    let Some(timeout) = USER_TIMEOUT else {
+    let Some(timeout) = TCP_USER_TIMEOUT else {
         return Ok(());
     };
     let millis = u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX);
@@ -27,7 +27,7 @@
 
 /// Makes the close that follows a reset.
 pub(crate) fn reset_on_close(stream: &TcpStream) -> io::Result<()> {
-    if RESETS_BROKEN_OFF {
+    if RESET_ABORTED_EXCHANGES {
         set_socket_linger(stream, Some(Duration::ZERO))?;
     }
     Ok(())
--- a/crates/ledgelead-runtime/tests/clock.rs
+++ b/crates/ledgelead-runtime/tests/clock.rs
@@ -10,7 +10,7 @@
 
 #[gtest]
 fn processes_go_by_a_clock_that_counts_suspensions() {
-    expect_that!(ProcessClock::SOURCE, eq(ClockSource::SinceBoot));
+    expect_that!(ProcessClock::SOURCE, eq(ClockSource::Boottime));
     let clock = ProcessClock::start();
     let first = clock.now();
     expect_that!(clock.now(), ge(first));
