--- a/crates/ledgelead-http/src/framing.rs
+++ b/crates/ledgelead-http/src/framing.rs
@@ -64,7 +64,7 @@
 
 /// Longest body, in bytes, whose memory is taken as it begins. The length is a claim of the
 /// sender, and most bodies are shorter.
-const RESERVED_BYTES: u64 = 1 << 20;
+const MAX_PREALLOCATED_BYTES: u64 = 1 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -91,20 +91,20 @@
         if length > max_bytes as u64 {
             return Err(FramingError::TooLong);
         }
-        Ok(BodyReader::with(State::Length(length), max_bytes))
+        Ok(BodyReader::new(State::Length(length), max_bytes))
     }
 
     /// A body in chunks.
     pub fn chunked(max_bytes: usize) -> BodyReader {
-        BodyReader::with(State::ChunkSize, max_bytes)
+        BodyReader::new(State::ChunkSize, max_bytes)
     }
 
     /// A body that ends with its connection.
     pub fn until_close(max_bytes: usize) -> BodyReader {
-        BodyReader::with(State::UntilClose, max_bytes)
+        BodyReader::new(State::UntilClose, max_bytes)
     }
 
-    fn with(state: State, max_bytes: usize) -> BodyReader {
+    fn new(state: State, max_bytes: usize) -> BodyReader {
         BodyReader {
             state,
             body: Vec::new(),
@@ -125,7 +125,7 @@
     }
 
     /// The connection was closed by its sender: whether the body is whole.
-    pub fn closed(&self) -> bool {
+    pub fn is_complete_at_close(&self) -> bool {
         matches!(
             self.state,
             State::UntilClose | State::Length(0) | State::Done
@@ -133,7 +133,7 @@
     }
 
     /// Bytes of memory that the body takes by now, or will take if its length is known.
-    pub fn held_bytes(&self) -> usize {
+    pub fn reserved_bytes(&self) -> usize {
         let left = match self.state {
             State::Length(left) => usize::try_from(left).unwrap_or(usize::MAX),
             _ => 0,
@@ -143,7 +143,7 @@
     }
 
     /// Whether the length of the body shows only as it comes.
-    pub fn is_open_ended(&self) -> bool {
+    pub fn has_unknown_length(&self) -> bool {
         !matches!(self.state, State::Length(_))
     }
 
@@ -158,7 +158,7 @@
         match self.state {
             State::Length(0) | State::Done => Ok(false),
             State::Length(left) => {
-                self.reserve(left);
+                self.preallocate(left);
                 let taken = self.take(rest, left, consumed)?;
                 self.state = State::Length(left - taken);
                 Ok(taken > 0)
@@ -181,8 +181,8 @@
 
     /// Takes the memory of a body of known length at once: growing by doubling would take
     /// up to twice as much.
-    fn reserve(&mut self, left: u64) {
-        if self.body.is_empty() && left <= RESERVED_BYTES {
+    fn preallocate(&mut self, left: u64) {
+        if self.body.is_empty() && left <= MAX_PREALLOCATED_BYTES {
             let left = usize::try_from(left).unwrap_or_default();
             self.body.reserve_exact(left);
         }
--- a/crates/ledgelead-http/src/request_reader.rs
+++ b/crates/ledgelead-http/src/request_reader.rs
@@ -105,23 +105,25 @@
 
     /// Bytes of memory that the body which is being read takes, or will take if its length
     /// is known.
-    pub fn held_bytes(&self) -> usize {
-        self.head.as_ref().map_or(0, |head| head.body.held_bytes())
+    pub fn reserved_bytes(&self) -> usize {
+        self.head
+            .as_ref()
+            .map_or(0, |head| head.body.reserved_bytes())
     }
 
     /// Whether the length of the body that is being read shows only as it comes.
-    pub fn is_open_ended(&self) -> bool {
+    pub fn has_unknown_length(&self) -> bool {
         let head = self.head.as_ref();
-        head.is_some_and(|head| head.body.is_open_ended())
+        head.is_some_and(|head| head.body.has_unknown_length())
     }
 
     /// Gives up the body that is being read; the request has none.
-    pub fn give_up_body(&mut self) -> Option<Request> {
+    pub fn discard_body(&mut self) -> Option<Request> {
         Some(self.head.take()?.request)
     }
 
     /// Whether the body of a request is being read.
-    pub fn reads_body(&self) -> bool {
+    pub fn is_reading_body(&self) -> bool {
         self.head.is_some()
     }
 }
--- a/crates/ledgelead-http/src/response_reader.rs
+++ b/crates/ledgelead-http/src/response_reader.rs
@@ -91,9 +91,9 @@
     ///
     /// # Errors
     /// When the response is not whole.
-    pub fn closed(&mut self) -> Result<Response, ResponseError> {
+    pub fn finish_at_close(&mut self) -> Result<Response, ResponseError> {
         match &self.head {
-            Some(head) if head.body.closed() => match self.complete() {
+            Some(head) if head.body.is_complete_at_close() => match self.complete() {
                 ResponseProgress::Complete { response, .. } => Ok(response),
                 ResponseProgress::Partial => Err(ResponseError::Truncated),
             },
@@ -102,8 +102,10 @@
     }
 
     /// Bytes of memory that the body takes by now, or will take if its length is known.
-    pub fn held_bytes(&self) -> usize {
-        self.head.as_ref().map_or(0, |head| head.body.held_bytes())
+    pub fn reserved_bytes(&self) -> usize {
+        self.head
+            .as_ref()
+            .map_or(0, |head| head.body.reserved_bytes())
     }
 
     fn complete(&mut self) -> ResponseProgress {
--- a/crates/ledgelead-http/tests/codec.rs
+++ b/crates/ledgelead-http/tests/codec.rs
@@ -58,7 +58,7 @@
     let mut reader = ResponseReader::new("GET", 100);
     let mut input = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc".to_vec();
     expect_that!(reader.read(&mut input), ok(eq(&ResponseProgress::Partial)));
-    expect_that!(reader.closed(), err(eq(&ResponseError::Truncated)));
+    expect_that!(reader.finish_at_close(), err(eq(&ResponseError::Truncated)));
 }
 
 #[gtest]
@@ -66,7 +66,7 @@
     let mut reader = ResponseReader::new("GET", 100);
     let mut input = b"HTTP/1.1 200 OK\r\n\r\nabc".to_vec();
     expect_that!(reader.read(&mut input), ok(eq(&ResponseProgress::Partial)));
-    let response = reader.closed().unwrap();
+    let response = reader.finish_at_close().unwrap();
     expect_that!(response.body, eq(b"abc"));
 }
 
--- a/crates/ledgelead-runtime/src/clock.rs
+++ b/crates/ledgelead-runtime/src/clock.rs
@@ -64,16 +64,16 @@
 
 /// Notices that the steady clock stood still.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspension {
+pub struct SuspensionDetector {
     steady_origin: Instant,
     /// By how much the process's clock is ahead.
     ahead: Duration,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// From a reading of both clocks.
-    pub fn new(steady: Instant, time: Duration) -> Suspension {
-        Suspension {
+    pub fn new(steady: Instant, time: Duration) -> SuspensionDetector {
+        SuspensionDetector {
             steady_origin: steady,
             ahead: time,
         }
--- a/crates/ledgelead-runtime/src/endpoint.rs
+++ b/crates/ledgelead-runtime/src/endpoint.rs
@@ -24,7 +24,7 @@
 
 /// Addresses to listen on.
 #[derive(Clone, Debug)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// For clients.
     pub clients: SocketAddr,
     /// For questions about the node.
--- a/crates/ledgelead-runtime/src/inbound.rs
+++ b/crates/ledgelead-runtime/src/inbound.rs
@@ -1,7 +1,7 @@
 //! Connections of clients.
 
 use crate::endpoint::Endpoint;
-use crate::memory::{CHECKED_BYTES, Room};
+use crate::memory::{CHECKED_BYTES, MemoryBudget};
 use crate::outbound::ConnectionKey;
 use crate::stream::Stream;
 use ledgelead_http::{
@@ -136,7 +136,7 @@
         &mut self,
         key: ConnectionKey,
         now: Instant,
-        room: Room<'_>,
+        budget: MemoryBudget<'_>,
         events: &mut Vec<ClientEvent>,
     ) {
         let current = self
@@ -144,7 +144,7 @@
             .get(key.index)
             .is_some_and(|connection| connection.generation == key.generation);
         if current {
-            self.progress(key.index, now, room, events);
+            self.progress(key.index, now, budget, events);
         }
     }
 
@@ -165,7 +165,7 @@
         client: ClientId,
         response: &Response,
         now: Instant,
-        room: Room<'_>,
+        budget: MemoryBudget<'_>,
         events: &mut Vec<ClientEvent>,
     ) {
         let Some(index) = self.by_client.remove(&client) else {
@@ -182,9 +182,9 @@
         connection.close_after_answer = close;
         connection.since = now;
         connection.wrote_at = now;
-        self.progress(index, now, room, events);
+        self.progress(index, now, budget, events);
         if response.body.len() >= CHECKED_BYTES {
-            self.relieve(Duration::ZERO, Some(index), now, room);
+            self.relieve(Duration::ZERO, Some(index), now, budget);
         }
     }
 
@@ -196,9 +196,9 @@
         stalled: Duration,
         answered: Option<usize>,
         now: Instant,
-        room: Room<'_>,
+        budget: MemoryBudget<'_>,
     ) {
-        let mut excess = room.excess(|| self.held());
+        let mut excess = budget.excess(|| self.held());
         if excess == 0 {
             return;
         }
@@ -206,7 +206,7 @@
         let unsent: usize = unsent
             .map(|(_, connection)| connection.stream.unsent())
             .sum();
-        excess = excess.min(unsent.saturating_sub(room.answers_share()));
+        excess = excess.min(unsent.saturating_sub(budget.response_reserve()));
         let mut slow: Vec<(Instant, usize)> = self
             .connections
             .iter()
@@ -248,8 +248,8 @@
     }
 
     /// Closes what has been idle, or incomplete, for too long.
-    pub(crate) fn sweep(&mut self, now: Instant, room: Room<'_>) {
-        self.relieve(STALLED, None, now, room);
+    pub(crate) fn sweep(&mut self, now: Instant, budget: MemoryBudget<'_>) {
+        self.relieve(STALLED, None, now, budget);
         let limits = self.limits;
         let over: Vec<usize> = self
             .connections
@@ -266,7 +266,7 @@
         &mut self,
         index: usize,
         now: Instant,
-        room: Room<'_>,
+        budget: MemoryBudget<'_>,
         events: &mut Vec<ClientEvent>,
     ) {
         let Some(connection) = self.connections.get_mut(index) else {
@@ -274,7 +274,7 @@
         };
         connection.stream.fill();
         connection.flush(now);
-        if self.sends_too_far_ahead(index, room) {
+        if self.sends_too_far_ahead(index, budget) {
             self.cut_off(index, events);
             return;
         }
@@ -290,19 +290,19 @@
         } else if connection.open.is_none() && connection.close_after_answer {
             connection.end_once_flushed(now);
         } else if connection.open.is_none() {
-            self.read_request(index, now, room, events);
+            self.read_request(index, now, budget, events);
         }
     }
 
     /// Whether a client fills the memory with what is to follow its open request.
-    fn sends_too_far_ahead(&self, index: usize, room: Room<'_>) -> bool {
+    fn sends_too_far_ahead(&self, index: usize, budget: MemoryBudget<'_>) -> bool {
         let Some(connection) = self.connections.get(index) else {
             return false;
         };
         let limits = self.limits;
         let longest = limits.max_head_bytes.saturating_add(limits.max_body_bytes);
         let is_ahead = connection.open.is_some() && connection.stream.input.len() > longest;
-        is_ahead && room.excess(|| self.held()) > 0
+        is_ahead && budget.excess(|| self.held()) > 0
     }
 
     fn cut_off(&mut self, index: usize, events: &mut Vec<ClientEvent>) {
@@ -326,7 +326,7 @@
         &mut self,
         index: usize,
         now: Instant,
-        room: Room<'_>,
+        budget: MemoryBudget<'_>,
         events: &mut Vec<ClientEvent>,
     ) {
         let limits = RequestLimits {
@@ -348,8 +348,8 @@
             RequestProgress::Idle => {}
             RequestProgress::Partial | RequestProgress::ExpectsContinue => {
                 connection.begin_receiving(now);
-                if self.lacks_memory(index, room) {
-                    self.give_up_body(index, events);
+                if self.lacks_memory(index, budget) {
+                    self.discard_body(index, events);
                     return;
                 }
                 self.admit_body(index);
@@ -358,30 +358,30 @@
                 }
             }
             RequestProgress::Complete(request) => {
-                self.take_request(index, request, room, events);
+                self.take_request(index, request, budget, events);
             }
         }
     }
 
     /// Whether a body that is being read, or was just read, doesn't fit.
-    fn lacks_memory(&self, index: usize, room: Room<'_>) -> bool {
+    fn lacks_memory(&self, index: usize, budget: MemoryBudget<'_>) -> bool {
         let Some(connection) = self.connections.get(index) else {
             return false;
         };
         if connection.is_admitted {
             return false;
         }
-        let body = connection.reader.held_bytes() + connection.open_bytes;
+        let body = connection.reader.reserved_bytes() + connection.open_bytes;
         let is_client = connection.endpoint == Endpoint::Clients;
         let is_checked = is_client && body >= CHECKED_BYTES;
-        is_checked && !room.admits(|| self.held()) && !room.is_empty(|| self.held() - body)
+        is_checked && !budget.admits(|| self.held()) && !budget.is_empty(|| self.held() - body)
     }
 
     /// From now on the body that is being read isn't refused, if all of it is counted.
     fn admit_body(&mut self, index: usize) {
         if let Some(connection) = self.connections.get_mut(index) {
             let reader = &connection.reader;
-            connection.is_admitted = reader.reads_body() && !reader.is_open_ended();
+            connection.is_admitted = reader.is_reading_body() && !reader.has_unknown_length();
         }
     }
 
@@ -395,11 +395,11 @@
     }
 
     /// What has come of a body is dropped, and the rest is not read.
-    fn give_up_body(&mut self, index: usize, events: &mut Vec<ClientEvent>) {
+    fn discard_body(&mut self, index: usize, events: &mut Vec<ClientEvent>) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
-        if let Some(request) = connection.reader.give_up_body() {
+        if let Some(request) = connection.reader.discard_body() {
             self.refuse_unread(index, request, events);
         }
     }
@@ -408,14 +408,14 @@
         &mut self,
         index: usize,
         mut request: Request,
-        room: Room<'_>,
+        budget: MemoryBudget<'_>,
         events: &mut Vec<ClientEvent>,
     ) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
         connection.open_bytes = request.body.len();
-        if self.lacks_memory(index, room) {
+        if self.lacks_memory(index, budget) {
             request.body = Vec::new();
             self.refuse_unread(index, request, events);
             return;
@@ -462,7 +462,7 @@
 
 impl Connection {
     fn held(&self) -> usize {
-        self.stream.held() + self.reader.held_bytes() + self.open_bytes
+        self.stream.held() + self.reader.reserved_bytes() + self.open_bytes
     }
 
     fn flush(&mut self, now: Instant) {
@@ -511,7 +511,7 @@
         if self.open.is_some() {
             return false;
         }
-        if self.receiving && !self.reader.reads_body() {
+        if self.receiving && !self.reader.is_reading_body() {
             return age >= limits.head_timeout;
         }
         age >= limits.idle_timeout
--- a/crates/ledgelead-runtime/src/lib.rs
+++ b/crates/ledgelead-runtime/src/lib.rs
@@ -17,6 +17,6 @@
 mod stream;
 pub mod transport;
 
-pub use endpoint::{Endpoint, Listen, StatusPaths};
+pub use endpoint::{Endpoint, ListenAddresses, StatusPaths};
 pub use event_loop::poll_until_shutdown;
-pub use process::{Bound, Control, RunError, SettingsSource, run};
+pub use process::{BoundAddresses, Control, RunError, SettingsSource, run};
--- a/crates/ledgelead-runtime/src/memory.rs
+++ b/crates/ledgelead-runtime/src/memory.rs
@@ -21,7 +21,7 @@
 
 /// Figures of what is held.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct HeldFigures {
+pub(crate) struct BufferStats {
     /// Bytes that are held now.
     pub(crate) bytes: usize,
     /// Clients whose answer was given up, since they didn't read it.
@@ -30,15 +30,15 @@
 
 /// The memory of the process, and what connections to instances take of it.
 #[derive(Clone, Copy)]
-pub(crate) struct Room<'a> {
+pub(crate) struct MemoryBudget<'a> {
     limit: Option<usize>,
     outbound: &'a Outbound,
 }
 
-impl<'a> Room<'a> {
-    /// The room of a process that may use so many bytes; without a limit all fits.
-    pub(crate) fn new(limit: Option<usize>, outbound: &'a Outbound) -> Room<'a> {
-        Room { limit, outbound }
+impl<'a> MemoryBudget<'a> {
+    /// The budget of a process that may use so many bytes; without a limit all fits.
+    pub(crate) fn new(limit: Option<usize>, outbound: &'a Outbound) -> MemoryBudget<'a> {
+        MemoryBudget { limit, outbound }
     }
 
     /// By how much what is held exceeds the bound, with `inbound` bytes for clients.
@@ -52,7 +52,7 @@
     }
 
     /// What is left to answers beside bodies, in bytes.
-    pub(crate) fn answers_share(self) -> usize {
+    pub(crate) fn response_reserve(self) -> usize {
         let limit = self.limit.unwrap_or(0);
         (limit as f64 * (HELD_SHARE - ADMITTED_SHARE)) as usize
     }
--- a/crates/ledgelead-runtime/src/metrics.rs
+++ b/crates/ledgelead-runtime/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The node's figures in the Prometheus text format.
 
-use crate::memory::HeldFigures;
+use crate::memory::BufferStats;
 use ledgelead_router::node::NodeStatus;
 use ledgelead_router::peers::PeerTraffic;
 use ledgelead_router::zone_traffic::ZoneTraffic;
@@ -51,7 +51,7 @@
 }
 
 /// Writes the figures.
-pub(crate) fn render(status: &NodeStatus, held: HeldFigures) -> String {
+pub(crate) fn render(status: &NodeStatus, held: BufferStats) -> String {
     let mut registry = Registry::with_prefix("ledgelead");
     gauge(
         &mut registry,
@@ -352,7 +352,7 @@
     );
 }
 
-fn register_held(registry: &mut Registry, held: HeldFigures) {
+fn register_held(registry: &mut Registry, held: BufferStats) {
     gauge(
         registry,
         "held_bytes",
--- a/crates/ledgelead-runtime/src/outbound.rs
+++ b/crates/ledgelead-runtime/src/outbound.rs
@@ -413,7 +413,7 @@
         };
         match connection.stream.end() {
             None => {}
-            Some(StreamEnd::Closed) => match running.reader.closed() {
+            Some(StreamEnd::Closed) => match running.reader.finish_at_close() {
                 Ok(response) if running.is_answered_by(&response) => {
                     self.complete(index, response, false, now, inputs);
                 }
@@ -541,7 +541,7 @@
 impl Connection {
     fn held(&self) -> usize {
         let running = self.running.as_ref();
-        let reader = running.map_or(0, |running| running.reader.held_bytes());
+        let reader = running.map_or(0, |running| running.reader.reserved_bytes());
         self.stream.held() + reader
     }
 
--- a/crates/ledgelead-runtime/src/process.rs
+++ b/crates/ledgelead-runtime/src/process.rs
@@ -1,7 +1,7 @@
 //! The process: sockets, signals and the event loop.
 
 use crate::clock::ProcessClock;
-use crate::endpoint::Listen;
+use crate::endpoint::ListenAddresses;
 use crate::event_loop::poll_until_shutdown;
 use crate::reactor::{Reactor, ReactorSetup, Sockets};
 use ledgelead_router::dialect::Dialect;
@@ -54,7 +54,7 @@
 
 /// Addresses that were bound.
 #[derive(Clone, Debug)]
-pub struct Bound {
+pub struct BoundAddresses {
     /// For clients.
     pub clients: SocketAddr,
     /// For questions about the node, in the order of the settings.
@@ -101,11 +101,11 @@
 /// When an address can't be listened on, or the event loop fails.
 pub fn run(
     settings: NodeSettings,
-    listen: Listen,
+    listen: ListenAddresses,
     dialect: Box<dyn Dialect>,
     source: Box<dyn SettingsSource>,
     control: Control,
-    started: impl FnOnce(Bound),
+    started: impl FnOnce(BoundAddresses),
 ) -> Result<(), RunError> {
     let sockets = bind(&listen)?;
     started(sockets.bound()?);
@@ -132,17 +132,17 @@
 }
 
 impl Sockets {
-    fn bound(&self) -> io::Result<Bound> {
+    fn bound(&self) -> io::Result<BoundAddresses> {
         let status: io::Result<Vec<SocketAddr>> =
             self.status.iter().map(TcpListener::local_addr).collect();
-        Ok(Bound {
+        Ok(BoundAddresses {
             clients: self.clients.local_addr()?,
             status: status?,
         })
     }
 }
 
-fn bind(listen: &Listen) -> Result<Sockets, RunError> {
+fn bind(listen: &ListenAddresses) -> Result<Sockets, RunError> {
     let status: Result<Vec<TcpListener>, RunError> = listen
         .status
         .iter()
--- a/crates/ledgelead-runtime/src/reactor.rs
+++ b/crates/ledgelead-runtime/src/reactor.rs
@@ -1,9 +1,9 @@
 //! The actor: sockets on one side, the node on the other.
 
-use crate::clock::{ProcessClock, Suspension};
+use crate::clock::{ProcessClock, SuspensionDetector};
 use crate::endpoint::{Endpoint, StatusPaths};
 use crate::inbound::{ClientEvent, Inbound};
-use crate::memory::{HeldFigures, Room};
+use crate::memory::{BufferStats, MemoryBudget};
 use crate::metrics;
 use crate::outbound::{ConnectionKey, NewExchange, Outbound};
 use crate::process::{Control, SettingsSource};
@@ -60,7 +60,7 @@
     node: Node,
     /// The node's time. Timers and sockets go by the steady clock.
     clock: ProcessClock,
-    suspension: Suspension,
+    suspension: SuspensionDetector,
     listeners: Vec<Option<(Endpoint, MioSource<TcpListener>)>>,
     peers: MioSource<UdpSocket>,
     inbound: Inbound,
@@ -117,7 +117,7 @@
         Ok(Reactor {
             node: setup.node,
             clock: setup.clock,
-            suspension: Suspension::new(now, setup.clock.now()),
+            suspension: SuspensionDetector::new(now, setup.clock.now()),
             listeners,
             peers,
             inbound: Inbound::default(),
@@ -163,8 +163,8 @@
 
     fn client_ready(&mut self, cx: CX![], key: ConnectionKey, _ready: Ready) {
         let mut events = Vec::new();
-        let room = Room::new(self.node.memory_limit(), &self.outbound);
-        self.inbound.ready(key, cx.now(), room, &mut events);
+        let budget = MemoryBudget::new(self.node.memory_limit(), &self.outbound);
+        self.inbound.ready(key, cx.now(), budget, &mut events);
         self.take_events(cx.now(), events);
         self.pump(cx);
     }
@@ -203,8 +203,8 @@
         if self.next_sweep <= now {
             self.next_sweep = now + SWEEP_INTERVAL;
             self.outbound.close_idle(now);
-            let room = Room::new(self.node.memory_limit(), &self.outbound);
-            self.inbound.sweep(now, room);
+            let budget = MemoryBudget::new(self.node.memory_limit(), &self.outbound);
+            self.inbound.sweep(now, budget);
         }
         self.look_at_settings(now);
         self.pump(cx);
@@ -311,7 +311,7 @@
             let status = if self.node.is_ready() { 200 } else { 503 };
             Response::new(status, Vec::new())
         } else if path == self.paths.metrics {
-            let held = HeldFigures {
+            let held = BufferStats {
                 bytes: self.inbound.held() + self.outbound.held(),
                 dropped: self.inbound.dropped(),
             };
@@ -319,8 +319,8 @@
         } else {
             Response::new(404, Vec::new())
         };
-        let room = Room::new(self.node.memory_limit(), &self.outbound);
-        self.inbound.respond(client, &response, now, room, events);
+        let budget = MemoryBudget::new(self.node.memory_limit(), &self.outbound);
+        self.inbound.respond(client, &response, now, budget, events);
     }
 
     /// Passes inputs to the node and carries out its actions, until nothing
@@ -372,9 +372,9 @@
         match action {
             Action::Respond { client, response } => {
                 let mut events = Vec::new();
-                let room = Room::new(self.node.memory_limit(), &self.outbound);
+                let budget = MemoryBudget::new(self.node.memory_limit(), &self.outbound);
                 self.inbound
-                    .respond(client, &response, now, room, &mut events);
+                    .respond(client, &response, now, budget, &mut events);
                 self.take_events(now, events);
             }
             Action::Exchange {
--- a/crates/ledgelead-runtime/tests/inbound.rs
+++ b/crates/ledgelead-runtime/tests/inbound.rs
@@ -3,7 +3,7 @@
 
 use super::{ClientEvent, Inbound};
 use crate::endpoint::Endpoint;
-use crate::memory::Room;
+use crate::memory::MemoryBudget;
 use crate::outbound::{ConnectionKey, Outbound};
 use googletest::prelude::*;
 use ledgelead_http::Response;
@@ -83,8 +83,9 @@
     /// Reads what is there on a client's connection.
     fn ready(&mut self, client: &Client) -> Vec<ClientEvent> {
         let mut events = Vec::new();
-        let room = Room::new(self.limit, &self.outbound);
-        self.inbound.ready(client.key, self.now, room, &mut events);
+        let budget = MemoryBudget::new(self.limit, &self.outbound);
+        self.inbound
+            .ready(client.key, self.now, budget, &mut events);
         events
     }
 
@@ -105,15 +106,15 @@
 
     fn respond(&mut self, client: ClientId, response: &Response) {
         let mut events = Vec::new();
-        let room = Room::new(self.limit, &self.outbound);
+        let budget = MemoryBudget::new(self.limit, &self.outbound);
         self.inbound
-            .respond(client, response, self.now, room, &mut events);
+            .respond(client, response, self.now, budget, &mut events);
         expect_that!(events.len(), eq(0));
     }
 
     fn sweep(&mut self) {
-        let room = Room::new(self.limit, &self.outbound);
-        self.inbound.sweep(self.now, room);
+        let budget = MemoryBudget::new(self.limit, &self.outbound);
+        self.inbound.sweep(self.now, budget);
     }
 
     /// A client asks for something, and doesn't read the answer.
@@ -172,7 +173,7 @@
         expect_that!(text, starts_with("HTTP/1.1 503"));
         expect_that!(text, contains_substring("Connection: close"));
     }
-    // Those that were let in go on, and make room as they end.
+    // Those that were let in go on, and make budget as they end.
     let mut first = admitted.remove(0);
     let events = fixture.send(&mut first, &vec![b'x'; UPLOAD - 1_000]);
     let [
@@ -281,7 +282,7 @@
     expect_that!(read_to_end(&mut other), ends_with("small"));
 }
 
-/// An answer of usual length, which its client has not read yet, has room beside them.
+/// An answer of usual length, which its client has not read yet, has budget beside them.
 #[gtest]
 fn slow_uploads_take_no_answers_from_others() {
     let mut fixture = Fixture::new(Some(MEMORY));
--- a/crates/ledgelead-runtime/tests/logging.rs
+++ b/crates/ledgelead-runtime/tests/logging.rs
@@ -55,7 +55,7 @@
         allow.send(()).unwrap();
     }
     let take = || lines.recv_timeout(PATIENCE).expect("a line");
-    // All that were not dropped; then there is room.
+    // All that were not dropped; then there is budget.
     let mut seen: Vec<String> = (0..1_000 - dropped).map(|_| take()).collect();
     queue.push("the last".to_owned());
     while seen.last().is_none_or(|line| line != "the last") {
