--- a/crates/ledgelead-runtime/src/clock.rs
+++ b/crates/ledgelead-runtime/src/clock.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClockSource {
     /// It stands still while the machine is suspended.
-    Steady,
+    Monotonic,
     /// It goes on while the machine is suspended.
-    SinceBoot,
+    Boottime,
 }
 
 impl ClockSource {
     /// The time on this clock.
     fn read(self) -> Duration {
         let clock = match self {
-            ClockSource::Steady => ClockId::Monotonic,
-            ClockSource::SinceBoot => ClockId::Boottime,
+            ClockSource::Monotonic => ClockId::Monotonic,
+            ClockSource::Boottime => ClockId::Boottime,
         };
         let time = clock_gettime(clock);
         // Both count from the start of the machine, so neither part is negative.
@@ -37,7 +37,7 @@
 impl ProcessClock {
     /// The clock by which processes go. A process that was suspended has to know, else it
     /// takes its authority and leases for younger than they are, and keys get two owners.
-    pub const SOURCE: ClockSource = ClockSource::SinceBoot;
+    pub const SOURCE: ClockSource = ClockSource::Boottime;
 
     /// A clock that starts now.
     pub fn start() -> ProcessClock {
@@ -64,16 +64,16 @@
 
 /// Notices that the steady clock stood still.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspension {
+pub struct SuspensionDetector {
     steady_origin: Instant,
     /// By how much the process's clock is ahead.
     ahead: Duration,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// From a reading of both clocks.
-    pub fn new(steady: Instant, time: Duration) -> Suspension {
-        Suspension {
+    pub fn new(steady: Instant, time: Duration) -> SuspensionDetector {
+        SuspensionDetector {
             steady_origin: steady,
             ahead: time,
         }
