--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -64,22 +64,22 @@
     /// How long those before it may go on to give orders.
     earlier_authority: Duration,
     taking_over: bool,
-    write_out: bool,
+    write_in_flight: bool,
     next_write: Timestamp,
     /// When the coordinator looks at all of its ranges next.
     next_step: Timestamp,
     /// When it did so last.
-    stepped_at: Timestamp,
+    last_step: Timestamp,
     resigning: bool,
-    resign_out: bool,
-    resign_done: bool,
+    resignation_in_flight: bool,
+    resignation_done: bool,
     /// The epoch in which this node coordinated, with authority, as an era of the store ended.
-    coordinated_until_era: Option<u64>,
+    coordinated_in_former_era: Option<u64>,
     /// When this node learned of the era.
     era_began: Timestamp,
     /// The epoch of the coordinator of the era before, and the revision of its last version of
     /// the record, by what it has said since.
-    vouched_record: Option<(u64, u64)>,
+    final_version: Option<(u64, u64)>,
     protections: Protections,
 }
 
@@ -95,16 +95,16 @@
             predecessor: None,
             earlier_authority: Duration::ZERO,
             taking_over: false,
-            write_out: false,
+            write_in_flight: false,
             next_write: Timestamp::ZERO,
             next_step: Timestamp::ZERO,
-            stepped_at: Timestamp::ZERO,
+            last_step: Timestamp::ZERO,
             resigning: false,
-            resign_out: false,
-            resign_done: false,
-            coordinated_until_era: None,
+            resignation_in_flight: false,
+            resignation_done: false,
+            coordinated_in_former_era: None,
             era_began: Timestamp::ZERO,
-            vouched_record: None,
+            final_version: None,
             protections,
         }
     }
@@ -135,32 +135,32 @@
     /// The store came back from a copy: what it has confirmed of this place counts no more.
     pub(super) fn begin_era(&mut self, now: Timestamp) {
         let epoch = self.coordinator.as_ref().map(Coordinator::epoch);
-        self.coordinated_until_era = epoch.filter(|_| self.has_authority(now));
+        self.coordinated_in_former_era = epoch.filter(|_| self.has_authority(now));
         self.taking_over = false;
         self.era_began = now;
-        self.vouched_record = None;
+        self.final_version = None;
     }
 
     /// A coordinator said at a time which version of the record is its last one. After the
     /// end of an era it can write no later one there.
-    pub(super) fn record_vouched(&mut self, epoch: u64, revision: u64, at: Timestamp) {
+    pub(super) fn note_final_version(&mut self, epoch: u64, revision: u64, at: Timestamp) {
         if at >= self.era_began {
-            self.vouched_record = Some((epoch, revision));
+            self.final_version = Some((epoch, revision));
         }
     }
 
     /// What the coordinator of the era before has said since of its last version.
-    pub(super) fn vouched_record(&self) -> Option<(u64, u64)> {
-        self.vouched_record
+    pub(super) fn final_version(&self) -> Option<(u64, u64)> {
+        self.final_version
     }
 
     /// The epoch in which this node coordinated as an era of the store ended.
-    pub(super) fn coordinated_until_era(&self) -> Option<u64> {
-        self.coordinated_until_era
+    pub(super) fn coordinated_in_former_era(&self) -> Option<u64> {
+        self.coordinated_in_former_era
     }
 
     /// The store has told of the record whether it can be read.
-    pub(super) fn record_told(&mut self, is_readable: bool) {
+    pub(super) fn note_record_readable(&mut self, is_readable: bool) {
         self.record_unreadable = !is_readable;
     }
 
@@ -175,22 +175,22 @@
 
     /// Something has changed that the coordinator decides by.
     pub(super) fn note_change(&mut self) {
-        self.next_step = self.next_step.min(self.stepped_at + STEP_PAUSE);
+        self.next_step = self.next_step.min(self.last_step + STEP_PAUSE);
     }
 
     pub(super) fn begin_resigning(&mut self) {
         self.note_change();
         self.resigning = true;
-        self.resign_done = self.coordinator.is_none();
+        self.resignation_done = self.coordinator.is_none();
     }
 
     pub(super) fn resigned(&mut self) {
-        self.resign_done = true;
+        self.resignation_done = true;
     }
 
     /// Whether nothing is left to be done before this node can end.
     pub(super) fn has_resigned(&self) -> bool {
-        !self.resigning || self.resign_done || self.coordinator.is_none()
+        !self.resigning || self.resignation_done || self.coordinator.is_none()
     }
 }
 
@@ -213,7 +213,7 @@
         if !self.coordination.has_authority(now) || self.configuration.is_none() {
             return idle;
         }
-        let unwritten = coordinator.pending_write().is_some() && !self.coordination.write_out;
+        let unwritten = coordinator.pending_write().is_some() && !self.coordination.write_in_flight;
         let write = unwritten.then_some(self.coordination.next_write);
         write
             .into_iter()
@@ -227,10 +227,10 @@
             if self.coordination.next_step > now {
                 return;
             }
-            self.coordination.stepped_at = now;
+            self.coordination.last_step = now;
             self.resign_if_asked(now, out);
             self.step_coordinator(now, out);
-            self.write_again(now, out);
+            self.retry_write(now, out);
             let next = self.next_coordinator_step(now);
             self.coordination.next_step = next.max(now + STEP_PAUSE);
         } else if self.could_campaign() && self.store.is_registered() && self.campaign_due() <= now
@@ -251,7 +251,7 @@
     }
 
     pub(super) fn campaign_due(&self) -> Timestamp {
-        if self.succeeds_own_life() || self.continues_own_epoch() {
+        if self.succeeds_own_incarnation() || self.continues_own_epoch() {
             return self.coordination.election.due_after_own_life();
         }
         let record = self.ownership.record();
@@ -292,7 +292,7 @@
         if !self.predecessor_has_ended() {
             next.set_earlier_authority(COORDINATOR_AUTHORITY);
         }
-        if !self.knows_all_owners() {
+        if !self.has_complete_ownership() {
             next.set_unknown_holds(longest_unknown_hold());
         }
         let content = WrittenContent::Ownership(next.clone());
@@ -328,7 +328,7 @@
                 self.ownership_changed(record, version, started, now, out);
                 if self.coordinator().is_some() {
                     self.announce_take_over(base.unwrap_or(0), &before, out);
-                    self.gossip.hasten_heartbeat();
+                    self.messaging.send_heartbeat_soon();
                 }
             }
             _ => self.store.refresh_ownership(now, out),
@@ -336,7 +336,7 @@
     }
 
     /// Whether this is the version that this node as coordinator is writing.
-    pub(super) fn writes(&self, record: &OwnershipRecord) -> bool {
+    pub(super) fn is_pending_write(&self, record: &OwnershipRecord) -> bool {
         let coordinator = self.coordination.coordinator();
         coordinator.and_then(Coordinator::pending_write) == Some(record)
     }
@@ -353,7 +353,7 @@
         let is_named = record.coordinator.as_ref() == Some(&self.settings.identity);
         // An answer may arrive after the heartbeat of a successor.
         if !is_named || record.epoch < self.newest_epoch() {
-            self.leave_place(record.epoch, now);
+            self.step_down(record.epoch, now);
             return;
         }
         self.coordination.confirmed = self.coordination.confirmed.max(Some(started));
@@ -363,7 +363,7 @@
             .as_ref()
             .is_some_and(|coordinator| coordinator.epoch() == record.epoch);
         if !same_epoch {
-            self.take_place(record, now, out);
+            self.assume_role(record, now, out);
             return;
         }
         if let Some(coordinator) = &mut self.coordination.coordinator
@@ -374,7 +374,7 @@
         }
     }
 
-    fn take_place(&mut self, record: OwnershipRecord, now: Timestamp, out: &mut Vec<Action>) {
+    fn assume_role(&mut self, record: OwnershipRecord, now: Timestamp, out: &mut Vec<Action>) {
         let ended = self.predecessor_has_ended();
         let predecessor = if ended {
             now
@@ -391,8 +391,8 @@
         };
         coordinates.emit();
         self.coordination.orders.clear();
-        self.coordination.write_out = false;
-        self.coordination.coordinated_until_era = None;
+        self.coordination.write_in_flight = false;
+        self.coordination.coordinated_in_former_era = None;
         let unknown_holds = record.unknown_holds();
         let coordinator = Coordinator::new(record, earlier, self.settings.protections, now);
         self.coordination.coordinator = Some(match unknown_holds.is_zero() {
@@ -405,18 +405,18 @@
             // holds.
             self.store.interrupt(kind, now, now, out);
         }
-        self.store.set_informed(false, now, out);
+        self.store.set_following(false, now, out);
     }
 
     /// Another node coordinates in this epoch, or nobody.
-    pub(super) fn leave_place(&mut self, epoch: u64, now: Timestamp) {
+    pub(super) fn step_down(&mut self, epoch: u64, now: Timestamp) {
         if self.coordination.coordinator.take().is_none() {
             return;
         }
         Event::CoordinatesNoMore { epoch }.emit();
         self.coordination.orders.clear();
         self.coordination.confirmed = None;
-        self.coordination.resign_done = true;
+        self.coordination.resignation_done = true;
         self.store.set_coordinating(false, now);
     }
 
@@ -424,17 +424,17 @@
     /// for certain.
     fn predecessor_has_ended(&self) -> bool {
         let predecessor = self.coordination.predecessor.as_ref();
-        predecessor.is_none_or(|earlier| self.has_ended(earlier))
+        predecessor.is_none_or(|earlier| self.incarnation_has_ended(earlier))
     }
 
     /// Whether this life of a node is over for certain.
-    fn has_ended(&self, predecessor: &Predecessor) -> bool {
+    fn incarnation_has_ended(&self, predecessor: &Predecessor) -> bool {
         let Predecessor { identity, named_at } = predecessor;
-        let earlier_life_of_this = identity.node == self.settings.identity.node
+        let is_earlier_incarnation = identity.node == self.settings.identity.node
             && identity.incarnation != self.settings.identity.incarnation;
         // Its place ended with the era in which it had it.
         let is_this = *identity == self.settings.identity;
-        is_this || earlier_life_of_this || self.registry.has_ended(identity, *named_at)
+        is_this || is_earlier_incarnation || self.registry.has_ended(identity, *named_at)
     }
 
     fn step_coordinator(&mut self, now: Timestamp, out: &mut Vec<Action>) {
@@ -545,7 +545,7 @@
         let Some(record) = pending.cloned() else {
             return;
         };
-        self.coordination.write_out = true;
+        self.coordination.write_in_flight = true;
         let call = StoreCall::Replace {
             name: OWNERSHIP_NAME.to_owned(),
             revision: self.ownership.revision(),
@@ -554,8 +554,8 @@
         self.start_call(Purpose::Update, call, now, out);
     }
 
-    fn write_again(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let due = !self.coordination.write_out && self.coordination.next_write <= now;
+    fn retry_write(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        let due = !self.coordination.write_in_flight && self.coordination.next_write <= now;
         if due && self.coordination.has_authority(now) {
             self.write_record(now, out);
         }
@@ -568,7 +568,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        self.coordination.write_out = false;
+        self.coordination.write_in_flight = false;
         self.coordination.next_write = now + WRITE_RETRY;
         let pending = self
             .coordination
@@ -578,7 +578,7 @@
             .cloned();
         match (answer, pending) {
             (Ok(StoreAnswer::Written(object)), Some(record)) => {
-                self.store.place_confirmed(now);
+                self.store.role_confirmed(now);
                 let version = RecordVersion::confirmed(object.revision);
                 self.ownership_changed(record, version, started, now, out);
             }
@@ -609,10 +609,10 @@
             .coordinator
             .as_ref()
             .is_some_and(|coordinator| coordinator.pending_write().is_none());
-        if !coordination.resigning || coordination.resign_out || !settled {
+        if !coordination.resigning || coordination.resignation_in_flight || !settled {
             return;
         }
-        coordination.resign_out = true;
+        coordination.resignation_in_flight = true;
         let mut record = self.ownership.record().clone();
         record.coordinator = None;
         if let Some(coordinator) = &self.coordination.coordinator {
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -1,7 +1,7 @@
 //! Messages about permits: asks of this node's requests, and its answers as dispatcher.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::directory::Instance;
 use crate::dispatch::{
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -41,8 +41,8 @@
             store_serves: self.store.health.serves() && has_authority,
             revision: self.ownership.revision().unwrap_or(0),
             configuration: self.configuration_version(),
-            instances: self.gossip.relay.instances_revision(),
-            nodes: self.gossip.relay.nodes_revision(),
+            instances: self.messaging.relay.instances_revision(),
+            nodes: self.messaging.relay.nodes_revision(),
             age_ms: short_millis(self.store.age(now)),
             instances_age_ms: short_millis(self.store.state_age(ObjectKind::Instances, now)),
             served_for_ms: short_millis(self.store.served_for(now)),
@@ -67,53 +67,53 @@
             store_serves,
             ..
         } = *heartbeat;
-        if !self.counts_as_coordinator(epoch, now) {
+        if !self.is_newest_coordinator(epoch, now) {
             return;
         }
         // What it says was true when it was sent.
-        let delay = self.gossip.delay.arrived(epoch, heartbeat.sent_ms, now);
+        let delay = self.messaging.delay.arrived(epoch, heartbeat.sent_ms, now);
         let sent_at = now.saturating_sub(delay);
         self.coordination
-            .record_vouched(epoch, heartbeat.revision, sent_at);
+            .note_final_version(epoch, heartbeat.revision, sent_at);
         let age = delay + Duration::from_millis(u64::from(heartbeat.age_ms));
-        self.gossip.coordinator_address = Some(from);
-        self.gossip.heartbeat_sender = Some(from);
+        self.messaging.coordinator_address = Some(from);
+        self.messaging.heartbeat_sender = Some(from);
         self.overloads.replace(&heartbeat.overloads, now);
-        self.heard_of_store(store_serves, now, out);
-        self.heard_of_evacuations(&heartbeat.evacuations, now, out);
-        self.heard_evidence(from, heartbeat.evidence, now, out);
+        self.store_health_announced(store_serves, now, out);
+        self.evacuations_announced(&heartbeat.evacuations, now, out);
+        self.compare_evidence(from, heartbeat.evidence, now, out);
         if store_serves && age < self.view_ttl() {
-            self.informed(from, epoch, age, now, out);
+            self.follow_coordinator(from, epoch, age, now, out);
             let served_for = Duration::from_millis(u64::from(heartbeat.served_for_ms));
             let served_since = now.saturating_sub(delay).saturating_sub(served_for);
             self.directory.store_served_since(served_since);
             let instances_age =
                 delay + Duration::from_millis(u64::from(heartbeat.instances_age_ms));
-            self.heard_of_instances(heartbeat.instances, instances_age, now);
-            self.heard_of(RelayedKind::Instances, heartbeat.instances, now, out);
-            self.heard_of(RelayedKind::Nodes, heartbeat.nodes, now, out);
+            self.confirm_instances(heartbeat.instances, instances_age, now);
+            self.revision_announced(RelayedKind::Instances, heartbeat.instances, now, out);
+            self.revision_announced(RelayedKind::Nodes, heartbeat.nodes, now, out);
         }
-        self.heard_configuration(heartbeat.configuration, now, out);
-        self.heard_coordinator(epoch, store_serves, heartbeat.revision, delay, now, out);
+        self.configuration_version_announced(heartbeat.configuration, now, out);
+        self.coordinator_heard(epoch, store_serves, heartbeat.revision, delay, now, out);
     }
 
     /// Whether the coordinator of this epoch is the newest that is known. Epochs rise only
     /// by writes of the record, so a later one proves that an earlier coordinator has lost
     /// its place, which that one can't read while the store refuses it. Its word would undo
     /// its successor's.
-    fn counts_as_coordinator(&mut self, epoch: u64, now: Timestamp) -> bool {
+    fn is_newest_coordinator(&mut self, epoch: u64, now: Timestamp) -> bool {
         let is_protected = self.settings.protections.has(Protection::NewestEpoch);
         if epoch < self.newest_epoch() {
-            self.gossip.former_heartbeats += 1;
+            self.messaging.former_heartbeats += 1;
             return !is_protected;
         }
-        if epoch > self.gossip.newest_epoch {
-            self.gossip.newest_epoch = epoch;
-            self.gossip.relay.coordinator_changed();
+        if epoch > self.messaging.newest_epoch {
+            self.messaging.newest_epoch = epoch;
+            self.messaging.relay.coordinator_changed();
         }
         let own_epoch = self.coordinator().map(Coordinator::epoch);
         if is_protected && own_epoch.is_some_and(|own| own < epoch) {
-            self.leave_place(epoch, now);
+            self.step_down(epoch, now);
         }
         true
     }
@@ -121,12 +121,12 @@
     /// The newest epoch that this node knows of.
     pub(super) fn newest_epoch(&self) -> u64 {
         let read = self.ownership.record().epoch;
-        self.gossip.newest_epoch.max(read)
+        self.messaging.newest_epoch.max(read)
     }
 
     /// Evacuations stand whole in each heartbeat, with their revision: a newer one
     /// counts, whoever sends it.
-    fn heard_of_evacuations(
+    fn evacuations_announced(
         &mut self,
         entry: &EvacuationsEntry,
         now: Timestamp,
@@ -140,7 +140,7 @@
     /// A coordinator whom the store serves relays changes, also to a node that the
     /// store refuses, throttles or doesn't answer. Such a node probes on, if
     /// rarely, since it can't campaign before its own calls are served.
-    fn informed(
+    fn follow_coordinator(
         &mut self,
         from: SocketAddr,
         epoch: u64,
@@ -151,15 +151,15 @@
         let follows = self.coordination.coordinator().is_none() && self.store.health.has_served();
         let rests = self.settings.mechanisms.has(Mechanism::RestingWatches);
         if follows && rests {
-            if self.gossip.followed.replace(epoch) != Some(epoch) {
+            if self.messaging.followed_epoch.replace(epoch) != Some(epoch) {
                 Event::FollowsCoordinator { epoch, from }.emit();
             }
-            self.gossip.informed_until = Some(now + self.view_ttl().saturating_sub(age));
+            self.messaging.following_until = Some(now + self.view_ttl().saturating_sub(age));
             if self.store.health.followed_until(now.saturating_sub(age)) {
                 // Until the coordinator says for how long the store has served.
                 self.directory.store_was_lost(now);
             }
-            self.store.set_informed(true, now, out);
+            self.store.set_following(true, now, out);
         }
     }
 
@@ -174,7 +174,7 @@
 
     /// The coordinator has read all changes of instances up to this revision,
     /// and knew of all that were acknowledged before its view's age.
-    fn heard_of_instances(&mut self, revision: u64, age: Duration, now: Timestamp) {
+    fn confirm_instances(&mut self, revision: u64, age: Duration, now: Timestamp) {
         let known = self.store.revision_of(ObjectKind::Instances);
         if known.is_some_and(|known| known >= revision) {
             self.directory.note_current(now.saturating_sub(age));
@@ -184,11 +184,11 @@
     /// A store that serves the coordinator again serves this node as well,
     /// perhaps; likewise when the coordinator is heard again after a silence,
     /// as at the end of a cut. The probe is made anew.
-    fn heard_of_store(&mut self, serves: bool, now: Timestamp, out: &mut Vec<Action>) {
-        let silent = self.gossip.heard_store_at + HEARTBEATS_MISSED < now;
-        let recovered = serves && (silent || !self.gossip.serves_coordinator);
-        self.gossip.heard_store_at = now;
-        self.gossip.serves_coordinator = serves;
+    fn store_health_announced(&mut self, serves: bool, now: Timestamp, out: &mut Vec<Action>) {
+        let silent = self.messaging.coordinator_heard_at + HEARTBEATS_MISSED < now;
+        let recovered = serves && (silent || !self.messaging.store_serves_coordinator);
+        self.messaging.coordinator_heard_at = now;
+        self.messaging.store_serves_coordinator = serves;
         if recovered && self.store.health.has_failed() {
             self.store.probe_again(now, out);
         }
@@ -198,13 +198,13 @@
     /// or this node if none is heard.
     pub(super) fn keys_can_move(&self, now: Timestamp) -> bool {
         let follows = self.coordination.coordinator().is_none();
-        match follows && now < self.gossip.heard_store_at + HEARTBEATS_MISSED {
-            true => self.gossip.serves_coordinator,
+        match follows && now < self.messaging.coordinator_heard_at + HEARTBEATS_MISSED {
+            true => self.messaging.store_serves_coordinator,
             false => self.store.health.serves(),
         }
     }
 
-    fn heard_coordinator(
+    fn coordinator_heard(
         &mut self,
         epoch: u64,
         store_serves: bool,
@@ -221,6 +221,6 @@
                 .election
                 .heard(epoch, now.saturating_sub(delay));
         }
-        self.heard_of(RelayedKind::Ownership, revision, now, out);
+        self.revision_announced(RelayedKind::Ownership, revision, now, out);
     }
 }
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -6,7 +6,7 @@
 //! entries say so as well.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use crate::io::Action;
@@ -73,7 +73,7 @@
         if self.coordination.coordinator().is_some() {
             return;
         }
-        let announced = &self.gossip.announced_leaving;
+        let announced = &self.messaging.announced_leaving;
         let is_known = |hash: u64| announced.until > now && announced.instances.contains(&hash);
         let message = self.leaving_message(now, |hash| !is_known(hash));
         if let (Some(message), Some(address)) = (message, self.coordinator_address()) {
@@ -122,7 +122,7 @@
             self.said_to_leave(&instance, at, now, out);
         }
         if self.coordinator_address() == Some(from) {
-            self.gossip.announced_leaving = AnnouncedLeaving {
+            self.messaging.announced_leaving = AnnouncedLeaving {
                 instances: said.into_keys().collect(),
                 until: now + ANNOUNCED_FOR,
             };
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -11,7 +11,7 @@
 //! turns to the next candidate, and comes back to the first after a while.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use super::open_requests::{MAX_COUNTS, counts_beat_reports};
 use super::zone_relay::rank;
 use crate::Timestamp;
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// How many nodes of a zone may be its hub.
-const CANDIDATES: usize = 3;
+const MAX_HUB_CANDIDATES: usize = 3;
 /// Silence after which a node turns to the next candidate: two complete digests.
 const HUB_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a node stays with another candidate before it tries the first again.
@@ -36,7 +36,7 @@
 const DIGEST_PAUSE: Duration = Duration::from_millis(100);
 /// Pause between two digests for each node that gets them, if that is longer: 500
 /// datagrams a second.
-const PAUSE_A_REPORTER: Duration = Duration::from_millis(2);
+const DIGEST_PAUSE_PER_REPORTER: Duration = Duration::from_millis(2);
 /// Pause between two digests that hold all that is known.
 const COMPLETE_INTERVAL: Duration = Duration::from_millis(400);
 /// Pause between two exchanges with other zones, where bytes are dear: a few hundred
@@ -52,7 +52,7 @@
 /// State of a node towards its hub, and as one.
 pub(super) struct LoadHub {
     /// The place of the hub among the candidates.
-    place: usize,
+    candidate_index: usize,
     /// Since when it is used.
     since: Timestamp,
     /// What this node has reported last, by instance.
@@ -70,7 +70,7 @@
 impl LoadHub {
     pub(super) fn new(now: Timestamp) -> LoadHub {
         LoadHub {
-            place: 0,
+            candidate_index: 0,
             since: now,
             reported: HashMap::new(),
             reporters: HashMap::new(),
@@ -93,8 +93,8 @@
         self.reporters.insert(from, now);
     }
 
-    fn use_candidate(&mut self, place: usize, now: Timestamp) {
-        self.place = place;
+    fn switch_to(&mut self, candidate_index: usize, now: Timestamp) {
+        self.candidate_index = candidate_index;
         self.since = now;
     }
 }
@@ -112,7 +112,7 @@
         let of_zone = self.registry.iter().filter(|node| node.zone == *zone);
         let mut nodes: Vec<&NodeRecord> = of_zone.collect();
         nodes.sort_by_key(|node| rank(node));
-        nodes.truncate(CANDIDATES);
+        nodes.truncate(MAX_HUB_CANDIDATES);
         nodes.into_iter().map(|node| node.address).collect()
     }
 
@@ -122,18 +122,18 @@
         if candidates.is_empty() {
             return None;
         }
-        let place = self.load_hub.place % candidates.len();
-        let current = candidates[place];
+        let candidate_index = self.load_hub.candidate_index % candidates.len();
+        let current = candidates[candidate_index];
         let heard = self.shared.digest_from(current).unwrap_or_default();
         let silent = heard.max(self.load_hub.since) + HUB_TIMEOUT <= now;
         if silent && current != self.settings.peer_address {
             self.load_hub
-                .use_candidate((place + 1) % candidates.len(), now);
-        } else if place != 0 && self.load_hub.since + RETURN_AFTER <= now {
-            self.load_hub.use_candidate(0, now);
+                .switch_to((candidate_index + 1) % candidates.len(), now);
+        } else if candidate_index != 0 && self.load_hub.since + RETURN_AFTER <= now {
+            self.load_hub.switch_to(0, now);
         }
         candidates
-            .get(self.load_hub.place % candidates.len())
+            .get(self.load_hub.candidate_index % candidates.len())
             .copied()
     }
 
@@ -190,7 +190,7 @@
         }
         if hub.next_digest <= now {
             let reporters = u32::try_from(hub.reporters.len()).unwrap_or(u32::MAX);
-            let pause = DIGEST_PAUSE.max(PAUSE_A_REPORTER.saturating_mul(reporters));
+            let pause = DIGEST_PAUSE.max(DIGEST_PAUSE_PER_REPORTER.saturating_mul(reporters));
             hub.next_digest = now + pause;
             let complete = hub.next_complete <= now;
             if complete {
--- a/crates/ledgelead-router/src/node/gossip.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -30,7 +30,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// The same of any other node, for each node there is: the coordinator gets as many reports a
 /// second whatever the size of the fleet.
-const REPORT_PAUSE_A_NODE: Duration = Duration::from_millis(1);
+const REPORT_PAUSE_PER_NODE: Duration = Duration::from_millis(1);
 /// The longest such pause; counts of keys stand for the last second.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// How many nodes prepare at once to follow a coordinator that has resigned.
@@ -41,7 +41,7 @@
 const MAX_WORK: usize = 30;
 
 /// State of the messages between nodes.
-pub(super) struct Gossip {
+pub(super) struct Messaging {
     next_heartbeat: Timestamp,
     next_report: Timestamp,
     pub(super) relay: RelayState,
@@ -51,13 +51,13 @@
     /// Which node passed it on, or sent it.
     pub(super) heartbeat_sender: Option<SocketAddr>,
     /// When this node is on its own again, unless it hears of instances.
-    pub(super) informed_until: Option<Timestamp>,
+    pub(super) following_until: Option<Timestamp>,
     /// The epoch of the coordinator whose view is followed until then.
-    pub(super) followed: Option<u64>,
+    pub(super) followed_epoch: Option<u64>,
     /// Whether the store serves the coordinator, by its last heartbeat.
-    pub(super) serves_coordinator: bool,
+    pub(super) store_serves_coordinator: bool,
     /// When it was last heard.
-    pub(super) heard_store_at: Timestamp,
+    pub(super) coordinator_heard_at: Timestamp,
     /// The newest epoch of a heartbeat.
     pub(super) newest_epoch: u64,
     /// Heartbeats of an earlier epoch than the newest that is known.
@@ -68,19 +68,19 @@
     pub(super) announced_leaving: AnnouncedLeaving,
 }
 
-impl Gossip {
-    pub(super) fn new(now: Timestamp) -> Gossip {
-        Gossip {
+impl Messaging {
+    pub(super) fn new(now: Timestamp) -> Messaging {
+        Messaging {
             next_heartbeat: now,
             next_report: now + REPORT_INTERVAL,
             open_requests: OpenRequestPace::new(now),
             coordinator_address: None,
             heartbeat_sender: None,
             relay: RelayState::default(),
-            informed_until: None,
-            followed: None,
-            serves_coordinator: true,
-            heard_store_at: now,
+            following_until: None,
+            followed_epoch: None,
+            store_serves_coordinator: true,
+            coordinator_heard_at: now,
             newest_epoch: 0,
             former_heartbeats: 0,
             delay: DelayEstimate::default(),
@@ -89,37 +89,41 @@
     }
 
     /// The next heartbeat carries news and is due at once.
-    pub(super) fn hasten_heartbeat(&mut self) {
+    pub(super) fn send_heartbeat_soon(&mut self) {
         self.next_heartbeat = Timestamp::ZERO;
     }
 
     pub(super) fn next_deadline(&self) -> Timestamp {
         let due = self.next_heartbeat.min(self.next_report);
-        let others = [self.informed_until, self.relay.next_ask()];
+        let others = [self.following_until, self.relay.next_store_request()];
         others.into_iter().flatten().fold(due, Timestamp::min)
     }
 }
 
 impl Node {
     /// Sends what is due.
-    pub(super) fn gossip(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if self.gossip.next_heartbeat <= now {
-            self.gossip.next_heartbeat = now + HEARTBEAT_INTERVAL;
+    pub(super) fn send_due_messages(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        if self.messaging.next_heartbeat <= now {
+            self.messaging.next_heartbeat = now + HEARTBEAT_INTERVAL;
             self.announce_heartbeat(now, out);
             self.announce_leaving(now, out);
             self.announce_limits(now, out);
         }
-        if self.gossip.next_report <= now {
-            self.gossip.next_report = now + self.report_interval();
+        if self.messaging.next_report <= now {
+            self.messaging.next_report = now + self.report_interval();
             self.report_load(now, out);
             self.report_leaving(now, out);
             self.report_limits(now, out);
         }
-        if self.gossip.informed_until.is_some_and(|until| until <= now) {
-            self.gossip.informed_until = None;
-            self.gossip.followed = None;
+        if self
+            .messaging
+            .following_until
+            .is_some_and(|until| until <= now)
+        {
+            self.messaging.following_until = None;
+            self.messaging.followed_epoch = None;
             Event::FollowsNobody.emit();
-            self.store.set_informed(false, now, out);
+            self.store.set_following(false, now, out);
         }
         self.review_gaps(now, out);
     }
@@ -128,7 +132,7 @@
         let nodes = u32::try_from(self.registry.len()).unwrap_or(u32::MAX);
         match self.may_forward() {
             true => REPORT_INTERVAL,
-            false => REPORT_PAUSE_A_NODE
+            false => REPORT_PAUSE_PER_NODE
                 .saturating_mul(nodes)
                 .clamp(REPORT_INTERVAL, MAX_REPORT_INTERVAL),
         }
@@ -153,7 +157,7 @@
             let coordinator = self.ownership.record().coordinator.as_ref()?;
             Some(self.registry.get(&coordinator.node)?.address)
         };
-        self.gossip.coordinator_address.or_else(registered)
+        self.messaging.coordinator_address.or_else(registered)
     }
 
     /// Reports to the coordinator which keys were asked for, and what owners did.
@@ -271,7 +275,7 @@
                     first_fence,
                     digest,
                 };
-                self.heard_take_over(take_over, now, out);
+                self.take_over_announced(take_over, now, out);
             }
             PeerMessage::OwnershipChanged { span, changes } => {
                 self.ownership_announced(span, changes, now, out);
@@ -279,7 +283,7 @@
             PeerMessage::ResyncRequest { kind, since } => {
                 self.changes_requested(from, kind, since, now, out);
             }
-            PeerMessage::Resigned { epoch } => self.heard_resignation(epoch, now, out),
+            PeerMessage::Resigned { epoch } => self.resignation_announced(epoch, now, out),
             PeerMessage::LoadReport {
                 configuration,
                 nodes,
@@ -287,7 +291,7 @@
                 work,
             } => {
                 self.zone_relays.heard(from, nodes, now);
-                self.heard_configuration(configuration, now, out);
+                self.configuration_version_announced(configuration, now, out);
                 self.record_key_reports(&reports, now);
                 self.record_work_reports(&work);
             }
@@ -403,7 +407,7 @@
 
     /// Only those that come first as successors read the record at once. The
     /// others hear from the successor, or miss the coordinator's heartbeats.
-    fn heard_resignation(&mut self, epoch: u64, now: Timestamp, out: &mut Vec<Action>) {
+    fn resignation_announced(&mut self, epoch: u64, now: Timestamp, out: &mut Vec<Action>) {
         let current = epoch >= self.ownership.record().epoch;
         if current && self.campaign_rank() < PROMPT_SUCCESSORS {
             self.store.refresh_ownership(now, out);
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -4,12 +4,11 @@
 mod coordination;
 mod dispatch;
 mod first_view;
-mod gossip;
 mod heartbeat;
 mod leaving;
 mod load_hub;
+mod messaging;
 mod open_requests;
-mod picture;
 mod quarantine;
 mod rate_limits;
 mod registration;
@@ -18,9 +17,10 @@
 mod store_answers;
 mod store_calls;
 mod store_era;
+mod store_objects;
+mod store_timing;
 mod transfer;
-mod unreadable;
-mod watch_paces;
+mod unreadable_objects;
 mod zone_relay;
 mod zone_traffic;
 
@@ -46,14 +46,14 @@
 use crate::settings::NodeSettings;
 use crate::zone_traffic::ZoneTraffic;
 use coordination::Coordination;
-use gossip::Gossip;
 use load_hub::LoadHub;
+use messaging::Messaging;
 use quarantine::Quarantine;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use store_calls::StoreCalls;
 use transfer::{TransferServer, Transfers};
-use unreadable::UnreadableObjects;
+use unreadable_objects::UnreadableObjects;
 use zone_relay::ZoneRelays;
 
 /// Pause between two clean-ups of what is no longer needed.
@@ -74,7 +74,7 @@
     exchanges: ExchangeIds,
     store: StoreCalls,
     coordination: Coordination,
-    gossip: Gossip,
+    messaging: Messaging,
     zone_relays: ZoneRelays,
     transfers: Transfers,
     transfer_server: TransferServer,
@@ -112,7 +112,7 @@
             exchanges: ExchangeIds::default(),
             store: StoreCalls::new(&settings, now),
             coordination: Coordination::new(Election::default(), settings.protections),
-            gossip: Gossip::new(now),
+            messaging: Messaging::new(now),
             zone_relays: ZoneRelays::default(),
             transfers: Transfers::new(settings.seed),
             transfer_server: TransferServer::default(),
@@ -193,7 +193,7 @@
                 self.transfer_requested(client, &request, now, out);
             }
             Input::ClientLeft { client } => {
-                self.transfer_server.left(client);
+                self.transfer_server.client_disconnected(client);
                 self.requests.left(client, out);
             }
             Input::Exchanged {
@@ -212,7 +212,7 @@
                         self.coordination.note_change();
                     }
                     if self.requests.take_misdirected() {
-                        self.store.ownership_doubted(now, out);
+                        self.store.refresh_doubted_ownership(now, out);
                     }
                     self.reconsider_waiting(now, out);
                 } else if self.store.owns(exchange) {
@@ -220,7 +220,7 @@
                 } else if self.transfers.owns(exchange) {
                     self.transfer_ended(exchange, result, now, out);
                 } else if self.quarantine.owns(exchange) {
-                    self.probed(exchange, result.err(), now);
+                    self.probe_ended(exchange, result.err(), now);
                 } else {
                     self.order_answered(exchange, result, now, out);
                 }
@@ -253,7 +253,7 @@
                 .min(),
             self.coordination_deadline(),
             Some(
-                self.gossip
+                self.messaging
                     .next_deadline()
                     .min(self.open_requests_deadline())
                     .min(self.load_hub.next_deadline().unwrap_or(Timestamp::MAX))
@@ -288,7 +288,7 @@
         }
         self.review_quarantine(now, out);
         self.coordinate(now, out);
-        self.gossip(now, out);
+        self.send_due_messages(now, out);
         // After all that may have made a watch due.
         self.call_store(now, out);
         let (requests, mut context) = self.requests_and_context(now);
--- a/crates/ledgelead-router/src/node/open_requests.rs
+++ b/crates/ledgelead-router/src/node/open_requests.rs
@@ -8,7 +8,7 @@
 //! zone's hub alone (`load_hub`), which sends back a digest of all.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use crate::io::Action;
@@ -65,7 +65,7 @@
 impl Node {
     /// When counts are due next.
     pub(super) fn open_requests_deadline(&self) -> Timestamp {
-        let pace = &self.gossip.open_requests;
+        let pace = &self.messaging.open_requests;
         if self.requests.has_changed() {
             pace.next_batch.min(pace.next_refresh)
         } else {
@@ -76,8 +76,9 @@
     /// Sends in-flight counts to the nodes of the zone, or to its hub: those that
     /// changed, and now and then all.
     pub(super) fn announce_open_requests(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let refresh_due = self.gossip.open_requests.next_refresh <= now;
-        let batch_due = self.gossip.open_requests.next_batch <= now && self.requests.has_changed();
+        let refresh_due = self.messaging.open_requests.next_refresh <= now;
+        let batch_due =
+            self.messaging.open_requests.next_batch <= now && self.requests.has_changed();
         if !refresh_due && !batch_due {
             return;
         }
@@ -90,10 +91,10 @@
                 true => HUB_PAUSE,
                 false => batch_pause(peers.len()),
             };
-            self.gossip.open_requests.next_batch = now + pause;
+            self.messaging.open_requests.next_batch = now + pause;
         }
         if refresh_due {
-            self.gossip.open_requests.next_refresh = now + REFRESH_INTERVAL;
+            self.messaging.open_requests.next_refresh = now + REFRESH_INTERVAL;
             counts.extend(self.requests.take_busy());
         }
         for (_, open) in &counts {
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -1,10 +1,10 @@
 //! Requests that crash instances: proof that an instance ended, news to the other nodes,
 //! and what the store keeps.
 
-mod keeping;
-mod news;
+mod persistence;
+mod sharing;
 
-pub(super) use news::EvidenceMessage;
+pub(super) use sharing::EvidenceMessage;
 
 use super::Node;
 use crate::Timestamp;
@@ -22,7 +22,7 @@
 /// Time for a probe's connection to come up.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between two looks at whether suspected instances have ended.
-const SUSPECTS_PAUSE: Duration = Duration::from_millis(200);
+const SUSPECT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// News that are sent again.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 
 /// What the store holds of a request.
 #[derive(Debug)]
-struct Kept {
+struct StoredRecord {
     record: QuarantineRecord,
     revision: u64,
 }
@@ -47,10 +47,10 @@
     recent: RecentAnswers,
     unconfirmed_answers: UnconfirmedAnswers,
     probes: HashMap<ExchangeId, InstanceId>,
-    next_look: Timestamp,
+    next_suspect_check: Timestamp,
     repeats: Vec<Repeat>,
     next_sync: Timestamp,
-    kept: BTreeMap<RequestDigest, Kept>,
+    stored: BTreeMap<RequestDigest, StoredRecord>,
     is_writing: bool,
     next_write: Timestamp,
 }
@@ -59,7 +59,7 @@
     /// The store came back from a copy, which lacks what was kept since: that is written again,
     /// and its absence is no word of an operator.
     pub(super) fn begin_era(&mut self) {
-        self.kept.clear();
+        self.stored.clear();
         self.is_writing = false;
     }
 
@@ -83,10 +83,10 @@
     }
 
     fn next_deadline(&self) -> Option<Timestamp> {
-        let look = self.has_suspects().then_some(self.next_look);
+        let suspect_check = self.has_suspects().then_some(self.next_suspect_check);
         let repeat = self.repeats.iter().map(|repeat| repeat.at).min();
         [
-            look,
+            suspect_check,
             repeat,
             self.unconfirmed_answers.next_due(),
             self.evidence.next_review(),
@@ -100,7 +100,9 @@
 impl Node {
     /// When evidence is looked at next.
     pub(super) fn quarantine_deadline(&self) -> Option<Timestamp> {
-        let write = self.may_keep().then_some(self.quarantine.next_write);
+        let write = self
+            .may_store_evidence()
+            .then_some(self.quarantine.next_write);
         self.quarantine
             .next_deadline()
             .into_iter()
@@ -118,8 +120,8 @@
         }
         for (instance, asked) in signs.answered {
             if instance.born().is_none() {
-                self.instance_lives(&instance, asked, now);
-            } else if self.is_in_question(&instance, asked) {
+                self.instance_is_alive(&instance, asked, now);
+            } else if self.is_answer_relevant(&instance, asked) {
                 self.quarantine
                     .unconfirmed_answers
                     .answered(&instance, asked, now);
@@ -135,7 +137,7 @@
     }
 
     /// Whether an answer to what was asked at this time would show anything.
-    fn is_in_question(&self, instance: &InstanceId, asked: Timestamp) -> bool {
+    fn is_answer_relevant(&self, instance: &InstanceId, asked: Timestamp) -> bool {
         self.quarantine.suspects.contains(instance) || self.is_end_in_doubt(instance, asked)
     }
 
@@ -148,7 +150,7 @@
     }
 
     /// An instance has answered what was asked at this time.
-    fn instance_lives(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
+    fn instance_is_alive(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
         self.quarantine.suspects.answered(instance, asked);
         if self.is_end_in_doubt(instance, asked) {
             Event::EndDisproved { instance }.emit();
@@ -158,10 +160,10 @@
     }
 
     /// Answers that a later life would be known to have given by now.
-    fn look_at_life_signs(&mut self, now: Timestamp) {
+    fn check_unconfirmed_answers(&mut self, now: Timestamp) {
         for (instance, asked) in self.quarantine.unconfirmed_answers.take_due(now) {
             if self.directory.later_life(&instance).is_none() {
-                self.instance_lives(&instance, asked, now);
+                self.instance_is_alive(&instance, asked, now);
             }
         }
     }
@@ -197,7 +199,7 @@
 
     /// A probe has ended. A connection that comes up proves nothing: another life of the
     /// instance may listen there.
-    pub(super) fn probed(
+    pub(super) fn probe_ended(
         &mut self,
         exchange: ExchangeId,
         failure: Option<ExchangeFailure>,
@@ -233,18 +235,18 @@
 
     /// Does what is due.
     pub(super) fn review_quarantine(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if self.quarantine.has_suspects() && self.quarantine.next_look <= now {
-            self.quarantine.next_look = now + SUSPECTS_PAUSE;
-            self.look_at_suspects(now);
+        if self.quarantine.has_suspects() && self.quarantine.next_suspect_check <= now {
+            self.quarantine.next_suspect_check = now + SUSPECT_CHECK_INTERVAL;
+            self.check_suspects(now);
         }
-        self.look_at_life_signs(now);
-        self.judge(now);
-        self.send_news(now, out);
-        self.keep_evidence(now, out);
+        self.check_unconfirmed_answers(now);
+        self.review_evidence(now);
+        self.share_evidence(now, out);
+        self.store_evidence(now, out);
     }
 
     /// Instances whose entries show that they have ended.
-    fn look_at_suspects(&mut self, now: Timestamp) {
+    fn check_suspects(&mut self, now: Timestamp) {
         self.quarantine.suspects.expire(now);
         let has_ended = |instance: &&InstanceId| {
             let known = self.directory.get(instance);
@@ -260,7 +262,7 @@
         }
     }
 
-    fn judge(&mut self, now: Timestamp) {
+    fn review_evidence(&mut self, now: Timestamp) {
         let verdicts = self.quarantine.evidence.review(now);
         if !verdicts.0.is_empty() {
             self.quarantine.next_write = now;
@@ -285,7 +287,7 @@
         self.quarantine.evidence.expire(now);
         let evidence = &self.quarantine.evidence;
         self.quarantine
-            .kept
+            .stored
             .retain(|request, _| evidence.get(request).is_some());
     }
 }
--- a/crates/ledgelead-router/src/node/quarantine/keeping.rs
+++ b/crates/ledgelead-router/src/node/quarantine/persistence.rs
@@ -1,6 +1,6 @@
 //! Evidence that the store keeps over the loss of all nodes.
 
-use super::Kept;
+use super::StoredRecord;
 use crate::Timestamp;
 use crate::dialect::{Object, ObjectContent, ObjectKind, StoreAnswer, StoreCall, WrittenContent};
 use crate::events::Event;
@@ -14,13 +14,13 @@
 use std::time::Duration;
 
 /// Time between two comparisons of what is known with what the store holds.
-const KEEP_INTERVAL: Duration = Duration::from_millis(200);
+const STORE_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause before a failed write is tried again.
 const WRITE_PAUSE: Duration = Duration::from_millis(500);
 
 impl Node {
     /// Whether this node writes evidence to the store now.
-    pub(super) fn may_keep(&self) -> bool {
+    pub(super) fn may_store_evidence(&self) -> bool {
         self.settings.protections.has(Protection::KeptEvidence)
             && !self.quarantine.evidence.is_empty()
             && self.coordination.coordinator().is_some()
@@ -30,26 +30,26 @@
     }
 
     /// A request whose evidence the store doesn't hold as it is known here.
-    fn unkept(&self) -> Option<RequestDigest> {
-        let is_unkept = |(request, record): &(RequestDigest, QuarantineRecord)| {
-            let kept = self.quarantine.kept.get(request);
-            match kept {
-                Some(kept) => kept.record != *record,
+    fn unsaved(&self) -> Option<RequestDigest> {
+        let is_unsaved = |(request, record): &(RequestDigest, QuarantineRecord)| {
+            let stored = self.quarantine.stored.get(request);
+            match stored {
+                Some(stored) => stored.record != *record,
                 None => record.ends.len() >= 2 || !record.quarantined.is_empty(),
             }
         };
         let weighty = self.quarantine.evidence.weighty();
         let records = weighty.map(|(request, entry)| (*request, QuarantineRecord::new(entry)));
-        let mut unkept = records.filter(is_unkept);
-        unkept.next().map(|(request, _)| request)
+        let mut unsaved = records.filter(is_unsaved);
+        unsaved.next().map(|(request, _)| request)
     }
 
-    pub(super) fn keep_evidence(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if !self.may_keep() || self.quarantine.next_write > now {
+    pub(super) fn store_evidence(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        if !self.may_store_evidence() || self.quarantine.next_write > now {
             return;
         }
-        self.quarantine.next_write = now + KEEP_INTERVAL;
-        let Some(request) = self.unkept() else {
+        self.quarantine.next_write = now + STORE_INTERVAL;
+        let Some(request) = self.unsaved() else {
             return;
         };
         let Some(entry) = self.quarantine.evidence.get(&request) else {
@@ -58,7 +58,7 @@
         let record = QuarantineRecord::new(entry);
         let name = request.to_string();
         let content = WrittenContent::Quarantine(record.clone());
-        let call = match self.quarantine.kept.contains_key(&request) {
+        let call = match self.quarantine.stored.contains_key(&request) {
             false => StoreCall::Create { name, content },
             true => StoreCall::Replace {
                 name,
@@ -68,12 +68,12 @@
             },
         };
         self.quarantine.is_writing = true;
-        let purpose = Purpose::KeepEvidence(Box::new((request, record)));
+        let purpose = Purpose::StoreEvidence(Box::new((request, record)));
         self.start_call(purpose, call, now, out);
     }
 
     /// The store has answered a write of evidence.
-    pub(in crate::node) fn evidence_kept(
+    pub(in crate::node) fn evidence_stored(
         &mut self,
         request: RequestDigest,
         record: QuarantineRecord,
@@ -85,18 +85,18 @@
             Ok(StoreAnswer::Written(object)) => {
                 let revision = object.revision;
                 self.quarantine
-                    .kept
-                    .insert(request, Kept { record, revision });
+                    .stored
+                    .insert(request, StoredRecord { record, revision });
             }
             Ok(StoreAnswer::Conflict) => {
                 // An earlier write whose answer was lost: it is replaced.
-                let kept = Kept {
+                let stored = StoredRecord {
                     record: QuarantineRecord::default(),
                     revision: 0,
                 };
-                self.quarantine.kept.insert(request, kept);
+                self.quarantine.stored.insert(request, stored);
             }
-            Ok(StoreAnswer::Missing) => self.lifted(request, now),
+            Ok(StoreAnswer::Missing) => self.quarantine_lifted(request, now),
             _ => self.quarantine.next_write = now + WRITE_PAUSE,
         }
     }
@@ -110,11 +110,11 @@
             return;
         };
         self.quarantine.evidence.merge(request, &record.entry(now));
-        let kept = Kept {
+        let stored = StoredRecord {
             record: record.clone(),
             revision: object.revision,
         };
-        self.quarantine.kept.insert(request, kept);
+        self.quarantine.stored.insert(request, stored);
     }
 
     /// The store's list lacks what it held: an operator has removed it.
@@ -124,19 +124,19 @@
         revision: u64,
         now: Timestamp,
     ) {
-        let kept = self.quarantine.kept.iter();
-        let gone = kept.filter(|(request, kept)| {
-            !listed.contains(request) && kept.revision > 0 && kept.revision <= revision
+        let stored = self.quarantine.stored.iter();
+        let gone = stored.filter(|(request, stored)| {
+            !listed.contains(request) && stored.revision > 0 && stored.revision <= revision
         });
         let gone: Vec<RequestDigest> = gone.map(|(request, _)| *request).collect();
         for request in gone {
-            self.lifted(request, now);
+            self.quarantine_lifted(request, now);
         }
     }
 
     /// An operator has removed what the store kept of a request: it is sent again.
-    pub(in crate::node) fn lifted(&mut self, request: RequestDigest, now: Timestamp) {
-        self.quarantine.kept.remove(&request);
+    pub(in crate::node) fn quarantine_lifted(&mut self, request: RequestDigest, now: Timestamp) {
+        self.quarantine.stored.remove(&request);
         Event::QuarantineLifted { digest: request }.emit();
         self.quarantine.evidence.lift(request, now);
     }
--- a/crates/ledgelead-router/src/node/quarantine/news.rs
+++ b/crates/ledgelead-router/src/node/quarantine/sharing.rs
@@ -4,7 +4,7 @@
 use crate::Timestamp;
 use crate::io::Action;
 use crate::node::Node;
-use crate::node::gossip::send;
+use crate::node::messaging::send;
 use crate::peers::{
     AgedEntry, Datagram, PeerMessage, RequestEntry, aged_instances, encode, evidence_parts, time_of,
 };
@@ -18,13 +18,13 @@
 
 /// When news are sent again: where four in ten datagrams are lost, all four of a row are
 /// in one of forty cases.
-const REPEATS: [Duration; 3] = [
+const REPEAT_DELAYS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
     Duration::from_millis(1_400),
 ];
 /// Pause between two requests for all evidence: two heartbeats.
-const SYNC_PAUSE: Duration = Duration::from_millis(400);
+const SYNC_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What another node knows.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 
 impl Node {
     /// Sends the others what this node has learned by itself, now and some times more.
-    pub(super) fn send_news(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn share_evidence(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.quarantine.evidence.has_news() {
             let (requests, alive) = self.quarantine.evidence.take_news();
             self.send_evidence_of(&requests, &alive, now, out);
@@ -45,7 +45,7 @@
                 requests: requests.clone(),
                 alive: alive.clone(),
             };
-            self.quarantine.repeats.extend(REPEATS.map(repeat));
+            self.quarantine.repeats.extend(REPEAT_DELAYS.map(repeat));
         }
         let repeats = std::mem::take(&mut self.quarantine.repeats);
         let (due, later): (Vec<Repeat>, Vec<Repeat>) =
@@ -88,7 +88,7 @@
 
     /// The coordinator's heartbeat shows whether it knows the same. If not, both send each
     /// other all.
-    pub(in crate::node) fn heard_evidence(
+    pub(in crate::node) fn compare_evidence(
         &mut self,
         from: SocketAddr,
         checksum: u64,
@@ -98,7 +98,7 @@
         let differs = checksum != self.quarantine.evidence.checksum();
         let shares = self.settings.protections.has(Protection::SharedEvidence);
         if differs && shares && self.quarantine.next_sync <= now {
-            self.quarantine.next_sync = now + SYNC_PAUSE;
+            self.quarantine.next_sync = now + SYNC_INTERVAL;
             send(from, &self.all_evidence(true, now), out);
         }
     }
@@ -123,7 +123,7 @@
                 self.acquit_if_answered(request, caller, now);
             }
         }
-        self.judge(now);
+        self.review_evidence(now);
         if message.wants_reply {
             send(from, &self.all_evidence(false, now), out);
         }
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -5,7 +5,7 @@
 //! one of the instance's limiters for a token.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::dispatch::Candidates;
 use crate::identity::ZoneName;
--- a/crates/ledgelead-router/src/node/registration.rs
+++ b/crates/ledgelead-router/src/node/registration.rs
@@ -27,7 +27,7 @@
 pub(super) struct RegistrationState {
     is_done: bool,
     /// Whether the store holds another registration than the one that is known.
-    awaits_list: bool,
+    needs_list: bool,
     next_try: Timestamp,
 }
 
@@ -35,7 +35,7 @@
     pub(super) fn new(now: Timestamp) -> RegistrationState {
         RegistrationState {
             is_done: false,
-            awaits_list: false,
+            needs_list: false,
             next_try: now,
         }
     }
@@ -47,12 +47,12 @@
     /// The store came back from a copy, which may hold another registration, or none.
     pub(super) fn begin_era(&mut self) {
         self.is_done = false;
-        self.awaits_list = true;
+        self.needs_list = true;
     }
 
     /// The nodes were listed.
     pub(super) fn listed(&mut self) {
-        self.awaits_list = false;
+        self.needs_list = false;
     }
 }
 
@@ -61,7 +61,7 @@
     pub(super) fn registration_deadline(&self) -> Option<Timestamp> {
         let state = &self.store.registration;
         let is_held_back = state.is_done
-            || state.awaits_list
+            || state.needs_list
             || self.stopping
             || self.store.is_registering()
             || self.store.health.has_failed();
@@ -69,7 +69,8 @@
             return None;
         }
         let knows = self.store.has_listed(ObjectKind::Nodes) || self.store.starts_cold();
-        let wanted_now = knows && (!self.is_reached_as_registered() || self.succeeds_own_life());
+        let wanted_now =
+            knows && (!self.is_registered_as_reachable() || self.succeeds_own_incarnation());
         if wanted_now {
             return Some(state.next_try);
         }
@@ -79,7 +80,7 @@
 
     /// Whether some life of this node is registered with what others need to
     /// know of it.
-    fn is_reached_as_registered(&self) -> bool {
+    fn is_registered_as_reachable(&self) -> bool {
         let own = self.own_record();
         let known = self.registry.get(&own.identity.node);
         known.is_some_and(|known| {
@@ -91,7 +92,7 @@
     }
 
     /// Whether an earlier life of this node is named as coordinator.
-    pub(super) fn succeeds_own_life(&self) -> bool {
+    pub(super) fn succeeds_own_incarnation(&self) -> bool {
         let own = &self.settings.identity;
         let coordinator = self.ownership.record().coordinator.as_ref();
         coordinator.is_some_and(|named| named.node == own.node && named != own)
@@ -99,7 +100,7 @@
 
     /// Notes whether another life of this node is registered, which has drawn on the
     /// retry budget.
-    pub(super) fn note_earlier_life(&mut self) {
+    pub(super) fn note_earlier_incarnation(&mut self) {
         let own = &self.settings.identity;
         let registered = self.registry.get(&own.node);
         if registered.is_some_and(|known| known.identity != *own) {
@@ -152,7 +153,7 @@
             Ok(StoreAnswer::Conflict | StoreAnswer::Missing) => {
                 // Another life, or an earlier write of this one whose answer was
                 // lost.
-                self.store.registration.awaits_list = true;
+                self.store.registration.needs_list = true;
                 // An object that can't be read may go on standing in the way.
                 self.store.registration.next_try = now + RETRY_PAUSE;
                 self.store.list_nodes(now);
--- a/crates/ledgelead-router/src/node/relay/configuration.rs
+++ b/crates/ledgelead-router/src/node/relay/configuration.rs
@@ -14,7 +14,7 @@
 
 /// Versions that a coordinator keeps for nodes that have missed some. A storm
 /// of versions comes each 60 ms; a node asks again each 200 ms at the latest.
-const KEPT_VERSIONS: usize = 16;
+const CONFIGURATION_LOG_LENGTH: usize = 16;
 /// Most bytes of changes in one datagram, so that it fits the shortest usual
 /// MTU with its span and limits.
 const MAX_CHANGE_BYTES: usize = 1_100;
@@ -51,21 +51,21 @@
         let Some(next) = self.configuration.clone() else {
             return;
         };
-        self.gossip.relay.configuration_datagrams.clear();
-        let kept = &mut self.gossip.relay.configurations;
+        self.messaging.relay.configuration_datagrams.clear();
+        let kept = &mut self.messaging.relay.configurations;
         let before = kept.back().map_or(0, |earlier| earlier.version);
         kept.push_back(next);
-        if kept.len() > KEPT_VERSIONS {
+        if kept.len() > CONFIGURATION_LOG_LENGTH {
             kept.pop_front();
         }
         if self.coordination.coordinator().is_none() {
             return;
         }
-        if let Some(datagrams) = self.gossip.relay.configuration_datagrams(before) {
+        if let Some(datagrams) = self.messaging.relay.configuration_datagrams(before) {
             self.broadcast(&datagrams, now, out);
         }
         // Nodes that need another base learn of the version.
-        self.gossip.hasten_heartbeat();
+        self.messaging.send_heartbeat_soon();
     }
 
     /// The coordinator has announced a version.
@@ -78,7 +78,7 @@
         out: &mut Vec<Action>,
     ) {
         let part = vec![(limits, changes.0)];
-        let Some(list) = self.gossip.relay.configuration_parts.add(span, part) else {
+        let Some(list) = self.messaging.relay.configuration_parts.add(span, part) else {
             return;
         };
         let known = self.configuration_version();
@@ -103,7 +103,7 @@
     }
 
     /// Another node has this version of the configuration in force.
-    pub(in crate::node) fn heard_configuration(
+    pub(in crate::node) fn configuration_version_announced(
         &mut self,
         version: u64,
         now: Timestamp,
@@ -113,7 +113,7 @@
             // Its own watch is the only one that may tell it.
             self.store.poke(ObjectKind::Configuration, now);
         }
-        self.heard_of(RelayedKind::Configuration, version, now, out);
+        self.revision_announced(RelayedKind::Configuration, version, now, out);
     }
 
     pub(in crate::node) fn configuration_version(&self) -> u64 {
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -18,7 +18,7 @@
 /// How long changes that were announced may be missing before the store is asked for
 /// them, and between two such calls. The coordinator is asked for them with each heartbeat
 /// (200 ms), so two such requests may be lost or late before the store has to answer.
-const MISSING_FOR: Duration = Duration::from_millis(400);
+const STORE_FALLBACK_DELAY: Duration = Duration::from_millis(400);
 
 /// What this node lacks of one kind.
 ///
@@ -31,16 +31,16 @@
     /// Since when this node has known less than that.
     missing_since: Option<Timestamp>,
     /// Since when the store has not been asked for it.
-    unasked_since: Timestamp,
+    last_store_request: Timestamp,
     /// When the coordinator may be asked for missed changes again.
     pub(super) next_request: Timestamp,
 }
 
 impl Gap {
     /// When the store is to be asked, if something is missing.
-    fn next_ask(&self) -> Option<Timestamp> {
+    fn next_store_request(&self) -> Option<Timestamp> {
         self.missing_since?;
-        Some(self.unasked_since + MISSING_FOR)
+        Some(self.last_store_request + STORE_FALLBACK_DELAY)
     }
 }
 
@@ -51,12 +51,12 @@
 
     /// What is missing of a kind is looked at again at this time.
     pub(in crate::node) fn review_gap_at(&mut self, kind: RelayedKind, at: Timestamp) {
-        self.gap(kind).unasked_since = at.saturating_sub(MISSING_FOR);
+        self.gap(kind).last_store_request = at.saturating_sub(STORE_FALLBACK_DELAY);
     }
 
     /// When the store is to be asked next for what is missing.
-    pub(in crate::node) fn next_ask(&self) -> Option<Timestamp> {
-        self.gaps.iter().filter_map(Gap::next_ask).min()
+    pub(in crate::node) fn next_store_request(&self) -> Option<Timestamp> {
+        self.gaps.iter().filter_map(Gap::next_store_request).min()
     }
 
     /// A coordinator of a later epoch is heard. It reads changes of instances and nodes
@@ -73,7 +73,7 @@
     /// By kind: the newest revision that was announced, and the one that is known.
     pub(in crate::node) fn announced_and_known(&self) -> BTreeMap<&'static str, (u64, u64)> {
         let of_kind = |kind: RelayedKind| {
-            let announced = self.gossip.relay.gaps[kind as usize].announced;
+            let announced = self.messaging.relay.gaps[kind as usize].announced;
             let known = self.known_revision(kind).unwrap_or(0);
             (kind.name(), (announced, known))
         };
@@ -82,7 +82,7 @@
 
     /// Another node knows of a change of this revision. What this node has missed, it
     /// asks the coordinator for, and after a while the store.
-    pub(in crate::node) fn heard_of(
+    pub(in crate::node) fn revision_announced(
         &mut self,
         kind: RelayedKind,
         revision: u64,
@@ -90,7 +90,7 @@
         out: &mut Vec<Action>,
     ) {
         let keeps = self.settings.protections.has(Protection::NewestEpoch);
-        let gap = self.gossip.relay.gap(kind);
+        let gap = self.messaging.relay.gap(kind);
         let earlier = if keeps { gap.announced } else { 0 };
         gap.announced = revision.max(earlier);
         if self.lacks_changes(kind) {
@@ -100,7 +100,7 @@
     }
 
     fn lacks_changes(&self, kind: RelayedKind) -> bool {
-        let announced = self.gossip.relay.gaps[kind as usize].announced;
+        let announced = self.messaging.relay.gaps[kind as usize].announced;
         let known = self.known_revision(kind);
         known.is_some_and(|known| known < announced)
     }
@@ -109,19 +109,19 @@
     fn review_gap(&mut self, kind: RelayedKind, now: Timestamp, out: &mut Vec<Action>) {
         let is_missing = self.lacks_changes(kind);
         let known = self.known_revision(kind).unwrap_or(0);
-        let gap = self.gossip.relay.gap(kind);
+        let gap = self.messaging.relay.gap(kind);
         if !is_missing {
             gap.missing_since = None;
             return;
         }
         if gap.missing_since.is_none() {
             gap.missing_since = Some(now);
-            gap.unasked_since = now;
+            gap.last_store_request = now;
         }
-        if gap.next_ask().is_none_or(|due| now < due) {
+        if gap.next_store_request().is_none_or(|due| now < due) {
             return;
         }
-        let since = std::mem::replace(&mut gap.unasked_since, now);
+        let since = std::mem::replace(&mut gap.last_store_request, now);
         let missing = gap.missing_since.map_or(Duration::ZERO, |at| now - at);
         let missing = Event::ChangesMissing {
             kind: kind.name(),
@@ -136,7 +136,7 @@
     /// Asks the store for what is due, also while no coordinator is heard.
     pub(in crate::node) fn review_gaps(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         for kind in RelayedKind::ALL {
-            let due = self.gossip.relay.gap(kind).next_ask();
+            let due = self.messaging.relay.gap(kind).next_store_request();
             if due.is_some_and(|due| due <= now) {
                 self.review_gap(kind, now, out);
             }
--- a/crates/ledgelead-router/src/node/relay/mod.rs
+++ b/crates/ledgelead-router/src/node/relay/mod.rs
@@ -9,20 +9,20 @@
 mod configuration;
 mod entries;
 mod gaps;
-mod lacking;
 mod objects;
 mod ownership;
+mod snapshot_requests;
 
 pub(super) use entries::{changed_assignment, listed_node, registration};
 pub(super) use objects::differences;
 pub(super) use ownership::TakeOver;
 
 use gaps::Gap;
-use lacking::Lacking;
 use ownership::AnnouncedTakeOver;
+use snapshot_requests::SnapshotRequests;
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::configuration::Configuration;
 use crate::dialect::{ObjectEvent, ObjectKind};
@@ -41,15 +41,15 @@
 /// How many lists of changes of instances or nodes a coordinator keeps. Its
 /// watch answers each 150 ms at most, so they reach back 10 s, further than a
 /// list that may be some seconds old.
-const KEPT_LISTS: usize = 64;
+const CHANGE_LOG_LENGTH: usize = 64;
 /// The same for the record of ownership, which is written up to 20 times a
 /// second while keys move.
-const KEPT_OWNERSHIP: usize = 256;
+const OWNERSHIP_LOG_LENGTH: usize = 256;
 /// Most bytes of entries in one datagram. With its span it fits what a receiver reads,
 /// also if it is passed on; names of 255 bytes would exceed that at the usual count.
 const MAX_PART_BYTES: usize = 1_350;
 /// Pause between two requests for missed changes of one kind.
-const REQUEST_PAUSE: Duration = Duration::from_millis(60);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
 /// State of what is passed on.
 pub(super) struct RelayState {
@@ -72,7 +72,7 @@
     instance_parts: Assembly<ChangedInstance>,
     snapshot_parts: Assembly<ChangedInstance>,
     /// Nodes that lack changes of instances which the log doesn't reach back to.
-    lacking: Lacking,
+    snapshot_requests: SnapshotRequests,
     node_parts: Assembly<ChangedNode>,
     ownership_parts: Assembly<ChangedAssignment>,
     configuration_parts: Assembly<(LimitsEntry, Vec<ConfigurationChange>)>,
@@ -81,9 +81,9 @@
 impl Default for RelayState {
     fn default() -> RelayState {
         RelayState {
-            instances: ChangeLog::new(KEPT_LISTS),
-            nodes: ChangeLog::new(KEPT_LISTS),
-            ownership: ChangeLog::new(KEPT_OWNERSHIP),
+            instances: ChangeLog::new(CHANGE_LOG_LENGTH),
+            nodes: ChangeLog::new(CHANGE_LOG_LENGTH),
+            ownership: ChangeLog::new(OWNERSHIP_LOG_LENGTH),
             take_over: None,
             configurations: VecDeque::new(),
             configuration_datagrams: HashMap::new(),
@@ -92,7 +92,7 @@
             gaps: Default::default(),
             instance_parts: Assembly::default(),
             snapshot_parts: Assembly::default(),
-            lacking: Lacking::default(),
+            snapshot_requests: SnapshotRequests::default(),
             node_parts: Assembly::default(),
             ownership_parts: Assembly::default(),
             configuration_parts: Assembly::default(),
@@ -193,11 +193,11 @@
         let Some(address) = self.coordinator_address() else {
             return;
         };
-        let gap = self.gossip.relay.gap(kind);
+        let gap = self.messaging.relay.gap(kind);
         if gap.next_request > now {
             return;
         }
-        gap.next_request = now + REQUEST_PAUSE;
+        gap.next_request = now + REQUEST_INTERVAL;
         let request = encode(&PeerMessage::ResyncRequest { kind, since });
         send(address, &[request], out);
     }
@@ -215,7 +215,7 @@
             return;
         }
         let unconfirmed = self.directory.doubt_left(now);
-        let relay = &mut self.gossip.relay;
+        let relay = &mut self.messaging.relay;
         let datagrams = match kind {
             RelayedKind::Instances => {
                 let changes = relay.instances.since(since, objects::MAX_INSTANCES);
@@ -246,9 +246,13 @@
         let is_due = kind == RelayedKind::Instances
             && self.directory.is_complete()
             && self.directory.len() <= objects::MAX_INSTANCES
-            && self.gossip.relay.lacking.is_snapshot_due(from, now);
+            && self
+                .messaging
+                .relay
+                .snapshot_requests
+                .is_snapshot_due(from, now);
         is_due.then(|| {
-            let revision = self.gossip.relay.instances_revision;
+            let revision = self.messaging.relay.instances_revision;
             objects::snapshot_datagrams(&self.directory, revision, now)
         })
     }
@@ -260,14 +264,14 @@
     base: u64,
     revision: u64,
     changed: &[T],
-    a_part: usize,
+    per_part: usize,
     message: impl Fn(ChangeSpan, List<T>) -> PeerMessage,
 ) -> Vec<Datagram> {
-    if changed.len() > a_part * usize::from(MAX_PARTS) {
+    if changed.len() > per_part * usize::from(MAX_PARTS) {
         log::info!(target: "peers", "{} changes are too many for datagrams", changed.len());
         return Vec::new();
     }
-    let chunks = chunks(changed, a_part);
+    let chunks = chunks(changed, per_part);
     let count = match u8::try_from(chunks.len()) {
         Ok(count) if count <= MAX_PARTS => count,
         _ => return Vec::new(),
@@ -288,14 +292,14 @@
 
 /// Splits changes so that each part fits a datagram. At least one part: a list that
 /// changes nothing is told too, else the others would ask for what lies before it.
-fn chunks<T: Clone + SerBin>(changed: &[T], a_part: usize) -> Vec<Vec<T>> {
+fn chunks<T: Clone + SerBin>(changed: &[T], per_part: usize) -> Vec<Vec<T>> {
     let mut chunks = vec![Vec::new()];
     let mut bytes = 0;
     for change in changed {
         let length = codec::encode(change).len();
         let last_is_full = chunks
             .last()
-            .is_some_and(|last| last.len() >= a_part || bytes + length > MAX_PART_BYTES);
+            .is_some_and(|last| last.len() >= per_part || bytes + length > MAX_PART_BYTES);
         if last_is_full && bytes > 0 {
             chunks.push(Vec::new());
             bytes = 0;
--- a/crates/ledgelead-router/src/node/relay/objects.rs
+++ b/crates/ledgelead-router/src/node/relay/objects.rs
@@ -19,13 +19,13 @@
 use std::time::Duration;
 
 /// Most instances in one datagram.
-const INSTANCES_A_PART: usize = 8;
+const INSTANCES_PER_PART: usize = 8;
 /// Most nodes in one datagram.
-const NODES_A_PART: usize = 12;
+const NODES_PER_PART: usize = 12;
 /// Most instances of one list.
-pub(super) const MAX_INSTANCES: usize = INSTANCES_A_PART * MAX_PARTS as usize;
+pub(super) const MAX_INSTANCES: usize = INSTANCES_PER_PART * MAX_PARTS as usize;
 /// Most nodes of one list.
-pub(super) const MAX_NODES: usize = NODES_A_PART * MAX_PARTS as usize;
+pub(super) const MAX_NODES: usize = NODES_PER_PART * MAX_PARTS as usize;
 
 impl Node {
     /// Announces what the store has told this coordinator up to a revision. The
@@ -41,7 +41,7 @@
         out: &mut Vec<Action>,
     ) {
         let unconfirmed = self.directory.doubt_left(now);
-        let relay = &mut self.gossip.relay;
+        let relay = &mut self.messaging.relay;
         let (log, base) = match kind {
             ObjectKind::Instances => (&mut relay.instances, relay.instances_revision),
             ObjectKind::Nodes => (&mut relay.nodes, relay.nodes_revision),
@@ -71,8 +71,8 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let list = self.gossip.relay.instance_parts.add(span, changes.0);
-        let Some(list) = self.following(RelayedKind::Instances, list, now, out) else {
+        let list = self.messaging.relay.instance_parts.add(span, changes.0);
+        let Some(list) = self.next_in_sequence(RelayedKind::Instances, list, now, out) else {
             return;
         };
         let revision = list.revision();
@@ -98,8 +98,8 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let list = self.gossip.relay.snapshot_parts.add(span, instances.0);
-        let Some(list) = self.following(RelayedKind::Instances, list, now, out) else {
+        let list = self.messaging.relay.snapshot_parts.add(span, instances.0);
+        let Some(list) = self.next_in_sequence(RelayedKind::Instances, list, now, out) else {
             return;
         };
         let revision = list.revision();
@@ -122,8 +122,8 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let list = self.gossip.relay.node_parts.add(span, changes.0);
-        let Some(list) = self.following(RelayedKind::Nodes, list, now, out) else {
+        let list = self.messaging.relay.node_parts.add(span, changes.0);
+        let Some(list) = self.next_in_sequence(RelayedKind::Nodes, list, now, out) else {
             return;
         };
         let revision = list.revision();
@@ -134,7 +134,7 @@
                 Some(entry) => {
                     if let Some(registration) = registration(name, entry) {
                         self.registry.upsert(registration);
-                        self.note_earlier_life();
+                        self.note_earlier_incarnation();
                     }
                 }
             }
@@ -145,14 +145,14 @@
     /// All up to this revision is known.
     fn list_applied(&mut self, kind: ObjectKind, revision: u64) {
         self.store.advance(kind, revision);
-        self.gossip.relay.changed(kind, revision);
+        self.messaging.relay.changed(kind, revision);
     }
 
     /// The list, if it is complete, news to this node, and none before it is
     /// missing. While the store fails this node and no coordinator whom it serves
     /// is followed, an entry may be gone only because its instance couldn't write;
     /// that is for its own watch to judge.
-    fn following<T>(
+    fn next_in_sequence<T>(
         &mut self,
         kind: RelayedKind,
         list: Option<ChangeList<T>>,
@@ -160,7 +160,7 @@
         out: &mut Vec<Action>,
     ) -> Option<ChangeList<T>> {
         let list = list?;
-        let is_served = self.store.health.serves() || self.gossip.informed_until.is_some();
+        let is_served = self.store.health.serves() || self.messaging.following_until.is_some();
         let judges = is_served && self.coordination.coordinator().is_none();
         let known = self.known_revision(kind).filter(|_| judges)?;
         if known < list.base() {
@@ -228,7 +228,7 @@
         changes.base,
         changes.revision,
         &changed,
-        INSTANCES_A_PART,
+        INSTANCES_PER_PART,
         message,
     )
 }
@@ -249,7 +249,7 @@
         unconfirmed_ms: u16::try_from(unconfirmed.as_millis()).unwrap_or(u16::MAX),
         instances,
     };
-    parts(0, revision, &present, INSTANCES_A_PART, message)
+    parts(0, revision, &present, INSTANCES_PER_PART, message)
 }
 
 /// The datagrams that carry changed registrations of nodes.
@@ -266,7 +266,7 @@
         changes.base,
         changes.revision,
         &changed,
-        NODES_A_PART,
+        NODES_PER_PART,
         message,
     )
 }
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -15,9 +15,9 @@
 use ledgelead_types::codec::{List, Text};
 
 /// Most assignments in one datagram.
-const ASSIGNMENTS_A_PART: usize = 20;
+const ASSIGNMENTS_PER_PART: usize = 20;
 /// Most assignments of one list.
-const MAX_ASSIGNMENTS: usize = ASSIGNMENTS_A_PART * MAX_PARTS as usize;
+const MAX_ASSIGNMENTS: usize = ASSIGNMENTS_PER_PART * MAX_PARTS as usize;
 
 /// What a node says that has taken the coordinator's place.
 #[derive(Debug)]
@@ -80,7 +80,7 @@
             items: changed,
         };
         self.broadcast(&datagrams(&changes), now, out);
-        self.gossip.relay.ownership.push(changes);
+        self.messaging.relay.ownership.push(changes);
     }
 
     /// The coordinator has announced new assignments.
@@ -91,7 +91,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let Some(list) = self.gossip.relay.ownership_parts.add(span, changes.0) else {
+        let Some(list) = self.messaging.relay.ownership_parts.add(span, changes.0) else {
             return;
         };
         let (base, revision) = (list.base(), list.revision());
@@ -156,7 +156,7 @@
             digest: self.ownership.record().digest(),
         });
         self.send_to_all(std::slice::from_ref(&took_over), out);
-        self.gossip.relay.take_over = Some(AnnouncedTakeOver {
+        self.messaging.relay.take_over = Some(AnnouncedTakeOver {
             base,
             revision,
             datagram: took_over,
@@ -166,7 +166,7 @@
     /// Another node says that it has taken the coordinator's place. The record
     /// follows from the one before; if this node's doesn't, the store is asked
     /// as soon as a heartbeat tells of the newer revision.
-    pub(in crate::node) fn heard_take_over(
+    pub(in crate::node) fn take_over_announced(
         &mut self,
         take_over: TakeOver,
         now: Timestamp,
@@ -216,7 +216,7 @@
         changes.base,
         changes.revision,
         &changed,
-        ASSIGNMENTS_A_PART,
+        ASSIGNMENTS_PER_PART,
         message,
     )
 }
--- a/crates/ledgelead-router/src/node/status.rs
+++ b/crates/ledgelead-router/src/node/status.rs
@@ -92,7 +92,7 @@
             store_calls: self.store.calls(),
             store_failures: self.store.failures(),
             store_calls_by: self.store.calls_by().clone(),
-            former_heartbeats: self.gossip.former_heartbeats,
+            former_heartbeats: self.messaging.former_heartbeats,
             announced_and_known: self.announced_and_known(),
             quarantined: self.quarantine.held_back(),
             suspected: self.quarantine.evidence.iter().count(),
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use super::relay::differences;
 use super::store_calls::{OWNERSHIP_NAME, Purpose};
-use super::watch_paces::{FOLLOWER_BACKOFF, backoff};
+use super::store_timing::{FOLLOWER_BACKOFF, backoff};
 use crate::Timestamp;
 use crate::dialect::{Object, ObjectKind, StoreAnswer};
 use crate::events::Event;
@@ -32,7 +32,7 @@
         let answer = self.read_store_answer(&pending.call, pending.era, result, now, out);
         let apart = self.settings.protections.has(Protection::ForeignApart);
         let answer = match answer {
-            Ok(answer) if !apart && holds_foreign(&answer) => Ok(StoreAnswer::Unreadable(
+            Ok(answer) if !apart && holds_unreadable(&answer) => Ok(StoreAnswer::Unreadable(
                 "an object can't be read".to_owned(),
             )),
             answer => answer,
@@ -44,10 +44,10 @@
             Purpose::Watch(kind) => self.watch_answered(kind, answer, pending.started, now, out),
             Purpose::Register if is_former => self.store.registration.begin_era(),
             Purpose::Register => self.registration_answered(answer, now),
-            Purpose::KeepEvidence(_) if is_former => self.quarantine.begin_era(),
-            Purpose::KeepEvidence(kept) => {
+            Purpose::StoreEvidence(_) if is_former => self.quarantine.begin_era(),
+            Purpose::StoreEvidence(kept) => {
                 let (request, record) = *kept;
-                self.evidence_kept(request, record, answer, now);
+                self.evidence_stored(request, record, answer, now);
             }
             Purpose::TakeOver(record) => {
                 self.take_over_answered(record, answer, pending.started, now, out)
@@ -62,7 +62,7 @@
 
     /// Pauses between this node's calls while the store fails it.
     fn probe_pauses(&self) -> Backoff {
-        if self.gossip.informed_until.is_some() {
+        if self.messaging.following_until.is_some() {
             return FOLLOWER_BACKOFF;
         }
         let coordinating = self.store.coordinating;
@@ -134,24 +134,24 @@
         let change = match answer {
             Ok(answer) => {
                 if let StoreAnswer::Unreadable(finding) = &answer {
-                    self.unreadable.met(kind, "", finding);
+                    self.unreadable.record(kind, "", finding);
                 }
-                let tells_state = matches!(
+                let has_state = matches!(
                     &answer,
                     StoreAnswer::Objects { .. } | StoreAnswer::Events { .. }
                 );
                 if kind == ObjectKind::Ownership
-                    && let Some(is_readable) = tells_readable_record(&answer)
+                    && let Some(is_readable) = has_readable_record(&answer)
                 {
-                    self.coordination.record_told(is_readable);
+                    self.coordination.note_record_readable(is_readable);
                 }
                 let was_paged = self.store.watcher(kind).is_paged();
                 let change = self.store.watcher(kind).answered(answer, now);
                 let shows_length = !was_paged && self.store.watcher(kind).is_paging_stale();
                 if shows_length && !self.asks_nodes() {
-                    self.store.put_off_further_pages(kind, now);
+                    self.store.defer_further_pages(kind, now);
                 }
-                let confirms = tells_state && self.store.is_exact(kind);
+                let confirms = has_state && self.store.is_exact(kind);
                 if confirms && kind == ObjectKind::Ownership {
                     self.coordination.confirmed_if_unchanged(started);
                 }
@@ -232,7 +232,7 @@
             && kind == ObjectKind::Instances
             && self.directory.changes() == instances_before;
         if !same {
-            self.gossip.relay.changed(kind, revision);
+            self.messaging.relay.changed(kind, revision);
         }
         self.reconsider_waiting(now, out);
     }
@@ -252,17 +252,19 @@
 }
 
 /// Whether an object of the answer can't be read.
-fn holds_foreign(answer: &StoreAnswer) -> bool {
-    let is_foreign = |object: &Object| object.content.is_err();
+fn holds_unreadable(answer: &StoreAnswer) -> bool {
+    let is_unreadable = |object: &Object| object.content.is_err();
     match answer {
-        StoreAnswer::Objects { objects, .. } => objects.iter().any(is_foreign),
-        StoreAnswer::Events { events, .. } => events.iter().any(|event| is_foreign(&event.object)),
+        StoreAnswer::Objects { objects, .. } => objects.iter().any(is_unreadable),
+        StoreAnswer::Events { events, .. } => {
+            events.iter().any(|event| is_unreadable(&event.object))
+        }
         _ => false,
     }
 }
 
 /// Whether the record can be read, if the answer tells of it.
-fn tells_readable_record(answer: &StoreAnswer) -> Option<bool> {
+fn has_readable_record(answer: &StoreAnswer) -> Option<bool> {
     let is_record = |object: &&Object| object.name == OWNERSHIP_NAME;
     let record = match answer {
         StoreAnswer::Objects { objects, .. } => objects.iter().rfind(is_record),
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::registration::RegistrationState;
-use super::watch_paces::{CONFIRM_INTERVAL, ColdStart, RESUME_PAUSES, large_list_pause, pace};
+use super::store_timing::{CONFIRM_INTERVAL, ColdStart, RESUME_PAUSES, large_list_pause, pace};
 use crate::Timestamp;
 use crate::dialect::{ObjectKind, StoreCall};
 use crate::io::{Action, ExchangeId, ExchangeOptions};
@@ -27,7 +27,7 @@
 /// How long the call that notices whether the store serves is left alone.
 const PROBE_PAUSE: Duration = Duration::from_millis(300);
 /// Pause between two reads of the record because of rejected keys.
-const DOUBT_PAUSE: Duration = Duration::from_millis(500);
+const DOUBT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time in which a node that starts hears a coordinator, whose heartbeats (each 200 ms)
 /// hold the evacuations, so that it need not list them.
@@ -54,7 +54,7 @@
     /// This node registers itself.
     Register,
     /// The coordinator writes what is known of a request that crashes instances.
-    KeepEvidence(Box<(RequestDigest, QuarantineRecord)>),
+    StoreEvidence(Box<(RequestDigest, QuarantineRecord)>),
 }
 
 impl Purpose {
@@ -89,7 +89,7 @@
             (Purpose::Update, _) => "update_ownership",
             (Purpose::Resign, _) => "resign",
             (Purpose::Register, _) => "register",
-            (Purpose::KeepEvidence(_), _) => "keep_evidence",
+            (Purpose::StoreEvidence(_), _) => "keep_evidence",
         }
     }
 }
@@ -203,18 +203,18 @@
 
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         (0..self.watchers.len())
-            .filter(|index| !self.is_held_back(*index))
+            .filter(|index| !self.is_suspended(*index))
             .filter_map(|index| self.watchers[index].next_call())
             .min()
     }
 
     /// While calls fail, only the watch on instances goes on, and tells when
     /// that is over.
-    fn is_held_back(&self, index: usize) -> bool {
+    fn is_suspended(&self, index: usize) -> bool {
         let kind = self.watchers[index].kind();
         // A coordinator that is heard tells them whole.
-        let is_told = !self.reads_evacuations || self.watchers[index].is_paused();
-        if kind == ObjectKind::Evacuations && is_told {
+        let is_announced = !self.reads_evacuations || self.watchers[index].is_paused();
+        if kind == ObjectKind::Evacuations && is_announced {
             return true;
         }
         if kind == ObjectKind::Quarantine && self.watchers[index].is_paused() {
@@ -244,7 +244,7 @@
 
     /// A coordinator is heard before this node has listed the nodes: it will
     /// relay what changes after a list that may be stale.
-    fn spare_list_of_nodes(&mut self, now: Timestamp) {
+    fn defer_node_list(&mut self, now: Timestamp) {
         let pause = self.cold_start.list;
         let nodes = self.watcher(ObjectKind::Nodes);
         if !nodes.has_listed() {
@@ -255,7 +255,7 @@
 
     /// The first page of a first list has shown that it is long: another node may send the
     /// rest meanwhile.
-    pub(super) fn put_off_further_pages(&mut self, kind: ObjectKind, now: Timestamp) {
+    pub(super) fn defer_further_pages(&mut self, kind: ObjectKind, now: Timestamp) {
         let pause = match kind {
             ObjectKind::Nodes => self.cold_start.election,
             _ => self.list_pause,
@@ -264,7 +264,7 @@
     }
 
     /// A coordinator is heard: other nodes send what this one has put off.
-    fn hasten_large_lists(&mut self, now: Timestamp) {
+    fn resume_large_lists(&mut self, now: Timestamp) {
         for kind in [ObjectKind::Instances, ObjectKind::Nodes] {
             let watcher = self.watcher(kind);
             if watcher.is_paged() && !watcher.has_listed() {
@@ -315,13 +315,13 @@
 
     /// Whether a coordinator tells of changes, so that this node's own watches
     /// can rest. The coordinator's never do.
-    pub(super) fn set_informed(&mut self, informed: bool, now: Timestamp, out: &mut Vec<Action>) {
-        let paused = informed && !self.coordinating;
+    pub(super) fn set_following(&mut self, following: bool, now: Timestamp, out: &mut Vec<Action>) {
+        let paused = following && !self.coordinating;
         let was_paused = self.watcher(ObjectKind::Instances).is_paused();
         let resumes = !paused && was_paused;
         if paused && !was_paused {
-            self.spare_list_of_nodes(now);
-            self.hasten_large_lists(now);
+            self.defer_node_list(now);
+            self.resume_large_lists(now);
         }
         for watcher in &mut self.watchers {
             watcher.set_paused(paused);
@@ -396,16 +396,16 @@
     /// An owner has rejected its keys. A coordinator that is heard will tell who
     /// has them now, if anybody; else the record is read, though not for each
     /// such answer.
-    pub(super) fn ownership_doubted(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn refresh_doubted_ownership(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let alone = !self.coordinating && !self.watcher(ObjectKind::Ownership).is_paused();
         if alone && self.health.serves() && self.next_doubt <= now {
-            self.next_doubt = now + DOUBT_PAUSE;
+            self.next_doubt = now + DOUBT_INTERVAL;
             self.refresh_ownership(now, out);
         }
     }
 
     /// A write of the record has confirmed the coordinator's place.
-    pub(super) fn place_confirmed(&mut self, now: Timestamp) {
+    pub(super) fn role_confirmed(&mut self, now: Timestamp) {
         let watcher = self.watcher(ObjectKind::Ownership);
         watcher.defer(now + CONFIRM_INTERVAL);
     }
@@ -439,12 +439,12 @@
         self.restart_former_watches(now);
         self.register_if_due(now, out);
         for index in 0..self.store.watchers.len() {
-            if self.store.is_held_back(index) {
+            if self.store.is_suspended(index) {
                 continue;
             }
             if let Some(call) = self.store.watchers[index].take_call(now) {
                 let kind = self.store.watchers[index].kind();
-                self.call_watched(kind, call, now, out);
+                self.start_watch_call(kind, call, now, out);
             }
         }
     }
--- a/crates/ledgelead-router/src/node/store_era.rs
+++ b/crates/ledgelead-router/src/node/store_era.rs
@@ -81,7 +81,7 @@
         // Instances write their entries again, as after an outage.
         self.directory.begin_era(now);
         self.coordination.begin_era(now);
-        self.leave_place(self.newest_epoch(), now);
+        self.step_down(self.newest_epoch(), now);
         self.store.registration.begin_era();
         self.quarantine.begin_era();
         for kind in ObjectKind::ALL {
@@ -141,7 +141,7 @@
     /// Whether what this node knows of the owners is all that is to be known: it coordinated
     /// until the era ended, or the coordinator has said since that its last version of the
     /// record is the one that is known here. No later coordinator was heard of.
-    pub(super) fn knows_all_owners(&self) -> bool {
+    pub(super) fn has_complete_ownership(&self) -> bool {
         if !self.ownership.is_of_former_era() {
             return true;
         }
@@ -153,8 +153,8 @@
             .ownership
             .written_at()
             .map(|revision| (epoch, revision));
-        let is_vouched = written.is_some() && self.coordination.vouched_record() == written;
-        is_first || self.continues_own_epoch() || is_vouched && self.newest_epoch() <= epoch
+        let is_final_version = written.is_some() && self.coordination.final_version() == written;
+        is_first || self.continues_own_epoch() || is_final_version && self.newest_epoch() <= epoch
     }
 
     /// Whether this node coordinated until the era of the store ended, and knows of no other
@@ -162,7 +162,7 @@
     pub(super) fn continues_own_epoch(&self) -> bool {
         let epoch = self.ownership.record().epoch;
         self.ownership.is_of_former_era()
-            && self.coordination.coordinated_until_era() == Some(epoch)
+            && self.coordination.coordinated_in_former_era() == Some(epoch)
             && self.newest_epoch() <= epoch
     }
 }
--- a/crates/ledgelead-router/src/node/picture.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -32,7 +32,7 @@
         let mut zones = Vec::new();
         let mut quarantined = BTreeSet::new();
         for object in objects {
-            self.note_readable(kind, &object);
+            self.note_readability(kind, &object);
             if kind == ObjectKind::Quarantine {
                 self.evidence_read(&object, now);
                 quarantined.extend(RequestDigest::parse(&object.name));
@@ -92,7 +92,7 @@
     /// These nodes are registered, and no others.
     pub(super) fn replace_nodes(&mut self, registrations: Vec<Registration>) {
         self.registry.replace_all(registrations);
-        self.note_earlier_life();
+        self.note_earlier_incarnation();
     }
 
     /// The nodes were listed whole, perhaps for the first time.
@@ -109,7 +109,7 @@
         Event::Evacuated { zones: zones.len() }.emit();
         self.directory.evacuate(zones, now);
         self.coordination.note_change();
-        self.gossip.hasten_heartbeat();
+        self.messaging.send_heartbeat_soon();
         self.reconsider_waiting(now, out);
     }
 
@@ -124,9 +124,9 @@
     ) {
         let object = event.object;
         if event.gone {
-            self.unreadable.settled(kind, &object.name);
+            self.unreadable.clear(kind, &object.name);
         } else {
-            self.note_readable(kind, &object);
+            self.note_readability(kind, &object);
         }
         if let (Ok(ObjectContent::Quarantine(_)), false) = (&object.content, event.gone) {
             self.evidence_read(&object, now);
@@ -148,7 +148,7 @@
                     record,
                     revision: object.revision,
                 });
-                self.note_earlier_life();
+                self.note_earlier_incarnation();
             }
             Ok(ObjectContent::Configuration(configuration)) if !event.gone => {
                 self.configure(configuration, now, out);
@@ -166,10 +166,10 @@
             }
             Ok(ObjectContent::Quarantine(_)) => {
                 if let Some(request) = RequestDigest::parse(&object.name) {
-                    self.lifted(request, now);
+                    self.quarantine_lifted(request, now);
                 }
             }
-            Ok(_) => self.unreadable.met(kind, &object.name, "was removed"),
+            Ok(_) => self.unreadable.record(kind, &object.name, "was removed"),
             Err(_) => self.apply_unreadable(kind, &object.name, event.gone, now),
         }
     }
@@ -185,7 +185,7 @@
             ObjectKind::Nodes if gone => self.registry.remove(&NodeName::from(name)),
             ObjectKind::Quarantine if gone => {
                 if let Some(request) = RequestDigest::parse(name) {
-                    self.lifted(request, now);
+                    self.quarantine_lifted(request, now);
                 }
             }
             _ => {}
@@ -198,10 +198,10 @@
         self.registry.registration(&NodeName::from(name)).cloned()
     }
 
-    fn note_readable(&mut self, kind: ObjectKind, object: &Object) {
+    fn note_readability(&mut self, kind: ObjectKind, object: &Object) {
         match &object.content {
-            Ok(_) => self.unreadable.settled(kind, &object.name),
-            Err(finding) => self.unreadable.met(kind, &object.name, finding),
+            Ok(_) => self.unreadable.clear(kind, &object.name),
+            Err(finding) => self.unreadable.record(kind, &object.name, finding),
         }
     }
 
@@ -238,7 +238,7 @@
         }
         // A write of this node may be told by its answer, or by a list if the
         // answer was lost: the others hear of it either way.
-        let written = self.writes(&record).then(|| {
+        let written = self.is_pending_write(&record).then(|| {
             let changes = record.changes_since(self.ownership.record());
             (self.ownership.revision(), changes)
         });
--- a/crates/ledgelead-router/src/node/watch_paces.rs
+++ b/crates/ledgelead-router/src/node/store_timing.rs
@@ -120,11 +120,11 @@
 
 /// By how much each node lengthens the first pause after a failed call, so that
 /// the calls of all nodes while the store is lost don't grow with their number.
-const FIRST_PAUSE_A_NODE: Duration = Duration::from_millis(2);
+const FIRST_PAUSE_PER_NODE: Duration = Duration::from_millis(2);
 /// The longest first pause.
 const MAX_FIRST_PAUSE: Duration = Duration::from_millis(600);
 /// The same for the longest pause.
-const MAX_PAUSE_A_NODE: Duration = Duration::from_millis(6);
+const MAX_PAUSE_PER_NODE: Duration = Duration::from_millis(6);
 /// The longest pause of all. A node notices the return of the store after it, its
 /// spread, a list (0.3 s) and a pause before the other watches (0.25 s): 2.6 s,
 /// within the 3 s after which the users count nodes as in touch.
@@ -150,8 +150,8 @@
     }
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
     let spread = Pcg64Mcg::seed_from_u64(seed).random_range(1.0..MAX_SPREAD);
-    let grown = |a_node: Duration, least: Duration, most: Duration| {
-        let pause = a_node.saturating_mul(nodes).clamp(least, most);
+    let grown = |per_node: Duration, least: Duration, most: Duration| {
+        let pause = per_node.saturating_mul(nodes).clamp(least, most);
         if pause > least {
             pause.mul_f64(spread)
         } else {
@@ -159,8 +159,8 @@
         }
     };
     Backoff {
-        first: grown(FIRST_PAUSE_A_NODE, default.first, MAX_FIRST_PAUSE),
-        max: grown(MAX_PAUSE_A_NODE, default.max, MAX_PAUSE),
+        first: grown(FIRST_PAUSE_PER_NODE, default.first, MAX_FIRST_PAUSE),
+        max: grown(MAX_PAUSE_PER_NODE, default.max, MAX_PAUSE),
     }
 }
 
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -56,22 +56,22 @@
 const REFERRAL_PAUSE: Duration = Duration::from_millis(10);
 /// How long other nodes are asked for a first list before the store is. Lengthened at random
 /// by up to as much, so that nodes without a source don't ask the store together.
-const LIST_PATIENCE: Duration = Duration::from_secs(6);
+const LIST_FROM_NODES_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long other nodes are asked for a missing change before the store is, as a share of
 /// the bound of drains or of configurations, whichever is shorter. Lengthened at random like
 /// the above. With the 0.4 s before that and a call it stays below the bound.
-const GAP_PATIENCE_SHARE: f64 = 0.2;
+const GAP_FROM_NODES_SHARE: f64 = 0.2;
 /// Pause between two lists of a kind that fill gaps. While thousands of instances register,
 /// there is a new gap as soon as one is filled.
-const FILLED_PAUSE: Duration = Duration::from_millis(1_200);
+const GAP_FILL_INTERVAL: Duration = Duration::from_millis(1_200);
 /// One of so many requests for a list goes to the coordinator itself: the relay of this
 /// node's zone may lack it.
 const COORDINATOR_EVERY: u32 = 4;
 
 /// What this node wants of other nodes, by kind.
 pub(super) struct Transfers {
-    wanted: [Wanted; RelayedKind::ALL.len()],
-    exchanges: HashMap<ExchangeId, Asked>,
+    kind_state: [KindState; RelayedKind::ALL.len()],
+    exchanges: HashMap<ExchangeId, OutstandingRequest>,
     rng: Pcg64Mcg,
     /// Lists that came from other nodes.
     received: u64,
@@ -79,21 +79,21 @@
 
 /// Objects of one kind that are wanted.
 #[derive(Debug, Default)]
-struct Wanted {
+struct KindState {
     /// Until when other nodes are asked, from the first request on.
     until: Option<Timestamp>,
     requests: u32,
     /// Requests in a row that led nowhere.
-    in_vain: u32,
+    failed_requests: u32,
     /// Before when no gap is filled again.
-    filled_until: Timestamp,
+    next_gap_fill: Timestamp,
     /// Nodes that may have them, by the last answer.
     referred: Vec<SocketAddr>,
 }
 
 /// A request that is out.
 #[derive(Debug)]
-struct Asked {
+struct OutstandingRequest {
     kind: RelayedKind,
     source: SocketAddr,
     started: Timestamp,
@@ -104,7 +104,7 @@
 impl Transfers {
     pub(super) fn new(seed: u64) -> Transfers {
         Transfers {
-            wanted: Default::default(),
+            kind_state: Default::default(),
             exchanges: HashMap::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             received: 0,
@@ -130,14 +130,14 @@
         self.exchanges.values().any(|asked| asked.kind == kind)
     }
 
-    fn wanted(&mut self, kind: RelayedKind) -> &mut Wanted {
-        &mut self.wanted[kind as usize]
+    fn kind_state(&mut self, kind: RelayedKind) -> &mut KindState {
+        &mut self.kind_state[kind as usize]
     }
 
     /// Whether other nodes are still asked for a kind. The first call begins that time.
-    fn is_patient(&mut self, kind: RelayedKind, patience: Duration, now: Timestamp) -> bool {
-        let until = now + patience.mul_f64(self.rng.random_range(1.0..2.0));
-        now < *self.wanted(kind).until.get_or_insert(until)
+    fn may_ask_nodes(&mut self, kind: RelayedKind, node_timeout: Duration, now: Timestamp) -> bool {
+        let until = now + node_timeout.mul_f64(self.rng.random_range(1.0..2.0));
+        now < *self.kind_state(kind).until.get_or_insert(until)
     }
 }
 
@@ -159,7 +159,10 @@
         if !is_list || !self.asks_nodes() {
             return None;
         }
-        match self.transfers.is_patient(kind, LIST_PATIENCE, now) {
+        match self
+            .transfers
+            .may_ask_nodes(kind, LIST_FROM_NODES_TIMEOUT, now)
+        {
             true => Some((kind, self.next_source(kind)?)),
             false => None,
         }
@@ -174,14 +177,14 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let asks_nodes = self.asks_nodes();
-        if asks_nodes && now < self.transfers.wanted(kind).filled_until {
+        if asks_nodes && now < self.transfers.kind_state(kind).next_gap_fill {
             return true;
         }
         let bound = self.settings.drain_bound;
         let bound = bound.min(self.settings.configuration_bound);
-        let patience = bound.mul_f64(GAP_PATIENCE_SHARE);
-        if !asks_nodes || !self.transfers.is_patient(kind, patience, now) {
-            self.transfers.wanted(kind).until = None;
+        let node_timeout = bound.mul_f64(GAP_FROM_NODES_SHARE);
+        if !asks_nodes || !self.transfers.may_ask_nodes(kind, node_timeout, now) {
+            self.transfers.kind_state(kind).until = None;
             return false;
         }
         if self.transfers.is_asked(kind) {
@@ -197,15 +200,15 @@
     /// Whether lists come from other nodes: a coordinator is heard whom the store serves.
     pub(super) fn asks_nodes(&self) -> bool {
         let follows = self.coordination.coordinator().is_none();
-        follows && self.gossip.informed_until.is_some() && self.is_large_fleet()
+        follows && self.messaging.following_until.is_some() && self.is_large_fleet()
     }
 
     fn next_source(&mut self, kind: RelayedKind) -> Option<SocketAddr> {
-        let wanted = self.transfers.wanted(kind);
-        wanted.requests += 1;
-        let asks_coordinator = wanted.requests.is_multiple_of(COORDINATOR_EVERY);
-        let referred = wanted.referred.pop();
-        let relay = self.gossip.heartbeat_sender;
+        let kind_state = self.transfers.kind_state(kind);
+        kind_state.requests += 1;
+        let asks_coordinator = kind_state.requests.is_multiple_of(COORDINATOR_EVERY);
+        let referred = kind_state.referred.pop();
+        let relay = self.messaging.heartbeat_sender;
         let usual = match asks_coordinator {
             true => self.coordinator_address(),
             false => relay.or_else(|| self.coordinator_address()),
@@ -241,7 +244,7 @@
             self.store.watcher(kind.object_kind()).asks_elsewhere();
         }
         let exchange = self.exchanges.next_id();
-        let asked = Asked {
+        let asked = OutstandingRequest {
             kind,
             source,
             started: now,
@@ -281,33 +284,38 @@
         });
         match answer {
             Some(TransferAnswer::State(state)) => {
-                if self.take_state(&asked, state, now, out) {
-                    *self.transfers.wanted(asked.kind) = Wanted {
-                        filled_until: now + FILLED_PAUSE,
-                        ..Wanted::default()
+                if self.apply_state(&asked, state, now, out) {
+                    *self.transfers.kind_state(asked.kind) = KindState {
+                        next_gap_fill: now + GAP_FILL_INTERVAL,
+                        ..KindState::default()
                     };
                     return;
                 }
-                self.ask_again(&asked, Vec::new(), now);
+                self.schedule_retry(&asked, Vec::new(), now);
             }
             Some(TransferAnswer::Elsewhere { nodes }) => {
                 let mut nodes: Vec<SocketAddr> = nodes.iter().map(|node| node.socket()).collect();
                 nodes.retain(|node| *node != asked.source);
-                self.ask_again(&asked, nodes, now);
+                self.schedule_retry(&asked, nodes, now);
             }
-            None => self.ask_again(&asked, Vec::new(), now),
+            None => self.schedule_retry(&asked, Vec::new(), now),
         }
     }
 
     /// Schedules the next request: by the watch whose list this is, else by the next review
     /// of the gap.
-    fn ask_again(&mut self, asked: &Asked, referred: Vec<SocketAddr>, now: Timestamp) {
+    fn schedule_retry(
+        &mut self,
+        asked: &OutstandingRequest,
+        referred: Vec<SocketAddr>,
+        now: Timestamp,
+    ) {
         let spread = self.transfers.rng.random_range(1.0..2.0);
-        let wanted = self.transfers.wanted(asked.kind);
-        wanted.referred.extend(referred);
-        let pause = if wanted.referred.is_empty() {
-            let doubled = RETRY_PAUSE.saturating_mul(1 << wanted.in_vain.min(4));
-            wanted.in_vain += 1;
+        let kind_state = self.transfers.kind_state(asked.kind);
+        kind_state.referred.extend(referred);
+        let pause = if kind_state.referred.is_empty() {
+            let doubled = RETRY_PAUSE.saturating_mul(1 << kind_state.failed_requests.min(4));
+            kind_state.failed_requests += 1;
             doubled.min(MAX_RETRY_PAUSE).mul_f64(spread)
         } else {
             REFERRAL_PAUSE
@@ -316,14 +324,14 @@
             let watcher = self.store.watcher(asked.kind.object_kind());
             watcher.list_again(now + pause);
         } else {
-            self.gossip.relay.review_gap_at(asked.kind, now + pause);
+            self.messaging.relay.review_gap_at(asked.kind, now + pause);
         }
     }
 
     /// Takes objects over, if they are newer than what is known and can be read.
-    fn take_state(
+    fn apply_state(
         &mut self,
-        asked: &Asked,
+        asked: &OutstandingRequest,
         state: TransferredState,
         now: Timestamp,
         out: &mut Vec<Action>,
@@ -349,15 +357,15 @@
             (RelayedKind::Instances, TransferredObjects::Instances(instances)) => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
                 self.directory.doubt_removals_until(now + unconfirmed);
-                self.take_instances(instances, revision, as_of, now);
+                self.apply_instances(instances, revision, as_of, now);
                 true
             }
             (RelayedKind::Nodes, TransferredObjects::Nodes(nodes)) => {
-                self.take_nodes(nodes.0, revision, now);
+                self.apply_nodes(nodes.0, revision, now);
                 true
             }
             (RelayedKind::Ownership, TransferredObjects::Ownership(entry)) => {
-                self.take_record(entry, revision, asked.started, now, out)
+                self.apply_record(entry, revision, asked.started, now, out)
             }
             (RelayedKind::Configuration, TransferredObjects::Configuration(whole)) => {
                 let next = whole.into_delta(revision).apply_to(None);
@@ -383,7 +391,7 @@
         taken
     }
 
-    fn take_instances(
+    fn apply_instances(
         &mut self,
         instances: InstanceTable,
         revision: u64,
@@ -399,7 +407,7 @@
         self.list_received(ObjectKind::Instances, revision, now);
     }
 
-    fn take_nodes(&mut self, nodes: Vec<ChangedNode>, revision: u64, now: Timestamp) {
+    fn apply_nodes(&mut self, nodes: Vec<ChangedNode>, revision: u64, now: Timestamp) {
         let is_first = !self.store.has_listed(ObjectKind::Nodes);
         let known = |changed: ChangedNode| {
             let name = NodeName::from(changed.node.0.as_str());
@@ -411,7 +419,7 @@
         self.nodes_listed(is_first, now);
     }
 
-    fn take_record(
+    fn apply_record(
         &mut self,
         entry: RecordEntry,
         revision: u64,
@@ -456,12 +464,12 @@
     /// A list of a kind has come from another node, with all changes up to a revision.
     fn list_received(&mut self, kind: ObjectKind, revision: u64, now: Timestamp) {
         self.store.watcher(kind).listed_elsewhere(revision, now);
-        self.gossip.relay.changed(kind, revision);
+        self.messaging.relay.changed(kind, revision);
     }
 
     /// Makes the call of a watch that is due, of another node if that is where lists come
     /// from.
-    pub(super) fn call_watched(
+    pub(super) fn start_watch_call(
         &mut self,
         kind: ObjectKind,
         call: StoreCall,
--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -31,21 +31,21 @@
 /// Time for which lists that are being sent may fill that share.
 const MAX_BACKLOG: Duration = Duration::from_millis(250);
 /// Pause between two lists of a kind for nodes of another zone.
-const OTHER_ZONE_PAUSE: Duration = Duration::from_secs(2);
+const OTHER_ZONE_INTERVAL: Duration = Duration::from_secs(2);
 /// How many nodes that were served are remembered in each zone.
-const REMEMBERED: usize = 32;
+const MAX_RECEIVERS_PER_ZONE: usize = 32;
 /// Most requests that wait here.
 const MAX_WAITING: usize = 2_000;
 /// How long requests are gathered before the first is answered: nodes that start together
 /// ask within some 100 ms.
-const GATHER_FOR: Duration = Duration::from_millis(40);
+const GATHERING_PERIOD: Duration = Duration::from_millis(40);
 /// Pause between two reviews of the requests that wait.
-const REVIEW_PAUSE: Duration = Duration::from_millis(40);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(40);
 /// How long a request waits for room on the link before it is referred to another node.
-const ROOM_WITHIN: Duration = Duration::from_millis(120);
+const LINK_WAIT: Duration = Duration::from_millis(120);
 /// How long a request waits for anything to send. Less than the time without progress after
 /// which its sender asks another node.
-const MAX_WAIT: Duration = Duration::from_millis(700);
+const MAX_REQUEST_WAIT: Duration = Duration::from_millis(700);
 /// How long an encoded list serves all who ask: it is some seconds old at most.
 const ENCODED_TTL: Duration = Duration::from_secs(1);
 
@@ -124,7 +124,7 @@
     }
 
     /// Who asked has closed its connection.
-    pub(in crate::node) fn left(&mut self, client: ClientId) {
+    pub(in crate::node) fn client_disconnected(&mut self, client: ClientId) {
         self.waiting.retain(|waiting| waiting.client != client);
     }
 
@@ -133,10 +133,11 @@
         let served = self.served.get_mut(&request.key());
         let receivers = served.into_iter().flat_map(|served| &mut served.nodes);
         let others = receivers.filter(|receiver| receiver.address != request.asked.address);
-        let burden = |receiver: &Receiver| {
+        let load_per_bandwidth = |receiver: &Receiver| {
             (receiver.referred + 1) as f64 / receiver.link_bytes_per_s.max(1) as f64
         };
-        let chosen = others.min_by(|left, right| burden(left).total_cmp(&burden(right)));
+        let chosen = others
+            .min_by(|left, right| load_per_bandwidth(left).total_cmp(&load_per_bandwidth(right)));
         let address = chosen.map(|receiver| {
             receiver.referred += 1;
             receiver.address
@@ -155,18 +156,18 @@
             link_bytes_per_s: asked.link_bytes_per_s,
             referred: 0,
         });
-        if served.nodes.len() > REMEMBERED {
-            served.forget_narrowest();
+        if served.nodes.len() > MAX_RECEIVERS_PER_ZONE {
+            served.remove_slowest();
         }
     }
 }
 
 impl Served {
     /// Forgets the node with the narrowest link, the oldest of several.
-    fn forget_narrowest(&mut self) {
+    fn remove_slowest(&mut self) {
         let links = self.nodes.iter().map(|node| node.link_bytes_per_s);
-        let narrowest = links.enumerate().min_by_key(|(_, link)| *link);
-        if let Some((place, _)) = narrowest {
+        let slowest = links.enumerate().min_by_key(|(_, link)| *link);
+        if let Some((place, _)) = slowest {
             self.nodes.remove(place);
         }
     }
@@ -202,7 +203,7 @@
             return;
         }
         if server.waiting.is_empty() {
-            server.next_review = now + GATHER_FOR;
+            server.next_review = now + GATHERING_PERIOD;
         }
         server.waiting.push(request);
     }
@@ -213,7 +214,7 @@
         if server.waiting.is_empty() || now < server.next_review {
             return;
         }
-        server.next_review = now + REVIEW_PAUSE;
+        server.next_review = now + REVIEW_INTERVAL;
         let mut waiting = std::mem::take(&mut server.waiting);
         waiting.sort_by_key(|waiting| (Reverse(waiting.asked.link_bytes_per_s), waiting.since));
         for request in waiting {
@@ -237,19 +238,19 @@
 
     fn decide(&mut self, request: &Waiting, now: Timestamp) -> Decision {
         let Waiting { asked, since, .. } = request;
-        let is_over = *since + MAX_WAIT <= now;
+        let has_timed_out = *since + MAX_REQUEST_WAIT <= now;
         let is_other = request.zone != self.settings.zone;
         let served = self.transfer_server.served.get(&request.key());
         let is_served = served.is_some_and(|served| !served.nodes.is_empty());
-        let is_recent = served.is_some_and(|served| now < served.last + OTHER_ZONE_PAUSE);
+        let is_recent = served.is_some_and(|served| now < served.last + OTHER_ZONE_INTERVAL);
         if is_other && is_recent {
             return Decision::Refer;
         }
         if let Some(body) = self.state_for(asked, now) {
             return Decision::Send(body);
         }
-        let has_waited = *since + ROOM_WITHIN <= now;
-        match is_over || is_served && has_waited && self.has_newer(asked.kind, asked.known) {
+        let has_waited = *since + LINK_WAIT <= now;
+        match has_timed_out || is_served && has_waited && self.has_newer(asked.kind, asked.known) {
             true => Decision::Refer,
             false => Decision::Wait,
         }
@@ -257,8 +258,8 @@
 
     /// The encoded objects, if they are newer and there is room for them on the link.
     fn state_for(&mut self, asked: &TransferRequest, now: Timestamp) -> Option<Vec<u8>> {
-        let has_room = self.transfer_server.link_free_at <= now + MAX_BACKLOG;
-        if !has_room || !self.has_newer(asked.kind, asked.known) {
+        let has_bandwidth = self.transfer_server.link_free_at <= now + MAX_BACKLOG;
+        if !has_bandwidth || !self.has_newer(asked.kind, asked.known) {
             return None;
         }
         let body = self.encoded_state(asked.kind, asked.known, now)?;
@@ -278,7 +279,7 @@
             RelayedKind::Configuration => self.configuration.is_some(),
         };
         let coordinates = self.coordination.coordinator().is_some();
-        let is_current = coordinates || self.gossip.informed_until.is_some();
+        let is_current = coordinates || self.messaging.following_until.is_some();
         let revision = self.known_revision(kind);
         is_listed && is_current && revision.is_some_and(|revision| revision > known)
     }
--- a/crates/ledgelead-router/src/node/unreadable.rs
+++ b/crates/ledgelead-router/src/node/unreadable_objects.rs
@@ -18,7 +18,7 @@
 
 impl UnreadableObjects {
     /// An object can't be read. One without a name has an empty one.
-    pub(super) fn met(&mut self, kind: ObjectKind, name: &str, finding: &str) {
+    pub(super) fn record(&mut self, kind: ObjectKind, name: &str, finding: &str) {
         *self.counts.entry(kind.label()).or_default() += 1;
         let key = if name.is_empty() { finding } else { name };
         if self.logged.len() >= MAX_LOGGED || !self.logged.insert((kind, key.to_owned())) {
@@ -29,7 +29,7 @@
     }
 
     /// An object reads well, or is gone.
-    pub(super) fn settled(&mut self, kind: ObjectKind, name: &str) {
+    pub(super) fn clear(&mut self, kind: ObjectKind, name: &str) {
         if !self.logged.is_empty() {
             self.logged.remove(&(kind, name.to_owned()));
         }
--- a/crates/ledgelead-router/src/node/zone_relay.rs
+++ b/crates/ledgelead-router/src/node/zone_relay.rs
@@ -13,7 +13,7 @@
 //! than the 1 s after which nodes campaign.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::identity::ZoneName;
 use crate::io::Action;
@@ -29,14 +29,14 @@
 const HEARD_TTL: Duration = Duration::from_millis(350);
 /// Nodes of a zone from which one of them passes messages on. Below, the detour
 /// saves little.
-const LEAST_NODES: usize = 6;
+const MIN_NODES: usize = 6;
 /// Most datagrams that one node sends for a list of changes: some 3.5 MB, 0.14 s of a link of
 /// 200 Mbit/s. A list that takes more reaches the others as a whole, over connections, by
 /// many nodes at once.
 const MAX_LIST_DATAGRAMS: usize = 2_500;
 /// How many nodes of a zone report also when they have nothing to report, so
 /// that one can be chosen.
-const CANDIDATES: usize = 3;
+const MAX_RELAY_CANDIDATES: usize = 3;
 
 /// Which nodes may pass messages on, as their reports show.
 #[derive(Debug, Default)]
@@ -73,7 +73,7 @@
         nodes: u64,
         now: Timestamp,
     ) -> Option<SocketAddr> {
-        if members.len() < LEAST_NODES {
+        if members.len() < MIN_NODES {
             return None;
         }
         let is_fit = |address: &SocketAddr| {
@@ -118,7 +118,7 @@
         for node in self.registry.iter().filter(|node| node.address != own) {
             zones.entry(&node.zone).or_default().push(node);
         }
-        let nodes = self.gossip.relay.nodes_revision();
+        let nodes = self.messaging.relay.nodes_revision();
         let mut by_relay = Vec::new();
         let mut by_itself = Vec::new();
         let mut most_by_relay = 0;
@@ -168,8 +168,8 @@
         }
         self.datagram(origin, &message.0, now, out);
         let is_heartbeat = matches!(inner, Ok(PeerMessage::CoordinatorHeartbeat(_)));
-        if is_heartbeat && self.gossip.coordinator_address == Some(origin) {
-            self.gossip.heartbeat_sender = Some(from);
+        if is_heartbeat && self.messaging.coordinator_address == Some(origin) {
+            self.messaging.heartbeat_sender = Some(from);
         }
     }
 
@@ -198,7 +198,7 @@
             return false;
         };
         let stronger = members().filter(|node| rank(node) < rank(own)).count();
-        stronger < CANDIDATES && members().count() >= LEAST_NODES
+        stronger < MAX_RELAY_CANDIDATES && members().count() >= MIN_NODES
     }
 }
 
