--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -1,4 +1,4 @@
-//! The coordinator's place: taking it, keeping it, leaving it.
+//! The coordinator role: campaigning for it, holding it and giving it up.
 
 use super::Node;
 use super::store_answers::describe;
@@ -19,66 +19,66 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for a connection to an instance to come up.
+/// Timeout for connecting to an instance.
 const ORDER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for a grant; nothing is waited for at the instance.
+/// Timeout for a grant, which the instance answers without waiting for anything.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time for a release; it is answered once the work on the keys has ended.
+/// Timeout for a release, which the instance answers once the work on the keys has ended.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Kept connections for orders.
+/// Maximum idle time of a connection that is reused for orders.
 const ORDER_REUSE_IDLE: Duration = Duration::from_secs(7);
-/// Longest pause between two looks at what a coordinator has to do.
+/// Maximum interval between two steps of the coordinator, and the interval while it has no
+/// authority.
 const WITHOUT_AUTHORITY_PAUSE: Duration = Duration::from_millis(250);
-/// Least pause between two looks of the coordinator at all of its ranges.
-/// Hundreds of answers a second, each followed by such a look, would take the
-/// whole processor of a small machine, and its heartbeats would come late.
+/// Minimum interval between two steps of the coordinator, each of which examines all ranges. A
+/// step after each of hundreds of answers per second would take the whole CPU of a small
+/// machine and delay its heartbeats.
 const STEP_PAUSE: Duration = Duration::from_millis(10);
-/// Pause before a write without an answer is made again, under the same
-/// condition.
+/// Delay before retrying a write that got no answer, under the same revision condition.
 const WRITE_RETRY: Duration = Duration::from_millis(250);
 
-/// The coordinator that a node wants to follow.
+/// The coordinator that a node is about to succeed.
 #[derive(Clone, Debug)]
 struct Predecessor {
     identity: NodeIdentity,
-    /// The store's revision of a record that names it. It was registered before
-    /// that, since no node campaigns before its registration is acknowledged.
+    /// The store revision of a record that names this coordinator. Its registration is older,
+    /// since no node campaigns before its registration is acknowledged.
     named_at: u64,
 }
 
-/// State of the coordinator's place at this node.
+/// State of the coordinator role at this node.
 pub(super) struct Coordination {
     coordinator: Option<Coordinator>,
-    /// The instance of each order that is out.
+    /// The target instance of each order in flight.
     orders: HashMap<ExchangeId, (InstanceId, Order)>,
-    /// Start of the newest call in which the store confirmed this place.
+    /// Start of the latest call in which the store confirmed that this node holds the role.
     confirmed: Option<Timestamp>,
-    /// Whether the record that the store told last can't be read. It may name another
-    /// coordinator, so that no later answer without a change confirms this place.
+    /// Whether the ownership record last received from the store is unreadable. It may name
+    /// another coordinator, so that an answer without changes no longer confirms the role.
     record_unreadable: bool,
-    /// Whether the record was read, or its absence seen.
-    pub(super) listed: bool,
+    /// Whether the ownership record was read or found to be absent.
+    pub(super) record_listed: bool,
     pub(super) election: Election,
-    /// The coordinator that this node last tried to follow.
+    /// The coordinator that this node last tried to succeed.
     predecessor: Option<Predecessor>,
-    /// How long those before it may go on to give orders.
+    /// How long coordinators before the predecessor may continue to give orders.
     earlier_authority: Duration,
     taking_over: bool,
     write_in_flight: bool,
     next_write: Timestamp,
-    /// When the coordinator looks at all of its ranges next.
+    /// When the coordinator next examines all of its ranges.
     next_step: Timestamp,
-    /// When it did so last.
+    /// When the coordinator last examined all of its ranges.
     last_step: Timestamp,
     resigning: bool,
     resignation_in_flight: bool,
     resignation_done: bool,
-    /// The epoch in which this node coordinated, with authority, as an era of the store ended.
+    /// The epoch in which this node held the role with authority when a store era ended.
     coordinated_in_former_era: Option<u64>,
-    /// When this node learned of the era.
+    /// When this node learned of the current era.
     era_began: Timestamp,
-    /// The epoch of the coordinator of the era before, and the revision of its last version of
-    /// the record, by what it has said since.
+    /// Epoch and final record revision of the previous era's coordinator, as reported by that
+    /// coordinator after the era ended.
     final_version: Option<(u64, u64)>,
     protections: Protections,
 }
@@ -90,7 +90,7 @@
             orders: HashMap::new(),
             confirmed: None,
             record_unreadable: false,
-            listed: false,
+            record_listed: false,
             election,
             predecessor: None,
             earlier_authority: Duration::ZERO,
@@ -117,13 +117,13 @@
         self.coordinator.as_mut()
     }
 
-    /// The instance that an order was sent to, while it has no answer.
-    pub(super) fn ordered(&self, exchange: ExchangeId) -> Option<&InstanceId> {
+    /// The target instance of an order that is in flight.
+    pub(super) fn order_target(&self, exchange: ExchangeId) -> Option<&InstanceId> {
         let (instance, _) = self.orders.get(&exchange)?;
         Some(instance)
     }
 
-    /// Whether orders may be given now.
+    /// Whether this node may give orders now.
     pub(super) fn has_authority(&self, now: Timestamp) -> bool {
         let bounded = self.protections.has(Protection::BoundedAuthority);
         let confirmed = self
@@ -132,7 +132,8 @@
         confirmed && self.coordinator.is_some() && !self.resigning
     }
 
-    /// The store came back from a copy: what it has confirmed of this place counts no more.
+    /// The store was restored from an older copy: confirmations of the role from the former
+    /// era are void.
     pub(super) fn begin_era(&mut self, now: Timestamp) {
         let epoch = self.coordinator.as_ref().map(Coordinator::epoch);
         self.coordinated_in_former_era = epoch.filter(|_| self.has_authority(now));
@@ -141,39 +142,40 @@
         self.final_version = None;
     }
 
-    /// A coordinator said at a time which version of the record is its last one. After the
-    /// end of an era it can write no later one there.
+    /// Records that a coordinator reported, at the time `at`, the revision of its latest
+    /// record. After the end of an era it can't write a later one there, so this is its final
+    /// version.
     pub(super) fn note_final_version(&mut self, epoch: u64, revision: u64, at: Timestamp) {
         if at >= self.era_began {
             self.final_version = Some((epoch, revision));
         }
     }
 
-    /// What the coordinator of the era before has said since of its last version.
+    /// Epoch and final record revision of the previous era's coordinator, as reported by it
+    /// after the era ended.
     pub(super) fn final_version(&self) -> Option<(u64, u64)> {
         self.final_version
     }
 
-    /// The epoch in which this node coordinated as an era of the store ended.
+    /// The epoch in which this node held the role when a store era ended.
     pub(super) fn coordinated_in_former_era(&self) -> Option<u64> {
         self.coordinated_in_former_era
     }
 
-    /// The store has told of the record whether it can be read.
+    /// Notes whether the record last received from the store is readable.
     pub(super) fn note_record_readable(&mut self, is_readable: bool) {
         self.record_unreadable = !is_readable;
     }
 
-    /// The store answered a call about the record that began at `started`.
-    /// Versions in the answer are applied afterwards, and end this node's
-    /// place if another has it.
+    /// The store answered a call about the record that began at `started`. Versions in the
+    /// answer are applied afterwards, and end this node's role if another node holds it.
     pub(super) fn confirmed_if_unchanged(&mut self, started: Timestamp) {
         if self.coordinator.is_some() && !self.record_unreadable {
             self.confirmed = self.confirmed.max(Some(started));
         }
     }
 
-    /// Something has changed that the coordinator decides by.
+    /// Schedules a step because an input to the coordinator's decisions has changed.
     pub(super) fn note_change(&mut self) {
         self.next_step = self.next_step.min(self.last_step + STEP_PAUSE);
     }
@@ -188,7 +190,7 @@
         self.resignation_done = true;
     }
 
-    /// Whether nothing is left to be done before this node can end.
+    /// Whether the resignation, if one was requested, is complete.
     pub(super) fn has_resigned(&self) -> bool {
         !self.resigning || self.resignation_done || self.coordinator.is_none()
     }
@@ -203,8 +205,8 @@
         may_campaign.then(|| self.campaign_due())
     }
 
-    /// When the coordinator has something to do next. Without authority it
-    /// only waits for the store's word, which is an input of its own.
+    /// When the coordinator must act next. Without authority it only waits for an answer of
+    /// the store, which arrives as an input of its own.
     fn next_coordinator_step(&self, now: Timestamp) -> Timestamp {
         let idle = now + WITHOUT_AUTHORITY_PAUSE;
         let Some(coordinator) = self.coordination.coordinator() else {
@@ -221,7 +223,7 @@
             .fold(idle, Timestamp::min)
     }
 
-    /// What is due for the coordinator, or for one that wants to be.
+    /// Runs the coordinator's step, or campaigns for the role, if due.
     pub(super) fn coordinate(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.coordination.coordinator.is_some() {
             if self.coordination.next_step > now {
@@ -239,9 +241,9 @@
         }
     }
 
-    /// Whether this node could campaign, once this life of it is registered.
+    /// Whether this node could campaign once this incarnation of it is registered.
     pub(super) fn could_campaign(&self) -> bool {
-        self.coordination.listed
+        self.coordination.record_listed
             && self.coordination.coordinator.is_none()
             && self.store.has_listed(ObjectKind::Nodes)
             && !self.registry.is_empty()
@@ -260,7 +262,7 @@
         self.coordination.election.due(record, rank, served_since)
     }
 
-    /// How many nodes come before this one as successors of the coordinator.
+    /// How many nodes precede this one in the order of succession.
     pub(super) fn campaign_rank(&self) -> usize {
         let coordinator = self.ownership.record().coordinator.as_ref();
         rank(
@@ -274,7 +276,8 @@
         let revision = self.ownership.revision();
         let is_former = revision.is_some_and(|known| era_of(known) < self.store.era);
         if is_former || revision.is_some() && !self.ownership.is_confirmed() {
-            // Known by a datagram alone, or of an earlier era: a take-over rests on the store.
+            // Known only from a datagram or from an earlier era, while a takeover must be
+            // based on what the store itself has answered.
             self.coordination.election.tried_unconfirmed(now);
             self.store.refresh_ownership(now, out);
             return;
@@ -335,13 +338,14 @@
         }
     }
 
-    /// Whether this is the version that this node as coordinator is writing.
+    /// Whether this is the record version that this node, as coordinator, is currently
+    /// writing.
     pub(super) fn is_pending_write(&self, record: &OwnershipRecord) -> bool {
         let coordinator = self.coordination.coordinator();
         coordinator.and_then(Coordinator::pending_write) == Some(record)
     }
 
-    /// The record changed: takes up the coordinator's place, or leaves it.
+    /// Takes up or gives up the coordinator role after a change of the record.
     pub(super) fn reconcile_role(
         &mut self,
         started: Timestamp,
@@ -351,7 +355,7 @@
         let record = self.ownership.record().clone();
         self.coordination.election.observed(&record, now);
         let is_named = record.coordinator.as_ref() == Some(&self.settings.identity);
-        // An answer may arrive after the heartbeat of a successor.
+        // The answer may arrive after the heartbeat of a successor.
         if !is_named || record.epoch < self.newest_epoch() {
             self.step_down(record.epoch, now);
             return;
@@ -401,14 +405,14 @@
         });
         self.store.set_coordinating(true, now);
         for kind in [ObjectKind::Configuration, ObjectKind::Instances] {
-            // A watch from before may wait longer than a coordinator's word
-            // holds.
+            // A watch started earlier may wait longer than the coordinator's view remains
+            // valid.
             self.store.interrupt(kind, now, now, out);
         }
         self.store.set_following(false, now, out);
     }
 
-    /// Another node coordinates in this epoch, or nobody.
+    /// Gives up the role: another node or none is the coordinator in this epoch.
     pub(super) fn step_down(&mut self, epoch: u64, now: Timestamp) {
         if self.coordination.coordinator.take().is_none() {
             return;
@@ -420,19 +424,18 @@
         self.store.set_coordinating(false, now);
     }
 
-    /// Whether the coordinator that this node follows has resigned, or is over
-    /// for certain.
+    /// Whether the predecessor has resigned or has provably ended.
     fn predecessor_has_ended(&self) -> bool {
         let predecessor = self.coordination.predecessor.as_ref();
         predecessor.is_none_or(|earlier| self.incarnation_has_ended(earlier))
     }
 
-    /// Whether this life of a node is over for certain.
+    /// Whether this incarnation of a node has provably ended.
     fn incarnation_has_ended(&self, predecessor: &Predecessor) -> bool {
         let Predecessor { identity, named_at } = predecessor;
         let is_earlier_incarnation = identity.node == self.settings.identity.node
             && identity.incarnation != self.settings.identity.incarnation;
-        // Its place ended with the era in which it had it.
+        // Its role ended together with the era in which it held it.
         let is_this = *identity == self.settings.identity;
         is_this || is_earlier_incarnation || self.registry.has_ended(identity, *named_at)
     }
@@ -533,9 +536,9 @@
         coordinator.order_ended(exchange, answer, now);
     }
 
-    /// Writes the version that the coordinator has decided on. Only one such
-    /// write is out at a time, so a late one can't undo another: the condition
-    /// on the revision lets one of them through.
+    /// Writes the record version that the coordinator has decided on. Only one such write is
+    /// in flight at a time, so a late one can't undo another: the condition on the revision
+    /// lets only one of them succeed.
     fn write_record(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let pending = self
             .coordination
@@ -587,8 +590,8 @@
                     revision: self.ownership.revision(),
                 };
                 conflict.emit();
-                // Another coordinator, or an earlier write of this one whose
-                // answer was lost: the record tells.
+                // Caused by another coordinator, or by an earlier write of this node whose
+                // answer was lost: reading the record shows which.
                 self.store.refresh_ownership(now, out);
             }
             (answer, Some(record)) => {
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -1,4 +1,5 @@
-//! Messages about permits: asks of this node's requests, and its answers as dispatcher.
+//! Messages about permits: requests for permits from this node, and its decisions as
+//! dispatcher.
 
 use super::Node;
 use super::messaging::send;
@@ -15,7 +16,8 @@
 use std::time::Duration;
 
 impl Node {
-    /// Sends what requests have for dispatchers, and does what is due as one.
+    /// Sends pending messages to dispatchers, and announces the decisions that are due as
+    /// dispatcher.
     pub(super) fn dispatch(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let due = self.dispatcher.deadline(now);
         self.announce_decisions(due, now, out);
@@ -75,7 +77,7 @@
         }
     }
 
-    /// A node asks this one for a permit.
+    /// Handles a request for a permit.
     pub(super) fn permit_asked(
         &mut self,
         from: SocketAddr,
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Decides as dispatcher; none where this node doesn't know the queue, or has too many.
+    /// Decides as dispatcher. Returns `None` if this node doesn't know the queue or already
+    /// keeps too many queues.
     fn ask_dispatcher(
         &mut self,
         ask: &QueueAsk,
@@ -137,12 +140,12 @@
         if ask.kind == QueueKind::Pool && ask.queue != own_pool {
             return None;
         }
-        // Few nodes may send to a cold instance whose rate is bounded.
+        // If the rate to cold instances is limited, only a few nodes may send to them.
         let is_bounded = known.cold_rate.is_some();
         let directory = &self.directory;
         let shared = &self.shared;
         let zone = &self.settings.zone;
-        let is_behind = |instance: &&Instance| match ask.kind {
+        let is_candidate = |instance: &&Instance| match ask.kind {
             QueueKind::Owner => instance.record.id.stable_hash() == ask.queue,
             QueueKind::Pool => {
                 let is_usable = instance.serves() && !(is_bounded && instance.is_cold(now));
@@ -159,13 +162,13 @@
             }
         };
         let servers = || {
-            let behind = directory.of_service(service).filter(is_behind);
-            behind.map(server).collect::<Vec<Server>>()
+            let candidates = directory.of_service(service).filter(is_candidate);
+            candidates.map(server).collect::<Vec<Server>>()
         };
         self.dispatcher.ask(ask, servers, now)
     }
 
-    /// A permit of this dispatcher comes back.
+    /// Handles the return of a permit that this dispatcher granted.
     pub(super) fn permit_returned(
         &mut self,
         queue: u64,
@@ -178,7 +181,7 @@
         self.announce_decisions(decided, now, out);
     }
 
-    /// A dispatcher has decided on an ask of this node.
+    /// Applies a dispatcher's decision on a permit request of this node.
     pub(super) fn permit_decided(
         &mut self,
         from: SocketAddr,
@@ -231,8 +234,8 @@
     }
 }
 
-/// A dispatcher's verdict, as another node has sent it.
-pub(super) fn verdict_of(verdict: PermitVerdict, server: u64) -> Result<Admission, Declined> {
+/// Decodes a dispatcher's verdict from a message.
+pub(super) fn permit_verdict(verdict: PermitVerdict, server: u64) -> Result<Admission, Declined> {
     match verdict {
         PermitVerdict::Granted => Ok(Admission::Granted(server)),
         PermitVerdict::Queued => Ok(Admission::Queued),
@@ -242,8 +245,12 @@
     }
 }
 
-/// How a request ended, as another node has sent it.
-pub(super) fn returned(ended: PermitEnd, took_ms: u16, load: Option<(u8, u8)>) -> PermitOutcome {
+/// Decodes how a request ended from a message.
+pub(super) fn permit_outcome(
+    ended: PermitEnd,
+    took_ms: u16,
+    load: Option<(u8, u8)>,
+) -> PermitOutcome {
     match ended {
         PermitEnd::Answered => PermitOutcome::Answered {
             took: Duration::from_millis(u64::from(took_ms)),
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The coordinator's heartbeats: what they say, and what a node takes from them.
+//! Heartbeats of the coordinator: their content, and how nodes apply them.
 
 use super::Node;
 use crate::Timestamp;
@@ -15,21 +15,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the drain bound, or of the bound of configurations if that is
-/// shorter, for which a coordinator's view of the store is followed. With a call
-/// of its own after that, a node learns of a leaving instance and of a
-/// configuration within its bound, also when the coordinator has lost the store.
+/// How long a coordinator's view of the store is followed, as a share of the drain bound or of
+/// the configuration bound, whichever is shorter. The rest leaves time for one call of the
+/// node's own, so that it learns of a leaving instance and of a configuration within the bound
+/// even if the coordinator has lost the store.
 const VIEW_TTL_SHARE: f64 = 0.7;
-/// Silence after which a coordinator that is heard again shows that this node
-/// was cut off: three heartbeats and some delay.
-const HEARTBEATS_MISSED: Duration = Duration::from_millis(700);
+/// Silence of the coordinator after which this node assumes that it was disconnected: three
+/// heartbeat intervals plus some delay.
+const COORDINATOR_SILENCE: Duration = Duration::from_millis(700);
 
 impl Node {
     pub(super) fn announce_heartbeat(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let Some(coordinator) = self.coordination.coordinator() else {
             return;
         };
-        // Without authority it plans no more, and knows nothing new.
+        // Without authority the coordinator doesn't plan, so that it has no current list of
+        // overloads.
         let has_authority = self.coordination.has_authority(now);
         let overloads = match has_authority {
             true => coordinator.overloads().to_vec(),
@@ -43,7 +44,7 @@
             configuration: self.configuration_version(),
             instances: self.messaging.relay.instances_revision(),
             nodes: self.messaging.relay.nodes_revision(),
-            age_ms: short_millis(self.store.age(now)),
+            age_ms: short_millis(self.store.view_age(now)),
             instances_age_ms: short_millis(self.store.state_age(ObjectKind::Instances, now)),
             served_for_ms: short_millis(self.store.served_for(now)),
             overloads: List(overloads),
@@ -70,7 +71,7 @@
         if !self.is_newest_coordinator(epoch, now) {
             return;
         }
-        // What it says was true when it was sent.
+        // The content was valid when the heartbeat was sent.
         let delay = self.messaging.delay.arrived(epoch, heartbeat.sent_ms, now);
         let sent_at = now.saturating_sub(delay);
         self.coordination
@@ -97,10 +98,10 @@
         self.coordinator_heard(epoch, store_serves, heartbeat.revision, delay, now, out);
     }
 
-    /// Whether the coordinator of this epoch is the newest that is known. Epochs rise only
-    /// by writes of the record, so a later one proves that an earlier coordinator has lost
-    /// its place, which that one can't read while the store refuses it. Its word would undo
-    /// its successor's.
+    /// Whether the coordinator of this epoch is the latest known one. Epochs increase only by
+    /// writes of the record, so a higher one proves that an earlier coordinator has lost its
+    /// role. That coordinator can't read this while the store refuses its calls, and its
+    /// messages would undo those of its successor.
     fn is_newest_coordinator(&mut self, epoch: u64, now: Timestamp) -> bool {
         let is_protected = self.settings.protections.has(Protection::NewestEpoch);
         if epoch < self.newest_epoch() {
@@ -118,14 +119,14 @@
         true
     }
 
-    /// The newest epoch that this node knows of.
+    /// The highest epoch known to this node.
     pub(super) fn newest_epoch(&self) -> u64 {
         let read = self.ownership.record().epoch;
         self.messaging.newest_epoch.max(read)
     }
 
-    /// Evacuations stand whole in each heartbeat, with their revision: a newer one
-    /// counts, whoever sends it.
+    /// Each heartbeat carries the complete evacuations with their revision. A higher revision
+    /// is applied, whichever node sent it.
     fn evacuations_announced(
         &mut self,
         entry: &EvacuationsEntry,
@@ -137,9 +138,9 @@
         }
     }
 
-    /// A coordinator whom the store serves relays changes, also to a node that the
-    /// store refuses, throttles or doesn't answer. Such a node probes on, if
-    /// rarely, since it can't campaign before its own calls are served.
+    /// Follows a coordinator that the store serves: it relays changes, also to a node whose
+    /// own calls the store refuses, throttles or doesn't answer. Such a node continues to
+    /// probe the store at a low rate, since it can't campaign before its own calls succeed.
     fn follow_coordinator(
         &mut self,
         from: SocketAddr,
@@ -149,14 +150,14 @@
         out: &mut Vec<Action>,
     ) {
         let follows = self.coordination.coordinator().is_none() && self.store.health.has_served();
-        let rests = self.settings.mechanisms.has(Mechanism::RestingWatches);
-        if follows && rests {
+        let may_pause_watches = self.settings.mechanisms.has(Mechanism::RestingWatches);
+        if follows && may_pause_watches {
             if self.messaging.followed_epoch.replace(epoch) != Some(epoch) {
                 Event::FollowsCoordinator { epoch, from }.emit();
             }
             self.messaging.following_until = Some(now + self.view_ttl().saturating_sub(age));
             if self.store.health.followed_until(now.saturating_sub(age)) {
-                // Until the coordinator says for how long the store has served.
+                // Until the coordinator reports for how long the store has served it.
                 self.directory.store_was_lost(now);
             }
             self.store.set_following(true, now, out);
@@ -172,8 +173,8 @@
         bound.mul_f64(VIEW_TTL_SHARE)
     }
 
-    /// The coordinator has read all changes of instances up to this revision,
-    /// and knew of all that were acknowledged before its view's age.
+    /// The coordinator has read all changes of instances up to this revision, and at the age
+    /// of its view it knew all changes acknowledged by then.
     fn confirm_instances(&mut self, revision: u64, age: Duration, now: Timestamp) {
         let known = self.store.revision_of(ObjectKind::Instances);
         if known.is_some_and(|known| known >= revision) {
@@ -181,12 +182,12 @@
         }
     }
 
-    /// A store that serves the coordinator again serves this node as well,
-    /// perhaps; likewise when the coordinator is heard again after a silence,
-    /// as at the end of a cut. The probe is made anew.
+    /// A store that serves the coordinator again may serve this node as well. The same holds
+    /// if the coordinator is heard again after a silence, as at the end of a network
+    /// partition. In both cases the store is probed again.
     fn store_health_announced(&mut self, serves: bool, now: Timestamp, out: &mut Vec<Action>) {
-        let silent = self.messaging.coordinator_heard_at + HEARTBEATS_MISSED < now;
-        let recovered = serves && (silent || !self.messaging.store_serves_coordinator);
+        let was_silent = self.messaging.coordinator_heard_at + COORDINATOR_SILENCE < now;
+        let recovered = serves && (was_silent || !self.messaging.store_serves_coordinator);
         self.messaging.coordinator_heard_at = now;
         self.messaging.store_serves_coordinator = serves;
         if recovered && self.store.health.has_failed() {
@@ -194,11 +195,11 @@
         }
     }
 
-    /// Whether keys can get another owner now: whether the store serves the coordinator,
-    /// or this node if none is heard.
+    /// Whether keys can get a new owner now, that is, whether the store serves the
+    /// coordinator, or this node if no coordinator is heard.
     pub(super) fn keys_can_move(&self, now: Timestamp) -> bool {
         let follows = self.coordination.coordinator().is_none();
-        match follows && now < self.messaging.coordinator_heard_at + HEARTBEATS_MISSED {
+        match follows && now < self.messaging.coordinator_heard_at + COORDINATOR_SILENCE {
             true => self.messaging.store_serves_coordinator,
             false => self.store.health.serves(),
         }
@@ -213,8 +214,8 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        // While the store serves nobody, nobody can follow either; and after
-        // that the coordinator gets its time to notice.
+        // While the store serves no node, no node can succeed the coordinator either. After an
+        // outage of the store the coordinator gets time to notice its end.
         let health = &self.store.health;
         if store_serves || !health.serves() || health.recovered_lately(now) {
             self.coordination
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -1,9 +1,10 @@
-//! Instances that have said in answers that they leave, before their entries say so.
+//! Instances that announced in responses that they are leaving, before their entries in the
+//! store say so.
 //!
-//! The store says who leaves only while it serves, and only to whom it serves. So each node
-//! heeds what it is told in answers, and passes it on: to the coordinator, which moves the
-//! keys of owners if the store serves it, and by the coordinator to all others, until the
-//! entries say so as well.
+//! The store reports who is leaving only while it is available, and only to nodes whose calls
+//! it serves. So each node uses the announcements in responses and passes them on to the
+//! coordinator, which moves the keys of owners if the store serves it. The coordinator
+//! announces them to all nodes until the entries say so as well.
 
 use super::Node;
 use super::messaging::send;
@@ -19,29 +20,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most instances in one message, 12 bytes each.
+/// Maximum number of instances in one message; each takes 12 bytes.
 const MAX_INSTANCES: usize = 64;
-/// How long what the coordinator has announced is not reported to it again: three of its
-/// heartbeats, with which it repeats what it knows.
-const ANNOUNCED_FOR: Duration = Duration::from_millis(700);
+/// How long the instances in the coordinator's last announcement are not reported to it: three
+/// of its heartbeats, with each of which the announcement is repeated.
+const ANNOUNCEMENT_TTL: Duration = Duration::from_millis(700);
 
-/// What the coordinator has announced last.
+/// The coordinator's last announcement.
 #[derive(Debug, Default)]
 pub(super) struct AnnouncedLeaving {
-    /// By the stable hashes of their ids.
+    /// Stable hashes of the instance ids.
     instances: BTreeSet<u64>,
     until: Timestamp,
 }
 
 impl Node {
-    /// Takes over what instances have said in answers to requests.
-    pub(super) fn take_said_leaving(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    /// Applies the announcements that instances made in responses to requests.
+    pub(super) fn apply_leaving_notices(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         for instance in self.requests.take_said_leaving() {
-            self.said_to_leave(&instance, now, now, out);
+            self.note_leaving(&instance, now, now, out);
         }
     }
 
-    /// An instance has answered an order.
+    /// Applies an announcement in the response to an order.
     pub(super) fn note_order_notice(
         &mut self,
         instance: &InstanceId,
@@ -50,25 +51,26 @@
         out: &mut Vec<Action>,
     ) {
         if Notice::of(instance, response, self.dialect.headers()).leaving {
-            self.said_to_leave(instance, now, now, out);
+            self.note_leaving(instance, now, now, out);
         }
     }
 
-    fn said_to_leave(
+    fn note_leaving(
         &mut self,
         instance: &InstanceId,
         at: Timestamp,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let heeds = self.settings.protections.has(Protection::HeededLeaving);
-        if heeds && self.directory.said_to_leave(instance, at) {
+        let is_enabled = self.settings.protections.has(Protection::HeededLeaving);
+        if is_enabled && self.directory.said_to_leave(instance, at) {
             self.coordination.note_change();
             self.reconsider_waiting(now, out);
         }
     }
 
-    /// Reports to the coordinator who leaves, as far as it hasn't announced that itself.
+    /// Reports leaving instances to the coordinator, except those that it has announced
+    /// itself.
     pub(super) fn report_leaving(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.coordination.coordinator().is_some() {
             return;
@@ -81,8 +83,8 @@
         }
     }
 
-    /// As coordinator, tells all nodes who leaves; with each heartbeat, since datagrams are
-    /// lost and nodes start.
+    /// As coordinator, announces leaving instances to all nodes with each heartbeat, since
+    /// datagrams get lost and new nodes start.
     pub(super) fn announce_leaving(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.coordination.coordinator().is_none() {
             return;
@@ -103,7 +105,7 @@
         (!sent.is_empty()).then(|| encode(&PeerMessage::Leaving { instances }))
     }
 
-    /// Another node says who leaves.
+    /// Applies a list of leaving instances sent by another node.
     pub(super) fn leaving_received(
         &mut self,
         from: SocketAddr,
@@ -111,20 +113,20 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let said: BTreeMap<u64, u32> = instances.iter().map(|of| (of.of, of.age_ms)).collect();
+        let ages: BTreeMap<u64, u32> = instances.iter().map(|of| (of.of, of.age_ms)).collect();
         let known = self.directory.iter().filter_map(|instance| {
             let id = &instance.record.id;
-            let age = said.get(&id.stable_hash())?;
+            let age = ages.get(&id.stable_hash())?;
             Some((id.clone(), time_of(*age, now)))
         });
         let known: Vec<(InstanceId, Timestamp)> = known.collect();
         for (instance, at) in known {
-            self.said_to_leave(&instance, at, now, out);
+            self.note_leaving(&instance, at, now, out);
         }
         if self.coordinator_address() == Some(from) {
             self.messaging.announced_leaving = AnnouncedLeaving {
-                instances: said.into_keys().collect(),
-                until: now + ANNOUNCED_FOR,
+                instances: ages.into_keys().collect(),
+                until: now + ANNOUNCEMENT_TTL,
             };
         }
     }
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -1,14 +1,14 @@
-//! The load of instances in a large zone, by way of one of its nodes.
+//! Sharing the load of instances in a large zone through one of its nodes, the hub.
 //!
-//! With 25 nodes in a zone, one of them sends an instance a request in seconds: alone
-//! it knows nothing of the instance's load. So each node reports its open requests
-//! ten times a second to the zone's hub, which sends back a digest of what has
-//! changed, and with the hubs of other zones exchanges what has changed of their sums. That
-//! makes some twenty datagrams a second at each node, whatever the size of the zone.
+//! In a zone of 25 nodes, each node sends a given instance a request only every few seconds,
+//! and knows nothing of the instance's load by itself. So each node reports its open requests
+//! ten times a second to the hub of its zone. The hub sends back a digest of the changes, and
+//! exchanges changes of the zone's sums with the hubs of other zones. This takes about twenty
+//! datagrams a second at each node, whatever the size of the zone.
 //!
-//! The hub is the strongest node of the zone by the registrations. Nothing is agreed
-//! upon: whoever gets reports answers them with digests. A node that hears no digest
-//! turns to the next candidate, and comes back to the first after a while.
+//! The hub is the node of the zone with the largest registered CPU share. No agreement is
+//! needed: any node that receives reports answers them with digests. A node that receives no
+//! digests switches to the next candidate, and returns to the first one after a while.
 
 use super::Node;
 use super::messaging::send;
@@ -24,46 +24,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How many nodes of a zone may be its hub.
+/// How many nodes of a zone are candidates for its hub.
 const MAX_HUB_CANDIDATES: usize = 3;
-/// Silence after which a node turns to the next candidate: two complete digests.
+/// Silence after which a node switches to the next candidate: two complete digests.
 const HUB_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a node stays with another candidate before it tries the first again.
+/// How long a node uses another candidate before it tries the first again.
 const RETURN_AFTER: Duration = Duration::from_secs(5);
-/// How long a node that reports gets digests: two of its refreshes.
+/// How long a reporting node is sent digests: two of its refreshes.
 const REPORTER_TTL: Duration = Duration::from_millis(1_500);
-/// Least pause between two digests.
+/// Minimum interval between digests.
 const DIGEST_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between two digests for each node that gets them, if that is longer: 500
-/// datagrams a second.
+/// Interval between digests per receiving node, if the product is longer than `DIGEST_PAUSE`:
+/// 500 datagrams a second.
 const DIGEST_PAUSE_PER_REPORTER: Duration = Duration::from_millis(2);
-/// Pause between two digests that hold all that is known.
+/// Interval between complete digests.
 const COMPLETE_INTERVAL: Duration = Duration::from_millis(400);
-/// Pause between two exchanges with other zones, where bytes are dear: a few hundred
-/// of them for each.
+/// Interval between exchanges with other zones, where traffic is expensive; each exchange
+/// takes a few hundred bytes.
 const SUMS_PAUSE: Duration = Duration::from_millis(400);
-/// Pause between two exchanges of all that is open, below the life of a count (1.5 s).
+/// Interval between complete exchanges of all sums, shorter than the lifetime of a count (1.5
+/// s).
 const ALL_SUMS_INTERVAL: Duration = Duration::from_millis(1_200);
-/// Most sums in one datagram.
+/// Maximum number of sums in one datagram.
 const MAX_SUMS: usize = 135;
-/// Most entries in one datagram, so that it fits the shortest usual MTU.
+/// Maximum number of entries in one datagram, so that it fits the smallest common MTU.
 const MAX_ENTRIES: usize = 95;
 
-/// State of a node towards its hub, and as one.
+/// State of a node as a client of its hub, and as a hub.
 pub(super) struct LoadHub {
-    /// The place of the hub among the candidates.
+    /// Index of the current hub among the candidates.
     candidate_index: usize,
-    /// Since when it is used.
+    /// Since when that candidate is used.
     since: Timestamp,
-    /// What this node has reported last, by instance.
+    /// The counts that this node last reported, by instance.
     reported: HashMap<u64, u16>,
-    /// Nodes that report to this one.
+    /// Nodes that report to this one, with the time of their last report.
     reporters: HashMap<SocketAddr, Timestamp>,
     next_digest: Timestamp,
     next_complete: Timestamp,
     next_sums: Timestamp,
     next_all_sums: Timestamp,
-    /// What other zones were sent last.
+    /// The sums last sent to other zones.
     sent_sums: HashMap<u64, u16>,
 }
 
@@ -88,7 +89,7 @@
         is_hub.then(|| self.next_digest.min(self.next_sums))
     }
 
-    /// A node has sent its counts to this one.
+    /// Records that a node has sent its counts to this one.
     pub(super) fn reported_by(&mut self, from: SocketAddr, now: Timestamp) {
         self.reporters.insert(from, now);
     }
@@ -100,14 +101,14 @@
 }
 
 impl Node {
-    /// Whether this node's zone shares its load by way of a hub.
+    /// Whether this node's zone shares its load through a hub.
     pub(super) fn has_hub(&self, peers: usize) -> bool {
         let mechanisms = self.settings.mechanisms;
         let shares = mechanisms.has(Mechanism::SharedLoad) && mechanisms.has(Mechanism::LoadDigest);
         shares && !counts_beat_reports(peers)
     }
 
-    /// The strongest nodes of a zone.
+    /// The addresses of the candidates for a zone's hub, the preferred one first.
     fn hub_candidates(&self, zone: &ZoneName) -> Vec<SocketAddr> {
         let of_zone = self.registry.iter().filter(|node| node.zone == *zone);
         let mut nodes: Vec<&NodeRecord> = of_zone.collect();
@@ -116,7 +117,7 @@
         nodes.into_iter().map(|node| node.address).collect()
     }
 
-    /// The hub of this node's zone; none before the nodes are known.
+    /// The hub of this node's zone; `None` before the nodes are known.
     fn hub(&mut self, now: Timestamp) -> Option<SocketAddr> {
         let candidates = self.hub_candidates(&self.settings.zone);
         if candidates.is_empty() {
@@ -137,8 +138,8 @@
             .copied()
     }
 
-    /// Sends counts to the hub. A refresh is sent without any as well, so that the hub
-    /// knows whom to send digests to.
+    /// Sends counts to the hub. A refresh is sent even without counts, so that the hub knows
+    /// the receivers of its digests.
     pub(super) fn report_to_hub(
         &mut self,
         counts: &[(InstanceId, OpenRequests)],
@@ -166,7 +167,7 @@
         }
     }
 
-    /// A hub has sent a digest.
+    /// Applies a digest sent by a hub.
     pub(super) fn digest_received(
         &mut self,
         from: SocketAddr,
@@ -181,7 +182,7 @@
         self.reconsider_waiting(now, out);
     }
 
-    /// As a hub, sends what is due.
+    /// As a hub, sends the digests and sums that are due.
     pub(super) fn announce_load(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let hub = &mut self.load_hub;
         hub.reporters.retain(|_, at| *at + REPORTER_TTL > now);
@@ -235,7 +236,7 @@
         if refreshes {
             hub.next_all_sums = now + ALL_SUMS_INTERVAL;
         }
-        // A count that is not sent again lapses at its receivers.
+        // A count that is not repeated expires at its receivers.
         sums.retain(|sum| {
             let sent = hub.sent_sums.insert(sum.instance, sum.open).unwrap_or(0);
             sent != sum.open || refreshes && sum.open > 0
@@ -256,7 +257,8 @@
         }
     }
 
-    /// The hub of each other zone: whoever sends its sums, else the first candidate.
+    /// The hub of each other zone: the node that sends its sums, otherwise the first
+    /// candidate.
     fn other_hubs(&self, now: Timestamp) -> Vec<SocketAddr> {
         let zones: BTreeSet<&ZoneName> = self
             .registry
@@ -274,7 +276,7 @@
         zones.into_iter().filter_map(hub).collect()
     }
 
-    /// What this node has open, by the stable hash of the instance.
+    /// Number of open requests of this node by the stable hash of the instance.
     fn open_by_instance(&self) -> HashMap<u64, u32> {
         let busy = self.requests.statistics().busy();
         busy.map(|(id, open)| (id.stable_hash(), open)).collect()
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -1,9 +1,10 @@
-//! Messages between nodes: their dispatch, reports to the coordinator, sending.
+//! Messages between nodes: dispatch of received messages, periodic reports to the coordinator,
+//! and sending.
 
 use super::Node;
-use super::dispatch::{returned, verdict_of};
+use super::dispatch::{permit_outcome, permit_verdict};
 use super::leaving::AnnouncedLeaving;
-use super::open_requests::OpenRequestPace;
+use super::open_requests::OpenRequestSchedule;
 use super::quarantine::EvidenceMessage;
 use super::rate_limits::{limiter_probed, token_ask, token_verdict};
 use super::relay::{RelayState, TakeOver};
@@ -23,21 +24,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pause between the coordinator's heartbeats.
+/// Interval between heartbeats of the coordinator.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause between reports of the keys asked for, of a node that may be chosen to pass
-/// broadcasts on: its reports show that it lives.
+/// Interval between load reports of a node that is a candidate for relaying broadcasts. Its
+/// reports show that it is alive.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// The same of any other node, for each node there is: the coordinator gets as many reports a
-/// second whatever the size of the fleet.
+/// The report interval of any other node is this times the number of nodes, so that the
+/// coordinator gets the same number of reports per second whatever the size of the fleet.
 const REPORT_PAUSE_PER_NODE: Duration = Duration::from_millis(1);
-/// The longest such pause; counts of keys stand for the last second.
+/// Upper bound of that interval; key counts cover the last second.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// How many nodes prepare at once to follow a coordinator that has resigned.
+/// How many nodes read the record immediately when a coordinator has resigned.
 const PROMPT_SUCCESSORS: usize = 3;
-/// Most keys in one report.
+/// Maximum number of keys in a report.
 const MAX_KEYS: usize = 400;
-/// Most owners in one report.
+/// Maximum number of owners in a report.
 const MAX_WORK: usize = 30;
 
 /// State of the messages between nodes.
@@ -45,26 +46,27 @@
     next_heartbeat: Timestamp,
     next_report: Timestamp,
     pub(super) relay: RelayState,
-    pub(super) open_requests: OpenRequestPace,
-    /// Where the last heartbeat of the coordinator came from.
+    pub(super) open_requests: OpenRequestSchedule,
+    /// Origin of the coordinator's last heartbeat.
     pub(super) coordinator_address: Option<SocketAddr>,
-    /// Which node passed it on, or sent it.
+    /// The node that sent or relayed that heartbeat to this one.
     pub(super) heartbeat_sender: Option<SocketAddr>,
-    /// When this node is on its own again, unless it hears of instances.
+    /// Until when this node follows the coordinator's view of the store instead of its own
+    /// watches. Each heartbeat of a coordinator that the store serves extends it.
     pub(super) following_until: Option<Timestamp>,
-    /// The epoch of the coordinator whose view is followed until then.
+    /// Epoch of the coordinator followed until then.
     pub(super) followed_epoch: Option<u64>,
-    /// Whether the store serves the coordinator, by its last heartbeat.
+    /// Whether the store serves the coordinator, according to its last heartbeat.
     pub(super) store_serves_coordinator: bool,
-    /// When it was last heard.
+    /// When that last heartbeat was received.
     pub(super) coordinator_heard_at: Timestamp,
-    /// The newest epoch of a heartbeat.
+    /// The highest epoch in any heartbeat.
     pub(super) newest_epoch: u64,
-    /// Heartbeats of an earlier epoch than the newest that is known.
+    /// Heartbeats received with an epoch below the highest known one.
     pub(super) former_heartbeats: u64,
-    /// How long heartbeats are on their way.
+    /// Estimated delay of heartbeats.
     pub(super) delay: DelayEstimate,
-    /// Who leaves, by the coordinator's last word.
+    /// Instances that the coordinator last announced as leaving.
     pub(super) announced_leaving: AnnouncedLeaving,
 }
 
@@ -73,7 +75,7 @@
         Messaging {
             next_heartbeat: now,
             next_report: now + REPORT_INTERVAL,
-            open_requests: OpenRequestPace::new(now),
+            open_requests: OpenRequestSchedule::new(now),
             coordinator_address: None,
             heartbeat_sender: None,
             relay: RelayState::default(),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The next heartbeat carries news and is due at once.
+    /// Makes the next heartbeat due immediately, because it carries a change.
     pub(super) fn send_heartbeat_soon(&mut self) {
         self.next_heartbeat = Timestamp::ZERO;
     }
@@ -101,7 +103,8 @@
 }
 
 impl Node {
-    /// Sends what is due.
+    /// Sends the heartbeats and reports that are due, and stops following a coordinator that
+    /// is no longer heard.
     pub(super) fn send_due_messages(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.messaging.next_heartbeat <= now {
             self.messaging.next_heartbeat = now + HEARTBEAT_INTERVAL;
@@ -130,7 +133,7 @@
 
     fn report_interval(&self) -> Duration {
         let nodes = u32::try_from(self.registry.len()).unwrap_or(u32::MAX);
-        match self.may_forward() {
+        match self.is_relay_candidate() {
             true => REPORT_INTERVAL,
             false => REPORT_PAUSE_PER_NODE
                 .saturating_mul(nodes)
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Sends datagrams to all other nodes, each by itself.
+    /// Sends datagrams to each other node directly.
     pub(super) fn send_to_all(&self, datagrams: &[Datagram], out: &mut Vec<Action>) {
         for record in self.others() {
             send(record.address, datagrams, out);
@@ -151,7 +154,7 @@
             .filter(|record| record.address != self.settings.peer_address)
     }
 
-    /// Where the coordinator is reached, if this node knows it.
+    /// Address of the coordinator, if known.
     pub(super) fn coordinator_address(&self) -> Option<SocketAddr> {
         let registered = || {
             let coordinator = self.ownership.record().coordinator.as_ref()?;
@@ -160,12 +163,12 @@
         self.messaging.coordinator_address.or_else(registered)
     }
 
-    /// Reports to the coordinator which keys were asked for, and what owners did.
+    /// Reports to the coordinator which keys were requested and what work owners did.
     fn report_load(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let asked = self.requests.take_asked();
         let worked = self.requests.take_worked();
-        let nothing = asked.is_empty() && worked.is_empty();
-        if nothing && !self.may_forward() {
+        let is_empty = asked.is_empty() && worked.is_empty();
+        if is_empty && !self.is_relay_candidate() {
             return;
         }
         if let Some(coordinator) = self.coordination.coordinator_mut() {
@@ -199,8 +202,8 @@
         send(address, &[report], out);
     }
 
-    /// A message of another node.
-    pub(super) fn datagram(
+    /// Handles a datagram from another node.
+    pub(super) fn datagram_received(
         &mut self,
         from: SocketAddr,
         bytes: &[u8],
@@ -216,14 +219,14 @@
         };
         self.count_received(from, message.kind(), bytes.len());
         if !message.is_within_bounds() {
-            log::warn!(target: "peers", "datagram from {from}: numbers out of bounds");
+            log::warn!(target: "peers", "datagram from {from}: values out of bounds");
             return;
         }
         self.succession.heard(from);
-        self.message(from, message, now, out);
+        self.handle_message(from, message, now, out);
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         from: SocketAddr,
         message: PeerMessage,
@@ -290,7 +293,7 @@
                 reports,
                 work,
             } => {
-                self.zone_relays.heard(from, nodes, now);
+                self.zone_relays.note_report(from, nodes, now);
                 self.configuration_version_announced(configuration, now, out);
                 self.record_key_reports(&reports, now);
                 self.record_work_reports(&work);
@@ -327,7 +330,7 @@
                 let decision = PermitDecision {
                     number,
                     queue,
-                    verdict: verdict_of(verdict, server),
+                    verdict: permit_verdict(verdict, server),
                     return_after: Duration::from_millis(u64::from(return_ms)),
                 };
                 self.permit_decided(from, &decision, now, out);
@@ -340,8 +343,8 @@
                 load,
             } => {
                 let asker = PermitId { node: from, number };
-                let how = returned(ended, took_ms, load);
-                self.permit_returned(queue, asker, how, now, out);
+                let outcome = permit_outcome(ended, took_ms, load);
+                self.permit_returned(queue, asker, outcome, now, out);
             }
             PeerMessage::Evidence {
                 wants_reply,
@@ -391,7 +394,8 @@
         }
     }
 
-    /// Another node of the zone limits the rest of kept connections; 0 for no limit.
+    /// Applies the idle limit of reused connections that another node of the zone has
+    /// announced; 0 means no limit.
     fn follow_rest_limit(&mut self, rest_limit_ms: u16, now: Timestamp) {
         if rest_limit_ms > 0 {
             let limit = Duration::from_millis(u64::from(rest_limit_ms));
@@ -399,14 +403,14 @@
         }
     }
 
-    /// Announces that this node has left the coordinator's place.
+    /// Announces that this node has given up the coordinator role.
     pub(super) fn announce_resignation(&self, out: &mut Vec<Action>) {
         let epoch = self.ownership.record().epoch;
         self.send_to_all(&[encode(&PeerMessage::Resigned { epoch })], out);
     }
 
-    /// Only those that come first as successors read the record at once. The
-    /// others hear from the successor, or miss the coordinator's heartbeats.
+    /// Only the first nodes in the order of succession read the record immediately. The others
+    /// hear from the successor, or notice missing heartbeats of the coordinator.
     fn resignation_announced(&mut self, epoch: u64, now: Timestamp, out: &mut Vec<Action>) {
         let current = epoch >= self.ownership.record().epoch;
         if current && self.campaign_rank() < PROMPT_SUCCESSORS {
@@ -439,7 +443,7 @@
     }
 }
 
-/// What owners did, in the form of a report.
+/// Converts the work done by owners to report entries.
 fn work_reports(worked: BTreeMap<InstanceId, Work>) -> List<WorkReport> {
     let report = |(instance, work): (InstanceId, Work)| WorkReport {
         instance: instance.stable_hash(),
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One node: its picture of the world, its requests, and perhaps the
-//! coordinator's place.
+//! A single router node: its view of the cluster, the requests it handles and, at one node,
+//! the coordinator role.
 
 mod coordination;
 mod dispatch;
@@ -56,10 +56,11 @@
 use unreadable_objects::UnreadableObjects;
 use zone_relay::ZoneRelays;
 
-/// Pause between two clean-ups of what is no longer needed.
+/// Interval between removals of expired state.
 const CLEAN_UP_INTERVAL: Timestamp = Timestamp::from_secs(1);
 
-/// A node. Inputs go in one by one, each with the time; actions come out.
+/// A router node, written as a state machine without I/O: `step` takes one input with the
+/// current time and appends the resulting actions.
 pub struct Node {
     settings: NodeSettings,
     dialect: Box<dyn Dialect>,
@@ -86,8 +87,8 @@
     evacuations: Evacuations,
     quarantine: Quarantine,
     unreadable: UnreadableObjects,
-    /// By when the first list of instances has to be confirmed, if requests wait for that.
-    confirmed_by: Option<Timestamp>,
+    /// Deadline for confirming the first list of instances, once requests are waiting for it.
+    confirmation_deadline: Option<Timestamp>,
     traffic: PeerTraffic,
     zone_traffic: ZoneTraffic,
     stopping: bool,
@@ -95,7 +96,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node that has not read anything from the store yet.
     pub fn new(settings: NodeSettings, dialect: Box<dyn Dialect>, now: Timestamp) -> Node {
         let rng = Pcg64Mcg::seed_from_u64(settings.seed);
         let mut requests = Requests::new(&settings, rng);
@@ -124,7 +125,7 @@
             evacuations: Evacuations::default(),
             quarantine: Quarantine::default(),
             unreadable: UnreadableObjects::default(),
-            confirmed_by: None,
+            confirmation_deadline: None,
             traffic: PeerTraffic::default(),
             zone_traffic: ZoneTraffic::default(),
             stopping: false,
@@ -134,12 +135,13 @@
         }
     }
 
-    /// Whether new clients may be sent here.
+    /// Whether the node is ready for new clients.
     pub fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.directory.is_complete() && !self.stopping
     }
 
-    /// Whether the node was asked to stop and has no request left.
+    /// Whether the node was asked to stop and has neither open requests nor the coordinator
+    /// role left.
     pub fn has_finished(&self) -> bool {
         self.stopping && self.requests.is_empty() && self.coordination.has_resigned()
     }
@@ -149,17 +151,17 @@
         self.stopping
     }
 
-    /// The configuration in force, if one is known.
+    /// The active configuration, if one is known.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// Memory that the process may use, in bytes, if that is bounded.
+    /// Memory limit of the process in bytes, if there is one.
     pub fn memory_limit(&self) -> Option<usize> {
         self.settings.memory_limit
     }
 
-    /// Bounds on what clients send.
+    /// Limits on what clients may send.
     pub fn client_limits(&self) -> ClientLimits {
         self.configuration
             .as_ref()
@@ -167,12 +169,12 @@
             .unwrap_or_default()
     }
 
-    /// The coordinator's work, if this node has its place.
+    /// The coordinator state, if this node holds the coordinator role.
     pub fn coordinator(&self) -> Option<&Coordinator> {
         self.coordination.coordinator()
     }
 
-    /// Takes one input and everything that is due.
+    /// Handles one input, then all timers that are due.
     pub fn step(&mut self, input: Input, now: Timestamp, out: &mut Vec<Action>) {
         let before = out.len();
         match input {
@@ -206,13 +208,13 @@
                     let (requests, mut context) = self.requests_and_context(now);
                     requests.exchanged(exchange, result, rested, &mut context, out);
                     self.take_crash_signs(now, out);
-                    self.take_said_leaving(now, out);
+                    self.apply_leaving_notices(now, out);
                     for ended in self.requests.take_ended() {
                         self.directory.end(&ended);
                         self.coordination.note_change();
                     }
                     if self.requests.take_misdirected() {
-                        self.store.refresh_doubted_ownership(now, out);
+                        self.store.refresh_rejected_ownership(now, out);
                     }
                     self.reconsider_waiting(now, out);
                 } else if self.store.owns(exchange) {
@@ -225,7 +227,7 @@
                     self.order_answered(exchange, result, now, out);
                 }
             }
-            Input::Datagram { from, bytes } => self.datagram(from, &bytes, now, out),
+            Input::Datagram { from, bytes } => self.datagram_received(from, &bytes, now, out),
             Input::Deadline => {}
             Input::Stop => self.stop(),
         }
@@ -233,7 +235,7 @@
         self.count_sent(&out[before..]);
     }
 
-    /// When `step` wants to be called with `Input::Deadline`.
+    /// When `step` must be called with `Input::Deadline` at the latest.
     pub fn next_deadline(&self) -> Timestamp {
         self.next_deadlines()
             .into_iter()
@@ -241,8 +243,8 @@
             .fold(self.next_clean_up, Timestamp::min)
     }
 
-    /// The next deadlines of requests, store calls, coordination, gossip, directory,
-    /// quarantine and owners' queues, in this order.
+    /// The next deadlines of requests, store calls, coordination, messaging, directory,
+    /// quarantine and owner queues, in this order.
     pub fn next_deadlines(&self) -> [Option<Timestamp>; 7] {
         [
             self.requests.next_deadline(),
@@ -269,7 +271,7 @@
         ]
     }
 
-    /// Takes over settings that may change while the process runs.
+    /// Applies the settings that may change while the process is running.
     pub fn change_settings(&mut self, settings: NodeSettings) {
         self.requests.set_bounds(&settings);
         self.settings = NodeSettings {
@@ -280,7 +282,7 @@
     }
 
     fn run_due(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        // Before all that may decide by it.
+        // Expired entries go first, since all steps below read the directory.
         if self.directory.next_expiry().is_some_and(|at| at <= now) {
             self.directory.expire(now);
             self.coordination.note_change();
@@ -289,12 +291,13 @@
         self.review_quarantine(now, out);
         self.coordinate(now, out);
         self.send_due_messages(now, out);
-        // After all that may have made a watch due.
+        // After all steps that may make a watch due.
         self.call_store(now, out);
         let (requests, mut context) = self.requests_and_context(now);
         requests.deadline(&mut context, out);
         self.dispatch(now, out);
-        // A request with a permit may need a token, and one without a token another permit.
+        // A request that was granted a permit may then need a token, and one that was refused
+        // a token may need another permit.
         while self.ask_for_tokens(now, out) {
             self.dispatch(now, out);
         }
--- a/crates/ledgelead-router/src/node/open_requests.rs
+++ b/crates/ledgelead-router/src/node/open_requests.rs
@@ -1,11 +1,10 @@
-//! Counts of open requests, shared among the nodes of a zone.
+//! Sharing of open request counts among the nodes of a zone.
 //!
-//! Each change could be sent to every peer of the zone, but then datagrams grow
-//! with requests times peers. So changes are batched: the pause between two
-//! batches grows with the number of peers, and a node sends at most
-//! `COUNT_DATAGRAMS_PER_SECOND` datagrams a second, whatever the size of its
-//! zone. Where counts would become older than `FRESH_FOR` by that, they go to the
-//! zone's hub alone (`load_hub`), which sends back a digest of all.
+//! If each change were sent to every peer of the zone, the number of datagrams would grow with
+//! requests times peers. So changes are batched: the interval between batches grows with the
+//! number of peers, and a node sends at most `COUNT_DATAGRAMS_PER_SECOND` datagrams a second,
+//! whatever the size of its zone. If counts would become older than `FRESH_FOR` that way, they
+//! are sent only to the zone's hub (`load_hub`), which sends back a digest of all counts.
 
 use super::Node;
 use super::messaging::send;
@@ -18,46 +17,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most datagrams a second with counts that one node sends. A zone of 58 peers
-/// with 18 changes a second took nine tenths of a node's processor time
+/// Maximum number of datagrams with counts that a node sends per second. In a zone of 58
+/// peers, 18 changes a second took nine tenths of a node's CPU time
 /// (`docs/design/decisions.md`); a tenth of those datagrams is affordable.
 const COUNT_DATAGRAMS_PER_SECOND: u32 = 100;
-/// Age from which a count is worth less than what the instance reports itself:
-/// less than the work of one request on the deployments of the users.
+/// Age from which a count is less useful than the load that the instance reports itself. It is
+/// shorter than the work on one request in typical deployments.
 const FRESH_FOR: Duration = Duration::from_millis(100);
-/// Pause between two announcements of counts that did not change; half of the
-/// time for which peers use them.
+/// Interval between announcements of unchanged counts: half of the time for which peers use
+/// them.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(700);
-/// Most counts in one datagram, so that it fits the shortest usual MTU.
+/// Maximum number of counts in one datagram, so that it fits the smallest common MTU.
 pub(super) const MAX_COUNTS: usize = 70;
 
-/// Pause between two batches to a hub: its digests are as young as the work of one
-/// request, at ten datagrams a second from each node.
+/// Interval between batches to a hub. It keeps the hub's digests as recent as the duration of
+/// one request, at ten datagrams a second from each node.
 const HUB_PAUSE: Duration = Duration::from_millis(100);
 
-/// When counts are sent next.
-pub(super) struct OpenRequestPace {
+/// Times of the next messages with counts.
+pub(super) struct OpenRequestSchedule {
     next_batch: Timestamp,
     next_refresh: Timestamp,
 }
 
-impl OpenRequestPace {
-    pub(super) fn new(now: Timestamp) -> OpenRequestPace {
-        OpenRequestPace {
+impl OpenRequestSchedule {
+    pub(super) fn new(now: Timestamp) -> OpenRequestSchedule {
+        OpenRequestSchedule {
             next_batch: now,
             next_refresh: now + REFRESH_INTERVAL,
         }
     }
 }
 
-/// Pause between two batches for this many receivers.
+/// Interval between batches for this number of receivers.
 pub(super) fn batch_pause(peers: usize) -> Duration {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX);
     Duration::from_secs(1).saturating_mul(peers) / COUNT_DATAGRAMS_PER_SECOND
 }
 
-/// Whether counts are still of use to that many peers where instances report
-/// their load themselves.
+/// Whether counts are still useful with that many peers, if instances report their load
+/// themselves.
 pub(super) fn counts_beat_reports(peers: usize) -> bool {
     batch_pause(peers) <= FRESH_FOR
 }
@@ -65,16 +64,16 @@
 impl Node {
     /// When counts are due next.
     pub(super) fn open_requests_deadline(&self) -> Timestamp {
-        let pace = &self.messaging.open_requests;
+        let schedule = &self.messaging.open_requests;
         if self.requests.has_changed() {
-            pace.next_batch.min(pace.next_refresh)
+            schedule.next_batch.min(schedule.next_refresh)
         } else {
-            pace.next_refresh
+            schedule.next_refresh
         }
     }
 
-    /// Sends in-flight counts to the nodes of the zone, or to its hub: those that
-    /// changed, and now and then all.
+    /// Sends open request counts to the nodes of the zone or to its hub: those that changed,
+    /// and at each refresh all of them.
     pub(super) fn announce_open_requests(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let refresh_due = self.messaging.open_requests.next_refresh <= now;
         let batch_due =
@@ -122,14 +121,14 @@
             .map(|record| record.address)
     }
 
-    /// Whether the instances of this one's service report their load.
+    /// Whether the instances of this instance's service report their load.
     fn reports_load(&self, id: &InstanceId) -> bool {
         let instance = self.directory.get(id);
         instance.is_some_and(|instance| self.requests.reports_load(&instance.record.service))
     }
 
-    /// The datagrams that carry these counts. A refresh also carries the limit
-    /// of idle connections, if this node has one, where there are no counts.
+    /// The datagrams for these counts. A refresh without counts still carries this node's idle
+    /// limit for connections, if it has one.
     fn open_request_datagrams(
         &self,
         counts: &[(InstanceId, OpenRequests)],
@@ -144,7 +143,7 @@
         chunks.map(|chunk| self.open_requests(chunk, now)).collect()
     }
 
-    /// One datagram with counts.
+    /// A single datagram with counts.
     pub(super) fn open_requests(
         &self,
         counts: &[(InstanceId, OpenRequests)],
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -1,5 +1,5 @@
-//! Requests that crash instances: proof that an instance ended, news to the other nodes,
-//! and what the store keeps.
+//! Quarantine of requests that crash instances: detection of ended instances, exchange of
+//! evidence with other nodes, and storage of evidence in the store.
 
 mod persistence;
 mod sharing;
@@ -19,27 +19,27 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Time for a probe's connection to come up.
+/// Timeout for connecting a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two looks at whether suspected instances have ended.
+/// Interval between checks whether suspected instances have ended.
 const SUSPECT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// News that are sent again.
+/// Evidence that is sent to the other nodes again at a later time.
 #[derive(Debug)]
-struct Repeat {
+struct PendingRepeat {
     at: Timestamp,
     requests: BTreeSet<RequestDigest>,
     alive: BTreeSet<u64>,
 }
 
-/// What the store holds of a request.
+/// The evidence about a request that the store holds.
 #[derive(Debug)]
 struct StoredRecord {
     record: QuarantineRecord,
     revision: u64,
 }
 
-/// State of the quarantine at a node.
+/// State of the quarantine at this node.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
     pub(super) evidence: Evidence,
@@ -48,7 +48,7 @@
     unconfirmed_answers: UnconfirmedAnswers,
     probes: HashMap<ExchangeId, InstanceId>,
     next_suspect_check: Timestamp,
-    repeats: Vec<Repeat>,
+    repeats: Vec<PendingRepeat>,
     next_sync: Timestamp,
     stored: BTreeMap<RequestDigest, StoredRecord>,
     is_writing: bool,
@@ -56,8 +56,8 @@
 }
 
 impl Quarantine {
-    /// The store came back from a copy, which lacks what was kept since: that is written again,
-    /// and its absence is no word of an operator.
+    /// The store was restored from an older copy and lacks the evidence stored since. This is
+    /// stored again, and its absence doesn't mean that an operator removed it.
     pub(super) fn begin_era(&mut self) {
         self.stored.clear();
         self.is_writing = false;
@@ -67,13 +67,13 @@
         self.probes.contains_key(&exchange)
     }
 
-    /// Whether an instance is in question.
+    /// Whether any instance is suspected to have ended.
     pub(super) fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Requests that are held back, with their paths.
-    pub(super) fn held_back(&self) -> Vec<(RequestDigest, String)> {
+    /// Quarantined requests with their paths.
+    pub(super) fn quarantined_requests(&self) -> Vec<(RequestDigest, String)> {
         let held = self
             .evidence
             .iter()
@@ -98,7 +98,7 @@
 }
 
 impl Node {
-    /// When evidence is looked at next.
+    /// When evidence must be reviewed next.
     pub(super) fn quarantine_deadline(&self) -> Option<Timestamp> {
         let write = self
             .may_store_evidence()
@@ -110,7 +110,7 @@
             .min()
     }
 
-    /// Takes what the ends of attempts have shown.
+    /// Applies what the outcomes of attempts show about crashes of instances.
     pub(super) fn take_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let signs = self.requests.take_crash_signs();
         for (instance, accusation) in signs.lost {
@@ -136,30 +136,32 @@
         }
     }
 
-    /// Whether an answer to what was asked at this time would show anything.
+    /// Whether an answer to a request sent at this time would be relevant evidence.
     fn is_answer_relevant(&self, instance: &InstanceId, asked: Timestamp) -> bool {
-        self.quarantine.suspects.contains(instance) || self.is_end_in_doubt(instance, asked)
+        self.quarantine.suspects.contains(instance) || self.disproves_end(instance, asked)
     }
 
-    /// Whether an answer to what was asked at this time disproves an end.
-    fn is_end_in_doubt(&self, instance: &InstanceId, asked: Timestamp) -> bool {
+    /// Whether an answer to a request sent at this time disproves the reported end of an
+    /// instance.
+    fn disproves_end(&self, instance: &InstanceId, asked: Timestamp) -> bool {
         let evidence = &self.quarantine.evidence;
         let ended = evidence.said_to_have_ended(instance.stable_hash());
-        // An answer to what was asked before may have been on its way.
+        // An answer to an earlier request may have been in flight when the instance ended.
         ended.is_some_and(|at| at < asked)
     }
 
-    /// An instance has answered what was asked at this time.
+    /// An instance has answered a request sent at this time, and so is alive.
     fn instance_is_alive(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
         self.quarantine.suspects.answered(instance, asked);
-        if self.is_end_in_doubt(instance, asked) {
+        if self.disproves_end(instance, asked) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
             self.quarantine.evidence.disprove(hash, now);
         }
     }
 
-    /// Answers that a later life would be known to have given by now.
+    /// Applies answers that a later incarnation of the instance would be known to have given
+    /// by now, unless there is one.
     fn check_unconfirmed_answers(&mut self, now: Timestamp) {
         for (instance, asked) in self.quarantine.unconfirmed_answers.take_due(now) {
             if self.directory.later_life(&instance).is_none() {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// A request that an instance has answered lately is harmless, whatever has ended.
+    /// Acquits a request that an instance has answered recently, whichever instance has ended.
     fn acquit_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
         let protects = self.settings.protections.has(Protection::Acquittal);
         let quarantine = &mut self.quarantine;
@@ -197,8 +199,8 @@
         self.quarantine.probes.insert(exchange, instance);
     }
 
-    /// A probe has ended. A connection that comes up proves nothing: another life of the
-    /// instance may listen there.
+    /// Handles the result of a probe. An accepted connection proves nothing, since another
+    /// incarnation of the instance may be listening there.
     pub(super) fn probe_ended(
         &mut self,
         exchange: ExchangeId,
@@ -211,7 +213,7 @@
         }
     }
 
-    /// An instance has ended: what was lost there is accused.
+    /// An instance has ended: the requests lost there are accused of having crashed it.
     fn instance_ended(&mut self, instance: &InstanceId, now: Timestamp) {
         let accused = self.quarantine.suspects.ended(instance);
         if accused.is_empty() {
@@ -223,7 +225,7 @@
             let end = End {
                 caller: accusation.caller,
                 instance: instance.stable_hash(),
-                // Not earlier than what the others know to be lost at that moment.
+                // Not earlier than the time at which the other nodes learn of the loss.
                 at: accusation.at.min(now),
                 settled: false,
             };
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Performs the steps that are due.
     pub(super) fn review_quarantine(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.quarantine.has_suspects() && self.quarantine.next_suspect_check <= now {
             self.quarantine.next_suspect_check = now + SUSPECT_CHECK_INTERVAL;
@@ -245,12 +247,12 @@
         self.store_evidence(now, out);
     }
 
-    /// Instances whose entries show that they have ended.
+    /// Checks the directory entries of suspected instances for proof that they have ended.
     fn check_suspects(&mut self, now: Timestamp) {
         self.quarantine.suspects.expire(now);
         let has_ended = |instance: &&InstanceId| {
             let known = self.directory.get(instance);
-            // One that said it leaves ends as planned.
+            // An instance that announced that it is leaving ends as planned.
             known.is_some_and(|known| {
                 known.ended || known.is_gone() && !self.directory.has_said_to_leave(known)
             })
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Forgets what is old.
+    /// Removes expired evidence.
     pub(super) fn expire_quarantine(&mut self, now: Timestamp) {
         self.quarantine.suspects.expire(now);
         self.quarantine.evidence.expire(now);
--- a/crates/ledgelead-router/src/node/quarantine/persistence.rs
+++ b/crates/ledgelead-router/src/node/quarantine/persistence.rs
@@ -1,4 +1,4 @@
-//! Evidence that the store keeps over the loss of all nodes.
+//! Storage of evidence in the store, so that it survives the loss of all nodes.
 
 use super::StoredRecord;
 use crate::Timestamp;
@@ -13,13 +13,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time between two comparisons of what is known with what the store holds.
+/// Minimum interval between comparisons of the known evidence with the store's.
 const STORE_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause before a failed write is tried again.
+/// Delay before retrying a failed write.
 const WRITE_PAUSE: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// Whether this node writes evidence to the store now.
+    /// Whether this node may write evidence to the store now.
     pub(super) fn may_store_evidence(&self) -> bool {
         self.settings.protections.has(Protection::KeptEvidence)
             && !self.quarantine.evidence.is_empty()
@@ -29,7 +29,7 @@
             && !self.quarantine.is_writing
     }
 
-    /// A request whose evidence the store doesn't hold as it is known here.
+    /// A request whose evidence differs from what the store holds.
     fn unsaved(&self) -> Option<RequestDigest> {
         let is_unsaved = |(request, record): &(RequestDigest, QuarantineRecord)| {
             let stored = self.quarantine.stored.get(request);
@@ -62,7 +62,7 @@
             false => StoreCall::Create { name, content },
             true => StoreCall::Replace {
                 name,
-                // What this node writes holds all that it has read.
+                // The record to be written includes everything that this node has read.
                 revision: None,
                 content,
             },
@@ -72,7 +72,7 @@
         self.start_call(purpose, call, now, out);
     }
 
-    /// The store has answered a write of evidence.
+    /// Handles the store's answer to a write of evidence.
     pub(in crate::node) fn evidence_stored(
         &mut self,
         request: RequestDigest,
@@ -89,7 +89,7 @@
                     .insert(request, StoredRecord { record, revision });
             }
             Ok(StoreAnswer::Conflict) => {
-                // An earlier write whose answer was lost: it is replaced.
+                // Caused by an earlier write whose answer was lost: its object is replaced.
                 let stored = StoredRecord {
                     record: QuarantineRecord::default(),
                     revision: 0,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// An object was read from the store.
+    /// Applies evidence that was read from the store.
     pub(in crate::node) fn evidence_read(&mut self, object: &Object, now: Timestamp) {
         let Ok(ObjectContent::Quarantine(record)) = &object.content else {
             return;
@@ -117,7 +117,8 @@
         self.quarantine.stored.insert(request, stored);
     }
 
-    /// The store's list lacks what it held: an operator has removed it.
+    /// Lifts the quarantine of requests that are missing in the store's list, which means that
+    /// an operator has removed them.
     pub(in crate::node) fn evidence_listed(
         &mut self,
         listed: &BTreeSet<RequestDigest>,
@@ -134,7 +135,8 @@
         }
     }
 
-    /// An operator has removed what the store kept of a request: it is sent again.
+    /// An operator has removed the stored evidence about a request, so that it may be sent to
+    /// instances again.
     pub(in crate::node) fn quarantine_lifted(&mut self, request: RequestDigest, now: Timestamp) {
         self.quarantine.stored.remove(&request);
         Event::QuarantineLifted { digest: request }.emit();
--- a/crates/ledgelead-router/src/node/quarantine/sharing.rs
+++ b/crates/ledgelead-router/src/node/quarantine/sharing.rs
@@ -1,6 +1,6 @@
-//! Evidence that nodes send each other.
+//! Exchange of evidence between nodes.
 
-use super::Repeat;
+use super::PendingRepeat;
 use crate::Timestamp;
 use crate::io::Action;
 use crate::node::Node;
@@ -16,17 +16,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// When news are sent again: where four in ten datagrams are lost, all four of a row are
-/// in one of forty cases.
+/// Delays after which evidence is sent again. If four in ten datagrams are lost, all four
+/// copies are lost in one of forty cases.
 const REPEAT_DELAYS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
     Duration::from_millis(1_400),
 ];
-/// Pause between two requests for all evidence: two heartbeats.
+/// Minimum interval between requests for all evidence: two heartbeats.
 const SYNC_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What another node knows.
+/// Evidence received from another node.
 #[derive(Debug)]
 pub(in crate::node) struct EvidenceMessage {
     pub(in crate::node) requests: List<RequestEntry>,
@@ -35,12 +35,13 @@
 }
 
 impl Node {
-    /// Sends the others what this node has learned by itself, now and some times more.
+    /// Sends evidence that this node has gathered itself to the other nodes, and repeats it
+    /// after `REPEAT_DELAYS`.
     pub(super) fn share_evidence(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.quarantine.evidence.has_news() {
             let (requests, alive) = self.quarantine.evidence.take_news();
             self.send_evidence_of(&requests, &alive, now, out);
-            let repeat = |after: Duration| Repeat {
+            let repeat = |after: Duration| PendingRepeat {
                 at: now + after,
                 requests: requests.clone(),
                 alive: alive.clone(),
@@ -48,7 +49,7 @@
             self.quarantine.repeats.extend(REPEAT_DELAYS.map(repeat));
         }
         let repeats = std::mem::take(&mut self.quarantine.repeats);
-        let (due, later): (Vec<Repeat>, Vec<Repeat>) =
+        let (due, later): (Vec<PendingRepeat>, Vec<PendingRepeat>) =
             repeats.into_iter().partition(|repeat| repeat.at <= now);
         self.quarantine.repeats = later;
         for repeat in due {
@@ -77,7 +78,7 @@
         self.send_to_all(&datagrams, out);
     }
 
-    /// Everything that every node has to know.
+    /// All evidence that every node must know.
     fn all_evidence(&self, wants_reply: bool, now: Timestamp) -> Vec<Datagram> {
         let evidence = &self.quarantine.evidence;
         let weighty = evidence.weighty();
@@ -86,8 +87,8 @@
         evidence_datagrams(entries.collect(), alive, wants_reply)
     }
 
-    /// The coordinator's heartbeat shows whether it knows the same. If not, both send each
-    /// other all.
+    /// Compares the checksum in the coordinator's heartbeat with this node's evidence. If they
+    /// differ, both nodes send each other all of it.
     pub(in crate::node) fn compare_evidence(
         &mut self,
         from: SocketAddr,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Another node has sent what it knows.
+    /// Applies evidence received from another node.
     pub(in crate::node) fn evidence_received(
         &mut self,
         from: SocketAddr,
@@ -131,10 +132,10 @@
     }
 }
 
-/// Instances that live after all, in one datagram.
-const MAX_ALIVE: usize = 40;
+/// Maximum number of instances in one datagram whose reported end was disproved.
+const MAX_ALIVE_PER_DATAGRAM: usize = 40;
 
-/// The datagrams that carry evidence; one at least if a reply is wanted.
+/// The datagrams for evidence; at least one if a reply is wanted.
 fn evidence_datagrams(
     entries: Vec<RequestEntry>,
     alive: Vec<AgedEntry>,
@@ -150,10 +151,11 @@
         alive: List(Vec::new()),
         requests,
     };
-    let mut messages: Vec<PeerMessage> = alive.chunks(MAX_ALIVE).map(of_alive).collect();
+    let mut messages: Vec<PeerMessage> =
+        alive.chunks(MAX_ALIVE_PER_DATAGRAM).map(of_alive).collect();
     messages.extend(evidence_parts(entries).into_iter().map(of_requests));
     if wants_reply {
-        // Last, so that the reply holds what is left.
+        // Sent last, so that the reply contains what the other node still lacks.
         messages.push(PeerMessage::Evidence {
             wants_reply: true,
             alive: List(Vec::new()),
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -1,8 +1,8 @@
-//! Rate limits of instances between nodes: who names one, and asks for tokens.
+//! Distribution of instances' rate limits among nodes, and requests for tokens.
 //!
-//! A limit binds all nodes, but an instance names it to one at a time. So a node reports what
-//! an answer tells it to the coordinator, which announces it to all. Each request then asks
-//! one of the instance's limiters for a token.
+//! A limit applies to all nodes together, but an instance announces it to one node at a time.
+//! So a node reports the limits it finds in responses to the coordinator, which announces them
+//! to all nodes. Each request then asks one of the instance's limiters for a token.
 
 use super::Node;
 use super::messaging::send;
@@ -21,13 +21,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most limits in one message, 17 bytes each, so that it fits the shortest usual MTU.
+/// Maximum number of limits in one message, 17 bytes each, so that it fits the smallest common
+/// MTU.
 const MAX_LIMITS: usize = 64;
-/// Time after which a node asks again that has asked one that is none of the limiters.
+/// Time after which a node repeats its request for a token if the node it asked is not a
+/// limiter of the instance.
 const OTHER_LIMITER_WAIT: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Sends what requests ask limiters for. Returns whether this node has decided on some.
+    /// Sends the token requests of open requests to their limiters. Returns whether this node
+    /// has decided on any of them itself.
     pub(super) fn ask_for_tokens(&mut self, now: Timestamp, out: &mut Vec<Action>) -> bool {
         let mut has_decided = false;
         loop {
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Another node asks for a token.
+    /// Answers another node's request for a token.
     pub(super) fn token_asked(
         &mut self,
         from: SocketAddr,
@@ -75,7 +78,7 @@
         send(from, &[encode(&message)], out);
     }
 
-    /// A limiter has decided on an ask of this node.
+    /// Applies a limiter's decision on a token request of this node.
     pub(super) fn token_decided(
         &mut self,
         from: SocketAddr,
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Which of an instance's limiters this node is, by its own view of the nodes. Two nodes
-    /// whose views differ are not both the first for longer than their views differ.
+    /// This node's role among an instance's limiters, by its own view of the nodes. Two nodes
+    /// act as the first limiter at the same time only as long as their views differ.
     fn limiter_role(
         &mut self,
         ask: &TokenAsk,
@@ -140,7 +143,7 @@
         })
     }
 
-    /// Reports to the coordinator which limits it lacks.
+    /// Reports to the coordinator the limits that it has not announced.
     pub(super) fn report_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.coordination.coordinator().is_some() || self.requests.limits().is_empty() {
             return;
@@ -151,8 +154,8 @@
         }
     }
 
-    /// As coordinator, announces all limits; with each heartbeat, since datagrams are lost and
-    /// nodes start.
+    /// As coordinator, announces all limits with each heartbeat, since datagrams get lost and
+    /// new nodes start.
     pub(super) fn announce_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.coordination.coordinator().is_none() || self.requests.limits().is_empty() {
             return;
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Another node says which instances name limits.
+    /// Applies limits sent by another node.
     pub(super) fn limits_received(
         &mut self,
         from: SocketAddr,
@@ -184,7 +187,7 @@
     }
 }
 
-/// Another limiter probes this one, or answers a probe.
+/// Answers the probe of another limiter.
 pub(super) fn limiter_probed(from: SocketAddr, is_reply: bool, out: &mut Vec<Action>) {
     if !is_reply {
         let reply = PeerMessage::LimiterProbe { is_reply: true };
@@ -192,7 +195,7 @@
     }
 }
 
-/// As many messages as the limits take.
+/// Splits the limits into as many messages as needed.
 fn limits_messages(
     limits: impl Iterator<Item = (u64, LimitStatement)>,
     now: Timestamp,
@@ -223,7 +226,7 @@
     }
 }
 
-/// A limiter's verdict, as another node has sent it.
+/// Decodes a limiter's verdict from a message.
 pub(super) fn token_verdict(verdict: TokenVerdictEntry, wait_ms: u16) -> TokenVerdict {
     match verdict {
         TokenVerdictEntry::Granted => TokenVerdict::Granted,
@@ -234,7 +237,7 @@
     }
 }
 
-/// An ask, as another node has sent it.
+/// Decodes a token request from a message.
 pub(super) fn token_ask(
     number: u64,
     zone: &Text,
--- a/crates/ledgelead-router/src/node/registration.rs
+++ b/crates/ledgelead-router/src/node/registration.rs
@@ -1,15 +1,15 @@
 //! The node's own registration in the store.
 //!
-//! A node registers where it is reached. A later life of it at the same address
-//! needs no registration of its own, and saves the call, unless it wants to
-//! coordinate or its registration proves that an earlier life has ended:
+//! A node registers the address at which it is reached. A later incarnation at the same
+//! address needs no registration of its own, which saves a call, unless it wants to coordinate
+//! or its registration proves that an earlier incarnation has ended:
 //!
-//! **Invariant: a node campaigns only after this life of it is registered, and
-//! each registration replaces the one that the node has read.** So a
-//! registration of another life, of a later revision than a record that names
-//! this life as coordinator, proves that this life has ended
-//! (`Registry::has_ended`). A write that the store carries out late can't undo a
-//! later life's registration, since its condition no longer holds.
+//! **Invariant: a node campaigns only after this incarnation of it is registered, and each
+//! registration replaces the one that the node has read.** So a registration of another
+//! incarnation, at a later revision than a record that names this incarnation as coordinator,
+//! proves that this incarnation has ended (`Registry::has_ended`). A write that the store
+//! carries out late can't undo a later incarnation's registration, since its condition no
+//! longer holds.
 
 use super::Node;
 use super::store_calls::Purpose;
@@ -19,14 +19,14 @@
 use crate::peers::{NodeRecord, Registration};
 use std::time::Duration;
 
-/// Pause before a failed registration is tried again.
+/// Delay before retrying a failed registration.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
 /// State of the registration.
 #[derive(Debug)]
 pub(super) struct RegistrationState {
     is_done: bool,
-    /// Whether the store holds another registration than the one that is known.
+    /// Whether the store holds a registration that this node has not read yet.
     needs_list: bool,
     next_try: Timestamp,
 }
@@ -44,42 +44,42 @@
         self.is_done
     }
 
-    /// The store came back from a copy, which may hold another registration, or none.
+    /// The store was restored from an older copy, which may hold another registration or none.
     pub(super) fn begin_era(&mut self) {
         self.is_done = false;
         self.needs_list = true;
     }
 
-    /// The nodes were listed.
+    /// Notes that the nodes were listed.
     pub(super) fn listed(&mut self) {
         self.needs_list = false;
     }
 }
 
 impl Node {
-    /// When the node registers, if it has to.
+    /// When the node must register, if at all.
     pub(super) fn registration_deadline(&self) -> Option<Timestamp> {
         let state = &self.store.registration;
-        let is_held_back = state.is_done
+        let is_suspended = state.is_done
             || state.needs_list
             || self.stopping
             || self.store.is_registering()
             || self.store.health.has_failed();
-        if is_held_back {
+        if is_suspended {
             return None;
         }
-        let knows = self.store.has_listed(ObjectKind::Nodes) || self.store.starts_cold();
-        let wanted_now =
-            knows && (!self.is_registered_as_reachable() || self.succeeds_own_incarnation());
-        if wanted_now {
+        let is_informed = self.store.has_listed(ObjectKind::Nodes) || self.store.is_cold_start();
+        let is_required_now =
+            is_informed && (!self.is_registered_as_reachable() || self.succeeds_own_incarnation());
+        if is_required_now {
             return Some(state.next_try);
         }
         let campaigns = self.could_campaign();
         campaigns.then(|| self.campaign_due().max(state.next_try))
     }
 
-    /// Whether some life of this node is registered with what others need to
-    /// know of it.
+    /// Whether some incarnation of this node is registered with the same address, zone and CPU
+    /// share.
     fn is_registered_as_reachable(&self) -> bool {
         let own = self.own_record();
         let known = self.registry.get(&own.identity.node);
@@ -91,15 +91,15 @@
         })
     }
 
-    /// Whether an earlier life of this node is named as coordinator.
+    /// Whether the record names an earlier incarnation of this node as coordinator.
     pub(super) fn succeeds_own_incarnation(&self) -> bool {
         let own = &self.settings.identity;
         let coordinator = self.ownership.record().coordinator.as_ref();
         coordinator.is_some_and(|named| named.node == own.node && named != own)
     }
 
-    /// Notes whether another life of this node is registered, which has drawn on the
-    /// retry budget.
+    /// Notes whether another incarnation of this node is registered, which has used up part of
+    /// the retry budget.
     pub(super) fn note_earlier_incarnation(&mut self) {
         let own = &self.settings.identity;
         let registered = self.registry.get(&own.node);
@@ -151,10 +151,10 @@
                 });
             }
             Ok(StoreAnswer::Conflict | StoreAnswer::Missing) => {
-                // Another life, or an earlier write of this one whose answer was
-                // lost.
+                // Caused by another incarnation, or by an earlier write of this one whose
+                // answer was lost.
                 self.store.registration.needs_list = true;
-                // An object that can't be read may go on standing in the way.
+                // An unreadable object may persist, so that further attempts fail as well.
                 self.store.registration.next_try = now + RETRY_PAUSE;
                 self.store.list_nodes(now);
             }
--- a/crates/ledgelead-router/src/node/relay/configuration.rs
+++ b/crates/ledgelead-router/src/node/relay/configuration.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration, passed on as what they change.
+//! Announcement of configuration versions as changes to earlier versions.
 
 use super::RelayState;
 use crate::Timestamp;
@@ -12,20 +12,20 @@
 };
 use ledgelead_types::codec::{self, List};
 
-/// Versions that a coordinator keeps for nodes that have missed some. A storm
-/// of versions comes each 60 ms; a node asks again each 200 ms at the latest.
+/// Number of versions that a coordinator keeps for nodes that have missed some. In a burst,
+/// versions follow each other every 60 ms, while a node that missed one asks within 200 ms.
 const CONFIGURATION_LOG_LENGTH: usize = 16;
-/// Most bytes of changes in one datagram, so that it fits the shortest usual
-/// MTU with its span and limits.
+/// Maximum size of changes in one datagram, so that it fits the smallest common MTU together
+/// with its span and limits.
 const MAX_CHANGE_BYTES: usize = 1_100;
-/// Most datagrams for one version. A larger change is read from the store by
-/// each node: twelve datagrams to a node cost about as much as its call, where
-/// bytes are dearest (18 credits a GB and 3 a call).
+/// Maximum number of datagrams for one version. Nodes read a larger change from the store:
+/// twelve datagrams to a node cost about as much as its call where traffic is most expensive
+/// (18 credits per GB, 3 per call).
 const MAX_DATAGRAMS: usize = 12;
 
 impl RelayState {
-    /// The datagrams that bring a node with version `since` to the newest one, if
-    /// few do.
+    /// The datagrams that update a node from version `since` to the latest one, unless they
+    /// are too many.
     pub(super) fn configuration_datagrams(&mut self, since: u64) -> Option<Vec<Datagram>> {
         if let Some(known) = self.configuration_datagrams.get(&since) {
             return known.clone();
@@ -42,7 +42,7 @@
 }
 
 impl Node {
-    /// A version has come into force here. A coordinator announces it.
+    /// A new version is active at this node. A coordinator announces it.
     pub(in crate::node) fn configuration_in_force(
         &mut self,
         now: Timestamp,
@@ -64,11 +64,11 @@
         if let Some(datagrams) = self.messaging.relay.configuration_datagrams(before) {
             self.broadcast(&datagrams, now, out);
         }
-        // Nodes that need another base learn of the version.
+        // Nodes that need another base version learn of the new one by the heartbeat.
         self.messaging.send_heartbeat_soon();
     }
 
-    /// The coordinator has announced a version.
+    /// Applies a version announced by the coordinator, once all of its parts have arrived.
     pub(in crate::node) fn configuration_announced(
         &mut self,
         span: ChangeSpan,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Another node has this version of the configuration in force.
+    /// Another node has activated this version of the configuration.
     pub(in crate::node) fn configuration_version_announced(
         &mut self,
         version: u64,
@@ -110,7 +110,7 @@
         out: &mut Vec<Action>,
     ) {
         if self.coordination.coordinator().is_some() && self.configuration_version() < version {
-            // Its own watch is the only one that may tell it.
+            // No other node announces changes to the coordinator, so it asks the store.
             self.store.poke(ObjectKind::Configuration, now);
         }
         self.revision_announced(RelayedKind::Configuration, version, now, out);
@@ -122,7 +122,7 @@
     }
 }
 
-/// The datagrams that carry a delta, if they are not too many.
+/// Encodes a delta, unless it takes too many datagrams.
 fn datagrams(delta: &ConfigurationDelta) -> Option<Vec<Datagram>> {
     let chunks = chunks(&delta.changes);
     let parts = u8::try_from(chunks.len()).ok()?;
@@ -145,8 +145,8 @@
     Some((0..parts).zip(chunks).map(datagram).collect())
 }
 
-/// Splits changes so that each part fits a datagram; at least one part, since
-/// a version may change the limits alone.
+/// Splits changes so that each part fits in a datagram. Returns at least one part, since a
+/// version may change only the limits.
 fn chunks(changes: &[ConfigurationChange]) -> Vec<Vec<ConfigurationChange>> {
     let mut chunks = vec![Vec::new()];
     let mut bytes = 0;
--- a/crates/ledgelead-router/src/node/relay/entries.rs
+++ b/crates/ledgelead-router/src/node/relay/entries.rs
@@ -1,4 +1,4 @@
-//! Objects of the store as entries of datagrams, and back.
+//! Conversion between objects of the store and entries of datagrams.
 
 use crate::boundary::{self, MAX_WARMUP};
 use crate::dialect::{ObjectContent, ObjectEvent};
@@ -81,7 +81,7 @@
     }
 }
 
-/// The record of an entry, if it lies within bounds.
+/// The instance record of an entry, if its values are within bounds.
 pub(super) fn instance_record(id: InstanceId, entry: &InstanceEntry) -> Option<InstanceRecord> {
     let record = InstanceRecord {
         id,
@@ -95,7 +95,7 @@
     boundary::instance(&record).is_ok().then_some(record)
 }
 
-/// The registration of an entry, if it lies within bounds.
+/// The node registration of an entry, if its values are within bounds.
 pub(in crate::node) fn registration(node: NodeName, entry: &NodeEntry) -> Option<Registration> {
     let record = NodeRecord {
         identity: NodeIdentity {
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -1,8 +1,8 @@
-//! What this node has heard of and does not know.
+//! Detection of missed changes.
 //!
-//! Another node announces a revision; until this node knows it, it asks the coordinator
-//! with each announcement, and the store at a deadline of its own. So the time for which a
-//! change that is known to exist is missing does not hang on who is heard next.
+//! Another node announces a revision. Until this node knows that revision, it asks the
+//! coordinator after each announcement, and the store at a deadline of its own. So the time
+//! for which a known change is missing doesn't depend on which node is heard next.
 
 use super::RelayState;
 use crate::Timestamp;
@@ -15,32 +15,33 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long changes that were announced may be missing before the store is asked for
-/// them, and between two such calls. The coordinator is asked for them with each heartbeat
-/// (200 ms), so two such requests may be lost or late before the store has to answer.
+/// How long announced changes may be missing before the store is asked for them, and the
+/// interval between such calls. The coordinator is asked after each heartbeat (200 ms), so two
+/// such requests may be lost or late before the store is used.
 const STORE_FALLBACK_DELAY: Duration = Duration::from_millis(400);
 
-/// What this node lacks of one kind.
+/// Missed changes of one kind.
 ///
-/// Only knowing what was announced closes a gap: a node that announces less may be one
-/// that knows less.
+/// A gap is closed only when the announced revision is known. A lower revision in a later
+/// announcement doesn't close it, since its sender may know less.
 #[derive(Debug, Default)]
 pub(super) struct Gap {
-    /// The newest revision that was announced.
+    /// The highest announced revision.
     announced: u64,
     /// Since when this node has known less than that.
     missing_since: Option<Timestamp>,
-    /// Since when the store has not been asked for it.
-    last_store_request: Timestamp,
-    /// When the coordinator may be asked for missed changes again.
+    /// Start of the delay before the next call to the store: when the gap began or the store was
+    /// last asked, unless `review_gap_at` has set it.
+    store_delay_start: Timestamp,
+    /// Earliest time of the next request to the coordinator.
     pub(super) next_request: Timestamp,
 }
 
 impl Gap {
-    /// When the store is to be asked, if something is missing.
+    /// When to ask the store, if changes are missing.
     fn next_store_request(&self) -> Option<Timestamp> {
         self.missing_since?;
-        Some(self.last_store_request + STORE_FALLBACK_DELAY)
+        Some(self.store_delay_start + STORE_FALLBACK_DELAY)
     }
 }
 
@@ -49,19 +50,19 @@
         &mut self.gaps[kind as usize]
     }
 
-    /// What is missing of a kind is looked at again at this time.
+    /// Schedules the next review of a gap.
     pub(in crate::node) fn review_gap_at(&mut self, kind: RelayedKind, at: Timestamp) {
-        self.gap(kind).last_store_request = at.saturating_sub(STORE_FALLBACK_DELAY);
+        self.gap(kind).store_delay_start = at.saturating_sub(STORE_FALLBACK_DELAY);
     }
 
-    /// When the store is to be asked next for what is missing.
+    /// When to ask the store next for missing changes of any kind.
     pub(in crate::node) fn next_store_request(&self) -> Option<Timestamp> {
         self.gaps.iter().filter_map(Gap::next_store_request).min()
     }
 
-    /// A coordinator of a later epoch is heard. It reads changes of instances and nodes
-    /// by itself, under revisions of its own calls; those of the one before name no change
-    /// that it will relay.
+    /// A coordinator of a later epoch was heard. It reads changes of instances and nodes
+    /// itself, at the revisions of its own calls. Revisions announced by its predecessor may
+    /// name changes that it never relays.
     pub(in crate::node) fn coordinator_changed(&mut self) {
         for kind in [RelayedKind::Instances, RelayedKind::Nodes] {
             self.gap(kind).announced = 0;
@@ -70,7 +71,7 @@
 }
 
 impl Node {
-    /// By kind: the newest revision that was announced, and the one that is known.
+    /// For each kind, the highest announced revision and the known one.
     pub(in crate::node) fn announced_and_known(&self) -> BTreeMap<&'static str, (u64, u64)> {
         let of_kind = |kind: RelayedKind| {
             let announced = self.messaging.relay.gaps[kind as usize].announced;
@@ -80,8 +81,8 @@
         RelayedKind::ALL.into_iter().map(of_kind).collect()
     }
 
-    /// Another node knows of a change of this revision. What this node has missed, it
-    /// asks the coordinator for, and after a while the store.
+    /// Another node knows of a change at this revision. If this node has missed it, it asks
+    /// the coordinator, and after a delay the store.
     pub(in crate::node) fn revision_announced(
         &mut self,
         kind: RelayedKind,
@@ -89,9 +90,9 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let keeps = self.settings.protections.has(Protection::NewestEpoch);
+        let is_protected = self.settings.protections.has(Protection::NewestEpoch);
         let gap = self.messaging.relay.gap(kind);
-        let earlier = if keeps { gap.announced } else { 0 };
+        let earlier = if is_protected { gap.announced } else { 0 };
         gap.announced = revision.max(earlier);
         if self.lacks_changes(kind) {
             self.request_changes(kind, now, out);
@@ -105,7 +106,7 @@
         known.is_some_and(|known| known < announced)
     }
 
-    /// Asks the store for what has been missing for long.
+    /// Asks the store for changes that have been missing for too long.
     fn review_gap(&mut self, kind: RelayedKind, now: Timestamp, out: &mut Vec<Action>) {
         let is_missing = self.lacks_changes(kind);
         let known = self.known_revision(kind).unwrap_or(0);
@@ -116,12 +117,12 @@
         }
         if gap.missing_since.is_none() {
             gap.missing_since = Some(now);
-            gap.last_store_request = now;
+            gap.store_delay_start = now;
         }
         if gap.next_store_request().is_none_or(|due| now < due) {
             return;
         }
-        let since = std::mem::replace(&mut gap.last_store_request, now);
+        let since = std::mem::replace(&mut gap.store_delay_start, now);
         let missing = gap.missing_since.map_or(Duration::ZERO, |at| now - at);
         let missing = Event::ChangesMissing {
             kind: kind.name(),
@@ -133,7 +134,7 @@
         self.ask_store(kind, since, now, out);
     }
 
-    /// Asks the store for what is due, also while no coordinator is heard.
+    /// Reviews all gaps that are due, even if no coordinator is heard.
     pub(in crate::node) fn review_gaps(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         for kind in RelayedKind::ALL {
             let due = self.messaging.relay.gap(kind).next_store_request();
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Asks other nodes of a large fleet, or the store, for what the coordinator has not
-    /// told in time. A watch that has been out since before `since` is made anew.
+    /// Asks other nodes of a large fleet, or the store, for changes that the coordinator has
+    /// not sent in time. A watch started before `since` is restarted.
     fn ask_store(
         &mut self,
         kind: RelayedKind,
--- a/crates/ledgelead-router/src/node/relay/mod.rs
+++ b/crates/ledgelead-router/src/node/relay/mod.rs
@@ -1,10 +1,9 @@
-//! Changes that the store told the coordinator, passed on to the other nodes.
+//! Relaying of changes from the coordinator to the other nodes.
 //!
-//! A node that gets them all needs no watch of its own. Each list of changes
-//! names the store's revisions it lies between. A node that has missed one
-//! learns so from the next list, or from the coordinator's next heartbeat. It
-//! asks the coordinator for what is missing, and the store if that doesn't
-//! help.
+//! A node that receives all changes needs no watch of its own. Each list of changes names the
+//! store revisions before and after it, so that a node notices a missed list by the next one
+//! or by the coordinator's next heartbeat. It then asks the coordinator for the missing
+//! changes, and the store if that doesn't help.
 
 mod configuration;
 mod entries;
@@ -38,40 +37,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How many lists of changes of instances or nodes a coordinator keeps. Its
-/// watch answers each 150 ms at most, so they reach back 10 s, further than a
-/// list that may be some seconds old.
+/// Number of lists of changed instances or nodes that a coordinator keeps. Its watch answers
+/// at most every 150 ms, so they cover about 10 s, more than the age of a stale list.
 const CHANGE_LOG_LENGTH: usize = 64;
-/// The same for the record of ownership, which is written up to 20 times a
-/// second while keys move.
+/// The same for the ownership record, which is written up to 20 times a second while keys are
+/// moving.
 const OWNERSHIP_LOG_LENGTH: usize = 256;
-/// Most bytes of entries in one datagram. With its span it fits what a receiver reads,
-/// also if it is passed on; names of 255 bytes would exceed that at the usual count.
+/// Maximum size of the entries in one datagram. Together with its span it fits a receiver's
+/// buffer, even when relayed; names of 255 bytes would exceed that at the usual number of
+/// entries.
 const MAX_PART_BYTES: usize = 1_350;
-/// Pause between two requests for missed changes of one kind.
+/// Minimum interval between requests for missed changes of one kind.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
-/// State of what is passed on.
+/// State of the relayed changes.
 pub(super) struct RelayState {
     instances: ChangeLog<ObjectEvent>,
     nodes: ChangeLog<ObjectEvent>,
     ownership: ChangeLog<Assignment>,
-    /// This node's own take-over, if it has taken the coordinator's place.
+    /// The takeover of this node, if it has taken the coordinator role.
     take_over: Option<AnnouncedTakeOver>,
-    /// The newest versions, the oldest first.
+    /// The latest versions, the oldest first.
     configurations: VecDeque<Configuration>,
-    /// The datagrams that bring a node with an earlier version to the newest one,
-    /// or none where they would be too many. Many nodes ask for the same.
+    /// The datagrams that update a node from an earlier version to the latest one, by that
+    /// earlier version; `None` if they would be too many. They are cached because many nodes
+    /// ask for the same ones.
     configuration_datagrams: HashMap<u64, Option<Vec<Datagram>>>,
-    /// The store's revision by which this node last knew of a change of an
-    /// instance.
+    /// The store revision of the last known change of an instance.
     instances_revision: u64,
-    /// The same for the nodes.
+    /// The store revision of the last known change of a node.
     nodes_revision: u64,
     gaps: [Gap; RelayedKind::ALL.len()],
     instance_parts: Assembly<ChangedInstance>,
     snapshot_parts: Assembly<ChangedInstance>,
-    /// Nodes that lack changes of instances which the log doesn't reach back to.
+    /// Nodes that miss changes of instances from before the start of the log.
     snapshot_requests: SnapshotRequests,
     node_parts: Assembly<ChangedNode>,
     ownership_parts: Assembly<ChangedAssignment>,
@@ -101,18 +100,18 @@
 }
 
 impl RelayState {
-    /// The store's revision by which this node last knew of a change.
+    /// The store revision of the last known change of an instance.
     pub(super) fn instances_revision(&self) -> u64 {
         self.instances_revision
     }
 
-    /// The same for the nodes.
+    /// The store revision of the last known change of a node.
     pub(super) fn nodes_revision(&self) -> u64 {
         self.nodes_revision
     }
 
-    /// Some object of this kind has changed by this revision.
-    pub(super) fn changed(&mut self, kind: ObjectKind, revision: u64) {
+    /// Records that an object of this kind has changed at or before this revision.
+    pub(super) fn note_change(&mut self, kind: ObjectKind, revision: u64) {
         let known = match kind {
             ObjectKind::Instances => &mut self.instances_revision,
             ObjectKind::Nodes => &mut self.nodes_revision,
@@ -123,7 +122,7 @@
 }
 
 impl RelayedKind {
-    /// Every kind, in the order of its declaration.
+    /// All kinds in the order of their declaration.
     pub(super) const ALL: [RelayedKind; 4] = [
         RelayedKind::Instances,
         RelayedKind::Nodes,
@@ -131,7 +130,7 @@
         RelayedKind::Configuration,
     ];
 
-    /// Its name in logs and metrics.
+    /// Name of the kind in logs and metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
             RelayedKind::Instances => "instances",
@@ -141,7 +140,7 @@
         }
     }
 
-    /// The kind of the store's objects.
+    /// The corresponding kind of objects in the store.
     pub(super) fn object_kind(self) -> ObjectKind {
         match self {
             RelayedKind::Instances => ObjectKind::Instances,
@@ -153,7 +152,7 @@
 }
 
 impl RelayedKind {
-    /// The kind that the store's objects of another kind are relayed as, if they are.
+    /// The relayed kind that corresponds to a kind of objects in the store, if there is one.
     pub(super) fn of(kind: ObjectKind) -> Option<RelayedKind> {
         let is_same = |relayed: &RelayedKind| relayed.object_kind() == kind;
         RelayedKind::ALL.into_iter().find(is_same)
@@ -161,20 +160,20 @@
 }
 
 impl Node {
-    /// Up to which revision this node knows all changes of a kind; none before
-    /// its first list.
+    /// The revision up to which this node knows all changes of a kind; `None` before its first
+    /// list.
     pub(super) fn known_revision(&self, kind: RelayedKind) -> Option<u64> {
         match kind {
             RelayedKind::Instances | RelayedKind::Nodes => {
                 self.store.revision_of(kind.object_kind())
             }
             RelayedKind::Ownership => {
-                let listed = self.coordination.listed;
+                let listed = self.coordination.record_listed;
                 listed.then(|| self.ownership.revision().unwrap_or(0))
             }
             RelayedKind::Configuration => {
-                // A node that the store refuses from its start gets it from the
-                // coordinator.
+                // A node whose calls the store has refused since its start gets the
+                // configuration from the coordinator.
                 let listed = self.store.has_listed(ObjectKind::Configuration);
                 let refused = self.store.health.has_failed();
                 (listed || refused).then(|| self.configuration_version())
@@ -202,7 +201,7 @@
         send(address, &[request], out);
     }
 
-    /// A node has missed changes that this coordinator has announced.
+    /// As coordinator, answers a node that has missed announced changes.
     pub(super) fn changes_requested(
         &mut self,
         from: SocketAddr,
@@ -234,9 +233,9 @@
         }
     }
 
-    /// All instances, for a node that goes on lacking changes of them: the store, which
-    /// every other node asks for them, refuses it. Where they are too many for datagrams,
-    /// nodes get them from each other.
+    /// A snapshot of all instances for a node that repeatedly asks for changes no longer in
+    /// the log. Any other node would ask the store, but the store refuses this one. Nodes
+    /// transfer snapshots that are too large for datagrams among themselves.
     fn snapshot_for(
         &mut self,
         from: SocketAddr,
@@ -258,8 +257,8 @@
     }
 }
 
-/// Splits a list into parts and encodes each. A list with too many of them reaches the
-/// others as a whole, over connections, or by the store.
+/// Splits a list into parts and encodes each as a datagram. A list with too many parts reaches
+/// the other nodes as a complete list over connections, or from the store.
 fn parts<T: Clone + SerBin>(
     base: u64,
     revision: u64,
@@ -268,7 +267,7 @@
     message: impl Fn(ChangeSpan, List<T>) -> PeerMessage,
 ) -> Vec<Datagram> {
     if changed.len() > per_part * usize::from(MAX_PARTS) {
-        log::info!(target: "peers", "{} changes are too many for datagrams", changed.len());
+        log::info!(target: "peers", "{} changes exceed the limit for datagrams; not sent", changed.len());
         return Vec::new();
     }
     let chunks = chunks(changed, per_part);
@@ -290,8 +289,9 @@
         .collect()
 }
 
-/// Splits changes so that each part fits a datagram. At least one part: a list that
-/// changes nothing is told too, else the others would ask for what lies before it.
+/// Splits changes so that each part fits in a datagram. Returns at least one part: a list
+/// without changes must be announced too, otherwise the receivers would ask for what precedes
+/// the next one.
 fn chunks<T: Clone + SerBin>(changed: &[T], per_part: usize) -> Vec<Vec<T>> {
     let mut chunks = vec![Vec::new()];
     let mut bytes = 0;
--- a/crates/ledgelead-router/src/node/relay/objects.rs
+++ b/crates/ledgelead-router/src/node/relay/objects.rs
@@ -1,4 +1,4 @@
-//! Changed instances and registrations of nodes.
+//! Announcement of changed instances and node registrations.
 
 use super::entries::{
     changed_instance, changed_node, instance_record, listed_instance, registration,
@@ -18,20 +18,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most instances in one datagram.
+/// Maximum number of instances in one datagram.
 const INSTANCES_PER_PART: usize = 8;
-/// Most nodes in one datagram.
+/// Maximum number of nodes in one datagram.
 const NODES_PER_PART: usize = 12;
-/// Most instances of one list.
+/// Maximum number of instances in one list.
 pub(super) const MAX_INSTANCES: usize = INSTANCES_PER_PART * MAX_PARTS as usize;
-/// Most nodes of one list.
+/// Maximum number of nodes in one list.
 pub(super) const MAX_NODES: usize = NODES_PER_PART * MAX_PARTS as usize;
 
 impl Node {
-    /// Announces what the store has told this coordinator up to a revision. The
-    /// list begins at the last change, not where the watch continued: the
-    /// store's revision rises with other kinds too, and the others have seen
-    /// nothing of that.
+    /// Announces the changes that the store has reported to this coordinator up to a revision.
+    /// The list starts at the last change of the same kind, not at the revision from which the
+    /// watch continued. The store's revision also increases with objects of other kinds, which
+    /// the other nodes don't hear of.
     pub(in crate::node) fn relay(
         &mut self,
         kind: ObjectKind,
@@ -63,7 +63,7 @@
         self.broadcast(&datagrams, now, out);
     }
 
-    /// The coordinator has announced changed instances.
+    /// Applies changed instances announced by the coordinator.
     pub(in crate::node) fn instances_announced(
         &mut self,
         span: ChangeSpan,
@@ -90,7 +90,7 @@
         self.reconsider_waiting(now, out);
     }
 
-    /// The coordinator has sent all instances.
+    /// Applies a snapshot of all instances sent by the coordinator.
     pub(in crate::node) fn instances_listed(
         &mut self,
         span: ChangeSpan,
@@ -114,7 +114,7 @@
         self.reconsider_waiting(now, out);
     }
 
-    /// The coordinator has announced changed registrations of nodes.
+    /// Applies changed node registrations announced by the coordinator.
     pub(in crate::node) fn nodes_announced(
         &mut self,
         span: ChangeSpan,
@@ -142,16 +142,16 @@
         self.list_applied(ObjectKind::Nodes, revision);
     }
 
-    /// All up to this revision is known.
+    /// Records that all changes of a kind up to this revision are known.
     fn list_applied(&mut self, kind: ObjectKind, revision: u64) {
         self.store.advance(kind, revision);
-        self.messaging.relay.changed(kind, revision);
+        self.messaging.relay.note_change(kind, revision);
     }
 
-    /// The list, if it is complete, news to this node, and none before it is
-    /// missing. While the store fails this node and no coordinator whom it serves
-    /// is followed, an entry may be gone only because its instance couldn't write;
-    /// that is for its own watch to judge.
+    /// Returns the list if it is complete, new, and no list before it is missing. If this
+    /// node's calls to the store fail and it follows no coordinator that the store serves, an
+    /// entry may be gone only because its instance couldn't write it. Then no list is
+    /// returned, and the node's own watch decides later.
     fn next_in_sequence<T>(
         &mut self,
         kind: RelayedKind,
@@ -161,8 +161,8 @@
     ) -> Option<ChangeList<T>> {
         let list = list?;
         let is_served = self.store.health.serves() || self.messaging.following_until.is_some();
-        let judges = is_served && self.coordination.coordinator().is_none();
-        let known = self.known_revision(kind).filter(|_| judges)?;
+        let may_apply = is_served && self.coordination.coordinator().is_none();
+        let known = self.known_revision(kind).filter(|_| may_apply)?;
         if known < list.base() {
             self.request_changes(kind, now, out);
         }
@@ -170,8 +170,8 @@
     }
 }
 
-/// What a whole list of instances changes of what is known. An entry that can't be read
-/// names no instance, as if it were gone.
+/// The changes between the known instances and a complete list. An unreadable entry counts as
+/// removed.
 pub(in crate::node) fn differences(directory: &Directory, listed: &[Object]) -> Vec<ObjectEvent> {
     let listed: Vec<&Object> = listed
         .iter()
@@ -206,13 +206,13 @@
     changed.chain(gone).collect()
 }
 
-/// The datagrams that carry changed instances. Entries that are gone may come back
-/// for a while, if the store was away.
+/// The datagrams for changed instances. Removals may be unconfirmed for a while after an
+/// outage of the store, since instances may write their entries again.
 pub(super) fn instance_datagrams(
     changes: &Changes<ObjectEvent>,
     unconfirmed: Duration,
 ) -> Vec<Datagram> {
-    // What can't be read is told as gone.
+    // Unreadable entries are announced as removed.
     let named = changes
         .items
         .iter()
@@ -233,7 +233,7 @@
     )
 }
 
-/// The datagrams that carry all instances, as they are known by a revision.
+/// The datagrams for a snapshot of all instances as known at a revision.
 pub(super) fn snapshot_datagrams(
     directory: &Directory,
     revision: u64,
@@ -252,9 +252,9 @@
     parts(0, revision, &present, INSTANCES_PER_PART, message)
 }
 
-/// The datagrams that carry changed registrations of nodes.
+/// The datagrams for changed node registrations.
 pub(super) fn node_datagrams(changes: &Changes<ObjectEvent>) -> Vec<Datagram> {
-    // What can't be read is not told: the node is reached as before.
+    // Unreadable registrations are not announced: the node is still reached as before.
     let read = changes
         .items
         .iter()
@@ -271,7 +271,7 @@
     )
 }
 
-/// The last event of each object, by name.
+/// The last event of each object, sorted by name.
 fn last_events<'a>(events: impl Iterator<Item = &'a ObjectEvent>) -> Vec<&'a ObjectEvent> {
     let by_name: BTreeMap<&str, &ObjectEvent> = events
         .map(|event| (event.object.name.as_str(), event))
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns which keys, as the coordinator announces it.
+//! Announcement of the owners of keys.
 
 use super::entries::changed_assignment;
 use super::{RelayState, parts};
@@ -14,38 +14,37 @@
 use crate::store::era_of;
 use ledgelead_types::codec::{List, Text};
 
-/// Most assignments in one datagram.
+/// Maximum number of assignments in one datagram.
 const ASSIGNMENTS_PER_PART: usize = 20;
-/// Most assignments of one list.
+/// Maximum number of assignments in one list.
 const MAX_ASSIGNMENTS: usize = ASSIGNMENTS_PER_PART * MAX_PARTS as usize;
 
-/// What a node says that has taken the coordinator's place.
+/// The announcement of a node that has taken the coordinator role.
 #[derive(Debug)]
 pub(in crate::node) struct TakeOver {
-    /// The revision of the record before.
+    /// Revision of the record before the takeover.
     pub(in crate::node) base: u64,
-    /// Its revision now.
+    /// Revision of the record after the takeover.
     pub(in crate::node) revision: u64,
     pub(in crate::node) coordinator: NodeIdentity,
-    /// The token of the first assignment.
+    /// Fencing token of the first assignment after the takeover.
     pub(in crate::node) first_fence: u64,
-    /// Digest of the record as it is now.
+    /// Digest of the record after the takeover.
     pub(in crate::node) digest: u64,
 }
 
-/// A take-over that this node has announced.
+/// A takeover announced by this node.
 #[derive(Debug)]
 pub(super) struct AnnouncedTakeOver {
-    /// The revision of the record before.
+    /// Revision of the record before the takeover.
     base: u64,
-    /// Its revision after.
+    /// Revision of the record after the takeover.
     revision: u64,
     datagram: Datagram,
 }
 
 impl RelayState {
-    /// The datagrams that bring a node that knows the record's revision `since`
-    /// to the newest one.
+    /// The datagrams that update a node from revision `since` of the record to the latest one.
     pub(super) fn ownership_datagrams(&self, since: u64) -> Option<Vec<Datagram>> {
         let later = |since| {
             let changes = self.ownership.since(since, MAX_ASSIGNMENTS);
@@ -63,7 +62,7 @@
 }
 
 impl Node {
-    /// Announces what a write of the record has changed.
+    /// Announces the changes of a written record.
     pub(in crate::node) fn announce_ownership(
         &mut self,
         base: u64,
@@ -83,7 +82,7 @@
         self.messaging.relay.ownership.push(changes);
     }
 
-    /// The coordinator has announced new assignments.
+    /// Applies new assignments announced by the coordinator.
     pub(in crate::node) fn ownership_announced(
         &mut self,
         span: ChangeSpan,
@@ -108,7 +107,7 @@
             self.request_changes(RelayedKind::Ownership, now, out);
         }
         let follows = self.coordination.coordinator().is_none();
-        let before = self.record_before();
+        let before = self.record_before_change();
         if follows && self.ownership.overlay(base, revision, assignments) {
             self.note_cold_keys(before, now);
             self.reconsider_waiting(now, out);
@@ -129,7 +128,7 @@
         })
     }
 
-    /// The service whose keys have owners and whose name has this hash.
+    /// The service with this name hash, if its keys have owners.
     pub(in crate::node) fn service_by_hash(&self, hash: u64) -> Option<&ServiceName> {
         self.configuration
             .as_ref()?
@@ -137,7 +136,7 @@
             .find(|service| service.stable_hash() == hash)
     }
 
-    /// Announces that this node has taken the coordinator's place.
+    /// Announces that this node has taken the coordinator role.
     pub(in crate::node) fn announce_take_over(
         &mut self,
         base: u64,
@@ -163,9 +162,9 @@
         });
     }
 
-    /// Another node says that it has taken the coordinator's place. The record
-    /// follows from the one before; if this node's doesn't, the store is asked
-    /// as soon as a heartbeat tells of the newer revision.
+    /// Another node has taken the coordinator role. The new record is derived from the
+    /// preceding one. If this node's record doesn't lead to the announced digest, the store is
+    /// asked as soon as a heartbeat names the new revision.
     pub(in crate::node) fn take_over_announced(
         &mut self,
         take_over: TakeOver,
@@ -205,7 +204,7 @@
     }
 }
 
-/// The datagrams that carry changed assignments.
+/// The datagrams for changed assignments.
 pub(super) fn datagrams(changes: &Changes<Assignment>) -> Vec<Datagram> {
     if changes.items.is_empty() {
         return Vec::new();
--- a/crates/ledgelead-router/src/node/relay/snapshot_requests.rs
+++ b/crates/ledgelead-router/src/node/relay/snapshot_requests.rs
@@ -1,17 +1,17 @@
-//! Nodes that a coordinator can't bring up to date from its log.
+//! Requests of nodes that the coordinator can't update from its change log.
 
 use crate::Timestamp;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a node asks in vain before it gets a snapshot. One that the store serves has
-/// asked that after 400 ms.
+/// How long a node asks without success before it is sent a snapshot. A node whose calls the
+/// store serves has asked the store after 400 ms.
 const SNAPSHOT_DELAY: Duration = Duration::from_millis(600);
-/// Time without a request after which a node has what it lacked: it asks with each
-/// heartbeat (200 ms), of which some are lost.
+/// Time without a request after which a node is assumed to have what it missed. It asks after
+/// each heartbeat (200 ms), and some of the datagrams are lost.
 const REQUEST_TTL: Duration = Duration::from_millis(1_500);
-/// Pause between two snapshots for one node.
+/// Minimum interval between snapshots for one node.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
@@ -20,13 +20,13 @@
     next_snapshot: Timestamp,
 }
 
-/// Since when nodes have asked in vain.
+/// Nodes that ask without success, with the times of their requests.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotRequests(HashMap<SocketAddr, Request>);
 
 impl SnapshotRequests {
-    /// A node asks for changes that the log doesn't reach back to. Returns whether it
-    /// gets a snapshot now.
+    /// Records a request for changes from before the start of the log. Returns whether the
+    /// node is sent a snapshot now.
     pub(super) fn is_snapshot_due(&mut self, from: SocketAddr, now: Timestamp) -> bool {
         self.0.retain(|_, request| request.last + REQUEST_TTL > now);
         let request = self.0.entry(from).or_insert(Request {
--- a/crates/ledgelead-router/src/node/status.rs
+++ b/crates/ledgelead-router/src/node/status.rs
@@ -1,4 +1,4 @@
-//! Figures of a node, for operators and metrics.
+//! State and counters of a node for operators and metrics.
 
 use super::Node;
 use crate::dispatch::DispatcherCounters;
@@ -9,75 +9,76 @@
 use crate::zone_traffic::ZoneTraffic;
 use std::collections::BTreeMap;
 
-/// Whole lists between nodes.
+/// Counters of complete lists transferred between nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferCounters {
-    /// Those that other nodes have sent to this one.
+    /// Lists received from other nodes.
     pub received: u64,
-    /// Those that this one has sent to others.
+    /// Lists sent to other nodes.
     pub sent: u64,
 }
 
-/// What a node knows and has done.
+/// State and counters of a node.
 #[derive(Clone, Debug)]
 pub struct NodeStatus {
-    /// Whether new clients may be sent to it.
+    /// Whether the node is ready for new clients.
     pub ready: bool,
-    /// The version of the configuration, if one is known.
+    /// Version of the active configuration, if one is known.
     pub configuration: Option<u64>,
-    /// Instances known.
+    /// Number of known instances.
     pub instances: usize,
-    /// Registered nodes.
+    /// Number of registered nodes.
     pub nodes: usize,
-    /// Zones that are evacuated.
+    /// Number of evacuated zones.
     pub evacuated_zones: usize,
-    /// The epoch of the newest record.
+    /// Epoch of the latest known ownership record.
     pub epoch: u64,
-    /// Whether it coordinates, and what it has done as coordinator.
+    /// Counters of the coordinator, if this node holds the role.
     pub coordinator: Option<OwnershipCounters>,
-    /// Open requests.
+    /// Number of open requests.
     pub open: usize,
-    /// What became of requests.
+    /// Outcomes of requests.
     pub requests: RequestCounters,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub store_calls: u64,
-    /// Calls to the store that failed or were refused.
+    /// Number of calls to the store that failed or were refused.
     pub store_failures: u64,
-    /// Calls to the store by what they were for.
+    /// Number of calls to the store by purpose.
     pub store_calls_by: BTreeMap<&'static str, u64>,
-    /// Heartbeats of coordinators before the newest one that was heard.
+    /// Heartbeats received from coordinators of earlier epochs than the highest known one.
     pub former_heartbeats: u64,
-    /// What coordinators relay, by kind: the newest revision that was announced,
-    /// and the one that this node knows.
+    /// For each relayed kind of object, the highest announced revision and the revision known
+    /// to this node.
     pub announced_and_known: BTreeMap<&'static str, (u64, u64)>,
-    /// Requests that are held back since instances ended under them, with their paths.
+    /// Quarantined requests, held back because instances crashed while processing them, with
+    /// their paths.
     pub quarantined: Vec<(RequestDigest, String)>,
-    /// Requests under which some instance ended.
+    /// Requests during which at least one instance ended.
     pub suspected: usize,
-    /// Ends of instances under them that none has disproved.
+    /// Ends of instances attributed to these requests, without those that were disproved.
     pub ends_counted: usize,
-    /// Objects of the store that could not be read, counted each time, by kind.
+    /// Occurrences of unreadable objects in the store, by kind.
     pub unreadable: BTreeMap<&'static str, u64>,
-    /// Datagrams to and from other nodes.
+    /// Datagrams exchanged with other nodes.
     pub traffic: PeerTraffic,
-    /// Whole lists between nodes.
+    /// Complete lists exchanged with other nodes.
     pub transfers: TransferCounters,
-    /// Permits that its requests have asked for.
+    /// Permits that this node's requests have asked for.
     pub permits: PermitCounters,
-    /// What it has decided as dispatcher.
+    /// Counters of this node as dispatcher.
     pub dispatched: DispatcherCounters,
-    /// Requests that wait in the queues that it keeps.
+    /// Requests waiting in the queues that this node keeps as dispatcher.
     pub dispatch_waiting: usize,
-    /// Tokens that it has handed out as limiter, and asks that it has refused.
+    /// Tokens granted and requests refused by this node as limiter.
     pub limiter: LimiterCounters,
-    /// Instances that name a rate limit, or have lately ceased to.
+    /// Instances that have announced a rate limit, or have withdrawn it recently.
     pub rate_limits: usize,
-    /// Bytes exchanged with this zone and others.
+    /// Bytes exchanged within this zone and with other zones.
     pub zone_traffic: ZoneTraffic,
 }
 
 impl Node {
-    /// Figures of now.
+    /// The current state and counters.
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
             ready: self.is_ready(),
@@ -94,7 +95,7 @@
             store_calls_by: self.store.calls_by().clone(),
             former_heartbeats: self.messaging.former_heartbeats,
             announced_and_known: self.announced_and_known(),
-            quarantined: self.quarantine.held_back(),
+            quarantined: self.quarantine.quarantined_requests(),
             suspected: self.quarantine.evidence.iter().count(),
             ends_counted: self.quarantine.evidence.ends(),
             unreadable: self.unreadable.counts().clone(),
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -1,4 +1,4 @@
-//! What the store's answers change: its health, watches, and this node's view.
+//! Handles the store's answers: updates the store's health, the watches and this node's view.
 
 use super::Node;
 use super::relay::differences;
@@ -13,8 +13,8 @@
 use ledgelead_http::Response;
 use std::time::Duration;
 
-/// Pause between the first call that is served again and the watches; longer
-/// than between two heartbeats of a coordinator.
+/// Delay between the first successful call and the restart of the other watches. It is longer
+/// than the interval between two heartbeats of a coordinator.
 const AFTER_FAILURE_PAUSE: Duration = Duration::from_millis(250);
 
 impl Node {
@@ -30,11 +30,11 @@
         };
         self.coordination.note_change();
         let answer = self.read_store_answer(&pending.call, pending.era, result, now, out);
-        let apart = self.settings.protections.has(Protection::ForeignApart);
+        let isolates_unreadable = self.settings.protections.has(Protection::ForeignApart);
         let answer = match answer {
-            Ok(answer) if !apart && holds_unreadable(&answer) => Ok(StoreAnswer::Unreadable(
-                "an object can't be read".to_owned(),
-            )),
+            Ok(answer) if !isolates_unreadable && holds_unreadable(&answer) => Ok(
+                StoreAnswer::Unreadable("the answer contains an unreadable object".to_owned()),
+            ),
             answer => answer,
         };
         let served = matches!(&answer, Ok(answer) if !matches!(answer, StoreAnswer::Refused | StoreAnswer::Unreadable(_)));
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Pauses between this node's calls while the store fails it.
-    fn probe_pauses(&self) -> Backoff {
+    /// Backoff between this node's calls while they fail.
+    fn probe_backoff(&self) -> Backoff {
         if self.messaging.following_until.is_some() {
             return FOLLOWER_BACKOFF;
         }
@@ -79,7 +79,7 @@
     ) {
         if !served {
             self.store.failures += 1;
-            let pauses = self.probe_pauses();
+            let pauses = self.probe_backoff();
             self.store
                 .watcher(ObjectKind::Instances)
                 .set_backoff(pauses);
@@ -88,10 +88,11 @@
                 Event::StoreFails { cause: &cause }.emit();
             }
             self.store.health.failed(started);
-            // The one call that goes on while others fail, also where it rests.
+            // This watch continues while others are suspended, even if it was paused.
             self.store.watcher(ObjectKind::Instances).poke(now);
             if !self.directory.is_confirmed() {
-                // Those that wait for the first view to be confirmed wait in vain.
+                // Requests that wait for the first list to be confirmed need not wait any
+                // longer.
                 self.reconsider_waiting(now, out);
             }
             return;
@@ -106,8 +107,8 @@
         }
     }
 
-    /// The store serves again. Watches from before may wait on connections that
-    /// will say nothing any more, or for the end of a pause.
+    /// Restarts the watches after the store has recovered. Earlier ones may be waiting on dead
+    /// connections, or for the end of a pause.
     fn renew_watches(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let coordinating = self.store.coordinating;
         for kind in ObjectKind::ALL {
@@ -116,7 +117,7 @@
             if kind == ObjectKind::Instances {
                 watcher.hasten(now);
             } else if !coordinating {
-                // A coordinator that is heard by then makes them needless.
+                // The call is not needed if a coordinator is heard by then.
                 watcher.defer(now + AFTER_FAILURE_PAUSE);
             }
         }
@@ -147,8 +148,8 @@
                 }
                 let was_paged = self.store.watcher(kind).is_paged();
                 let change = self.store.watcher(kind).answered(answer, now);
-                let shows_length = !was_paged && self.store.watcher(kind).is_paging_stale();
-                if shows_length && !self.asks_nodes() {
+                let has_more_pages = !was_paged && self.store.watcher(kind).is_paging_stale();
+                if has_more_pages && !self.transfers_from_nodes() {
                     self.store.defer_further_pages(kind, now);
                 }
                 let confirms = has_state && self.store.is_exact(kind);
@@ -175,7 +176,7 @@
         }
     }
 
-    /// As coordinator, announces what the store has told.
+    /// As coordinator, announces the changes that the store has reported.
     fn relay_change(
         &mut self,
         kind: ObjectKind,
@@ -189,7 +190,7 @@
         let relists = kind == ObjectKind::Instances && self.directory.is_complete();
         let events = match change {
             WatchChange::Events(events) => events.clone(),
-            // The store has forgotten the changes in between.
+            // The store no longer has the history of the changes in between.
             WatchChange::All(objects) if relists => differences(&self.directory, objects),
             _ => return,
         };
@@ -210,7 +211,7 @@
     ) {
         let instances_before = self.directory.changes();
         let is_list = matches!(change, WatchChange::All(_));
-        let revision = self.changed_at(kind, &change);
+        let revision = self.revision_of_change(kind, &change);
         match change {
             WatchChange::Unchanged => return,
             WatchChange::All(objects) => {
@@ -228,20 +229,20 @@
                 }
             }
         }
-        let same = is_list
+        let is_unchanged = is_list
             && kind == ObjectKind::Instances
             && self.directory.changes() == instances_before;
-        if !same {
-            self.messaging.relay.changed(kind, revision);
+        if !is_unchanged {
+            self.messaging.relay.note_change(kind, revision);
         }
         self.reconsider_waiting(now, out);
     }
 
-    /// The revision of the last change of a kind that the store has told.
-    fn changed_at(&self, kind: ObjectKind, change: &WatchChange) -> u64 {
+    /// The revision of the last change of a kind that the store has reported.
+    fn revision_of_change(&self, kind: ObjectKind, change: &WatchChange) -> u64 {
         match change {
-            // Registrations of nodes are not removed, so none can have changed
-            // after the newest one that is listed.
+            // Registrations of nodes are never removed, so none has changed after the highest
+            // revision listed.
             WatchChange::All(objects) if kind == ObjectKind::Nodes => {
                 let revisions = objects.iter().map(|object| object.revision);
                 revisions.max().unwrap_or(0)
@@ -251,7 +252,7 @@
     }
 }
 
-/// Whether an object of the answer can't be read.
+/// Whether the answer contains an unreadable object.
 fn holds_unreadable(answer: &StoreAnswer) -> bool {
     let is_unreadable = |object: &Object| object.content.is_err();
     match answer {
@@ -263,7 +264,7 @@
     }
 }
 
-/// Whether the record can be read, if the answer tells of it.
+/// Whether the ownership record is readable, if the answer contains it.
 fn has_readable_record(answer: &StoreAnswer) -> Option<bool> {
     let is_record = |object: &&Object| object.name == OWNERSHIP_NAME;
     let record = match answer {
@@ -277,7 +278,7 @@
     record.map(|object| object.content.is_ok())
 }
 
-/// What became of a call, for the log.
+/// The outcome of a call, for the log.
 pub(super) fn describe(answer: &Result<StoreAnswer, ExchangeFailure>) -> String {
     match answer {
         Ok(StoreAnswer::Refused) => "refused".to_owned(),
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -14,51 +14,51 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Time for a call that need not wait for a change.
+/// Timeout of a call that doesn't wait for a change.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for a connection to the store to come up.
+/// Timeout for connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a kept connection to the store may have been idle.
+/// Maximum idle time of a reused connection to the store.
 const REUSE_IDLE: Duration = Duration::from_secs(4);
-/// What a watch may take beyond the wait that it asks for.
+/// Timeout of a watch beyond the wait that it requests.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
-/// The name of the one record of ownership.
+/// Name of the single ownership record.
 pub const OWNERSHIP_NAME: &str = "record";
-/// How long the call that notices whether the store serves is left alone.
+/// Minimum age of a pending probe of the store before it is replaced by a new one.
 const PROBE_PAUSE: Duration = Duration::from_millis(300);
-/// Pause between two reads of the record because of rejected keys.
-const DOUBT_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum interval between reads of the record caused by rejected keys.
+const REJECTION_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time in which a node that starts hears a coordinator, whose heartbeats (each 200 ms)
-/// hold the evacuations, so that it need not list them.
+/// Time in which a starting node hears a coordinator. Heartbeats are sent every 200 ms and
+/// carry the evacuations, so that the node need not list them.
 const FIRST_EVACUATIONS_PAUSE: Duration = Duration::from_millis(400);
-/// Time in which a node that starts hears a coordinator, also one that is elected only
-/// then. With a list it is below the 3 s in which a node has to know what is held back.
+/// Time in which a starting node hears a coordinator, even one that is elected only then.
+/// Together with a list it stays below the 3 s within which a node must know the quarantined
+/// requests.
 const FIRST_QUARANTINE_PAUSE: Duration = Duration::from_millis(2_500);
-/// Pause between two probes of a failing store because of gaps; with a list and
-/// the pause before the other watches (0.25 s) it stays below the bound of
-/// configurations of 2 s.
+/// Minimum interval between probes of a failing store caused by gaps. Together with a list and
+/// the pause before the other watches (0.25 s) it stays below the configuration bound of 2 s.
 const GAP_PROBE_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Why a call was made.
+/// The purpose of a call.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// A watch.
+    /// Watch or list objects of a kind.
     Watch(ObjectKind),
-    /// This node wants the coordinator's place.
+    /// Take over the coordinator role.
     TakeOver(OwnershipRecord),
-    /// The coordinator's next version of the record.
+    /// Write the coordinator's next version of the record.
     Update,
-    /// The coordinator leaves its place.
+    /// Give up the coordinator role.
     Resign,
-    /// This node registers itself.
+    /// Register this node.
     Register,
-    /// The coordinator writes what is known of a request that crashes instances.
+    /// As coordinator, save the evidence about a request that crashes instances.
     StoreEvidence(Box<(RequestDigest, QuarantineRecord)>),
 }
 
 impl Purpose {
-    /// The name of a call for metrics.
+    /// Name of the call in metrics.
     fn label(&self, call: &StoreCall) -> &'static str {
         match (self, call) {
             (Purpose::Watch(kind), StoreCall::List { stale: true, .. }) => match kind {
@@ -99,35 +99,35 @@
     pub(super) purpose: Purpose,
     pub(super) call: StoreCall,
     pub(super) started: Timestamp,
-    /// The era that was known then.
+    /// The store era known when the call was made.
     pub(super) era: u64,
 }
 
-/// State of the calls.
+/// State of the store calls.
 pub(super) struct StoreCalls {
     pub(super) health: StoreHealth,
-    /// In the order of `ObjectKind::ALL`.
+    /// Indexed by `ObjectKind`.
     watchers: [Watcher; ObjectKind::ALL.len()],
     pub(super) pending: HashMap<ExchangeId, Pending>,
     pub(super) registration: RegistrationState,
-    /// Pauses of the first calls, if no configuration is found.
+    /// Delays of the first calls if no configuration is found.
     cold_start: ColdStart,
-    /// Pause after the first page of a long list of instances.
+    /// Delay after the first page of a long list of instances.
     list_pause: Duration,
-    /// Whether zones can be evacuated at all.
+    /// Whether evacuations of zones are enabled.
     reads_evacuations: bool,
     /// Whether the first list of the configuration was empty.
-    starts_cold: bool,
-    /// When an owner's rejection may lead to a read of the record again.
-    next_doubt: Timestamp,
-    /// When a gap may lead to a probe again.
+    is_cold_start: bool,
+    /// Earliest time at which an owner's rejection may trigger another read of the record.
+    next_rejection_read: Timestamp,
+    /// Earliest time at which a gap may trigger another probe.
     next_gap_probe: Timestamp,
     pub(super) coordinating: bool,
     calls: u64,
-    /// Calls by what they are for.
+    /// Number of calls by metrics label.
     calls_by: BTreeMap<&'static str, u64>,
     pub(super) failures: u64,
-    /// The latest era that the store has named.
+    /// The highest era that the store has named.
     pub(super) era: u64,
 }
 
@@ -145,8 +145,8 @@
             cold_start: ColdStart::new(settings.millicores, settings.seed),
             list_pause: large_list_pause(settings.seed),
             reads_evacuations: settings.evacuation_bound.is_some(),
-            starts_cold: false,
-            next_doubt: now,
+            is_cold_start: false,
+            next_rejection_read: now,
             next_gap_probe: now,
             coordinating: false,
             calls: 0,
@@ -164,7 +164,7 @@
         self.calls
     }
 
-    /// Calls by what they were for.
+    /// Number of calls by metrics label.
     pub(super) fn calls_by(&self) -> &BTreeMap<&'static str, u64> {
         &self.calls_by
     }
@@ -173,22 +173,22 @@
         self.failures
     }
 
-    /// Whether this life of the node is registered.
+    /// Whether this incarnation of the node is registered.
     pub(super) fn is_registered(&self) -> bool {
         self.registration.is_done()
     }
 
-    /// Whether no configuration was found at the start of this node.
-    pub(super) fn starts_cold(&self) -> bool {
-        self.starts_cold
+    /// Whether no configuration was found when this node started.
+    pub(super) fn is_cold_start(&self) -> bool {
+        self.is_cold_start
     }
 
-    /// Whether all objects of a kind were listed once.
+    /// Whether all objects of a kind have been listed at least once.
     pub(super) fn has_listed(&self, kind: ObjectKind) -> bool {
         self.watchers[kind as usize].has_listed()
     }
 
-    /// Whether instances or nodes are too many for one page of a list.
+    /// Whether the list of instances or of nodes exceeds one page.
     pub(super) fn has_paged_list(&self) -> bool {
         let kinds = [ObjectKind::Instances, ObjectKind::Nodes];
         kinds
@@ -196,7 +196,7 @@
             .any(|kind| self.watchers[*kind as usize].is_paged())
     }
 
-    /// Whether the store's last answer about a kind told the newest state.
+    /// Whether the store's last answer about a kind reported the latest state.
     pub(super) fn is_exact(&self, kind: ObjectKind) -> bool {
         self.watchers[kind as usize].as_of().is_some()
     }
@@ -208,11 +208,11 @@
             .min()
     }
 
-    /// While calls fail, only the watch on instances goes on, and tells when
-    /// that is over.
+    /// Whether a watch makes no calls for now. While calls fail, only the watch on instances
+    /// continues, and notices the recovery.
     fn is_suspended(&self, index: usize) -> bool {
         let kind = self.watchers[index].kind();
-        // A coordinator that is heard tells them whole.
+        // Heartbeats of the coordinator carry the complete evacuations.
         let is_announced = !self.reads_evacuations || self.watchers[index].is_paused();
         if kind == ObjectKind::Evacuations && is_announced {
             return true;
@@ -223,18 +223,19 @@
         if self.health.has_failed() {
             return kind != ObjectKind::Instances;
         }
-        // The configuration tells whether the whole deployment starts. A coordinator may have
-        // sent it before it is listed; changes since a list are asked for in any case.
+        // The configuration shows whether the whole deployment is starting. A coordinator may
+        // have sent it before it is listed; changes since a list are requested in any case.
         let waits = matches!(kind, ObjectKind::Instances | ObjectKind::Nodes);
         waits && !self.has_listed(kind) && !self.has_listed(ObjectKind::Configuration)
     }
 
-    /// The first list of the configuration is complete.
+    /// The first list of the configuration is complete. An empty one means that the whole
+    /// deployment is starting.
     pub(super) fn configuration_listed(&mut self, is_empty: bool, now: Timestamp) {
         if !is_empty {
             return;
         }
-        self.starts_cold = true;
+        self.is_cold_start = true;
         let ColdStart { election, list } = self.cold_start;
         self.watcher(ObjectKind::Instances).defer(now + list);
         let nodes = self.watcher(ObjectKind::Nodes);
@@ -242,8 +243,8 @@
         nodes.defer(now + election);
     }
 
-    /// A coordinator is heard before this node has listed the nodes: it will
-    /// relay what changes after a list that may be stale.
+    /// A coordinator is heard before this node has listed the nodes. It relays the changes
+    /// after a list that may be stale, so that the list can be made later.
     fn defer_node_list(&mut self, now: Timestamp) {
         let pause = self.cold_start.list;
         let nodes = self.watcher(ObjectKind::Nodes);
@@ -253,8 +254,7 @@
         }
     }
 
-    /// The first page of a first list has shown that it is long: another node may send the
-    /// rest meanwhile.
+    /// Defers the further pages of a long first list, which another node may send meanwhile.
     pub(super) fn defer_further_pages(&mut self, kind: ObjectKind, now: Timestamp) {
         let pause = match kind {
             ObjectKind::Nodes => self.cold_start.election,
@@ -263,7 +263,7 @@
         self.watcher(kind).defer(now + pause);
     }
 
-    /// A coordinator is heard: other nodes send what this one has put off.
+    /// A coordinator is heard: the deferred pages are requested from other nodes.
     fn resume_large_lists(&mut self, now: Timestamp) {
         for kind in [ObjectKind::Instances, ObjectKind::Nodes] {
             let watcher = self.watcher(kind);
@@ -273,8 +273,7 @@
         }
     }
 
-    /// Another node says that the store serves again: the call that notices so
-    /// is made anew.
+    /// Another node reports that the store has recovered: the probe is sent again.
     pub(super) fn probe_again(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let before = now.saturating_sub(PROBE_PAUSE);
         self.interrupt(ObjectKind::Instances, before, now, out);
@@ -289,7 +288,7 @@
             .any(|pending| matches!(pending.purpose, Purpose::Register))
     }
 
-    /// Lists the nodes once more.
+    /// Lists the nodes again.
     pub(super) fn list_nodes(&mut self, now: Timestamp) {
         self.watcher(ObjectKind::Nodes).refresh(now);
     }
@@ -298,23 +297,23 @@
         &mut self.watchers[kind as usize]
     }
 
-    /// The watches serve the coordinator, or not.
+    /// Adjusts the watches when this node takes up or gives up the coordinator role.
     pub(super) fn set_coordinating(&mut self, coordinating: bool, now: Timestamp) {
         self.coordinating = coordinating;
         for watcher in &mut self.watchers {
             watcher.set_pace(pace(watcher.kind(), coordinating));
             watcher.set_paused(false);
             if coordinating {
-                // Until it knows the present state, it has nothing to relay, and
-                // the others begin to ask by themselves.
+                // Until the coordinator knows the current state, it can't relay anything, and
+                // the other nodes start to call the store themselves.
                 watcher.set_first_may_be_stale(false);
                 watcher.ask_at_once(now);
             }
         }
     }
 
-    /// Whether a coordinator tells of changes, so that this node's own watches
-    /// can rest. The coordinator's never do.
+    /// Sets whether a coordinator relays changes, so that this node's own watches can be
+    /// paused. The coordinator's own watches are never paused.
     pub(super) fn set_following(&mut self, following: bool, now: Timestamp, out: &mut Vec<Action>) {
         let paused = following && !self.coordinating;
         let was_paused = self.watcher(ObjectKind::Instances).is_paused();
@@ -327,7 +326,7 @@
             watcher.set_paused(paused);
         }
         if paused && self.health.has_failed() {
-            // It goes on as the probe.
+            // This watch continues as the probe of the store.
             self.watcher(ObjectKind::Instances).poke(now);
         }
         if resumes {
@@ -335,51 +334,52 @@
             for (kind, pause) in RESUME_PAUSES {
                 self.watcher(kind).defer(now + pause);
             }
-            // A call from before the pause may wait where nobody answers.
+            // A call started before the pause may wait on a dead connection.
             self.interrupt(ObjectKind::Instances, now, now, out);
         }
     }
 
-    /// The age of this node's view of the store: how long ago it had an answer about
-    /// instances, and how long ago the configuration that it knows was the newest. The
-    /// latter counts from when the store answered, since a machine that stood still reads
-    /// old answers; versions are rare enough for that to be recent.
-    pub(super) fn age(&self, now: Timestamp) -> Duration {
+    /// The age of this node's view of the store: the time since its last answer about
+    /// instances, or since the known configuration was confirmed as the latest, whichever is
+    /// longer. The latter is measured from when the store gave the answer, since a machine
+    /// that was suspended reads old answers; configuration versions are rare enough for that
+    /// time to be recent.
+    pub(super) fn view_age(&self, now: Timestamp) -> Duration {
         let instances = self.watchers[ObjectKind::Instances as usize].last_answer();
         let since = |at: Option<Timestamp>| at.map_or(Duration::MAX, |at| now.saturating_sub(at));
         since(instances).max(self.state_age(ObjectKind::Configuration, now))
     }
 
-    /// How long ago what this node knows of a kind was the store's state, by the store's
-    /// own answers.
+    /// Time since what this node knows of a kind was the store's state, according to the
+    /// store's own answers.
     pub(super) fn state_age(&self, kind: ObjectKind, now: Timestamp) -> Duration {
         let as_of = self.watchers[kind as usize].as_of();
         as_of.map_or(Duration::MAX, |at| now.saturating_sub(at))
     }
 
-    /// For how long all calls have been served.
+    /// For how long all calls have succeeded.
     pub(super) fn served_for(&self, now: Timestamp) -> Duration {
         let since = self.health.serving_since();
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// The store's revision up to which objects of a kind are known.
+    /// The store revision up to which objects of a kind are known.
     pub(super) fn revision_of(&self, kind: ObjectKind) -> Option<u64> {
         self.watchers[kind as usize].revision()
     }
 
-    /// Another node has told all changes of a kind up to this revision.
+    /// Another node has sent all changes of a kind up to this revision.
     pub(super) fn advance(&mut self, kind: ObjectKind, revision: u64) {
         self.watcher(kind).advance(revision);
     }
 
-    /// Asks the store once for what a paused watch has missed.
+    /// Makes one call for what a paused watch may have missed.
     pub(super) fn poke(&mut self, kind: ObjectKind, now: Timestamp) {
         self.watcher(kind).poke(now);
     }
 
-    /// This node lacks something that only the store can tell, while its calls
-    /// fail: the probe is made anew, though not for each heartbeat that says so.
+    /// This node misses a change that only the store can supply, while its calls fail. The
+    /// store is probed again, at most once per `GAP_PROBE_PAUSE`.
     pub(super) fn probe_for_gap(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.next_gap_probe <= now {
             self.next_gap_probe = now + GAP_PROBE_PAUSE;
@@ -387,32 +387,32 @@
         }
     }
 
-    /// Reads the record of ownership once more.
+    /// Reads the ownership record again.
     pub(super) fn refresh_ownership(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         self.interrupt(ObjectKind::Ownership, now, now, out);
         self.watcher(ObjectKind::Ownership).refresh(now);
     }
 
-    /// An owner has rejected its keys. A coordinator that is heard will tell who
-    /// has them now, if anybody; else the record is read, though not for each
-    /// such answer.
-    pub(super) fn refresh_doubted_ownership(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let alone = !self.coordinating && !self.watcher(ObjectKind::Ownership).is_paused();
-        if alone && self.health.serves() && self.next_doubt <= now {
-            self.next_doubt = now + DOUBT_INTERVAL;
+    /// An owner has rejected its keys. A coordinator that is heard will announce the new
+    /// owner, if there is one. Otherwise the record is read, at most once per
+    /// `REJECTION_READ_INTERVAL`.
+    pub(super) fn refresh_rejected_ownership(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        let reads_itself = !self.coordinating && !self.watcher(ObjectKind::Ownership).is_paused();
+        if reads_itself && self.health.serves() && self.next_rejection_read <= now {
+            self.next_rejection_read = now + REJECTION_READ_INTERVAL;
             self.refresh_ownership(now, out);
         }
     }
 
-    /// A write of the record has confirmed the coordinator's place.
+    /// A write of the record has confirmed the coordinator role.
     pub(super) fn role_confirmed(&mut self, now: Timestamp) {
         let watcher = self.watcher(ObjectKind::Ownership);
         watcher.defer(now + CONFIRM_INTERVAL);
     }
 
-    /// Breaks off the watch of a kind, if it has been out since before
-    /// `since`, so that it is made anew. A list is left alone: it waits for no
-    /// change, and a long one over a slow link would never come to its end.
+    /// Cancels and restarts the watch of a kind if it was started before `since`. Lists are
+    /// not cancelled: they don't wait for changes, and a long one over a slow link would never
+    /// complete.
     pub(super) fn interrupt(
         &mut self,
         kind: ObjectKind,
@@ -436,7 +436,7 @@
 impl Node {
     /// Makes the calls that are due.
     pub(super) fn call_store(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        self.restart_former_watches(now);
+        self.restart_watches_of_former_era(now);
         self.register_if_due(now, out);
         for index in 0..self.store.watchers.len() {
             if self.store.is_suspended(index) {
--- a/crates/ledgelead-router/src/node/store_era.rs
+++ b/crates/ledgelead-router/src/node/store_era.rs
@@ -1,9 +1,11 @@
-//! Eras of the store: it may come back from a copy, without what it has acknowledged since.
+//! Store eras. A new era begins when the store is restored from an older copy, which lacks
+//! what it acknowledged since.
 //!
-//! **Invariant: nothing that was taken from the store in an era is relied on in a later one
-//! before it is proved there.** Lists are read anew, registrations are made again, and a
-//! coordinator gives no orders until it has written the record in the new era. What nodes know
-//! of the owners of keys goes on to route requests meanwhile; owners answer for themselves.
+//! **Invariant: nothing that was read from the store in an era is relied on in a later one
+//! before it is confirmed there.** Lists are read again, registrations are repeated, and a
+//! coordinator gives no orders until it has written the record in the new era. Meanwhile nodes
+//! continue to route requests by the owners of keys that they know; each owner checks requests
+//! itself.
 
 use super::Node;
 use crate::Timestamp;
@@ -17,7 +19,7 @@
 use ledgelead_http::Response;
 
 impl Node {
-    /// The era of an answer: that which is known where it names none.
+    /// The era that an answer names, or the known one if it names none.
     fn era_of_answer(&self, response: &Response) -> Result<u64, String> {
         let header = &self.dialect.headers().store_era;
         let known = self.store.era;
@@ -26,12 +28,12 @@
         };
         match text.trim().parse() {
             Ok(era) if era >= known => Ok(era),
-            Ok(era) => Err(format!("of era {era}, before {known}")),
-            Err(_) => Err("no era".to_owned()),
+            Ok(era) => Err(format!("store era {era} precedes the known era {known}")),
+            Err(_) => Err("store era is not a number".to_owned()),
         }
     }
 
-    /// The store's answer to a call, with its revisions numbered by its era.
+    /// Decodes the store's answer to a call, with its revisions numbered within the era.
     pub(super) fn read_store_answer(
         &mut self,
         call: &StoreCall,
@@ -53,14 +55,15 @@
             Ok(answer) => answer,
             Err(finding) => return Ok(StoreAnswer::Unreadable(finding)),
         };
-        // Before its first answer a node has taken nothing from the store.
-        let begins = era > self.store.era && self.store.health.has_served();
+        // Before the first successful call there is nothing from an earlier era to discard.
+        let begins_era = era > self.store.era && self.store.health.has_served();
         self.store.era = era;
-        if begins {
+        if begins_era {
             self.begin_era(now, out);
         }
-        // A list that goes on, or changes since a revision, would miss what the copy lacks.
-        let goes_on = match call {
+        // A continued list, or changes since a revision, would lack what the restored copy
+        // lacks.
+        let continues = match call {
             StoreCall::List { after, .. } => after.is_some(),
             StoreCall::Watch { .. } => true,
             StoreCall::Create { .. } | StoreCall::Replace { .. } => false,
@@ -69,7 +72,7 @@
             answer,
             StoreAnswer::Objects { .. } | StoreAnswer::Events { .. }
         );
-        match goes_on && is_served && called_in < era {
+        match continues && is_served && called_in < era {
             true => Ok(StoreAnswer::HistoryLost),
             false => Ok(answer),
         }
@@ -93,8 +96,8 @@
         self.store.list_nodes(now);
     }
 
-    /// A watch that is due from a revision of an earlier era lists instead.
-    pub(super) fn restart_former_watches(&mut self, now: Timestamp) {
+    /// Makes due watches list again if they would continue from a revision of an earlier era.
+    pub(super) fn restart_watches_of_former_era(&mut self, now: Timestamp) {
         let era = self.store.era;
         for kind in ObjectKind::ALL {
             let watcher = self.store.watcher(kind);
@@ -106,9 +109,9 @@
         }
     }
 
-    /// Takes over a version of the record that was written in an earlier era than the one in
-    /// which the store holds it. What this node knows stays if it is later.
-    pub(super) fn former_record_read(
+    /// Applies a version of the record that was written in an earlier era than the one in
+    /// which the store now holds it. A later version known to this node is kept.
+    pub(super) fn apply_former_record(
         &mut self,
         record: OwnershipRecord,
         version: RecordVersion,
@@ -128,8 +131,8 @@
         self.coordination.election.confirmed(now);
     }
 
-    /// The store holds no record, though this node knows one of an earlier era.
-    pub(super) fn record_is_missing(&mut self, now: Timestamp) {
+    /// The store holds no record, while this node knows one of an earlier era.
+    pub(super) fn note_missing_record(&mut self, now: Timestamp) {
         let era = self.store.era;
         let known = self.ownership.revision();
         if known.is_some_and(|known| era_of(known) < era) {
@@ -138,16 +141,17 @@
         }
     }
 
-    /// Whether what this node knows of the owners is all that is to be known: it coordinated
-    /// until the era ended, or the coordinator has said since that its last version of the
-    /// record is the one that is known here. No later coordinator was heard of.
+    /// Whether this node is certain to know the latest owners of all keys. This is so if it
+    /// was the coordinator until the era ended, or if the coordinator has reported since that
+    /// its final version of the record is the one known here. In both cases no later
+    /// coordinator may be known.
     pub(super) fn has_complete_ownership(&self) -> bool {
         if !self.ownership.is_of_former_era() {
             return true;
         }
         let record = self.ownership.record();
         let epoch = record.epoch;
-        // The first record of all.
+        // The initial, empty record.
         let is_first = epoch == 0 && record.assignments.is_empty();
         let written = self
             .ownership
@@ -157,7 +161,7 @@
         is_first || self.continues_own_epoch() || is_final_version && self.newest_epoch() <= epoch
     }
 
-    /// Whether this node coordinated until the era of the store ended, and knows of no other
+    /// Whether this node was the coordinator until the store era ended, and knows of no other
     /// coordinator since.
     pub(super) fn continues_own_epoch(&self) -> bool {
         let epoch = self.ownership.record().epoch;
--- a/crates/ledgelead-router/src/node/store_objects.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -1,4 +1,4 @@
-//! Takes over what the store tells.
+//! Applies objects read from the store to the node's state.
 
 use super::Node;
 use crate::Timestamp;
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 
 impl Node {
-    /// A whole list.
+    /// Applies a complete list of objects of one kind.
     pub(super) fn apply_all(
         &mut self,
         kind: ObjectKind,
@@ -52,15 +52,18 @@
                 Ok(ObjectContent::Ownership(record)) => {
                     let version = RecordVersion {
                         revision: object.revision,
-                        // A list that may be stale confirms nothing.
+                        // A list that may be stale doesn't confirm the record.
                         is_confirmed: self.store.is_exact(kind),
                     };
                     self.ownership_changed(record, version, started, now, out);
                 }
                 Ok(ObjectContent::Evacuation(zone)) => zones.push(zone),
                 Ok(ObjectContent::Quarantine(_)) => {}
-                // It names nothing to use: a list goes on without it.
-                Err(_) if kind == ObjectKind::Nodes => nodes.extend(self.known_node(&object.name)),
+                // An unreadable registration names no usable node; the rest of the list is
+                // applied.
+                Err(_) if kind == ObjectKind::Nodes => {
+                    nodes.extend(self.known_registration(&object.name))
+                }
                 Err(_) => self.apply_unreadable(kind, &object.name, false, now),
             }
         }
@@ -74,9 +77,9 @@
             ObjectKind::Instances => self.directory.replace_all(instances, now),
             ObjectKind::Nodes => self.replace_nodes(nodes),
             ObjectKind::Ownership => {
-                self.coordination.listed = true;
+                self.coordination.record_listed = true;
                 if is_empty && self.store.is_exact(kind) {
-                    self.record_is_missing(now);
+                    self.note_missing_record(now);
                 }
             }
             ObjectKind::Configuration => {}
@@ -89,13 +92,13 @@
         }
     }
 
-    /// These nodes are registered, and no others.
+    /// Replaces all known registrations of nodes.
     pub(super) fn replace_nodes(&mut self, registrations: Vec<Registration>) {
         self.registry.replace_all(registrations);
         self.note_earlier_incarnation();
     }
 
-    /// The nodes were listed whole, perhaps for the first time.
+    /// Notes that the nodes were listed completely; `is_first` marks the first such list.
     pub(super) fn nodes_listed(&mut self, is_first: bool, now: Timestamp) {
         self.store.registration.listed();
         if is_first {
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Takes changed evacuations into force, and passes them on at once.
+    /// Activates changed evacuations and announces them in an immediate heartbeat.
     pub(super) fn evacuations_changed(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let zones = self.evacuations.zones();
         Event::Evacuated { zones: zones.len() }.emit();
@@ -113,7 +116,7 @@
         self.reconsider_waiting(now, out);
     }
 
-    /// One change.
+    /// Applies a single change of an object.
     pub(super) fn apply_event(
         &mut self,
         kind: ObjectKind,
@@ -174,8 +177,8 @@
         }
     }
 
-    /// An object that can't be read has been written, or is gone and told by its name alone.
-    /// As an instance's entry it names none to use, either way.
+    /// Handles an object that was written in an unreadable form, or that was removed and is
+    /// known only by its name. In both cases it names no usable instance.
     fn apply_unreadable(&mut self, kind: ObjectKind, name: &str, gone: bool, now: Timestamp) {
         match kind {
             ObjectKind::Instances if gone => self.directory.remove(name, now),
@@ -192,9 +195,9 @@
         }
     }
 
-    /// The registration that is known of a node whose object can't be read any more: it
-    /// is reached as before.
-    fn known_node(&self, name: &str) -> Option<Registration> {
+    /// The last known registration of a node whose object has become unreadable. The node is
+    /// still reached by it.
+    fn known_registration(&self, name: &str) -> Option<Registration> {
         self.registry.registration(&NodeName::from(name)).cloned()
     }
 
@@ -205,8 +208,8 @@
         }
     }
 
-    /// Takes a version of the configuration into force, unless this life of
-    /// the node has a newer one.
+    /// Activates a configuration, unless this incarnation of the node already has that version
+    /// or a higher one.
     pub(super) fn configure(
         &mut self,
         configuration: Configuration,
@@ -233,16 +236,16 @@
         out: &mut Vec<Action>,
     ) {
         if record.era < era_of(version.revision) {
-            self.former_record_read(record, version, now);
+            self.apply_former_record(record, version, now);
             return;
         }
-        // A write of this node may be told by its answer, or by a list if the
-        // answer was lost: the others hear of it either way.
+        // A write of this node may be confirmed by its answer, or by a list if the answer was
+        // lost. It is announced to the other nodes in either case.
         let written = self.is_pending_write(&record).then(|| {
             let changes = record.changes_since(self.ownership.record());
             (self.ownership.revision(), changes)
         });
-        let before = self.record_before();
+        let before = self.record_before_change();
         if !self.ownership.update(record, version) {
             return;
         }
@@ -256,13 +259,15 @@
 }
 
 impl Node {
-    /// The record before a change, where it matters which keys are lost with their owners.
-    pub(super) fn record_before(&self) -> Option<OwnershipRecord> {
-        let matters = self.routes.has_contended();
-        matters.then(|| self.ownership.record().clone())
+    /// A copy of the record before a change, if some routes need to know which keys get a new
+    /// owner without the state of the previous one.
+    pub(super) fn record_before_change(&self) -> Option<OwnershipRecord> {
+        let is_needed = self.routes.has_contended();
+        is_needed.then(|| self.ownership.record().clone())
     }
 
-    /// The record has changed: notes which keys were lost with their owners.
+    /// Records which keys got a new owner without the state of the previous one by a change of
+    /// the record.
     pub(super) fn note_cold_keys(&mut self, before: Option<OwnershipRecord>, now: Timestamp) {
         if let Some(before) = before {
             let after = self.ownership.record();
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -1,14 +1,15 @@
-//! Whole lists of objects from another node instead of the store.
+//! Transfer of complete lists of objects from other nodes instead of the store.
 //!
-//! In a large fleet the store's link can't carry a list of all instances for each node that
-//! starts, nor a new record of ownership or configuration for each node at once. So few nodes
-//! read the store, and the others ask the node from which they hear the coordinator: the
-//! relay of their zone, or the coordinator itself. Who has no room on its link refers to
-//! nodes that it has served; these serve in turn, so that sources multiply with each round.
-//! The store stays the way for whoever finds no source.
+//! In a large fleet the store's link can't carry a list of all instances for each starting
+//! node, nor a new ownership record or configuration for all nodes at once. So only few nodes
+//! read the store. The others ask the node from which they receive the coordinator's
+//! heartbeats: the relay of their zone, or the coordinator itself. A node without free
+//! bandwidth refers them to nodes that it has already served; these serve others in turn, so
+//! that the number of sources multiplies with each round. A node that finds no source uses the
+//! store.
 //!
-//! What is transferred may be some seconds old, as a stale list of the store is: the
-//! coordinator's heartbeats tell what is missing since.
+//! Transferred lists may be a few seconds old, like a stale list of the store: the
+//! coordinator's heartbeats show which changes are missing since.
 
 mod serving;
 
@@ -39,65 +40,68 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The path on which nodes ask each other for objects.
+/// HTTP path on which nodes ask each other for objects.
 pub const TRANSFER_PATH: &str = "/state";
-/// Nodes from which on lists come from other nodes, also where they fit one page.
+/// Number of nodes from which lists are transferred between nodes even if they fit on one
+/// page.
 const LARGE_FLEET_NODES: usize = 100;
-/// Time for a connection to another node to come up.
+/// Timeout for connecting to another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time without any progress after which another source is asked.
+/// Time without progress after which another source is asked.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Pause after an answer that names no other source, or none. Each is twice the one before,
-/// and lengthened at random by up to as much.
+/// Delay after no answer, or an answer that names no other source. It doubles with each such
+/// attempt, and is extended at random by up to its own length.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The longest such pause.
+/// Maximum of that delay before the random extension.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
-/// Pause before a source that was named is asked.
+/// Delay before asking a source named by another node.
 const REFERRAL_PAUSE: Duration = Duration::from_millis(10);
-/// How long other nodes are asked for a first list before the store is. Lengthened at random
-/// by up to as much, so that nodes without a source don't ask the store together.
+/// How long other nodes are asked for a first list before the store is asked. It is extended
+/// at random by up to its own length, so that nodes without a source don't ask the store at
+/// the same time.
 const LIST_FROM_NODES_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long other nodes are asked for a missing change before the store is, as a share of
-/// the bound of drains or of configurations, whichever is shorter. Lengthened at random like
-/// the above. With the 0.4 s before that and a call it stays below the bound.
+/// How long other nodes are asked for a missing change before the store is asked, as a share
+/// of the drain bound or of the configuration bound, whichever is shorter. It is extended at
+/// random like `LIST_FROM_NODES_TIMEOUT`. Together with the preceding 0.4 s and one call it
+/// stays below the bound.
 const GAP_FROM_NODES_SHARE: f64 = 0.2;
-/// Pause between two lists of a kind that fill gaps. While thousands of instances register,
-/// there is a new gap as soon as one is filled.
+/// Minimum interval between lists of a kind that fill gaps. While thousands of instances
+/// register, a new gap appears as soon as one is filled.
 const GAP_FILL_INTERVAL: Duration = Duration::from_millis(1_200);
-/// One of so many requests for a list goes to the coordinator itself: the relay of this
-/// node's zone may lack it.
+/// One in this many requests for a list is sent to the coordinator itself, since the relay of
+/// this node's zone may lack the list.
 const COORDINATOR_EVERY: u32 = 4;
 
-/// What this node wants of other nodes, by kind.
+/// Requests of this node to other nodes.
 pub(super) struct Transfers {
     kind_state: [KindState; RelayedKind::ALL.len()],
     exchanges: HashMap<ExchangeId, OutstandingRequest>,
     rng: Pcg64Mcg,
-    /// Lists that came from other nodes.
+    /// Number of lists received from other nodes.
     received: u64,
 }
 
-/// Objects of one kind that are wanted.
+/// State of the requests for objects of one kind.
 #[derive(Debug, Default)]
 struct KindState {
-    /// Until when other nodes are asked, from the first request on.
+    /// Until when other nodes are asked, counted from the first request.
     until: Option<Timestamp>,
     requests: u32,
-    /// Requests in a row that led nowhere.
+    /// Number of consecutive requests without success.
     failed_requests: u32,
-    /// Before when no gap is filled again.
+    /// Earliest time at which another gap may be filled.
     next_gap_fill: Timestamp,
-    /// Nodes that may have them, by the last answer.
+    /// Sources named in the last answers.
     referred: Vec<SocketAddr>,
 }
 
-/// A request that is out.
+/// A request in flight.
 #[derive(Debug)]
 struct OutstandingRequest {
     kind: RelayedKind,
     source: SocketAddr,
     started: Timestamp,
-    /// Whether it stands for the watch's list, which waits for its end.
+    /// Whether the request replaces a list of the watch, which waits for its result.
     is_list: bool,
 }
 
@@ -115,18 +119,18 @@
         self.exchanges.contains_key(&exchange)
     }
 
-    /// Where a request that is out was sent.
+    /// The node that a request in flight was sent to.
     pub(super) fn source(&self, exchange: ExchangeId) -> Option<SocketAddr> {
         self.exchanges.get(&exchange).map(|asked| asked.source)
     }
 
-    /// Lists that came from other nodes.
+    /// Number of lists received from other nodes.
     pub(super) fn received(&self) -> u64 {
         self.received
     }
 
-    /// Whether a request for a kind is out.
-    fn is_asked(&self, kind: RelayedKind) -> bool {
+    /// Whether a request for a kind is in flight.
+    fn has_request_in_flight(&self, kind: RelayedKind) -> bool {
         self.exchanges.values().any(|asked| asked.kind == kind)
     }
 
@@ -134,7 +138,7 @@
         &mut self.kind_state[kind as usize]
     }
 
-    /// Whether other nodes are still asked for a kind. The first call begins that time.
+    /// Whether other nodes may still be asked for a kind. The first call starts the timeout.
     fn may_ask_nodes(&mut self, kind: RelayedKind, node_timeout: Duration, now: Timestamp) -> bool {
         let until = now + node_timeout.mul_f64(self.rng.random_range(1.0..2.0));
         now < *self.kind_state(kind).until.get_or_insert(until)
@@ -142,12 +146,12 @@
 }
 
 impl Node {
-    /// Whether lists are too large, or asked for by too many nodes, for the store.
+    /// Whether lists are too large, or requested by too many nodes, to be read from the store.
     fn is_large_fleet(&self) -> bool {
         self.registry.len() >= LARGE_FLEET_NODES || self.store.has_paged_list()
     }
 
-    /// The node that is asked for a list in the store's place, if one is.
+    /// The node to ask for a list instead of the store, if there is one.
     fn list_source(
         &mut self,
         kind: ObjectKind,
@@ -156,7 +160,7 @@
     ) -> Option<(RelayedKind, SocketAddr)> {
         let kind = RelayedKind::of(kind).filter(|kind| *kind != RelayedKind::Configuration)?;
         let is_list = matches!(call, StoreCall::List { stale: true, .. });
-        if !is_list || !self.asks_nodes() {
+        if !is_list || !self.transfers_from_nodes() {
             return None;
         }
         match self
@@ -168,37 +172,38 @@
         }
     }
 
-    /// Asks other nodes for changes that have been missing. Returns whether that is done, so
-    /// that the store isn't asked.
+    /// Asks other nodes for missing changes. Returns `false` if the store must be asked
+    /// instead.
     pub(super) fn fill_gap_from_nodes(
         &mut self,
         kind: RelayedKind,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> bool {
-        let asks_nodes = self.asks_nodes();
-        if asks_nodes && now < self.transfers.kind_state(kind).next_gap_fill {
+        let transfers_from_nodes = self.transfers_from_nodes();
+        if transfers_from_nodes && now < self.transfers.kind_state(kind).next_gap_fill {
             return true;
         }
         let bound = self.settings.drain_bound;
         let bound = bound.min(self.settings.configuration_bound);
         let node_timeout = bound.mul_f64(GAP_FROM_NODES_SHARE);
-        if !asks_nodes || !self.transfers.may_ask_nodes(kind, node_timeout, now) {
+        if !transfers_from_nodes || !self.transfers.may_ask_nodes(kind, node_timeout, now) {
             self.transfers.kind_state(kind).until = None;
             return false;
         }
-        if self.transfers.is_asked(kind) {
+        if self.transfers.has_request_in_flight(kind) {
             return true;
         }
         let Some(source) = self.next_source(kind) else {
             return false;
         };
-        self.ask_node(kind, source, false, now, out);
+        self.request_transfer(kind, source, false, now, out);
         true
     }
 
-    /// Whether lists come from other nodes: a coordinator is heard whom the store serves.
-    pub(super) fn asks_nodes(&self) -> bool {
+    /// Whether lists are requested from other nodes, which requires a coordinator that the
+    /// store serves.
+    pub(super) fn transfers_from_nodes(&self) -> bool {
         let follows = self.coordination.coordinator().is_none();
         follows && self.messaging.following_until.is_some() && self.is_large_fleet()
     }
@@ -209,16 +214,16 @@
         let asks_coordinator = kind_state.requests.is_multiple_of(COORDINATOR_EVERY);
         let referred = kind_state.referred.pop();
         let relay = self.messaging.heartbeat_sender;
-        let usual = match asks_coordinator {
+        let default_source = match asks_coordinator {
             true => self.coordinator_address(),
             false => relay.or_else(|| self.coordinator_address()),
         };
         let own = self.settings.peer_address;
-        referred.or(usual).filter(|source| *source != own)
+        referred.or(default_source).filter(|source| *source != own)
     }
 
-    /// Asks a node for all objects of a kind that are newer than what is known.
-    fn ask_node(
+    /// Asks a node for all objects of a kind, if they are newer than the known ones.
+    fn request_transfer(
         &mut self,
         kind: RelayedKind,
         source: SocketAddr,
@@ -267,7 +272,7 @@
         });
     }
 
-    /// A node has answered, or has not.
+    /// Handles the result of a request to another node.
     pub(super) fn transfer_ended(
         &mut self,
         exchange: ExchangeId,
@@ -302,21 +307,21 @@
         }
     }
 
-    /// Schedules the next request: by the watch whose list this is, else by the next review
-    /// of the gap.
+    /// Schedules the next request: by the watch whose list this is, otherwise by the next
+    /// review of the gap.
     fn schedule_retry(
         &mut self,
         asked: &OutstandingRequest,
         referred: Vec<SocketAddr>,
         now: Timestamp,
     ) {
-        let spread = self.transfers.rng.random_range(1.0..2.0);
+        let jitter = self.transfers.rng.random_range(1.0..2.0);
         let kind_state = self.transfers.kind_state(asked.kind);
         kind_state.referred.extend(referred);
         let pause = if kind_state.referred.is_empty() {
             let doubled = RETRY_PAUSE.saturating_mul(1 << kind_state.failed_requests.min(4));
             kind_state.failed_requests += 1;
-            doubled.min(MAX_RETRY_PAUSE).mul_f64(spread)
+            doubled.min(MAX_RETRY_PAUSE).mul_f64(jitter)
         } else {
             REFERRAL_PAUSE
         };
@@ -328,7 +333,8 @@
         }
     }
 
-    /// Takes objects over, if they are newer than what is known and can be read.
+    /// Applies transferred objects if they are newer than the known ones and valid. Returns
+    /// whether they were applied.
     fn apply_state(
         &mut self,
         asked: &OutstandingRequest,
@@ -343,17 +349,17 @@
             objects,
         } = state;
         let known = self.known_revision(asked.kind).unwrap_or(0);
-        let is_news = asked.is_list || known < revision;
+        let is_newer = asked.is_list || known < revision;
         let is_former =
             asked.kind != RelayedKind::Configuration && era_of(revision) < self.store.era;
-        if !is_news || is_former || boundary::revision("revision", revision).is_err() {
+        if !is_newer || is_former || boundary::revision("revision", revision).is_err() {
             return false;
         }
         let as_of = age_ms.map(|age| {
             let age = Duration::from_millis(u64::from(age));
             asked.started.saturating_sub(age)
         });
-        let taken = match (asked.kind, objects) {
+        let is_applied = match (asked.kind, objects) {
             (RelayedKind::Instances, TransferredObjects::Instances(instances)) => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
                 self.directory.doubt_removals_until(now + unconfirmed);
@@ -369,15 +375,15 @@
             }
             (RelayedKind::Configuration, TransferredObjects::Configuration(whole)) => {
                 let next = whole.into_delta(revision).apply_to(None);
-                let is_sound = next.is_some();
+                let is_valid = next.is_some();
                 if let Some(next) = next {
                     self.configure(next, now, out);
                 }
-                is_sound
+                is_valid
             }
             _ => false,
         };
-        if taken {
+        if is_applied {
             self.transfers.received += 1;
             let received = Event::StateReceived {
                 kind: asked.kind.name(),
@@ -388,7 +394,7 @@
             self.coordination.note_change();
             self.reconsider_waiting(now, out);
         }
-        taken
+        is_applied
     }
 
     fn apply_instances(
@@ -450,25 +456,26 @@
         if boundary::ownership(super::OWNERSHIP_NAME, &record).is_err() {
             return false;
         }
-        // A take-over rests on what the store itself has told.
+        // A takeover must be based on what the store itself has answered.
         let version = RecordVersion {
             revision,
             is_confirmed: false,
         };
         self.ownership_changed(record, version, started, now, out);
-        self.coordination.listed = true;
+        self.coordination.record_listed = true;
         self.list_received(ObjectKind::Ownership, revision, now);
         true
     }
 
-    /// A list of a kind has come from another node, with all changes up to a revision.
+    /// Records that a list of a kind was received from another node, with all changes up to a
+    /// revision.
     fn list_received(&mut self, kind: ObjectKind, revision: u64, now: Timestamp) {
         self.store.watcher(kind).listed_elsewhere(revision, now);
-        self.messaging.relay.changed(kind, revision);
+        self.messaging.relay.note_change(kind, revision);
     }
 
-    /// Makes the call of a watch that is due, of another node if that is where lists come
-    /// from.
+    /// Makes the call of a watch that is due, or asks another node if lists are transferred
+    /// between nodes.
     pub(super) fn start_watch_call(
         &mut self,
         kind: ObjectKind,
@@ -477,7 +484,7 @@
         out: &mut Vec<Action>,
     ) {
         match self.list_source(kind, &call, now) {
-            Some((kind, source)) => self.ask_node(kind, source, true, now, out),
+            Some((kind, source)) => self.request_transfer(kind, source, true, now, out),
             None => self.start_call(Purpose::Watch(kind), call, now, out),
         }
     }
