--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -1,12 +1,12 @@
-//! Objects for other nodes that ask for a whole list.
+//! Answers to other nodes that ask for a complete list.
 //!
-//! Load: all nodes of a fleet start at once, or lack the same large change, and each asks for
-//! hundreds of kilobytes. Requests wait until there is something to send, so that nobody has
-//! to ask again and again. A node sends no more at a time than half of its link carries in
-//! `MAX_BACKLOG`, so that heartbeats and requests pass beside it, to the nodes with the widest
-//! links first, and refers the others to these, to each the more the wider its link is. Another
-//! zone gets a list once in `OTHER_ZONE_PAUSE`, since bytes between zones are dear; its nodes
-//! pass it on among themselves.
+//! All nodes of a fleet may start at once, or miss the same large change, and each then asks
+//! for hundreds of kilobytes. Requests wait until there is something to send, so that nodes
+//! need not ask repeatedly. A node sends at a time at most what half of its link carries in
+//! `MAX_BACKLOG`, which leaves room for heartbeats and requests. Nodes with the fastest links
+//! are served first. The others are referred to them, in proportion to the speed of their
+//! links. Another zone is sent a list at most every `OTHER_ZONE_INTERVAL`, since traffic
+//! between zones is expensive; its nodes pass the list on among themselves.
 
 use super::TRANSFER_PATH;
 use crate::Timestamp;
@@ -26,44 +26,44 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Share of a node's link that lists may take.
+/// Share of a node's link that lists may use.
 const LINK_SHARE: f64 = 0.5;
-/// Time for which lists that are being sent may fill that share.
+/// How long the lists being sent may occupy that share.
 const MAX_BACKLOG: Duration = Duration::from_millis(250);
-/// Pause between two lists of a kind for nodes of another zone.
+/// Minimum interval between lists of a kind for nodes of another zone.
 const OTHER_ZONE_INTERVAL: Duration = Duration::from_secs(2);
-/// How many nodes that were served are remembered in each zone.
+/// Maximum number of served nodes remembered for each zone and kind.
 const MAX_RECEIVERS_PER_ZONE: usize = 32;
-/// Most requests that wait here.
+/// Maximum number of waiting requests.
 const MAX_WAITING: usize = 2_000;
-/// How long requests are gathered before the first is answered: nodes that start together
-/// ask within some 100 ms.
+/// How long requests are gathered before the first is answered: nodes that start together ask
+/// within about 100 ms.
 const GATHERING_PERIOD: Duration = Duration::from_millis(40);
-/// Pause between two reviews of the requests that wait.
+/// Interval between reviews of the waiting requests.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(40);
-/// How long a request waits for room on the link before it is referred to another node.
+/// How long a request waits for free bandwidth before it is referred to another node.
 const LINK_WAIT: Duration = Duration::from_millis(120);
-/// How long a request waits for anything to send. Less than the time without progress after
-/// which its sender asks another node.
+/// How long a request waits at most for objects to send. This is shorter than the time without
+/// progress after which its sender asks another node.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(700);
-/// How long an encoded list serves all who ask: it is some seconds old at most.
+/// How long an encoded list is reused: it is only a few seconds old at most.
 const ENCODED_TTL: Duration = Duration::from_secs(1);
 
-/// What this node sends others.
+/// State of the lists sent to other nodes.
 #[derive(Default)]
 pub(in crate::node) struct TransferServer {
-    /// When what is being sent has passed this node's share of its link.
+    /// When the lists being sent will have passed through this node's share of its link.
     link_free_at: Timestamp,
-    served: BTreeMap<(RelayedKind, ZoneName), Served>,
+    served: BTreeMap<(RelayedKind, ZoneName), ServedNodes>,
     encoded: [Option<Encoded>; RelayedKind::ALL.len()],
     waiting: Vec<Waiting>,
     next_review: Timestamp,
     sent: u64,
 }
 
-/// Nodes of one zone that were sent one kind.
+/// Nodes of one zone that were sent lists of one kind.
 #[derive(Default)]
-struct Served {
+struct ServedNodes {
     last: Timestamp,
     nodes: VecDeque<Receiver>,
 }
@@ -72,11 +72,11 @@
 struct Receiver {
     address: PeerAddress,
     link_bytes_per_s: u64,
-    /// How many others were referred to it.
+    /// Number of nodes referred to it.
     referred: u64,
 }
 
-/// A request without an answer.
+/// A request that has not been answered yet.
 struct Waiting {
     client: ClientId,
     asked: TransferRequest,
@@ -85,20 +85,20 @@
 }
 
 impl Waiting {
-    /// Names the nodes of the same zone that were sent the same kind.
+    /// Key of the nodes of the same zone that were sent the same kind.
     fn key(&self) -> (RelayedKind, ZoneName) {
         (self.asked.kind, self.zone.clone())
     }
 }
 
-/// What becomes of a request.
+/// How to handle a waiting request.
 enum Decision {
     Send(Vec<u8>),
     Refer,
     Wait,
 }
 
-/// An answer with all objects of a kind.
+/// An encoded answer with all objects of a kind.
 struct Encoded {
     revision: u64,
     at: Timestamp,
@@ -106,29 +106,30 @@
 }
 
 impl TransferServer {
-    /// Forgets what is no longer needed.
+    /// Removes expired encoded lists.
     pub(in crate::node) fn expire(&mut self, now: Timestamp) {
         for encoded in &mut self.encoded {
             encoded.take_if(|known| known.at + ENCODED_TTL <= now);
         }
     }
 
-    /// Lists that were sent.
+    /// Number of lists sent.
     pub(in crate::node) fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// When a request that waits is looked at.
+    /// When waiting requests are reviewed next.
     pub(in crate::node) fn next_deadline(&self) -> Option<Timestamp> {
         (!self.waiting.is_empty()).then_some(self.next_review)
     }
 
-    /// Who asked has closed its connection.
+    /// Drops the requests of a client that has disconnected.
     pub(in crate::node) fn client_disconnected(&mut self, client: ClientId) {
         self.waiting.retain(|waiting| waiting.client != client);
     }
 
-    /// The node that has the fewest referred to it for the width of its link.
+    /// The node with the fewest referrals in relation to the speed of its link, other than the
+    /// asking node itself.
     fn referral(&mut self, request: &Waiting) -> List<PeerAddress> {
         let served = self.served.get_mut(&request.key());
         let receivers = served.into_iter().flat_map(|served| &mut served.nodes);
@@ -162,19 +163,19 @@
     }
 }
 
-impl Served {
-    /// Forgets the node with the narrowest link, the oldest of several.
+impl ServedNodes {
+    /// Removes the node with the slowest link, or the oldest of several.
     fn remove_slowest(&mut self) {
         let links = self.nodes.iter().map(|node| node.link_bytes_per_s);
         let slowest = links.enumerate().min_by_key(|(_, link)| *link);
-        if let Some((place, _)) = slowest {
-            self.nodes.remove(place);
+        if let Some((index, _)) = slowest {
+            self.nodes.remove(index);
         }
     }
 }
 
 impl Node {
-    /// Another node asks for all objects of a kind.
+    /// Handles another node's request for all objects of a kind.
     pub(in crate::node) fn transfer_requested(
         &mut self,
         client: ClientId,
@@ -208,7 +209,7 @@
         server.waiting.push(request);
     }
 
-    /// Answers the requests that wait, if they are due to be looked at.
+    /// Answers the waiting requests if their review is due.
     pub(in crate::node) fn answer_transfers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let server = &mut self.transfer_server;
         if server.waiting.is_empty() || now < server.next_review {
@@ -256,7 +257,8 @@
         }
     }
 
-    /// The encoded objects, if they are newer and there is room for them on the link.
+    /// The encoded objects, if they are newer than what the asking node knows and there is
+    /// free bandwidth.
     fn state_for(&mut self, asked: &TransferRequest, now: Timestamp) -> Option<Vec<u8>> {
         let has_bandwidth = self.transfer_server.link_free_at <= now + MAX_BACKLOG;
         if !has_bandwidth || !self.has_newer(asked.kind, asked.known) {
@@ -270,12 +272,12 @@
         Some(body)
     }
 
-    /// Whether this node knows a kind whole, with changes after a revision.
+    /// Whether this node knows all objects of a kind, with changes after a revision.
     fn has_newer(&self, kind: RelayedKind, known: u64) -> bool {
         let is_listed = match kind {
             RelayedKind::Instances => self.directory.is_complete(),
             RelayedKind::Nodes => self.store.has_listed(ObjectKind::Nodes),
-            RelayedKind::Ownership => self.coordination.listed,
+            RelayedKind::Ownership => self.coordination.record_listed,
             RelayedKind::Configuration => self.configuration.is_some(),
         };
         let coordinates = self.coordination.coordinator().is_some();
@@ -284,8 +286,8 @@
         is_listed && is_current && revision.is_some_and(|revision| revision > known)
     }
 
-    /// The objects of a kind with changes after a revision, encoded once for all who ask
-    /// within a while.
+    /// The encoded objects of a kind with changes after a revision. They are encoded once for
+    /// all nodes that ask within `ENCODED_TTL`.
     fn encoded_state(&mut self, kind: RelayedKind, known: u64, now: Timestamp) -> Option<Vec<u8>> {
         let encoded = self.transfer_server.encoded[kind as usize].as_ref();
         let is_fresh =
@@ -328,7 +330,7 @@
                 })
             }
         };
-        // An answer may be sent again for as long as it is kept.
+        // The answer may be reused until it expires.
         let age = |at: Timestamp| whole_millis(now.saturating_sub(at) + ENCODED_TTL);
         let age_ms = self.directory.current_at().map(age);
         Some(TransferredState {
--- a/crates/ledgelead-router/src/node/unreadable_objects.rs
+++ b/crates/ledgelead-router/src/node/unreadable_objects.rs
@@ -1,23 +1,23 @@
-//! Objects of the store that can't be read: each is counted as often as it is met, and
-//! logged once until it reads well again, since a watch may tell it many times a second.
+//! Unreadable objects in the store. Every occurrence is counted, but each object is logged
+//! only once until it is readable again, since a watch may report it many times a second.
 
 use crate::dialect::ObjectKind;
 use crate::events::Event;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most objects that are remembered as logged; further ones are only counted.
+/// Maximum number of objects remembered as logged; further ones are only counted.
 const MAX_LOGGED: usize = 256;
 
-/// What was met.
+/// The occurrences so far.
 #[derive(Debug, Default)]
 pub(super) struct UnreadableObjects {
     counts: BTreeMap<&'static str, u64>,
-    /// By name, or by what is wrong with those that have none.
+    /// By name, or by the error of objects without a name.
     logged: BTreeSet<(ObjectKind, String)>,
 }
 
 impl UnreadableObjects {
-    /// An object can't be read. One without a name has an empty one.
+    /// Records an unreadable object. The name is empty if the object has none.
     pub(super) fn record(&mut self, kind: ObjectKind, name: &str, finding: &str) {
         *self.counts.entry(kind.label()).or_default() += 1;
         let key = if name.is_empty() { finding } else { name };
@@ -28,14 +28,14 @@
         Event::ObjectUnreadable { object, finding }.emit();
     }
 
-    /// An object reads well, or is gone.
+    /// Records that an object is readable again or was removed.
     pub(super) fn clear(&mut self, kind: ObjectKind, name: &str) {
         if !self.logged.is_empty() {
             self.logged.remove(&(kind, name.to_owned()));
         }
     }
 
-    /// How many were met, by kind.
+    /// Number of occurrences by kind of object.
     pub(super) fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
--- a/crates/ledgelead-router/src/node/zone_relay.rs
+++ b/crates/ledgelead-router/src/node/zone_relay.rs
@@ -1,16 +1,15 @@
-//! Broadcasts of the coordinator by way of one node a zone.
+//! Broadcasts of the coordinator, relayed by one node in each zone.
 //!
-//! A coordinator that sends each message to each node sends most of them between
-//! zones, where bytes are dear, and its own link and processor carry them all.
-//! So one node of each other zone passes on what the coordinator has for its
-//! zone. It is chosen among the strongest of the zone by its reports, which also
-//! show that it lives and which nodes it knows. Without such a node, or where a
-//! zone is small, the coordinator sends to each node by itself.
+//! A coordinator that sends each message to each node sends most of them between zones, where
+//! traffic is expensive, and all of them over its own link and with its own CPU. So one node
+//! of each other zone relays the coordinator's messages within its zone. It is chosen by its
+//! reports from the nodes with the largest CPU share; the reports show that it is alive and
+//! which nodes it knows. Without such a node, or in a small zone, the coordinator sends to
+//! each node directly.
 //!
-//! Time budget after the loss of such a node: its last report is used for
-//! `HEARD_TTL` (350 ms), the next heartbeat comes at most 200 ms later and goes
-//! to each node by itself. So the zone hears nothing for at most 750 ms, less
-//! than the 1 s after which nodes campaign.
+//! Time budget after the loss of a relay: its last report is valid for `REPORT_TTL` (350 ms),
+//! and the next heartbeat is sent at most 200 ms later, to each node directly. So the zone
+//! receives nothing for at most 750 ms, less than the 1 s after which nodes campaign.
 
 use super::Node;
 use super::messaging::send;
@@ -24,48 +23,48 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a node that has reported counts as alive: one report of each 200 ms
-/// may be late.
-const HEARD_TTL: Duration = Duration::from_millis(350);
-/// Nodes of a zone from which one of them passes messages on. Below, the detour
+/// How long a node counts as alive after a report: one of the reports, sent every 200 ms, may
+/// be late.
+const REPORT_TTL: Duration = Duration::from_millis(350);
+/// Minimum number of nodes in a zone for the use of a relay. In a smaller zone the detour
 /// saves little.
 const MIN_NODES: usize = 6;
-/// Most datagrams that one node sends for a list of changes: some 3.5 MB, 0.14 s of a link of
-/// 200 Mbit/s. A list that takes more reaches the others as a whole, over connections, by
-/// many nodes at once.
+/// Maximum number of datagrams that one node sends for a list of changes: about 3.5 MB, 0.14 s
+/// of a link of 200 Mbit/s. A longer list reaches the other nodes as a complete list over
+/// connections, from many nodes at once.
 const MAX_LIST_DATAGRAMS: usize = 2_500;
-/// How many nodes of a zone report also when they have nothing to report, so
-/// that one can be chosen.
+/// How many nodes of a zone send reports even if they are empty, so that one can be chosen as
+/// relay.
 const MAX_RELAY_CANDIDATES: usize = 3;
 
-/// Which nodes may pass messages on, as their reports show.
+/// The relay candidates, by their reports.
 #[derive(Debug, Default)]
 pub(super) struct ZoneRelays {
-    heard: HashMap<SocketAddr, Heard>,
-    /// The one used last in each zone; it is kept while it lives.
+    reports: HashMap<SocketAddr, NodeReport>,
+    /// The relay last used in each zone, which is kept as long as it is alive.
     chosen: BTreeMap<ZoneName, SocketAddr>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct NodeReport {
     at: Timestamp,
-    /// The revision by which it knows the nodes.
+    /// The revision up to which it knows the registered nodes.
     nodes: u64,
 }
 
 impl ZoneRelays {
-    /// A node has reported.
-    pub(super) fn heard(&mut self, from: SocketAddr, nodes: u64, now: Timestamp) {
-        self.heard.insert(from, Heard { at: now, nodes });
+    /// Records a node's report.
+    pub(super) fn note_report(&mut self, from: SocketAddr, nodes: u64, now: Timestamp) {
+        self.reports.insert(from, NodeReport { at: now, nodes });
     }
 
-    /// Forgets nodes that have not reported for long.
+    /// Removes nodes whose last report is too old.
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.heard.retain(|_, heard| heard.at + HEARD_TTL > now);
+        self.reports
+            .retain(|_, reports| reports.at + REPORT_TTL > now);
     }
 
-    /// The node that passes on what is for its zone, if there is one that is
-    /// alive and knows all of the zone's nodes.
+    /// The relay of a zone, if there is a node that is alive and knows all nodes of the zone.
     fn choose(
         &mut self,
         zone: &ZoneName,
@@ -76,16 +75,16 @@
         if members.len() < MIN_NODES {
             return None;
         }
-        let is_fit = |address: &SocketAddr| {
-            let heard = self.heard.get(address);
-            heard.is_some_and(|heard| heard.at + HEARD_TTL > now && heard.nodes >= nodes)
+        let is_eligible = |address: &SocketAddr| {
+            let reports = self.reports.get(address);
+            reports.is_some_and(|reports| reports.at + REPORT_TTL > now && reports.nodes >= nodes)
         };
         let is_member = |address: &SocketAddr| members.iter().any(|node| node.address == *address);
         let kept = self.chosen.get(zone).copied();
-        let kept = kept.filter(is_fit).filter(is_member);
+        let kept = kept.filter(is_eligible).filter(is_member);
         let chosen = kept.or_else(|| {
-            let fit = members.iter().filter(|node| is_fit(&node.address));
-            let strongest = fit.min_by_key(|node| rank(node));
+            let eligible = members.iter().filter(|node| is_eligible(&node.address));
+            let strongest = eligible.min_by_key(|node| rank(node));
             strongest.map(|node| node.address)
         })?;
         if kept.is_none() {
@@ -95,14 +94,13 @@
     }
 }
 
-/// The order of a zone's nodes: the largest share of a processor first.
+/// Sort key of a zone's nodes: the largest CPU share first.
 pub(super) fn rank(node: &NodeRecord) -> impl Ord + use<> {
     (Reverse(node.millicores), node.identity.node.clone())
 }
 
 impl Node {
-    /// Sends datagrams to all other nodes, to those of another zone by way of
-    /// one of them.
+    /// Sends datagrams to all other nodes, to those of another zone through its relay.
     pub(super) fn broadcast(
         &mut self,
         datagrams: &[Datagram],
@@ -119,35 +117,35 @@
             zones.entry(&node.zone).or_default().push(node);
         }
         let nodes = self.messaging.relay.nodes_revision();
-        let mut by_relay = Vec::new();
-        let mut by_itself = Vec::new();
-        let mut most_by_relay = 0;
+        let mut chosen_relays = Vec::new();
+        let mut direct_receivers = Vec::new();
+        let mut largest_relayed_zone = 0;
         for (zone, members) in zones {
             let is_other = *zone != self.settings.zone;
             let relays = &mut self.zone_relays;
             let relay = is_other.then(|| relays.choose(zone, &members, nodes, now));
             match relay.flatten() {
                 Some(relay) => {
-                    by_relay.push(relay);
-                    most_by_relay = most_by_relay.max(members.len());
+                    chosen_relays.push(relay);
+                    largest_relayed_zone = largest_relayed_zone.max(members.len());
                 }
-                None => by_itself.extend(members),
+                None => direct_receivers.extend(members),
             }
         }
-        let sent_by_one = datagrams.len() * by_itself.len().max(most_by_relay);
-        if datagrams.len() > 1 && sent_by_one > MAX_LIST_DATAGRAMS {
-            log::info!(target: "peers", "a list of {} datagrams is not broadcast", datagrams.len());
+        let max_sends_per_node = datagrams.len() * direct_receivers.len().max(largest_relayed_zone);
+        if datagrams.len() > 1 && max_sends_per_node > MAX_LIST_DATAGRAMS {
+            log::info!(target: "peers", "list of {} datagrams exceeds the broadcast limit; not sent", datagrams.len());
             return;
         }
-        for relay in by_relay {
-            send(relay, &wrapped(origin, true, datagrams), out);
+        for relay in chosen_relays {
+            send(relay, &wrap_forwarded(origin, true, datagrams), out);
         }
-        for member in by_itself {
+        for member in direct_receivers {
             send(member.address, datagrams, out);
         }
     }
 
-    /// A message of the coordinator that came by way of another node.
+    /// Handles a message of the coordinator that another node has relayed.
     pub(super) fn forwarded(
         &mut self,
         from: SocketAddr,
@@ -159,22 +157,22 @@
     ) {
         let inner = decode(&message.0);
         if matches!(inner, Ok(PeerMessage::Forwarded { .. })) {
-            // No node wraps a message twice; each layer would be passed on again.
+            // Nodes wrap a message only once; each further layer would be relayed again.
             return;
         }
         let origin = origin.socket();
         if to_zone {
-            self.pass_on(origin, &message, out);
+            self.relay_to_zone(origin, &message, out);
         }
-        self.datagram(origin, &message.0, now, out);
+        self.datagram_received(origin, &message.0, now, out);
         let is_heartbeat = matches!(inner, Ok(PeerMessage::CoordinatorHeartbeat(_)));
         if is_heartbeat && self.messaging.coordinator_address == Some(origin) {
             self.messaging.heartbeat_sender = Some(from);
         }
     }
 
-    /// Passes a message of the coordinator on to the other nodes of this zone.
-    fn pass_on(&self, origin: SocketAddr, message: &Bytes, out: &mut Vec<Action>) {
+    /// Relays a message of the coordinator to the other nodes of this zone.
+    fn relay_to_zone(&self, origin: SocketAddr, message: &Bytes, out: &mut Vec<Action>) {
         let Some(address) = PeerAddress::new(origin) else {
             return;
         };
@@ -188,9 +186,9 @@
         }
     }
 
-    /// Whether this node may be chosen to pass messages on, so that it has to
-    /// show that it lives.
-    pub(super) fn may_forward(&self) -> bool {
+    /// Whether this node is a relay candidate, and so has to report even if there is nothing
+    /// to report.
+    pub(super) fn is_relay_candidate(&self) -> bool {
         let zone = &self.settings.zone;
         let members = || self.registry.iter().filter(|node| node.zone == *zone);
         let own = self.settings.peer_address;
@@ -202,8 +200,8 @@
     }
 }
 
-/// Messages for a node that passes them on.
-fn wrapped(origin: PeerAddress, to_zone: bool, datagrams: &[Datagram]) -> Vec<Datagram> {
+/// Wraps messages for a relay.
+fn wrap_forwarded(origin: PeerAddress, to_zone: bool, datagrams: &[Datagram]) -> Vec<Datagram> {
     let wrap = |datagram: &Datagram| {
         encode(&PeerMessage::Forwarded {
             origin,
--- a/crates/ledgelead-router/src/node/zone_traffic.rs
+++ b/crates/ledgelead-router/src/node/zone_traffic.rs
@@ -1,4 +1,4 @@
-//! Counts what this node exchanges with its own zone and with others.
+//! Counts the traffic between this node and its own zone and other zones.
 
 use super::Node;
 use crate::identity::{InstanceId, ZoneName};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl Node {
-    /// Counts what the actions of one step send.
+    /// Counts the traffic sent by the actions of one step.
     pub(super) fn count_sent(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
@@ -24,14 +24,14 @@
         }
     }
 
-    /// Counts a datagram that came.
+    /// Counts a received datagram.
     pub(super) fn count_received(&mut self, from: SocketAddr, kind: &'static str, bytes: usize) {
         self.traffic.received(kind, bytes);
         let place = self.place_of_node(from);
         self.zone_traffic.received(kind, place, bytes);
     }
 
-    /// Counts an answer, before the exchange is forgotten.
+    /// Counts a response, before its exchange is removed.
     pub(super) fn count_answer(
         &mut self,
         exchange: ExchangeId,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Counts a list that is sent to another node.
+    /// Counts a list sent to another node.
     pub(super) fn count_transfer(&mut self, to: SocketAddr, bytes: usize) {
         let place = self.place_of_node(to);
         self.zone_traffic.sent(TRANSFERS, place, bytes);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What an exchange is for and where it goes; nothing if it is forgotten.
+    /// Purpose and destination zone of an exchange; `None` if it is no longer known.
     fn purpose_of(&self, exchange: ExchangeId) -> Option<(&'static str, Place)> {
         if let Some(instance) = self.requests.instance_of(exchange) {
             return Some((REQUESTS, self.place_of_instance(instance)));
@@ -77,7 +77,7 @@
         if let Some(source) = self.transfers.source(exchange) {
             return Some((TRANSFERS, self.place_of_node(source)));
         }
-        let instance = self.coordination.ordered(exchange)?;
+        let instance = self.coordination.order_target(exchange)?;
         Some((ORDERS, self.place_of_instance(instance)))
     }
 
