--- a/crates/ledgelead-router/tests/node/hostile.rs
+++ b/crates/ledgelead-router/tests/node/arbitrary_input.rs
@@ -1,6 +1,6 @@
-//! Datagrams and answers of any content: a node goes on.
+//! A node keeps running whatever datagrams and responses contain.
 
-use crate::fixture::{Fixture, KEYED, SERVICE, ms, node_address, vacant_store};
+use crate::fixture::{Fixture, KEYED, SERVICE, ms, node_address, store_without_owners};
 use ledgelead_http::Response;
 use ledgelead_router::evacuation::EvacuationsEntry;
 use ledgelead_router::identity::ServiceName;
@@ -16,7 +16,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Small numbers, which fit what the node knows, and the ends of the range.
+/// Small numbers, which match what the node knows, and the limits of the range.
 fn number() -> impl Strategy<Value = u64> {
     prop_oneof![
         4 => 0..14u64,
@@ -79,14 +79,16 @@
     ]
 }
 
-/// Hashes of names that the node knows, and others.
+/// Hashes of names that the node knows, and of others.
 fn hash() -> impl Strategy<Value = u64> {
     let known = ["i-1", "i-2", "i-3", "i-4", SERVICE, KEYED, "a"];
     let known = known.map(|name| ServiceName::from(name).stable_hash());
     prop_oneof![4 => prop::sample::select(known.to_vec()), 1 => number()]
 }
 
-fn some<T: std::fmt::Debug>(item: impl Strategy<Value = T>) -> impl Strategy<Value = List<T>> {
+fn short_list<T: std::fmt::Debug>(
+    item: impl Strategy<Value = T>,
+) -> impl Strategy<Value = List<T>> {
     prop::collection::vec(item, 0..4).prop_map(List)
 }
 
@@ -147,7 +149,7 @@
     );
     (
         names,
-        some(target),
+        short_list(target),
         any::<bool>(),
         number(),
         number(),
@@ -202,8 +204,8 @@
         key,
         admitted_permille: admitted,
     });
-    let evacuations =
-        (number(), some(hash())).prop_map(|(revision, zones)| EvacuationsEntry { revision, zones });
+    let evacuations = (number(), short_list(hash()))
+        .prop_map(|(revision, zones)| EvacuationsEntry { revision, zones });
     let numbers = (
         number(),
         number(),
@@ -214,7 +216,7 @@
         number(),
     );
     let ages = (short(), short(), short(), any::<bool>());
-    (numbers, ages, some(overload), evacuations).prop_map(
+    (numbers, ages, short_list(overload), evacuations).prop_map(
         |(numbers, ages, overloads, evacuations)| {
             let (epoch, sent_ms, revision, configuration, instances, nodes, evidence) = numbers;
             let (age_ms, instances_age_ms, served_for_ms, store_serves) = ages;
@@ -263,7 +265,7 @@
         }),
     ];
     prop_oneof![
-        (from_start, short(), some(instance_change())).prop_map(
+        (from_start, short(), short_list(instance_change())).prop_map(
             |(span, unconfirmed_ms, changes)| {
                 PeerMessage::InstancesChanged {
                     span,
@@ -272,23 +274,27 @@
                 }
             }
         ),
-        (span(), short(), some(instance_change())).prop_map(|(span, unconfirmed_ms, instances)| {
-            PeerMessage::InstancesListed {
-                span,
-                unconfirmed_ms,
-                instances,
+        (span(), short(), short_list(instance_change())).prop_map(
+            |(span, unconfirmed_ms, instances)| {
+                PeerMessage::InstancesListed {
+                    span,
+                    unconfirmed_ms,
+                    instances,
+                }
             }
-        }),
-        (span(), some(node_change()))
+        ),
+        (span(), short_list(node_change()))
             .prop_map(|(span, changes)| PeerMessage::NodesChanged { span, changes }),
-        (span(), limits(), some(configuration_change())).prop_map(|(span, limits, changes)| {
-            PeerMessage::ConfigurationChanged {
-                span,
-                limits,
-                changes,
+        (span(), limits(), short_list(configuration_change())).prop_map(
+            |(span, limits, changes)| {
+                PeerMessage::ConfigurationChanged {
+                    span,
+                    limits,
+                    changes,
+                }
             }
-        }),
-        (span(), some(assignment))
+        ),
+        (span(), short_list(assignment))
             .prop_map(|(span, changes)| PeerMessage::OwnershipChanged { span, changes }),
         (number(), number(), text(), number(), number(), number()).prop_map(
             |(base, revision, node, incarnation, first_fence, digest)| PeerMessage::TookOver {
@@ -304,7 +310,8 @@
 }
 
 fn reports() -> impl Strategy<Value = PeerMessage> {
-    let keys = (hash(), some(short())).prop_map(|(service, keys)| KeyReport { service, keys });
+    let keys =
+        (hash(), short_list(short())).prop_map(|(service, keys)| KeyReport { service, keys });
     let work = (hash(), short(), small()).prop_map(|(instance, answered, busy_ms)| WorkReport {
         instance,
         answered,
@@ -330,7 +337,7 @@
         });
     let sum = (hash(), short()).prop_map(|(instance, open)| ZoneSum { instance, open });
     prop_oneof![
-        (number(), number(), some(keys), some(work)).prop_map(
+        (number(), number(), short_list(keys), short_list(work)).prop_map(
             |(configuration, nodes, reports, work)| PeerMessage::LoadReport {
                 configuration,
                 nodes,
@@ -338,21 +345,21 @@
                 work,
             }
         ),
-        (number(), short(), some(open)).prop_map(|(incarnation, rest_limit_ms, changes)| {
+        (number(), short(), short_list(open)).prop_map(|(incarnation, rest_limit_ms, changes)| {
             PeerMessage::Open {
                 incarnation,
                 rest_limit_ms,
                 changes,
             }
         }),
-        (any::<u8>(), short(), some(digest)).prop_map(|(zones, rest_limit_ms, entries)| {
+        (any::<u8>(), short(), short_list(digest)).prop_map(|(zones, rest_limit_ms, entries)| {
             PeerMessage::LoadDigest {
                 zones,
                 rest_limit_ms,
                 entries,
             }
         }),
-        some(sum).prop_map(|sums| PeerMessage::ZoneSums { sums }),
+        short_list(sum).prop_map(|sums| PeerMessage::ZoneSums { sums }),
     ]
 }
 
@@ -370,9 +377,9 @@
     let request = (
         any::<[u64; 2]>(),
         text(),
-        some(end),
-        some(aged()),
-        some(aged()),
+        short_list(end),
+        short_list(aged()),
+        short_list(aged()),
     )
         .prop_map(
             |(digest, path, ends, acquitted, quarantined)| RequestEntry {
@@ -383,13 +390,13 @@
                 quarantined,
             },
         );
-    (any::<bool>(), some(aged()), some(request)).prop_map(|(wants_reply, alive, requests)| {
-        PeerMessage::Evidence {
+    (any::<bool>(), short_list(aged()), short_list(request)).prop_map(
+        |(wants_reply, alive, requests)| PeerMessage::Evidence {
             wants_reply,
             alive,
             requests,
-        }
-    })
+        },
+    )
 }
 
 fn message() -> impl Strategy<Value = PeerMessage> {
@@ -419,43 +426,43 @@
     })
 }
 
-/// What happens to a node.
+/// Something that happens to a node.
 #[derive(Clone, Debug)]
-enum Happening {
+enum NodeInput {
     Message(PeerMessage),
     Bytes(Vec<u8>),
     Load(String),
-    Pass(u64),
+    Wait(u64),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn node_input() -> impl Strategy<Value = NodeInput> {
     let load = prop::collection::vec(prop_oneof![small().prop_map(u64::from), number()], 0..5);
     let load = load.prop_map(|numbers| {
         let texts: Vec<String> = numbers.iter().map(u64::to_string).collect();
         texts.join(",")
     });
     prop_oneof![
-        8 => message().prop_map(Happening::Message),
-        1 => prop::collection::vec(any::<u8>(), 0..100).prop_map(Happening::Bytes),
-        2 => prop_oneof![load, ".{0,16}"].prop_map(Happening::Load),
-        2 => (1..900u64).prop_map(Happening::Pass),
+        8 => message().prop_map(NodeInput::Message),
+        1 => prop::collection::vec(any::<u8>(), 0..100).prop_map(NodeInput::Bytes),
+        2 => prop_oneof![load, ".{0,16}"].prop_map(NodeInput::Load),
+        2 => (1..900u64).prop_map(NodeInput::Wait),
     ]
 }
 
-fn happen(fixture: &mut Fixture, happening: Happening) {
-    match happening {
-        Happening::Message(message) => {
+fn apply_input(fixture: &mut Fixture, node_input: NodeInput) {
+    match node_input {
+        NodeInput::Message(message) => {
             let bytes = encode(&message).bytes.to_vec();
             let from = node_address(1);
             fixture.step(Input::Datagram { from, bytes });
         }
-        Happening::Bytes(bytes) => {
+        NodeInput::Bytes(bytes) => {
             let from = node_address(1);
             fixture.step(Input::Datagram { from, bytes });
         }
-        Happening::Load(load) => {
-            fixture.ask(SERVICE, None);
-            fixture.ask(KEYED, Some(7));
+        NodeInput::Load(load) => {
+            fixture.request(SERVICE, None);
+            fixture.request(KEYED, Some(7));
             for sent in std::mem::take(&mut fixture.attempts) {
                 let mut response = Response::new(200, "");
                 response.headers.push("signature", "s");
@@ -463,11 +470,11 @@
                 fixture.answer(sent.exchange, response);
             }
         }
-        Happening::Pass(time) => fixture.run_until(fixture.now + ms(time)),
+        NodeInput::Wait(time) => fixture.run_until(fixture.now + ms(time)),
     }
 }
 
-/// Cases of each property here; more by `PROPTEST_CASES`.
+/// Number of cases of each property, which `PROPTEST_CASES` overrides.
 fn config() -> ProptestConfig {
     let cases = std::env::var("PROPTEST_CASES").ok();
     ProptestConfig {
@@ -482,29 +489,29 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn a_message_is_decoded_as_it_was_encoded(message in message()) {
+    fn messages_survive_an_encoding_round_trip(message in message()) {
         let bytes = encode(&message).bytes;
         let again = encode(&decode(&bytes).expect("a message")).bytes;
         prop_assert_eq!(bytes, again);
     }
 
     #[test]
-    fn a_node_goes_on_after_messages_and_loads_of_any_content(
+    fn node_keeps_running_after_arbitrary_messages_and_loads(
         coordinates in any::<bool>(),
-        happenings in prop::collection::vec(happening(), 1..10),
+        inputs in prop::collection::vec(node_input(), 1..10),
     ) {
-        let mut fixture = Fixture::new(vacant_store());
+        let mut fixture = Fixture::new(store_without_owners());
         fixture.run_until(ms(if coordinates { 3_000 } else { 600 }));
-        for happening in happenings {
-            happen(&mut fixture, happening);
+        for node_input in inputs {
+            apply_input(&mut fixture, node_input);
         }
-        happen(&mut fixture, Happening::Load("1,1,4".to_owned()));
+        apply_input(&mut fixture, NodeInput::Load("1,1,4".to_owned()));
         fixture.run_until(fixture.now + ms(2_500));
-        happen(&mut fixture, Happening::Load("1,1,4".to_owned()));
+        apply_input(&mut fixture, NodeInput::Load("1,1,4".to_owned()));
     }
 }
--- a/crates/ledgelead-router/tests/node/configuration.rs
+++ b/crates/ledgelead-router/tests/node/configuration.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration among nodes.
+//! Distribution of configuration versions among nodes.
 
 use crate::fixture::{Fixture, Store, configuration, instance, ms, node_address, node_record};
 use crate::fixture::{KEYED, SERVICE};
@@ -19,13 +19,13 @@
 
 fn store() -> Store {
     let mut store = Store::default();
-    store.configure(configuration(5));
+    store.put_configuration(configuration(5));
     store.add_instance(instance(1, SERVICE));
     store.add_instance(instance(2, KEYED));
     for number in 0..4 {
         store.add_node(node_record(number));
     }
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         epoch: 4,
         coordinator: Some(node_record(COORDINATOR).identity),
         next_fence: 9,
@@ -107,7 +107,7 @@
 }
 
 #[gtest]
-fn a_version_comes_into_force_without_a_call_of_the_store() {
+fn announced_version_is_activated_without_a_store_call() {
     let mut fixture = follower();
     let calls = fixture.calls.len();
     let delta = ConfigurationDelta::between(Some(&configuration(5)), &next_version(8));
@@ -119,9 +119,9 @@
 }
 
 #[gtest]
-fn a_version_whose_change_is_lost_is_requested_and_then_read() {
+fn version_with_lost_announcement_is_requested_and_then_read() {
     let mut fixture = follower();
-    fixture.store.configure(next_version(8));
+    fixture.store.put_configuration(next_version(8));
     let before = lists_of_configuration(&fixture);
     for beat in 0..4 {
         let message = heartbeat(&fixture, 8);
@@ -142,10 +142,10 @@
 }
 
 #[gtest]
-fn a_list_that_takes_long_is_not_begun_again() {
+fn slow_list_is_not_restarted() {
     let mut fixture = follower();
-    fixture.store.configure(next_version(8));
-    // The answer is long on its way; heartbeats go on meanwhile.
+    fixture.store.put_configuration(next_version(8));
+    // The answer takes long to arrive, while heartbeats continue.
     fixture.store.is_slow = true;
     let before = lists_of_configuration(&fixture);
     for _ in 0..10 {
@@ -154,12 +154,12 @@
         fixture.run_until(fixture.now + ms(200));
     }
     expect_that!(lists_of_configuration(&fixture), eq(before + 1));
-    fixture.deliver();
+    fixture.deliver_answers();
     expect_that!(fixture.node.status().configuration, some(eq(8)));
 }
 
 #[gtest]
-fn a_change_of_another_version_is_not_applied() {
+fn change_to_another_version_is_not_applied() {
     let mut fixture = follower();
     let delta = ConfigurationDelta::between(Some(&configuration(7)), &next_version(8));
     for message in messages(delta.expect("names are unique")) {
@@ -167,7 +167,7 @@
     }
     expect_that!(fixture.node.status().configuration, some(eq(5)));
     expect_that!(fixture.sent("resync_request"), eq(1));
-    // A whole version depends on none, and an older one changes nothing.
+    // A full version depends on no earlier one, and an older version changes nothing.
     for (version, expected) in [(4, 5), (9, 9)] {
         let whole = ConfigurationDelta::between(None, &next_version(version));
         for message in messages(whole.expect("names are unique")) {
@@ -179,12 +179,12 @@
 
 fn coordinator() -> Fixture {
     let mut store = store();
-    store.vacate();
+    store.clear_coordinator();
     Fixture::coordinating(store)
 }
 
 #[gtest]
-fn a_change_of_thousands_of_routes_is_left_to_the_store() {
+fn large_change_is_not_announced() {
     let mut fixture = coordinator();
     let mut large = next_version(8);
     let template = Route::clone(&large.routes[0]);
@@ -196,19 +196,19 @@
         })
     });
     large.routes.extend(more);
-    fixture.store.configure(large);
-    fixture.change_watched(ObjectKind::Configuration);
+    fixture.store.put_configuration(large);
+    fixture.answer_watch_with_changes(ObjectKind::Configuration);
     expect_that!(fixture.node.status().configuration, some(eq(8)));
     for since in [5, 0, 5] {
         let kind = RelayedKind::Configuration;
         fixture.receive(node_address(3), &PeerMessage::ResyncRequest { kind, since });
     }
     expect_that!(fixture.sent("configuration"), eq(0));
-    // The next version changes little again.
+    // The next version is a small change again.
     fixture.datagrams.clear();
-    fixture.store.configure(next_version(9));
+    fixture.store.put_configuration(next_version(9));
     fixture.run_until(fixture.now + ms(200));
-    fixture.change_watched(ObjectKind::Configuration);
+    fixture.answer_watch_with_changes(ObjectKind::Configuration);
     let kind = RelayedKind::Configuration;
     let since = 0;
     fixture.receive(node_address(3), &PeerMessage::ResyncRequest { kind, since });
@@ -216,14 +216,14 @@
 }
 
 #[gtest]
-fn an_answer_that_is_read_late_does_not_make_a_view_young() {
-    // A coordinator that stood still for 1.2 s reads an answer that the store gave after
-    // 600 ms. A version may have been acknowledged since, and the others go by this age.
+fn late_read_answer_does_not_reset_the_age_of_the_view() {
+    // A coordinator that was suspended for 1.2 s reads an answer that the store gave after 600
+    // ms. Another version may have been acknowledged since, and other nodes rely on this age.
     let mut fixture = coordinator();
-    fixture.change_watched(ObjectKind::Configuration);
+    fixture.answer_watch_with_changes(ObjectKind::Configuration);
     fixture.run_until(fixture.now + ms(1_200));
-    fixture.change_watched(ObjectKind::Instances);
-    fixture.change_watched(ObjectKind::Configuration);
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
+    fixture.answer_watch_with_changes(ObjectKind::Configuration);
     fixture.datagrams.clear();
     fixture.run_until(fixture.now + ms(250));
     let ages = fixture
@@ -239,10 +239,10 @@
 }
 
 #[gtest]
-fn a_coordinator_announces_versions_and_repeats_them() {
+fn coordinator_announces_versions_and_resends_them_on_request() {
     let mut fixture = coordinator();
-    fixture.store.configure(next_version(8));
-    fixture.change_watched(ObjectKind::Configuration);
+    fixture.store.put_configuration(next_version(8));
+    fixture.answer_watch_with_changes(ObjectKind::Configuration);
     expect_that!(fixture.node.status().configuration, some(eq(8)));
     expect_that!(fixture.sent("configuration"), eq(3));
     for since in [5, 0] {
@@ -261,7 +261,7 @@
     }
 }
 
-fn drawn_configuration(version: u64) -> impl Strategy<Value = Configuration> {
+fn arbitrary_configuration(version: u64) -> impl Strategy<Value = Configuration> {
     let routes = proptest::collection::btree_map(0..8u8, (1..3u8, 1..4u64, any::<bool>()), 0..6);
     let services = proptest::collection::btree_map(0..5u8, (any::<bool>(), 1..3u32), 0..5);
     (routes, services, 1..3usize).prop_map(move |(routes, services, head)| {
@@ -310,9 +310,9 @@
 
 proptest! {
     #[test]
-    fn a_delta_turns_one_version_into_the_other(
-        earlier in drawn_configuration(3),
-        next in drawn_configuration(8),
+    fn delta_converts_one_version_to_another(
+        earlier in arbitrary_configuration(3),
+        next in arbitrary_configuration(8),
     ) {
         for base in [Some(&earlier), None] {
             let delta = ConfigurationDelta::between(base, &next).expect("names are unique");
--- a/crates/ledgelead-router/tests/node/evacuation.rs
+++ b/crates/ledgelead-router/tests/node/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that the operator empties and takes back.
+//! Zones that an operator evacuates and puts back into use.
 
 use crate::fixture::{Fixture, KEYED, SERVICE, Store, configuration, instance, ms};
 use crate::fixture::{node_address, node_record};
@@ -12,10 +12,10 @@
 use ledgelead_router::peers::{Heartbeat, PeerMessage};
 use ledgelead_types::codec::List;
 
-/// Zone `a` has instances 1 (without keys) and 3 (all keys), zone `b` has 2 and 4.
+/// Zone `a` has instances 1 (without keys) and 3 (owner of all keys), zone `b` has 2 and 4.
 fn store(coordinator: Option<NodeIdentity>) -> Store {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 1..=4 {
         let zone = ["b", "a"][usize::from(number % 2)];
         let service = if number <= 2 { SERVICE } else { KEYED };
@@ -26,7 +26,7 @@
     }
     store.add_node(node_record(0));
     store.add_node(node_record(1));
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         epoch: 4,
         coordinator,
         next_fence: 9,
@@ -50,7 +50,7 @@
     fixture
 }
 
-/// The coordinator's heartbeat, with the zones that are evacuated by a revision.
+/// Receives a heartbeat of the coordinator with the zones evacuated at a revision.
 fn announce(fixture: &mut Fixture, revision: u64, zones: &[&str]) {
     let record = fixture.store.revision_of(ObjectKind::Ownership, "record");
     let hash = |zone: &&str| ZoneName::from(*zone).stable_hash();
@@ -75,10 +75,10 @@
     fixture.receive(node_address(1), &heartbeat);
 }
 
-/// The instance that a request is sent to, if it is sent at once.
+/// The instance that a request is sent to, if it is sent immediately.
 fn instance_for(fixture: &mut Fixture, service: &str, key: Option<u16>) -> Option<u8> {
     fixture.attempts.clear();
-    fixture.ask(service, key);
+    fixture.request(service, key);
     let sent = fixture.attempts.pop()?;
     let number = (1..=4).find(|number| instance(*number, service).address == sent.address);
     let mut response = Response::new(200, "");
@@ -88,12 +88,12 @@
 }
 
 #[gtest]
-fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
+fn evacuated_zone_gets_no_requests_until_the_evacuation_ends() {
     let mut fixture = follower();
     expect_that!(instance_for(&mut fixture, SERVICE, None), some(eq(1)));
     announce(&mut fixture, 50, &["a"]);
     expect_that!(instance_for(&mut fixture, SERVICE, None), some(eq(2)));
-    // An older word than the newest one undoes nothing.
+    // An announcement of an older revision undoes nothing.
     announce(&mut fixture, 40, &[]);
     expect_that!(instance_for(&mut fixture, SERVICE, None), some(eq(2)));
     announce(&mut fixture, 60, &["a", "b"]);
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn an_owner_in_an_evacuated_zone_serves_its_keys_only_while_they_are_moving() {
+fn owner_in_an_evacuated_zone_serves_its_keys_only_while_they_move() {
     let mut fixture = follower();
     announce(&mut fixture, 50, &["a"]);
     expect_that!(instance_for(&mut fixture, KEYED, Some(7)), some(eq(3)));
@@ -116,9 +116,9 @@
 }
 
 #[gtest]
-fn a_coordinator_moves_the_keys_of_an_evacuated_zone_and_not_back() {
+fn coordinator_moves_keys_out_of_an_evacuated_zone_and_not_back() {
     let mut fixture = Fixture::new(store(None));
-    let pass = |fixture: &mut Fixture, rounds: u32| {
+    let complete_orders = |fixture: &mut Fixture, rounds: u32| {
         for _ in 0..rounds {
             for order in std::mem::take(&mut fixture.attempts) {
                 fixture.answer(order.exchange, Response::new(200, ""));
@@ -126,12 +126,12 @@
             fixture.run_until(fixture.now + ms(50));
         }
     };
-    pass(&mut fixture, 60);
+    complete_orders(&mut fixture, 60);
     expect_that!(fixture.owner_of(7), some(eq(&InstanceId::from("i-3"))));
     let zone = ObjectContent::Evacuation(ZoneName::from("a"));
     fixture.store.put(ObjectKind::Evacuations, "a", zone);
-    fixture.change_watched(ObjectKind::Evacuations);
-    let told = fixture
+    fixture.answer_watch_with_changes(ObjectKind::Evacuations);
+    let announced = fixture
         .datagrams
         .iter()
         .rev()
@@ -141,16 +141,16 @@
             }
             _ => None,
         });
-    expect_that!(told, some(eq(1)));
-    // The first look at the ranges releases, the next one writes the next owner.
-    pass(&mut fixture, 6);
+    expect_that!(announced, some(eq(1)));
+    // The coordinator's first step releases the range, the next one writes its new owner.
+    complete_orders(&mut fixture, 6);
     expect_that!(fixture.owner_of(7), some(eq(&InstanceId::from("i-4"))));
-    pass(&mut fixture, 40);
+    complete_orders(&mut fixture, 40);
     expect_that!(fixture.owner_of(7), some(eq(&InstanceId::from("i-4"))));
 }
 
 #[gtest]
-fn a_node_that_starts_during_an_evacuation_reads_it() {
+fn node_started_during_an_evacuation_reads_it() {
     let mut store = store(Some(node_record(1).identity));
     let zone = ObjectContent::Evacuation(ZoneName::from("a"));
     store.put(ObjectKind::Evacuations, "a", zone);
@@ -160,7 +160,7 @@
 }
 
 #[gtest]
-fn what_is_known_of_evacuations_never_goes_back() {
+fn evacuations_never_revert_to_an_earlier_revision() {
     let zone = ZoneName::from("a");
     let mut known = Evacuations::default();
     expect_that!(known.listed(std::slice::from_ref(&zone), 8), eq(true));
--- a/crates/ledgelead-router/tests/node/fixture.rs
+++ b/crates/ledgelead-router/tests/node/fixture.rs
@@ -1,5 +1,5 @@
-//! One node with a store that answers lists and writes at once, and instances
-//! that answer when a test says so.
+//! A single node with a simulated store, which answers lists and writes immediately, and
+//! simulated instances, which answer when the test says so.
 
 use crate::support::headers;
 use googletest::prelude::*;
@@ -34,43 +34,43 @@
 /// The service whose keys have owners.
 pub const KEYED: &str = "records";
 
-/// Where clients connect from.
+/// The address of clients.
 pub const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 3, 1));
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Objects by their kinds and names.
+/// Objects by kind and name.
 type Objects = BTreeMap<(ObjectKind, String), Object>;
 
-/// The store's state at a time.
-pub struct Copy {
+/// A copy of the store's state.
+pub struct StoreCopy {
     revision: u64,
     objects: Objects,
     gone: Vec<(ObjectKind, Object)>,
 }
 
-/// What the store holds, with one revision for each object.
+/// The simulated store. Each object has a revision of its own.
 #[derive(Default)]
 pub struct Store {
     pub revision: u64,
     pub objects: Objects,
-    /// Objects that were removed, at the revisions at which they went.
+    /// Removed objects with the revision of their removal.
     gone: Vec<(ObjectKind, Object)>,
     /// Whether all calls are refused.
-    pub refuses: bool,
-    /// Whether answers are kept back until `Fixture::deliver`.
+    pub refuses_calls: bool,
+    /// Whether answers are held back until `Fixture::deliver_answers`.
     pub is_slow: bool,
-    /// Whether the changes of the past are forgotten.
-    pub forgets: bool,
-    /// Whether a watch is answered at once if there are changes.
+    /// Whether the history of changes is lost.
+    pub has_lost_history: bool,
+    /// Whether a watch is answered immediately if there are changes.
     pub answers_changes: bool,
-    /// Most objects of one page of a list, if there is a bound.
+    /// Maximum number of objects in a page of a list, if limited.
     pub page: Option<usize>,
-    /// The era that answers name, if they do.
+    /// The era named in answers, if any.
     pub era: Option<String>,
-    /// What lists hold that may be stale, with its revision, if they lag.
+    /// State and revision returned by stale lists, if they lag behind.
     stale: Option<(u64, Objects)>,
 }
 
@@ -86,25 +86,25 @@
         object
     }
 
-    /// The state, to come back to.
-    pub fn copy(&self) -> Copy {
-        Copy {
+    /// A copy of the state, for a later `restore`.
+    pub fn copy(&self) -> StoreCopy {
+        StoreCopy {
             revision: self.revision,
             objects: self.objects.clone(),
             gone: self.gone.clone(),
         }
     }
 
-    /// The store comes back from a copy, in another era.
-    pub fn restore(&mut self, copy: Copy, era: u64) {
+    /// Restores the store from a copy, in another era.
+    pub fn restore(&mut self, copy: StoreCopy, era: u64) {
         self.revision = copy.revision;
         self.objects = copy.objects;
         self.gone = copy.gone;
         self.era = Some(era.to_string());
     }
 
-    /// The response that carries an answer by its number.
-    fn carried(&self, number: u64) -> Response {
+    /// The response for the answer with this number.
+    fn response_with(&self, number: u64) -> Response {
         let mut response = Response::new(200, number.to_string());
         if let Some(era) = &self.era {
             response.headers.push("store-era", era.as_str());
@@ -112,13 +112,13 @@
         response
     }
 
-    /// Lists that may be stale know nothing of what changes from now on.
-    pub fn stale_lists_end_here(&mut self) {
+    /// Stale lists don't show any later changes.
+    pub fn freeze_stale_lists(&mut self) {
         self.stale = Some((self.revision, self.objects.clone()));
     }
 
-    /// Another writer replaces an object, or makes one, by what can't be read.
-    pub fn spoil(&mut self, kind: ObjectKind, name: &str) {
+    /// Another writer creates or replaces an object with unreadable content.
+    pub fn put_unreadable(&mut self, kind: ObjectKind, name: &str) {
         self.revision += 1;
         let object = Object {
             name: name.to_owned(),
@@ -148,7 +148,7 @@
         }
     }
 
-    pub fn configure(&mut self, configuration: Configuration) {
+    pub fn put_configuration(&mut self, configuration: Configuration) {
         let content = ObjectContent::Configuration(configuration);
         self.put(ObjectKind::Configuration, "main", content);
     }
@@ -167,7 +167,7 @@
         self.put(ObjectKind::Nodes, &name, ObjectContent::Node(record));
     }
 
-    pub fn own(&mut self, record: OwnershipRecord) {
+    pub fn put_ownership(&mut self, record: OwnershipRecord) {
         self.put(
             ObjectKind::Ownership,
             "record",
@@ -175,9 +175,9 @@
         );
     }
 
-    /// The record names no coordinator.
-    pub fn vacate(&mut self) {
-        self.own(OwnershipRecord {
+    /// Writes a record without a coordinator.
+    pub fn clear_coordinator(&mut self) {
+        self.put_ownership(OwnershipRecord {
             epoch: 4,
             coordinator: None,
             next_fence: 9,
@@ -192,7 +192,7 @@
     }
 
     fn answer(&mut self, call: &StoreCall) -> Option<StoreAnswer> {
-        if self.refuses {
+        if self.refuses_calls {
             return Some(StoreAnswer::Refused);
         }
         match (call, &self.stale) {
@@ -208,7 +208,9 @@
         }
         match call {
             StoreCall::List { kind, after, .. } => Some(self.listed(*kind, after.as_deref())),
-            StoreCall::Watch { revision, .. } if self.forgets && *revision < self.revision => {
+            StoreCall::Watch { revision, .. }
+                if self.has_lost_history && *revision < self.revision =>
+            {
                 Some(StoreAnswer::HistoryLost)
             }
             StoreCall::Watch { revision, .. }
@@ -216,7 +218,7 @@
             {
                 Some(StoreAnswer::HistoryLost)
             }
-            // A watch that hardly waits only asks how things are.
+            // A watch with almost no wait only reads the current state.
             StoreCall::Watch {
                 kind,
                 revision,
@@ -261,7 +263,7 @@
         }
     }
 
-    /// A page of a list, after a name.
+    /// The page of a list that follows a name.
     fn listed(&self, kind: ObjectKind, after: Option<&str>) -> StoreAnswer {
         let mut objects = self.of_kind(kind);
         objects.retain(|object| after.is_none_or(|after| object.name.as_str() > after));
@@ -312,9 +314,9 @@
     }
 }
 
-/// Typed calls and answers of a node, by number.
+/// Typed calls and answers of a node by number.
 #[derive(Default)]
-struct Mailbox {
+struct TypedCalls {
     last: u64,
     calls: HashMap<u64, StoreCall>,
     answers: HashMap<u64, StoreAnswer>,
@@ -322,7 +324,7 @@
 
 struct TypedDialect {
     headers: HeaderNames,
-    mailbox: Rc<RefCell<Mailbox>>,
+    typed_calls: Rc<RefCell<TypedCalls>>,
 }
 
 impl Dialect for TypedDialect {
@@ -331,17 +333,17 @@
     }
 
     fn store_request(&self, call: &StoreCall) -> Request {
-        let mut mailbox = self.mailbox.borrow_mut();
-        mailbox.last += 1;
-        let number = mailbox.last;
-        mailbox.calls.insert(number, call.clone());
+        let mut typed_calls = self.typed_calls.borrow_mut();
+        typed_calls.last += 1;
+        let number = typed_calls.last;
+        typed_calls.calls.insert(number, call.clone());
         Request::new("GET", number.to_string(), Vec::new())
     }
 
     fn store_answer(&self, _call: &StoreCall, response: &Response) -> StoreAnswer {
         let number = std::str::from_utf8(&response.body).expect("a number");
         let number: u64 = number.parse().expect("a number");
-        let answer = self.mailbox.borrow_mut().answers.remove(&number);
+        let answer = self.typed_calls.borrow_mut().answers.remove(&number);
         answer.expect("an answer of this number")
     }
 
@@ -354,44 +356,44 @@
     }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Debug)]
 pub struct Sent {
     pub exchange: ExchangeId,
     pub address: SocketAddr,
-    /// The path of a client's request, or the mark of an order.
+    /// The path of a client's request, or `order` for an order.
     pub target: String,
     pub body: Vec<u8>,
     pub at: Timestamp,
-    /// How it is carried out; nothing of a probe.
+    /// The options of the exchange; `None` for a probe.
     pub options: Option<ExchangeOptions>,
 }
 
-/// A node and what it has done.
+/// A node and its recorded actions.
 pub struct Fixture {
     pub node: Node,
     pub store: Store,
     pub now: Timestamp,
-    mailbox: Rc<RefCell<Mailbox>>,
+    typed_calls: Rc<RefCell<TypedCalls>>,
     store_address: SocketAddr,
-    /// Every call of the store, with its time.
+    /// All calls to the store with their times.
     pub calls: Vec<(Timestamp, StoreCall)>,
-    /// Every datagram, with its time and receiver.
+    /// All datagrams with their times and receivers.
     pub datagrams: Vec<(Timestamp, SocketAddr, PeerMessage)>,
     /// Attempts at instances.
     pub attempts: Vec<Sent>,
-    /// Connections that were opened to see whether somebody listens.
+    /// Connections opened to check whether an instance is listening.
     pub probes: Vec<Sent>,
-    /// Watches that wait, with the numbers of their calls.
+    /// Waiting watches with the numbers of their calls.
     watches: Vec<(ExchangeId, u64, StoreCall)>,
-    /// Answers of the store that are on their way.
-    on_the_way: Vec<(StoreCall, Input)>,
+    /// Answers of the store in flight.
+    in_flight: Vec<(StoreCall, Input)>,
     /// Answers to clients.
     pub answers: Vec<(ClientId, Response)>,
     last_client: u64,
 }
 
-/// An instance's whole answer to a request that went well.
+/// The complete response of an instance to a successful request.
 pub fn success() -> Response {
     let mut response = Response::new(200, "done");
     response.headers.push("signature", "s");
@@ -429,7 +431,7 @@
     }
 }
 
-/// A record by which an instance owns all keys of the service that has some.
+/// A record in which one instance owns all keys of the keyed service.
 pub fn all_keys_of(owner: &str, coordinator: u8) -> OwnershipRecord {
     OwnershipRecord {
         epoch: 4,
@@ -446,31 +448,31 @@
     }
 }
 
-/// Instances 1 and 2 without keys, 3 and 4 with keys, two nodes; nobody owns a key.
-pub fn vacant_store() -> Store {
+/// Instances 1 and 2 without keys, 3 and 4 with keys, and two nodes. No key has an owner.
+pub fn store_without_owners() -> Store {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 1..=4 {
         let service = if number <= 2 { SERVICE } else { KEYED };
         store.add_instance(instance(number, service));
     }
     store.add_node(node_record(0));
     store.add_node(node_record(1));
-    store.vacate();
+    store.clear_coordinator();
     store
 }
 
-/// Instances 1 and 2 without keys, instance 3 as the owner of all keys, three nodes.
+/// Instances 1 and 2 without keys, instance 3 as the owner of all keys, and three nodes.
 pub fn owned_store(configuration: Configuration) -> Store {
     let mut store = Store::default();
-    store.configure(configuration);
+    store.put_configuration(configuration);
     store.add_instance(instance(1, SERVICE));
     store.add_instance(instance(2, SERVICE));
     store.add_instance(instance(3, KEYED));
     for number in 0..3 {
         store.add_node(node_record(number));
     }
-    store.own(all_keys_of("i-3", 1));
+    store.put_ownership(all_keys_of("i-3", 1));
     store
 }
 
@@ -507,12 +509,12 @@
 }
 
 impl Fixture {
-    /// The node with number 0 in its first life, before its first step.
+    /// The first incarnation of the node with number 0, before its first step.
     pub fn new(store: Store) -> Fixture {
         Fixture::with_mechanisms(store, Mechanisms::default())
     }
 
-    /// The same with some mechanism off.
+    /// Like `new`, with the given mechanisms.
     pub fn with_mechanisms(store: Store, mechanisms: Mechanisms) -> Fixture {
         let settings = NodeSettings {
             mechanisms,
@@ -548,32 +550,32 @@
         }
     }
 
-    /// A node with other settings.
+    /// Like `new`, with the given settings.
     pub fn with_settings(store: Store, settings: NodeSettings) -> Fixture {
-        let mailbox = Rc::<RefCell<Mailbox>>::default();
+        let typed_calls = Rc::<RefCell<TypedCalls>>::default();
         let dialect = TypedDialect {
             headers: headers(),
-            mailbox: mailbox.clone(),
+            typed_calls: typed_calls.clone(),
         };
         let store_address = settings.store_address;
         Fixture {
             node: Node::new(settings, Box::new(dialect), Duration::ZERO),
             store,
             now: Duration::ZERO,
-            mailbox,
+            typed_calls,
             store_address,
             calls: Vec::new(),
             datagrams: Vec::new(),
             attempts: Vec::new(),
             probes: Vec::new(),
             watches: Vec::new(),
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             answers: Vec::new(),
             last_client: 0,
         }
     }
 
-    /// The node as coordinator of a store that has none.
+    /// A node that has become the coordinator of a store without one.
     pub fn coordinating(store: Store) -> Fixture {
         let mut fixture = Fixture::new(store);
         fixture.run_until(ms(3_000));
@@ -581,7 +583,7 @@
         fixture
     }
 
-    /// Passes an input to the node and carries out what it wants.
+    /// Passes an input to the node and performs the resulting actions.
     pub fn step(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -593,7 +595,7 @@
         }
     }
 
-    /// Lets time pass, with a step at each of the node's deadlines.
+    /// Advances the time, with a step at each of the node's deadlines.
     pub fn run_until(&mut self, end: Timestamp) {
         while self.node.next_deadline() <= end {
             self.now = self.now.max(self.node.next_deadline());
@@ -602,7 +604,7 @@
         self.now = end;
     }
 
-    /// Another node sends a message.
+    /// Receives a message from another node.
     pub fn receive(&mut self, from: SocketAddr, message: &PeerMessage) {
         let Datagram { bytes, .. } = encode(message);
         self.step(Input::Datagram {
@@ -611,9 +613,8 @@
         });
     }
 
-    /// The store answers the newest watch of a kind with all objects that have
-    /// changed since.
-    pub fn change_watched(&mut self, kind: ObjectKind) {
+    /// Answers the latest watch of a kind with all objects changed since its revision.
+    pub fn answer_watch_with_changes(&mut self, kind: ObjectKind) {
         let position = self.watches.iter().rposition(
             |(_, _, call)| matches!(call, StoreCall::Watch { kind: watched, .. } if *watched == kind),
         );
@@ -625,24 +626,24 @@
             events: self.store.changes(kind, revision),
             revision: self.store.revision,
         };
-        self.mailbox.borrow_mut().answers.insert(number, answer);
-        self.end(exchange, Ok(self.store.carried(number)));
+        self.typed_calls.borrow_mut().answers.insert(number, answer);
+        self.end(exchange, Ok(self.store.response_with(number)));
     }
 
-    /// The store answers the newest watch of a kind that its history is lost, and
-    /// the list that follows.
+    /// Tells the latest watch of a kind that the history is lost, and answers the list that
+    /// follows.
     pub fn lose_history(&mut self, kind: ObjectKind) {
         let position = self.watches.iter().rposition(
             |(_, _, call)| matches!(call, StoreCall::Watch { kind: watched, .. } if *watched == kind),
         );
         let (exchange, number, _) = self.watches.remove(position.expect("a watch waits"));
         let lost = StoreAnswer::HistoryLost;
-        self.mailbox.borrow_mut().answers.insert(number, lost);
-        self.end(exchange, Ok(self.store.carried(number)));
+        self.typed_calls.borrow_mut().answers.insert(number, lost);
+        self.end(exchange, Ok(self.store.response_with(number)));
         self.run_until(self.now + ms(500));
     }
 
-    /// The store answers all watches that wait.
+    /// Answers all waiting watches.
     pub fn answer_watches(&mut self) {
         for (exchange, number, call) in std::mem::take(&mut self.watches) {
             let StoreCall::Watch { kind, revision, .. } = call else {
@@ -655,38 +656,38 @@
                     revision: self.store.revision,
                 },
             };
-            self.mailbox.borrow_mut().answers.insert(number, answer);
-            self.end(exchange, Ok(self.store.carried(number)));
+            self.typed_calls.borrow_mut().answers.insert(number, answer);
+            self.end(exchange, Ok(self.store.response_with(number)));
         }
     }
 
-    /// Answers of a slow store arrive.
-    pub fn deliver(&mut self) {
-        self.deliver_all_but(|_| false);
+    /// Delivers the answers that a slow store has held back.
+    pub fn deliver_answers(&mut self) {
+        self.deliver_answers_except(|_| false);
     }
 
-    /// Answers of a slow store arrive, but for those to some calls.
-    pub fn deliver_all_but(&mut self, stays: impl Fn(&StoreCall) -> bool) {
-        for (call, input) in std::mem::take(&mut self.on_the_way) {
+    /// Delivers the answers that a slow store has held back, except for some calls.
+    pub fn deliver_answers_except(&mut self, stays: impl Fn(&StoreCall) -> bool) {
+        for (call, input) in std::mem::take(&mut self.in_flight) {
             if stays(&call) {
-                self.on_the_way.push((call, input));
+                self.in_flight.push((call, input));
             } else {
                 self.step(input);
             }
         }
     }
 
-    /// A client asks the service, perhaps for a key.
-    pub fn ask(&mut self, service: &str, key: Option<u16>) -> ClientId {
+    /// Sends a client's request to the service, with or without a key.
+    pub fn request(&mut self, service: &str, key: Option<u16>) -> ClientId {
         self.upload(service, key, 0)
     }
 
-    /// The same with a body.
+    /// Like `request`, with a body.
     pub fn upload(&mut self, service: &str, key: Option<u16>, body_bytes: usize) -> ClientId {
         self.upload_within(service, key, body_bytes, None)
     }
 
-    /// The same of a client that perhaps leaves after a time.
+    /// Like `upload`, optionally with a deadline of the client.
     pub fn upload_within(
         &mut self,
         service: &str,
@@ -720,7 +721,7 @@
         self.end(exchange, Ok(response));
     }
 
-    /// An attempt ends.
+    /// Ends an attempt.
     pub fn end(&mut self, exchange: ExchangeId, result: Result<Response, ExchangeFailure>) {
         self.step(Input::Exchanged {
             exchange,
@@ -729,7 +730,7 @@
         });
     }
 
-    /// The owner of a key, by the record in the store.
+    /// The owner of a key according to the record in the store.
     pub fn owner_of(&self, key: u16) -> Option<InstanceId> {
         let name = "record".to_owned();
         let object = self.store.objects.get(&(ObjectKind::Ownership, name))?;
@@ -742,7 +743,7 @@
         }
     }
 
-    /// Messages of a kind that were sent so far.
+    /// Number of messages of a kind sent so far.
     pub fn sent(&self, kind: &str) -> usize {
         let of_kind =
             |(_, _, message): &&(Timestamp, SocketAddr, PeerMessage)| message.kind() == kind;
@@ -801,21 +802,21 @@
 
     fn call_store(&mut self, exchange: ExchangeId, request: &Request) -> Option<Input> {
         let number: u64 = request.target.parse().expect("a number");
-        let call = self.mailbox.borrow_mut().calls.remove(&number);
+        let call = self.typed_calls.borrow_mut().calls.remove(&number);
         let call = call.expect("a call of this number");
         self.calls.push((self.now, call.clone()));
         let Some(answer) = self.store.answer(&call) else {
             self.watches.push((exchange, number, call));
             return None;
         };
-        self.mailbox.borrow_mut().answers.insert(number, answer);
+        self.typed_calls.borrow_mut().answers.insert(number, answer);
         let input = Input::Exchanged {
             exchange,
-            result: Ok(self.store.carried(number)),
+            result: Ok(self.store.response_with(number)),
             rested: Duration::ZERO,
         };
         if self.store.is_slow {
-            self.on_the_way.push((call, input));
+            self.in_flight.push((call, input));
             return None;
         }
         Some(input)
--- a/crates/ledgelead-router/tests/node/former_coordinator.rs
+++ b/crates/ledgelead-router/tests/node/former_coordinator.rs
@@ -1,19 +1,15 @@
-//! Two nodes that say at the same time that they coordinate.
+//! Two nodes that act as coordinator at the same time.
 //!
-//! The store refused the coordinator's machine and served the others, so another node was
-//! elected after a second. The former one can't read that from the store, and went on to
-//! send heartbeats for six seconds. Each follower counted for how long it had known less
-//! than "the coordinator", whichever spoke last: the new one's heartbeat began the count,
-//! the former one's, which knew no more than the follower, ended it 100 ms later. A version
-//! too large for datagrams is read from the store once that count has reached 250 ms, which
-//! it never did. Nine followers were six seconds late, and called the store not once; the
-//! record of ownership stayed behind in the same way, and half of the keyed requests was
-//! refused. What settled it, from a follower's log and that of the former coordinator:
-//!
-//!     17.789 follows_coordinator epoch 2
-//!     22.959 coordinates_no_more epoch 2      (the former one)
-//!     23.437 changes_missing configuration announced 17 known 10 missing_ms 401
-//!     23.475 configuration_in_force 17
+//! The store refuses the coordinator's calls and serves other nodes, so another node is
+//! elected after a second. The former coordinator can't read that from the store, and
+//! continues to send heartbeats for six seconds. A follower that measures how long it has
+//! missed changes announced by "the coordinator", whichever was heard last, starts the time at
+//! the successor's heartbeat and ends it 100 ms later at that of the former one, which knows
+//! no more than the follower. Versions too large for datagrams are read from the store only
+//! after 250 ms of missing, which are never reached. So nine followers were six seconds late
+//! without a single call to the store; the ownership record was late in the same way, and half
+//! of the keyed requests were refused. The follower caught up (configuration 17 after 10,
+//! missing for 401 ms) only once the former coordinator, of epoch 2, had stepped down.
 
 use crate::fixture::{
     Fixture, KEYED, SERVICE, Store, configuration, instance, ms, node_address, node_record,
@@ -30,11 +26,11 @@
 
 /// The coordinator that the store refuses, and its epoch.
 const FORMER: (u8, u64) = (1, 4);
-/// The one that follows it.
+/// Its successor, and the successor's epoch.
 const SUCCESSOR: (u8, u64) = (2, 5);
-/// Within this time a node has what it has heard of: 400 ms for datagrams, and a call of
+/// Time within which a node must apply what was announced: 400 ms for datagrams, and a call to
 /// the store.
-const KNOWN_WITHIN: Duration = Duration::from_millis(700);
+const APPLIED_WITHIN: Duration = Duration::from_millis(700);
 
 fn record((node, epoch): (u8, u64)) -> OwnershipRecord {
     OwnershipRecord {
@@ -47,17 +43,17 @@
 
 fn store() -> Store {
     let mut store = Store::default();
-    store.configure(configuration(5));
+    store.put_configuration(configuration(5));
     store.add_instance(instance(1, SERVICE));
     store.add_instance(instance(2, KEYED));
     for number in 0..4 {
         store.add_node(node_record(number));
     }
-    store.own(record(FORMER));
+    store.put_ownership(record(FORMER));
     store
 }
 
-/// What a coordinator says that knows all that the store holds.
+/// The heartbeat of a coordinator that knows everything in the store.
 fn heartbeat(fixture: &Fixture, (_, epoch): (u8, u64)) -> Heartbeat {
     let revision_of = |kind, name| fixture.store.revision_of(kind, name).unwrap_or(0);
     Heartbeat {
@@ -77,32 +73,32 @@
     }
 }
 
-fn hear(fixture: &mut Fixture, (node, _): (u8, u64), heartbeat: &Heartbeat) {
+fn receive_heartbeat(fixture: &mut Fixture, (node, _): (u8, u64), heartbeat: &Heartbeat) {
     let message = PeerMessage::CoordinatorHeartbeat(heartbeat.clone());
     fixture.receive(node_address(node), &message);
 }
 
-/// A node that follows the former coordinator, and what that one says once the store
-/// refuses it: it learns nothing more.
-fn follower() -> (Fixture, Heartbeat) {
+/// A node that follows the former coordinator, and the heartbeat of that coordinator once the
+/// store refuses its calls, so that it learns nothing more.
+fn follower_of_former() -> (Fixture, Heartbeat) {
     let mut fixture = Fixture::new(store());
     fixture.run_until(ms(100));
-    let said = heartbeat(&fixture, FORMER);
-    hear(&mut fixture, FORMER, &said);
+    let sent = heartbeat(&fixture, FORMER);
+    receive_heartbeat(&mut fixture, FORMER, &sent);
     let refused = Heartbeat {
         store_serves: false,
-        ..said
+        ..sent
     };
     (fixture, refused)
 }
 
-/// Both coordinators are heard each 200 ms, 100 ms apart.
-fn hear_both(fixture: &mut Fixture, former: &Heartbeat, lasts: Duration) {
-    hear_successor_say(fixture, former, lasts, |prompt| prompt);
+/// Receives heartbeats of both coordinators every 200 ms, 100 ms apart.
+fn receive_from_both(fixture: &mut Fixture, former: &Heartbeat, lasts: Duration) {
+    receive_from_both_with(fixture, former, lasts, |unchanged| unchanged);
 }
 
-/// The same, with what the successor says changed.
-fn hear_successor_say(
+/// Like `receive_from_both`, with a change to the successor's heartbeats.
+fn receive_from_both_with(
     fixture: &mut Fixture,
     former: &Heartbeat,
     lasts: Duration,
@@ -110,10 +106,10 @@
 ) {
     let end = fixture.now + lasts;
     while fixture.now < end {
-        let said = change(heartbeat(fixture, SUCCESSOR));
-        hear(fixture, SUCCESSOR, &said);
+        let sent = change(heartbeat(fixture, SUCCESSOR));
+        receive_heartbeat(fixture, SUCCESSOR, &sent);
         fixture.run_until(fixture.now + ms(100));
-        hear(fixture, FORMER, former);
+        receive_heartbeat(fixture, FORMER, former);
         fixture.run_until(fixture.now + ms(100));
     }
 }
@@ -128,61 +124,64 @@
 }
 
 #[gtest]
-fn a_version_is_read_although_a_former_coordinator_knows_none() {
-    let (mut fixture, former) = follower();
-    fixture.store.configure(configuration(8));
-    hear_both(&mut fixture, &former, KNOWN_WITHIN);
+fn configuration_is_read_despite_heartbeats_of_a_former_coordinator() {
+    let (mut fixture, former) = follower_of_former();
+    fixture.store.put_configuration(configuration(8));
+    receive_from_both(&mut fixture, &former, APPLIED_WITHIN);
     expect_that!(fixture.node.status().configuration, some(eq(8)));
 }
 
 #[gtest]
-fn the_record_is_read_although_a_former_coordinator_knows_an_older_one() {
-    let (mut fixture, former) = follower();
-    fixture.store.own(record(SUCCESSOR));
-    hear_both(&mut fixture, &former, KNOWN_WITHIN);
+fn record_is_read_despite_heartbeats_of_a_former_coordinator() {
+    let (mut fixture, former) = follower_of_former();
+    fixture.store.put_ownership(record(SUCCESSOR));
+    receive_from_both(&mut fixture, &former, APPLIED_WITHIN);
     expect_that!(fixture.node.status().epoch, eq(SUCCESSOR.1));
 }
 
 #[gtest]
-fn changes_of_instances_are_asked_for_although_a_former_coordinator_knows_none() {
-    // The store's refusals begin with writes: the former one takes itself for served.
-    let (mut fixture, mut former) = follower();
+fn instance_changes_are_requested_despite_heartbeats_of_a_former_coordinator() {
+    // The store's refusals begin with writes: the former coordinator still considers itself
+    // served.
+    let (mut fixture, mut former) = follower_of_former();
     former.store_serves = true;
     fixture.store.add_instance(instance(3, SERVICE));
     let changed = fixture.store.revision;
     let before = calls_about(&fixture, ObjectKind::Instances);
-    hear_successor_say(&mut fixture, &former, KNOWN_WITHIN, |prompt| Heartbeat {
-        instances: changed,
-        ..prompt
+    receive_from_both_with(&mut fixture, &former, APPLIED_WITHIN, |unchanged| {
+        Heartbeat {
+            instances: changed,
+            ..unchanged
+        }
     });
     let after = calls_about(&fixture, ObjectKind::Instances);
     expect_that!(after, gt(before));
 }
 
 #[gtest]
-fn a_late_heartbeat_is_known_for_late_although_a_former_coordinator_is_heard() {
-    // What the successor says waits 1.5 s on its way, longer than its view may be followed.
-    let (mut fixture, former) = follower();
-    hear_both(&mut fixture, &former, ms(2_000));
+fn delay_is_detected_despite_heartbeats_of_a_former_coordinator() {
+    // The successor's heartbeats are delayed by 1.5 s, longer than its view may be followed.
+    let (mut fixture, former) = follower_of_former();
+    receive_from_both(&mut fixture, &former, ms(2_000));
     let before = calls_about(&fixture, ObjectKind::Instances);
-    hear_successor_say(&mut fixture, &former, ms(2_000), |prompt| Heartbeat {
-        sent_ms: prompt.sent_ms - 1_500,
-        ..prompt
+    receive_from_both_with(&mut fixture, &former, ms(2_000), |unchanged| Heartbeat {
+        sent_ms: unchanged.sent_ms - 1_500,
+        ..unchanged
     });
     let after = calls_about(&fixture, ObjectKind::Instances);
     expect_that!(after, gt(before));
 }
 
 #[gtest]
-fn reports_go_to_the_successor_alone() {
-    let (mut fixture, former) = follower();
-    // So that the former one is the last that is heard before each report.
+fn reports_are_sent_only_to_the_successor() {
+    let (mut fixture, former) = follower_of_former();
+    // So that the former coordinator is heard last before each report.
     fixture.run_until(ms(250));
-    hear_both(&mut fixture, &former, ms(200));
+    receive_from_both(&mut fixture, &former, ms(200));
     fixture.datagrams.clear();
     for _ in 0..10 {
-        fixture.ask(KEYED, Some(7));
-        hear_both(&mut fixture, &former, ms(200));
+        fixture.request(KEYED, Some(7));
+        receive_from_both(&mut fixture, &former, ms(200));
     }
     let reports = fixture
         .datagrams
@@ -193,23 +192,23 @@
     expect_that!(receivers, each(eq(&node_address(SUCCESSOR.0))));
 }
 
-/// The store without a coordinator.
-fn vacant_store() -> Store {
+/// A store whose record names no coordinator.
+fn store_without_coordinator() -> Store {
     let mut store = store();
-    store.vacate();
+    store.clear_coordinator();
     store
 }
 
 #[gtest]
-fn a_coordinator_that_hears_of_a_later_epoch_leaves_its_place() {
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn coordinator_steps_down_when_it_hears_a_later_epoch() {
+    let mut fixture = Fixture::coordinating(store_without_coordinator());
     let epoch = fixture.node.status().epoch;
-    fixture.store.refuses = true;
+    fixture.store.refuses_calls = true;
     fixture.run_until(fixture.now + ms(1_000));
     expect_that!(fixture.node.coordinator().is_some(), eq(true));
     let later = (2, epoch + 1);
-    let said = heartbeat(&fixture, later);
-    hear(&mut fixture, later, &said);
+    let sent = heartbeat(&fixture, later);
+    receive_heartbeat(&mut fixture, later, &sent);
     expect_that!(fixture.node.coordinator().is_some(), eq(false));
     fixture.datagrams.clear();
     fixture.attempts.clear();
@@ -219,18 +218,18 @@
 }
 
 #[gtest]
-fn a_take_over_that_is_acknowledged_late_gives_no_place_after_a_later_epoch() {
-    let mut fixture = Fixture::new(vacant_store());
+fn late_takeover_answer_gives_no_role_after_a_later_epoch() {
+    let mut fixture = Fixture::new(store_without_coordinator());
     while fixture.calls.iter().all(|(_, call)| !writes_record(call)) {
         fixture.store.is_slow = fixture.node.status().epoch == FORMER.1;
-        fixture.deliver_all_but(writes_record);
+        fixture.deliver_answers_except(writes_record);
         fixture.run_until(fixture.now + ms(10));
     }
-    // Its own epoch is 5; another node has followed it before the answer arrives.
+    // The node's own epoch is 5. Another node succeeds it before the answer arrives.
     let later = (2, FORMER.1 + 2);
-    let said = heartbeat(&fixture, later);
-    hear(&mut fixture, later, &said);
-    fixture.deliver();
+    let sent = heartbeat(&fixture, later);
+    receive_heartbeat(&mut fixture, later, &sent);
+    fixture.deliver_answers();
     expect_that!(fixture.node.coordinator().is_some(), eq(false));
 }
 
@@ -239,18 +238,18 @@
 }
 
 #[gtest]
-fn a_coordinator_reads_a_version_that_one_of_several_reports_names() {
-    // Its own watch is lost without notice.
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn coordinator_reads_a_version_named_by_one_of_several_reports() {
+    // The coordinator's own watch is lost without notice.
+    let mut fixture = Fixture::coordinating(store_without_coordinator());
     fixture.store.answers_changes = true;
-    fixture.store.configure(configuration(8));
+    fixture.store.put_configuration(configuration(8));
     let report = |configuration| PeerMessage::LoadReport {
         configuration,
         nodes: 0,
         reports: List(Vec::new()),
         work: List(Vec::new()),
     };
-    let end = fixture.now + KNOWN_WITHIN;
+    let end = fixture.now + APPLIED_WITHIN;
     while fixture.now < end {
         fixture.receive(node_address(3), &report(8));
         fixture.run_until(fixture.now + ms(50));
@@ -260,19 +259,20 @@
     expect_that!(fixture.node.status().configuration, some(eq(8)));
 }
 
-/// Who is heard next, after how many milliseconds, and whether versions are written before.
+/// Which coordinator is heard next, the time after it in milliseconds, and whether a new
+/// version is written before.
 #[derive(Clone, Debug)]
-struct Said {
+struct Announcement {
     after_ms: u64,
     coordinator: usize,
     new_version: bool,
     store_serves: bool,
 }
 
-fn said() -> impl Strategy<Value = Said> {
+fn arbitrary_announcement() -> impl Strategy<Value = Announcement> {
     let newest = prop_oneof![2 => Just(2usize), 1 => 0..3usize];
     (1..150u64, newest, 0..4u8, any::<bool>()).prop_map(
-        |(after_ms, coordinator, new_version, store_serves)| Said {
+        |(after_ms, coordinator, new_version, store_serves)| Announcement {
             after_ms,
             coordinator,
             new_version: new_version == 0,
@@ -288,34 +288,34 @@
         ..ProptestConfig::default()
     })]
 
-    /// Three coordinators of different epochs are heard in any order; the newest one knows
-    /// what the store holds, the others what they learned before it was elected.
+    /// Three coordinators of different epochs are heard in any order. The latest one knows the
+    /// state of the store, the others what they had read before it was elected.
     #[test]
-    fn what_a_coordinator_has_announced_is_known_in_time(
-        words in proptest::collection::vec(said(), 20..80),
+    fn announcements_of_the_latest_coordinator_are_applied_in_time(
+        announcements in proptest::collection::vec(arbitrary_announcement(), 20..80),
     ) {
         let coordinators = [FORMER, (3, 5), (2, 6)];
-        let (mut fixture, former) = follower();
+        let (mut fixture, former) = follower_of_former();
         let mut announced = Vec::new();
         let mut version = 5;
-        for word in words {
-            if word.new_version {
+        for announcement in announcements {
+            if announcement.new_version {
                 version += 3;
-                fixture.store.configure(configuration(version));
+                fixture.store.put_configuration(configuration(version));
             }
-            let speaker = coordinators[word.coordinator];
-            let is_newest = word.coordinator == 2;
+            let sender = coordinators[announcement.coordinator];
+            let is_newest = announcement.coordinator == 2;
             let message = Heartbeat {
-                store_serves: is_newest || word.store_serves,
+                store_serves: is_newest || announcement.store_serves,
                 configuration: if is_newest { version } else { former.configuration },
-                ..heartbeat(&fixture, speaker)
+                ..heartbeat(&fixture, sender)
             };
-            hear(&mut fixture, speaker, &message);
+            receive_heartbeat(&mut fixture, sender, &message);
             if is_newest {
                 announced.push((fixture.now, version));
             }
-            fixture.run_until(fixture.now + ms(word.after_ms));
-            let due = fixture.now.saturating_sub(KNOWN_WITHIN);
+            fixture.run_until(fixture.now + ms(announcement.after_ms));
+            let due = fixture.now.saturating_sub(APPLIED_WITHIN);
             let past = announced.iter().filter(|(at, _)| *at <= due);
             let wanted = past.map(|(_, version)| *version).max().unwrap_or(5);
             let known = fixture.node.status().configuration;
--- a/crates/ledgelead-router/tests/node/incomplete.rs
+++ b/crates/ledgelead-router/tests/node/incomplete_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that no instance has received whole.
+//! Requests that no instance has received completely.
 
 use crate::fixture::{Fixture, KEYED, SERVICE, configuration, ms, owned_store};
 use googletest::prelude::*;
@@ -7,8 +7,8 @@
 use ledgelead_router::io::ExchangeFailure;
 use std::sync::Arc;
 
-/// A node with two instances of the service without keys and an owner of all keys;
-/// requests run at most once.
+/// A node with two instances of the service without keys and an owner of all keys. Requests
+/// may run at most once.
 fn node() -> Fixture {
     let mut once = configuration(1);
     for route in &mut once.routes {
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn an_incomplete_request_that_runs_at_most_once_goes_to_another_instance() {
+fn incomplete_once_only_request_is_sent_to_another_instance() {
     let mut fixture = node();
     fixture.upload(SERVICE, None, 60_000);
     end_last(
@@ -59,9 +59,9 @@
     expect_that!(fixture.answers[0].1.status, eq(200));
 }
 
-/// Both instances have received a part of it, which are all that the route allows.
+/// Both instances, as many as the route's attempts allow, have received a part of the request.
 #[gtest]
-fn an_incomplete_request_counts_as_an_attempt_and_is_refused_as_not_run() {
+fn incomplete_request_counts_as_an_attempt_and_is_refused_as_not_run() {
     let mut fixture = node();
     fixture.upload(SERVICE, None, 60_000);
     end_last(
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn an_owner_that_received_a_part_is_asked_again_after_a_pause() {
+fn incomplete_keyed_request_is_retried_at_its_owner_after_a_pause() {
     let mut fixture = node();
     fixture.upload(KEYED, Some(7), 60_000);
     end_last(
@@ -91,21 +91,21 @@
     expect_that!(fixture.answers[0].1.status, eq(200));
 }
 
-/// One that takes its whole time without being sent: its exchange ends like this, before
-/// the node answers by itself at the end of the route's 2 s.
+/// Checks a request that is not sent within all of its time: its exchange ends with this
+/// failure before the node itself answers at the end of the route's 2 s.
 fn check_unsent_in_time(service: &str, key: Option<u16>, end: ExchangeFailure) {
     let mut fixture = node();
     fixture.upload(service, key, 60_000);
-    let asked = fixture.now;
+    let started = fixture.now;
     let exchange = fixture.attempts[0].exchange;
     let options = fixture.attempts[0].options.as_ref();
     let write_timeout = options.and_then(|options| options.write_timeout);
     let write_timeout = write_timeout.expect("a bound");
     expect_that!(write_timeout, all![ge(ms(1_950)), lt(ms(2_000))]);
-    fixture.run_until(asked + write_timeout);
+    fixture.run_until(started + write_timeout);
     expect_that!(fixture.answers, is_empty());
     fixture.end(exchange, Err(end));
-    // Orders of a coordinator go to instances as well.
+    // Orders of a coordinator are sent to instances as well.
     let path = format!("/{service}/1");
     let uploads = fixture.attempts.iter().filter(|sent| sent.target == path);
     expect_that!(uploads.count(), eq(1));
@@ -113,36 +113,36 @@
 }
 
 #[gtest]
-fn a_request_that_could_not_be_written_in_time_is_refused_as_not_sent() {
+fn request_not_written_in_time_is_refused_as_not_sent() {
     let unsent = ExchangeFailure::Incomplete { timed_out: true };
     check_unsent_in_time(SERVICE, None, unsent);
     check_unsent_in_time(KEYED, Some(7), unsent);
 }
 
 #[gtest]
-fn a_connection_that_did_not_come_up_in_time_is_not_sent() {
+fn request_not_connected_in_time_is_refused_as_not_sent() {
     check_unsent_in_time(SERVICE, None, ExchangeFailure::NotConnected);
     check_unsent_in_time(KEYED, Some(7), ExchangeFailure::NotConnected);
 }
 
-/// The client of the last request leaves after some milliseconds: a new connection gets a
-/// part of that, and its end leaves time to say so.
+/// The client waits only a few milliseconds. A new connection gets a part of them, so that
+/// time is left for the refusal.
 #[gtest]
-fn a_request_with_little_time_gets_half_of_it_to_be_sent() {
+fn request_with_little_time_may_use_half_of_it_for_sending() {
     let mut fixture = node();
     fixture.upload_within(SERVICE, None, 0, Some(ms(23)));
     let options = fixture.attempts[0].options.as_ref().expect("an exchange");
-    // Of the 23 ms, 15 are for the answer's way to the client.
+    // Of the 23 ms, 15 are reserved for the answer's way to the client.
     expect_that!(options.write_timeout, some(eq(ms(4))));
     expect_that!(options.connect_timeout, eq(ms(4)));
 }
 
-/// What an earlier attempt may have done stays true.
+/// An earlier attempt may still have run the request.
 #[gtest]
-fn an_incomplete_attempt_does_not_hide_an_earlier_one_that_may_have_run() {
+fn incomplete_attempt_does_not_hide_an_earlier_one_that_may_have_run() {
     let mut fixture = node();
     let idempotent = configuration(1);
-    fixture.store.configure(idempotent);
+    fixture.store.put_configuration(idempotent);
     let mut fixture = Fixture::new(fixture.store);
     fixture.run_until(ms(900));
     fixture.attempts.clear();
@@ -156,7 +156,7 @@
     expect_that!(answer(&fixture), eq(&(502, "answer_lost".to_owned())));
 }
 
-/// Requests that are suspected once an upload has ended like this and its instance then
+/// Number of suspected requests after an upload has failed in this way and its instance then
 /// refuses connections.
 fn suspected_after(failure: ExchangeFailure) -> usize {
     let mut fixture = node();
@@ -164,7 +164,7 @@
     let ended = fixture.attempts[0].address;
     end_last(&mut fixture, failure);
     for _ in 0..20 {
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
         let sent = fixture.attempts.pop().expect("an attempt");
         if sent.address == ended {
             fixture.end(sent.exchange, Err(ExchangeFailure::Refused));
@@ -176,7 +176,7 @@
 }
 
 #[gtest]
-fn the_end_of_an_instance_under_a_part_of_a_request_accuses_nobody() {
+fn instance_end_during_an_incomplete_request_is_no_evidence() {
     expect_that!(suspected_after(ExchangeFailure::Lost), eq(1));
     let incomplete = ExchangeFailure::Incomplete { timed_out: false };
     expect_that!(suspected_after(incomplete), eq(0));
--- a/crates/ledgelead-router/tests/node/leaving.rs
+++ b/crates/ledgelead-router/tests/node/leaving.rs
@@ -1,8 +1,8 @@
-//! What nodes tell each other of instances that have said in answers that they leave.
+//! Exchange of announcements, made by instances in responses, that they are leaving.
 
 use crate::fixture::{
-    Fixture, KEYED, SERVICE, configuration, instance, ms, node_address, owned_store, success,
-    vacant_store,
+    Fixture, KEYED, SERVICE, configuration, instance, ms, node_address, owned_store,
+    store_without_owners, success,
 };
 use googletest::prelude::*;
 use ledgelead_http::Response;
@@ -17,8 +17,8 @@
     response
 }
 
-/// The instances that messages so far have named as leaving, by the hashes of their ids.
-fn told(fixture: &Fixture) -> Vec<u64> {
+/// Hashes of the ids of all instances named as leaving in messages so far.
+fn reported_as_leaving(fixture: &Fixture) -> Vec<u64> {
     let messages = fixture.datagrams.iter().map(|(_, _, message)| message);
     let named = messages.filter_map(|message| match message {
         PeerMessage::Leaving { instances } => Some(instances.iter().map(|entry| entry.of)),
@@ -31,7 +31,7 @@
     instance(number, SERVICE).id.stable_hash()
 }
 
-/// The instance of the next attempt answers this.
+/// Answers the next attempt, and returns the number of its instance.
 fn answer_next(fixture: &mut Fixture, response: Response) -> u8 {
     let sent = fixture.attempts.pop().expect("an attempt");
     fixture.answer(sent.exchange, response);
@@ -40,7 +40,7 @@
         .expect("an instance of the store")
 }
 
-/// A node that follows no coordinator, though the record names node 1.
+/// A node that follows no coordinator, although the record names node 1.
 fn follower() -> Fixture {
     let mut fixture = Fixture::new(owned_store(configuration(1)));
     fixture.run_until(ms(500));
@@ -49,13 +49,13 @@
 }
 
 #[gtest]
-fn the_coordinator_is_told_until_it_announces_it() {
+fn leaving_instance_is_reported_until_the_coordinator_announces_it() {
     let mut fixture = follower();
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     let number = answer_next(&mut fixture, leaving(200));
     fixture.run_until(fixture.now + ms(250));
-    expect_that!(told(&fixture), len(ge(1)));
-    expect_that!(told(&fixture), each(eq(&hash(number))));
+    expect_that!(reported_as_leaving(&fixture), len(ge(1)));
+    expect_that!(reported_as_leaving(&fixture), each(eq(&hash(number))));
     let to: Vec<_> = fixture
         .datagrams
         .iter()
@@ -72,11 +72,11 @@
     fixture.receive(node_address(1), &announced);
     fixture.datagrams.clear();
     fixture.run_until(fixture.now + ms(250));
-    expect_that!(told(&fixture), is_empty());
+    expect_that!(reported_as_leaving(&fixture), is_empty());
 }
 
 #[gtest]
-fn a_node_that_is_told_sends_nothing_new() {
+fn instance_announced_as_leaving_gets_no_new_requests() {
     let mut fixture = follower();
     let announced = PeerMessage::Leaving {
         instances: List(vec![AgedEntry {
@@ -86,37 +86,40 @@
     };
     fixture.receive(node_address(1), &announced);
     for _ in 0..10 {
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
         expect_that!(answer_next(&mut fixture, success()), eq(2));
     }
 }
 
 #[gtest]
-fn a_coordinator_moves_the_keys_of_an_owner_that_says_so_in_an_answer_alone() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    grant_all(&mut fixture);
-    let leaver = fixture.owner_of(7).expect("an owner");
-    fixture.ask(KEYED, Some(7));
+fn coordinator_moves_keys_of_an_owner_that_announces_leaving_in_a_response() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    complete_orders(&mut fixture);
+    let leaving_owner = fixture.owner_of(7).expect("an owner");
+    fixture.request(KEYED, Some(7));
     answer_next(&mut fixture, leaving(200));
     fixture.datagrams.clear();
     for _ in 0..20 {
         fixture.run_until(fixture.now + ms(50));
-        grant_all(&mut fixture);
+        complete_orders(&mut fixture);
     }
-    expect_that!(fixture.owner_of(7), some(not(eq(&leaver))));
-    expect_that!(told(&fixture), contains(eq(&leaver.stable_hash())));
+    expect_that!(fixture.owner_of(7), some(not(eq(&leaving_owner))));
+    expect_that!(
+        reported_as_leaving(&fixture),
+        contains(eq(&leaving_owner.stable_hash()))
+    );
 }
 
-/// Orders that are out are carried out.
-fn grant_all(fixture: &mut Fixture) {
+/// Answers all outstanding orders.
+fn complete_orders(fixture: &mut Fixture) {
     while let Some(sent) = fixture.attempts.pop() {
         fixture.answer(sent.exchange, Response::new(200, ""));
     }
 }
 
 #[gtest]
-fn an_answer_to_an_order_counts() {
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn leaving_notice_in_the_response_to_an_order_counts() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
     let order = fixture.attempts.pop().expect("a grant");
     let number = if order.address == instance(3, KEYED).address {
         3
@@ -126,11 +129,11 @@
     fixture.answer(order.exchange, leaving(200));
     fixture.datagrams.clear();
     fixture.run_until(fixture.now + ms(250));
-    expect_that!(told(&fixture), contains(eq(&hash(number))));
+    expect_that!(reported_as_leaving(&fixture), contains(eq(&hash(number))));
 }
 
 #[gtest]
-fn failures_and_rejections_count_and_what_another_instance_says_does_not() {
+fn notices_in_failures_and_rejections_count_but_not_of_other_instances() {
     for (status, from, counts) in [
         (500, "i-3", true),
         (421, "i-3", true),
@@ -138,30 +141,30 @@
         (421, "i-9", false),
     ] {
         let mut fixture = follower();
-        fixture.ask(KEYED, Some(7));
+        fixture.request(KEYED, Some(7));
         let mut response = leaving(status);
         response.headers.push("instance", from);
         response.headers.push("not-executed", "1");
         answer_next(&mut fixture, response);
         fixture.run_until(fixture.now + ms(250));
         let expected = InstanceId::from("i-3").stable_hash();
-        let is_told = told(&fixture).contains(&expected);
-        expect_that!(is_told, eq(counts), "{status} from {from}");
+        let is_reported = reported_as_leaving(&fixture).contains(&expected);
+        expect_that!(is_reported, eq(counts), "{status} from {from}");
     }
 }
 
 #[gtest]
-fn callers_are_refused_at_once_while_nobody_can_own_the_keys_of_a_leaving_owner() {
+fn callers_are_refused_immediately_while_keys_of_a_leaving_owner_cannot_move() {
     let mut fixture = follower();
-    fixture.store.refuses = true;
+    fixture.store.refuses_calls = true;
     fixture.run_until(ms(4_000));
     fixture.attempts.clear();
-    fixture.ask(KEYED, Some(7));
+    fixture.request(KEYED, Some(7));
     answer_next(&mut fixture, leaving(200));
     fixture.run_until(fixture.now + ms(2_000));
     fixture.attempts.clear();
     fixture.answers.clear();
-    fixture.ask(KEYED, Some(7));
+    fixture.request(KEYED, Some(7));
     let (_, response) = fixture.answers.pop().expect("an answer at once");
     expect_that!(response.status, eq(503));
     expect_that!(response.body.as_slice(), eq(b"owner_left"));
--- a/crates/ledgelead-router/tests/node/main.rs
+++ b/crates/ledgelead-router/tests/node/main.rs
@@ -1,30 +1,30 @@
-//! Whole nodes against a store and peers that a test plays.
+//! Tests of a complete node with a simulated store and simulated peers.
 
+mod arbitrary_input;
 mod configuration;
-mod crashing;
-mod eras;
+mod crashing_requests;
 mod evacuation;
 mod fixture;
-mod foreign;
 mod former_coordinator;
-mod hostile;
-mod incomplete;
+mod incomplete_requests;
 mod leaving;
-mod notices;
 mod open_requests;
-mod outage;
 mod overload;
 mod permits;
 mod placement;
 mod rate_limits;
 mod registration;
 mod rejections;
-mod review;
+mod response_notices;
+mod slow_attempts;
 mod snapshot;
-mod split;
-mod starting;
+mod split_routes;
+mod startup;
+mod store_eras;
+mod store_outage;
 #[path = "../support/mod.rs"]
 mod support;
 mod transfer;
+mod unreadable_objects;
 mod zone_relay;
 mod zone_traffic;
--- a/crates/ledgelead-router/tests/node/open_requests.rs
+++ b/crates/ledgelead-router/tests/node/open_requests.rs
@@ -1,4 +1,4 @@
-//! In-flight counts among the nodes of a zone.
+//! Sharing of open request counts among the nodes of a zone.
 
 use crate::fixture::{Fixture, SERVICE, Store, configuration, instance, ms, node_address};
 use crate::fixture::{node_record, success};
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A node with this many peers in its zone that has taken one request each
-/// 20 ms for five seconds, each answered after 30 ms.
+/// A node with this many peers in its zone that has received a request every 20 ms for five
+/// seconds, each answered after 30 ms.
 fn busy_node(peers: u8, load: Option<&str>) -> Fixture {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 0..6 {
         store.add_instance(instance(number, SERVICE));
     }
@@ -26,13 +26,13 @@
     fixture.run_until(ms(200));
     for _ in 0..250 {
         fixture.run_until(fixture.now + ms(20));
-        fixture.ask(SERVICE, None);
-        answer_old(&mut fixture, load);
+        fixture.request(SERVICE, None);
+        answer_due_attempts(&mut fixture, load);
     }
     fixture
 }
 
-fn answer_old(fixture: &mut Fixture, load: Option<&str>) {
+fn answer_due_attempts(fixture: &mut Fixture, load: Option<&str>) {
     while let Some(oldest) = fixture.attempts.first() {
         if oldest.at + ms(30) > fixture.now {
             return;
@@ -47,26 +47,26 @@
 }
 
 #[gtest]
-fn counts_are_shared_at_once_in_a_small_zone() {
+fn counts_are_shared_promptly_in_a_small_zone() {
     let fixture = busy_node(3, Some("1,0,4"));
-    // 250 requests begin and end; a batch each 30 ms holds what changed.
+    // 250 requests start and end; a batch every 30 ms contains the changes.
     expect_that!(fixture.sent("open_requests") / 3, all!(gt(100), lt(200)));
 }
 
 #[gtest]
-fn datagrams_with_counts_do_not_grow_with_the_zone() {
+fn count_datagrams_do_not_grow_with_the_zone() {
     let small = busy_node(8, None).sent("open_requests");
     let large = busy_node(100, None).sent("open_requests");
-    // At most 100 a second, and what is announced again each 700 ms.
+    // At most 100 per second, plus the refreshes every 700 ms.
     expect_that!(small, le(600));
     expect_that!(large, le(600 + 100 * 8));
 }
 
-/// A node with this many peers in its zone, of which node 1 is the strongest and
-/// node 2 the next, after some time in which it has taken requests.
+/// A node with this many peers in its zone, after it has received requests for some seconds.
+/// Node 1 has the largest CPU share and node 2 the next.
 fn node_with_hub(peers: u8, seconds: u64, mut each: impl FnMut(&mut Fixture)) -> Fixture {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 0..6 {
         store.add_instance(instance(number, SERVICE));
     }
@@ -83,14 +83,14 @@
     fixture.run_until(ms(200));
     for _ in 0..seconds * 50 {
         fixture.run_until(fixture.now + ms(20));
-        fixture.ask(SERVICE, None);
-        answer_old(&mut fixture, Some("1,0,4"));
+        fixture.request(SERVICE, None);
+        answer_due_attempts(&mut fixture, Some("1,0,4"));
         each(&mut fixture);
     }
     fixture
 }
 
-/// Who has got counts, and when last.
+/// Receivers of counts, with the time of their last message.
 fn receivers_of_counts(fixture: &Fixture) -> BTreeMap<SocketAddr, Duration> {
     let counts = fixture
         .datagrams
@@ -114,12 +114,12 @@
 }
 
 #[gtest]
-fn a_large_zone_sends_its_counts_to_one_node() {
+fn large_zone_sends_counts_only_to_its_hub() {
     let hub = node_address(1);
     let fixture = node_with_hub(100, 5, |fixture| {
         fixture.receive(hub, &digest(1, 0));
     });
-    // Ten a second, and what is announced again each 700 ms.
+    // Ten per second, plus the refreshes every 700 ms.
     expect_that!(fixture.sent("open_requests"), all!(gt(30), le(60)));
     let receivers = receivers_of_counts(&fixture);
     expect_that!(
@@ -129,7 +129,7 @@
 }
 
 #[gtest]
-fn a_node_without_digests_turns_to_the_next_candidate() {
+fn node_without_digests_switches_to_the_next_hub() {
     let fixture = node_with_hub(100, 3, |_| {});
     let receivers = receivers_of_counts(&fixture);
     expect_that!(receivers.contains_key(&node_address(1)), eq(true));
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn whoever_gets_counts_answers_with_their_sums() {
+fn node_that_receives_counts_sends_digests() {
     let reporters = [node_address(5), node_address(6)];
     let counted = InstanceId::from("i-1").stable_hash();
     let mut fixture = node_with_hub(40, 1, |_| {});
@@ -181,7 +181,7 @@
 }
 
 #[gtest]
-fn a_digest_tells_what_the_others_have_open() {
+fn digest_shows_open_requests_of_other_nodes() {
     let hub = node_address(1);
     let mut fixture = node_with_hub(100, 1, |fixture| {
         fixture.receive(hub, &digest(1, 0));
@@ -193,7 +193,7 @@
     }
     for _ in 0..8 {
         fixture.attempts.clear();
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
         expect_that!(
             fixture.attempts[0].address,
             eq(instance(5, SERVICE).address)
@@ -202,7 +202,7 @@
     }
 }
 
-/// Sums for other zones that a hub has sent by now: instances, and bytes.
+/// Number of sums that a hub has sent to the other zone so far, and of the messages with them.
 fn sums_sent(fixture: &Fixture) -> (usize, usize) {
     let sums = fixture
         .datagrams
@@ -217,9 +217,9 @@
 }
 
 #[gtest]
-fn other_zones_are_sent_what_has_changed() {
+fn other_zones_are_sent_changed_sums() {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 0..6 {
         store.add_instance(instance(number, SERVICE));
     }
@@ -251,7 +251,7 @@
         fixture.receive(node_address(5), &open(8, 1));
         fixture.run_until(fixture.now + ms(200));
     }
-    // Two at first, and two again each 1.2 s.
+    // Two entries at first, and two again every 1.2 s.
     let (entries, messages) = sums_sent(&fixture);
     expect_that!(entries, all!(ge(6), le(12)));
     expect_that!(messages, le(5));
--- a/crates/ledgelead-router/tests/node/overload.rs
+++ b/crates/ledgelead-router/tests/node/overload.rs
@@ -1,4 +1,4 @@
-//! Keys that are asked for more often than their owner can work.
+//! Keys with more requests than their owner can process.
 
 use crate::fixture::{
     Fixture, KEYED, SERVICE, Store, all_keys_of, configuration, instance, ms, node_address,
@@ -16,16 +16,16 @@
 const COORDINATOR: u8 = 1;
 const HOT: u16 = 700;
 
-/// A node whose coordinator says that a tenth of the requests for one key can
-/// be served.
+/// A node whose coordinator announces that a tenth of the requests for one key can be
+/// admitted.
 fn node() -> Fixture {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, KEYED));
     for number in 0..3 {
         store.add_node(node_record(number));
     }
-    store.own(all_keys_of("i-1", COORDINATOR));
+    store.put_ownership(all_keys_of("i-1", COORDINATOR));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(100));
     announce(&mut fixture, Some(100));
@@ -57,15 +57,15 @@
     fixture.receive(node_address(COORDINATOR), &message);
 }
 
-/// How many of 400 requests for a key reach its owner; the others are refused at
-/// once as not run.
-fn reaching(fixture: &mut Fixture, key: u16) -> usize {
+/// How many of 400 requests for a key reach its owner. The others are refused immediately as
+/// not run.
+fn count_admitted(fixture: &mut Fixture, key: u16) -> usize {
     fixture.attempts.clear();
     fixture.answers.clear();
     for _ in 0..400 {
-        let client = fixture.ask(KEYED, Some(key));
+        let client = fixture.request(KEYED, Some(key));
         if let Some(sent) = fixture.attempts.last() {
-            // The owner has answered before the next one comes.
+            // The owner answers before the next request arrives.
             let mut response = success();
             response.headers.push("load", "1,0,4");
             let exchange = sent.exchange;
@@ -91,24 +91,24 @@
 }
 
 #[gtest]
-fn the_share_that_an_owner_can_work_on_is_admitted() {
+fn only_the_admitted_share_of_an_overloaded_key_reaches_its_owner() {
     let mut fixture = node();
-    expect_that!(reaching(&mut fixture, HOT), all!(ge(20), le(70)));
-    expect_that!(reaching(&mut fixture, HOT + 1), eq(400));
+    expect_that!(count_admitted(&mut fixture, HOT), all!(ge(20), le(70)));
+    expect_that!(count_admitted(&mut fixture, HOT + 1), eq(400));
 }
 
 #[gtest]
-fn all_is_admitted_once_the_coordinator_says_so_or_is_silent() {
+fn all_requests_are_admitted_once_the_coordinator_says_so_or_is_silent() {
     let mut fixture = node();
     announce(&mut fixture, None);
-    expect_that!(reaching(&mut fixture, HOT), eq(400));
+    expect_that!(count_admitted(&mut fixture, HOT), eq(400));
     let mut fixture = node();
     fixture.run_until(fixture.now + ms(800));
-    expect_that!(reaching(&mut fixture, HOT), eq(400));
+    expect_that!(count_admitted(&mut fixture, HOT), eq(400));
 }
 
-/// Reports of a node that sees 300 requests a second for the hot key, and some
-/// for others; the owner answers 40 a second with all of its slots taken.
+/// Receives the report of a node with 300 requests per second for the hot key and a few for
+/// others. The owner answers 40 per second with all slots in use.
 fn report(fixture: &mut Fixture, owner: &InstanceId) {
     let mut keys = vec![HOT; 15];
     keys.push(HOT + 900);
@@ -139,8 +139,8 @@
     last.expect("a heartbeat")
 }
 
-/// Lets the instances carry out what they are asked, and time pass.
-fn pass(fixture: &mut Fixture) {
+/// Answers all outstanding orders, and advances the time.
+fn complete_orders(fixture: &mut Fixture) {
     for order in std::mem::take(&mut fixture.attempts) {
         fixture.answer(order.exchange, ledgelead_http::Response::new(200, ""));
     }
@@ -148,9 +148,9 @@
 }
 
 #[gtest]
-fn a_coordinator_announces_what_a_single_key_is_asked_for_too_much() {
+fn coordinator_announces_an_overloaded_key() {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 1..5 {
         store.add_instance(instance(number, KEYED));
     }
@@ -159,28 +159,28 @@
     }
     let mut fixture = Fixture::new(store);
     for _ in 0..200 {
-        pass(&mut fixture);
+        complete_orders(&mut fixture);
     }
     assert!(fixture.node.coordinator().is_some());
     expect_that!(last_overloads(&fixture), is_empty());
     for _ in 0..160 {
         let owner = fixture.owner_of(HOT).expect("an owner");
         report(&mut fixture, &owner);
-        pass(&mut fixture);
+        complete_orders(&mut fixture);
     }
     let announced = last_overloads(&fixture);
     expect_that!(announced.len(), eq(1));
     expect_that!(announced[0].key, eq(HOT));
-    // 1.1 times 40 of 300 requests a second, less what other keys take.
+    // 1.1 times 40 of 300 requests per second, less the share of other keys.
     expect_that!(announced[0].admitted_permille, all!(ge(50), le(180)));
     for _ in 0..60 {
-        pass(&mut fixture);
+        complete_orders(&mut fixture);
     }
     expect_that!(last_overloads(&fixture), is_empty());
 }
 
-/// A digest of the only instance without keys: what is open there, and its work for a
-/// request in milliseconds.
+/// Receives a digest about the only instance without keys, with its open requests and its
+/// service time in milliseconds.
 fn digest(fixture: &mut Fixture, open: u16, service_ms: u16) {
     let entry = DigestEntry {
         instance: instance(1, SERVICE).id.stable_hash(),
@@ -196,17 +196,17 @@
     fixture.receive(node_address(1), &message);
 }
 
-/// A node whose only instance without keys works 330 ms on a request and has a queue.
+/// A node whose only instance without keys has a service time of 330 ms and a queue.
 fn node_with_full_instance() -> Fixture {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
     store.add_node(node_record(0));
     store.add_node(node_record(1));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(900));
     for _ in 0..4 {
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
     }
     fixture.run_until(fixture.now + ms(500));
     for sent in std::mem::take(&mut fixture.attempts) {
@@ -219,7 +219,7 @@
     fixture
 }
 
-/// Seconds until a refused client may come back.
+/// Seconds after which a refused client may retry.
 fn retry_after(fixture: &Fixture) -> f64 {
     let (_, response) = fixture.answers.last().expect("an answer");
     expect_that!(response.status, eq(503));
@@ -228,37 +228,38 @@
 }
 
 #[gtest]
-fn what_can_not_be_answered_in_time_waits_a_little_and_is_refused() {
+fn request_that_cannot_be_answered_in_time_waits_briefly_and_is_refused() {
     let mut fixture = node_with_full_instance();
     digest(&mut fixture, 6, 330);
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     expect_that!(fixture.attempts, is_empty());
     expect_that!(fixture.answers, is_empty());
     fixture.run_until(fixture.now + ms(100));
     let first = retry_after(&fixture);
     expect_that!(first, all!(ge(0.15), lt(1.0)));
-    // Where nearly all are refused, callers come back later.
+    // If nearly all requests are refused, callers are told to retry later.
     digest(&mut fixture, 6, 330);
     for _ in 0..60 {
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
     }
     fixture.run_until(fixture.now + ms(100));
     expect_that!(fixture.attempts, is_empty());
     expect_that!(retry_after(&fixture), all!(ge(0.8), gt(first)));
-    // Without digests, requests show anew how the instance is.
+    // Without digests, requests are sent to find out the state of the instance.
     fixture.run_until(fixture.now + ms(750));
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     expect_that!(fixture.attempts.len(), eq(1));
 }
 
 #[gtest]
-fn a_digest_admits_less_than_exact_counts() {
+fn digest_admits_fewer_requests_than_exact_counts() {
     let mut fixture = node_with_full_instance();
-    // By its own word 583 ms of the 400 to the target; by the digest as many.
-    fixture.ask(SERVICE, None);
+    // 583 ms by the instance's own report, beyond the target of 400 ms; the digest allows as
+    // many.
+    fixture.request(SERVICE, None);
     expect_that!(fixture.attempts, is_empty());
     // 300 ms are within the target, but not within six tenths of it.
     digest(&mut fixture, 5, 200);
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     expect_that!(fixture.attempts, is_empty());
 }
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -19,7 +19,7 @@
 
 const KEY: u16 = 700;
 
-/// For each service a second route that is more urgent.
+/// A configuration with a second, more urgent route for each service.
 fn contended() -> Configuration {
     let mut configuration = configuration(1);
     let urgent = |route: &Arc<Route>| {
@@ -37,17 +37,17 @@
 
 fn store(configuration: Configuration, nodes: u8) -> Store {
     let mut store = Store::default();
-    store.configure(configuration);
+    store.put_configuration(configuration);
     store.add_instance(instance(1, KEYED));
     store.add_instance(instance(2, SERVICE));
     for number in 0..nodes {
         store.add_node(node_record(number));
     }
-    store.own(all_keys_of("i-1", 1));
+    store.put_ownership(all_keys_of("i-1", 1));
     store
 }
 
-fn follow_digest(fixture: &mut Fixture) {
+fn receive_digest(fixture: &mut Fixture) {
     let digest = PeerMessage::LoadDigest {
         zones: 1,
         rest_limit_ms: 0,
@@ -56,7 +56,7 @@
     fixture.receive(node_address(1), &digest);
 }
 
-/// A node that hears digests, and two stronger ones that it asks for permits.
+/// A node that receives digests, and two nodes with larger CPU shares as its dispatchers.
 fn node(configuration: Configuration) -> Fixture {
     let mut store = store(configuration, 0);
     for number in 1..3 {
@@ -67,26 +67,26 @@
     }
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(100));
-    follow_digest(&mut fixture);
+    receive_digest(&mut fixture);
     fixture.datagrams.clear();
     fixture
 }
 
-/// The last ask that was sent, and to whom.
-fn last_ask(fixture: &Fixture) -> (SocketAddr, PermitAskEntry) {
-    let asks = fixture.datagrams.iter().rev();
-    let mut asks = asks.filter_map(|(_, to, message)| match message {
-        PeerMessage::PermitAsk(ask) => Some((*to, *ask)),
+/// The last permit request sent, and its receiver.
+fn last_permit_request(fixture: &Fixture) -> (SocketAddr, PermitAskEntry) {
+    let requests = fixture.datagrams.iter().rev();
+    let mut requests = requests.filter_map(|(_, to, message)| match message {
+        PeerMessage::PermitAsk(request) => Some((*to, *request)),
         _ => None,
     });
-    asks.next().expect("an ask")
+    requests.next().expect("a permit request")
 }
 
 fn decide(fixture: &mut Fixture, verdict: PermitVerdict, number: u8) {
-    let (dispatcher, ask) = last_ask(fixture);
+    let (dispatcher, request) = last_permit_request(fixture);
     let message = PeerMessage::PermitDecision {
-        number: ask.number,
-        queue: ask.queue,
+        number: request.number,
+        queue: request.queue,
         verdict,
         server: instance(number, KEYED).id.stable_hash(),
         return_ms: 700,
@@ -110,9 +110,9 @@
 }
 
 #[gtest]
-fn a_request_is_sent_by_its_permit_which_comes_back_with_the_time_that_it_took() {
+fn granted_permit_sends_the_request_and_returns_with_its_duration() {
     let mut fixture = node(contended());
-    fixture.ask(KEYED, Some(KEY));
+    fixture.request(KEYED, Some(KEY));
     expect_that!(fixture.attempts, is_empty());
     decide(&mut fixture, PermitVerdict::Queued, 1);
     expect_that!(fixture.attempts, is_empty());
@@ -134,26 +134,26 @@
 }
 
 #[gtest]
-fn routes_that_do_not_compete_need_no_permit() {
+fn routes_without_competition_need_no_permit() {
     let mut fixture = node(configuration(1));
-    fixture.ask(KEYED, Some(KEY));
-    fixture.ask(SERVICE, None);
+    fixture.request(KEYED, Some(KEY));
+    fixture.request(SERVICE, None);
     expect_that!(fixture.attempts.len(), eq(2));
     expect_that!(fixture.sent("permit_ask"), eq(0));
 }
 
 #[gtest]
-fn nodes_that_hear_no_digest_need_no_permit() {
+fn node_without_digests_needs_no_permit() {
     let mut fixture = node(contended());
     fixture.run_until(fixture.now + ms(800));
-    fixture.ask(KEYED, Some(KEY));
+    fixture.request(KEYED, Some(KEY));
     expect_that!(fixture.attempts.len(), eq(1));
 }
 
 #[gtest]
-fn a_refused_caller_is_told_at_once_when_to_come_back() {
+fn refused_caller_is_told_immediately_when_to_retry() {
     let mut fixture = node(contended());
-    let client = fixture.ask(KEYED, Some(KEY));
+    let client = fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Refused, 1);
     let response = answered(&fixture, client).expect("an answer");
     expect_that!(response.status, eq(503));
@@ -164,47 +164,47 @@
 }
 
 #[gtest]
-fn a_silent_dispatcher_costs_half_of_the_target_at_most() {
+fn silent_dispatcher_delays_a_request_by_at_most_half_of_its_target() {
     let mut fixture = node(contended());
-    fixture.ask(KEYED, Some(KEY));
-    let (first, ask) = last_ask(&fixture);
-    // A lost datagram is repeated.
+    fixture.request(KEYED, Some(KEY));
+    let (first, request) = last_permit_request(&fixture);
+    // A request whose datagram may be lost is repeated.
     fixture.run_until(fixture.now + ms(101));
     expect_that!(fixture.sent("permit_ask"), eq(2));
-    expect_that!(last_ask(&fixture), eq((first, ask)));
+    expect_that!(last_permit_request(&fixture), eq((first, request)));
     expect_that!(fixture.attempts, is_empty());
     fixture.run_until(fixture.now + ms(100));
     expect_that!(fixture.attempts.len(), eq(1));
-    // For a second the other candidate is asked, and no request waits for the first.
-    fixture.ask(KEYED, Some(KEY + 1));
-    let (second, _) = last_ask(&fixture);
+    // For a second the other candidate is asked, and no request waits for the first one.
+    fixture.request(KEYED, Some(KEY + 1));
+    let (second, _) = last_permit_request(&fixture);
     expect_that!(second, not(eq(first)));
     fixture.run_until(fixture.now + ms(201));
     expect_that!(fixture.attempts.len(), eq(2));
-    fixture.ask(KEYED, Some(KEY + 2));
+    fixture.request(KEYED, Some(KEY + 2));
     expect_that!(fixture.attempts.len(), eq(3));
 }
 
 #[gtest]
-fn a_dispatcher_that_answers_others_is_not_lost() {
+fn dispatcher_that_answers_other_requests_is_not_considered_lost() {
     let mut fixture = node(contended());
-    fixture.ask(KEYED, Some(KEY));
-    let (first, _) = last_ask(&fixture);
+    fixture.request(KEYED, Some(KEY));
+    let (first, _) = last_permit_request(&fixture);
     fixture.run_until(fixture.now + ms(90));
-    fixture.ask(KEYED, Some(KEY + 1));
+    fixture.request(KEYED, Some(KEY + 1));
     decide(&mut fixture, PermitVerdict::Queued, 1);
     fixture.run_until(fixture.now + ms(111));
-    // The first went on without; the next one is asked for at the same dispatcher.
+    // The first request continued without a permit; the next one asks the same dispatcher.
     expect_that!(fixture.attempts.len(), eq(1));
-    fixture.ask(KEYED, Some(KEY + 2));
-    let (same, _) = last_ask(&fixture);
+    fixture.request(KEYED, Some(KEY + 2));
+    let (same, _) = last_permit_request(&fixture);
     expect_that!(same, eq(first));
 }
 
 #[gtest]
-fn a_dispatcher_that_is_lost_with_a_queue_holds_nobody_beyond_its_target() {
+fn dispatcher_lost_with_its_queue_delays_no_request_beyond_its_target() {
     let mut fixture = node(contended());
-    let client = fixture.ask(KEYED, Some(KEY));
+    let client = fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Queued, 1);
     fixture.run_until(fixture.now + ms(399));
     expect_that!(fixture.attempts, is_empty());
@@ -214,41 +214,41 @@
 }
 
 #[gtest]
-fn requests_go_without_while_answers_are_slow() {
+fn requests_need_no_permit_while_decisions_are_slow() {
     let mut fixture = node(contended());
     for number in 0..8 {
-        fixture.ask(KEYED, Some(KEY + number));
+        fixture.request(KEYED, Some(KEY + number));
         fixture.now += ms(60);
         decide(&mut fixture, PermitVerdict::Granted, 1);
     }
     fixture.attempts.clear();
-    let asked = fixture.sent("permit_ask");
-    fixture.ask(KEYED, Some(KEY));
+    let requests_before = fixture.sent("permit_ask");
+    fixture.request(KEYED, Some(KEY));
     expect_that!(fixture.attempts.len(), eq(1));
-    expect_that!(fixture.sent("permit_ask"), eq(asked));
-    // Now and then one finds out.
+    expect_that!(fixture.sent("permit_ask"), eq(requests_before));
+    // Occasional requests ask for a permit and find that decisions are fast again.
     for number in 0..12 {
         fixture.run_until(fixture.now + ms(201));
-        follow_digest(&mut fixture);
-        fixture.ask(KEYED, Some(KEY + number));
+        receive_digest(&mut fixture);
+        fixture.request(KEYED, Some(KEY + number));
         decide(&mut fixture, PermitVerdict::Granted, 1);
     }
-    expect_that!(fixture.sent("permit_ask"), gt(asked));
+    expect_that!(fixture.sent("permit_ask"), gt(requests_before));
     fixture.attempts.clear();
-    fixture.ask(KEYED, Some(KEY));
+    fixture.request(KEYED, Some(KEY));
     expect_that!(fixture.attempts, is_empty());
 }
 
 #[gtest]
-fn a_permit_that_comes_too_late_goes_back() {
+fn late_permit_is_returned() {
     let mut fixture = node(contended());
-    fixture.ask(KEYED, Some(KEY));
-    let (dispatcher, ask) = last_ask(&fixture);
+    fixture.request(KEYED, Some(KEY));
+    let (dispatcher, request) = last_permit_request(&fixture);
     fixture.run_until(fixture.now + ms(201));
     fixture.datagrams.clear();
     let message = PeerMessage::PermitDecision {
-        number: ask.number,
-        queue: ask.queue,
+        number: request.number,
+        queue: request.queue,
         verdict: PermitVerdict::Granted,
         server: instance(1, KEYED).id.stable_hash(),
         return_ms: 0,
@@ -259,22 +259,22 @@
 }
 
 #[gtest]
-fn a_client_that_leaves_returns_its_permit() {
+fn disconnected_client_returns_its_permit() {
     let mut fixture = node(contended());
-    let client = fixture.ask(KEYED, Some(KEY));
+    let client = fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Queued, 1);
     fixture.step(Input::ClientLeft { client });
     expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
-    let client = fixture.ask(KEYED, Some(KEY));
+    let client = fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Granted, 1);
     fixture.step(Input::ClientLeft { client });
     expect_that!(returns(&fixture)[1], eq(PermitEnd::NoSample));
 }
 
 #[gtest]
-fn an_attempt_that_was_never_sent_frees_its_place_without_a_sample() {
+fn unsent_attempt_returns_its_permit_without_a_sample() {
     let mut fixture = node(contended());
-    fixture.ask(KEYED, Some(KEY));
+    fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Granted, 1);
     let exchange = fixture.attempts[0].exchange;
     fixture.end(exchange, Err(ExchangeFailure::NotConnected));
@@ -282,9 +282,9 @@
 }
 
 #[gtest]
-fn an_instance_that_fails_has_not_shown_how_fast_it_works() {
+fn failed_attempt_returns_its_permit_as_failed() {
     let mut fixture = node(contended());
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     decide(&mut fixture, PermitVerdict::Granted, 2);
     let exchange = fixture.attempts[0].exchange;
     fixture.now += ms(3);
@@ -295,11 +295,11 @@
 }
 
 #[gtest]
-fn a_permit_of_a_pool_names_the_instance() {
+fn pool_permit_names_the_instance() {
     let mut fixture = node(contended());
-    fixture.ask(SERVICE, None);
-    let (_, ask) = last_ask(&fixture);
-    expect_that!(ask.is_pool, eq(true));
+    fixture.request(SERVICE, None);
+    let (_, request) = last_permit_request(&fixture);
+    expect_that!(request.is_pool, eq(true));
     decide(&mut fixture, PermitVerdict::Granted, 2);
     expect_that!(fixture.attempts.len(), eq(1));
     expect_that!(
@@ -309,31 +309,31 @@
 }
 
 #[gtest]
-fn a_request_whose_instance_has_left_goes_on_without_a_permit() {
+fn request_with_a_permit_for_an_unknown_instance_continues_without_it() {
     let mut fixture = node(contended());
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     decide(&mut fixture, PermitVerdict::Granted, 7);
     expect_that!(fixture.attempts.len(), eq(1));
     expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
     expect_that!(fixture.sent("permit_ask"), eq(1));
 }
 
-/// A node that is the only one, and so its own dispatcher.
+/// The only node, which is its own dispatcher.
 fn dispatcher() -> Fixture {
     let mut fixture = Fixture::new(store(contended(), 1));
     fixture.run_until(ms(100));
-    follow_digest(&mut fixture);
+    receive_digest(&mut fixture);
     fixture
 }
 
 #[gtest]
-fn a_node_that_is_its_own_dispatcher_sends_no_datagrams() {
+fn node_that_is_its_own_dispatcher_sends_no_datagrams() {
     let mut fixture = dispatcher();
     for _ in 0..4 {
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
     }
     expect_that!(fixture.attempts.len(), eq(4));
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     expect_that!(fixture.attempts.len(), eq(4));
     expect_that!(fixture.node.status().dispatch_waiting, eq(1));
     let exchange = fixture.attempts[0].exchange;
@@ -342,7 +342,7 @@
     expect_that!(fixture.sent("permit_ask"), eq(0));
 }
 
-fn ask_of(number: u64, urgency: u8) -> PeerMessage {
+fn permit_request(number: u64, urgency: u8) -> PeerMessage {
     PeerMessage::PermitAsk(PermitAskEntry {
         number,
         queue: instance(1, KEYED).id.stable_hash(),
@@ -369,15 +369,15 @@
 }
 
 #[gtest]
-fn a_dispatcher_hands_permits_to_other_nodes_in_the_order_of_urgency() {
+fn dispatcher_grants_permits_to_other_nodes_by_urgency() {
     let mut fixture = dispatcher();
     fixture.datagrams.clear();
-    let asker = node_address(5);
+    let requester = node_address(5);
     for number in 0..5 {
-        fixture.receive(asker, &ask_of(number, 1));
+        fixture.receive(requester, &permit_request(number, 1));
     }
-    fixture.receive(asker, &ask_of(5, 1));
-    fixture.receive(asker, &ask_of(6, 0));
+    fixture.receive(requester, &permit_request(5, 1));
+    fixture.receive(requester, &permit_request(6, 0));
     let decided = verdicts(&fixture);
     expect_that!(decided[4], eq((4, PermitVerdict::Granted)));
     expect_that!(decided[5], eq((5, PermitVerdict::Queued)));
@@ -389,19 +389,19 @@
         took_ms: 60,
         load: None,
     };
-    fixture.receive(asker, &message);
+    fixture.receive(requester, &message);
     expect_that!(verdicts(&fixture)[7], eq((6, PermitVerdict::Granted)));
-    // The other is told before it would be late.
+    // The other request is decided before it would be late.
     fixture.run_until(fixture.now + Duration::from_millis(400));
     expect_that!(verdicts(&fixture)[8].0, eq(5));
 }
 
 #[gtest]
-fn a_dispatcher_that_stops_declines() {
+fn stopping_dispatcher_declines() {
     let mut fixture = dispatcher();
     fixture.step(Input::Stop);
     fixture.datagrams.clear();
-    fixture.receive(node_address(5), &ask_of(1, 1));
+    fixture.receive(node_address(5), &permit_request(1, 1));
     expect_that!(
         verdicts(&fixture),
         elements_are![eq(&(1, PermitVerdict::Stops))]
@@ -409,10 +409,10 @@
 }
 
 #[gtest]
-fn a_decision_after_the_grant_is_ignored() {
+fn decision_after_the_grant_is_ignored() {
     let mut fixture = node(contended());
-    // The owner is not there for the moment, so that the permit is kept.
-    fixture.ask(KEYED, Some(KEY));
+    // The owner is not available at the moment, so that the permit is kept.
+    fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Granted, 1);
     decide(&mut fixture, PermitVerdict::Refused, 1);
     decide(&mut fixture, PermitVerdict::Queued, 1);
@@ -421,13 +421,13 @@
 }
 
 #[gtest]
-fn a_decision_of_a_node_that_was_not_asked_is_ignored() {
+fn decision_of_a_node_that_was_not_asked_is_ignored() {
     let mut fixture = node(contended());
-    fixture.ask(KEYED, Some(KEY));
-    let (_, ask) = last_ask(&fixture);
+    fixture.request(KEYED, Some(KEY));
+    let (_, request) = last_permit_request(&fixture);
     let message = PeerMessage::PermitDecision {
-        number: ask.number,
-        queue: ask.queue,
+        number: request.number,
+        queue: request.queue,
         verdict: PermitVerdict::Refused,
         server: 0,
         return_ms: 700,
@@ -437,13 +437,16 @@
 }
 
 #[gtest]
-fn an_owner_that_a_dispatcher_does_not_know_is_left_to_others() {
+fn dispatcher_declines_an_unknown_queue() {
     let mut fixture = dispatcher();
     fixture.datagrams.clear();
-    let PeerMessage::PermitAsk(ask) = ask_of(1, 1) else {
+    let PeerMessage::PermitAsk(request) = permit_request(1, 1) else {
         return;
     };
-    let message = PeerMessage::PermitAsk(PermitAskEntry { queue: 77, ..ask });
+    let message = PeerMessage::PermitAsk(PermitAskEntry {
+        queue: 77,
+        ..request
+    });
     fixture.receive(node_address(5), &message);
     expect_that!(
         verdicts(&fixture),
@@ -451,9 +454,9 @@
     );
 }
 
-/// What `docs/design/dispatch.md` says of the messages' sizes.
+/// The sizes documented in `docs/design/dispatch.md`.
 #[gtest]
-fn messages_of_permits_keep_their_sizes() {
+fn permit_messages_have_their_documented_sizes() {
     const HEADERS_OF_UDP_AND_IP: usize = 28;
     let size = |message: &PeerMessage| encode(message).bytes.len() + HEADERS_OF_UDP_AND_IP;
     let decision = PeerMessage::PermitDecision {
@@ -470,7 +473,7 @@
         took_ms: 70,
         load: Some((1, 0)),
     };
-    expect_that!(size(&ask_of(1, 1)), eq(77));
+    expect_that!(size(&permit_request(1, 1)), eq(77));
     expect_that!(size(&decision), eq(58));
     expect_that!(size(&returned), eq(53));
 }
--- a/crates/ledgelead-router/tests/node/rate_limits.rs
+++ b/crates/ledgelead-router/tests/node/rate_limits.rs
@@ -1,10 +1,11 @@
-//! Instances that name a rate limit in their answers, which binds all nodes together.
+//! Rate limits that instances announce in responses, which apply to all nodes together.
 //!
-//! No node read it: an owner of keys that named 1.7 a second went on getting 7 to 10.
+//! Without them, an owner of keys that allowed 1.7 requests per second continued to receive 7
+//! to 10.
 
 use crate::fixture::{
     Fixture, KEYED, SERVICE, Sent, Store, all_keys_of, configuration, instance, ms, node_address,
-    node_record, owned_store, success, vacant_store,
+    node_record, owned_store, store_without_owners, success,
 };
 use googletest::prelude::*;
 use ledgelead_http::Response;
@@ -14,34 +15,34 @@
 use ledgelead_types::codec::{List, Text};
 use std::net::SocketAddr;
 
-/// The target of orders.
+/// The path of orders.
 const ORDER: &str = "order";
-/// The span in which requests are counted.
+/// The window in which requests are counted.
 const WINDOW_MS: u64 = 4_000;
 
-/// A node that is alone, an owner of all keys, and two instances without keys.
+/// The only node, with an owner of all keys and two instances without keys.
 fn alone() -> Fixture {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
     store.add_instance(instance(2, SERVICE));
     store.add_instance(instance(3, KEYED));
     store.add_node(node_record(0));
-    store.own(all_keys_of("i-3", 1));
+    store.put_ownership(all_keys_of("i-3", 1));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(2_000));
     fixture
 }
 
-fn names(limit: &str) -> Response {
+fn response_with_limit(limit: &str) -> Response {
     let mut response = success();
     response.headers.push("rate-limit", limit);
     response
 }
 
-/// A request each 15 ms for so long, each answered after 5 ms. Returns when which instance
-/// got one.
-fn ask_for(
+/// Sends a request every 15 ms for this time, each answered after 5 ms. Returns the times and
+/// instances of the attempts.
+fn send_requests_for(
     fixture: &mut Fixture,
     (service, key): (&str, Option<u16>),
     lasts_ms: u64,
@@ -50,7 +51,7 @@
     let mut reached = Vec::new();
     let end = fixture.now + ms(lasts_ms);
     while fixture.now < end {
-        fixture.ask(service, key);
+        fixture.request(service, key);
         fixture.run_until(fixture.now + ms(5));
         for sent in std::mem::take(&mut fixture.attempts) {
             if sent.target == ORDER {
@@ -65,8 +66,8 @@
     reached
 }
 
-/// Most requests in some window.
-fn most_in_a_window(reached: &[(Timestamp, SocketAddr)]) -> usize {
+/// Maximum number of requests in any window.
+fn max_per_window(reached: &[(Timestamp, SocketAddr)]) -> usize {
     let in_window = |from: Timestamp| {
         let until = from + ms(WINDOW_MS);
         let within = reached.iter().filter(|(at, _)| (from..until).contains(at));
@@ -80,20 +81,24 @@
 }
 
 #[gtest]
-fn an_owner_gets_no_more_requests_than_the_rate_limit_that_it_names() {
+fn owner_gets_no_more_requests_than_its_rate_limit() {
     let mut fixture = alone();
-    ask_for(&mut fixture, (KEYED, Some(7)), 500, |_| names("6.5"));
-    let reached = ask_for(&mut fixture, (KEYED, Some(7)), 12_000, |_| names("6.5"));
-    expect_that!(most_in_a_window(&reached), le(44));
+    send_requests_for(&mut fixture, (KEYED, Some(7)), 500, |_| {
+        response_with_limit("6.5")
+    });
+    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 12_000, |_| {
+        response_with_limit("6.5")
+    });
+    expect_that!(max_per_window(&reached), le(44));
 }
 
-/// A request each 50 ms for so long.
-fn ask_slowly(fixture: &mut Fixture, lasts_ms: u64, limit: Option<&str>) -> Vec<Timestamp> {
+/// Sends a request every 50 ms for this time.
+fn send_slowly(fixture: &mut Fixture, lasts_ms: u64, limit: Option<&str>) -> Vec<Timestamp> {
     let mut reached = Vec::new();
     let end = fixture.now + ms(lasts_ms);
     while fixture.now < end {
-        let named = |_| limit.map_or_else(success, names);
-        let times = ask_for(fixture, (KEYED, Some(7)), 15, named);
+        let named = |_| limit.map_or_else(success, response_with_limit);
+        let times = send_requests_for(fixture, (KEYED, Some(7)), 15, named);
         reached.extend(times.into_iter().map(|(at, _)| at));
         fixture.run_until(fixture.now + ms(35));
     }
@@ -101,11 +106,11 @@
 }
 
 #[gtest]
-fn requests_from_before_a_limit_was_named_count_in_the_window_in_which_it_binds() {
+fn requests_before_a_limit_count_in_its_first_window() {
     let mut fixture = alone();
-    let mut reached = ask_slowly(&mut fixture, 5_000, None);
+    let mut reached = send_slowly(&mut fixture, 5_000, None);
     let named_at = fixture.now;
-    reached.extend(ask_slowly(&mut fixture, 8_000, Some("6.5")));
+    reached.extend(send_slowly(&mut fixture, 8_000, Some("6.5")));
     for end in (3_000..8_000).step_by(50).map(|after| named_at + ms(after)) {
         let window = end - ms(WINDOW_MS)..end;
         let arrived = reached.iter().filter(|at| window.contains(at)).count();
@@ -114,40 +119,46 @@
 }
 
 #[gtest]
-fn a_caller_beyond_the_limit_is_told_at_once_when_there_is_room() {
+fn caller_beyond_the_limit_is_refused_immediately_with_a_retry_time() {
     let mut fixture = alone();
-    ask_for(&mut fixture, (KEYED, Some(7)), 4_000, |_| names("1"));
-    // The next token is a second away from here.
-    while ask_for(&mut fixture, (KEYED, Some(7)), 15, |_| names("1")).is_empty() {}
+    send_requests_for(&mut fixture, (KEYED, Some(7)), 4_000, |_| {
+        response_with_limit("1")
+    });
+    // From here the next token is a second away.
+    while send_requests_for(&mut fixture, (KEYED, Some(7)), 15, |_| {
+        response_with_limit("1")
+    })
+    .is_empty()
+    {}
     fixture.answers.clear();
-    let asked = fixture.ask(KEYED, Some(7));
+    let refused = fixture.request(KEYED, Some(7));
     let (client, response) = fixture.answers.pop().expect("an answer at once");
-    expect_that!(client, eq(asked));
+    expect_that!(client, eq(refused));
     expect_that!(response.status, eq(503));
     expect_that!(response.body, eq(b"rate_limited"));
     let again: Option<f64> = response.headers.number("retry-after");
-    // A token a second, spread by 0.7.
+    // One token per second, extended at random by up to 0.7 of that.
     expect_that!(again, some(all!(gt(0.0), le(1.8))));
     expect_that!(fixture.node.status().requests.repeats, is_empty());
 }
 
 #[gtest]
-fn requests_without_a_key_go_to_instances_that_name_no_limit() {
+fn requests_without_a_key_use_instances_without_a_limit() {
     let mut fixture = alone();
     let limited = instance(1, SERVICE).address;
     let answer = |to: SocketAddr| match to == limited {
-        true => names("2"),
+        true => response_with_limit("2"),
         false => success(),
     };
-    ask_for(&mut fixture, (SERVICE, None), 500, answer);
+    send_requests_for(&mut fixture, (SERVICE, None), 500, answer);
     fixture.answers.clear();
-    let reached = ask_for(&mut fixture, (SERVICE, None), 8_000, answer);
+    let reached = send_requests_for(&mut fixture, (SERVICE, None), 8_000, answer);
     let to_limited: Vec<_> = reached
         .iter()
         .filter(|(_, to)| *to == limited)
         .copied()
         .collect();
-    expect_that!(most_in_a_window(&to_limited), le(17));
+    expect_that!(max_per_window(&to_limited), le(17));
     let refused = fixture
         .answers
         .iter()
@@ -156,25 +167,29 @@
 }
 
 #[gtest]
-fn an_answer_that_names_no_limit_ends_it() {
+fn response_without_a_limit_ends_it() {
     let mut fixture = alone();
-    ask_for(&mut fixture, (KEYED, Some(7)), 5_000, |_| names("1"));
-    let reached = ask_for(&mut fixture, (KEYED, Some(7)), 5_000, |_| success());
-    // One token a second until the first answer without a limit.
+    send_requests_for(&mut fixture, (KEYED, Some(7)), 5_000, |_| {
+        response_with_limit("1")
+    });
+    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 5_000, |_| success());
+    // One token per second until the first response without a limit.
     expect_that!(reached.len(), ge(250));
 }
 
 #[gtest]
-fn an_instance_that_names_a_limit_of_zero_can_still_end_it() {
+fn instance_can_end_a_limit_of_zero() {
     let mut fixture = alone();
-    let reached = ask_for(&mut fixture, (KEYED, Some(7)), 20_000, |_| names("0"));
-    expect_that!(most_in_a_window(&reached[1..]), le(5));
-    let reached = ask_for(&mut fixture, (KEYED, Some(7)), 10_000, |_| success());
+    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 20_000, |_| {
+        response_with_limit("0")
+    });
+    expect_that!(max_per_window(&reached[1..]), le(5));
+    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 10_000, |_| success());
     expect_that!(reached.len(), ge(250));
 }
 
-/// A node that has limiters besides itself, in a fleet of three.
-fn among_others() -> Fixture {
+/// One of three nodes, which is not the only limiter.
+fn node_of_three() -> Fixture {
     let mut fixture = Fixture::new(owned_store(configuration(1)));
     fixture.run_until(ms(2_000));
     fixture
@@ -189,51 +204,56 @@
 }
 
 #[gtest]
-fn a_limit_that_another_node_was_told_binds_as_well() {
-    let mut fixture = among_others();
+fn limit_announced_by_another_node_applies() {
+    let mut fixture = node_of_three();
     let limits = List(vec![limit_of_the_owner(1_000)]);
     fixture.receive(node_address(1), &PeerMessage::RateLimits { limits });
     fixture.attempts.clear();
-    let reached = ask_for(&mut fixture, (KEYED, Some(7)), 1_000, |_| names("1"));
+    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 1_000, |_| {
+        response_with_limit("1")
+    });
     expect_that!(reached, is_empty());
 }
 
 #[gtest]
-fn what_an_answer_says_of_a_limit_is_reported_to_the_coordinator() {
-    let mut fixture = among_others();
-    fixture.ask(KEYED, Some(7));
+fn limit_in_a_response_is_reported_to_the_coordinator() {
+    let mut fixture = node_of_three();
+    fixture.request(KEYED, Some(7));
     let sent = fixture.attempts.pop().expect("an attempt");
-    fixture.answer(sent.exchange, names("3"));
+    fixture.answer(sent.exchange, response_with_limit("3"));
     fixture.run_until(fixture.now + ms(500));
     expect_that!(fixture.sent("rate_limits"), ge(1));
 }
 
 #[gtest]
-fn a_request_waits_for_the_decision_of_a_limiter_and_for_no_silent_one() {
-    let mut fixture = among_others();
+fn request_waits_for_a_limiter_but_not_for_a_silent_one() {
+    let mut fixture = node_of_three();
     let limits = List(vec![limit_of_the_owner(50_000)]);
     fixture.receive(node_address(1), &PeerMessage::RateLimits { limits });
     fixture.attempts.clear();
-    let asked = fixture.ask(KEYED, Some(7));
+    let requester = fixture.request(KEYED, Some(7));
     expect_that!(fixture.attempts, is_empty());
     fixture.run_until(fixture.now + ms(300));
     match fixture.sent("token_ask") {
-        // The node is one of both limiters itself.
+        // The node is one of the two limiters itself.
         0..=2 => {}
-        asks => expect_that!(asks, eq(4)),
+        requests => expect_that!(requests, eq(4)),
     }
-    let told = fixture.answers.iter().any(|(client, _)| *client == asked);
-    expect_that!(told, eq(true));
+    let is_answered = fixture
+        .answers
+        .iter()
+        .any(|(client, _)| *client == requester);
+    expect_that!(is_answered, eq(true));
 }
 
 #[gtest]
-fn a_granted_token_sends_the_request() {
-    let mut fixture = among_others();
+fn granted_token_sends_the_request() {
+    let mut fixture = node_of_three();
     let limits = List(vec![limit_of_the_owner(50_000)]);
     fixture.receive(node_address(1), &PeerMessage::RateLimits { limits });
     fixture.attempts.clear();
-    fixture.ask(KEYED, Some(7));
-    let ask = fixture
+    fixture.request(KEYED, Some(7));
+    let token_request = fixture
         .datagrams
         .iter()
         .rev()
@@ -241,8 +261,8 @@
             PeerMessage::TokenAsk { number, limit, .. } => Some((*to, *number, limit.instance)),
             _ => None,
         });
-    let Some((limiter, number, instance)) = ask else {
-        panic!("the node asks itself");
+    let Some((limiter, number, instance)) = token_request else {
+        panic!("the node is its own limiter");
     };
     let decision = PeerMessage::TokenDecision {
         number,
@@ -254,27 +274,27 @@
     expect_that!(fixture.attempts, len(eq(1)));
 }
 
-/// Requests for ever other keys, one each 30 ms, each answered after 100 ms. Returns how many
-/// were sent and how many were answered.
-fn ask_for_all_keys(
+/// Sends requests for ever new keys, one every 30 ms, each answered after 100 ms. Returns how
+/// many were sent and how many were answered.
+fn send_requests_for_all_keys(
     fixture: &mut Fixture,
     lasts_ms: u64,
     answer: impl Fn(SocketAddr) -> Response,
 ) -> (usize, usize) {
     let mut key = 0u16;
-    let mut asked = 0;
+    let mut requested = 0;
     let mut answered = 0;
-    let mut at_work = Vec::new();
+    let mut in_progress = Vec::new();
     let end = fixture.now + ms(lasts_ms);
     while fixture.now < end {
         key = key.wrapping_add(9_973);
-        fixture.ask(KEYED, Some(key));
-        asked += 1;
+        fixture.request(KEYED, Some(key));
+        requested += 1;
         fixture.run_until(fixture.now + ms(30));
-        at_work.append(&mut fixture.attempts);
+        in_progress.append(&mut fixture.attempts);
         let now = fixture.now;
         let is_done = |sent: &mut Sent| sent.target == ORDER || sent.at + ms(100) <= now;
-        let done: Vec<Sent> = at_work.extract_if(.., is_done).collect();
+        let done: Vec<Sent> = in_progress.extract_if(.., is_done).collect();
         for sent in done {
             let response = match sent.target == ORDER {
                 true => Response::new(200, ""),
@@ -284,31 +304,31 @@
             fixture.answer(sent.exchange, response);
         }
     }
-    (asked, answered)
+    (requested, answered)
 }
 
 #[gtest]
-fn keys_of_an_owner_in_need_move_to_others() {
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn keys_of_a_rate_limited_owner_move_to_others() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
     let limited = instance(3, KEYED).address;
     let answer = |to: SocketAddr| match to == limited {
-        true => names("2"),
+        true => response_with_limit("2"),
         false => success(),
     };
-    ask_for_all_keys(&mut fixture, 15_000, answer);
-    // Both owned half of the keys; by now the other one has nearly all.
-    let (asked, answered) = ask_for_all_keys(&mut fixture, 5_000, answer);
-    expect_that!(answered as f64 / asked as f64, ge(0.8));
+    send_requests_for_all_keys(&mut fixture, 15_000, answer);
+    // Each of both instances owned half of the keys; by now the other one owns nearly all.
+    let (requested, answered) = send_requests_for_all_keys(&mut fixture, 5_000, answer);
+    expect_that!(answered as f64 / requested as f64, ge(0.8));
 }
 
-/// Tokens that the node hands out in 10 s to another that asks for `instance` each 100 ms,
-/// once it has been asked for 15 s.
-fn handed_out(fixture: &mut Fixture, instance: u64, first_replies: bool) -> usize {
+/// Number of tokens that the node grants within 10 s to another one that asks for `instance`
+/// every 100 ms, after 15 s of the same.
+fn granted_tokens(fixture: &mut Fixture, instance: u64, first_replies: bool) -> usize {
     for step in 0..250 {
         if step == 150 {
             fixture.datagrams.clear();
         }
-        let ask = PeerMessage::TokenAsk {
+        let token_request = PeerMessage::TokenAsk {
             number: step,
             zone: Text("a".to_owned()),
             limit: RateLimitEntry {
@@ -317,7 +337,7 @@
                 age_ms: 0,
             },
         };
-        fixture.receive(node_address(2), &ask);
+        fixture.receive(node_address(2), &token_request);
         if first_replies && step % 10 == 0 {
             let reply = PeerMessage::LimiterProbe { is_reply: true };
             fixture.receive(node_address(1), &reply);
@@ -333,8 +353,8 @@
 }
 
 #[gtest]
-fn the_second_limiter_hands_out_a_part_until_the_first_is_lost() {
-    // An instance whose first limiter is node 1, so that this node is the second.
+fn second_limiter_grants_a_share_until_the_first_is_lost() {
+    // Finds an instance whose first limiter is node 1, so that this node is the second.
     let in_fleet_of_two = || {
         let mut store = owned_store(configuration(1));
         store.remove(ObjectKind::Nodes, "node-002");
@@ -344,19 +364,19 @@
     };
     let is_probed = |instance: &u64| {
         let mut fixture = in_fleet_of_two();
-        handed_out(&mut fixture, *instance, true);
+        granted_tokens(&mut fixture, *instance, true);
         fixture.sent("limiter_probe") > 0
     };
     let instance = (1..100).find(is_probed).expect("such an instance");
-    let beside = handed_out(&mut in_fleet_of_two(), instance, true);
+    let beside = granted_tokens(&mut in_fleet_of_two(), instance, true);
     expect_that!(beside, all!(ge(10), le(14)));
-    let alone = handed_out(&mut in_fleet_of_two(), instance, false);
+    let alone = granted_tokens(&mut in_fleet_of_two(), instance, false);
     expect_that!(alone, all!(ge(38), le(44)));
 }
 
 #[gtest]
-fn a_coordinator_announces_more_limits_than_one_message_holds() {
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn coordinator_announces_more_limits_than_fit_in_one_message() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
     let limit = |instance: u64| RateLimitEntry {
         instance,
         millis_per_s: Some(1_000),
--- a/crates/ledgelead-router/tests/node/registration.rs
+++ b/crates/ledgelead-router/tests/node/registration.rs
@@ -1,4 +1,4 @@
-//! What a node registers, and what its registration proves.
+//! When nodes register, and what a registration proves.
 
 use crate::fixture::{Fixture, KEYED, SERVICE, Store, configuration, instance, ms, node_record};
 use googletest::prelude::*;
@@ -8,20 +8,20 @@
 use ledgelead_router::ownership::record::OwnershipRecord;
 use ledgelead_router::peers::NodeRecord;
 
-/// A store with a configuration, an instance and some nodes, this one's earlier
-/// life among them.
-fn store_with_earlier_life() -> Store {
+/// A store with a configuration, an instance and some nodes, among them an earlier incarnation
+/// of the fixture's node.
+fn store_with_earlier_incarnation() -> Store {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, KEYED));
     for number in 1..5 {
         store.add_node(node_record(number));
     }
-    store.add_node(earlier_life());
+    store.add_node(earlier_incarnation());
     store
 }
 
-fn earlier_life() -> NodeRecord {
+fn earlier_incarnation() -> NodeRecord {
     let record = node_record(0);
     NodeRecord {
         identity: NodeIdentity {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The places of the writes of a kind of object among all calls.
+/// Positions of the writes of a kind of object among all calls.
 fn writes(fixture: &Fixture, kind: ObjectKind) -> Vec<usize> {
     let is_write = |call: &StoreCall| match call {
         StoreCall::Create { content, .. } | StoreCall::Replace { content, .. } => {
@@ -55,15 +55,15 @@
     };
     let calls = fixture.calls.iter().enumerate();
     let writes = calls.filter(|(_, (_, call))| is_write(call));
-    writes.map(|(place, _)| place).collect()
+    writes.map(|(index, _)| index).collect()
 }
 
 #[gtest]
-fn a_node_that_is_reached_as_before_registers_only_to_campaign() {
-    let mut store = store_with_earlier_life();
-    store.own(record_of(Some(node_record(1).identity)));
+fn node_with_unchanged_address_registers_only_to_campaign() {
+    let mut store = store_with_earlier_incarnation();
+    store.put_ownership(record_of(Some(node_record(1).identity)));
     let mut fixture = Fixture::new(store);
-    // The coordinator gets its time to be heard.
+    // The coordinator gets time to be heard.
     fixture.run_until(ms(900));
     expect_that!(writes(&fixture, ObjectKind::Nodes), is_empty());
     fixture.run_until(ms(4_000));
@@ -75,11 +75,11 @@
 }
 
 #[gtest]
-fn a_node_that_moved_registers_at_once() {
-    let mut store = store_with_earlier_life();
+fn node_with_changed_address_registers_immediately() {
+    let mut store = store_with_earlier_incarnation();
     store.add_node(NodeRecord {
         address: ([10, 0, 9, 9], 7_000).into(),
-        ..earlier_life()
+        ..earlier_incarnation()
     });
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(50));
@@ -87,18 +87,18 @@
 }
 
 #[gtest]
-fn a_node_whose_earlier_life_coordinates_proves_its_end_at_once() {
-    let mut store = store_with_earlier_life();
-    store.own(record_of(Some(earlier_life().identity)));
+fn node_whose_earlier_incarnation_is_coordinator_registers_immediately() {
+    let mut store = store_with_earlier_incarnation();
+    store.put_ownership(record_of(Some(earlier_incarnation().identity)));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(50));
     expect_that!(writes(&fixture, ObjectKind::Nodes).len(), eq(1));
 }
 
 #[gtest]
-fn a_registration_replaces_only_what_the_node_has_read() {
-    let mut store = store_with_earlier_life();
-    store.own(record_of(Some(earlier_life().identity)));
+fn registration_replaces_only_the_revision_that_was_read() {
+    let mut store = store_with_earlier_incarnation();
+    store.put_ownership(record_of(Some(earlier_incarnation().identity)));
     let known = store.revision_of(ObjectKind::Nodes, "node-000");
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(50));
@@ -114,9 +114,9 @@
 }
 
 #[gtest]
-fn a_campaign_rests_on_an_exact_read_of_the_record() {
-    let mut store = store_with_earlier_life();
-    store.own(record_of(Some(node_record(1).identity)));
+fn campaign_follows_an_exact_read_of_the_record() {
+    let mut store = store_with_earlier_incarnation();
+    store.put_ownership(record_of(Some(node_record(1).identity)));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(4_000));
     let campaigned = writes(&fixture, ObjectKind::Ownership);
@@ -129,45 +129,46 @@
 }
 
 #[gtest]
-fn nodes_that_start_a_deployment_register_before_anything_is_configured() {
+fn nodes_of_a_new_deployment_register_before_any_configuration() {
     let mut fixture = Fixture::new(Store::default());
     fixture.run_until(ms(50));
     expect_that!(writes(&fixture, ObjectKind::Nodes).len(), eq(1));
-    // The only node there is coordinates, so that it can pass the configuration
-    // on as soon as there is one.
+    // The only node becomes coordinator, so that it can relay the configuration as soon as
+    // there is one.
     fixture.run_until(ms(3_000));
     expect_that!(writes(&fixture, ObjectKind::Ownership).len(), ge(1));
     expect_that!(fixture.node.coordinator().is_some(), eq(true));
 }
 
 #[gtest]
-fn a_coordinator_that_comes_back_follows_itself_at_once() {
-    let mut store = store_with_earlier_life();
-    store.own(record_of(Some(earlier_life().identity)));
+fn restarted_coordinator_succeeds_itself_immediately() {
+    let mut store = store_with_earlier_incarnation();
+    store.put_ownership(record_of(Some(earlier_incarnation().identity)));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(100));
     expect_that!(fixture.node.coordinator().is_some(), eq(true));
-    // Not where another has followed meanwhile.
-    let mut store = store_with_earlier_life();
-    store.own(record_of(Some(node_record(2).identity)));
+    // Not if the record names another node.
+    let mut store = store_with_earlier_incarnation();
+    store.put_ownership(record_of(Some(node_record(2).identity)));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(900));
     expect_that!(fixture.node.coordinator().is_some(), eq(false));
 }
 
-/// How often a request is sent whose first answer is lost, at a node in its first window.
-fn sent_in_the_first_window(earlier_life: bool) -> usize {
+/// Number of attempts for a request whose first answer is lost, at a node in its first retry
+/// window.
+fn sent_in_the_first_window(earlier_incarnation: bool) -> usize {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 1..=4 {
         store.add_instance(instance(number, SERVICE));
     }
     let mut own = node_record(0);
-    own.identity.incarnation -= u64::from(earlier_life);
+    own.identity.incarnation -= u64::from(earlier_incarnation);
     store.add_node(own);
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(1_000));
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     let first = fixture.attempts.pop().expect("an attempt");
     fixture.end(first.exchange, Err(ExchangeFailure::Lost));
     fixture.run_until(fixture.now + ms(10));
@@ -175,7 +176,7 @@
 }
 
 #[gtest]
-fn a_life_that_follows_another_has_no_slack_at_first() {
+fn restarted_node_has_no_initial_retry_slack() {
     expect_that!(sent_in_the_first_window(false), eq(2));
     expect_that!(sent_in_the_first_window(true), eq(1));
 }
--- a/crates/ledgelead-router/tests/node/rejections.rs
+++ b/crates/ledgelead-router/tests/node/rejections.rs
@@ -1,4 +1,4 @@
-//! Instances that reject requests: full ones, and others although they have free slots.
+//! Instances that reject requests because they are full, or although they have free slots.
 
 use crate::fixture::{
     Fixture, KEYED, SERVICE, Sent, Store, all_keys_of, configuration, instance, ms, node_record,
@@ -13,7 +13,7 @@
 
 fn store(instances: u8, service: &str) -> Store {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 1..=instances {
         store.add_instance(instance(number, service));
     }
@@ -22,7 +22,7 @@
     store
 }
 
-/// A node that has lived for longer than the window of the retry budget.
+/// A node that has run for longer than the window of the retry budget.
 fn node(instances: u8) -> Fixture {
     let mut fixture = Fixture::new(store(instances, SERVICE));
     fixture.run_until(ms(11_000));
@@ -46,7 +46,8 @@
     instance(number, SERVICE).address
 }
 
-/// Attempts of 60 requests, the rejected ones with them, by `rejects`.
+/// Number of attempts at `instance` among those of 60 requests. Attempts chosen by `rejects`
+/// are rejected with this load.
 fn attempts_at(
     fixture: &mut Fixture,
     instance: u8,
@@ -57,7 +58,7 @@
     let mut sent_so_far = 0;
     for _ in 0..60 {
         fixture.run_until(fixture.now + ms(30));
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
         while let Some(sent) = fixture.attempts.pop() {
             count += usize::from(sent.address == address(instance));
             sent_so_far += 1;
@@ -72,26 +73,26 @@
 }
 
 #[gtest]
-fn one_that_rejects_with_free_slots_is_avoided() {
+fn instance_that_rejects_with_free_slots_is_avoided() {
     let mut fixture = node(4);
     let count = attempts_at(&mut fixture, 1, FREE, |to, _| to == address(1));
     expect_that!(count, le(8));
 }
 
 #[gtest]
-fn none_is_avoided_where_all_reject() {
+fn no_instance_is_avoided_if_all_reject() {
     let mut fixture = node(4);
-    // The first instance has bad luck, and rejects more often than the others.
-    let luckless = |to: SocketAddr, number: usize| match to == address(1) {
+    // The first instance rejects more often than the others.
+    let rejects = |to: SocketAddr, number: usize| match to == address(1) {
         true => !number.is_multiple_of(5),
         false => number % 5 < 2,
     };
-    let count = attempts_at(&mut fixture, 1, FREE, luckless);
+    let count = attempts_at(&mut fixture, 1, FREE, rejects);
     expect_that!(count, ge(12));
 }
 
 #[gtest]
-fn a_full_instance_gets_its_part_once_it_has_room() {
+fn full_instance_gets_its_share_once_it_has_free_slots() {
     let mut fixture = node(2);
     attempts_at(&mut fixture, 1, FULL, |to, _| to == address(1));
     fixture.run_until(fixture.now + ms(500));
@@ -99,14 +100,14 @@
     expect_that!(count, ge(20));
 }
 
-/// When the caller of a request that all reject is told to come back, after a third of the
-/// requests was rejected by instances with this load.
-fn pause_after_rejections(load: &str) -> f64 {
+/// The `Retry-After` time of a request that all instances reject, after a third of the
+/// previous requests was rejected with this load.
+fn retry_after_rejections(load: &str) -> f64 {
     let mut fixture = node(4);
     let every_third = |_: SocketAddr, number: usize| number.is_multiple_of(3);
     attempts_at(&mut fixture, 1, load, every_third);
     fixture.answers.clear();
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     while let Some(sent) = fixture.attempts.pop() {
         reject(&mut fixture, &sent, load);
     }
@@ -117,26 +118,27 @@
 }
 
 #[gtest]
-fn callers_come_back_at_once_where_instances_have_room_and_later_where_they_are_full() {
-    // The next try is as likely to be taken: 30 ms, spread by 0.7.
-    expect_that!(pause_after_rejections(FREE), all!(ge(0.03), le(0.051)));
-    expect_that!(pause_after_rejections(FULL), ge(0.15));
+fn callers_are_told_to_retry_soon_if_slots_are_free_and_later_if_not() {
+    // The next attempt is as likely to be accepted: 30 ms, extended at random by up to 0.7 of
+    // that.
+    expect_that!(retry_after_rejections(FREE), all!(ge(0.03), le(0.051)));
+    expect_that!(retry_after_rejections(FULL), ge(0.15));
 }
 
-/// How many attempts the owner of a key gets within this time, if it rejects them.
-fn owner_asked(load: &str, millis: u64) -> usize {
+/// Number of attempts at the owner of a key within this time if it rejects them all.
+fn attempts_at_owner(load: &str, millis: u64) -> usize {
     let mut store = store(1, KEYED);
-    store.own(all_keys_of("i-1", 1));
+    store.put_ownership(all_keys_of("i-1", 1));
     let mut fixture = Fixture::new(store);
-    // Others' requests pay for repeats.
+    // Other requests earn the budget for retries.
     fixture.run_until(ms(2_000));
     for _ in 0..60 {
-        fixture.ask(KEYED, Some(7));
+        fixture.request(KEYED, Some(7));
         while let Some(sent) = fixture.attempts.pop() {
             serve(&mut fixture, &sent);
         }
     }
-    fixture.ask(KEYED, Some(7));
+    fixture.request(KEYED, Some(7));
     let mut count = 0;
     let end = fixture.now + ms(millis);
     while fixture.now < end {
@@ -150,8 +152,8 @@
 }
 
 #[gtest]
-fn an_owner_with_free_slots_is_asked_once_more_at_once() {
-    expect_that!(owner_asked(FREE, 5), eq(2));
-    expect_that!(owner_asked(FREE, 40), eq(2));
-    expect_that!(owner_asked(FULL, 40), eq(1));
+fn owner_with_free_slots_is_retried_once_immediately() {
+    expect_that!(attempts_at_owner(FREE, 5), eq(2));
+    expect_that!(attempts_at_owner(FREE, 40), eq(2));
+    expect_that!(attempts_at_owner(FULL, 40), eq(1));
 }
--- a/crates/ledgelead-router/tests/node/review.rs
+++ b/crates/ledgelead-router/tests/node/slow_attempts.rs
@@ -1,26 +1,25 @@
-//! Which attempts that take long are broken off for another.
+//! Which slow attempts are replaced by another one.
 
 use crate::fixture::{Fixture, KEYED, SERVICE, configuration, ms, owned_store};
 use googletest::prelude::*;
 use ledgelead_http::Response;
 
-/// A node that knows two instances of the service without keys, and one owner of
-/// all keys.
+/// A node that knows two instances of the service without keys, and one owner of all keys.
 fn node() -> Fixture {
     let mut fixture = Fixture::new(owned_store(configuration(1)));
     fixture.run_until(ms(900));
     fixture
 }
 
-/// Attempts for one request that takes long, while its instance answers another.
+/// Number of attempts for one slow request, while its instance answers others.
 fn attempts_of_slow_request(service: &str, key: Option<u16>, load: &str) -> usize {
     let mut fixture = node();
     fixture.attempts.clear();
-    fixture.ask(service, key);
+    fixture.request(service, key);
     let slow = fixture.attempts[0].address;
     for _ in 0..55 {
         fixture.run_until(fixture.now + ms(20));
-        fixture.ask(service, key);
+        fixture.request(service, key);
         let other = fixture.attempts.pop().expect("an attempt");
         let mut response = Response::new(200, "");
         response.headers.push("signature", "s");
@@ -34,13 +33,13 @@
 }
 
 #[gtest]
-fn work_of_the_owner_of_a_key_is_not_broken_off_for_the_same_owner() {
+fn slow_attempt_at_an_owner_is_not_replaced_by_one_at_the_same_owner() {
     expect_that!(attempts_of_slow_request(KEYED, Some(7), "1,0,4"), eq(1));
-    // Where another instance can do it, a slow one is given up.
+    // If another instance is available, the slow attempt is replaced.
     expect_that!(attempts_of_slow_request(SERVICE, None, "1,0,4"), eq(2));
 }
 
 #[gtest]
-fn work_is_not_broken_off_where_no_other_instance_has_a_free_slot() {
+fn slow_attempt_is_not_replaced_without_a_free_slot_elsewhere() {
     expect_that!(attempts_of_slow_request(SERVICE, None, "4,2,4"), eq(1));
 }
--- a/crates/ledgelead-router/tests/node/snapshot.rs
+++ b/crates/ledgelead-router/tests/node/snapshot.rs
@@ -1,4 +1,5 @@
-//! A node that the store refuses gets what no log reaches back to from the coordinator.
+//! A node that the store refuses gets changes no longer in any log as a snapshot from the
+//! coordinator.
 
 use crate::fixture::{
     Fixture, SERVICE, Store, configuration, instance, ms, node_address, node_record,
@@ -10,25 +11,25 @@
 use ledgelead_types::codec::List;
 use std::time::Duration;
 
-/// How long a node asks the coordinator in vain before it gets all instances, one
-/// heartbeat, and the pause of a request.
+/// How long a node asks without success before it gets a snapshot, plus one heartbeat and the
+/// interval between requests.
 const SNAPSHOT_WITHIN: Duration = Duration::from_millis(1_000);
 
 fn store(instances: &[u8]) -> Store {
     let mut store = Store::default();
-    store.configure(configuration(5));
+    store.put_configuration(configuration(5));
     for number in instances {
         store.add_instance(instance(*number, SERVICE));
     }
     for number in 0..4 {
         store.add_node(node_record(number));
     }
-    store.vacate();
+    store.clear_coordinator();
     store
 }
 
-/// The node asks for changes that no log holds, each 200 ms.
-fn ask_for(fixture: &mut Fixture, lasts: Duration) {
+/// Another node asks every 200 ms for changes no longer in the log.
+fn request_changes_for(fixture: &mut Fixture, lasts: Duration) {
     let end = fixture.now + lasts;
     while fixture.now < end {
         let request = PeerMessage::ResyncRequest {
@@ -47,31 +48,31 @@
 }
 
 #[gtest]
-fn a_coordinator_lists_all_instances_to_a_node_that_asks_in_vain() {
+fn coordinator_sends_a_snapshot_to_a_node_that_asks_without_success() {
     let mut fixture = Fixture::coordinating(store(&[1, 2]));
-    ask_for(&mut fixture, ms(400));
+    request_changes_for(&mut fixture, ms(400));
     expect_that!(
         snapshots(&fixture),
         is_empty(),
         "the store has not been asked"
     );
-    ask_for(&mut fixture, SNAPSHOT_WITHIN - ms(400));
+    request_changes_for(&mut fixture, SNAPSHOT_WITHIN - ms(400));
     expect_that!(snapshots(&fixture), len(eq(1)));
-    ask_for(&mut fixture, ms(3_000));
+    request_changes_for(&mut fixture, ms(3_000));
     expect_that!(snapshots(&fixture), len(le(4)), "once a second at most");
 }
 
-/// The messages of a coordinator that knows instance 2 alone.
-fn snapshot_of_the_second() -> PeerMessage {
+/// The snapshot of a coordinator that knows only instance 2.
+fn snapshot_with_second_instance() -> PeerMessage {
     let mut fixture = Fixture::coordinating(store(&[2]));
-    ask_for(&mut fixture, SNAPSHOT_WITHIN);
+    request_changes_for(&mut fixture, SNAPSHOT_WITHIN);
     snapshots(&fixture).pop().expect("a snapshot")
 }
 
 #[gtest]
-fn a_node_that_the_store_refuses_drops_instances_that_a_snapshot_lacks() {
+fn node_refused_by_the_store_drops_instances_missing_in_a_snapshot() {
     let mut store = store(&[1]);
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         epoch: 5,
         coordinator: Some(node_record(2).identity),
         next_fence: 9,
@@ -79,7 +80,7 @@
     });
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(100));
-    fixture.store.refuses = true;
+    fixture.store.refuses_calls = true;
     let heartbeat = Heartbeat {
         epoch: 5,
         sent_ms: 100,
@@ -99,12 +100,12 @@
         node_address(2),
         &PeerMessage::CoordinatorHeartbeat(heartbeat),
     );
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     let PeerMessage::InstancesListed {
         mut span,
         unconfirmed_ms,
         instances,
-    } = snapshot_of_the_second()
+    } = snapshot_with_second_instance()
     else {
         panic!("a snapshot");
     };
@@ -117,7 +118,7 @@
             instances,
         },
     );
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     let addresses = fixture.attempts.iter().map(|sent| sent.address);
     let addresses: Vec<_> = addresses.collect();
     let of = |number| instance(number, SERVICE).address;
--- a/crates/ledgelead-router/tests/node/split.rs
+++ b/crates/ledgelead-router/tests/node/split_routes.rs
@@ -10,7 +10,7 @@
 use ledgelead_router::ownership::record::{Assignment, OwnershipRecord};
 use std::sync::Arc;
 
-/// Uploads of one test.
+/// Number of uploads in a test.
 const UPLOADS: u16 = 400;
 const LARGE: usize = 60_000;
 const SMALL: usize = 1_000;
@@ -25,8 +25,8 @@
     }
 }
 
-/// A node in zone a. A quarter of the keys is owned there, the others in zone b; a route
-/// is split between their service and one without keys, or a second one without.
+/// A node in zone a. An owner in that zone has a quarter of the keys, one in zone b the
+/// others. A route is split between the keyed service and one without keys.
 fn node(mechanisms: Mechanisms) -> Fixture {
     let mut store = Store::default();
     let mut split = configuration(1);
@@ -40,7 +40,7 @@
         targets: vec![target(SERVICE), target(KEYED)],
         ..(*split.routes[0]).clone()
     }));
-    store.configure(split);
+    store.put_configuration(split);
     store.add_instance(instance(1, SERVICE));
     store.add_instance(instance(2, KEYED));
     store.add_instance(InstanceRecord {
@@ -50,7 +50,7 @@
     for number in 0..3 {
         store.add_node(node_record(number));
     }
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         epoch: 4,
         coordinator: Some(node_record(1).identity),
         next_fence: 9,
@@ -65,7 +65,7 @@
     fixture
 }
 
-/// How many uploads each instance gets: the one without keys, the local owner and the
+/// Number of uploads received by each instance: the one without keys, the local owner, and the
 /// owner in the other zone.
 fn uploads(mechanisms: Mechanisms, body_bytes: usize) -> [usize; 3] {
     let mut fixture = node(mechanisms);
@@ -89,12 +89,12 @@
 fn large_uploads_prefer_owners_in_the_own_zone_and_keep_the_share() {
     let [unkeyed, _, remote] = uploads(Mechanisms::default(), LARGE);
     expect_that!(unkeyed, all![ge(190), le(210)]);
-    // Drawn by weight alone, 150 of the keyed half are owned in the other zone.
+    // By weight alone, 150 uploads of the keyed half would go to the owner in the other zone.
     expect_that!(remote, lt(115));
 }
 
 #[gtest]
-fn small_requests_are_drawn_as_without_the_mechanism() {
+fn small_requests_are_distributed_as_without_the_mechanism() {
     let off = Mechanisms::without(Mechanism::SplitLocality);
     let counts = uploads(Mechanisms::default(), SMALL);
     expect_that!(counts, eq(uploads(off, SMALL)));
--- a/crates/ledgelead-router/tests/node/starting.rs
+++ b/crates/ledgelead-router/tests/node/startup.rs
@@ -1,11 +1,10 @@
-//! Nodes that start where nobody coordinates.
+//! Nodes that start without a coordinator.
 //!
-//! All nodes were killed at 28.070 s, an instance began to drain at 28.463 s, and the nodes
-//! started at 31.109 s. Their first lists, which may be some seconds old, were from before
-//! the drain, and their first watches come 1.2 s later; there was no coordinator to tell
-//! them. So three of them sent it work, 0.68 s after its bound of 2 s:
-//!
-//!     31.14195s no_new_work_after_leave: i-0 since 28.463s, from node 5
+//! A first list may be a few seconds old, and the first watch follows only 1.2 s later. After
+//! the loss of all nodes at 28.070 s, an instance began to drain at 28.463 s and the nodes
+//! started at 31.109 s. Their first lists were from before the drain, and no coordinator could
+//! tell them. So three of them sent the instance requests at 31.142 s, 0.68 s after its bound
+//! of 2 s.
 
 use crate::fixture::{Fixture, SERVICE, Store, configuration, instance, ms, node_record, success};
 use googletest::prelude::*;
@@ -15,12 +14,13 @@
     instance(number, SERVICE).address
 }
 
-/// A request each 100 ms for so long, all of them served. Returns which instances got one.
-fn ask_for(fixture: &mut Fixture, lasts_ms: u64) -> Vec<SocketAddr> {
+/// Sends a request every 100 ms for this time, all of them served. Returns the instances that
+/// received one.
+fn send_requests_for(fixture: &mut Fixture, lasts_ms: u64) -> Vec<SocketAddr> {
     let mut reached = Vec::new();
     let end = fixture.now + ms(lasts_ms);
     while fixture.now < end {
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
         fixture.run_until(fixture.now + ms(100));
         while let Some(sent) = fixture.attempts.pop() {
             reached.push(sent.address);
@@ -30,18 +30,18 @@
     reached
 }
 
-/// Instances 1 and 2, of which the first drains; lists that may be stale don't know that.
+/// Instances 1 and 2, of which the first is draining, while stale lists don't show that yet.
 fn lagging_store() -> Store {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
     store.add_instance(instance(2, SERVICE));
     for number in 0..3 {
         store.add_node(node_record(number));
     }
-    store.vacate();
+    store.clear_coordinator();
     store.answers_changes = true;
-    store.stale_lists_end_here();
+    store.freeze_stale_lists();
     let mut drains = instance(1, SERVICE);
     drains.draining = true;
     store.add_instance(drains);
@@ -49,11 +49,11 @@
 }
 
 #[gtest]
-fn a_starting_node_sends_nothing_to_who_drains_by_the_store_though_its_list_is_older() {
+fn starting_node_avoids_an_instance_that_drains_after_its_stale_list() {
     let mut fixture = Fixture::new(lagging_store());
     fixture.run_until(ms(100));
     expect_that!(fixture.node.is_ready(), eq(true));
-    let reached = ask_for(&mut fixture, 600);
+    let reached = send_requests_for(&mut fixture, 600);
     expect_that!(reached, not(contains(eq(&address(1)))));
     expect_that!(reached, len(ge(5)));
 }
--- a/crates/ledgelead-router/tests/node/eras.rs
+++ b/crates/ledgelead-router/tests/node/store_eras.rs
@@ -1,12 +1,12 @@
-//! A store that comes back from a copy: what it acknowledged since is gone, its revisions are
-//! given out again, and its era rises.
+//! A store that is restored from an older copy: what it has acknowledged since is lost, its
+//! revisions are assigned again, and its era increases.
 //!
-//! A coordinator went on by a revision that the store no longer had, and was refused each
-//! write. A node that started took the copy for the newest record, and gave keys away that
-//! other instances held.
+//! A coordinator that continued from a lost revision had each of its writes refused. A node
+//! that started took the copy for the latest record, and granted keys that other instances
+//! held.
 
 use crate::fixture::{
-    Fixture, KEYED, all_keys_of, configuration, ms, node_record, owned_store, vacant_store,
+    Fixture, KEYED, all_keys_of, configuration, ms, node_record, owned_store, store_without_owners,
 };
 use googletest::prelude::*;
 use ledgelead_http::Response;
@@ -14,13 +14,13 @@
 use ledgelead_router::ownership::record::OwnershipRecord;
 use ledgelead_router::store::{era_of, first_of};
 
-/// The target of orders.
+/// The path of orders.
 const ORDER: &str = "order";
-/// Authority of an unknown coordinator, the way of its orders, and a hold.
+/// Authority of an unknown coordinator, the transit of its orders, and a hold.
 const UNKNOWN_HOLDS_MS: u64 = 15_000;
 
-/// Lets time pass while the instances carry out orders, and the store answers watches each
-/// half second. Returns how many orders there were.
+/// Advances the time while the instances carry out orders and the store answers watches every
+/// half second. Returns the number of orders.
 fn run_with_orders(fixture: &mut Fixture, lasts_ms: u64) -> usize {
     let mut orders = 0;
     for step in 1..=lasts_ms / 10 {
@@ -45,14 +45,14 @@
 }
 
 #[gtest]
-fn a_coordinator_writes_what_a_copy_lacks_again_and_goes_on() {
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn coordinator_rewrites_the_record_after_a_restore_and_continues() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
     let copy = fixture.store.copy();
     run_with_orders(&mut fixture, 5_000);
     let before = stored_record(&fixture);
     expect_that!(before.assignments, not(is_empty()));
     fixture.store.restore(copy, 1);
-    // The next call of its own shows the copy, within a second.
+    // The node's next own call reveals the restore within a second.
     let orders = run_with_orders(&mut fixture, 3_000);
     let after = stored_record(&fixture);
     let owners = |record: &OwnershipRecord| {
@@ -70,11 +70,11 @@
 }
 
 #[gtest]
-fn a_record_that_a_copy_lacks_altogether_is_made_again() {
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn record_missing_after_a_restore_is_created_again() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
     run_with_orders(&mut fixture, 5_000);
     let before = stored_record(&fixture);
-    let mut copy = vacant_store();
+    let mut copy = store_without_owners();
     copy.remove(ObjectKind::Ownership, "record");
     fixture.store.restore(copy.copy(), 1);
     run_with_orders(&mut fixture, 3_000);
@@ -84,9 +84,9 @@
 }
 
 #[gtest]
-fn a_node_that_starts_over_a_copy_grants_nothing_before_earlier_holds_have_ended() {
+fn node_started_after_a_restore_grants_nothing_before_earlier_holds_have_ended() {
     let mut store = owned_store(configuration(1));
-    store.own(all_keys_of("i-3", 0));
+    store.put_ownership(all_keys_of("i-3", 0));
     store.era = Some("2".to_owned());
     let mut fixture = Fixture::new(store);
     let early = run_with_orders(&mut fixture, UNKNOWN_HOLDS_MS);
@@ -100,9 +100,9 @@
 }
 
 #[gtest]
-fn a_successor_in_the_same_era_waits_as_long() {
+fn successor_in_the_same_era_also_waits_for_earlier_holds() {
     let mut store = owned_store(configuration(1));
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         era: 2,
         epoch: first_of(2),
         unknown_holds_ms: 10_000,
@@ -115,9 +115,9 @@
 }
 
 #[gtest]
-fn a_record_of_the_present_era_is_followed_without_a_wait() {
+fn record_of_the_current_era_is_followed_without_a_wait() {
     let mut store = owned_store(configuration(1));
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         era: 2,
         epoch: first_of(2),
         ..all_keys_of("i-3", 0)
@@ -128,9 +128,9 @@
 }
 
 #[gtest]
-fn a_node_registers_again_in_a_new_era() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    let mut copy = vacant_store();
+fn node_registers_again_in_a_new_era() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    let mut copy = store_without_owners();
     copy.remove(ObjectKind::Nodes, "node-000");
     fixture.store.restore(copy.copy(), 1);
     run_with_orders(&mut fixture, 3_000);
@@ -139,14 +139,14 @@
 }
 
 #[gtest]
-fn an_answer_whose_era_cannot_be_read_or_is_over_is_not_used() {
+fn answer_with_an_invalid_or_earlier_era_is_ignored() {
     for (first, then) in [(None, "soon"), (Some("3"), "2"), (None, "99999999")] {
         let mut store = owned_store(configuration(1));
         store.add_node(node_record(0));
         store.era = first.map(str::to_owned);
         let mut fixture = Fixture::new(store);
         run_with_orders(&mut fixture, 4_000);
-        fixture.store.configure(configuration(2));
+        fixture.store.put_configuration(configuration(2));
         fixture.store.era = Some(then.to_owned());
         run_with_orders(&mut fixture, 4_000);
         let version = fixture.node.configuration().map(|known| known.version);
@@ -159,21 +159,21 @@
 }
 
 #[gtest]
-fn keys_are_routed_by_what_is_known_while_a_copy_holds_less() {
-    let mut fixture = Fixture::coordinating(vacant_store());
+fn keys_are_routed_by_known_owners_after_a_restore() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
     let copy = fixture.store.copy();
     run_with_orders(&mut fixture, 5_000);
     fixture.store.restore(copy, 1);
     fixture.run_until(fixture.now + ms(50));
     fixture.attempts.clear();
-    fixture.ask(KEYED, Some(7));
+    fixture.request(KEYED, Some(7));
     expect_that!(fixture.attempts, len(eq(1)));
 }
 
 #[gtest]
-fn a_store_that_names_an_era_from_the_first_answer_is_asked_no_more_than_others() {
+fn store_with_an_era_from_the_start_gets_no_additional_calls() {
     let calls = |era: Option<&str>| {
-        let mut store = vacant_store();
+        let mut store = store_without_owners();
         store.era = era.map(str::to_owned);
         let mut fixture = Fixture::coordinating(store);
         run_with_orders(&mut fixture, 3_000);
--- a/crates/ledgelead-router/tests/node/outage.rs
+++ b/crates/ledgelead-router/tests/node/store_outage.rs
@@ -1,4 +1,4 @@
-//! What nodes ask of a store that refuses all calls.
+//! Calls of nodes to a store that refuses all of them.
 
 use crate::fixture::{Fixture, KEYED, SERVICE, Store, configuration, instance};
 use crate::fixture::{ms, node_address, node_record};
@@ -9,27 +9,27 @@
 use ledgelead_router::peers::{ChangeSpan, ChangedInstance, Heartbeat, InstanceEntry, PeerMessage};
 use ledgelead_types::codec::{List, Text};
 
-/// Calls of a node among others during six seconds without a store.
-fn calls_in_an_outage(nodes: u8) -> usize {
+/// Number of calls of one of several nodes during six seconds without the store.
+fn calls_during_an_outage(nodes: u8) -> usize {
     let mut fixture = Fixture::new(store(nodes));
     fixture.run_until(ms(900));
-    fixture.store.refuses = true;
+    fixture.store.refuses_calls = true;
     fixture.run_until(ms(1_300));
     let before = fixture.calls.len();
     fixture.run_until(ms(7_300));
     fixture.calls.len() - before
 }
 
-/// A store with this many nodes, one of them named as coordinator.
+/// A store with this many nodes, one of which is named as coordinator.
 fn store(nodes: u8) -> Store {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
     store.add_instance(instance(2, KEYED));
     for number in 0..nodes {
         store.add_node(node_record(number));
     }
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         epoch: 4,
         coordinator: Some(node_record(1).identity),
         next_fence: 9,
@@ -39,9 +39,9 @@
 }
 
 #[gtest]
-fn the_calls_of_an_outage_grow_slower_than_the_nodes() {
-    let few = calls_in_an_outage(6);
-    let many = calls_in_an_outage(250);
+fn calls_during_an_outage_grow_slower_than_the_fleet() {
+    let few = calls_during_an_outage(6);
+    let many = calls_during_an_outage(250);
     expect_that!(few, all!(ge(6), le(11)));
     expect_that!(many, all!(ge(3), le(6)));
 }
@@ -65,20 +65,19 @@
     })
 }
 
-/// A node that the store refuses for six seconds, while it serves the
-/// coordinator.
+/// A node that the store refuses for six seconds while it serves the coordinator.
 fn refused_node() -> Fixture {
     let mut fixture = Fixture::new(store(6));
     fixture.run_until(ms(900));
-    fixture.store.refuses = true;
-    // Some call has been refused.
+    fixture.store.refuses_calls = true;
+    // At least one call has been refused.
     fixture.run_until(ms(1_500));
     expect_that!(fixture.node.status().store_failures, ge(1));
     fixture
 }
 
 #[gtest]
-fn a_node_that_the_store_refuses_follows_a_coordinator_that_is_served() {
+fn node_refused_by_the_store_follows_a_coordinator_that_is_served() {
     let mut fixture = refused_node();
     let known = fixture.store.revision;
     let before = fixture.calls.len();
@@ -90,18 +89,18 @@
         }
         fixture.run_until(fixture.now + ms(200));
     }
-    // What the coordinator relays is in force, and the store is left alone but
-    // for a rare probe.
+    // The changes relayed by the coordinator are applied, and the node rarely probes the
+    // store.
     expect_that!(fixture.node.status().instances, eq(3));
     expect_that!(fixture.calls.len() - before, le(3));
-    // Without the coordinator the node asks by itself again.
+    // Without the coordinator the node calls the store itself again.
     let before = fixture.calls.len();
     fixture.run_until(fixture.now + ms(4_000));
     expect_that!(fixture.calls.len() - before, ge(3));
 }
 
 #[gtest]
-fn entries_that_go_after_a_coordinator_was_followed_are_gone_at_once() {
+fn removals_after_following_a_coordinator_take_effect_immediately() {
     let mut fixture = refused_node();
     let known = fixture.store.revision;
     for _ in 0..30 {
@@ -110,13 +109,13 @@
         fixture.run_until(fixture.now + ms(200));
     }
     // The coordinator is silent, the store serves again, and an instance has left.
-    fixture.store.refuses = false;
+    fixture.store.refuses_calls = false;
     let gone = (ObjectKind::Instances, "i-1".to_owned());
     fixture.store.objects.remove(&gone);
     fixture.store.revision += 1;
-    fixture.store.forgets = true;
+    fixture.store.has_lost_history = true;
     fixture.run_until(fixture.now + ms(2_000));
-    let client = fixture.ask(SERVICE, None);
+    let client = fixture.request(SERVICE, None);
     expect_that!(fixture.attempts, is_empty());
     fixture.run_until(fixture.now + ms(200));
     expect_that!(
@@ -150,7 +149,7 @@
     }
 }
 
-/// The coordinator's heartbeat with a version that it can't announce in full.
+/// A heartbeat of the coordinator with a version that it doesn't announce in full.
 fn heartbeat_of_version(fixture: &Fixture, store_serves: bool, configuration: u64) -> PeerMessage {
     match heartbeat(fixture, 0) {
         PeerMessage::CoordinatorHeartbeat(heartbeat) => {
@@ -165,14 +164,14 @@
 }
 
 #[gtest]
-fn a_node_probes_at_once_when_the_store_serves_the_coordinator_again() {
+fn node_probes_immediately_when_the_store_serves_the_coordinator_again() {
     let mut fixture = refused_node();
     for _ in 0..15 {
         let message = heartbeat_of_version(&fixture, false, 1);
         fixture.receive(node_address(1), &message);
         fixture.run_until(fixture.now + ms(200));
     }
-    fixture.store.refuses = false;
+    fixture.store.refuses_calls = false;
     let failures = fixture.node.status().store_failures;
     let before = fixture.calls.len();
     let message = heartbeat_of_version(&fixture, true, 1);
@@ -183,22 +182,22 @@
 }
 
 #[gtest]
-fn a_version_that_is_not_announced_is_read_soon_after_the_store_serves_again() {
+fn unannounced_version_is_read_soon_after_the_store_recovers() {
     let mut fixture = refused_node();
-    // The node is refused still, while the coordinator is served.
+    // The store still refuses the node, while it serves the coordinator.
     for _ in 0..10 {
         let message = heartbeat_of_version(&fixture, true, 1);
         fixture.receive(node_address(1), &message);
         fixture.run_until(fixture.now + ms(200));
     }
-    fixture.store.configure(configuration(9));
+    fixture.store.put_configuration(configuration(9));
     for _ in 0..5 {
         let message = heartbeat_of_version(&fixture, true, 9);
         fixture.receive(node_address(1), &message);
         fixture.run_until(fixture.now + ms(200));
     }
     expect_that!(fixture.node.status().configuration, some(eq(1)));
-    fixture.store.refuses = false;
+    fixture.store.refuses_calls = false;
     for _ in 0..9 {
         let message = heartbeat_of_version(&fixture, true, 9);
         fixture.receive(node_address(1), &message);
@@ -207,45 +206,45 @@
     expect_that!(fixture.node.status().configuration, some(eq(9)));
 }
 
-/// Requests that instances have received for the service without keys.
+/// Number of attempts for one request to the service without keys.
 fn sent_for_service(fixture: &mut Fixture) -> usize {
     let before = fixture.attempts.len();
-    fixture.ask(SERVICE, None);
+    fixture.request(SERVICE, None);
     fixture.attempts.len() - before
 }
 
-/// All entries of instances have lapsed, and the changes are forgotten.
-fn lapse(fixture: &mut Fixture) {
+/// All entries of instances have expired, and the history of changes is lost.
+fn remove_instance_entries(fixture: &mut Fixture) {
     let objects = &mut fixture.store.objects;
     objects.retain(|(kind, _), _| *kind != ObjectKind::Instances);
     fixture.store.revision += 2;
-    fixture.store.forgets = true;
+    fixture.store.has_lost_history = true;
 }
 
 #[gtest]
-fn a_watch_that_waits_through_an_outage_proves_no_service_before_its_answer() {
+fn answer_to_a_watch_from_before_an_outage_proves_no_earlier_service() {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
     store.add_node(node_record(0));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(3_000));
     expect_that!(fixture.node.coordinator().is_some(), eq(true));
-    fixture.store.refuses = true;
+    fixture.store.refuses_calls = true;
     fixture.run_until(ms(7_000));
-    lapse(&mut fixture);
-    fixture.store.refuses = false;
-    // The first answer is that to a watch from before the outage.
-    fixture.change_watched(ObjectKind::Nodes);
+    remove_instance_entries(&mut fixture);
+    fixture.store.refuses_calls = false;
+    // The first answer is to a watch from before the outage.
+    fixture.answer_watch_with_changes(ObjectKind::Nodes);
     fixture.run_until(ms(7_100));
     expect_that!(sent_for_service(&mut fixture), eq(1));
-    // Whoever has not come back by then is gone.
+    // Instances that have not written their entries again by then are gone.
     fixture.run_until(ms(9_500));
     expect_that!(sent_for_service(&mut fixture), eq(0));
 }
 
 #[gtest]
-fn a_coordinator_in_doubt_says_so_to_those_that_it_relays_removals_to() {
+fn unconfirmed_removals_relayed_by_a_coordinator_take_effect_later() {
     let mut fixture = refused_node();
     let known = fixture.store.revision;
     fixture.receive(node_address(1), &heartbeat(&fixture, known));
--- a/crates/ledgelead-router/tests/node/transfer.rs
+++ b/crates/ledgelead-router/tests/node/transfer.rs
@@ -1,8 +1,8 @@
-//! Lists that don't fit one page of the store come from other nodes.
+//! Lists that exceed one page of the store are transferred between nodes.
 //!
-//! A fleet of 984 nodes and 9,998 instances started with a list of 50 pages for each node:
-//! 3 GB over the store's link, whose connections then timed out for 20 s, also those of the
-//! coordinator and of the instances. No key got an owner.
+//! A fleet of 984 nodes and 9,998 instances started with a list of 50 pages for each node.
+//! These 3 GB over the store's link made its connections time out for 20 s, including those of
+//! the coordinator and of the instances, and no key got an owner.
 
 use crate::fixture::{
     Fixture, SERVICE, Sent, Store, configuration, instance, ms, node_address, node_record,
@@ -23,27 +23,27 @@
 use ledgelead_types::codec::{self, Bytes, List, Text};
 use std::net::SocketAddr;
 
-/// Instances, of which two fit a page.
+/// Numbers of the instances, of which two fit on a page.
 const INSTANCES: std::ops::RangeInclusive<u8> = 1..=9;
-/// Time in which a request has an answer, be it that there is nothing to send: less than
+/// Time in which each request is answered, even if there is nothing to send. It is less than
 /// the time after which its sender asks another node.
 const ANSWERED_WITHIN_MS: u64 = 1_000;
-/// The node that coordinates.
+/// The coordinator.
 const COORDINATOR: u8 = 1;
-/// The node that passes its heartbeats on.
+/// The node that relays the coordinator's heartbeats.
 const RELAY: u8 = 2;
 
-/// A store whose lists take several pages, and that names a coordinator.
+/// A store with a coordinator, whose lists take several pages.
 fn paged_store() -> Store {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in INSTANCES {
         store.add_instance(instance(number, SERVICE));
     }
     for number in 0..4 {
         store.add_node(node_record(number));
     }
-    store.own(OwnershipRecord {
+    store.put_ownership(OwnershipRecord {
         epoch: 5,
         coordinator: Some(node_record(COORDINATOR).identity),
         next_fence: 9,
@@ -53,7 +53,7 @@
     store
 }
 
-/// A heartbeat of the coordinator, which knows all that is in the store.
+/// A heartbeat of a coordinator that knows the complete state of the store.
 fn heartbeat(fixture: &Fixture) -> PeerMessage {
     PeerMessage::CoordinatorHeartbeat(Heartbeat {
         epoch: 5,
@@ -78,8 +78,8 @@
     })
 }
 
-/// The relay passes a heartbeat on.
-fn hear_coordinator(fixture: &mut Fixture) {
+/// Receives a heartbeat through the relay.
+fn relay_heartbeat(fixture: &mut Fixture) {
     let message = heartbeat(fixture);
     let passed_on = PeerMessage::Forwarded {
         origin: PeerAddress::new(node_address(COORDINATOR)).expect("IPv4"),
@@ -89,16 +89,16 @@
     fixture.receive(node_address(RELAY), &passed_on);
 }
 
-/// Passes heartbeats on for so long.
-fn follow_for(fixture: &mut Fixture, lasts_ms: u64) {
+/// Receives heartbeats through the relay for this time.
+fn relay_heartbeats_for(fixture: &mut Fixture, lasts_ms: u64) {
     let end = fixture.now + ms(lasts_ms);
     while fixture.now < end {
-        hear_coordinator(fixture);
+        relay_heartbeat(fixture);
         fixture.run_until(fixture.now + ms(100));
     }
 }
 
-/// Pages of instances that the store was asked for.
+/// Number of pages of instances requested from the store.
 fn pages(fixture: &Fixture) -> usize {
     let is_page = |call: &&StoreCall| {
         matches!(
@@ -117,7 +117,7 @@
         .count()
 }
 
-/// The requests for instances that went to other nodes and have no answer yet.
+/// The unanswered requests for instances to other nodes.
 fn take_requests(fixture: &mut Fixture) -> Vec<Sent> {
     let sent = std::mem::take(&mut fixture.attempts);
     let asks_instances = |sent: &Sent| {
@@ -128,8 +128,8 @@
     sent.into_iter().filter(asks_instances).collect()
 }
 
-/// What a coordinator of the same store answers to the node with this number in a zone.
-fn asked_by(fixture: &mut Fixture, number: u8, zone: &str) -> TransferAnswer {
+/// The answer of a coordinator of the same store to the node with this number in a zone.
+fn answer_to(fixture: &mut Fixture, number: u8, zone: &str) -> TransferAnswer {
     let request = TransferRequest {
         kind: RelayedKind::Instances,
         known: 0,
@@ -149,17 +149,17 @@
 
 fn coordinator() -> Fixture {
     let mut store = paged_store();
-    store.vacate();
+    store.clear_coordinator();
     Fixture::coordinating(store)
 }
 
-/// All instances, as a coordinator sends them.
+/// The response of a coordinator with all instances.
 fn all_instances() -> Response {
-    let answer = asked_by(&mut coordinator(), 3, "a");
+    let answer = answer_to(&mut coordinator(), 3, "a");
     Response::new(200, codec::encode(&answer))
 }
 
-fn elsewhere(nodes: &[SocketAddr]) -> Response {
+fn referral(nodes: &[SocketAddr]) -> Response {
     let nodes = nodes
         .iter()
         .filter_map(|node| PeerAddress::new(*node))
@@ -167,16 +167,16 @@
     Response::new(200, codec::encode(&TransferAnswer::Elsewhere { nodes }))
 }
 
-/// A node that has seen one page and hears a coordinator.
+/// A node that has read one page and hears a coordinator.
 fn following() -> Fixture {
     let mut fixture = Fixture::new(paged_store());
     fixture.run_until(ms(50));
-    follow_for(&mut fixture, 100);
+    relay_heartbeats_for(&mut fixture, 100);
     fixture
 }
 
 #[gtest]
-fn a_starting_node_reads_one_page_and_asks_the_node_that_passes_heartbeats_on() {
+fn starting_node_reads_one_page_and_asks_the_relay_of_heartbeats() {
     let mut fixture = following();
     expect_that!(pages(&fixture), eq(1));
     let requests = take_requests(&mut fixture);
@@ -186,80 +186,80 @@
     fixture.answer(requests[0].exchange, all_instances());
     expect_that!(fixture.node.is_ready(), eq(true));
     expect_that!(fixture.node.status().instances, eq(INSTANCES.count()));
-    follow_for(&mut fixture, 2_000);
+    relay_heartbeats_for(&mut fixture, 2_000);
     expect_that!(pages(&fixture), eq(1));
 }
 
 #[gtest]
-fn a_node_that_hears_a_coordinator_before_the_first_page_waits_for_no_other() {
+fn node_following_a_coordinator_before_its_first_page_reads_no_other() {
     let mut fixture = Fixture::new(paged_store());
     fixture.store.is_slow = true;
     fixture.run_until(ms(20));
-    // The configuration, with which the node follows; then the first page.
-    fixture.deliver();
-    hear_coordinator(&mut fixture);
-    fixture.deliver();
-    follow_for(&mut fixture, 200);
+    // Delivers the configuration, with which the node can follow, and then the first page.
+    fixture.deliver_answers();
+    relay_heartbeat(&mut fixture);
+    fixture.deliver_answers();
+    relay_heartbeats_for(&mut fixture, 200);
     expect_that!(pages(&fixture), eq(1));
     expect_that!(take_requests(&mut fixture), len(eq(1)));
 }
 
 #[gtest]
-fn a_node_is_referred_to_those_that_have_the_list() {
+fn node_is_referred_to_sources_of_the_list() {
     let mut fixture = following();
     let first = take_requests(&mut fixture).pop().expect("a request");
-    fixture.answer(first.exchange, elsewhere(&[node_address(3)]));
-    follow_for(&mut fixture, 100);
+    fixture.answer(first.exchange, referral(&[node_address(3)]));
+    relay_heartbeats_for(&mut fixture, 100);
     let second = take_requests(&mut fixture).pop().expect("a request");
     expect_that!(second.address, eq(node_address(3)));
     fixture.end(second.exchange, Err(ExchangeFailure::Refused));
-    follow_for(&mut fixture, 500);
+    relay_heartbeats_for(&mut fixture, 500);
     let third = take_requests(&mut fixture).pop().expect("a request");
     expect_that!(third.address, not(eq(node_address(3))));
 }
 
 #[gtest]
-fn a_node_that_finds_no_source_reads_the_store() {
+fn node_without_a_source_reads_the_store() {
     let mut fixture = following();
     let end = fixture.now + ms(13_000);
     while fixture.now < end && !fixture.node.is_ready() {
         for request in take_requests(&mut fixture) {
-            fixture.answer(request.exchange, elsewhere(&[]));
+            fixture.answer(request.exchange, referral(&[]));
         }
-        follow_for(&mut fixture, 100);
+        relay_heartbeats_for(&mut fixture, 100);
     }
     expect_that!(fixture.node.is_ready(), eq(true));
     expect_that!(pages(&fixture), ge(INSTANCES.count() / 2));
 }
 
 #[gtest]
-fn a_node_that_hears_nobody_reads_the_store() {
+fn node_without_a_coordinator_reads_the_store() {
     let mut fixture = Fixture::new(paged_store());
     fixture.run_until(ms(20_000));
     expect_that!(fixture.node.is_ready(), eq(true));
 }
 
 #[gtest]
-fn another_zone_gets_a_list_once_and_passes_it_on() {
+fn another_zone_is_sent_a_list_once_and_then_referred() {
     let mut fixture = coordinator();
-    let first = asked_by(&mut fixture, 10, "b");
+    let first = answer_to(&mut fixture, 10, "b");
     expect_that!(first, matches_pattern!(TransferAnswer::State(_)));
     let referred = TransferAnswer::Elsewhere {
         nodes: List(vec![PeerAddress::new(node_address(10)).expect("IPv4")]),
     };
-    expect_that!(asked_by(&mut fixture, 11, "b"), eq(&referred));
-    // Nodes of its own zone get it as long as there is room on the link.
+    expect_that!(answer_to(&mut fixture, 11, "b"), eq(&referred));
+    // Nodes of the same zone get the list as long as there is bandwidth.
     for number in 3..6 {
-        let answer = asked_by(&mut fixture, number, "a");
+        let answer = answer_to(&mut fixture, number, "a");
         expect_that!(answer, matches_pattern!(TransferAnswer::State(_)));
     }
-    // The first may be lost.
+    // The first transfer may have been lost.
     fixture.run_until(fixture.now + ms(2_000));
-    let later = asked_by(&mut fixture, 11, "b");
+    let later = answer_to(&mut fixture, 11, "b");
     expect_that!(later, matches_pattern!(TransferAnswer::State(_)));
 }
 
-/// Requests of a node with a link of so many bytes a second, sent without an answer yet.
+/// Sends a request of a node with this bandwidth, without waiting for the answer.
 fn request(fixture: &mut Fixture, number: u8, link_bytes_per_s: u64) -> ClientId {
     let request = TransferRequest {
         kind: RelayedKind::Instances,
@@ -276,7 +276,8 @@
     client
 }
 
-/// Requests that were answered with the list, and those that were referred, by whom to.
+/// Clients whose requests were answered with the list, and the targets of the other requests'
+/// referrals.
 fn outcomes(fixture: &Fixture) -> (Vec<ClientId>, Vec<SocketAddr>) {
     let mut sent = Vec::new();
     let mut referred = Vec::new();
@@ -292,18 +293,18 @@
 }
 
 #[gtest]
-fn what_the_link_bears_goes_to_the_widest_links_which_serve_the_others() {
+fn fastest_links_are_served_first_and_get_the_referrals() {
     let mut settings = Fixture::settings();
-    // Half of it carries nine entries of some 40 bytes in a quarter of a second.
+    // Half of it carries nine entries of about 40 bytes in a quarter of a second.
     settings.link_bytes_per_s = 3_000;
     let mut store = paged_store();
-    store.vacate();
+    store.clear_coordinator();
     let mut fixture = Fixture::with_settings(store, settings);
     fixture.run_until(ms(3_000));
     for number in 10..40 {
         request(&mut fixture, number, 1_000);
     }
-    let widest = [
+    let fastest = [
         request(&mut fixture, 50, 20_000),
         request(&mut fixture, 51, 20_000),
     ];
@@ -311,8 +312,8 @@
     let (sent, referred) = outcomes(&fixture);
     expect_that!(sent.len() + referred.len(), eq(32));
     expect_that!(sent.len(), le(8));
-    expect_that!(sent[..2], eq(&widest));
-    // Each of the wide links gets many times as many as a narrow one.
+    expect_that!(sent[..2], eq(&fastest));
+    // Each fast link gets many times as many referrals as a slow one.
     let to = |number: u8| {
         let to_it = |node: &&SocketAddr| **node == node_address(number);
         referred.iter().filter(to_it).count()
@@ -321,9 +322,9 @@
 }
 
 #[gtest]
-fn narrow_links_that_were_served_later_do_not_take_the_place_of_wide_ones() {
+fn slow_links_served_later_do_not_displace_a_fast_one() {
     let mut store = paged_store();
-    store.vacate();
+    store.clear_coordinator();
     let mut settings = Fixture::settings();
     settings.link_bytes_per_s = 20_000;
     let mut fixture = Fixture::with_settings(store, settings);
@@ -345,24 +346,24 @@
 }
 
 #[gtest]
-fn a_request_waits_for_the_list_and_is_forgotten_with_its_sender() {
+fn request_waits_for_the_list_and_is_dropped_on_disconnect() {
     let mut fixture = Fixture::new(paged_store());
     fixture.run_until(ms(50));
-    follow_for(&mut fixture, 100);
-    let asks = request(&mut fixture, 3, 1_000);
+    relay_heartbeats_for(&mut fixture, 100);
+    let waits = request(&mut fixture, 3, 1_000);
     let leaves = request(&mut fixture, 2, 1_000);
     fixture.step(Input::ClientLeft { client: leaves });
-    follow_for(&mut fixture, 200);
+    relay_heartbeats_for(&mut fixture, 200);
     expect_that!(fixture.answers, is_empty());
     let own = take_requests(&mut fixture).pop().expect("a request");
     fixture.answer(own.exchange, all_instances());
-    follow_for(&mut fixture, 100);
+    relay_heartbeats_for(&mut fixture, 100);
     let (sent, _) = outcomes(&fixture);
-    expect_that!(sent, elements_are![eq(&asks)]);
+    expect_that!(sent, elements_are![eq(&waits)]);
 }
 
 #[gtest]
-fn a_table_of_instances_holds_what_they_registered() {
+fn instance_table_keeps_all_fields_of_the_records() {
     let mut records: Vec<InstanceRecord> =
         INSTANCES.map(|number| instance(number, SERVICE)).collect();
     records[1].address = "[2001:db8::7]:8000".parse().expect("an address");
@@ -374,10 +375,10 @@
 }
 
 #[gtest]
-fn a_node_that_knows_nothing_newer_sends_nothing() {
+fn node_without_newer_objects_sends_none() {
     let mut fixture = Fixture::new(paged_store());
     fixture.run_until(ms(50));
-    let answer = asked_by(&mut fixture, 3, "a");
+    let answer = answer_to(&mut fixture, 3, "a");
     let nothing = TransferAnswer::Elsewhere {
         nodes: List(Vec::new()),
     };
