--- a/crates/ledgelead-router/tests/node/foreign.rs
+++ b/crates/ledgelead-router/tests/node/unreadable_objects.rs
@@ -1,7 +1,7 @@
-//! Entries of the store that another writer made.
+//! Entries of the store that another program has written in an unreadable form.
 
 use crate::fixture::{
-    Fixture, KEYED, SERVICE, instance, ms, node_address, node_record, vacant_store,
+    Fixture, KEYED, SERVICE, instance, ms, node_address, node_record, store_without_owners,
 };
 use googletest::prelude::*;
 use ledgelead_http::Response;
@@ -17,32 +17,32 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Where requests go.
-fn used(fixture: &mut Fixture, service: &str) -> BTreeSet<SocketAddr> {
+/// The addresses to which requests are sent.
+fn addresses_used(fixture: &mut Fixture, service: &str) -> BTreeSet<SocketAddr> {
     fixture.attempts.clear();
     for number in 0..12u16 {
         let key = (service == KEYED).then_some(number * 5_000);
-        fixture.ask(service, key);
+        fixture.request(service, key);
     }
     let sent = fixture
         .attempts
         .iter()
         .filter(|sent| sent.target != "order");
-    let used: BTreeSet<SocketAddr> = sent.map(|sent| sent.address).collect();
+    let addresses_used: BTreeSet<SocketAddr> = sent.map(|sent| sent.address).collect();
     for sent in std::mem::take(&mut fixture.attempts) {
         let mut response = Response::new(200, "");
         response.headers.push("signature", "s");
         fixture.answer(sent.exchange, response);
     }
-    used
+    addresses_used
 }
 
 fn address(number: u8) -> SocketAddr {
     instance(number, SERVICE).address
 }
 
-/// Answers orders for a while, so that keys get owners.
-fn settle(fixture: &mut Fixture, time: u64) {
+/// Answers orders for this time in milliseconds, so that keys get owners.
+fn answer_orders_for(fixture: &mut Fixture, time: u64) {
     let end = fixture.now + ms(time);
     while fixture.now < end {
         let next = fixture.now + ms(50);
@@ -58,66 +58,66 @@
 }
 
 #[gtest]
-fn an_entry_that_becomes_foreign_names_no_instance_and_comes_back() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    settle(&mut fixture, 3_000);
-    expect_that!(used(&mut fixture, SERVICE).len(), eq(2));
-    fixture.store.spoil(ObjectKind::Instances, "i-1");
-    fixture.change_watched(ObjectKind::Instances);
+fn instance_with_unreadable_entry_is_unused_until_readable_again() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    answer_orders_for(&mut fixture, 3_000);
+    expect_that!(addresses_used(&mut fixture, SERVICE).len(), eq(2));
+    fixture.store.put_unreadable(ObjectKind::Instances, "i-1");
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
     expect_that!(
-        used(&mut fixture, SERVICE),
+        addresses_used(&mut fixture, SERVICE),
         eq(&BTreeSet::from([address(2)]))
     );
-    settle(&mut fixture, 1_000);
+    answer_orders_for(&mut fixture, 1_000);
     fixture.store.add_instance(instance(1, SERVICE));
-    fixture.change_watched(ObjectKind::Instances);
-    expect_that!(used(&mut fixture, SERVICE).len(), eq(2));
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
+    expect_that!(addresses_used(&mut fixture, SERVICE).len(), eq(2));
 }
 
 #[gtest]
-fn keys_of_an_owner_whose_entry_becomes_foreign_move() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    settle(&mut fixture, 4_000);
+fn keys_of_an_owner_with_unreadable_entry_move() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    answer_orders_for(&mut fixture, 4_000);
     let owner = InstanceId::from("i-3");
     let owned = (0..=u16::MAX).find(|key| fixture.owner_of(*key).as_ref() == Some(&owner));
     let key = owned.expect("it owns keys");
-    fixture.store.spoil(ObjectKind::Instances, "i-3");
-    fixture.change_watched(ObjectKind::Instances);
-    settle(&mut fixture, 8_000);
+    fixture.store.put_unreadable(ObjectKind::Instances, "i-3");
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
+    answer_orders_for(&mut fixture, 8_000);
     expect_that!(fixture.owner_of(key), some(eq(&InstanceId::from("i-4"))));
 }
 
 #[gtest]
-fn a_foreign_entry_ends_no_life_at_its_address_and_a_good_one_does() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    settle(&mut fixture, 3_000);
-    fixture.store.spoil(ObjectKind::Instances, "i-9");
-    fixture.change_watched(ObjectKind::Instances);
-    expect_that!(used(&mut fixture, SERVICE).len(), eq(2));
-    settle(&mut fixture, 1_000);
+fn only_a_readable_entry_replaces_the_instance_at_its_address() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    answer_orders_for(&mut fixture, 3_000);
+    fixture.store.put_unreadable(ObjectKind::Instances, "i-9");
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
+    expect_that!(addresses_used(&mut fixture, SERVICE).len(), eq(2));
+    answer_orders_for(&mut fixture, 1_000);
     fixture.store.add_instance(InstanceRecord {
         address: address(1),
         ..instance(9, KEYED)
     });
-    fixture.change_watched(ObjectKind::Instances);
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
     expect_that!(
-        used(&mut fixture, SERVICE),
+        addresses_used(&mut fixture, SERVICE),
         eq(&BTreeSet::from([address(2)]))
     );
 }
 
 #[gtest]
-fn a_list_with_foreign_entries_leaves_the_others() {
-    let mut store = vacant_store();
-    store.spoil(ObjectKind::Instances, "i-1");
-    store.spoil(ObjectKind::Instances, "");
-    store.spoil(ObjectKind::Nodes, "i-2");
-    store.spoil(ObjectKind::Quarantine, "i-2");
-    store.spoil(ObjectKind::Ownership, "other");
+fn unreadable_entries_of_a_list_do_not_affect_the_others() {
+    let mut store = store_without_owners();
+    store.put_unreadable(ObjectKind::Instances, "i-1");
+    store.put_unreadable(ObjectKind::Instances, "");
+    store.put_unreadable(ObjectKind::Nodes, "i-2");
+    store.put_unreadable(ObjectKind::Quarantine, "i-2");
+    store.put_unreadable(ObjectKind::Ownership, "other");
     let mut fixture = Fixture::coordinating(store);
-    settle(&mut fixture, 1_000);
+    answer_orders_for(&mut fixture, 1_000);
     expect_that!(
-        used(&mut fixture, SERVICE),
+        addresses_used(&mut fixture, SERVICE),
         eq(&BTreeSet::from([address(2)]))
     );
     let status = fixture.node.status();
@@ -127,67 +127,67 @@
 }
 
 #[gtest]
-fn a_foreign_object_of_another_kind_that_goes_removes_no_instance() {
-    let mut store = vacant_store();
-    store.spoil(ObjectKind::Nodes, "i-2");
+fn removing_an_unreadable_object_of_another_kind_removes_no_instance() {
+    let mut store = store_without_owners();
+    store.put_unreadable(ObjectKind::Nodes, "i-2");
     let mut fixture = Fixture::coordinating(store);
-    settle(&mut fixture, 3_000);
+    answer_orders_for(&mut fixture, 3_000);
     fixture.store.remove(ObjectKind::Nodes, "i-2");
-    fixture.change_watched(ObjectKind::Nodes);
-    settle(&mut fixture, 3_000);
-    expect_that!(used(&mut fixture, SERVICE).len(), eq(2));
+    fixture.answer_watch_with_changes(ObjectKind::Nodes);
+    answer_orders_for(&mut fixture, 3_000);
+    expect_that!(addresses_used(&mut fixture, SERVICE).len(), eq(2));
 }
 
 #[gtest]
-fn what_is_foreign_is_relayed_as_gone_whether_told_or_listed() {
+fn unreadable_entry_is_relayed_as_removed_from_watch_and_list() {
     for lists in [false, true] {
-        let mut fixture = Fixture::coordinating(vacant_store());
-        settle(&mut fixture, 3_000);
+        let mut fixture = Fixture::coordinating(store_without_owners());
+        answer_orders_for(&mut fixture, 3_000);
         fixture.datagrams.clear();
-        fixture.store.spoil(ObjectKind::Instances, "i-1");
+        fixture.store.put_unreadable(ObjectKind::Instances, "i-1");
         if lists {
-            fixture.store.forgets = true;
+            fixture.store.has_lost_history = true;
             fixture.lose_history(ObjectKind::Instances);
         } else {
-            fixture.change_watched(ObjectKind::Instances);
+            fixture.answer_watch_with_changes(ObjectKind::Instances);
         }
-        let told = fixture
+        let announced = fixture
             .datagrams
             .iter()
             .filter_map(|(_, _, message)| match message {
                 PeerMessage::InstancesChanged { changes, .. } => Some(changes.0.clone()),
                 _ => None,
             });
-        let told: Vec<ChangedInstance> = told.flatten().collect();
+        let announced: Vec<ChangedInstance> = announced.flatten().collect();
         let gone = ChangedInstance {
             id: Text("i-1".to_owned()),
             entry: None,
         };
-        expect_that!(told, eq(&[gone]), "lists: {lists}");
+        expect_that!(announced, eq(&[gone]), "lists: {lists}");
     }
 }
 
 #[gtest]
-fn a_change_that_names_nothing_is_told_as_an_empty_list() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    settle(&mut fixture, 3_000);
+fn change_without_a_name_is_relayed_as_an_empty_list() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    answer_orders_for(&mut fixture, 3_000);
     fixture.datagrams.clear();
-    fixture.store.spoil(ObjectKind::Instances, "");
-    fixture.change_watched(ObjectKind::Instances);
-    let told = fixture
+    fixture.store.put_unreadable(ObjectKind::Instances, "");
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
+    let announced = fixture
         .datagrams
         .iter()
         .find_map(|(_, _, message)| match message {
             PeerMessage::InstancesChanged { span, changes, .. } => Some((*span, changes.len())),
             _ => None,
         });
-    let (span, changes) = told.expect("a list");
+    let (span, changes) = announced.expect("a list");
     expect_that!(span.revision, eq(fixture.store.revision));
     expect_that!(changes, eq(0));
 }
 
 #[gtest]
-fn what_is_relayed_and_out_of_range_counts_as_gone() {
+fn relayed_entry_out_of_bounds_counts_as_removed() {
     let entry = |slots, address: &str| InstanceEntry {
         service: Text(SERVICE.to_owned()),
         address: Text(address.to_owned()),
@@ -201,8 +201,8 @@
         entry(u32::MAX, "10.0.1.1:8000"),
         entry(2, "x"),
     ] {
-        let mut store = vacant_store();
-        store.own(OwnershipRecord {
+        let mut store = store_without_owners();
+        store.put_ownership(OwnershipRecord {
             epoch: 4,
             coordinator: Some(node_record(1).identity),
             next_fence: 9,
@@ -227,16 +227,16 @@
         };
         fixture.receive(node_address(1), &message);
         expect_that!(
-            used(&mut fixture, SERVICE),
+            addresses_used(&mut fixture, SERVICE),
             eq(&BTreeSet::from([address(2)]))
         );
     }
 }
 
 #[gtest]
-fn a_long_entry_leaves_room_for_the_others_of_its_datagram() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    settle(&mut fixture, 3_000);
+fn long_entries_are_split_into_several_datagrams() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    answer_orders_for(&mut fixture, 3_000);
     fixture.datagrams.clear();
     for number in 10..18 {
         let id = format!("i-{number}-{}", "x".repeat(240));
@@ -246,23 +246,23 @@
         });
     }
     // The fixture decodes each datagram as another node would.
-    fixture.change_watched(ObjectKind::Instances);
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
     expect_that!(fixture.sent("instances"), ge(2));
 }
 
 #[gtest]
-fn a_finding_is_counted_each_time() {
-    let mut fixture = Fixture::coordinating(vacant_store());
-    settle(&mut fixture, 3_000);
+fn every_occurrence_of_an_unreadable_object_is_counted() {
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    answer_orders_for(&mut fixture, 3_000);
     for _ in 0..5 {
-        fixture.store.spoil(ObjectKind::Instances, "i-1");
-        fixture.change_watched(ObjectKind::Instances);
-        settle(&mut fixture, 1_000);
+        fixture.store.put_unreadable(ObjectKind::Instances, "i-1");
+        fixture.answer_watch_with_changes(ObjectKind::Instances);
+        answer_orders_for(&mut fixture, 1_000);
     }
     expect_that!(unreadable(&fixture.node.status(), "instances"), eq(5));
 }
 
-/// Whether the node says in its last heartbeat that the store serves it as coordinator.
+/// Whether the last heartbeat says that the store serves the node as coordinator.
 fn has_authority(fixture: &Fixture) -> bool {
     let heartbeats = fixture.datagrams.iter().rev();
     let mut heartbeats = heartbeats.filter_map(|(_, _, message)| match message {
@@ -273,42 +273,44 @@
 }
 
 #[gtest]
-fn a_record_that_cannot_be_read_confirms_no_coordinator() {
-    let mut store = vacant_store();
+fn unreadable_record_does_not_confirm_the_coordinator() {
+    let mut store = store_without_owners();
     store.answers_changes = true;
     let mut fixture = Fixture::coordinating(store);
-    settle(&mut fixture, 12_000);
+    answer_orders_for(&mut fixture, 12_000);
     expect_that!(has_authority(&fixture), eq(true));
-    fixture.store.spoil(ObjectKind::Ownership, "record");
-    settle(&mut fixture, 16_000);
+    fixture
+        .store
+        .put_unreadable(ObjectKind::Ownership, "record");
+    answer_orders_for(&mut fixture, 16_000);
     expect_that!(has_authority(&fixture), eq(false));
 }
 
 #[gtest]
-fn a_foreign_object_beside_the_record_leaves_the_coordinator_its_place() {
-    let mut store = vacant_store();
+fn unreadable_object_beside_the_record_does_not_end_the_role() {
+    let mut store = store_without_owners();
     store.answers_changes = true;
     let mut fixture = Fixture::coordinating(store);
-    fixture.store.spoil(ObjectKind::Ownership, "other");
-    settle(&mut fixture, 16_000);
+    fixture.store.put_unreadable(ObjectKind::Ownership, "other");
+    answer_orders_for(&mut fixture, 16_000);
     expect_that!(has_authority(&fixture), eq(true));
 }
 
 thread_local! {
-    /// Findings that this test's thread has logged.
-    static FINDINGS: Cell<usize> = const { Cell::new(0) };
+    /// Errors about the store logged by the thread of this test.
+    static LOGGED_ERRORS: Cell<usize> = const { Cell::new(0) };
 }
 
-struct CountFindings;
+struct ErrorCounter;
 
-impl log::Log for CountFindings {
+impl log::Log for ErrorCounter {
     fn enabled(&self, metadata: &log::Metadata<'_>) -> bool {
         metadata.level() == log::Level::Error
     }
 
     fn log(&self, record: &log::Record<'_>) {
         if self.enabled(record.metadata()) && record.target() == "store" {
-            FINDINGS.set(FINDINGS.get() + 1);
+            LOGGED_ERRORS.set(LOGGED_ERRORS.get() + 1);
         }
     }
 
@@ -316,37 +318,37 @@
 }
 
 #[gtest]
-fn a_finding_is_logged_once_until_its_object_reads_well_again() {
-    log::set_logger(&CountFindings).expect("the only logger");
+fn unreadable_object_is_logged_once_until_it_is_readable_again() {
+    log::set_logger(&ErrorCounter).expect("the only logger");
     log::set_max_level(log::LevelFilter::Error);
-    let mut fixture = Fixture::coordinating(vacant_store());
-    settle(&mut fixture, 3_000);
-    FINDINGS.set(0);
+    let mut fixture = Fixture::coordinating(store_without_owners());
+    answer_orders_for(&mut fixture, 3_000);
+    LOGGED_ERRORS.set(0);
     for round in 1..=3 {
         for _ in 0..4 {
-            fixture.store.spoil(ObjectKind::Instances, "i-1");
-            fixture.store.spoil(ObjectKind::Instances, "");
-            fixture.change_watched(ObjectKind::Instances);
-            settle(&mut fixture, 1_000);
+            fixture.store.put_unreadable(ObjectKind::Instances, "i-1");
+            fixture.store.put_unreadable(ObjectKind::Instances, "");
+            fixture.answer_watch_with_changes(ObjectKind::Instances);
+            answer_orders_for(&mut fixture, 1_000);
         }
-        // Once for the one without a name, in all.
-        expect_that!(FINDINGS.get(), eq(round + 1));
+        // The object without a name is logged only once in total.
+        expect_that!(LOGGED_ERRORS.get(), eq(round + 1));
         fixture.store.add_instance(instance(1, SERVICE));
-        fixture.change_watched(ObjectKind::Instances);
-        settle(&mut fixture, 1_000);
+        fixture.answer_watch_with_changes(ObjectKind::Instances);
+        answer_orders_for(&mut fixture, 1_000);
     }
     for number in 0..1_000 {
         let name = format!("x-{number}");
-        fixture.store.spoil(ObjectKind::Instances, &name);
+        fixture.store.put_unreadable(ObjectKind::Instances, &name);
     }
-    fixture.change_watched(ObjectKind::Instances);
-    expect_that!(FINDINGS.get(), le(260));
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
+    expect_that!(LOGGED_ERRORS.get(), le(260));
     let counted = unreadable(&fixture.node.status(), "instances");
     expect_that!(counted, ge(1_000));
 }
 
 #[gtest]
-fn a_load_of_any_size_is_taken_for_what_can_be() {
+fn load_headers_out_of_bounds_are_tolerated() {
     let max = u32::MAX;
     let loads = [
         format!("{max},{max},{max},{max}"),
@@ -357,31 +359,31 @@
         "NaN,inf,1e300".to_owned(),
     ];
     for load in loads {
-        let mut fixture = Fixture::new(vacant_store());
+        let mut fixture = Fixture::new(store_without_owners());
         fixture.run_until(ms(900));
         for _ in 0..6 {
-            fixture.ask(SERVICE, None);
+            fixture.request(SERVICE, None);
             let sent = fixture.attempts.pop().expect("an attempt");
             let mut response = Response::new(200, "");
             response.headers.push("signature", "s");
             response.headers.push("load", load.clone());
             fixture.answer(sent.exchange, response);
         }
-        fixture.ask(SERVICE, None);
+        fixture.request(SERVICE, None);
         let sent = fixture.attempts.pop().expect("an attempt");
         fixture.end(sent.exchange, Err(ExchangeFailure::NotConnected));
     }
 }
 
 #[gtest]
-fn a_record_of_another_name_gives_nothing_away() {
-    let mut store = vacant_store();
+fn evacuation_without_a_zone_name_has_no_effect() {
+    let mut store = store_without_owners();
     store.put(
         ObjectKind::Evacuations,
         "",
         ObjectContent::Evacuation(ZoneName::from("")),
     );
     let mut fixture = Fixture::coordinating(store);
-    settle(&mut fixture, 3_000);
-    expect_that!(used(&mut fixture, SERVICE).len(), eq(2));
+    answer_orders_for(&mut fixture, 3_000);
+    expect_that!(addresses_used(&mut fixture, SERVICE).len(), eq(2));
 }
--- a/crates/ledgelead-router/tests/node/zone_relay.rs
+++ b/crates/ledgelead-router/tests/node/zone_relay.rs
@@ -1,4 +1,4 @@
-//! Broadcasts by way of one node a zone.
+//! Broadcasts relayed by one node in each zone.
 
 use crate::fixture::{
     Fixture, SERVICE, Store, configuration, instance, ms, node_address, node_record,
@@ -13,9 +13,9 @@
 use ledgelead_types::codec::{Bytes, List};
 use std::collections::BTreeSet;
 
-/// The strongest node of the other zone.
+/// The node with the largest CPU share in the other zone.
 const STRONGEST: u8 = 10;
-/// Nodes of the other zone.
+/// The nodes of the other zone.
 const OTHERS: std::ops::Range<u8> = 10..18;
 
 fn record(number: u8, zone: &str) -> NodeRecord {
@@ -26,10 +26,10 @@
     }
 }
 
-/// A coordinator, with peers in its own zone and in another.
+/// A coordinator with peers in its own zone and in another.
 fn coordinator() -> Fixture {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 0..3 {
         store.add_node(record(number, "a"));
     }
@@ -52,7 +52,7 @@
     fixture.receive(node_address(from), &message);
 }
 
-/// Who got messages while 450 ms passed, those in the other zone alone.
+/// The nodes of the other zone that receive messages directly within 450 ms.
 fn receivers(fixture: &mut Fixture) -> BTreeSet<u8> {
     fixture.datagrams.clear();
     let end = fixture.now + ms(450);
@@ -82,13 +82,13 @@
 }
 
 #[gtest]
-fn the_strongest_node_that_reports_gets_what_is_for_its_zone() {
+fn strongest_reporting_node_relays_messages_to_its_zone() {
     let mut fixture = coordinator();
     let all: BTreeSet<u8> = OTHERS.collect();
     expect_that!(receivers(&mut fixture), eq(&all));
     let one = reporting_receivers(&mut fixture, &[12, STRONGEST, 13], 1_000);
     expect_that!(one, eq(&BTreeSet::from([STRONGEST])));
-    // It is silent: another takes its place, or each gets it by itself.
+    // The relay is silent: another node replaces it, or each node gets the messages directly.
     fixture.run_until(fixture.now + ms(400));
     let one = reporting_receivers(&mut fixture, &[12, 13], 1_000);
     expect_that!(one, eq(&BTreeSet::from([12])));
@@ -96,14 +96,14 @@
     expect_that!(receivers(&mut fixture), eq(&all));
 }
 
-/// Datagrams of a list of changes to each of many nodes that take a link of 200 Mbit/s for
-/// longer than a heartbeat waits (0.2 s).
+/// Number of datagrams that occupy a link of 200 Mbit/s for longer than the heartbeat interval
+/// (0.2 s), if a list of changes is sent to each of many nodes.
 const TOO_MANY_DATAGRAMS: usize = 3_600;
 
 #[gtest]
-fn a_long_list_is_not_sent_to_each_of_many_nodes() {
+fn long_list_is_not_broadcast_to_many_nodes() {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
     for number in 0..130 {
         store.add_node(record(number, "a"));
@@ -115,18 +115,18 @@
     for number in 2..=250 {
         fixture.store.add_instance(instance(number, SERVICE));
     }
-    fixture.change_watched(ObjectKind::Instances);
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
     fixture.run_until(fixture.now + ms(300));
     expect_that!(fixture.sent("instances"), lt(TOO_MANY_DATAGRAMS));
-    // The others learn of the changes by heartbeats, and of short lists as before.
+    // The other nodes learn of the changes by heartbeats, and of short lists as before.
     expect_that!(fixture.sent("heartbeat"), ge(129));
     fixture.store.remove(ObjectKind::Instances, "i-7");
-    fixture.change_watched(ObjectKind::Instances);
+    fixture.answer_watch_with_changes(ObjectKind::Instances);
     expect_that!(fixture.sent("instances"), eq(129));
 }
 
 #[gtest]
-fn a_node_that_does_not_know_its_zone_passes_nothing_on() {
+fn node_with_outdated_registrations_is_no_relay() {
     let mut fixture = coordinator();
     let all: BTreeSet<u8> = OTHERS.collect();
     let got = reporting_receivers(&mut fixture, &[STRONGEST], 0);
@@ -134,9 +134,9 @@
 }
 
 #[gtest]
-fn a_message_is_passed_on_and_taken() {
+fn relayed_message_is_forwarded_and_applied() {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     for number in 0..8 {
         store.add_node(record(number, "a"));
     }
@@ -165,29 +165,29 @@
         message: Bytes(encode(&heartbeat).bytes.to_vec()),
     };
     fixture.receive(node_address(STRONGEST), &forwarded(true));
-    let passed_on: BTreeSet<u8> = fixture
+    let relayed: BTreeSet<u8> = fixture
         .datagrams
         .iter()
         .filter(|(_, _, message)| *message == forwarded(false))
         .filter_map(|(_, to, _)| (1..=8).find(|number| node_address(*number) == *to))
         .collect();
-    expect_that!(passed_on, eq(&(1..8).collect::<BTreeSet<u8>>()));
-    // It takes the message as one of the coordinator, whom it now asks for the
-    // version that it lacks.
+    expect_that!(relayed, eq(&(1..8).collect::<BTreeSet<u8>>()));
+    // The node applies the message as one of the coordinator, and asks it for the missing
+    // version.
     let wanted = fixture.datagrams.iter().filter(|(_, to, message)| {
         *to == node_address(STRONGEST) && message.kind() == "resync_request"
     });
     expect_that!(wanted.count(), eq(1));
-    // A message that was passed on already goes no further.
+    // A relayed message is not forwarded again.
     fixture.datagrams.clear();
     fixture.receive(node_address(1), &forwarded(false));
     expect_that!(fixture.sent("forwarded"), eq(0));
 }
 
 #[gtest]
-fn a_heartbeat_that_waited_is_older_than_it_says() {
+fn delay_of_a_late_heartbeat_is_estimated() {
     let mut delay = DelayEstimate::default();
-    // The clocks have different origins.
+    // The clocks of both nodes have different origins.
     expect_that!(delay.arrived(3, 900_000, ms(5_020)), eq(ms(0)));
     expect_that!(delay.arrived(3, 900_200, ms(5_203)), eq(ms(0)));
     expect_that!(delay.arrived(3, 900_400, ms(5_405)), eq(ms(2)));
--- a/crates/ledgelead-router/tests/node/zone_traffic.rs
+++ b/crates/ledgelead-router/tests/node/zone_traffic.rs
@@ -1,4 +1,4 @@
-//! What a node counts as exchanged with its own zone and with others.
+//! Counting of the traffic within a node's own zone and with other zones.
 
 use crate::fixture::{
     Fixture, KEYED, SERVICE, Store, all_keys_of, configuration, instance, ms, node_address,
@@ -16,10 +16,11 @@
 const UPLOAD_BYTES: usize = 60_000;
 const ANSWER_BYTES: usize = 3_000;
 
-/// A node in zone a with an instance there, an owner of keys in zone b and a node in each.
+/// A node in zone a with an instance there, an owner of keys in zone b, and another node in
+/// each zone.
 fn node() -> Fixture {
     let mut store = Store::default();
-    store.configure(configuration(1));
+    store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
     store.add_instance(InstanceRecord {
         zone: ZoneName::from("b"),
@@ -31,7 +32,7 @@
         zone: ZoneName::from("b"),
         ..node_record(2)
     });
-    store.own(all_keys_of("i-2", 1));
+    store.put_ownership(all_keys_of("i-2", 1));
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(900));
     fixture.attempts.clear();
@@ -49,7 +50,7 @@
     (sent, of(traffic.received.get(REQUESTS)))
 }
 
-/// An upload and its answer.
+/// Sends an upload and answers it.
 fn exchange(fixture: &mut Fixture, service: &str, key: Option<u16>) {
     fixture.upload(service, key, UPLOAD_BYTES);
     let sent = fixture.attempts.pop().expect("an attempt");
@@ -58,14 +59,14 @@
     fixture.answer(sent.exchange, response);
 }
 
-/// Bodies and their heads, which are short.
+/// The size of a body and its head, which is short.
 fn about(bytes: usize) -> impl Matcher<u64> {
     let bytes = bytes as u64;
     all![gt(bytes), lt(bytes + 300)]
 }
 
 #[gtest]
-fn uploads_count_by_the_zone_of_the_instance() {
+fn uploads_are_counted_by_the_zone_of_the_instance() {
     let mut fixture = node();
     exchange(&mut fixture, SERVICE, None);
     let (sent, received) = requests(&fixture);
@@ -81,7 +82,7 @@
 }
 
 #[gtest]
-fn an_exchange_without_an_answer_counts_as_sent_only() {
+fn exchange_without_an_answer_counts_only_as_sent() {
     let mut fixture = node();
     fixture.upload(KEYED, Some(7), UPLOAD_BYTES);
     let sent = fixture.attempts.pop().expect("an attempt");
@@ -92,7 +93,7 @@
 }
 
 #[gtest]
-fn datagrams_count_by_the_zone_of_the_other_node() {
+fn datagrams_are_counted_by_the_zone_of_the_other_node() {
     let mut fixture = node();
     let message = PeerMessage::Resigned { epoch: 1 };
     let bytes = encode(&message).bytes.len() as u64;
@@ -108,9 +109,9 @@
     expect_that!(received.get("resignation"), some(eq(&expected)));
 }
 
-/// What is counted by kind for all zones together is the sum of what is counted by zone.
+/// The sum of the counters by zone equals the counter of each kind for all zones.
 #[gtest]
-fn datagrams_by_zone_add_up_to_those_by_kind() {
+fn datagram_counts_by_zone_add_up_to_those_by_kind() {
     let mut fixture = node();
     fixture.run_until(ms(8_000));
     expect_that!(fixture.node.coordinator().is_some(), eq(true));
@@ -125,7 +126,7 @@
 }
 
 #[gtest]
-fn orders_count_by_the_zone_of_the_instance_and_the_store_has_none() {
+fn orders_are_counted_by_zone_and_store_calls_without_one() {
     let mut fixture = node();
     fixture.run_until(ms(8_000));
     let sent = traffic(&fixture).sent;
@@ -137,7 +138,7 @@
 }
 
 #[gtest]
-fn the_last_line_of_the_log_has_the_figures() {
+fn stop_event_contains_the_traffic_counters() {
     let mut fixture = node();
     exchange(&mut fixture, KEYED, Some(7));
     let zone_bytes = &traffic(&fixture);
