--- a/crates/ledgelead-router/tests/node/overload.rs
+++ b/crates/ledgelead-router/tests/node/overload.rs
@@ -254,8 +254,8 @@
 #[gtest]
 fn digest_admits_fewer_requests_than_exact_counts() {
     let mut fixture = node_with_full_instance();
-    // 583 ms by the instance's own report, beyond the target of 400 ms; the digest allows as
-    // many.
+    // 583 ms by the instance's own report, more than the target of 400 ms; a digest of the same
+    // load gives the same estimate.
     fixture.request(SERVICE, None);
     expect_that!(fixture.attempts, is_empty());
     // 300 ms are within the target, but not within six tenths of it.
