--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -1,12 +1,12 @@
-//! Objects for other nodes that ask for a whole list.
+//! Answers to other nodes that ask for a complete list.
 //!
-//! Load: all nodes of a fleet start at once, or lack the same large change, and each asks for
-//! hundreds of kilobytes. Requests wait until there is something to send, so that nobody has
-//! to ask again and again. A node sends no more at a time than half of its link carries in
-//! `MAX_BACKLOG`, so that heartbeats and requests pass beside it, to the nodes with the widest
-//! links first, and refers the others to these, to each the more the wider its link is. Another
-//! zone gets a list once in `OTHER_ZONE_PAUSE`, since bytes between zones are dear; its nodes
-//! pass it on among themselves.
+//! All nodes of a fleet may start at once, or miss the same large change, and each then asks
+//! for hundreds of kilobytes. Requests wait until there is something to send, so that nodes
+//! need not ask repeatedly. A node sends at a time at most what half of its link carries in
+//! `MAX_BACKLOG`, which leaves room for heartbeats and requests. Nodes with the fastest links
+//! are served first. The others are referred to them, in proportion to the speed of their
+//! links. Another zone is sent a list at most every `OTHER_ZONE_INTERVAL`, since traffic
+//! between zones is expensive; its nodes pass the list on among themselves.
 
 use super::TRANSFER_PATH;
 use crate::Timestamp;
@@ -26,44 +26,44 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Share of a node's link that lists may take.
+/// Share of a node's link that lists may use.
 const LINK_SHARE: f64 = 0.5;
-/// Time for which lists that are being sent may fill that share.
+/// How long the lists being sent may occupy that share.
 const MAX_BACKLOG: Duration = Duration::from_millis(250);
-/// Pause between two lists of a kind for nodes of another zone.
-const OTHER_ZONE_PAUSE: Duration = Duration::from_secs(2);
-/// How many nodes that were served are remembered in each zone.
-const REMEMBERED: usize = 32;
-/// Most requests that wait here.
+/// Minimum interval between lists of a kind for nodes of another zone.
+const OTHER_ZONE_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of served nodes remembered for each zone and kind.
+const MAX_RECEIVERS_PER_ZONE: usize = 32;
+/// Maximum number of waiting requests.
 const MAX_WAITING: usize = 2_000;
-/// How long requests are gathered before the first is answered: nodes that start together
-/// ask within some 100 ms.
-const GATHER_FOR: Duration = Duration::from_millis(40);
-/// Pause between two reviews of the requests that wait.
-const REVIEW_PAUSE: Duration = Duration::from_millis(40);
-/// How long a request waits for room on the link before it is referred to another node.
-const ROOM_WITHIN: Duration = Duration::from_millis(120);
-/// How long a request waits for anything to send. Less than the time without progress after
-/// which its sender asks another node.
-const MAX_WAIT: Duration = Duration::from_millis(700);
-/// How long an encoded list serves all who ask: it is some seconds old at most.
+/// How long requests are gathered before the first is answered: nodes that start together ask
+/// within about 100 ms.
+const GATHERING_PERIOD: Duration = Duration::from_millis(40);
+/// Interval between reviews of the waiting requests.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(40);
+/// How long a request waits for free bandwidth before it is referred to another node.
+const LINK_WAIT: Duration = Duration::from_millis(120);
+/// How long a request waits at most for objects to send. This is shorter than the time without
+/// progress after which its sender asks another node.
+const MAX_REQUEST_WAIT: Duration = Duration::from_millis(700);
+/// How long an encoded list is reused: it is only a few seconds old at most.
 const ENCODED_TTL: Duration = Duration::from_secs(1);
 
-/// What this node sends others.
+/// State of the lists sent to other nodes.
 #[derive(Default)]
 pub(in crate::node) struct TransferServer {
-    /// When what is being sent has passed this node's share of its link.
+    /// When the lists being sent will have passed through this node's share of its link.
     link_free_at: Timestamp,
-    served: BTreeMap<(RelayedKind, ZoneName), Served>,
+    served: BTreeMap<(RelayedKind, ZoneName), ServedNodes>,
     encoded: [Option<Encoded>; RelayedKind::ALL.len()],
     waiting: Vec<Waiting>,
     next_review: Timestamp,
     sent: u64,
 }
 
-/// Nodes of one zone that were sent one kind.
+/// Nodes of one zone that were sent lists of one kind.
 #[derive(Default)]
-struct Served {
+struct ServedNodes {
     last: Timestamp,
     nodes: VecDeque<Receiver>,
 }
@@ -72,11 +72,11 @@
 struct Receiver {
     address: PeerAddress,
     link_bytes_per_s: u64,
-    /// How many others were referred to it.
+    /// Number of nodes referred to it.
     referred: u64,
 }
 
-/// A request without an answer.
+/// A request that has not been answered yet.
 struct Waiting {
     client: ClientId,
     asked: TransferRequest,
@@ -85,20 +85,20 @@
 }
 
 impl Waiting {
-    /// Names the nodes of the same zone that were sent the same kind.
+    /// Key of the nodes of the same zone that were sent the same kind.
     fn key(&self) -> (RelayedKind, ZoneName) {
         (self.asked.kind, self.zone.clone())
     }
 }
 
-/// What becomes of a request.
+/// How to handle a waiting request.
 enum Decision {
     Send(Vec<u8>),
     Refer,
     Wait,
 }
 
-/// An answer with all objects of a kind.
+/// An encoded answer with all objects of a kind.
 struct Encoded {
     revision: u64,
     at: Timestamp,
@@ -106,37 +106,39 @@
 }
 
 impl TransferServer {
-    /// Forgets what is no longer needed.
+    /// Removes expired encoded lists.
     pub(in crate::node) fn expire(&mut self, now: Timestamp) {
         for encoded in &mut self.encoded {
             encoded.take_if(|known| known.at + ENCODED_TTL <= now);
         }
     }
 
-    /// Lists that were sent.
+    /// Number of lists sent.
     pub(in crate::node) fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// When a request that waits is looked at.
+    /// When waiting requests are reviewed next.
     pub(in crate::node) fn next_deadline(&self) -> Option<Timestamp> {
         (!self.waiting.is_empty()).then_some(self.next_review)
     }
 
-    /// Who asked has closed its connection.
-    pub(in crate::node) fn left(&mut self, client: ClientId) {
+    /// Drops the requests of a client that has disconnected.
+    pub(in crate::node) fn client_disconnected(&mut self, client: ClientId) {
         self.waiting.retain(|waiting| waiting.client != client);
     }
 
-    /// The node that has the fewest referred to it for the width of its link.
+    /// The node with the fewest referrals in relation to the speed of its link, other than the
+    /// asking node itself.
     fn referral(&mut self, request: &Waiting) -> List<PeerAddress> {
         let served = self.served.get_mut(&request.key());
         let receivers = served.into_iter().flat_map(|served| &mut served.nodes);
         let others = receivers.filter(|receiver| receiver.address != request.asked.address);
-        let burden = |receiver: &Receiver| {
+        let load_per_bandwidth = |receiver: &Receiver| {
             (receiver.referred + 1) as f64 / receiver.link_bytes_per_s.max(1) as f64
         };
-        let chosen = others.min_by(|left, right| burden(left).total_cmp(&burden(right)));
+        let chosen = others
+            .min_by(|left, right| load_per_bandwidth(left).total_cmp(&load_per_bandwidth(right)));
         let address = chosen.map(|receiver| {
             receiver.referred += 1;
             receiver.address
@@ -155,25 +157,25 @@
             link_bytes_per_s: asked.link_bytes_per_s,
             referred: 0,
         });
-        if served.nodes.len() > REMEMBERED {
-            served.forget_narrowest();
+        if served.nodes.len() > MAX_RECEIVERS_PER_ZONE {
+            served.remove_slowest();
         }
     }
 }
 
-impl Served {
-    /// Forgets the node with the narrowest link, the oldest of several.
-    fn forget_narrowest(&mut self) {
+impl ServedNodes {
+    /// Removes the node with the slowest link, or the oldest of several.
+    fn remove_slowest(&mut self) {
         let links = self.nodes.iter().map(|node| node.link_bytes_per_s);
-        let narrowest = links.enumerate().min_by_key(|(_, link)| *link);
-        if let Some((place, _)) = narrowest {
-            self.nodes.remove(place);
+        let slowest = links.enumerate().min_by_key(|(_, link)| *link);
+        if let Some((index, _)) = slowest {
+            self.nodes.remove(index);
         }
     }
 }
 
 impl Node {
-    /// Another node asks for all objects of a kind.
+    /// Handles another node's request for all objects of a kind.
     pub(in crate::node) fn transfer_requested(
         &mut self,
         client: ClientId,
@@ -202,18 +204,18 @@
             return;
         }
         if server.waiting.is_empty() {
-            server.next_review = now + GATHER_FOR;
+            server.next_review = now + GATHERING_PERIOD;
         }
         server.waiting.push(request);
     }
 
-    /// Answers the requests that wait, if they are due to be looked at.
+    /// Answers the waiting requests if their review is due.
     pub(in crate::node) fn answer_transfers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let server = &mut self.transfer_server;
         if server.waiting.is_empty() || now < server.next_review {
             return;
         }
-        server.next_review = now + REVIEW_PAUSE;
+        server.next_review = now + REVIEW_INTERVAL;
         let mut waiting = std::mem::take(&mut server.waiting);
         waiting.sort_by_key(|waiting| (Reverse(waiting.asked.link_bytes_per_s), waiting.since));
         for request in waiting {
@@ -237,28 +239,29 @@
 
     fn decide(&mut self, request: &Waiting, now: Timestamp) -> Decision {
         let Waiting { asked, since, .. } = request;
-        let is_over = *since + MAX_WAIT <= now;
+        let has_timed_out = *since + MAX_REQUEST_WAIT <= now;
         let is_other = request.zone != self.settings.zone;
         let served = self.transfer_server.served.get(&request.key());
         let is_served = served.is_some_and(|served| !served.nodes.is_empty());
-        let is_recent = served.is_some_and(|served| now < served.last + OTHER_ZONE_PAUSE);
+        let is_recent = served.is_some_and(|served| now < served.last + OTHER_ZONE_INTERVAL);
         if is_other && is_recent {
             return Decision::Refer;
         }
         if let Some(body) = self.state_for(asked, now) {
             return Decision::Send(body);
         }
-        let has_waited = *since + ROOM_WITHIN <= now;
-        match is_over || is_served && has_waited && self.has_newer(asked.kind, asked.known) {
+        let has_waited = *since + LINK_WAIT <= now;
+        match has_timed_out || is_served && has_waited && self.has_newer(asked.kind, asked.known) {
             true => Decision::Refer,
             false => Decision::Wait,
         }
     }
 
-    /// The encoded objects, if they are newer and there is room for them on the link.
+    /// The encoded objects, if they are newer than what the asking node knows and there is
+    /// free bandwidth.
     fn state_for(&mut self, asked: &TransferRequest, now: Timestamp) -> Option<Vec<u8>> {
-        let has_room = self.transfer_server.link_free_at <= now + MAX_BACKLOG;
-        if !has_room || !self.has_newer(asked.kind, asked.known) {
+        let has_bandwidth = self.transfer_server.link_free_at <= now + MAX_BACKLOG;
+        if !has_bandwidth || !self.has_newer(asked.kind, asked.known) {
             return None;
         }
         let body = self.encoded_state(asked.kind, asked.known, now)?;
@@ -269,22 +272,22 @@
         Some(body)
     }
 
-    /// Whether this node knows a kind whole, with changes after a revision.
+    /// Whether this node knows all objects of a kind, with changes after a revision.
     fn has_newer(&self, kind: RelayedKind, known: u64) -> bool {
         let is_listed = match kind {
             RelayedKind::Instances => self.directory.is_complete(),
             RelayedKind::Nodes => self.store.has_listed(ObjectKind::Nodes),
-            RelayedKind::Ownership => self.coordination.listed,
+            RelayedKind::Ownership => self.coordination.record_listed,
             RelayedKind::Configuration => self.configuration.is_some(),
         };
         let coordinates = self.coordination.coordinator().is_some();
-        let is_current = coordinates || self.gossip.informed_until.is_some();
+        let is_current = coordinates || self.messaging.following_until.is_some();
         let revision = self.known_revision(kind);
         is_listed && is_current && revision.is_some_and(|revision| revision > known)
     }
 
-    /// The objects of a kind with changes after a revision, encoded once for all who ask
-    /// within a while.
+    /// The encoded objects of a kind with changes after a revision. They are encoded once for
+    /// all nodes that ask within `ENCODED_TTL`.
     fn encoded_state(&mut self, kind: RelayedKind, known: u64, now: Timestamp) -> Option<Vec<u8>> {
         let encoded = self.transfer_server.encoded[kind as usize].as_ref();
         let is_fresh =
@@ -327,7 +330,7 @@
                 })
             }
         };
-        // An answer may be sent again for as long as it is kept.
+        // The answer may be reused until it expires.
         let age = |at: Timestamp| whole_millis(now.saturating_sub(at) + ENCODED_TTL);
         let age_ms = self.directory.current_at().map(age);
         Some(TransferredState {
