--- a/crates/ledgelead-router/examples/dispatch_bench.rs
+++ b/crates/ledgelead-router/examples/dispatch_bench.rs
@@ -5,7 +5,7 @@
 //! median of the rounds; compare them within one run, not between machines.
 
 use ledgelead_router::dispatch::{
-    Admission, Dispatcher, PermitId, PermitOutcome, QueueAsk, QueueKind, Server,
+    Admission, DispatchRequest, Dispatcher, PermitId, PermitOutcome, QueueKind, Server,
 };
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 /// Work of a request.
 const WORK: Duration = Duration::from_millis(100);
 
-fn ask(number: u64) -> QueueAsk {
-    QueueAsk {
+fn ask(number: u64) -> DispatchRequest {
+    DispatchRequest {
         queue: 1,
         kind: QueueKind::Owner,
-        asker: PermitId {
+        requester: PermitId {
             node: SocketAddr::from(([10, 0, 0, 1], 7_000)),
             number,
         },
@@ -39,7 +39,7 @@
         id: 1,
         slots: 2,
         is_cold: false,
-        work: Some(WORK),
+        service_time: Some(WORK),
     }]
 }
 
@@ -58,7 +58,7 @@
         let decided = dispatcher.ask(&ask(number), server, now);
         let granted = decided.into_iter().flatten();
         let granted = granted.filter(|one| matches!(one.verdict, Admission::Granted(_)));
-        out.extend(granted.map(|one| one.asker));
+        out.extend(granted.map(|one| one.requester));
     }
     let mut asks = Vec::with_capacity(ROUNDS);
     let mut returns = Vec::with_capacity(ROUNDS);
@@ -73,7 +73,7 @@
         let began = Instant::now();
         let decided = dispatcher.returned(1, ended, how, now);
         returns.push(began.elapsed().as_nanos());
-        out.extend(decided.iter().map(|one| one.asker));
+        out.extend(decided.iter().map(|one| one.requester));
         number += 1;
         let next = ask(number);
         let began = Instant::now();
--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -74,14 +74,14 @@
 
     /// The store could not be reached until now: entries that are missing were
     /// perhaps dropped since nobody could write them.
-    pub fn store_was_lost(&mut self, now: Timestamp) {
-        self.doubt_removals_until(now + ENTRIES_RETURN_WITHIN);
+    pub fn note_store_outage(&mut self, now: Timestamp) {
+        self.defer_removals_until(now + ENTRIES_RETURN_WITHIN);
     }
 
     /// The store came back from a copy, whose entries may be from before an instance began to
     /// leave. Such an entry takes nothing back.
     pub fn begin_era(&mut self, now: Timestamp) {
-        self.store_was_lost(now);
+        self.note_store_outage(now);
         for (id, instance) in &self.instances {
             if let Presence::Draining { since } = instance.presence {
                 self.said_leaving.entry(id.clone()).or_insert(since);
@@ -91,20 +91,20 @@
 
     /// Entries that go before this time may come back: whoever tells of them
     /// says so.
-    pub fn doubt_removals_until(&mut self, until: Timestamp) {
+    pub fn defer_removals_until(&mut self, until: Timestamp) {
         self.doubt_until = self.doubt_until.max(until);
         self.settled_at = self.settled_at.max(until);
     }
 
     /// How much longer an entry that goes now may come back.
-    pub fn doubt_left(&self, now: Timestamp) -> Duration {
+    pub fn removal_deferral_left(&self, now: Timestamp) -> Duration {
         self.doubt_until.saturating_sub(now)
     }
 
     /// Whether an instance that is unknown here is gone: not before entries that
     /// lapsed in an outage have had their time to come back, nor sooner after the
     /// first list, which may be of just such a moment.
-    pub fn is_settled(&self, now: Timestamp) -> bool {
+    pub fn is_absence_conclusive(&self, now: Timestamp) -> bool {
         self.complete && self.settled_at <= now
     }
 
@@ -169,7 +169,7 @@
             record.id = InstanceId::from(record.id.name());
         }
         if self.lacks_start(&record.id) {
-            self.withdraw(record.id.name(), now);
+            self.remove_unreadable(record.id.name(), now);
             return;
         }
         if !self.begin_life(&record.id, revision, now) {
@@ -270,7 +270,7 @@
     /// The later life of an instance that has started again, if this life is known to
     /// have ended by that. It listens under the same name, so that it takes what is
     /// still on its way to this life.
-    pub fn later_life(&self, id: &InstanceId) -> Option<&Instance> {
+    pub fn later_incarnation(&self, id: &InstanceId) -> Option<&Instance> {
         let current = &self.current.get(id.name())?.id;
         let is_known = self.instances.contains_key(id);
         let is_later = current != id && (is_known || id.born() < current.born());
@@ -278,8 +278,8 @@
     }
 
     /// The instance that orders to this life reach: none if a later one would take them.
-    pub fn addressee(&self, id: &InstanceId) -> Option<&Instance> {
-        match self.later_life(id) {
+    pub fn get_unless_superseded(&self, id: &InstanceId) -> Option<&Instance> {
+        match self.later_incarnation(id) {
             Some(_) => None,
             None => self.get(id),
         }
@@ -295,7 +295,7 @@
     /// The operator has emptied these zones, by the stable hashes of their names,
     /// and no others. Instances of a zone that is taken back count as cold until
     /// their entries can have told otherwise.
-    pub fn evacuate(&mut self, zones: &BTreeSet<u64>, now: Timestamp) {
+    pub fn set_evacuated_zones(&mut self, zones: &BTreeSet<u64>, now: Timestamp) {
         let taken_back: Vec<u64> = self
             .evacuated
             .keys()
@@ -316,7 +316,7 @@
 
     /// This life of an instance said at `at`, in an answer, that it leaves. Returns whether
     /// it has been in use until now.
-    pub fn said_to_leave(&mut self, id: &InstanceId, at: Timestamp) -> bool {
+    pub fn mark_leaving(&mut self, id: &InstanceId, at: Timestamp) -> bool {
         let Some(instance) = self.instances.get_mut(id) else {
             return false;
         };
@@ -336,7 +336,7 @@
     }
 
     /// Lives that have said in answers that they leave, whose entries don't say so.
-    pub fn leave_by_answers(&self) -> impl Iterator<Item = (&InstanceId, Timestamp)> {
+    pub fn leaving_by_response(&self) -> impl Iterator<Item = (&InstanceId, Timestamp)> {
         let is_known_elsewhere = |id: &InstanceId| {
             let known = self.instances.get(id);
             known.is_none_or(|known| known.record.draining || known.is_gone() || known.ended)
@@ -346,12 +346,12 @@
     }
 
     /// Whether an instance has said, by its entry or in an answer, that it leaves.
-    pub fn has_said_to_leave(&self, instance: &Instance) -> bool {
+    pub fn has_announced_leaving(&self, instance: &Instance) -> bool {
         instance.record.draining || self.said_leaving.contains_key(&instance.record.id)
     }
 
     /// This life of an instance is proved to be over.
-    pub fn end(&mut self, id: &InstanceId) {
+    pub fn mark_ended(&mut self, id: &InstanceId) {
         if let Some(instance) = self.instances.get_mut(id) {
             self.changes += u64::from(!instance.ended);
             instance.ended = true;
@@ -419,7 +419,7 @@
 
     /// An entry that stands in the store can't be read any more: it names no instance to
     /// use. No outage has made it so, hence it is not doubted as one that is missing.
-    pub fn withdraw(&mut self, name: &str, now: Timestamp) {
+    pub fn remove_unreadable(&mut self, name: &str, now: Timestamp) {
         let Some((id, instance)) = standing(&self.current, &mut self.instances, name) else {
             return;
         };
--- a/crates/ledgelead-router/src/dispatch/dispatcher.rs
+++ b/crates/ledgelead-router/src/dispatch/dispatcher.rs
@@ -1,10 +1,10 @@
 //! A node as dispatcher: the queues that it hands out permits for.
 
-use super::queue::{Admission, PermitAsk, PermitId, PermitOutcome, PermitQueue};
+use super::queue::{Admission, AdmissionRequest, PermitId, PermitOutcome, PermitQueue};
 use super::refused::{Refused, RefusedCallers};
 use super::servers::Server;
 use crate::Timestamp;
-use crate::requests::{RefusalShare, return_after};
+use crate::requests::{RefusalShare, retry_after};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -30,26 +30,26 @@
 
 /// What a dispatcher decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decided {
+pub struct DispatchDecision {
     /// Names the queue.
     pub queue: u64,
     /// Whose ask.
-    pub asker: PermitId,
+    pub requester: PermitId,
     /// What becomes of it.
     pub verdict: Admission,
     /// When its caller may come back, if it is refused.
-    pub return_after: Duration,
+    pub retry_after: Duration,
 }
 
 /// An ask, and for what.
 #[derive(Clone, Copy, Debug)]
-pub struct QueueAsk {
+pub struct DispatchRequest {
     /// Names the queue: the stable hash of an owner's id, or of a pool's service and zone.
     pub queue: u64,
     /// What the queue is for.
     pub kind: QueueKind,
     /// Who asks.
-    pub asker: PermitId,
+    pub requester: PermitId,
     /// Rank of the request; 0 is the most urgent.
     pub urgency: u8,
     /// Time until an answer is late.
@@ -136,10 +136,10 @@
     /// instances behind the queue, as the directory knows them.
     pub fn ask<S>(
         &mut self,
-        ask: &QueueAsk,
+        ask: &DispatchRequest,
         servers: impl FnOnce() -> S,
         now: Timestamp,
-    ) -> Option<Vec<Decided>>
+    ) -> Option<Vec<DispatchDecision>>
     where
         S: IntoIterator<Item = Server>,
     {
@@ -155,8 +155,8 @@
         self.counters.early += u64::from(is_early);
         let target = now + ask.to_target;
         let target = known.map_or(target, |known| target.min(known.target));
-        let permit = PermitAsk {
-            asker: ask.asker,
+        let permit = AdmissionRequest {
+            requester: ask.requester,
             urgency: ask.urgency,
             to_target: target.saturating_sub(now),
             is_early,
@@ -171,9 +171,9 @@
         };
         let verdict = queue.permits.ask(permit, now);
         if verdict == Admission::Queued {
-            queue.waiting.insert(ask.asker, caller);
+            queue.waiting.insert(ask.requester, caller);
         }
-        let mut decided = vec![self.decided(ask.queue, ask.asker, verdict, caller, now)];
+        let mut decided = vec![self.decided(ask.queue, ask.requester, verdict, caller, now)];
         decided.extend(self.advance(ask.queue, now));
         Some(decided)
     }
@@ -181,7 +181,7 @@
     /// Takes over which instances are behind a queue, and makes it if it is new.
     fn read_servers(
         &mut self,
-        ask: &QueueAsk,
+        ask: &DispatchRequest,
         servers: impl IntoIterator<Item = Server>,
         now: Timestamp,
     ) -> Option<()> {
@@ -210,20 +210,20 @@
     pub fn returned(
         &mut self,
         queue: u64,
-        asker: PermitId,
+        requester: PermitId,
         how: PermitOutcome,
         now: Timestamp,
-    ) -> Vec<Decided> {
+    ) -> Vec<DispatchDecision> {
         let Some(known) = self.queues.get_mut(&queue) else {
             return Vec::new();
         };
-        known.waiting.remove(&asker);
-        known.permits.returned(asker, how, now);
+        known.waiting.remove(&requester);
+        known.permits.returned(requester, how, now);
         self.advance(queue, now)
     }
 
     /// What is due by now.
-    pub fn deadline(&mut self, now: Timestamp) -> Vec<Decided> {
+    pub fn deadline(&mut self, now: Timestamp) -> Vec<DispatchDecision> {
         let mut decided = Vec::new();
         while let Some((at, queue)) = self.due.first().copied() {
             if at > now {
@@ -253,18 +253,18 @@
         });
     }
 
-    fn advance(&mut self, queue: u64, now: Timestamp) -> Vec<Decided> {
+    fn advance(&mut self, queue: u64, now: Timestamp) -> Vec<DispatchDecision> {
         let Some(known) = self.queues.get_mut(&queue) else {
             return Vec::new();
         };
         let verdicts = known.permits.advance(now);
         let mut decided = Vec::new();
-        for (asker, verdict) in verdicts {
+        for (requester, verdict) in verdicts {
             let waited = self.queues.get_mut(&queue);
-            let Some(caller) = waited.and_then(|known| known.waiting.remove(&asker)) else {
+            let Some(caller) = waited.and_then(|known| known.waiting.remove(&requester)) else {
                 continue;
             };
-            decided.push(self.decided(queue, asker, verdict, caller, now));
+            decided.push(self.decided(queue, requester, verdict, caller, now));
         }
         self.reschedule(queue);
         decided
@@ -273,25 +273,25 @@
     fn decided(
         &mut self,
         queue: u64,
-        asker: PermitId,
+        requester: PermitId,
         verdict: Admission,
         caller: Caller,
         now: Timestamp,
-    ) -> Decided {
-        let mut return_after = Duration::ZERO;
+    ) -> DispatchDecision {
+        let mut retry_after = Duration::ZERO;
         match verdict {
             Admission::Granted(_) => self.counters.granted += 1,
             Admission::Queued => self.counters.queued += 1,
             Admission::Refused => {
                 self.counters.refused += 1;
-                return_after = self.refuse(queue, caller, now);
+                retry_after = self.refuse(queue, caller, now);
             }
         }
-        Decided {
+        DispatchDecision {
             queue,
-            asker,
+            requester,
             verdict,
-            return_after,
+            retry_after,
         }
     }
 
@@ -303,16 +303,16 @@
             known.refusals.share(now)
         });
         let rank = f64::from(caller.urgency.min(MAX_RANK));
-        let return_after = return_after(share).mul_f64(1.0 + LATER_BY_RANK * rank);
+        let retry_after = retry_after(share).mul_f64(1.0 + LATER_BY_RANK * rank);
         let patience = caller.left_until.saturating_sub(now);
-        let can_wait = return_after.min(patience.mul_f64(PATIENCE_SHARE));
+        let can_wait = retry_after.min(patience.mul_f64(PATIENCE_SHARE));
         let refused = Refused {
             not_before: now + can_wait.mul_f64(WAITED_SHARE),
             target: caller.target,
             until: caller.left_until,
         };
         self.callers.note(caller.hash, refused);
-        return_after
+        retry_after
     }
 
     fn reschedule(&mut self, queue: u64) {
--- a/crates/ledgelead-router/src/dispatch/mod.rs
+++ b/crates/ledgelead-router/src/dispatch/mod.rs
@@ -16,7 +16,9 @@
 mod servers;
 
 pub use candidates::Candidates;
-pub use dispatcher::{Decided, Dispatcher, DispatcherCounters, QueueAsk, QueueKind};
-pub use queue::{Admission, InstanceLoad, PermitAsk, PermitId, PermitOutcome, PermitQueue};
+pub use dispatcher::{
+    DispatchDecision, DispatchRequest, Dispatcher, DispatcherCounters, QueueKind,
+};
+pub use queue::{Admission, AdmissionRequest, InstanceLoad, PermitId, PermitOutcome, PermitQueue};
 pub use refused::{Refused, RefusedCallers};
 pub use servers::Server;
--- a/crates/ledgelead-router/src/dispatch/queue.rs
+++ b/crates/ledgelead-router/src/dispatch/queue.rs
@@ -48,9 +48,9 @@
 
 /// An ask for one permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PermitAsk {
+pub struct AdmissionRequest {
     /// Who asks.
-    pub asker: PermitId,
+    pub requester: PermitId,
     /// Rank of the request; 0 is the most urgent.
     pub urgency: u8,
     /// Time until an answer is late.
@@ -205,18 +205,18 @@
     }
 
     /// Time of work that is expected for one request.
-    pub fn work(&self) -> Duration {
-        self.servers.work()
+    pub fn service_time(&self) -> Duration {
+        self.servers.service_time()
     }
 
     /// Decides on an ask. One that is known is a repeated message and gets the verdict of
     /// the first.
-    pub fn ask(&mut self, ask: PermitAsk, now: Timestamp) -> Admission {
+    pub fn ask(&mut self, ask: AdmissionRequest, now: Timestamp) -> Admission {
         self.used_at = now;
-        if let Some(permit) = self.out.get(&ask.asker) {
+        if let Some(permit) = self.out.get(&ask.requester) {
             return Admission::Granted(permit.server);
         }
-        if self.waiting.contains_key(&ask.asker) {
+        if self.waiting.contains_key(&ask.requester) {
             return Admission::Queued;
         }
         let request = self.request(&ask, now);
@@ -225,30 +225,30 @@
             // Such a request takes nobody's place where a slot is free.
             let needs_slot = request.class.takes_leftover() || !can_wait;
             if let Some(server) = self.servers.pick(ask.tried, needs_slot, now) {
-                return self.grant(ask.asker, request.class, server, now);
+                return self.grant(ask.requester, request.class, server, now);
             }
         }
         if !can_wait || self.waiting.len() >= MAX_WAITING {
             return Admission::Refused;
         }
-        self.enqueue(ask.asker, request);
+        self.enqueue(ask.requester, request);
         Admission::Queued
     }
 
     /// A permit comes back, or a request waits no longer. Returns whether it was known.
-    pub fn returned(&mut self, asker: PermitId, how: PermitOutcome, now: Timestamp) -> bool {
+    pub fn returned(&mut self, requester: PermitId, how: PermitOutcome, now: Timestamp) -> bool {
         self.used_at = now;
-        if self.dequeue(asker).is_some() {
+        if self.dequeue(requester).is_some() {
             return true;
         }
-        let Some(permit) = self.take_permit(asker) else {
+        let Some(permit) = self.take_permit(requester) else {
             return false;
         };
         match how {
             PermitOutcome::Answered { took, load } => {
-                let work = took.div_f64(permit.load.max(1.0));
-                let work = Some(work).filter(|_| permit.is_usual);
-                self.servers.answered(permit.server, work, now);
+                let service_time = took.div_f64(permit.load.max(1.0));
+                let service_time = Some(service_time).filter(|_| permit.is_usual);
+                self.servers.answered(permit.server, service_time, now);
                 if let Some(load) = load {
                     let is_wanted = !self.waiting.is_empty();
                     self.servers.load_reported(permit.server, load, is_wanted);
@@ -267,9 +267,9 @@
     pub fn advance(&mut self, now: Timestamp) -> Vec<(PermitId, Admission)> {
         self.expire(now);
         let mut decided = self.give_up(now);
-        while let Some((asker, server)) = self.next(now) {
-            if let Some(request) = self.dequeue(asker) {
-                decided.push((asker, self.grant(asker, request.class, server, now)));
+        while let Some((requester, server)) = self.next(now) {
+            if let Some(request) = self.dequeue(requester) {
+                decided.push((requester, self.grant(requester, request.class, server, now)));
             }
         }
         decided
@@ -282,7 +282,7 @@
         limit.into_iter().chain(expiry).map(|(at, _)| *at).min()
     }
 
-    fn request(&self, ask: &PermitAsk, now: Timestamp) -> Waiting {
+    fn request(&self, ask: &AdmissionRequest, now: Timestamp) -> Waiting {
         let class = Class {
             is_early: ask.is_early,
             is_cold: ask.is_cold,
@@ -290,10 +290,10 @@
             urgency: ask.urgency,
         };
         let patience = match class.takes_leftover() {
-            true => self.work().mul_f64(LEFTOVER_PATIENCE),
+            true => self.service_time().mul_f64(LEFTOVER_PATIENCE),
             false => {
-                let least_work = self.work().mul_f64(STILL_IN_TIME);
-                ask.to_target.saturating_sub(least_work)
+                let least_service_time = self.service_time().mul_f64(STILL_IN_TIME);
+                ask.to_target.saturating_sub(least_service_time)
             }
         };
         Waiting {
@@ -305,7 +305,7 @@
     }
 
     /// Whether a wait for a permit is likely to end well.
-    fn can_wait(&self, ask: &PermitAsk, class: Class) -> bool {
+    fn can_wait(&self, ask: &AdmissionRequest, class: Class) -> bool {
         if self.servers.slots() == 0 {
             return false;
         }
@@ -331,20 +331,20 @@
         let slots = self.servers.slots().max(1);
         let beyond_slots = (self.out.len() + before + 1).saturating_sub(slots);
         let waits = beyond_slots as f64 / slots as f64;
-        self.work().mul_f64(1.0 + waits)
+        self.service_time().mul_f64(1.0 + waits)
     }
 
     /// Who gets the next permit, and where: the first of the first class, and now and then
     /// the most pressing one of the others.
     fn next(&mut self, now: Timestamp) -> Option<(PermitId, u64)> {
-        let (asker, is_other) = self.first_in_line()?;
-        let Waiting { class, tried, .. } = self.waiting[&asker];
+        let (requester, is_other) = self.first_in_line()?;
+        let Waiting { class, tried, .. } = self.waiting[&requester];
         let server = self.servers.pick(tried, class.takes_leftover(), now)?;
         self.passed_over = match is_other {
             Some(false) => self.passed_over + 1,
             _ => 0,
         };
-        Some((asker, server))
+        Some((requester, server))
     }
 
     /// The next request, and whether it is of another class than the first; none of that
@@ -352,39 +352,45 @@
     fn first_in_line(&self) -> Option<(PermitId, Option<bool>)> {
         let mut classes = self.order.iter();
         let (first, waiting) = classes.next()?;
-        let (_, asker) = *waiting.first()?;
+        let (_, requester) = *waiting.first()?;
         let others = classes.filter(|(class, _)| class.has_share() && first.has_share());
         let other = others.filter_map(|(_, waiting)| waiting.first()).min();
         let Some((_, other)) = other.copied() else {
-            return Some((asker, None));
+            return Some((requester, None));
         };
         match self.passed_over >= MAX_PASSED_OVER {
             true => Some((other, Some(true))),
-            false => Some((asker, Some(false))),
+            false => Some((requester, Some(false))),
         }
     }
 
-    fn grant(&mut self, asker: PermitId, class: Class, server: u64, now: Timestamp) -> Admission {
+    fn grant(
+        &mut self,
+        requester: PermitId,
+        class: Class,
+        server: u64,
+        now: Timestamp,
+    ) -> Admission {
         let permit = Permit {
             server,
             expires: now + self.expiry(),
             load: self.servers.take_place(server),
             is_usual: !class.is_cold,
         };
-        self.expiries.insert((permit.expires, asker));
-        self.out.insert(asker, permit);
+        self.expiries.insert((permit.expires, requester));
+        self.out.insert(requester, permit);
         Admission::Granted(server)
     }
 
-    fn take_permit(&mut self, asker: PermitId) -> Option<Permit> {
-        let permit = self.out.remove(&asker)?;
-        self.expiries.remove(&(permit.expires, asker));
+    fn take_permit(&mut self, requester: PermitId) -> Option<Permit> {
+        let permit = self.out.remove(&requester)?;
+        self.expiries.remove(&(permit.expires, requester));
         self.servers.give_back_place(permit.server);
         Some(permit)
     }
 
     fn expiry(&self) -> Duration {
-        let expected = self.work() * EXPIRY_FACTOR;
+        let expected = self.service_time() * EXPIRY_FACTOR;
         expected.clamp(LEAST_EXPIRY, LONGEST_EXPIRY)
     }
 
@@ -392,38 +398,38 @@
     /// the node that holds one may be lost, or the work takes long. A request that gets no
     /// answer comes back as such.
     fn expire(&mut self, now: Timestamp) {
-        while let Some((at, asker)) = self.expiries.first().copied() {
+        while let Some((at, requester)) = self.expiries.first().copied() {
             if at > now {
                 return;
             }
-            self.take_permit(asker);
+            self.take_permit(requester);
         }
     }
 
     fn give_up(&mut self, now: Timestamp) -> Vec<(PermitId, Admission)> {
         let mut refused = Vec::new();
-        while let Some((at, asker)) = self.limits.first().copied() {
+        while let Some((at, requester)) = self.limits.first().copied() {
             if at > now {
                 break;
             }
-            self.dequeue(asker);
-            refused.push((asker, Admission::Refused));
+            self.dequeue(requester);
+            refused.push((requester, Admission::Refused));
         }
         refused
     }
 
-    fn enqueue(&mut self, asker: PermitId, request: Waiting) {
-        let place = (request.target, asker);
+    fn enqueue(&mut self, requester: PermitId, request: Waiting) {
+        let place = (request.target, requester);
         self.order.entry(request.class).or_default().insert(place);
-        self.limits.insert((request.until, asker));
-        self.waiting.insert(asker, request);
+        self.limits.insert((request.until, requester));
+        self.waiting.insert(requester, request);
     }
 
-    fn dequeue(&mut self, asker: PermitId) -> Option<Waiting> {
-        let request = self.waiting.remove(&asker)?;
-        self.limits.remove(&(request.until, asker));
+    fn dequeue(&mut self, requester: PermitId) -> Option<Waiting> {
+        let request = self.waiting.remove(&requester)?;
+        self.limits.remove(&(request.until, requester));
         if let Some(waiting) = self.order.get_mut(&request.class) {
-            waiting.remove(&(request.target, asker));
+            waiting.remove(&(request.target, requester));
             if waiting.is_empty() {
                 self.order.remove(&request.class);
             }
--- a/crates/ledgelead-router/src/dispatch/servers.rs
+++ b/crates/ledgelead-router/src/dispatch/servers.rs
@@ -11,7 +11,7 @@
 const SAMPLE_WEIGHT: f64 = 0.125;
 /// The work that is expected before there is a sample. Low, so that requests to an instance
 /// that is not known are admitted: a refusal costs a caller more than a short wait.
-const UNKNOWN_WORK: Duration = Duration::from_millis(50);
+const UNKNOWN_SERVICE_TIME: Duration = Duration::from_millis(50);
 /// Requests that a cold instance works on at once: it takes a few times as long, and bears
 /// few requests a second.
 const COLD_SLOTS: usize = 1;
@@ -40,7 +40,7 @@
     /// Whether it has just started.
     pub is_cold: bool,
     /// Time of work for one request there, as far as it is known.
-    pub work: Option<Duration>,
+    pub service_time: Option<Duration>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -48,7 +48,7 @@
     slots: usize,
     is_cold: bool,
     out: usize,
-    work: Option<Duration>,
+    service_time: Option<Duration>,
     /// Permits beyond its slots.
     ahead: f64,
     failures: Failures,
@@ -68,12 +68,14 @@
         (self.out + 1) as f64 / self.usable_slots().max(1) as f64
     }
 
-    fn sample(&mut self, work: Duration) {
-        let smoothed = match self.work {
-            Some(earlier) => earlier.mul_f64(1.0 - SAMPLE_WEIGHT) + work.mul_f64(SAMPLE_WEIGHT),
-            None => work,
+    fn sample(&mut self, service_time: Duration) {
+        let smoothed = match self.service_time {
+            Some(earlier) => {
+                earlier.mul_f64(1.0 - SAMPLE_WEIGHT) + service_time.mul_f64(SAMPLE_WEIGHT)
+            }
+            None => service_time,
         };
-        self.work = Some(smoothed);
+        self.service_time = Some(smoothed);
     }
 }
 
@@ -84,7 +86,7 @@
     is_backed_off: bool,
     is_failing: bool,
     load: f64,
-    work: Duration,
+    service_time: Duration,
     id: u64,
 }
 
@@ -94,13 +96,13 @@
         let by_backoff = || self.is_backed_off.cmp(&other.is_backed_off);
         let by_failures = || self.is_failing.cmp(&other.is_failing);
         let by_load = || self.load.total_cmp(&other.load);
-        let by_work = || self.work.cmp(&other.work);
+        let by_service_time = || self.service_time.cmp(&other.service_time);
         let by_id = || self.id.cmp(&other.id);
         by_trial
             .then_with(by_backoff)
             .then_with(by_failures)
             .then_with(by_load)
-            .then_with(by_work)
+            .then_with(by_service_time)
             .then_with(by_id)
     }
 }
@@ -143,7 +145,7 @@
             let known = self.known.entry(server.id).or_default();
             known.slots = server.slots.max(1);
             known.is_cold = server.is_cold;
-            known.work = known.work.or(server.work);
+            known.service_time = known.service_time.or(server.service_time);
         }
         self.known.retain(|_, known| known.slots + known.out > 0);
     }
@@ -154,13 +156,13 @@
     }
 
     /// Time of work that is expected for one request.
-    pub(super) fn work(&self) -> Duration {
-        let samples = self.known.values().filter_map(|known| known.work);
-        let (sum, count) = samples.fold((Duration::ZERO, 0u32), |(sum, count), work| {
-            (sum + work, count + 1)
+    pub(super) fn service_time(&self) -> Duration {
+        let samples = self.known.values().filter_map(|known| known.service_time);
+        let (sum, count) = samples.fold((Duration::ZERO, 0u32), |(sum, count), service_time| {
+            (sum + service_time, count + 1)
         });
         match count {
-            0 => UNKNOWN_WORK,
+            0 => UNKNOWN_SERVICE_TIME,
             count => sum / count,
         }
     }
@@ -187,7 +189,7 @@
             is_backed_off: known.backoff_until > now,
             is_failing: known.failures.share(now) > FAILING_SHARE,
             load: known.load_with_one_more(),
-            work: known.work.unwrap_or(UNKNOWN_WORK),
+            service_time: known.service_time.unwrap_or(UNKNOWN_SERVICE_TIME),
             id,
         };
         let ranked = candidates.map(|(id, known)| rank(*id, known));
@@ -215,11 +217,11 @@
     }
 
     /// An instance has answered, after so much work if that says something of others.
-    pub(super) fn answered(&mut self, server: u64, work: Option<Duration>, now: Timestamp) {
+    pub(super) fn answered(&mut self, server: u64, service_time: Option<Duration>, now: Timestamp) {
         if let Some(known) = self.known.get_mut(&server) {
             known.failures.answered(&FAILURE_RULES, now);
-            if let Some(work) = work {
-                known.sample(work);
+            if let Some(service_time) = service_time {
+                known.sample(service_time);
             }
         }
     }
--- a/crates/ledgelead-router/src/events.rs
+++ b/crates/ledgelead-router/src/events.rs
@@ -30,7 +30,7 @@
         sent_after_ms: u64,
         /// Milliseconds that the attempt took.
         took_ms: u64,
-        /// How it ended; the names of `Verdict`.
+        /// How it ended; the names of `AttemptOutcome`.
         ended: &'static str,
         /// The token under which this node believes the key to be owned.
         fence: Option<u64>,
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -5,11 +5,12 @@
 use crate::Timestamp;
 use crate::directory::Instance;
 use crate::dispatch::{
-    Admission, Decided, InstanceLoad, PermitId, PermitOutcome, QueueAsk, QueueKind, Server,
+    Admission, DispatchDecision, DispatchRequest, InstanceLoad, PermitId, PermitOutcome, QueueKind,
+    Server,
 };
 use crate::io::Action;
 use crate::peers::{PeerMessage, PermitAskEntry, PermitEnd, PermitVerdict, encode};
-use crate::requests::{Ask, Declined, PermitDecision, PermitMessage, pool_hash};
+use crate::requests::{Declined, PermitDecision, PermitMessage, PermitRequest, pool_hash};
 use crate::short_millis;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -39,16 +40,16 @@
     ) {
         let is_own = to == self.settings.peer_address;
         match message {
-            PermitMessage::Ask(ask) if is_own => {
+            PermitMessage::Request(ask) if is_own => {
                 self.permit_asked(to, &ask_entry(&ask), now, out);
             }
-            PermitMessage::Ask(ask) => {
+            PermitMessage::Request(ask) => {
                 let message = PeerMessage::PermitAsk(ask_entry(&ask));
                 send(to, &[encode(&message)], out);
             }
             PermitMessage::Return { number, queue, how } if is_own => {
-                let asker = PermitId { node: to, number };
-                self.permit_returned(queue, asker, how, now, out);
+                let requester = PermitId { node: to, number };
+                self.permit_returned(queue, requester, how, now, out);
             }
             PermitMessage::Return { number, queue, how } => {
                 let (ended, took_ms, load) = match how {
@@ -83,17 +84,17 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let asker = PermitId {
+        let requester = PermitId {
             node: from,
             number: entry.number,
         };
-        let ask = QueueAsk {
+        let ask = DispatchRequest {
             queue: entry.queue,
             kind: match entry.is_pool {
                 true => QueueKind::Pool,
                 false => QueueKind::Owner,
             },
-            asker,
+            requester,
             urgency: entry.urgency,
             to_target: Duration::from_millis(u64::from(entry.to_target_ms)),
             left: Duration::from_millis(u64::from(entry.left_ms)),
@@ -114,7 +115,7 @@
                     number: entry.number,
                     queue: entry.queue,
                     verdict: Err(declined),
-                    return_after: Duration::ZERO,
+                    retry_after: Duration::ZERO,
                 };
                 self.announce_decision(from, &decision, now, out);
             }
@@ -124,10 +125,10 @@
     /// Decides as dispatcher; none where this node doesn't know the queue, or has too many.
     fn ask_dispatcher(
         &mut self,
-        ask: &QueueAsk,
+        ask: &DispatchRequest,
         service: u64,
         now: Timestamp,
-    ) -> Option<Vec<Decided>> {
+    ) -> Option<Vec<DispatchDecision>> {
         let services = &self.configuration.as_ref()?.services;
         let known = services
             .iter()
@@ -155,7 +156,7 @@
                 id,
                 slots: usize::try_from(instance.record.slots).unwrap_or(usize::MAX),
                 is_cold: instance.is_cold(now),
-                work: shared.service_time(id, now),
+                service_time: shared.service_time(id, now),
             }
         };
         let servers = || {
@@ -169,12 +170,12 @@
     pub(super) fn permit_returned(
         &mut self,
         queue: u64,
-        asker: PermitId,
+        requester: PermitId,
         how: PermitOutcome,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let decided = self.dispatcher.returned(queue, asker, how, now);
+        let decided = self.dispatcher.returned(queue, requester, how, now);
         self.announce_decisions(decided, now, out);
     }
 
@@ -190,15 +191,20 @@
         requests.permit_decided(from, decision, &mut context, out);
     }
 
-    fn announce_decisions(&mut self, decided: Vec<Decided>, now: Timestamp, out: &mut Vec<Action>) {
+    fn announce_decisions(
+        &mut self,
+        decided: Vec<DispatchDecision>,
+        now: Timestamp,
+        out: &mut Vec<Action>,
+    ) {
         for decided in decided {
             let decision = PermitDecision {
-                number: decided.asker.number,
+                number: decided.requester.number,
                 queue: decided.queue,
                 verdict: Ok(decided.verdict),
-                return_after: decided.return_after,
+                retry_after: decided.retry_after,
             };
-            self.announce_decision(decided.asker.node, &decision, now, out);
+            self.announce_decision(decided.requester.node, &decision, now, out);
         }
     }
 
@@ -225,7 +231,7 @@
             queue: decision.queue,
             verdict,
             server,
-            return_ms: short_millis(decision.return_after),
+            return_ms: short_millis(decision.retry_after),
         };
         send(to, &[encode(&message)], out);
     }
@@ -263,7 +269,7 @@
     (short(load.running), short(load.waiting))
 }
 
-fn ask_entry(ask: &Ask) -> PermitAskEntry {
+fn ask_entry(ask: &PermitRequest) -> PermitAskEntry {
     PermitAskEntry {
         number: ask.number,
         queue: ask.queue,
--- a/crates/ledgelead-router/src/node/gossip.rs
+++ b/crates/ledgelead-router/src/node/gossip.rs
@@ -158,8 +158,8 @@
 
     /// Reports to the coordinator which keys were asked for, and what owners did.
     fn report_load(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let asked = self.requests.take_asked();
-        let worked = self.requests.take_worked();
+        let asked = self.requests.take_requested_keys();
+        let worked = self.requests.take_owner_work();
         let nothing = asked.is_empty() && worked.is_empty();
         if nothing && !self.may_forward() {
             return;
@@ -241,7 +241,7 @@
                 changes,
             } => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
-                self.directory.doubt_removals_until(now + unconfirmed);
+                self.directory.defer_removals_until(now + unconfirmed);
                 self.instances_announced(span, changes, now, out);
             }
             PeerMessage::NodesChanged { span, changes } => {
@@ -324,7 +324,7 @@
                     number,
                     queue,
                     verdict: verdict_of(verdict, server),
-                    return_after: Duration::from_millis(u64::from(return_ms)),
+                    retry_after: Duration::from_millis(u64::from(return_ms)),
                 };
                 self.permit_decided(from, &decision, now, out);
             }
@@ -381,7 +381,7 @@
                 instances,
             } => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
-                self.directory.doubt_removals_until(now + unconfirmed);
+                self.directory.defer_removals_until(now + unconfirmed);
                 self.instances_listed(span, instances, now, out);
             }
         }
@@ -391,7 +391,7 @@
     fn follow_rest_limit(&mut self, rest_limit_ms: u16, now: Timestamp) {
         if rest_limit_ms > 0 {
             let limit = Duration::from_millis(u64::from(rest_limit_ms));
-            self.requests.follow_rest_limit(limit, now);
+            self.requests.follow_idle_limit(limit, now);
         }
     }
 
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -157,7 +157,7 @@
             self.gossip.informed_until = Some(now + self.view_ttl().saturating_sub(age));
             if self.store.health.followed_until(now.saturating_sub(age)) {
                 // Until the coordinator says for how long the store has served.
-                self.directory.store_was_lost(now);
+                self.directory.note_store_outage(now);
             }
             self.store.set_informed(true, now, out);
         }
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -35,9 +35,9 @@
 
 impl Node {
     /// Takes over what instances have said in answers to requests.
-    pub(super) fn take_said_leaving(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        for instance in self.requests.take_said_leaving() {
-            self.said_to_leave(&instance, now, now, out);
+    pub(super) fn take_announced_leaving(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        for instance in self.requests.take_announced_leaving() {
+            self.mark_leaving(&instance, now, now, out);
         }
     }
 
@@ -50,11 +50,11 @@
         out: &mut Vec<Action>,
     ) {
         if Notice::of(instance, response, self.dialect.headers()).leaving {
-            self.said_to_leave(instance, now, now, out);
+            self.mark_leaving(instance, now, now, out);
         }
     }
 
-    fn said_to_leave(
+    fn mark_leaving(
         &mut self,
         instance: &InstanceId,
         at: Timestamp,
@@ -62,7 +62,7 @@
         out: &mut Vec<Action>,
     ) {
         let heeds = self.settings.protections.has(Protection::HeededLeaving);
-        if heeds && self.directory.said_to_leave(instance, at) {
+        if heeds && self.directory.mark_leaving(instance, at) {
             self.coordination.note_change();
             self.reconsider_waiting(now, out);
         }
@@ -93,7 +93,7 @@
     }
 
     fn leaving_message(&self, now: Timestamp, is_sent: impl Fn(u64) -> bool) -> Option<Datagram> {
-        let leaving = self.directory.leave_by_answers();
+        let leaving = self.directory.leaving_by_response();
         let hashed = leaving.map(|(id, at)| (id.stable_hash(), at));
         let sent = hashed
             .filter(|(hash, _)| is_sent(*hash))
@@ -119,7 +119,7 @@
         });
         let known: Vec<(InstanceId, Timestamp)> = known.collect();
         for (instance, at) in known {
-            self.said_to_leave(&instance, at, now, out);
+            self.mark_leaving(&instance, at, now, out);
         }
         if self.coordinator_address() == Some(from) {
             self.gossip.announced_leaving = AnnouncedLeaving {
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -209,7 +209,7 @@
         let own = |instance: u64| open.get(&instance).copied().unwrap_or(0);
         let entries = self.shared.take_digest(complete, own, now);
         let zones = u8::try_from(self.shared.zones(now)).unwrap_or(u8::MAX);
-        let limit = self.requests.rest_limit_in_zone(now).unwrap_or_default();
+        let limit = self.requests.zone_idle_limit(now).unwrap_or_default();
         let datagram = |entries: &[DigestEntry]| {
             encode(&PeerMessage::LoadDigest {
                 zones,
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -99,7 +99,7 @@
     pub fn new(settings: NodeSettings, dialect: Box<dyn Dialect>, now: Timestamp) -> Node {
         let rng = Pcg64Mcg::seed_from_u64(settings.seed);
         let mut requests = Requests::new(&settings, rng);
-        requests.begin(now);
+        requests.start(now);
         Node {
             configuration: None,
             routes: RouteTable::default(),
@@ -183,7 +183,7 @@
             } => {
                 self.confirm_first_view(now);
                 let (requests, mut context) = self.requests_and_context(now);
-                requests.arrived(client, source, request, &mut context, out);
+                requests.request_arrived(client, source, request, &mut context, out);
             }
             Input::Unread { client, request } => {
                 let (requests, mut context) = self.requests_and_context(now);
@@ -194,7 +194,7 @@
             }
             Input::ClientLeft { client } => {
                 self.transfer_server.left(client);
-                self.requests.left(client, out);
+                self.requests.client_left(client, out);
             }
             Input::Exchanged {
                 exchange,
@@ -202,13 +202,13 @@
                 rested,
             } => {
                 self.count_answer(exchange, &result);
-                if self.requests.owns(exchange) {
+                if self.requests.owns_exchange(exchange) {
                     let (requests, mut context) = self.requests_and_context(now);
-                    requests.exchanged(exchange, result, rested, &mut context, out);
+                    requests.exchange_ended(exchange, result, rested, &mut context, out);
                     self.take_crash_signs(now, out);
-                    self.take_said_leaving(now, out);
-                    for ended in self.requests.take_ended() {
-                        self.directory.end(&ended);
+                    self.take_announced_leaving(now, out);
+                    for ended in self.requests.take_ended_instances() {
+                        self.directory.mark_ended(&ended);
                         self.coordination.note_change();
                     }
                     if self.requests.take_misdirected() {
--- a/crates/ledgelead-router/src/node/open_requests.rs
+++ b/crates/ledgelead-router/src/node/open_requests.rs
@@ -66,7 +66,7 @@
     /// When counts are due next.
     pub(super) fn open_requests_deadline(&self) -> Timestamp {
         let pace = &self.gossip.open_requests;
-        if self.requests.has_changed() {
+        if self.requests.has_changed_load() {
             pace.next_batch.min(pace.next_refresh)
         } else {
             pace.next_refresh
@@ -77,7 +77,8 @@
     /// changed, and now and then all.
     pub(super) fn announce_open_requests(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let refresh_due = self.gossip.open_requests.next_refresh <= now;
-        let batch_due = self.gossip.open_requests.next_batch <= now && self.requests.has_changed();
+        let batch_due =
+            self.gossip.open_requests.next_batch <= now && self.requests.has_changed_load();
         if !refresh_due && !batch_due {
             return;
         }
@@ -85,7 +86,7 @@
         let has_hub = self.has_hub(peers.len());
         let mut counts = Vec::new();
         if batch_due {
-            counts = self.requests.take_changed();
+            counts = self.requests.take_changed_load();
             let pause = match has_hub {
                 true => HUB_PAUSE,
                 false => batch_pause(peers.len()),
@@ -94,7 +95,7 @@
         }
         if refresh_due {
             self.gossip.open_requests.next_refresh = now + REFRESH_INTERVAL;
-            counts.extend(self.requests.take_busy());
+            counts.extend(self.requests.take_all_load());
         }
         for (_, open) in &counts {
             self.shared.learn(open.instance, open.speed(), now);
@@ -135,8 +136,8 @@
         refreshes: bool,
         now: Timestamp,
     ) -> Vec<Datagram> {
-        let rest_limit = self.requests.rest_limit(now).unwrap_or(Duration::ZERO);
-        if counts.is_empty() && refreshes && !rest_limit.is_zero() {
+        let idle_limit = self.requests.idle_limit(now).unwrap_or(Duration::ZERO);
+        if counts.is_empty() && refreshes && !idle_limit.is_zero() {
             return vec![self.open_requests(&[], now)];
         }
         let chunks = counts.chunks(MAX_COUNTS);
@@ -149,10 +150,10 @@
         counts: &[(InstanceId, OpenRequests)],
         now: Timestamp,
     ) -> Datagram {
-        let rest_limit = self.requests.rest_limit(now).unwrap_or(Duration::ZERO);
+        let idle_limit = self.requests.idle_limit(now).unwrap_or(Duration::ZERO);
         encode(&PeerMessage::Open {
             incarnation: self.settings.identity.incarnation,
-            rest_limit_ms: u16::try_from(rest_limit.as_millis()).unwrap_or(u16::MAX),
+            rest_limit_ms: u16::try_from(idle_limit.as_millis()).unwrap_or(u16::MAX),
             changes: List(counts.iter().map(|(_, open)| *open).collect()),
         })
     }
--- a/crates/ledgelead-router/src/node/picture.rs
+++ b/crates/ledgelead-router/src/node/picture.rs
@@ -92,7 +92,7 @@
     /// These nodes are registered, and no others.
     pub(super) fn replace_nodes(&mut self, registrations: Vec<Registration>) {
         self.registry.replace_all(registrations);
-        self.note_earlier_life();
+        self.note_earlier_incarnation();
     }
 
     /// The nodes were listed whole, perhaps for the first time.
@@ -107,7 +107,7 @@
     pub(super) fn evacuations_changed(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let zones = self.evacuations.zones();
         Event::Evacuated { zones: zones.len() }.emit();
-        self.directory.evacuate(zones, now);
+        self.directory.set_evacuated_zones(zones, now);
         self.coordination.note_change();
         self.gossip.hasten_heartbeat();
         self.reconsider_waiting(now, out);
@@ -148,7 +148,7 @@
                     record,
                     revision: object.revision,
                 });
-                self.note_earlier_life();
+                self.note_earlier_incarnation();
             }
             Ok(ObjectContent::Configuration(configuration)) if !event.gone => {
                 self.configure(configuration, now, out);
@@ -180,7 +180,7 @@
         match kind {
             ObjectKind::Instances if gone => self.directory.remove(name, now),
             ObjectKind::Instances if self.settings.protections.has(Protection::ForeignUnused) => {
-                self.directory.withdraw(name, now);
+                self.directory.remove_unreadable(name, now);
             }
             ObjectKind::Nodes if gone => self.registry.remove(&NodeName::from(name)),
             ObjectKind::Quarantine if gone => {
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -125,7 +125,7 @@
                     .answered(&instance, asked, now);
             }
         }
-        for (request, caller) in signs.acquitted {
+        for (request, caller) in signs.completed {
             self.quarantine.recent.note(request, caller, now);
             self.acquit_if_answered(request, caller, now);
         }
@@ -160,7 +160,7 @@
     /// Answers that a later life would be known to have given by now.
     fn look_at_life_signs(&mut self, now: Timestamp) {
         for (instance, asked) in self.quarantine.unconfirmed_answers.take_due(now) {
-            if self.directory.later_life(&instance).is_none() {
+            if self.directory.later_incarnation(&instance).is_none() {
                 self.instance_lives(&instance, asked, now);
             }
         }
@@ -250,7 +250,7 @@
             let known = self.directory.get(instance);
             // One that said it leaves ends as planned.
             known.is_some_and(|known| {
-                known.ended || known.is_gone() && !self.directory.has_said_to_leave(known)
+                known.ended || known.is_gone() && !self.directory.has_announced_leaving(known)
             })
         };
         let suspects = self.quarantine.suspects.instances();
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -15,7 +15,7 @@
 };
 use crate::protections::Protection;
 use crate::rate_limit::{LimitStatement, LimiterRole, RateLimit, TokenVerdict};
-use crate::requests::{TokenAsk, TokenDecision};
+use crate::requests::{TokenDecision, TokenRequest};
 use crate::short_millis;
 use ledgelead_types::codec::{List, Text};
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     pub(super) fn ask_for_tokens(&mut self, now: Timestamp, out: &mut Vec<Action>) -> bool {
         let mut has_decided = false;
         loop {
-            let asks = self.requests.take_token_asks();
+            let asks = self.requests.take_token_requests();
             if asks.is_empty() {
                 return has_decided;
             }
@@ -56,7 +56,7 @@
     pub(super) fn token_asked(
         &mut self,
         from: SocketAddr,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
@@ -90,7 +90,7 @@
     fn decide_on_token(
         &mut self,
         asker: SocketAddr,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> TokenDecision {
@@ -114,7 +114,7 @@
     /// whose views differ are not both the first for longer than their views differ.
     fn limiter_role(
         &mut self,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> Option<LimiterRole> {
@@ -240,8 +240,8 @@
     zone: &Text,
     limit: &RateLimitEntry,
     now: Timestamp,
-) -> TokenAsk {
-    TokenAsk {
+) -> TokenRequest {
+    TokenRequest {
         number,
         instance: limit.instance,
         zone: ZoneName::from(zone.0.as_str()),
--- a/crates/ledgelead-router/src/node/registration.rs
+++ b/crates/ledgelead-router/src/node/registration.rs
@@ -99,11 +99,11 @@
 
     /// Notes whether another life of this node is registered, which has drawn on the
     /// retry budget.
-    pub(super) fn note_earlier_life(&mut self) {
+    pub(super) fn note_earlier_incarnation(&mut self) {
         let own = &self.settings.identity;
         let registered = self.registry.get(&own.node);
         if registered.is_some_and(|known| known.identity != *own) {
-            self.requests.note_earlier_life();
+            self.requests.note_earlier_incarnation();
         }
     }
 
--- a/crates/ledgelead-router/src/node/relay/mod.rs
+++ b/crates/ledgelead-router/src/node/relay/mod.rs
@@ -214,7 +214,7 @@
         if self.coordination.coordinator().is_none() {
             return;
         }
-        let unconfirmed = self.directory.doubt_left(now);
+        let unconfirmed = self.directory.removal_deferral_left(now);
         let relay = &mut self.gossip.relay;
         let datagrams = match kind {
             RelayedKind::Instances => {
--- a/crates/ledgelead-router/src/node/relay/objects.rs
+++ b/crates/ledgelead-router/src/node/relay/objects.rs
@@ -40,7 +40,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let unconfirmed = self.directory.doubt_left(now);
+        let unconfirmed = self.directory.removal_deferral_left(now);
         let relay = &mut self.gossip.relay;
         let (log, base) = match kind {
             ObjectKind::Instances => (&mut relay.instances, relay.instances_revision),
@@ -82,7 +82,7 @@
                 None => self.directory.remove(id.name(), now),
                 Some(entry) => match instance_record(id.clone(), entry) {
                     Some(record) => self.directory.upsert(Entry::at(revision, record), now),
-                    None => self.directory.withdraw(id.name(), now),
+                    None => self.directory.remove_unreadable(id.name(), now),
                 },
             }
         }
@@ -134,7 +134,7 @@
                 Some(entry) => {
                     if let Some(registration) = registration(name, entry) {
                         self.registry.upsert(registration);
-                        self.note_earlier_life();
+                        self.note_earlier_incarnation();
                     }
                 }
             }
@@ -239,7 +239,7 @@
     revision: u64,
     now: Timestamp,
 ) -> Vec<Datagram> {
-    let unconfirmed = directory.doubt_left(now);
+    let unconfirmed = directory.removal_deferral_left(now);
     let present: Vec<ChangedInstance> = directory
         .listed()
         .map(|known| listed_instance(&known.record))
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -98,7 +98,7 @@
         }
         let was_failing = self.store.health.has_failed();
         if self.store.health.succeeded(now) {
-            self.directory.store_was_lost(now);
+            self.directory.note_store_outage(now);
         }
         if was_failing {
             Event::StoreServes.emit();
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -348,7 +348,7 @@
         let taken = match (asked.kind, objects) {
             (RelayedKind::Instances, TransferredObjects::Instances(instances)) => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
-                self.directory.doubt_removals_until(now + unconfirmed);
+                self.directory.defer_removals_until(now + unconfirmed);
                 self.take_instances(instances, revision, as_of, now);
                 true
             }
--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -333,7 +333,7 @@
         Some(TransferredState {
             revision,
             age_ms: age_ms.and_then(|age| u32::try_from(age).ok()),
-            unconfirmed_ms: short_millis(self.directory.doubt_left(now)),
+            unconfirmed_ms: short_millis(self.directory.removal_deferral_left(now)),
             objects,
         })
     }
--- a/crates/ledgelead-router/src/ownership/coordinator/orders.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/orders.rs
@@ -58,7 +58,7 @@
             let Some(instance) = holding
                 .owner
                 .as_ref()
-                .and_then(|id| context.directory.addressee(id))
+                .and_then(|id| context.directory.get_unless_superseded(id))
             else {
                 *next_try = holding.lease.possible_until;
                 continue;
@@ -89,7 +89,7 @@
             let instance = holding
                 .owner
                 .as_ref()
-                .and_then(|id| context.directory.addressee(id));
+                .and_then(|id| context.directory.get_unless_superseded(id));
             let Some(instance) = instance else {
                 holding.lease.unanswered(false, context.now);
                 continue;
@@ -178,7 +178,7 @@
             if !reviews_all && !holding.lease.is_silent() {
                 continue;
             }
-            if let Some(later) = context.directory.later_life(owner) {
+            if let Some(later) = context.directory.later_incarnation(owner) {
                 if holding.has_order_out() {
                     // To be looked at again as soon as that has ended.
                     self.owners_reviewed = None;
@@ -192,7 +192,7 @@
             }
             let leaving = match context.directory.get(owner) {
                 Some(instance) => !instance.serves() || must_warm_up(context, instance),
-                None => context.directory.is_settled(context.now),
+                None => context.directory.is_absence_conclusive(context.now),
             };
             let over = holding.lease.is_over(self.protections, context.now);
             let lapsed = holding.lease.is_silent() && over;
--- a/crates/ledgelead-router/src/requests/budget.rs
+++ b/crates/ledgelead-router/src/requests/budget.rs
@@ -12,7 +12,7 @@
 //! don't use again what others have used before they ended, or use while they are cut off.
 
 use super::node_count::NodeCount;
-use super::repeat_value::{BudgetLevel, RepeatDemand, RepeatFacts};
+use super::retry_value::{BudgetLevel, RetryCandidate, RetryDemand};
 use crate::Timestamp;
 use crate::identity::ServiceName;
 use std::collections::{BTreeMap, VecDeque};
@@ -48,7 +48,7 @@
 struct Usage {
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
-    demand: RepeatDemand,
+    demand: RetryDemand,
 }
 
 /// Retries by service.
@@ -76,17 +76,17 @@
     }
 
     /// This life of the node begins.
-    pub fn begin(&mut self, now: Timestamp) {
+    pub fn start(&mut self, now: Timestamp) {
         self.began = Some(now);
     }
 
     /// There was another life of the node before.
-    pub fn note_earlier_life(&mut self) {
+    pub fn note_earlier_incarnation(&mut self) {
         self.has_earlier_life = true;
     }
 
     /// So many nodes are registered now.
-    pub fn saw_nodes(&mut self, nodes: usize, now: Timestamp) {
+    pub fn record_node_count(&mut self, nodes: usize, now: Timestamp) {
         self.nodes.saw(nodes, NODES_REMEMBERED, now);
     }
 
@@ -105,13 +105,13 @@
 
     /// Draws one retry, if the share of one among `nodes` nodes allows it.
     /// A node that knows no other nodes has no share of the slack.
-    pub fn draw(&mut self, service: &ServiceName, nodes: usize, now: Timestamp) -> bool {
+    pub fn try_acquire(&mut self, service: &ServiceName, nodes: usize, now: Timestamp) -> bool {
         let window = self.bounds.window;
-        self.saw_nodes(nodes, now);
+        self.record_node_count(nodes, now);
         if let Some(usage) = self.usage.get_mut(service) {
             usage.forget(now, window);
         }
-        if !self.may_draw(service, nodes, now) {
+        if !self.has_retry_left(service, nodes, now) {
             return false;
         }
         let usage = self.usage.entry(service.clone()).or_default();
@@ -121,59 +121,61 @@
 
     /// The same for a repeat that also has to win enough, beside the others that are
     /// asked for.
-    pub fn draw_for(
+    pub fn try_acquire_for(
         &mut self,
         service: &ServiceName,
-        facts: &RepeatFacts,
+        facts: &RetryCandidate,
         nodes: usize,
         now: Timestamp,
-    ) -> Draw {
+    ) -> RetryDecision {
         let usage = self.usage.entry(service.clone()).or_default();
         usage.forget(now, self.bounds.window);
-        usage.demand.ask(facts, now);
-        if !self.is_worth(service, facts, nodes, now) {
-            return Draw::KeptBack;
+        usage.demand.record_request(facts, now);
+        if !self.is_worthwhile(service, facts, nodes, now) {
+            return RetryDecision::HeldBack;
         }
-        if !self.draw(service, nodes, now) {
-            return Draw::UsedUp;
+        if !self.try_acquire(service, nodes, now) {
+            return RetryDecision::Exhausted;
         }
         let usage = self.usage.entry(service.clone()).or_default();
-        usage.demand.draw(facts.rank, self.bounds.window, now);
-        Draw::Drawn
+        usage
+            .demand
+            .record_grant(facts.rank, self.bounds.window, now);
+        RetryDecision::Granted
     }
 
     /// A retry that was drawn has not reached an instance.
-    pub fn give_back(&mut self, service: &ServiceName) {
+    pub fn refund(&mut self, service: &ServiceName) {
         if let Some(usage) = self.usage.get_mut(service) {
             usage.retries.pop_back();
         }
     }
 
     /// The same for a repeat of this rank.
-    pub fn give_back_for(&mut self, service: &ServiceName, rank: u32) {
-        self.give_back(service);
+    pub fn refund_for(&mut self, service: &ServiceName, rank: u32) {
+        self.refund(service);
         if let Some(usage) = self.usage.get_mut(service) {
-            usage.demand.give_back(rank);
+            usage.demand.remove_grant(rank);
         }
     }
 
     /// Whether a retry could be drawn.
-    pub fn may_draw(&self, service: &ServiceName, nodes: usize, now: Timestamp) -> bool {
+    pub fn has_retry_left(&self, service: &ServiceName, nodes: usize, now: Timestamp) -> bool {
         self.level(service, nodes, now).left >= 1.0
     }
 
     /// Whether a repeat wins enough to be drawn.
-    pub fn is_worth(
+    pub fn is_worthwhile(
         &self,
         service: &ServiceName,
-        facts: &RepeatFacts,
+        facts: &RetryCandidate,
         nodes: usize,
         now: Timestamp,
     ) -> bool {
         let level = self.level(service, nodes, now);
         self.usage
             .get(service)
-            .is_none_or(|usage| usage.demand.is_worth(facts, level, now))
+            .is_none_or(|usage| usage.demand.is_worthwhile(facts, level, now))
     }
 
     fn level(&self, service: &ServiceName, nodes: usize, now: Timestamp) -> BudgetLevel {
@@ -209,13 +211,13 @@
 
 /// What became of a repeat that was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Draw {
+pub enum RetryDecision {
     /// It may be sent.
-    Drawn,
+    Granted,
     /// Others win more.
-    KeptBack,
+    HeldBack,
     /// Nothing is left.
-    UsedUp,
+    Exhausted,
 }
 
 impl Usage {
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::ANSWER_MARGIN;
 use super::endings::{attempt_name, owner_fence};
-use super::repeats::rejection_cause;
+use super::retries::rejection_cause;
 use super::{RequestContext, Requests};
 use crate::Timestamp;
 use crate::boundary::MAX_SLOTS;
@@ -15,7 +15,7 @@
 use crate::rate_limit::RateNotice;
 use crate::requests::notice::Notice;
 use crate::requests::open_request::{Attempt, Misdirection, OpenRequest};
-use crate::requests::outcome::{Verdict, tells_failure};
+use crate::requests::outcome::{AttemptOutcome, tells_failure};
 use crate::requests::rejection_cause::RejectionCause;
 use crate::requests::selection::Selected;
 use crate::requests::statistics::ReportedLoad;
@@ -131,7 +131,7 @@
         };
         another
             && left > attempt.expected.min(open.route.target_latency / 2)
-            && self.could_repeat(open, context)
+            && self.can_retry(open, context)
     }
 
     /// Whether another instance has a free slot for a request, so that breaking off its
@@ -156,7 +156,7 @@
                 && !self.stopping
                 && open.tried.len() < open.route.max_attempts as usize
                 && open.due > context.now
-                && self.could_repeat(open, context)
+                && self.can_retry(open, context)
         })
     }
 
@@ -174,7 +174,7 @@
         // Instances that were never reached are no arrivals.
         let repeated = !open.tried.is_empty();
         let reason = open.failure();
-        if repeated && !self.draw_repeat(client, selected.expected, context) {
+        if repeated && !self.acquire_retry(client, selected.expected, context) {
             self.refuse(client, reason, context, out);
             return;
         }
@@ -197,8 +197,8 @@
         }
         let exchange = context.exchanges.next_id();
         let limits = self.mechanisms.has(Mechanism::RestLimit);
-        let rest_limit = self.rest_limit.current(context.now).filter(|_| limits);
-        let options = attempt_options(open, rest_limit, context);
+        let idle_limit = self.idle_limit.current(context.now).filter(|_| limits);
+        let options = attempt_options(open, idle_limit, context);
         let review = open.route.target_latency.mul_f64(REVIEW_SHARE);
         let request = forwarded(open, &selected.id, context);
         open.tried.push(selected.id.clone());
@@ -231,7 +231,7 @@
         &mut self,
         client: ClientId,
         attempt: &Attempt,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         cause: Option<RejectionCause>,
         context: &RequestContext<'_>,
     ) {
@@ -244,12 +244,12 @@
             .and_then(|key| context.ownership.find(&open.service, key));
         tell_ended(open, attempt, verdict.name(), context);
         match verdict {
-            Verdict::NeverSent { .. } => {
+            AttemptOutcome::NeverSent { .. } => {
                 // Only this attempt: an earlier one there may have run.
                 open.tried.pop();
                 if attempt.repeated {
                     let rank = self.mechanisms.rank(open);
-                    self.budget.give_back_for(&open.service, rank);
+                    self.budget.refund_for(&open.service, rank);
                 }
                 if open.key.is_none() {
                     // Another instance is tried at once; this one stays out by
@@ -259,12 +259,12 @@
                 let again = Some(context.now + MISDIRECTED_PAUSE);
                 open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
             }
-            Verdict::Incomplete { .. } => {
+            AttemptOutcome::Incomplete { .. } => {
                 // The instance stays tried: it has received a part.
                 let again = Some(context.now + MISDIRECTED_PAUSE);
                 open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
             }
-            Verdict::Rejected { misdirected, ended } => {
+            AttemptOutcome::Rejected { misdirected, ended } => {
                 open.rejected = true;
                 if ended {
                     self.ended.push(attempt.instance.clone());
@@ -281,15 +281,15 @@
                 open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
                 self.misdirected |= misdirected && open.misdirection.is_some();
             }
-            Verdict::Unknown { timed_out } => {
+            AttemptOutcome::Unknown { timed_out } => {
                 open.may_have_run = self.protections.has(Protection::HonestRefusal);
                 open.timed_out |= timed_out;
             }
-            Verdict::Failed(response) => {
+            AttemptOutcome::Failed(response) => {
                 open.may_have_run = true;
                 open.failed_answer = Some(response);
             }
-            Verdict::Relay(_) => {}
+            AttemptOutcome::Relay(_) => {}
         }
         let repeats_unknown = !self.protections.has(Protection::UnknownNotRepeated);
         if open.may_have_run && !open.is_idempotent() && !repeats_unknown {
@@ -384,11 +384,11 @@
     ) {
         let prompt = now.saturating_sub(attempt.sent) <= PROMPT_LOSS;
         match result {
-            Ok(_) => self.rest_limit.answered(rested, now),
+            Ok(_) => self.idle_limit.answered(rested, now),
             Err(ExchangeFailure::Lost | ExchangeFailure::Incomplete { timed_out: false })
                 if prompt =>
             {
-                self.rest_limit.lost(rested, now);
+                self.idle_limit.lost(rested, now);
             }
             Err(_) => {}
         }
@@ -444,7 +444,7 @@
 
 fn attempt_options(
     open: &OpenRequest,
-    rest_limit: Option<Duration>,
+    idle_limit: Option<Duration>,
     context: &RequestContext<'_>,
 ) -> ExchangeOptions {
     let reuse_idle_below = if open.is_idempotent() {
@@ -462,7 +462,7 @@
         .map(|value| (header.as_str().into(), value.into()));
     ExchangeOptions {
         match_header,
-        reuse_idle_below: rest_limit.map_or(reuse_idle_below, |limit| limit.min(reuse_idle_below)),
+        reuse_idle_below: idle_limit.map_or(reuse_idle_below, |limit| limit.min(reuse_idle_below)),
         connect_timeout: CONNECT_TIMEOUT.min(write_timeout),
         write_timeout: Some(write_timeout),
         // Sent again, an idempotent request loses less than by waiting.
--- a/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
@@ -25,7 +25,7 @@
     /// Instances that answered, and when they were asked.
     pub answered: Vec<(InstanceId, Timestamp)>,
     /// Requests that an instance ran to a whole answer.
-    pub acquitted: Vec<(RequestDigest, CallerId)>,
+    pub completed: Vec<(RequestDigest, CallerId)>,
 }
 
 impl Requests {
@@ -67,7 +67,7 @@
                     signs.answered.push(answered);
                 }
                 if was_run(response, context) {
-                    signs.acquitted.push((open.digest(), open.caller));
+                    signs.completed.push((open.digest(), open.caller));
                 }
             }
         }
--- a/crates/ledgelead-router/src/requests/lifecycle/endings.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/endings.rs
@@ -10,8 +10,8 @@
 use crate::io::{Action, ClientId};
 use crate::requests::answers::{Refusal, refusal};
 use crate::requests::open_request::OpenRequest;
-use crate::requests::outcome::Verdict;
-use crate::requests::refusal_share::return_after;
+use crate::requests::outcome::AttemptOutcome;
+use crate::requests::refusal_share::retry_after;
 use crate::whole_millis;
 use ledgelead_http::{Request, Response};
 use rand::RngExt;
@@ -96,7 +96,7 @@
             configuration: context.configuration.map_or(0, |known| known.version),
         };
         unrouted.emit();
-        let response = self.refusal(request, reason, return_after(0.0), context);
+        let response = self.refusal(request, reason, retry_after(0.0), context);
         out.push(Action::Respond { client, response });
     }
 
@@ -132,9 +132,9 @@
         let request = open.request.clone();
         let service = open.service.clone();
         let key = open.key;
-        let told = open.return_after;
+        let told = open.retry_after;
         let told = told.filter(|_| reason == Refusal::QueueTooLong);
-        let own = self.return_after(&service, key, reason, context);
+        let own = self.retry_after(&service, key, reason, context);
         let again = told.unwrap_or(own);
         let response = self.refusal(&request, reason, again, context);
         self.finish(client, response, out);
@@ -168,12 +168,12 @@
     pub(super) fn is_unsent_in_time(
         &self,
         client: ClientId,
-        verdict: &Verdict,
+        verdict: &AttemptOutcome,
         context: &RequestContext<'_>,
     ) -> bool {
         match verdict {
-            Verdict::Incomplete { timed_out } => *timed_out,
-            Verdict::NeverSent { refused: false } => self
+            AttemptOutcome::Incomplete { timed_out } => *timed_out,
+            AttemptOutcome::NeverSent { refused: false } => self
                 .open
                 .get(&client)
                 .is_some_and(|open| open.due <= context.now + WRITE_MARGIN),
@@ -206,7 +206,7 @@
     }
 
     /// When the client of a refused request may come back.
-    fn return_after(
+    fn retry_after(
         &mut self,
         service: &ServiceName,
         key: Option<u16>,
@@ -234,7 +234,7 @@
             Some(admitted) => 1.0 - admitted,
             None => self.turned_away(service, context),
         };
-        return_after(refused)
+        retry_after(refused)
     }
 
     pub(super) fn refusal(
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -6,7 +6,7 @@
 mod endings;
 mod notices;
 mod permits;
-mod repeats;
+mod retries;
 mod targets;
 mod tokens;
 
@@ -21,12 +21,12 @@
 use super::cold_start::{ColdBound, ColdSends};
 use super::common_rejection::CommonRejections;
 use super::digest::RequestDigest;
+use super::idle_limit::IdleLimit;
 use super::open_request::OpenRequest;
-use super::outcome::{Verdict, judge};
+use super::outcome::{AttemptOutcome, classify_outcome};
 use super::overload::Overloads;
 use super::permits::{PermitCounters, Permits};
 use super::refusal_share::RefusalShares;
-use super::rest_limit::RestLimit;
 use super::split::Splits;
 use super::statistics::StatisticsTable;
 use super::tokens::TokenAsks;
@@ -131,7 +131,7 @@
     changed: BTreeSet<InstanceId>,
     /// Services whose instances report their load in their answers.
     reporting: BTreeSet<ServiceName>,
-    rest_limit: RestLimit,
+    idle_limit: IdleLimit,
     refusals: RefusalShares,
     permits: Permits,
     tokens: TokenAsks,
@@ -173,7 +173,7 @@
             worked: BTreeMap::new(),
             changed: BTreeSet::new(),
             reporting: BTreeSet::new(),
-            rest_limit: RestLimit::default(),
+            idle_limit: IdleLimit::default(),
             refusals: RefusalShares::default(),
             permits: Permits::new(first_number),
             tokens: TokenAsks::new(first_number),
@@ -194,13 +194,13 @@
     }
 
     /// This life of the node begins.
-    pub fn begin(&mut self, now: Timestamp) {
-        self.budget.begin(now);
+    pub fn start(&mut self, now: Timestamp) {
+        self.budget.start(now);
     }
 
     /// There was another life of the node before.
-    pub fn note_earlier_life(&mut self) {
-        self.budget.note_earlier_life();
+    pub fn note_earlier_incarnation(&mut self) {
+        self.budget.note_earlier_incarnation();
     }
 
     /// Takes over changed settings.
@@ -249,24 +249,24 @@
     }
 
     /// Keys asked for since the last call, by service.
-    pub fn take_asked(&mut self) -> BTreeMap<ServiceName, Vec<u16>> {
+    pub fn take_requested_keys(&mut self) -> BTreeMap<ServiceName, Vec<u16>> {
         std::mem::take(&mut self.asked)
     }
 
     /// What owners did for this node's requests since the last call.
-    pub fn take_worked(&mut self) -> BTreeMap<InstanceId, Work> {
+    pub fn take_owner_work(&mut self) -> BTreeMap<InstanceId, Work> {
         std::mem::take(&mut self.worked)
     }
 
     /// Instances whose number of open requests changed since the last call, and what
     /// their answers have shown.
-    pub fn take_changed(&mut self) -> Vec<(InstanceId, OpenRequests)> {
+    pub fn take_changed_load(&mut self) -> Vec<(InstanceId, OpenRequests)> {
         let changed = std::mem::take(&mut self.changed).into_iter();
         changed.map(|id| self.open_at(id)).collect()
     }
 
     /// All instances with open requests, and what their answers have shown.
-    pub fn take_busy(&mut self) -> Vec<(InstanceId, OpenRequests)> {
+    pub fn take_all_load(&mut self) -> Vec<(InstanceId, OpenRequests)> {
         let busy = self.statistics.busy().map(|(id, _)| id.clone());
         let busy: Vec<InstanceId> = busy.collect();
         busy.into_iter().map(|id| self.open_at(id)).collect()
@@ -290,7 +290,7 @@
     }
 
     /// Whether `take_changed` would return anything.
-    pub fn has_changed(&self) -> bool {
+    pub fn has_changed_load(&self) -> bool {
         !self.changed.is_empty()
     }
 
@@ -302,27 +302,27 @@
 
     /// How long kept connections may rest, if requests that this node has lost
     /// limit it.
-    pub fn rest_limit(&self, now: Timestamp) -> Option<Duration> {
-        self.rest_limit.own(now)
+    pub fn idle_limit(&self, now: Timestamp) -> Option<Duration> {
+        self.idle_limit.own(now)
     }
 
     /// The same, or the limit that another node of the zone goes by.
-    pub fn rest_limit_in_zone(&self, now: Timestamp) -> Option<Duration> {
-        self.rest_limit.current(now)
+    pub fn zone_idle_limit(&self, now: Timestamp) -> Option<Duration> {
+        self.idle_limit.current(now)
     }
 
     /// Another node of the zone limits the rest of kept connections.
-    pub fn follow_rest_limit(&mut self, limit: Duration, now: Timestamp) {
-        self.rest_limit.told(limit, now);
+    pub fn follow_idle_limit(&mut self, limit: Duration, now: Timestamp) {
+        self.idle_limit.told(limit, now);
     }
 
     /// Instances whose end was proved since the last call.
-    pub fn take_ended(&mut self) -> Vec<InstanceId> {
+    pub fn take_ended_instances(&mut self) -> Vec<InstanceId> {
         std::mem::take(&mut self.ended)
     }
 
     /// Instances that have said in answers since the last call that they leave.
-    pub fn take_said_leaving(&mut self) -> Vec<InstanceId> {
+    pub fn take_announced_leaving(&mut self) -> Vec<InstanceId> {
         std::mem::take(&mut self.said_leaving)
     }
 
@@ -339,7 +339,7 @@
     }
 
     /// Whether the exchange is an attempt of a request.
-    pub fn owns(&self, exchange: ExchangeId) -> bool {
+    pub fn owns_exchange(&self, exchange: ExchangeId) -> bool {
         self.by_exchange.contains_key(&exchange)
     }
 
@@ -356,7 +356,7 @@
     }
 
     /// A client's request came.
-    pub fn arrived(
+    pub fn request_arrived(
         &mut self,
         client: ClientId,
         source: IpAddr,
@@ -367,7 +367,8 @@
         self.counters.received += 1;
         match self.classify(source, request, context) {
             Ok(open) => {
-                self.budget.saw_nodes(context.registry.len(), context.now);
+                self.budget
+                    .record_node_count(context.registry.len(), context.now);
                 self.budget.requested(&open.service, context.now);
                 self.refusals.received(&open.service, context.now);
                 if let Some(key) = open.key {
@@ -386,7 +387,7 @@
     }
 
     /// The client left: its request is broken off.
-    pub fn left(&mut self, client: ClientId, out: &mut Vec<Action>) {
+    pub fn client_left(&mut self, client: ClientId, out: &mut Vec<Action>) {
         let Some(mut open) = self.open.remove(&client) else {
             return;
         };
@@ -403,7 +404,7 @@
     }
 
     /// An attempt ended.
-    pub fn exchanged(
+    pub fn exchange_ended(
         &mut self,
         exchange: ExchangeId,
         result: Result<Response, ExchangeFailure>,
@@ -426,13 +427,13 @@
         let cause = self.learn(&attempt, &result, context);
         self.learn_of_connection(&attempt, &result, rested, context.now);
         self.note_crash_signs(client, &attempt, &result, context);
-        let verdict = judge(result, &attempt.instance, context.headers);
+        let verdict = classify_outcome(result, &attempt.instance, context.headers);
         match verdict {
-            Verdict::Relay(response) => {
+            AttemptOutcome::Relay(response) => {
                 self.counters.relayed += 1;
                 self.finish(client, relayed(response), out);
             }
-            Verdict::Failed(response) if !self.may_send_again(client, context) => {
+            AttemptOutcome::Failed(response) if !self.may_send_again(client, context) => {
                 self.counters.relayed += 1;
                 self.finish(client, relayed(response), out);
             }
@@ -526,7 +527,7 @@
             without_permit: false,
             awaits_permit: false,
             spilled: false,
-            return_after: None,
+            retry_after: None,
             token: None,
         })
     }
--- a/crates/ledgelead-router/src/requests/lifecycle/permits.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/permits.rs
@@ -14,7 +14,7 @@
 use crate::requests::open_request::{Attempt, OpenRequest};
 use crate::requests::outcome::tells_failure;
 use crate::requests::permits::{
-    Ask, HeldPermit, PermitMessage, PermitNeed, PermitState, caller_hash,
+    HeldPermit, PermitMessage, PermitNeed, PermitRequest, PermitState, caller_hash,
 };
 use crate::requests::split::LARGE_BODY_BYTES;
 use ledgelead_http::Response;
@@ -45,7 +45,7 @@
     /// What becomes of it, or why this node doesn't decide.
     pub verdict: Result<Admission, Declined>,
     /// When the caller may come back, if it is refused.
-    pub return_after: Duration,
+    pub retry_after: Duration,
 }
 
 impl Requests {
@@ -97,7 +97,7 @@
                 open.permit = None;
                 self.permits.forget(number);
                 if !self.spills(client, context) {
-                    self.refuse_queued(client, decision.return_after, context, out);
+                    self.refuse_queued(client, decision.retry_after, context, out);
                     return;
                 }
             }
@@ -116,12 +116,12 @@
     fn refuse_queued(
         &mut self,
         client: ClientId,
-        return_after: Duration,
+        retry_after: Duration,
         context: &RequestContext<'_>,
         out: &mut Vec<Action>,
     ) {
         if let Some(open) = self.open.get_mut(&client) {
-            open.return_after = Some(return_after);
+            open.retry_after = Some(retry_after);
             let reason = open.failure_or(Refusal::QueueTooLong);
             self.refuse(client, reason, context, out);
         }
@@ -294,7 +294,7 @@
             self.advance(client, context, out);
             return;
         };
-        let ask = Ask {
+        let ask = PermitRequest {
             number: 0,
             queue: need.queue,
             kind: need.kind,
--- a/crates/ledgelead-router/src/requests/lifecycle/repeats.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/retries.rs
@@ -5,11 +5,11 @@
 use crate::identity::ServiceName;
 use crate::io::ClientId;
 use crate::mechanisms::Mechanism;
-use crate::requests::budget::Draw;
+use crate::requests::budget::RetryDecision;
 use crate::requests::notice::Notice;
 use crate::requests::open_request::{Attempt, OpenRequest};
 use crate::requests::rejection_cause::RejectionCause;
-use crate::requests::repeat_value::RepeatFacts;
+use crate::requests::retry_value::RetryCandidate;
 use crate::requests::statistics::ReportedLoad;
 use std::time::Duration;
 
@@ -24,23 +24,25 @@
 
 impl Requests {
     /// Whether the budget has a repeat for a request that may have run, or runs.
-    pub(super) fn could_repeat(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
+    pub(super) fn can_retry(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
         let nodes = context.registry.len();
         let expected = open.route.target_latency / 2;
-        let facts = RepeatFacts {
-            returns: false,
-            ..self.repeat_facts(open, expected, context)
+        let facts = RetryCandidate {
+            not_run: false,
+            ..self.retry_candidate(open, expected, context)
         };
         let by_value = self.mechanisms.has(Mechanism::RepeatValue);
         let wins = !by_value
             || self
                 .budget
-                .is_worth(&open.service, &facts, nodes, context.now);
-        wins && self.budget.may_draw(&open.service, nodes, context.now)
+                .is_worthwhile(&open.service, &facts, nodes, context.now);
+        wins && self
+            .budget
+            .has_retry_left(&open.service, nodes, context.now)
     }
 
     /// Draws a repeat for a request, whose next answer is expected in this time.
-    pub(super) fn draw_repeat(
+    pub(super) fn acquire_retry(
         &mut self,
         client: ClientId,
         expected: Duration,
@@ -50,37 +52,37 @@
             return false;
         };
         let nodes = context.registry.len();
-        let facts = self.repeat_facts(open, expected, context);
+        let facts = self.retry_candidate(open, expected, context);
         let drawn = if self.mechanisms.has(Mechanism::RepeatValue) {
             self.budget
-                .draw_for(&open.service, &facts, nodes, context.now)
-        } else if self.budget.draw(&open.service, nodes, context.now) {
-            Draw::Drawn
+                .try_acquire_for(&open.service, &facts, nodes, context.now)
+        } else if self.budget.try_acquire(&open.service, nodes, context.now) {
+            RetryDecision::Granted
         } else {
-            Draw::UsedUp
+            RetryDecision::Exhausted
         };
         let name = match drawn {
-            Draw::Drawn if facts.returns => SENT_NOT_RUN,
-            Draw::Drawn => SENT_IN_DOUBT,
-            Draw::KeptBack => KEPT_BACK,
-            Draw::UsedUp => USED_UP,
+            RetryDecision::Granted if facts.not_run => SENT_NOT_RUN,
+            RetryDecision::Granted => SENT_IN_DOUBT,
+            RetryDecision::HeldBack => KEPT_BACK,
+            RetryDecision::Exhausted => USED_UP,
         };
         *self.counters.repeats.entry(name).or_default() += 1;
-        drawn == Draw::Drawn
+        drawn == RetryDecision::Granted
     }
 
-    fn repeat_facts(
+    fn retry_candidate(
         &self,
         open: &OpenRequest,
         expected: Duration,
         context: &RequestContext<'_>,
-    ) -> RepeatFacts {
+    ) -> RetryCandidate {
         let rejected = self.rejections.share_at(&open.service, context.now);
-        RepeatFacts {
+        RetryCandidate {
             rank: self.mechanisms.rank(open),
-            in_time: context.now + expected <= open.target(),
-            returns: !open.may_have_run,
-            taken: 1.0 - rejected,
+            meets_target: context.now + expected <= open.target(),
+            not_run: !open.may_have_run,
+            acceptance: 1.0 - rejected,
         }
     }
 
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -10,7 +10,7 @@
 use crate::protections::Protection;
 use crate::rate_limit::{LimitStatement, TokenVerdict};
 use crate::requests::open_request::OpenRequest;
-use crate::requests::tokens::{Token, TokenAsk, TokenDecision, TokenState};
+use crate::requests::tokens::{Token, TokenDecision, TokenRequest, TokenState};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 
 impl Requests {
     /// Asks for tokens since the last call.
-    pub fn take_token_asks(&mut self) -> Vec<(SocketAddr, TokenAsk)> {
+    pub fn take_token_requests(&mut self) -> Vec<(SocketAddr, TokenRequest)> {
         std::mem::take(&mut self.tokens.outbox)
     }
 
@@ -112,7 +112,7 @@
         };
         let number = self.tokens.number(client);
         let check_at = now + REPLY_TIMEOUT;
-        let ask = TokenAsk {
+        let ask = TokenRequest {
             number,
             instance: hash,
             zone,
--- a/crates/ledgelead-router/src/requests/open_request.rs
+++ b/crates/ledgelead-router/src/requests/open_request.rs
@@ -118,7 +118,7 @@
     /// Whether the queue of another zone than the nearest was asked.
     pub spilled: bool,
     /// When its caller may come back, by the word of a dispatcher.
-    pub return_after: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// The token that it has or waits for.
     pub token: Option<Token>,
 }
--- a/crates/ledgelead-router/src/requests/outcome.rs
+++ b/crates/ledgelead-router/src/requests/outcome.rs
@@ -30,7 +30,7 @@
 
 /// What the end of an attempt proves.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// The instance's answer goes to the client.
     Relay(Response),
     /// The instance answered that it failed; its answer goes to the client
@@ -60,40 +60,40 @@
     },
 }
 
-impl Verdict {
+impl AttemptOutcome {
     /// A name for logs.
     pub fn name(&self) -> &'static str {
         match self {
-            Verdict::Relay(_) => "relayed",
-            Verdict::Failed(_) => "failed",
-            Verdict::NeverSent { refused: true } => "connection_refused",
-            Verdict::NeverSent { refused: false } => "never_sent",
-            Verdict::Incomplete { timed_out: true } => "unsent_in_time",
-            Verdict::Incomplete { timed_out: false } => "incomplete",
-            Verdict::Rejected { ended: true, .. } => "instance_ended",
-            Verdict::Rejected {
+            AttemptOutcome::Relay(_) => "relayed",
+            AttemptOutcome::Failed(_) => "failed",
+            AttemptOutcome::NeverSent { refused: true } => "connection_refused",
+            AttemptOutcome::NeverSent { refused: false } => "never_sent",
+            AttemptOutcome::Incomplete { timed_out: true } => "unsent_in_time",
+            AttemptOutcome::Incomplete { timed_out: false } => "incomplete",
+            AttemptOutcome::Rejected { ended: true, .. } => "instance_ended",
+            AttemptOutcome::Rejected {
                 misdirected: true, ..
             } => "misdirected",
-            Verdict::Rejected { .. } => "shed",
-            Verdict::Unknown { timed_out: true } => "no_answer_in_time",
-            Verdict::Unknown { .. } => "answer_lost",
+            AttemptOutcome::Rejected { .. } => "shed",
+            AttemptOutcome::Unknown { timed_out: true } => "no_answer_in_time",
+            AttemptOutcome::Unknown { .. } => "answer_lost",
         }
     }
 }
 
 /// Judges the end of an attempt.
-pub fn judge(
+pub fn classify_outcome(
     result: Result<Response, ExchangeFailure>,
     meant: &InstanceId,
     headers: &HeaderNames,
-) -> Verdict {
+) -> AttemptOutcome {
     match result {
-        Ok(response) => judge_answer(response, meant, headers),
-        Err(failure) if failure.proves_not_sent() => Verdict::NeverSent {
+        Ok(response) => classify_response(response, meant, headers),
+        Err(failure) if failure.proves_not_sent() => AttemptOutcome::NeverSent {
             refused: failure == ExchangeFailure::Refused,
         },
-        Err(ExchangeFailure::Incomplete { timed_out }) => Verdict::Incomplete { timed_out },
-        Err(failure) => Verdict::Unknown {
+        Err(ExchangeFailure::Incomplete { timed_out }) => AttemptOutcome::Incomplete { timed_out },
+        Err(failure) => AttemptOutcome::Unknown {
             timed_out: failure == ExchangeFailure::TimedOut,
         },
     }
@@ -105,18 +105,22 @@
     (500..=599).contains(&response.status) && response.status != 504
 }
 
-fn judge_answer(response: Response, meant: &InstanceId, headers: &HeaderNames) -> Verdict {
+fn classify_response(
+    response: Response,
+    meant: &InstanceId,
+    headers: &HeaderNames,
+) -> AttemptOutcome {
     let misdirected = response.status == 421;
     if misdirected || response.headers.get(&headers.not_executed).is_some() {
         let answering = response.headers.text(&headers.instance);
         let ended = misdirected && answering.is_some_and(|id| id != meant.name());
-        return Verdict::Rejected { misdirected, ended };
+        return AttemptOutcome::Rejected { misdirected, ended };
     }
     if response.is_success() && response.headers.get(&headers.signature).is_none() {
-        return Verdict::Unknown { timed_out: false };
+        return AttemptOutcome::Unknown { timed_out: false };
     }
     if tells_failure(&response) && response.headers.get(&headers.signature).is_some() {
-        return Verdict::Failed(response);
+        return AttemptOutcome::Failed(response);
     }
-    Verdict::Relay(response)
+    AttemptOutcome::Relay(response)
 }
--- a/crates/ledgelead-router/src/requests/permits.rs
+++ b/crates/ledgelead-router/src/requests/permits.rs
@@ -52,7 +52,7 @@
     /// When something is done about it without a further message.
     pub check_at: Timestamp,
     /// The ask, with its number and queue; it may be repeated.
-    pub ask: Ask,
+    pub ask: PermitRequest,
     /// When it is given up for want of an answer.
     pub give_up_at: Timestamp,
     /// When it was asked for.
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitMessage {
     /// Asks for a permit.
-    Ask(Ask),
+    Request(PermitRequest),
     /// Gives one back, or asks for it no more.
     Return {
         /// The number of the ask.
@@ -125,7 +125,7 @@
 
 /// An ask for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PermitRequest {
     /// This node's number for it.
     pub number: u64,
     /// Names the queue.
@@ -205,7 +205,7 @@
         &mut self,
         client: ClientId,
         dispatcher: SocketAddr,
-        ask: Ask,
+        ask: PermitRequest,
         now: Timestamp,
     ) -> HeldPermit {
         self.counters.asked += 1;
@@ -213,7 +213,7 @@
         self.last_number = self.last_number.wrapping_add(1);
         let number = self.last_number;
         self.clients.insert(number, client);
-        let ask = Ask { number, ..ask };
+        let ask = PermitRequest { number, ..ask };
         let mut permit = HeldPermit {
             dispatcher,
             state: PermitState::Asked,
@@ -245,7 +245,7 @@
         let known = self.dispatchers.entry(permit.dispatcher).or_default();
         known.asked_at.get_or_insert(now);
         permit.check_at = now + reply_timeout(&permit.ask);
-        let message = PermitMessage::Ask(permit.ask);
+        let message = PermitMessage::Request(permit.ask);
         self.outbox.push((permit.dispatcher, message));
     }
 
@@ -288,7 +288,7 @@
 
     /// Gives a permit back, or the wait for it up.
     pub fn give_back(&mut self, permit: &HeldPermit, how: PermitOutcome) {
-        let Ask { number, queue, .. } = permit.ask;
+        let PermitRequest { number, queue, .. } = permit.ask;
         self.clients.remove(&number);
         self.give_back_number(permit.dispatcher, number, queue, how);
     }
@@ -325,7 +325,7 @@
 }
 
 /// How long an ask waits for an answer before it is repeated.
-fn reply_timeout(ask: &Ask) -> Duration {
+fn reply_timeout(ask: &PermitRequest) -> Duration {
     REPLY_TIMEOUT.min(ask.to_target.mul_f64(REPLY_SHARE))
 }
 
--- a/crates/ledgelead-router/src/requests/refusal_share.rs
+++ b/crates/ledgelead-router/src/requests/refusal_share.rs
@@ -88,6 +88,6 @@
 }
 
 /// When a caller may come back, if this share of requests is refused.
-pub fn return_after(refused_share: f64) -> Duration {
+pub fn retry_after(refused_share: f64) -> Duration {
     SOONEST_RETURN + LATEST_RETURN.mul_f64(refused_share.clamp(0.0, 1.0))
 }
--- a/crates/ledgelead-router/src/requests/repeat_value.rs
+++ b/crates/ledgelead-router/src/requests/retry_value.rs
@@ -35,25 +35,25 @@
 
 /// What is known of a repeat when it is asked for.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatFacts {
+pub struct RetryCandidate {
     /// The request's priority; 0 is the most urgent.
     pub rank: u32,
     /// Whether its answer can still come within the target latency.
-    pub in_time: bool,
+    pub meets_target: bool,
     /// Whether it surely has not run, so that its caller can be told to come back.
-    pub returns: bool,
+    pub not_run: bool,
     /// How likely the next instance takes it, 0 to 1.
-    pub taken: f64,
+    pub acceptance: f64,
 }
 
-impl RepeatFacts {
+impl RetryCandidate {
     /// What the repeat wins, from 0 to 1.
     pub fn gain(&self) -> f64 {
         let rank = i32::try_from(self.rank).unwrap_or(i32::MAX);
         let urgency = RANK_WEIGHT.powi(rank);
-        let lateness = if self.in_time { 1.0 } else { LATE_WEIGHT };
-        let returning = if self.returns { RETURNING_WEIGHT } else { 1.0 };
-        urgency * lateness * returning * self.taken.clamp(0.0, 1.0)
+        let lateness = if self.meets_target { 1.0 } else { LATE_WEIGHT };
+        let returning = if self.not_run { RETURNING_WEIGHT } else { 1.0 };
+        urgency * lateness * returning * self.acceptance.clamp(0.0, 1.0)
     }
 
     fn step(&self) -> u32 {
@@ -85,14 +85,14 @@
 
 /// What was lately asked for and drawn for one service.
 #[derive(Clone, Debug, Default)]
-pub struct RepeatDemand {
+pub struct RetryDemand {
     asked: VecDeque<Asked>,
     drawn: VecDeque<Drawn>,
 }
 
-impl RepeatDemand {
+impl RetryDemand {
     /// A repeat is asked for, whether or not it is drawn.
-    pub fn ask(&mut self, facts: &RepeatFacts, now: Timestamp) {
+    pub fn record_request(&mut self, facts: &RetryCandidate, now: Timestamp) {
         let asked = Asked {
             at: now,
             rank: facts.rank,
@@ -103,13 +103,13 @@
     }
 
     /// A repeat was drawn.
-    pub fn draw(&mut self, rank: u32, window: Duration, now: Timestamp) {
+    pub fn record_grant(&mut self, rank: u32, window: Duration, now: Timestamp) {
         self.drawn.push_back(Drawn { at: now, rank });
         self.forget_drawn(window, now);
     }
 
     /// The last repeat of this rank reached no instance.
-    pub fn give_back(&mut self, rank: u32) {
+    pub fn remove_grant(&mut self, rank: u32) {
         let last = self.drawn.iter().rposition(|drawn| drawn.rank == rank);
         if let Some(place) = last {
             self.drawn.remove(place);
@@ -117,7 +117,12 @@
     }
 
     /// Whether a repeat wins enough at this level of the budget.
-    pub fn is_worth(&self, facts: &RepeatFacts, level: BudgetLevel, now: Timestamp) -> bool {
+    pub fn is_worthwhile(
+        &self,
+        facts: &RetryCandidate,
+        level: BudgetLevel,
+        now: Timestamp,
+    ) -> bool {
         let is_free = level.left >= level.capacity * FREE_SHARE;
         if level.capacity < LEAST_DIVIDED || is_free {
             return true;
--- a/crates/ledgelead-router/src/requests/tokens.rs
+++ b/crates/ledgelead-router/src/requests/tokens.rs
@@ -36,7 +36,7 @@
 
 /// An ask for a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TokenAsk {
+pub struct TokenRequest {
     /// This node's number for it.
     pub number: u64,
     /// Stable hash of the instance's id.
@@ -63,7 +63,7 @@
 pub(super) struct TokenAsks {
     clients: HashMap<u64, ClientId>,
     last_number: u64,
-    pub(super) outbox: Vec<(SocketAddr, TokenAsk)>,
+    pub(super) outbox: Vec<(SocketAddr, TokenRequest)>,
     /// Limiters that didn't answer, until when they aren't asked.
     pub(super) silent: HashMap<SocketAddr, Timestamp>,
 }
--- a/crates/ledgelead-router/tests/dispatch/load.rs
+++ b/crates/ledgelead-router/tests/dispatch/load.rs
@@ -4,7 +4,7 @@
 //! some of them repeat at once. No network: a message takes no time.
 
 use ledgelead_router::dispatch::{
-    Admission, Dispatcher, PermitId, PermitOutcome, QueueAsk, QueueKind, Server,
+    Admission, DispatchRequest, Dispatcher, PermitId, PermitOutcome, QueueKind, Server,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -181,7 +181,7 @@
                 self.take(
                     decided
                         .iter()
-                        .map(|one| (one.asker.number, one.verdict, one.return_after))
+                        .map(|one| (one.requester.number, one.verdict, one.retry_after))
                         .collect(),
                 );
             }
@@ -235,10 +235,10 @@
             self.reach(caller);
             return;
         }
-        let ask = QueueAsk {
+        let ask = DispatchRequest {
             queue: 1,
             kind: QueueKind::Owner,
-            asker: PermitId {
+            requester: PermitId {
                 node: SocketAddr::from(([10, 0, 0, 1], 7_000)),
                 number: caller * 10 + u64::from(tries),
             },
@@ -253,7 +253,7 @@
             id: 1,
             slots: SLOTS,
             is_cold: false,
-            work: Some(WORK),
+            service_time: Some(WORK),
         };
         let decided = self
             .dispatcher
@@ -262,18 +262,18 @@
         self.take(
             decided
                 .iter()
-                .map(|one| (one.asker.number, one.verdict, one.return_after))
+                .map(|one| (one.requester.number, one.verdict, one.retry_after))
                 .collect(),
         );
     }
 
     fn take(&mut self, decided: Vec<(u64, Admission, Duration)>) {
-        for (number, verdict, return_after) in decided {
+        for (number, verdict, retry_after) in decided {
             let caller = number / 10;
             match verdict {
                 Admission::Granted(_) => self.reach(caller),
                 Admission::Queued => {}
-                Admission::Refused => self.refused(caller, return_after),
+                Admission::Refused => self.refused(caller, retry_after),
             }
         }
     }
@@ -327,27 +327,27 @@
         outcome.in_time += u32::from(in_time);
         outcome.late += u32::from(!in_time);
         if self.load.permits {
-            let asker = PermitId {
+            let requester = PermitId {
                 node: SocketAddr::from(([10, 0, 0, 1], 7_000)),
                 number: caller * 10 + u64::from(tries),
             };
             let took = self.now - self.sent[&caller];
             let decided = self.dispatcher.returned(
                 1,
-                asker,
+                requester,
                 PermitOutcome::Answered { took, load: None },
                 self.now,
             );
             self.take(
                 decided
                     .iter()
-                    .map(|one| (one.asker.number, one.verdict, one.return_after))
+                    .map(|one| (one.requester.number, one.verdict, one.retry_after))
                     .collect(),
             );
         }
     }
 
-    fn refused(&mut self, caller: u64, return_after: Duration) {
+    fn refused(&mut self, caller: u64, retry_after: Duration) {
         let known = self.callers.get_mut(&caller).expect("a caller");
         if known.tries >= RETRIES {
             return;
@@ -356,7 +356,7 @@
         let pause = match known.impatient {
             true => Duration::from_millis(2),
             // As it is told, up to a third of the time that it has left.
-            false => return_after.min(Duration::from_millis(800)),
+            false => retry_after.min(Duration::from_millis(800)),
         };
         self.schedule(self.now + pause, Event::Try(caller));
     }
--- a/crates/ledgelead-router/tests/dispatch/queue.rs
+++ b/crates/ledgelead-router/tests/dispatch/queue.rs
@@ -2,8 +2,8 @@
 
 use googletest::prelude::*;
 use ledgelead_router::dispatch::{
-    Admission, Dispatcher, InstanceLoad, PermitAsk, PermitId, PermitOutcome, PermitQueue, QueueAsk,
-    QueueKind, Refused, RefusedCallers, Server,
+    Admission, AdmissionRequest, DispatchRequest, Dispatcher, InstanceLoad, PermitId,
+    PermitOutcome, PermitQueue, QueueKind, Refused, RefusedCallers, Server,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -22,16 +22,16 @@
     PermitOutcome::Answered { took, load: None }
 }
 
-fn asker(number: u64) -> PermitId {
+fn requester(number: u64) -> PermitId {
     PermitId {
         node: SocketAddr::from(([10, 0, 0, 1], 7_000)),
         number,
     }
 }
 
-fn ask(number: u64, urgency: u8, to_target: u64) -> PermitAsk {
-    PermitAsk {
-        asker: asker(number),
+fn ask(number: u64, urgency: u8, to_target: u64) -> AdmissionRequest {
+    AdmissionRequest {
+        requester: requester(number),
         urgency,
         to_target: ms(to_target),
         is_early: false,
@@ -48,7 +48,7 @@
         id,
         slots: SLOTS,
         is_cold: false,
-        work: Some(WORK),
+        service_time: Some(WORK),
     }
 }
 
@@ -73,7 +73,7 @@
     let mut out: Vec<u64> = (1_000..1_003).collect();
     let mut granted = Vec::new();
     for _ in 0..count {
-        let ended = asker(out.remove(0));
+        let ended = requester(out.remove(0));
         queue.returned(ended, answered(WORK), ms(1));
         for (next, verdict) in queue.advance(ms(1)) {
             assert_eq!(verdict, Admission::Granted(OWNER));
@@ -95,10 +95,10 @@
     }
     expect_that!(queue.ask(ask(3, 1, 400), ms(0)), eq(Admission::Queued));
     expect_that!(queue.out(), eq(3));
-    queue.returned(asker(0), answered(WORK), ms(90));
+    queue.returned(requester(0), answered(WORK), ms(90));
     expect_that!(
         queue.advance(ms(90)),
-        elements_are![eq(&(asker(3), Admission::Granted(OWNER)))]
+        elements_are![eq(&(requester(3), Admission::Granted(OWNER)))]
     );
 }
 
@@ -147,15 +147,18 @@
     expect_that!(queue.ask(ask(3, 1, 10), ms(0)), eq(Admission::Refused));
     expect_that!(queue.ask(ask(4, 1, 0), ms(0)), eq(Admission::Queued));
     expect_that!(queue.ask(ask(5, 1, 900), ms(0)), eq(Admission::Queued));
-    queue.returned(asker(1), answered(WORK), ms(50));
+    queue.returned(requester(1), answered(WORK), ms(50));
     let granted = queue.advance(ms(50));
     expect_that!(
         granted,
-        elements_are![eq(&(asker(5), Admission::Granted(OWNER)))]
+        elements_are![eq(&(requester(5), Admission::Granted(OWNER)))]
     );
     // It waits for a lull, not until its caller gives up.
     let refused = queue.advance(ms(210));
-    expect_that!(refused, elements_are![eq(&(asker(4), Admission::Refused))]);
+    expect_that!(
+        refused,
+        elements_are![eq(&(requester(4), Admission::Refused))]
+    );
 }
 
 #[gtest]
@@ -166,7 +169,7 @@
     expect_that!(at, eq(ms(240)));
     expect_that!(
         queue.advance(at),
-        elements_are![eq(&(asker(1), Admission::Refused))]
+        elements_are![eq(&(requester(1), Admission::Refused))]
     );
     expect_that!(queue.waiting(), eq(0));
 }
@@ -174,7 +177,7 @@
 #[gtest]
 fn callers_that_come_back_too_early_go_behind_all_others() {
     let mut queue = full_queue();
-    let early = PermitAsk {
+    let early = AdmissionRequest {
         is_early: true,
         ..ask(1, 0, 2_000)
     };
@@ -193,7 +196,7 @@
     let mut end_one = |queue: &mut PermitQueue, running, waiting| {
         let load = Some(InstanceLoad { running, waiting });
         let how = PermitOutcome::Answered { took: WORK, load };
-        queue.returned(asker(out.remove(0)), how, ms(1));
+        queue.returned(requester(out.remove(0)), how, ms(1));
         out.extend(queue.advance(ms(1)).iter().map(|(next, _)| next.number));
         out.len()
     };
@@ -206,7 +209,7 @@
 #[gtest]
 fn requests_for_keys_that_were_lost_hold_up_nobody() {
     let mut queue = queue();
-    let cold = |number| PermitAsk {
+    let cold = |number| AdmissionRequest {
         is_cold: true,
         ..ask(number, 0, 5_000)
     };
@@ -217,11 +220,11 @@
     expect_that!(queue.ask(ask(4, 2, 900), ms(0)), eq(Admission::Queued));
     expect_that!(
         queue.advance(ms(0)),
-        elements_are![eq(&(asker(4), Admission::Granted(OWNER)))]
+        elements_are![eq(&(requester(4), Admission::Granted(OWNER)))]
     );
     // What they take says nothing of the work of others.
-    queue.returned(asker(1), answered(ms(390)), ms(390));
-    expect_that!(queue.work(), eq(WORK));
+    queue.returned(requester(1), answered(ms(390)), ms(390));
+    expect_that!(queue.service_time(), eq(WORK));
 }
 
 #[gtest]
@@ -245,11 +248,11 @@
     expect_that!(queue.advance(ms(999)), is_empty());
     expect_that!(
         queue.advance(ms(1_000)),
-        elements_are![eq(&(asker(1), Admission::Granted(OWNER)))]
+        elements_are![eq(&(requester(1), Admission::Granted(OWNER)))]
     );
     // Its late return takes nothing away.
     expect_that!(
-        queue.returned(asker(1_000), PermitOutcome::NoSample, ms(1_001)),
+        queue.returned(requester(1_000), PermitOutcome::NoSample, ms(1_001)),
         eq(false)
     );
     expect_that!(queue.out(), eq(1));
@@ -260,26 +263,26 @@
     let mut queue = full_queue();
     queue.advance(ms(1_000));
     expect_that!(queue.out(), eq(0));
-    expect_that!(queue.work(), eq(WORK));
+    expect_that!(queue.service_time(), eq(WORK));
 }
 
 #[gtest]
 fn an_urgent_request_takes_the_place_ahead_that_a_late_one_waits_beside() {
     let mut dispatcher = Dispatcher::default();
-    let late = QueueAsk {
+    let late = DispatchRequest {
         to_target: ms(0),
         ..owner_ask(3, 1)
     };
     dispatcher.ask(&owner_ask(1, 1), owner, ms(0));
     dispatcher.ask(&owner_ask(2, 1), owner, ms(0));
     dispatcher.ask(&late, owner, ms(0));
-    let urgent = QueueAsk {
+    let urgent = DispatchRequest {
         to_target: ms(900),
         ..owner_ask(4, 0)
     };
     let decided = dispatcher.ask(&urgent, owner, ms(0)).expect("decisions");
     let last = decided.last().expect("a decision");
-    expect_that!(last.asker, eq(asker(4)));
+    expect_that!(last.requester, eq(requester(4)));
     expect_that!(last.verdict, eq(Admission::Granted(OWNER)));
 }
 
@@ -296,7 +299,7 @@
         } else {
             answered(WORK)
         };
-        queue.returned(asker(number), how, ms(at));
+        queue.returned(requester(number), how, ms(at));
         to
     };
     let first: Vec<u64> = (0..10).map(|number| fails(number, number)).collect();
@@ -320,7 +323,7 @@
             (true, _) => answered(ms(5)),
             _ => answered(WORK),
         };
-        queue.returned(asker(number), how, at);
+        queue.returned(requester(number), how, at);
     }
     expect_that!(sent, le(20));
 }
@@ -344,11 +347,11 @@
     expect_that!(callers.take(7, ms(0)), none());
 }
 
-fn owner_ask(number: u64, urgency: u8) -> QueueAsk {
-    QueueAsk {
+fn owner_ask(number: u64, urgency: u8) -> DispatchRequest {
+    DispatchRequest {
         queue: OWNER,
         kind: QueueKind::Owner,
-        asker: asker(number),
+        requester: requester(number),
         urgency,
         to_target: ms(150),
         left: ms(2_500),
@@ -372,7 +375,7 @@
         let decided = dispatcher.ask(&owner_ask(number, urgency), owner, ms(1));
         let decided = decided.expect("a decision")[0];
         assert_eq!(decided.verdict, Admission::Refused);
-        decided.return_after
+        decided.retry_after
     };
     let less_urgent = refused(10, 2);
     let urgent = refused(11, 0);
@@ -389,12 +392,12 @@
 fn queues_that_nobody_uses_are_forgotten() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.ask(&owner_ask(1, 1), owner, ms(0));
-    dispatcher.returned(OWNER, asker(1), answered(WORK), ms(100));
+    dispatcher.returned(OWNER, requester(1), answered(WORK), ms(100));
     dispatcher.expire(ms(5_000));
     expect_that!(dispatcher.next_deadline(), none());
     dispatcher.expire(ms(11_000));
     expect_that!(
-        dispatcher.returned(OWNER, asker(1), PermitOutcome::NoSample, ms(11_000)),
+        dispatcher.returned(OWNER, requester(1), PermitOutcome::NoSample, ms(11_000)),
         is_empty()
     );
 }
@@ -454,10 +457,10 @@
                     let is_early = early;
                     // A late one waits for a lull.
                     let limit = match to_target {
-                        0 => queue.work() * 2,
+                        0 => queue.service_time() * 2,
                         _ => ms(to_target),
                     };
-                    let permit = PermitAsk { is_early, ..ask(number, urgency, to_target) };
+                    let permit = AdmissionRequest { is_early, ..ask(number, urgency, to_target) };
                     match queue.ask(permit, now) {
                         Admission::Granted(_) => out.push(number),
                         Admission::Queued => {
@@ -469,7 +472,7 @@
                 Message::Return { position, ran } if !out.is_empty() => {
                     let ended = out.remove(position % out.len());
                     let how = if ran { answered(WORK) } else { PermitOutcome::NoSample };
-                    queue.returned(asker(ended), how, now);
+                    queue.returned(requester(ended), how, now);
                 }
                 Message::Lost { position } if !out.is_empty() => {
                     out.remove(position % out.len());
@@ -509,10 +512,10 @@
     let Admission::Granted(paused) = first else {
         panic!("{first:?}");
     };
-    queue.returned(asker(0), PermitOutcome::BackedOff(ms(500)), ms(1));
+    queue.returned(requester(0), PermitOutcome::BackedOff(ms(500)), ms(1));
     let granted = |queue: &mut PermitQueue, number: u64, at: u64| {
         let verdict = queue.ask(ask(number, 0, 5_000), ms(at));
-        queue.returned(asker(number), PermitOutcome::NoSample, ms(at));
+        queue.returned(requester(number), PermitOutcome::NoSample, ms(at));
         verdict
     };
     for number in 1..5 {
--- a/crates/ledgelead-router/tests/leaving.rs
+++ b/crates/ledgelead-router/tests/leaving.rs
@@ -70,9 +70,9 @@
             directory.replace_all(entries, now);
         }
         Told::Removed => directory.remove("i-1", now),
-        Told::StoreLost => directory.store_was_lost(now),
+        Told::StoreLost => directory.note_store_outage(now),
         Told::SaidAgain { ago_ms } => {
-            directory.said_to_leave(&life(BORN), now.saturating_sub(at(*ago_ms)));
+            directory.mark_leaving(&life(BORN), now.saturating_sub(at(*ago_ms)));
         }
         Told::Expired => directory.expire(now),
     }
@@ -81,7 +81,7 @@
 fn leaving_directory() -> Directory {
     let mut directory = Directory::new(Protections::default());
     directory.replace_all(vec![Entry::at(7, record(life(BORN), false))], at(10_000));
-    directory.said_to_leave(&life(BORN), at(10_000));
+    directory.mark_leaving(&life(BORN), at(10_000));
     directory
 }
 
@@ -121,8 +121,8 @@
     directory.upsert(Entry::at(8, record(life(BORN), true)), at(10_100));
     let since = |directory: &Directory| directory.get(&life(BORN)).unwrap().leaving_since();
     assert_eq!(since(&directory), Some(at(10_000)));
-    directory.said_to_leave(&life(BORN), at(10_500));
+    directory.mark_leaving(&life(BORN), at(10_500));
     assert_eq!(since(&directory), Some(at(10_000)));
-    directory.said_to_leave(&life(BORN), at(9_000));
+    directory.mark_leaving(&life(BORN), at(9_000));
     assert_eq!(since(&directory), Some(at(9_000)));
 }
--- a/crates/ledgelead-router/tests/lives.rs
+++ b/crates/ledgelead-router/tests/lives.rs
@@ -63,7 +63,7 @@
     expect_that!(known(&directory, 10), eq(UNKNOWN));
     expect_that!(
         directory
-            .later_life(&InstanceId::of_life("a", 10))
+            .later_incarnation(&InstanceId::of_life("a", 10))
             .is_none(),
         eq(true)
     );
--- a/crates/ledgelead-router/tests/picture.rs
+++ b/crates/ledgelead-router/tests/picture.rs
@@ -55,7 +55,7 @@
 #[gtest]
 fn an_entry_that_went_with_an_outage_is_doubted_for_two_seconds() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.store_was_lost(ms(10_000));
+    directory.note_store_outage(ms(10_000));
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(10_000));
     expect_that!(serves(&directory, "a"), eq(true));
     directory.upsert(record("a", 1), ms(11_000));
@@ -69,7 +69,7 @@
 #[gtest]
 fn an_entry_that_went_while_only_this_node_was_cut_off_is_gone_at_once() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.store_was_lost(ms(14_000));
+    directory.note_store_outage(ms(14_000));
     directory.replace_all(vec![record("b", 2)], ms(14_000));
     expect_that!(serves(&directory, "a"), eq(true));
     // The coordinator was served through the whole time.
@@ -114,7 +114,7 @@
 #[gtest]
 fn an_entry_in_doubt_counts_as_a_change_that_others_must_look_at() {
     let mut directory = directory(vec![record("a", 1)]);
-    directory.store_was_lost(ms(10_000));
+    directory.note_store_outage(ms(10_000));
     let before = directory.changes();
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(10_000));
     let doubted = directory.changes();
@@ -571,7 +571,7 @@
             let follows = ms(paused) <= now && now < ms(paused + 4_000);
             if follows && outages.serves(now) {
                 if health.followed_until(now) {
-                    directory.store_was_lost(now);
+                    directory.note_store_outage(now);
                 }
                 if outages.lists(now) {
                     directory.upsert(record("a", 1), now);
@@ -586,7 +586,7 @@
                 continue;
             }
             if health.succeeded(now) {
-                directory.store_was_lost(now);
+                directory.note_store_outage(now);
             }
             if lists {
                 let listed = outages.lists(now).then(|| record("a", 1));
@@ -671,7 +671,7 @@
 #[gtest]
 fn an_instance_whose_entry_is_in_doubt_is_used_but_not_listed() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.store_was_lost(ms(1_000));
+    directory.note_store_outage(ms(1_000));
     directory.remove("a", ms(1_100));
     expect_that!(serves(&directory, "a"), eq(true));
     let listed: Vec<&str> = directory
--- a/crates/ledgelead-router/tests/repeats/bound.rs
+++ b/crates/ledgelead-router/tests/repeats/bound.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use ledgelead_router::Timestamp;
 use ledgelead_router::identity::ServiceName;
-use ledgelead_router::requests::{BudgetBounds, Draw, RepeatFacts, RetryBudget};
+use ledgelead_router::requests::{BudgetBounds, RetryBudget, RetryCandidate, RetryDecision};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
@@ -83,7 +83,7 @@
     node: usize,
     life: usize,
     repeats: u32,
-    facts: RepeatFacts,
+    facts: RetryCandidate,
 }
 
 struct Fleet {
@@ -121,10 +121,10 @@
             return;
         }
         let mut budget = RetryBudget::new(self.bounds);
-        budget.begin(now);
+        budget.start(now);
         // All nodes start at first; whoever starts later has had another life.
         if now > Duration::ZERO {
-            budget.note_earlier_life();
+            budget.note_earlier_incarnation();
         }
         self.lives += 1;
         self.places[node] = Place {
@@ -161,7 +161,7 @@
             let cut = place.cut_since.is_some();
             if let Some(life) = place.life.as_mut().filter(|_| !cut) {
                 life.view = registered;
-                life.budget.saw_nodes(registered, now);
+                life.budget.record_node_count(registered, now);
             }
         }
     }
@@ -189,11 +189,11 @@
         if !self.rng.random_bool(phase.repeated) || repeats >= 3 {
             return;
         }
-        let facts = RepeatFacts {
+        let facts = RetryCandidate {
             rank: self.rng.random_range(0..3),
-            in_time: self.rng.random_bool(0.8),
-            returns: self.rng.random_bool(0.8),
-            taken: 0.6,
+            meets_target: self.rng.random_bool(0.8),
+            not_run: self.rng.random_bool(0.8),
+            acceptance: 0.6,
         };
         let at = now + ms(self.rng.random_range(1..300));
         self.wishes.push(Wish {
@@ -214,8 +214,12 @@
             };
             let (nodes, service) = (life.view, service());
             let drawn = match by_value {
-                true => life.budget.draw_for(&service, &wish.facts, nodes, now) == Draw::Drawn,
-                false => life.budget.draw(&service, nodes, now),
+                true => {
+                    life.budget
+                        .try_acquire_for(&service, &wish.facts, nodes, now)
+                        == RetryDecision::Granted
+                }
+                false => life.budget.try_acquire(&service, nodes, now),
             };
             if drawn {
                 let way = ms(self.rng.random_range(0..30));
--- a/crates/ledgelead-router/tests/repeats/replay.rs
+++ b/crates/ledgelead-router/tests/repeats/replay.rs
@@ -6,7 +6,7 @@
 use ledgelead_router::Timestamp;
 use ledgelead_router::identity::ServiceName;
 use ledgelead_router::requests::{
-    BudgetBounds, Draw, RefusalShares, RepeatFacts, RetryBudget, return_after,
+    BudgetBounds, RefusalShares, RetryBudget, RetryCandidate, RetryDecision, retry_after,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -131,9 +131,9 @@
             slack: SLACK,
             window: WINDOW,
         });
-        budget.begin(now);
+        budget.start(now);
         if now > Duration::ZERO {
-            budget.note_earlier_life();
+            budget.note_earlier_incarnation();
         }
         self.nodes[node] = Some(Node {
             budget,
@@ -236,16 +236,16 @@
         let Some(node) = self.nodes[asked.node].as_mut() else {
             return false;
         };
-        let facts = RepeatFacts {
+        let facts = RetryCandidate {
             rank: u32::try_from(asked.kind).unwrap_or(u32::MAX),
-            in_time: now + ANSWER <= asked.began + TARGET,
-            returns: !asked.may_have_run,
-            taken: 1.0 - node.rejections.share(&service(), now),
+            meets_target: now + ANSWER <= asked.began + TARGET,
+            not_run: !asked.may_have_run,
+            acceptance: 1.0 - node.rejections.share(&service(), now),
         };
         if self.by_value {
-            node.budget.draw_for(&service(), &facts, alive, now) == Draw::Drawn
+            node.budget.try_acquire_for(&service(), &facts, alive, now) == RetryDecision::Granted
         } else {
-            node.budget.draw(&service(), alive, now)
+            node.budget.try_acquire(&service(), alive, now)
         }
     }
 
@@ -259,7 +259,7 @@
             None => 0.0,
         };
         let spread = self.rng.random_range(1.0..1.7);
-        asked.at = now + return_after(share).mul_f64(spread);
+        asked.at = now + retry_after(share).mul_f64(spread);
         asked.node = self.node();
         asked.tries -= 1;
         asked.attempts = 0;
@@ -280,7 +280,7 @@
             }
             let alive = self.nodes.iter().flatten().count();
             for node in self.nodes.iter_mut().flatten() {
-                node.budget.saw_nodes(alive, now);
+                node.budget.record_node_count(alive, now);
             }
             self.come(now);
             self.go_on(now);
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -11,8 +11,8 @@
 use ledgelead_router::ownership::record::Assignment;
 use ledgelead_router::peers::{DigestEntry, OpenRequests, Registry, SharedLoad};
 use ledgelead_router::requests::{
-    BudgetBounds, ColdBound, ColdGate, ColdSends, Misdirection, Notice, RestLimit, RetryBudget,
-    Selected, SelectionContext, StatisticsTable, Verdict, judge,
+    AttemptOutcome, BudgetBounds, ColdBound, ColdGate, ColdSends, IdleLimit, Misdirection, Notice,
+    RetryBudget, Selected, SelectionContext, StatisticsTable, classify_outcome,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -31,26 +31,25 @@
     response
 }
 
-fn verdict(result: std::result::Result<Response, ExchangeFailure>) -> Verdict {
-    judge(result, &InstanceId::from("a"), &headers())
+fn verdict(result: std::result::Result<Response, ExchangeFailure>) -> AttemptOutcome {
+    classify_outcome(result, &InstanceId::from("a"), &headers())
 }
 
 #[gtest]
 fn only_proof_makes_a_request_not_run() {
     let not_connected = verdict(Err(ExchangeFailure::NotConnected));
     expect_that!(
-        matches!(not_connected, Verdict::NeverSent { refused: false }),
+        matches!(not_connected, AttemptOutcome::NeverSent { refused: false }),
         eq(true)
     );
     let refused = verdict(Err(ExchangeFailure::Refused));
     expect_that!(
-        matches!(refused, Verdict::NeverSent { refused: true }),
+        matches!(refused, AttemptOutcome::NeverSent { refused: true }),
         eq(true)
     );
     for timed_out in [false, true] {
         let incomplete = verdict(Err(ExchangeFailure::Incomplete { timed_out }));
-        let expected =
-            matches!(incomplete, Verdict::Incomplete { timed_out: judged } if judged == timed_out);
+        let expected = matches!(incomplete, AttemptOutcome::Incomplete { timed_out: judged } if judged == timed_out);
         expect_that!(expected, eq(true));
     }
     for failure in [
@@ -59,13 +58,13 @@
         ExchangeFailure::Malformed,
     ] {
         let judged = verdict(Err(failure));
-        expect_that!(matches!(judged, Verdict::Unknown { .. }), eq(true));
+        expect_that!(matches!(judged, AttemptOutcome::Unknown { .. }), eq(true));
     }
     let shed = verdict(Ok(answer(503, &[("not-executed", "1")])));
     expect_that!(
         matches!(
             shed,
-            Verdict::Rejected {
+            AttemptOutcome::Rejected {
                 misdirected: false,
                 ended: false
             }
@@ -75,19 +74,19 @@
     // A 503 without the header says nothing: an instance has run the request
     // and failed. It is no proof that it may be refused.
     let silent = verdict(Ok(answer(503, &[("signature", "s")])));
-    expect_that!(matches!(silent, Verdict::Failed(_)), eq(true));
+    expect_that!(matches!(silent, AttemptOutcome::Failed(_)), eq(true));
     let unsigned = verdict(Ok(answer(200, &[])));
-    expect_that!(matches!(unsigned, Verdict::Unknown { .. }), eq(true));
+    expect_that!(matches!(unsigned, AttemptOutcome::Unknown { .. }), eq(true));
     let signed = verdict(Ok(answer(200, &[("signature", "s")])));
-    expect_that!(matches!(signed, Verdict::Relay(_)), eq(true));
+    expect_that!(matches!(signed, AttemptOutcome::Relay(_)), eq(true));
 }
 
 #[gtest]
 fn a_misdirected_answer_under_the_id_of_a_life_proves_no_end() {
     let misdirected = Ok(answer(421, &[("instance", "a")]));
-    let judged = judge(misdirected, &InstanceId::of_life("a", 10), &headers());
+    let judged = classify_outcome(misdirected, &InstanceId::of_life("a", 10), &headers());
     expect_that!(
-        matches!(judged, Verdict::Rejected { ended: false, .. }),
+        matches!(judged, AttemptOutcome::Rejected { ended: false, .. }),
         eq(true)
     );
 }
@@ -96,17 +95,17 @@
 fn a_misdirected_answer_of_another_instance_proves_an_end() {
     let other = verdict(Ok(answer(421, &[("instance", "b")])));
     expect_that!(
-        matches!(other, Verdict::Rejected { ended: true, .. }),
+        matches!(other, AttemptOutcome::Rejected { ended: true, .. }),
         eq(true)
     );
     let same = verdict(Ok(answer(421, &[("instance", "a")])));
     expect_that!(
-        matches!(same, Verdict::Rejected { ended: false, .. }),
+        matches!(same, AttemptOutcome::Rejected { ended: false, .. }),
         eq(true)
     );
     let unnamed = verdict(Ok(answer(421, &[])));
     expect_that!(
-        matches!(unnamed, Verdict::Rejected { ended: false, .. }),
+        matches!(unnamed, AttemptOutcome::Rejected { ended: false, .. }),
         eq(true)
     );
 }
@@ -126,14 +125,14 @@
         for request in 0..100 {
             budget.requested(&service, ms(request * 50));
         }
-        while budget.draw(&service, nodes, ms(5_000)) {
+        while budget.try_acquire(&service, nodes, ms(5_000)) {
             drawn += 1.0;
         }
     }
     expect_that!(drawn, gt(100.0));
     expect_that!(drawn, le(0.2 * 1_100.0 + 62.0));
     let mut lone = RetryBudget::new(bounds);
-    expect_that!(lone.draw(&service, 0, ms(0)), eq(false));
+    expect_that!(lone.try_acquire(&service, 0, ms(0)), eq(false));
 }
 
 #[gtest]
@@ -145,9 +144,9 @@
     };
     let service = ServiceName::from("s");
     let mut budget = RetryBudget::new(bounds);
-    while budget.draw(&service, 2, ms(0)) {}
-    expect_that!(budget.draw(&service, 2, ms(9_999)), eq(false));
-    expect_that!(budget.draw(&service, 2, ms(10_000)), eq(true));
+    while budget.try_acquire(&service, 2, ms(0)) {}
+    expect_that!(budget.try_acquire(&service, 2, ms(9_999)), eq(false));
+    expect_that!(budget.try_acquire(&service, 2, ms(10_000)), eq(true));
 }
 
 struct Fixture {
@@ -389,7 +388,7 @@
 
 #[gtest]
 fn connections_that_rested_too_long_are_not_used_for_some_time() {
-    let mut limit = RestLimit::default();
+    let mut limit = IdleLimit::default();
     limit.lost(ms(900), ms(1_000));
     expect_that!(limit.current(ms(1_000)), none());
     limit.lost(ms(500), ms(1_100));
@@ -405,14 +404,14 @@
 #[gtest]
 fn connections_that_end_for_other_reasons_make_no_limit() {
     // Instances that are full end connections whether they rested or not.
-    let mut full = RestLimit::default();
+    let mut full = IdleLimit::default();
     for at in 0..10 {
         full.lost(ms(500), ms(at));
         full.lost(ms(0), ms(at));
     }
     expect_that!(full.current(ms(20)), none());
     // Most requests on rested connections are answered.
-    let mut rare = RestLimit::default();
+    let mut rare = IdleLimit::default();
     for at in 0..10 {
         rare.lost(ms(500), ms(at));
         (0..9).for_each(|_| rare.answered(ms(500), ms(at)));
@@ -486,11 +485,11 @@
         slack: 2.5,
         window: Duration::from_secs(10),
     });
-    expect_that!(budget.draw(&service, 1, Duration::ZERO), eq(true));
-    expect_that!(budget.draw(&service, 1, Duration::ZERO), eq(true));
-    expect_that!(budget.draw(&service, 1, Duration::ZERO), eq(false));
-    budget.give_back(&service);
-    expect_that!(budget.draw(&service, 1, Duration::ZERO), eq(true));
+    expect_that!(budget.try_acquire(&service, 1, Duration::ZERO), eq(true));
+    expect_that!(budget.try_acquire(&service, 1, Duration::ZERO), eq(true));
+    expect_that!(budget.try_acquire(&service, 1, Duration::ZERO), eq(false));
+    budget.refund(&service);
+    expect_that!(budget.try_acquire(&service, 1, Duration::ZERO), eq(true));
 }
 
 /// What an answer with this status and these headers says of the instance `a`.
