--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -158,7 +158,7 @@
             self.messaging.following_until = Some(now + self.view_ttl().saturating_sub(age));
             if self.store.health.followed_until(now.saturating_sub(age)) {
                 // Until the coordinator reports for how long the store has served it.
-                self.directory.store_was_lost(now);
+                self.directory.note_store_outage(now);
             }
             self.store.set_following(true, now, out);
         }
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -37,7 +37,7 @@
 impl Node {
     /// Applies the announcements that instances made in responses to requests.
     pub(super) fn apply_leaving_notices(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        for instance in self.requests.take_said_leaving() {
+        for instance in self.requests.take_announced_leaving() {
             self.note_leaving(&instance, now, now, out);
         }
     }
@@ -63,7 +63,7 @@
         out: &mut Vec<Action>,
     ) {
         let is_enabled = self.settings.protections.has(Protection::HeededLeaving);
-        if is_enabled && self.directory.said_to_leave(instance, at) {
+        if is_enabled && self.directory.mark_leaving(instance, at) {
             self.coordination.note_change();
             self.reconsider_waiting(now, out);
         }
@@ -95,7 +95,7 @@
     }
 
     fn leaving_message(&self, now: Timestamp, is_sent: impl Fn(u64) -> bool) -> Option<Datagram> {
-        let leaving = self.directory.leave_by_answers();
+        let leaving = self.directory.leaving_by_response();
         let hashed = leaving.map(|(id, at)| (id.stable_hash(), at));
         let sent = hashed
             .filter(|(hash, _)| is_sent(*hash))
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -127,7 +127,7 @@
                     .answered(&instance, asked, now);
             }
         }
-        for (request, caller) in signs.acquitted {
+        for (request, caller) in signs.completed {
             self.quarantine.recent.note(request, caller, now);
             self.acquit_if_answered(request, caller, now);
         }
@@ -164,7 +164,7 @@
     /// by now, unless there is one.
     fn check_unconfirmed_answers(&mut self, now: Timestamp) {
         for (instance, asked) in self.quarantine.unconfirmed_answers.take_due(now) {
-            if self.directory.later_life(&instance).is_none() {
+            if self.directory.later_incarnation(&instance).is_none() {
                 self.instance_is_alive(&instance, asked, now);
             }
         }
@@ -254,7 +254,7 @@
             let known = self.directory.get(instance);
             // An instance that announced that it is leaving ends as planned.
             known.is_some_and(|known| {
-                known.ended || known.is_gone() && !self.directory.has_said_to_leave(known)
+                known.ended || known.is_gone() && !self.directory.has_announced_leaving(known)
             })
         };
         let suspects = self.quarantine.suspects.instances();
--- a/crates/ledgelead-router/src/node/registration.rs
+++ b/crates/ledgelead-router/src/node/registration.rs
@@ -104,7 +104,7 @@
         let own = &self.settings.identity;
         let registered = self.registry.get(&own.node);
         if registered.is_some_and(|known| known.identity != *own) {
-            self.requests.note_earlier_life();
+            self.requests.note_earlier_incarnation();
         }
     }
 
--- a/crates/ledgelead-router/src/node/store_objects.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -110,7 +110,7 @@
     pub(super) fn evacuations_changed(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let zones = self.evacuations.zones();
         Event::Evacuated { zones: zones.len() }.emit();
-        self.directory.evacuate(zones, now);
+        self.directory.set_evacuated_zones(zones, now);
         self.coordination.note_change();
         self.messaging.send_heartbeat_soon();
         self.reconsider_waiting(now, out);
@@ -183,7 +183,7 @@
         match kind {
             ObjectKind::Instances if gone => self.directory.remove(name, now),
             ObjectKind::Instances if self.settings.protections.has(Protection::ForeignUnused) => {
-                self.directory.withdraw(name, now);
+                self.directory.remove_unreadable(name, now);
             }
             ObjectKind::Nodes if gone => self.registry.remove(&NodeName::from(name)),
             ObjectKind::Quarantine if gone => {
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -362,7 +362,7 @@
         let is_applied = match (asked.kind, objects) {
             (RelayedKind::Instances, TransferredObjects::Instances(instances)) => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
-                self.directory.doubt_removals_until(now + unconfirmed);
+                self.directory.defer_removals_until(now + unconfirmed);
                 self.apply_instances(instances, revision, as_of, now);
                 true
             }
