--- a/crates/ledgelead-lab/src/fleet/checker.rs
+++ b/crates/ledgelead-lab/src/fleet/checker.rs
@@ -14,7 +14,7 @@
     /// Keys passed to another instance, or another life, under no higher token.
     TokenRises,
     /// A life got its earlier life's keys from a node that knew of it.
-    LivesApart,
+    DistinctIncarnations,
     /// Two live instances held the same key and both began requests on it.
     TwoOwnersServed,
     /// A request that may run once ran twice.
@@ -47,7 +47,7 @@
         match self {
             ViolationKind::SingleOwner => "single_owner",
             ViolationKind::TokenRises => "token_rises",
-            ViolationKind::LivesApart => "lives_apart",
+            ViolationKind::DistinctIncarnations => "lives_apart",
             ViolationKind::TwoOwnersServed => "two_owners_served",
             ViolationKind::OnceOnly => "once_only",
             ViolationKind::NotRunIsTrue => "not_run_is_true",
@@ -168,7 +168,7 @@
     ) {
         let life = life.id();
         let what = format!("{life} gets {range:?} under {fence} for {meant} from node {node}");
-        self.found(ViolationKind::LivesApart, now, what);
+        self.found(ViolationKind::DistinctIncarnations, now, what);
     }
 
     /// An instance began a request.
--- a/crates/ledgelead-lab/src/fleet/store.rs
+++ b/crates/ledgelead-lab/src/fleet/store.rs
@@ -1,12 +1,12 @@
 //! The store's stand-in: objects with revisions, watches, conditional writes.
 
-use ledgelead_router::boundary;
 use ledgelead_router::configuration::Configuration;
 use ledgelead_router::dialect::{
     Object, ObjectContent, ObjectEvent, ObjectKind, StoreAnswer, StoreCall, WrittenContent,
 };
 use ledgelead_router::directory::InstanceRecord;
 use ledgelead_router::io::ExchangeId;
+use ledgelead_router::validation;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -182,7 +182,7 @@
     /// What nodes and instances write is what an adapter would read.
     fn assert_within_bounds(&self, kind: ObjectKind, object: &Object) {
         let mut checked = object.clone();
-        boundary::check(kind, &mut checked);
+        validation::check(kind, &mut checked);
         if let Err(finding) = checked.content {
             panic!("{}: {finding}", object.name);
         }
--- a/crates/ledgelead-lab/src/fleet/world.rs
+++ b/crates/ledgelead-lab/src/fleet/world.rs
@@ -706,10 +706,10 @@
     exchange: ExchangeId,
     result: Result<Response, ExchangeFailure>,
 ) -> Box<Input> {
-    Box::new(Input::Exchanged {
+    Box::new(Input::ExchangeEnded {
         exchange,
         result,
-        rested: Duration::ZERO,
+        idle_for: Duration::ZERO,
     })
 }
 
--- a/crates/ledgelead-lab/tests/fleet.rs
+++ b/crates/ledgelead-lab/tests/fleet.rs
@@ -216,12 +216,12 @@
     let schedule = Schedule::one(seconds(12.0), seconds(10.0), FaultKind::AnswersLost);
     expect_protected(
         &schedule,
-        Protection::UnknownNotRepeated,
+        Protection::RetryOnlyIfNotRun,
         ViolationKind::OnceOnly,
     );
     expect_protected(
         &schedule,
-        Protection::HonestRefusal,
+        Protection::AccurateRefusal,
         ViolationKind::NotRunIsTrue,
     );
 }
--- a/crates/ledgelead-lab/tests/fleet_crashing.rs
+++ b/crates/ledgelead-lab/tests/fleet_crashing.rs
@@ -69,18 +69,18 @@
 
 #[gtest]
 fn the_checker_sees_that_a_loss_of_all_nodes_forgets_what_is_not_kept() {
-    let (sent_on, _) = broken(Protection::KeptEvidence, 225..=225);
+    let (sent_on, _) = broken(Protection::PersistedEvidence, 225..=225);
     expect_that!(sent_on, gt(0));
 }
 
 #[gtest]
 fn the_checker_sees_harmless_requests_that_no_answer_acquits() {
-    let (_, held_back) = broken(Protection::Acquittal, 10..=20);
+    let (_, held_back) = broken(Protection::AnswerClearsSuspicion, 10..=20);
     expect_that!(held_back, gt(0));
 }
 
 #[gtest]
 fn the_checker_sees_harmless_requests_with_the_path_of_another() {
-    let (_, held_back) = broken(Protection::WholeIdentity, 1..=5);
+    let (_, held_back) = broken(Protection::FullRequestIdentity, 1..=5);
     expect_that!(held_back, gt(0));
 }
--- a/crates/ledgelead-lab/tests/fleet_eras.rs
+++ b/crates/ledgelead-lab/tests/fleet_eras.rs
@@ -26,7 +26,7 @@
 
 #[gtest]
 fn the_checker_sees_an_era_that_is_ignored() {
-    let protections = Protections::without(Protection::EraBound);
+    let protections = Protections::without(Protection::EraIsolation);
     let (report, _) = play(drawn_eras, 1..=10, NODES, protections, false);
     let kinds = report.violations.iter().map(|found| found.kind);
     expect_that!(
--- a/crates/ledgelead-lab/tests/fleet_foreign.rs
+++ b/crates/ledgelead-lab/tests/fleet_foreign.rs
@@ -86,13 +86,13 @@
 
 #[gtest]
 fn the_checker_sees_an_answer_that_is_dropped_with_a_foreign_entry() {
-    let found = kinds(Protection::ForeignApart);
+    let found = kinds(Protection::IsolateUnreadable);
     expect_that!(found, contains(eq(&ViolationKind::NoNewWorkAfterLeave)));
 }
 
 #[gtest]
 fn the_checker_sees_the_use_of_an_instance_whose_entry_is_foreign() {
-    let found = kinds(Protection::ForeignUnused);
+    let found = kinds(Protection::ExcludeUnreadable);
     expect_that!(found, contains(eq(&ViolationKind::NoNewWorkAfterLeave)));
 }
 
--- a/crates/ledgelead-lab/tests/fleet_limits.rs
+++ b/crates/ledgelead-lab/tests/fleet_limits.rs
@@ -70,7 +70,7 @@
 
 #[gtest]
 fn the_checker_sees_a_limit_that_is_ignored() {
-    let found = kinds(Protection::HeededRateLimit);
+    let found = kinds(Protection::HonorRateLimit);
     expect_that!(found, contains(eq(&ViolationKind::LimitKept)));
 }
 
--- a/crates/ledgelead-lab/tests/fleet_notices.rs
+++ b/crates/ledgelead-lab/tests/fleet_notices.rs
@@ -53,12 +53,12 @@
 
 #[gtest]
 fn the_checker_sees_a_statement_of_leaving_that_is_forgotten() {
-    let found = kinds(Protection::HeededLeaving);
+    let found = kinds(Protection::HonorLeaving);
     expect_that!(found, contains(eq(&ViolationKind::LeavingHeeded)));
 }
 
 #[gtest]
 fn the_checker_sees_a_pause_that_is_ignored() {
-    let found = kinds(Protection::HeededBackoff);
+    let found = kinds(Protection::HonorBackoff);
     expect_that!(found, contains(eq(&ViolationKind::PauseKept)));
 }
--- a/crates/ledgelead-lab/tests/fleet_restarts.rs
+++ b/crates/ledgelead-lab/tests/fleet_restarts.rs
@@ -18,7 +18,7 @@
 
 #[gtest]
 fn the_checker_sees_lives_that_are_taken_for_one() {
-    let sabotaged = Protections::without(Protection::LivesApart);
+    let sabotaged = Protections::without(Protection::DistinctIncarnations);
     let (_, lines) = play(drawn_restarts, 1..=4, NODES, sabotaged, false);
     expect_that!(lines, contains(contains_substring("lives_apart")));
 }
--- a/crates/ledgelead-lab/tests/fleet_versions.rs
+++ b/crates/ledgelead-lab/tests/fleet_versions.rs
@@ -73,7 +73,7 @@
 
 #[gtest]
 fn the_checker_sees_versions_that_a_former_coordinator_holds_up() {
-    let protections = Protections::without(Protection::NewestEpoch);
+    let protections = Protections::without(Protection::IgnoreOlderEpochs);
     let schedule = refusal(&[], ms(700), FaultKind::ConfigureLarge);
     let report = World::new(FleetSettings {
         schedule,
--- a/crates/ledgelead-router/src/directory/instance.rs
+++ b/crates/ledgelead-router/src/directory/instance.rs
@@ -70,7 +70,7 @@
     pub(super) fn precedes(&self, id: &InstanceId, revision: Option<u64>) -> bool {
         match (self.revision, revision) {
             (Some(known), Some(other)) if known != other => known < other,
-            _ => self.id.born() < id.born(),
+            _ => self.id.start_ms() < id.start_ms(),
         }
     }
 }
--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -57,7 +57,7 @@
     /// A directory that knows nothing yet.
     pub fn new(protections: Protections) -> Directory {
         Directory {
-            merges_lives: !protections.has(Protection::LivesApart),
+            merges_lives: !protections.has(Protection::DistinctIncarnations),
             ..Directory::default()
         }
     }
@@ -264,7 +264,7 @@
     /// made it.
     fn lacks_start(&self, id: &InstanceId) -> bool {
         let current = self.current.get(id.name());
-        id.born().is_none() && current.is_some_and(|current| current.id.born().is_some())
+        id.start_ms().is_none() && current.is_some_and(|current| current.id.start_ms().is_some())
     }
 
     /// The later life of an instance that has started again, if this life is known to
@@ -273,7 +273,7 @@
     pub fn later_life(&self, id: &InstanceId) -> Option<&Instance> {
         let current = &self.current.get(id.name())?.id;
         let is_known = self.instances.contains_key(id);
-        let is_later = current != id && (is_known || id.born() < current.born());
+        let is_later = current != id && (is_known || id.start_ms() < current.start_ms());
         is_later.then(|| self.instances.get(current)).flatten()
     }
 
--- a/crates/ledgelead-router/src/identity.rs
+++ b/crates/ledgelead-router/src/identity.rs
@@ -53,7 +53,7 @@
 );
 
 /// Stands between the name and the start of a life in its text.
-const LIFE_MARK: char = '#';
+const START_MARK: char = '#';
 
 /// The name of one life of an instance; a restart has another.
 ///
@@ -71,9 +71,9 @@
 
 impl InstanceId {
     /// The life that an instance began at `born`, in Unix milliseconds.
-    pub fn of_life(name: &str, born: u64) -> InstanceId {
+    pub fn started_at(name: &str, born: u64) -> InstanceId {
         InstanceId {
-            text: Arc::from(format!("{name}{LIFE_MARK}{born}")),
+            text: Arc::from(format!("{name}{START_MARK}{born}")),
             name_len: name.len(),
             born: Some(born),
         }
@@ -81,7 +81,7 @@
 
     /// The life whose text this is.
     pub fn parse(text: &str) -> InstanceId {
-        let Some((name, born)) = split_life(text) else {
+        let Some((name, born)) = split_start(text) else {
             return InstanceId::from(text);
         };
         InstanceId {
@@ -97,7 +97,7 @@
     }
 
     /// When this life began, in Unix milliseconds by the clock of its machine.
-    pub fn born(&self) -> Option<u64> {
+    pub fn start_ms(&self) -> Option<u64> {
         self.born
     }
 
@@ -118,16 +118,16 @@
 }
 
 /// The name and the start in the text of an id that has more than the name.
-fn split_life(text: &str) -> Option<(&str, Option<u64>)> {
-    let unmarked = text.trim_end_matches(LIFE_MARK);
-    let (name, start) = unmarked.rsplit_once(LIFE_MARK)?;
+fn split_start(text: &str) -> Option<(&str, Option<u64>)> {
+    let unmarked = text.trim_end_matches(START_MARK);
+    let (name, start) = unmarked.rsplit_once(START_MARK)?;
     let born: u64 = start.parse().ok()?;
     // One text for each id: no leading zeros, and a second mark only behind a name that
     // reads like a life.
     if born.to_string() != start {
         return None;
     }
-    match text.strip_suffix(LIFE_MARK) {
+    match text.strip_suffix(START_MARK) {
         Some(name) => Some((name, None)),
         None => Some((name, Some(born))),
     }
@@ -138,9 +138,9 @@
     /// those are read by `parse`.
     fn from(name: &str) -> Self {
         // A name that reads like a life ends with a mark of its own.
-        let text = match split_life(name) {
+        let text = match split_start(name) {
             None => Arc::from(name),
-            Some(_) => Arc::from(format!("{name}{LIFE_MARK}")),
+            Some(_) => Arc::from(format!("{name}{START_MARK}")),
         };
         InstanceId {
             text,
--- a/crates/ledgelead-router/src/io.rs
+++ b/crates/ledgelead-router/src/io.rs
@@ -61,7 +61,7 @@
     pub connect_timeout: Duration,
     /// How long a new connection is watched before the first byte is written: an
     /// instance that takes no more connections resets them at once.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// Time in which the whole request must be written, if that is bounded apart from the
     /// exchange. What is not written by then has proved that it never ran.
     pub write_timeout: Option<Duration>,
@@ -69,7 +69,7 @@
     pub timeout: Duration,
     /// Whether each part of the answer that arrives begins the time anew. A
     /// long answer over a slow link then ends, instead of being begun again.
-    pub renewed: bool,
+    pub timeout_is_idle: bool,
 }
 
 /// What happened outside.
@@ -86,7 +86,7 @@
     },
     /// A client sent a request whose body is not read, since this process has no memory
     /// for it.
-    Unread {
+    RequestWithoutBody {
         /// Names the request until it is answered.
         client: ClientId,
         /// The request without its body.
@@ -100,18 +100,18 @@
         request: Request,
     },
     /// The client closed its connection while its request was open.
-    ClientLeft {
+    ClientDisconnected {
         /// The request.
         client: ClientId,
     },
     /// An exchange ended.
-    Exchanged {
+    ExchangeEnded {
         /// The exchange.
         exchange: ExchangeId,
         /// Its end.
         result: Result<Response, ExchangeFailure>,
         /// How long its connection had rested before; nothing if it was new.
-        rested: Duration,
+        idle_for: Duration,
     },
     /// Another node sent a datagram.
     Datagram {
--- a/crates/ledgelead-router/src/lib.rs
+++ b/crates/ledgelead-router/src/lib.rs
@@ -4,7 +4,6 @@
 //! There are no sockets, threads, clocks or global randomness. How a store,
 //! its objects and the instances are spoken to is a [`dialect::Dialect`].
 
-pub mod boundary;
 pub mod configuration;
 pub mod dialect;
 pub mod directory;
@@ -25,6 +24,7 @@
 pub mod requests;
 pub mod settings;
 pub mod store;
+pub mod validation;
 pub mod zone_traffic;
 
 /// A time on the process's monotonic clock, counted from its start.
--- a/crates/ledgelead-router/src/mechanisms.rs
+++ b/crates/ledgelead-router/src/mechanisms.rs
@@ -9,7 +9,7 @@
     /// Where a digest tells the load, instances are drawn by the room that they have.
     FreeSlots,
     /// An idempotent request whose instance is silent is sent to another.
-    Review,
+    Hedging,
     /// An idempotent request whose instance failed is sent to another.
     RepeatFailed,
     /// An instance that fails several times in a row is passed over.
@@ -35,17 +35,17 @@
     /// Requests that wait are looked at in the order of their priority.
     Priority,
     /// Kept connections rest for less time where instances forget them.
-    RestLimit,
+    IdleConnectionLimit,
     /// Keys move from busy owners to others.
     KeyMoves,
     /// Keys of contended services are spread by lasting differences between owners.
-    SteadyBalance,
+    LongWindowBalance,
     /// Capacities of owners come from all nodes' answers.
     SharedCapacity,
     /// Owners count as busy only beyond the chance in their counts.
-    ChanceMargin,
+    NoiseMargin,
     /// Nodes that hear a coordinator let their own watches rest.
-    RestingWatches,
+    PausedWatches,
     /// Large requests of a split go to owners of keys in the own zone first.
     SplitLocality,
     /// Repeats that win most come first as the retry budget runs short.
@@ -59,7 +59,7 @@
     pub const ALL: [(&'static str, Mechanism); 24] = [
         ("zone-preference", Mechanism::ZonePreference),
         ("free-slots", Mechanism::FreeSlots),
-        ("review", Mechanism::Review),
+        ("review", Mechanism::Hedging),
         ("repeat-failed", Mechanism::RepeatFailed),
         ("ejection", Mechanism::Ejection),
         ("failure-share", Mechanism::FailureShare),
@@ -72,12 +72,12 @@
         ("overloaded-keys", Mechanism::OverloadedKeys),
         ("owner-queues", Mechanism::OwnerQueues),
         ("priority", Mechanism::Priority),
-        ("rest-limit", Mechanism::RestLimit),
+        ("rest-limit", Mechanism::IdleConnectionLimit),
         ("key-moves", Mechanism::KeyMoves),
-        ("steady-balance", Mechanism::SteadyBalance),
+        ("steady-balance", Mechanism::LongWindowBalance),
         ("shared-capacity", Mechanism::SharedCapacity),
-        ("chance-margin", Mechanism::ChanceMargin),
-        ("resting-watches", Mechanism::RestingWatches),
+        ("chance-margin", Mechanism::NoiseMargin),
+        ("resting-watches", Mechanism::PausedWatches),
         ("split-locality", Mechanism::SplitLocality),
         ("repeat-value", Mechanism::RepeatValue),
         ("rejection-cause", Mechanism::RejectionCause),
--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -252,7 +252,7 @@
 
     pub(super) fn campaign_due(&self) -> Timestamp {
         if self.succeeds_own_life() || self.continues_own_epoch() {
-            return self.coordination.election.due_after_own_life();
+            return self.coordination.election.due_after_own_restart();
         }
         let record = self.ownership.record();
         let served_since = self.store.health.serving_since().unwrap_or_default();
@@ -369,7 +369,7 @@
         if let Some(coordinator) = &mut self.coordination.coordinator
             && coordinator.pending_write() == Some(&record)
         {
-            coordinator.written(now);
+            coordinator.record_written(now);
             self.step_coordinator(now, out);
         }
     }
@@ -490,9 +490,9 @@
                 reuse_idle_below: ORDER_REUSE_IDLE,
                 connect_timeout: ORDER_CONNECT_TIMEOUT,
                 write_timeout: None,
-                settle: Duration::ZERO,
+                settle_time: Duration::ZERO,
                 timeout,
-                renewed: false,
+                timeout_is_idle: false,
             },
         });
     }
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -8,7 +8,7 @@
     Admission, Decided, InstanceLoad, PermitId, PermitOutcome, QueueAsk, QueueKind, Server,
 };
 use crate::io::Action;
-use crate::peers::{PeerMessage, PermitAskEntry, PermitEnd, PermitVerdict, encode};
+use crate::peers::{PeerMessage, PermitAskEntry, PermitReturnReason, PermitVerdict, encode};
 use crate::requests::{Ask, Declined, PermitDecision, PermitMessage, pool_hash};
 use crate::short_millis;
 use std::net::SocketAddr;
@@ -53,20 +53,20 @@
             PermitMessage::Return { number, queue, how } => {
                 let (ended, took_ms, load) = match how {
                     PermitOutcome::Answered { took, load } => (
-                        PermitEnd::Answered,
+                        PermitReturnReason::Answered,
                         short_millis(took),
                         load.map(short_load),
                     ),
-                    PermitOutcome::NoSample => (PermitEnd::NoSample, 0, None),
-                    PermitOutcome::Failed => (PermitEnd::Failed, 0, None),
+                    PermitOutcome::NoSample => (PermitReturnReason::NoSample, 0, None),
+                    PermitOutcome::Failed => (PermitReturnReason::Failed, 0, None),
                     PermitOutcome::BackedOff(backoff) => {
-                        (PermitEnd::BackedOff, short_millis(backoff), None)
+                        (PermitReturnReason::BackedOff, short_millis(backoff), None)
                     }
                 };
                 let message = PeerMessage::PermitReturn {
                     number,
                     queue,
-                    ended,
+                    reason: ended,
                     took_ms,
                     load,
                 };
@@ -96,10 +96,10 @@
             asker,
             urgency: entry.urgency,
             to_target: Duration::from_millis(u64::from(entry.to_target_ms)),
-            left: Duration::from_millis(u64::from(entry.left_ms)),
+            left: Duration::from_millis(u64::from(entry.remaining_ms)),
             caller: entry.caller,
             is_cold: entry.is_cold,
-            tried: Some(entry.tried).filter(|tried| *tried > 0),
+            tried: Some(entry.failed_instance).filter(|tried| *tried > 0),
         };
         let decided = match self.stopping {
             true => Err(Declined::Stops),
@@ -217,7 +217,7 @@
             Ok(Admission::Granted(server)) => (PermitVerdict::Granted, server),
             Ok(Admission::Queued) => (PermitVerdict::Queued, 0),
             Ok(Admission::Refused) => (PermitVerdict::Refused, 0),
-            Err(Declined::Stops) => (PermitVerdict::Stops, 0),
+            Err(Declined::Stops) => (PermitVerdict::ShuttingDown, 0),
             Err(Declined::UnknownQueue) => (PermitVerdict::UnknownQueue, 0),
         };
         let message = PeerMessage::PermitDecision {
@@ -237,24 +237,30 @@
         PermitVerdict::Granted => Ok(Admission::Granted(server)),
         PermitVerdict::Queued => Ok(Admission::Queued),
         PermitVerdict::Refused => Ok(Admission::Refused),
-        PermitVerdict::Stops => Err(Declined::Stops),
+        PermitVerdict::ShuttingDown => Err(Declined::Stops),
         PermitVerdict::UnknownQueue => Err(Declined::UnknownQueue),
     }
 }
 
 /// How a request ended, as another node has sent it.
-pub(super) fn returned(ended: PermitEnd, took_ms: u16, load: Option<(u8, u8)>) -> PermitOutcome {
+pub(super) fn returned(
+    ended: PermitReturnReason,
+    took_ms: u16,
+    load: Option<(u8, u8)>,
+) -> PermitOutcome {
     match ended {
-        PermitEnd::Answered => PermitOutcome::Answered {
+        PermitReturnReason::Answered => PermitOutcome::Answered {
             took: Duration::from_millis(u64::from(took_ms)),
             load: load.map(|(running, waiting)| InstanceLoad {
                 running: usize::from(running),
                 waiting: usize::from(waiting),
             }),
         },
-        PermitEnd::NoSample => PermitOutcome::NoSample,
-        PermitEnd::Failed => PermitOutcome::Failed,
-        PermitEnd::BackedOff => PermitOutcome::BackedOff(Duration::from_millis(u64::from(took_ms))),
+        PermitReturnReason::NoSample => PermitOutcome::NoSample,
+        PermitReturnReason::Failed => PermitOutcome::Failed,
+        PermitReturnReason::BackedOff => {
+            PermitOutcome::BackedOff(Duration::from_millis(u64::from(took_ms)))
+        }
     }
 }
 
@@ -271,9 +277,9 @@
         service: ask.service,
         urgency: u8::try_from(ask.urgency).unwrap_or(u8::MAX),
         to_target_ms: short_millis(ask.to_target),
-        left_ms: short_millis(ask.left),
+        remaining_ms: short_millis(ask.left),
         caller: ask.caller,
         is_cold: ask.is_cold,
-        tried: ask.tried.unwrap_or(0),
+        failed_instance: ask.tried.unwrap_or(0),
     }
 }
--- a/crates/ledgelead-router/src/node/gossip.rs
+++ b/crates/ledgelead-router/src/node/gossip.rs
@@ -13,7 +13,7 @@
 use crate::events::Event;
 use crate::identity::{InstanceId, NodeIdentity, NodeName};
 use crate::io::Action;
-use crate::ownership::work::Work;
+use crate::ownership::work::WorkSample;
 use crate::peers::{
     Datagram, DelayEstimate, KeyReport, NodeRecord, PeerMessage, WorkReport, decode, encode,
 };
@@ -187,8 +187,8 @@
             })
             .collect();
         let report = encode(&PeerMessage::LoadReport {
-            configuration: self.configuration_version(),
-            nodes: self.store.revision_of(ObjectKind::Nodes).unwrap_or(0),
+            configuration_version: self.configuration_version(),
+            nodes_revision: self.store.revision_of(ObjectKind::Nodes).unwrap_or(0),
             reports,
             work: work_reports(worked),
         });
@@ -252,7 +252,7 @@
                 limits,
                 changes,
             } => self.configuration_announced(span, limits, changes, now, out),
-            PeerMessage::TookOver {
+            PeerMessage::CoordinatorTookOver {
                 base,
                 revision,
                 node,
@@ -279,19 +279,19 @@
             PeerMessage::ResyncRequest { kind, since } => {
                 self.changes_requested(from, kind, since, now, out);
             }
-            PeerMessage::Resigned { epoch } => self.heard_resignation(epoch, now, out),
+            PeerMessage::CoordinatorResigned { epoch } => self.heard_resignation(epoch, now, out),
             PeerMessage::LoadReport {
-                configuration,
-                nodes,
+                configuration_version,
+                nodes_revision,
                 reports,
                 work,
             } => {
-                self.zone_relays.heard(from, nodes, now);
-                self.heard_configuration(configuration, now, out);
+                self.zone_relays.heard(from, nodes_revision, now);
+                self.heard_configuration(configuration_version, now, out);
                 self.record_key_reports(&reports, now);
                 self.record_work_reports(&work);
             }
-            PeerMessage::Open {
+            PeerMessage::OpenRequestCounts {
                 incarnation,
                 rest_limit_ms,
                 changes,
@@ -300,7 +300,8 @@
                 if self.has_hub(self.zone_peers().count()) {
                     self.load_hub.reported_by(from, now);
                 }
-                self.shared.counted(from, incarnation, &changes, now);
+                self.shared
+                    .record_node_counts(from, incarnation, &changes, now);
                 self.reconsider_waiting(now, out);
             }
             PeerMessage::LoadDigest {
@@ -311,7 +312,7 @@
                 self.follow_rest_limit(rest_limit_ms, now);
                 self.digest_received(from, zones, &entries, now, out);
             }
-            PeerMessage::ZoneSums { sums } => self.shared.summed(from, &sums, now),
+            PeerMessage::ZoneSums { sums } => self.shared.record_zone_sums(from, &sums, now),
             PeerMessage::PermitAsk(ask) => self.permit_asked(from, &ask, now, out),
             PeerMessage::PermitDecision {
                 number,
@@ -331,12 +332,12 @@
             PeerMessage::PermitReturn {
                 number,
                 queue,
-                ended,
+                reason,
                 took_ms,
                 load,
             } => {
                 let asker = PermitId { node: from, number };
-                let how = returned(ended, took_ms, load);
+                let how = returned(reason, took_ms, load);
                 self.permit_returned(queue, asker, how, now, out);
             }
             PeerMessage::Evidence {
@@ -351,7 +352,9 @@
                 };
                 self.evidence_received(from, message, now, out);
             }
-            PeerMessage::Leaving { instances } => self.leaving_received(from, &instances, now, out),
+            PeerMessage::LeavingInstances { instances } => {
+                self.leaving_received(from, &instances, now, out)
+            }
             PeerMessage::RateLimits { limits } => self.limits_received(from, &limits, now, out),
             PeerMessage::TokenAsk {
                 number,
@@ -398,7 +401,7 @@
     /// Announces that this node has left the coordinator's place.
     pub(super) fn announce_resignation(&self, out: &mut Vec<Action>) {
         let epoch = self.ownership.record().epoch;
-        self.send_to_all(&[encode(&PeerMessage::Resigned { epoch })], out);
+        self.send_to_all(&[encode(&PeerMessage::CoordinatorResigned { epoch })], out);
     }
 
     /// Only those that come first as successors read the record at once. The
@@ -415,7 +418,7 @@
             return;
         };
         for report in reports {
-            let work = Work {
+            let work = WorkSample {
                 answered: u32::from(report.answered),
                 busy: Duration::from_millis(u64::from(report.busy_ms)),
             };
@@ -436,8 +439,8 @@
 }
 
 /// What owners did, in the form of a report.
-fn work_reports(worked: BTreeMap<InstanceId, Work>) -> List<WorkReport> {
-    let report = |(instance, work): (InstanceId, Work)| WorkReport {
+fn work_reports(worked: BTreeMap<InstanceId, WorkSample>) -> List<WorkReport> {
+    let report = |(instance, work): (InstanceId, WorkSample)| WorkReport {
         instance: instance.stable_hash(),
         answered: u16::try_from(work.answered).unwrap_or(u16::MAX),
         busy_ms: u32::try_from(work.busy.as_millis()).unwrap_or(u32::MAX),
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -39,16 +39,16 @@
             epoch: coordinator.epoch(),
             sent_ms: whole_millis(now),
             store_serves: self.store.health.serves() && has_authority,
-            revision: self.ownership.revision().unwrap_or(0),
-            configuration: self.configuration_version(),
-            instances: self.gossip.relay.instances_revision(),
-            nodes: self.gossip.relay.nodes_revision(),
+            record_revision: self.ownership.revision().unwrap_or(0),
+            configuration_version: self.configuration_version(),
+            instances_revision: self.gossip.relay.instances_revision(),
+            nodes_revision: self.gossip.relay.nodes_revision(),
             age_ms: short_millis(self.store.age(now)),
             instances_age_ms: short_millis(self.store.state_age(ObjectKind::Instances, now)),
             served_for_ms: short_millis(self.store.served_for(now)),
             overloads: List(overloads),
             evacuations: self.evacuations.entry(),
-            evidence: self.quarantine.evidence.checksum(),
+            evidence_checksum: self.quarantine.evidence.checksum(),
         };
         self.overloads.replace(&heartbeat.overloads, now);
         let datagram = encode(&PeerMessage::CoordinatorHeartbeat(heartbeat));
@@ -71,17 +71,20 @@
             return;
         }
         // What it says was true when it was sent.
-        let delay = self.gossip.delay.arrived(epoch, heartbeat.sent_ms, now);
+        let delay = self
+            .gossip
+            .delay
+            .record_arrival(epoch, heartbeat.sent_ms, now);
         let sent_at = now.saturating_sub(delay);
         self.coordination
-            .record_vouched(epoch, heartbeat.revision, sent_at);
+            .record_vouched(epoch, heartbeat.record_revision, sent_at);
         let age = delay + Duration::from_millis(u64::from(heartbeat.age_ms));
         self.gossip.coordinator_address = Some(from);
         self.gossip.heartbeat_sender = Some(from);
         self.overloads.replace(&heartbeat.overloads, now);
         self.heard_of_store(store_serves, now, out);
         self.heard_of_evacuations(&heartbeat.evacuations, now, out);
-        self.heard_evidence(from, heartbeat.evidence, now, out);
+        self.heard_evidence(from, heartbeat.evidence_checksum, now, out);
         if store_serves && age < self.view_ttl() {
             self.informed(from, epoch, age, now, out);
             let served_for = Duration::from_millis(u64::from(heartbeat.served_for_ms));
@@ -89,12 +92,24 @@
             self.directory.store_served_since(served_since);
             let instances_age =
                 delay + Duration::from_millis(u64::from(heartbeat.instances_age_ms));
-            self.heard_of_instances(heartbeat.instances, instances_age, now);
-            self.heard_of(RelayedKind::Instances, heartbeat.instances, now, out);
-            self.heard_of(RelayedKind::Nodes, heartbeat.nodes, now, out);
+            self.heard_of_instances(heartbeat.instances_revision, instances_age, now);
+            self.heard_of(
+                RelayedKind::Instances,
+                heartbeat.instances_revision,
+                now,
+                out,
+            );
+            self.heard_of(RelayedKind::Nodes, heartbeat.nodes_revision, now, out);
         }
-        self.heard_configuration(heartbeat.configuration, now, out);
-        self.heard_coordinator(epoch, store_serves, heartbeat.revision, delay, now, out);
+        self.heard_configuration(heartbeat.configuration_version, now, out);
+        self.heard_coordinator(
+            epoch,
+            store_serves,
+            heartbeat.record_revision,
+            delay,
+            now,
+            out,
+        );
     }
 
     /// Whether the coordinator of this epoch is the newest that is known. Epochs rise only
@@ -102,7 +117,7 @@
     /// its place, which that one can't read while the store refuses it. Its word would undo
     /// its successor's.
     fn counts_as_coordinator(&mut self, epoch: u64, now: Timestamp) -> bool {
-        let is_protected = self.settings.protections.has(Protection::NewestEpoch);
+        let is_protected = self.settings.protections.has(Protection::IgnoreOlderEpochs);
         if epoch < self.newest_epoch() {
             self.gossip.former_heartbeats += 1;
             return !is_protected;
@@ -149,13 +164,13 @@
         out: &mut Vec<Action>,
     ) {
         let follows = self.coordination.coordinator().is_none() && self.store.health.has_served();
-        let rests = self.settings.mechanisms.has(Mechanism::RestingWatches);
+        let rests = self.settings.mechanisms.has(Mechanism::PausedWatches);
         if follows && rests {
             if self.gossip.followed.replace(epoch) != Some(epoch) {
                 Event::FollowsCoordinator { epoch, from }.emit();
             }
             self.gossip.informed_until = Some(now + self.view_ttl().saturating_sub(age));
-            if self.store.health.followed_until(now.saturating_sub(age)) {
+            if self.store.health.relayed_until(now.saturating_sub(age)) {
                 // Until the coordinator says for how long the store has served.
                 self.directory.store_was_lost(now);
             }
@@ -216,7 +231,7 @@
         // While the store serves nobody, nobody can follow either; and after
         // that the coordinator gets its time to notice.
         let health = &self.store.health;
-        if store_serves || !health.serves() || health.recovered_lately(now) {
+        if store_serves || !health.serves() || health.recovered_recently(now) {
             self.coordination
                 .election
                 .heard(epoch, now.saturating_sub(delay));
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -10,7 +10,7 @@
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use crate::io::Action;
-use crate::peers::{AgedEntry, Datagram, PeerMessage, aged_instances, encode, time_of};
+use crate::peers::{AgedEntry, Datagram, PeerMessage, aged_instances, encode, time_from_age};
 use crate::protections::Protection;
 use crate::requests::Notice;
 use ledgelead_http::Response;
@@ -61,7 +61,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let heeds = self.settings.protections.has(Protection::HeededLeaving);
+        let heeds = self.settings.protections.has(Protection::HonorLeaving);
         if heeds && self.directory.said_to_leave(instance, at) {
             self.coordination.note_change();
             self.reconsider_waiting(now, out);
@@ -100,7 +100,7 @@
             .take(MAX_INSTANCES);
         let sent: BTreeMap<u64, Timestamp> = sent.collect();
         let instances = List(aged_instances(sent.iter(), now));
-        (!sent.is_empty()).then(|| encode(&PeerMessage::Leaving { instances }))
+        (!sent.is_empty()).then(|| encode(&PeerMessage::LeavingInstances { instances }))
     }
 
     /// Another node says who leaves.
@@ -111,11 +111,11 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let said: BTreeMap<u64, u32> = instances.iter().map(|of| (of.of, of.age_ms)).collect();
+        let said: BTreeMap<u64, u32> = instances.iter().map(|of| (of.subject, of.age_ms)).collect();
         let known = self.directory.iter().filter_map(|instance| {
             let id = &instance.record.id;
             let age = said.get(&id.stable_hash())?;
-            Some((id.clone(), time_of(*age, now)))
+            Some((id.clone(), time_from_age(*age, now)))
         });
         let known: Vec<(InstanceId, Timestamp)> = known.collect();
         for (instance, at) in known {
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -124,7 +124,7 @@
         }
         let place = self.load_hub.place % candidates.len();
         let current = candidates[place];
-        let heard = self.shared.digest_from(current).unwrap_or_default();
+        let heard = self.shared.last_digest_from(current).unwrap_or_default();
         let silent = heard.max(self.load_hub.since) + HUB_TIMEOUT <= now;
         if silent && current != self.settings.peer_address {
             self.load_hub
@@ -177,7 +177,7 @@
     ) {
         let reported = &self.load_hub.reported;
         let own = |instance: u64| u32::from(reported.get(&instance).copied().unwrap_or(0));
-        self.shared.digested(from, zones, entries, own, now);
+        self.shared.record_digest(from, zones, entries, own, now);
         self.reconsider_waiting(now, out);
     }
 
@@ -268,7 +268,7 @@
             let candidates = self.hub_candidates(zone);
             let heard = candidates
                 .iter()
-                .find(|hub| self.shared.hears_hub(**hub, now));
+                .find(|hub| self.shared.has_recent_sums_from(**hub, now));
             heard.or(candidates.first()).copied()
         };
         zones.into_iter().filter_map(hub).collect()
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -41,7 +41,7 @@
 use crate::ownership::election::Election;
 use crate::ownership::view::OwnershipView;
 use crate::peers::{PeerTraffic, Registry, SharedLoad};
-use crate::rate_limit::{Limiter, Succession};
+use crate::rate_limit::{Limiter, LimiterFailover};
 use crate::requests::{Overloads, RequestContext, Requests};
 use crate::settings::NodeSettings;
 use crate::zone_traffic::ZoneTraffic;
@@ -81,7 +81,7 @@
     load_hub: LoadHub,
     dispatcher: Dispatcher,
     limiter: Limiter,
-    succession: Succession,
+    succession: LimiterFailover,
     overloads: Overloads,
     evacuations: Evacuations,
     quarantine: Quarantine,
@@ -119,7 +119,7 @@
             load_hub: LoadHub::new(now),
             dispatcher: Dispatcher::default(),
             limiter: Limiter::default(),
-            succession: Succession::default(),
+            succession: LimiterFailover::default(),
             overloads: Overloads::default(),
             evacuations: Evacuations::default(),
             quarantine: Quarantine::default(),
@@ -185,26 +185,26 @@
                 let (requests, mut context) = self.requests_and_context(now);
                 requests.arrived(client, source, request, &mut context, out);
             }
-            Input::Unread { client, request } => {
+            Input::RequestWithoutBody { client, request } => {
                 let (requests, mut context) = self.requests_and_context(now);
                 requests.refuse_unread(client, &request, &mut context, out);
             }
             Input::PeerRequest { client, request } => {
                 self.transfer_requested(client, &request, now, out);
             }
-            Input::ClientLeft { client } => {
+            Input::ClientDisconnected { client } => {
                 self.transfer_server.left(client);
                 self.requests.left(client, out);
             }
-            Input::Exchanged {
+            Input::ExchangeEnded {
                 exchange,
                 result,
-                rested,
+                idle_for,
             } => {
                 self.count_answer(exchange, &result);
                 if self.requests.owns(exchange) {
                     let (requests, mut context) = self.requests_and_context(now);
-                    requests.exchanged(exchange, result, rested, &mut context, out);
+                    requests.exchanged(exchange, result, idle_for, &mut context, out);
                     self.take_crash_signs(now, out);
                     self.take_said_leaving(now, out);
                     for ended in self.requests.take_ended() {
--- a/crates/ledgelead-router/src/node/open_requests.rs
+++ b/crates/ledgelead-router/src/node/open_requests.rs
@@ -97,7 +97,7 @@
             counts.extend(self.requests.take_busy());
         }
         for (_, open) in &counts {
-            self.shared.learn(open.instance, open.speed(), now);
+            self.shared.record_speed(open.instance, open.speed(), now);
         }
         if !self.settings.mechanisms.has(Mechanism::SharedLoad) {
             counts.clear();
@@ -150,7 +150,7 @@
         now: Timestamp,
     ) -> Datagram {
         let rest_limit = self.requests.rest_limit(now).unwrap_or(Duration::ZERO);
-        encode(&PeerMessage::Open {
+        encode(&PeerMessage::OpenRequestCounts {
             incarnation: self.settings.identity.incarnation,
             rest_limit_ms: u16::try_from(rest_limit.as_millis()).unwrap_or(u16::MAX),
             changes: List(counts.iter().map(|(_, open)| *open).collect()),
--- a/crates/ledgelead-router/src/node/picture.rs
+++ b/crates/ledgelead-router/src/node/picture.rs
@@ -179,7 +179,9 @@
     fn apply_unreadable(&mut self, kind: ObjectKind, name: &str, gone: bool, now: Timestamp) {
         match kind {
             ObjectKind::Instances if gone => self.directory.remove(name, now),
-            ObjectKind::Instances if self.settings.protections.has(Protection::ForeignUnused) => {
+            ObjectKind::Instances
+                if self.settings.protections.has(Protection::ExcludeUnreadable) =>
+            {
                 self.directory.withdraw(name, now);
             }
             ObjectKind::Nodes if gone => self.registry.remove(&NodeName::from(name)),
--- a/crates/ledgelead-router/src/node/quarantine/keeping.rs
+++ b/crates/ledgelead-router/src/node/quarantine/keeping.rs
@@ -21,7 +21,7 @@
 impl Node {
     /// Whether this node writes evidence to the store now.
     pub(super) fn may_keep(&self) -> bool {
-        self.settings.protections.has(Protection::KeptEvidence)
+        self.settings.protections.has(Protection::PersistedEvidence)
             && !self.quarantine.evidence.is_empty()
             && self.coordination.coordinator().is_some()
             && self.store.health.serves()
@@ -38,7 +38,7 @@
                 None => record.ends.len() >= 2 || !record.quarantined.is_empty(),
             }
         };
-        let weighty = self.quarantine.evidence.weighty();
+        let weighty = self.quarantine.evidence.broadcast_entries();
         let records = weighty.map(|(request, entry)| (*request, QuarantineRecord::new(entry)));
         let mut unkept = records.filter(is_unkept);
         unkept.next().map(|(request, _)| request)
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -13,7 +13,8 @@
 use crate::io::{Action, ExchangeFailure, ExchangeId};
 use crate::protections::Protection;
 use crate::quarantine::{
-    CallerId, End, Evidence, QuarantineRecord, RecentAnswers, Suspects, UnconfirmedAnswers,
+    CallerId, Evidence, InstanceEnd, LostAttempts, QuarantineRecord, RecentAnswers,
+    UnconfirmedAnswers,
 };
 use crate::requests::RequestDigest;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -43,7 +44,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
     pub(super) evidence: Evidence,
-    suspects: Suspects,
+    suspects: LostAttempts,
     recent: RecentAnswers,
     unconfirmed_answers: UnconfirmedAnswers,
     probes: HashMap<ExchangeId, InstanceId>,
@@ -112,12 +113,12 @@
     pub(super) fn take_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let signs = self.requests.take_crash_signs();
         for (instance, accusation) in signs.lost {
-            if self.quarantine.suspects.lost(&instance, accusation, now) {
+            if self.quarantine.suspects.record(&instance, accusation, now) {
                 self.probe(instance, out);
             }
         }
         for (instance, asked) in signs.answered {
-            if instance.born().is_none() {
+            if instance.start_ms().is_none() {
                 self.instance_lives(&instance, asked, now);
             } else if self.is_in_question(&instance, asked) {
                 self.quarantine
@@ -142,7 +143,7 @@
     /// Whether an answer to what was asked at this time disproves an end.
     fn is_end_in_doubt(&self, instance: &InstanceId, asked: Timestamp) -> bool {
         let evidence = &self.quarantine.evidence;
-        let ended = evidence.said_to_have_ended(instance.stable_hash());
+        let ended = evidence.reported_end(instance.stable_hash());
         // An answer to what was asked before may have been on its way.
         ended.is_some_and(|at| at < asked)
     }
@@ -153,7 +154,7 @@
         if self.is_end_in_doubt(instance, asked) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
-            self.quarantine.evidence.disprove(hash, now);
+            self.quarantine.evidence.disprove_end(hash, now);
         }
     }
 
@@ -168,17 +169,20 @@
 
     /// A request that an instance has answered lately is harmless, whatever has ended.
     fn acquit_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
-        let protects = self.settings.protections.has(Protection::Acquittal);
+        let protects = self
+            .settings
+            .protections
+            .has(Protection::AnswerClearsSuspicion);
         let quarantine = &mut self.quarantine;
         if !protects || quarantine.evidence.is_empty() {
             return;
         }
-        if quarantine.recent.holds(request, caller) {
-            quarantine.evidence.acquit(request, caller, now);
-        } else if quarantine.recent.holds(request, CallerId::ALL) {
+        if quarantine.recent.contains(request, caller) {
+            quarantine.evidence.record_answer(request, caller, now);
+        } else if quarantine.recent.contains(request, CallerId::ALL) {
             quarantine
                 .evidence
-                .acquit(request, CallerId::SOME_OTHER, now);
+                .record_answer(request, CallerId::SOME_OTHER, now);
         }
     }
 
@@ -211,14 +215,14 @@
 
     /// An instance has ended: what was lost there is accused.
     fn instance_ended(&mut self, instance: &InstanceId, now: Timestamp) {
-        let accused = self.quarantine.suspects.ended(instance);
+        let accused = self.quarantine.suspects.take_ended(instance);
         if accused.is_empty() {
             return;
         }
         let requests = accused.len();
         Event::InstanceEnded { instance, requests }.emit();
         for accusation in accused {
-            let end = End {
+            let end = InstanceEnd {
                 caller: accusation.caller,
                 instance: instance.stable_hash(),
                 // Not earlier than what the others know to be lost at that moment.
@@ -226,7 +230,7 @@
                 settled: false,
             };
             let evidence = &mut self.quarantine.evidence;
-            evidence.accuse(accusation.request, &accusation.path, end);
+            evidence.record_end(accusation.request, &accusation.path, end);
             self.acquit_if_answered(accusation.request, accusation.caller, now);
         }
     }
--- a/crates/ledgelead-router/src/node/quarantine/news.rs
+++ b/crates/ledgelead-router/src/node/quarantine/news.rs
@@ -6,7 +6,8 @@
 use crate::node::Node;
 use crate::node::gossip::send;
 use crate::peers::{
-    AgedEntry, Datagram, PeerMessage, RequestEntry, aged_instances, encode, evidence_parts, time_of,
+    AgedEntry, Datagram, PeerMessage, RequestEntry, aged_instances, encode, evidence_parts,
+    time_from_age,
 };
 use crate::protections::Protection;
 use crate::quarantine::CallerId;
@@ -37,8 +38,8 @@
 impl Node {
     /// Sends the others what this node has learned by itself, now and some times more.
     pub(super) fn send_news(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if self.quarantine.evidence.has_news() {
-            let (requests, alive) = self.quarantine.evidence.take_news();
+        if self.quarantine.evidence.has_unannounced() {
+            let (requests, alive) = self.quarantine.evidence.take_unannounced();
             self.send_evidence_of(&requests, &alive, now, out);
             let repeat = |after: Duration| Repeat {
                 at: now + after,
@@ -80,7 +81,7 @@
     /// Everything that every node has to know.
     fn all_evidence(&self, wants_reply: bool, now: Timestamp) -> Vec<Datagram> {
         let evidence = &self.quarantine.evidence;
-        let weighty = evidence.weighty();
+        let weighty = evidence.broadcast_entries();
         let entries = weighty.map(|(request, entry)| RequestEntry::new(request, entry, now));
         let alive = aged_instances(evidence.alive().iter(), now);
         evidence_datagrams(entries.collect(), alive, wants_reply)
@@ -112,8 +113,8 @@
         out: &mut Vec<Action>,
     ) {
         for entry in message.alive.iter() {
-            let at = time_of(entry.age_ms, now);
-            self.quarantine.evidence.note_alive(entry.of, at);
+            let at = time_from_age(entry.age_ms, now);
+            self.quarantine.evidence.record_alive(entry.subject, at);
         }
         for entry in message.requests.iter() {
             let (request, entry) = entry.received(now);
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -11,7 +11,7 @@
 use crate::identity::ZoneName;
 use crate::io::Action;
 use crate::peers::{
-    Datagram, PeerMessage, RateLimitEntry, TokenVerdictEntry, age_ms, encode, time_of,
+    Datagram, PeerMessage, RateLimitEntry, TokenVerdictEntry, age_ms, encode, time_from_age,
 };
 use crate::protections::Protection;
 use crate::rate_limit::{LimitStatement, LimiterRole, RateLimit, TokenVerdict};
@@ -95,11 +95,13 @@
         out: &mut Vec<Action>,
     ) -> TokenDecision {
         let limits = self.requests.limits_mut();
-        limits.announced(ask.instance, ask.statement);
+        limits.record_from_peer(ask.instance, ask.statement);
         let verdict = match limits.limit(ask.instance) {
             None => TokenVerdict::Unlimited,
             Some(limit) => match self.limiter_role(ask, now, out) {
-                Some(role) => self.limiter.ask(asker, ask.instance, limit, role, now),
+                Some(role) => self
+                    .limiter
+                    .request_token(asker, ask.instance, limit, role, now),
                 None => TokenVerdict::Refused(OTHER_LIMITER_WAIT),
             },
         };
@@ -119,24 +121,24 @@
         out: &mut Vec<Action>,
     ) -> Option<LimiterRole> {
         if !self.settings.protections.has(Protection::SharedRateLimit) {
-            return Some(LimiterRole::First);
+            return Some(LimiterRole::Primary);
         }
         let own = self.settings.peer_address;
         let candidates = Candidates::of_limit(ask.instance, &ask.zone, &self.registry)?;
         if candidates.first == own {
-            return Some(LimiterRole::First);
+            return Some(LimiterRole::Primary);
         }
         if candidates.second != Some(own) {
             return None;
         }
-        let standing = self.succession.asked_for(candidates.first, now);
+        let standing = self.succession.asked_in_place_of(candidates.first, now);
         if standing.is_probed {
             let probe = PeerMessage::LimiterProbe { is_reply: false };
             send(candidates.first, &[encode(&probe)], out);
         }
         Some(match standing.is_lost {
-            true => LimiterRole::First,
-            false => LimiterRole::Second,
+            true => LimiterRole::Primary,
+            false => LimiterRole::Secondary,
         })
     }
 
@@ -157,7 +159,7 @@
         if self.coordination.coordinator().is_none() || self.requests.limits().is_empty() {
             return;
         }
-        let messages = limits_messages(self.requests.limits().current(now), now);
+        let messages = limits_messages(self.requests.limits().to_announce(now), now);
         if !messages.is_empty() {
             self.broadcast(&messages, now, out);
         }
@@ -175,9 +177,9 @@
         let limits = self.requests.limits_mut();
         for entry in entries.iter() {
             let statement = statement_of(entry, now);
-            limits.announced(entry.instance, statement);
+            limits.record_from_peer(entry.instance, statement);
             if is_coordinator {
-                limits.reported(entry.instance, statement.limit);
+                limits.mark_reported(entry.instance, statement.limit);
             }
         }
         self.reconsider_waiting(now, out);
@@ -219,7 +221,7 @@
         limit: entry
             .millis_per_s
             .map(|millis_per_s| RateLimit { millis_per_s }),
-        at: time_of(entry.age_ms, now),
+        at: time_from_age(entry.age_ms, now),
     }
 }
 
--- a/crates/ledgelead-router/src/node/relay/entries.rs
+++ b/crates/ledgelead-router/src/node/relay/entries.rs
@@ -1,6 +1,5 @@
 //! Objects of the store as entries of datagrams, and back.
 
-use crate::boundary::{self, MAX_WARMUP};
 use crate::dialect::{ObjectContent, ObjectEvent};
 use crate::directory::InstanceRecord;
 use crate::identity::{InstanceId, NodeIdentity, NodeName, ServiceName, ZoneName};
@@ -9,6 +8,7 @@
     ChangedAssignment, ChangedInstance, ChangedNode, InstanceEntry, NodeEntry, NodeRecord,
     Registration,
 };
+use crate::validation::{self, MAX_WARMUP};
 use ledgelead_types::codec::Text;
 use std::time::Duration;
 
@@ -92,7 +92,7 @@
         draining: entry.draining,
         warmup_left: Duration::from_millis(u64::from(entry.warmup_left_ms)).min(MAX_WARMUP),
     };
-    boundary::instance(&record).is_ok().then_some(record)
+    validation::instance(&record).is_ok().then_some(record)
 }
 
 /// The registration of an entry, if it lies within bounds.
@@ -106,7 +106,7 @@
         address: entry.address.0.parse().ok()?,
         millicores: entry.millicores,
     };
-    boundary::node(record.identity.node.as_str(), &record).ok()?;
+    validation::node(record.identity.node.as_str(), &record).ok()?;
     Some(Registration {
         record,
         revision: entry.revision,
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -89,7 +89,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let keeps = self.settings.protections.has(Protection::NewestEpoch);
+        let keeps = self.settings.protections.has(Protection::IgnoreOlderEpochs);
         let gap = self.gossip.relay.gap(kind);
         let earlier = if keeps { gap.announced } else { 0 };
         gap.announced = revision.max(earlier);
--- a/crates/ledgelead-router/src/node/relay/mod.rs
+++ b/crates/ledgelead-router/src/node/relay/mod.rs
@@ -29,7 +29,7 @@
 use crate::io::Action;
 use crate::ownership::record::Assignment;
 use crate::peers::{
-    Assembly, ChangeLog, ChangeSpan, ChangedAssignment, ChangedInstance, ChangedNode,
+    ChangeListAssembler, ChangeLog, ChangeSpan, ChangedAssignment, ChangedInstance, ChangedNode,
     ConfigurationChange, Datagram, LimitsEntry, MAX_PARTS, PeerMessage, RelayedKind, encode,
 };
 use ledgelead_types::codec::{self, List};
@@ -69,13 +69,13 @@
     /// The same for the nodes.
     nodes_revision: u64,
     gaps: [Gap; RelayedKind::ALL.len()],
-    instance_parts: Assembly<ChangedInstance>,
-    snapshot_parts: Assembly<ChangedInstance>,
+    instance_parts: ChangeListAssembler<ChangedInstance>,
+    snapshot_parts: ChangeListAssembler<ChangedInstance>,
     /// Nodes that lack changes of instances which the log doesn't reach back to.
     lacking: Lacking,
-    node_parts: Assembly<ChangedNode>,
-    ownership_parts: Assembly<ChangedAssignment>,
-    configuration_parts: Assembly<(LimitsEntry, Vec<ConfigurationChange>)>,
+    node_parts: ChangeListAssembler<ChangedNode>,
+    ownership_parts: ChangeListAssembler<ChangedAssignment>,
+    configuration_parts: ChangeListAssembler<(LimitsEntry, Vec<ConfigurationChange>)>,
 }
 
 impl Default for RelayState {
@@ -90,12 +90,12 @@
             instances_revision: 0,
             nodes_revision: 0,
             gaps: Default::default(),
-            instance_parts: Assembly::default(),
-            snapshot_parts: Assembly::default(),
+            instance_parts: ChangeListAssembler::default(),
+            snapshot_parts: ChangeListAssembler::default(),
             lacking: Lacking::default(),
-            node_parts: Assembly::default(),
-            ownership_parts: Assembly::default(),
-            configuration_parts: Assembly::default(),
+            node_parts: ChangeListAssembler::default(),
+            ownership_parts: ChangeListAssembler::default(),
+            configuration_parts: ChangeListAssembler::default(),
         }
     }
 }
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -109,7 +109,7 @@
         }
         let follows = self.coordination.coordinator().is_none();
         let before = self.record_before();
-        if follows && self.ownership.overlay(base, revision, assignments) {
+        if follows && self.ownership.apply_changes(base, revision, assignments) {
             self.note_cold_keys(before, now);
             self.reconsider_waiting(now, out);
         }
@@ -147,7 +147,7 @@
         let Some(revision) = self.ownership.revision() else {
             return;
         };
-        let took_over = encode(&PeerMessage::TookOver {
+        let took_over = encode(&PeerMessage::CoordinatorTookOver {
             base,
             revision,
             node: Text(self.settings.identity.node.to_string()),
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -30,7 +30,7 @@
         };
         self.coordination.note_change();
         let answer = self.read_store_answer(&pending.call, pending.era, result, now, out);
-        let apart = self.settings.protections.has(Protection::ForeignApart);
+        let apart = self.settings.protections.has(Protection::IsolateUnreadable);
         let answer = match answer {
             Ok(answer) if !apart && holds_foreign(&answer) => Ok(StoreAnswer::Unreadable(
                 "an object can't be read".to_owned(),
@@ -89,7 +89,9 @@
             }
             self.store.health.failed(started);
             // The one call that goes on while others fail, also where it rests.
-            self.store.watcher(ObjectKind::Instances).poke(now);
+            self.store
+                .watcher(ObjectKind::Instances)
+                .request_catch_up(now);
             if !self.directory.is_confirmed() {
                 // Those that wait for the first view to be confirmed wait in vain.
                 self.reconsider_waiting(now, out);
@@ -114,7 +116,7 @@
             self.store.interrupt(kind, now, now, out);
             let watcher = self.store.watcher(kind);
             if kind == ObjectKind::Instances {
-                watcher.hasten(now);
+                watcher.call_now(now);
             } else if !coordinating {
                 // A coordinator that is heard by then makes them needless.
                 watcher.defer(now + AFTER_FAILURE_PAUSE);
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -10,7 +10,7 @@
 use crate::quarantine::QuarantineRecord;
 use crate::requests::RequestDigest;
 use crate::settings::NodeSettings;
-use crate::store::{StoreHealth, Watcher, call_of_store};
+use crate::store::{StoreHealth, Watcher, with_store_revisions};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -268,7 +268,7 @@
         for kind in [ObjectKind::Instances, ObjectKind::Nodes] {
             let watcher = self.watcher(kind);
             if watcher.is_paged() && !watcher.has_listed() {
-                watcher.hasten(now);
+                watcher.call_now(now);
             }
         }
     }
@@ -279,8 +279,8 @@
         let before = now.saturating_sub(PROBE_PAUSE);
         self.interrupt(ObjectKind::Instances, before, now, out);
         let watcher = self.watcher(ObjectKind::Instances);
-        watcher.poke(now);
-        watcher.hasten(now);
+        watcher.request_catch_up(now);
+        watcher.call_now(now);
     }
 
     pub(super) fn is_registering(&self) -> bool {
@@ -308,7 +308,7 @@
                 // Until it knows the present state, it has nothing to relay, and
                 // the others begin to ask by themselves.
                 watcher.set_first_may_be_stale(false);
-                watcher.ask_at_once(now);
+                watcher.call_now_with_short_wait(now);
             }
         }
     }
@@ -328,10 +328,10 @@
         }
         if paused && self.health.has_failed() {
             // It goes on as the probe.
-            self.watcher(ObjectKind::Instances).poke(now);
+            self.watcher(ObjectKind::Instances).request_catch_up(now);
         }
         if resumes {
-            self.watcher(ObjectKind::Instances).hasten(now);
+            self.watcher(ObjectKind::Instances).call_now(now);
             for (kind, pause) in RESUME_PAUSES {
                 self.watcher(kind).defer(now + pause);
             }
@@ -375,7 +375,7 @@
 
     /// Asks the store once for what a paused watch has missed.
     pub(super) fn poke(&mut self, kind: ObjectKind, now: Timestamp) {
-        self.watcher(kind).poke(now);
+        self.watcher(kind).request_catch_up(now);
     }
 
     /// This node lacks something that only the store can tell, while its calls
@@ -464,15 +464,15 @@
         out.push(Action::Exchange {
             exchange,
             address: self.settings.store_address,
-            request: self.dialect.store_request(&call_of_store(&call)),
+            request: self.dialect.store_request(&with_store_revisions(&call)),
             options: ExchangeOptions {
                 match_header: None,
                 reuse_idle_below: REUSE_IDLE,
                 connect_timeout: CONNECT_TIMEOUT,
                 write_timeout: None,
-                settle: Duration::ZERO,
+                settle_time: Duration::ZERO,
                 timeout,
-                renewed: true,
+                timeout_is_idle: true,
             },
         });
         self.store.calls += 1;
--- a/crates/ledgelead-router/src/node/store_era.rs
+++ b/crates/ledgelead-router/src/node/store_era.rs
@@ -13,7 +13,7 @@
 use crate::ownership::record::OwnershipRecord;
 use crate::ownership::view::RecordVersion;
 use crate::protections::Protection;
-use crate::store::{answer_in, era_of};
+use crate::store::{era_of, with_era};
 use ledgelead_http::Response;
 
 impl Node {
@@ -42,14 +42,14 @@
     ) -> Result<StoreAnswer, ExchangeFailure> {
         let response = result?;
         let answer = self.dialect.store_answer(call, &response);
-        if !self.settings.protections.has(Protection::EraBound) {
+        if !self.settings.protections.has(Protection::EraIsolation) {
             return Ok(answer);
         }
         let era = match self.era_of_answer(&response) {
             Ok(era) => era,
             Err(finding) => return Ok(StoreAnswer::Unreadable(finding)),
         };
-        let answer = match answer_in(era, answer) {
+        let answer = match with_era(era, answer) {
             Ok(answer) => answer,
             Err(finding) => return Ok(StoreAnswer::Unreadable(finding)),
         };
@@ -114,7 +114,7 @@
         version: RecordVersion,
         now: Timestamp,
     ) {
-        if !self.ownership.is_news(version) {
+        if !self.ownership.is_update(version) {
             return;
         }
         if record.is_later_than(self.ownership.record()) {
@@ -124,7 +124,7 @@
             revision,
             is_confirmed,
         } = version;
-        self.ownership.set_back(Some(revision), is_confirmed);
+        self.ownership.rewind_revision(Some(revision), is_confirmed);
         self.coordination.election.confirmed(now);
     }
 
@@ -133,7 +133,7 @@
         let era = self.store.era;
         let known = self.ownership.revision();
         if known.is_some_and(|known| era_of(known) < era) {
-            self.ownership.set_back(None, true);
+            self.ownership.rewind_revision(None, true);
             self.coordination.election.confirmed(now);
         }
     }
@@ -142,7 +142,7 @@
     /// until the era ended, or the coordinator has said since that its last version of the
     /// record is the one that is known here. No later coordinator was heard of.
     pub(super) fn knows_all_owners(&self) -> bool {
-        if !self.ownership.is_of_former_era() {
+        if !self.ownership.is_from_earlier_era() {
             return true;
         }
         let record = self.ownership.record();
@@ -151,7 +151,7 @@
         let is_first = epoch == 0 && record.assignments.is_empty();
         let written = self
             .ownership
-            .written_at()
+            .written_revision()
             .map(|revision| (epoch, revision));
         let is_vouched = written.is_some() && self.coordination.vouched_record() == written;
         is_first || self.continues_own_epoch() || is_vouched && self.newest_epoch() <= epoch
@@ -161,7 +161,7 @@
     /// coordinator since.
     pub(super) fn continues_own_epoch(&self) -> bool {
         let epoch = self.ownership.record().epoch;
-        self.ownership.is_of_former_era()
+        self.ownership.is_from_earlier_era()
             && self.coordination.coordinated_until_era() == Some(epoch)
             && self.newest_epoch() <= epoch
     }
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -18,7 +18,6 @@
 use super::relay::registration;
 use super::store_calls::Purpose;
 use crate::Timestamp;
-use crate::boundary;
 use crate::dialect::{ObjectKind, StoreCall};
 use crate::directory::Entry;
 use crate::events::Event;
@@ -31,6 +30,7 @@
     TransferAnswer, TransferRequest, TransferredObjects, TransferredState,
 };
 use crate::store::era_of;
+use crate::validation;
 use ledgelead_http::{Request, Response};
 use ledgelead_types::codec::{self, Text};
 use rand::{RngExt, SeedableRng};
@@ -232,13 +232,13 @@
         };
         let request = TransferRequest {
             kind,
-            known,
+            known_revision: known,
             zone: Text(self.settings.zone.to_string()),
             address,
             link_bytes_per_s: self.settings.link_bytes_per_s,
         };
         if is_list {
-            self.store.watcher(kind.object_kind()).asks_elsewhere();
+            self.store.watcher(kind.object_kind()).mark_call_to_peer();
         }
         let exchange = self.exchanges.next_id();
         let asked = Asked {
@@ -257,9 +257,9 @@
                 reuse_idle_below: Duration::ZERO,
                 connect_timeout: CONNECT_TIMEOUT,
                 write_timeout: None,
-                settle: Duration::ZERO,
+                settle_time: Duration::ZERO,
                 timeout: PROGRESS_TIMEOUT,
-                renewed: true,
+                timeout_is_idle: true,
             },
         });
     }
@@ -290,7 +290,7 @@
                 }
                 self.ask_again(&asked, Vec::new(), now);
             }
-            Some(TransferAnswer::Elsewhere { nodes }) => {
+            Some(TransferAnswer::Redirect { nodes }) => {
                 let mut nodes: Vec<SocketAddr> = nodes.iter().map(|node| node.socket()).collect();
                 nodes.retain(|node| *node != asked.source);
                 self.ask_again(&asked, nodes, now);
@@ -314,7 +314,7 @@
         };
         if asked.is_list {
             let watcher = self.store.watcher(asked.kind.object_kind());
-            watcher.list_again(now + pause);
+            watcher.restart_list(now + pause);
         } else {
             self.gossip.relay.review_gap_at(asked.kind, now + pause);
         }
@@ -338,7 +338,7 @@
         let is_news = asked.is_list || known < revision;
         let is_former =
             asked.kind != RelayedKind::Configuration && era_of(revision) < self.store.era;
-        if !is_news || is_former || boundary::revision("revision", revision).is_err() {
+        if !is_news || is_former || validation::revision("revision", revision).is_err() {
             return false;
         }
         let as_of = age_ms.map(|age| {
@@ -439,7 +439,7 @@
             next_fence: entry.next_fence,
             assignments,
         };
-        if boundary::ownership(super::OWNERSHIP_NAME, &record).is_err() {
+        if validation::ownership(super::OWNERSHIP_NAME, &record).is_err() {
             return false;
         }
         // A take-over rests on what the store itself has told.
@@ -455,7 +455,7 @@
 
     /// A list of a kind has come from another node, with all changes up to a revision.
     fn list_received(&mut self, kind: ObjectKind, revision: u64, now: Timestamp) {
-        self.store.watcher(kind).listed_elsewhere(revision, now);
+        self.store.watcher(kind).listed_by_peer(revision, now);
         self.gossip.relay.changed(kind, revision);
     }
 
--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -16,8 +16,9 @@
 use crate::node::Node;
 use crate::node::relay::{changed_assignment, listed_node};
 use crate::peers::{
-    ConfigurationDelta, CoordinatorEntry, InstanceTable, PeerAddress, RecordEntry, RelayedKind,
-    TransferAnswer, TransferRequest, TransferredObjects, TransferredState, WholeConfiguration,
+    ConfigurationDelta, CoordinatorEntry, FullConfiguration, InstanceTable, PeerAddress,
+    RecordEntry, RelayedKind, TransferAnswer, TransferRequest, TransferredObjects,
+    TransferredState,
 };
 use crate::{short_millis, whole_millis};
 use ledgelead_http::{Request, Response};
@@ -231,7 +232,7 @@
 
     fn refer(&mut self, request: &Waiting, out: &mut Vec<Action>) {
         let nodes = self.transfer_server.referral(request);
-        let answer = TransferAnswer::Elsewhere { nodes };
+        let answer = TransferAnswer::Redirect { nodes };
         respond(request.client, codec::encode(&answer), out);
     }
 
@@ -249,7 +250,8 @@
             return Decision::Send(body);
         }
         let has_waited = *since + ROOM_WITHIN <= now;
-        match is_over || is_served && has_waited && self.has_newer(asked.kind, asked.known) {
+        match is_over || is_served && has_waited && self.has_newer(asked.kind, asked.known_revision)
+        {
             true => Decision::Refer,
             false => Decision::Wait,
         }
@@ -258,10 +260,10 @@
     /// The encoded objects, if they are newer and there is room for them on the link.
     fn state_for(&mut self, asked: &TransferRequest, now: Timestamp) -> Option<Vec<u8>> {
         let has_room = self.transfer_server.link_free_at <= now + MAX_BACKLOG;
-        if !has_room || !self.has_newer(asked.kind, asked.known) {
+        if !has_room || !self.has_newer(asked.kind, asked.known_revision) {
             return None;
         }
-        let body = self.encoded_state(asked.kind, asked.known, now)?;
+        let body = self.encoded_state(asked.kind, asked.known_revision, now)?;
         let share = self.settings.link_bytes_per_s as f64 * LINK_SHARE;
         let takes = Duration::try_from_secs_f64(body.len() as f64 / share.max(1.0));
         let server = &mut self.transfer_server;
@@ -321,7 +323,7 @@
             RelayedKind::Ownership => TransferredObjects::Ownership(self.record_entry()),
             RelayedKind::Configuration => {
                 let delta = ConfigurationDelta::between(None, self.configuration.as_ref()?)?;
-                TransferredObjects::Configuration(WholeConfiguration {
+                TransferredObjects::Configuration(FullConfiguration {
                     limits: delta.limits,
                     entries: List(delta.changes),
                 })
--- a/crates/ledgelead-router/src/node/zone_traffic.rs
+++ b/crates/ledgelead-router/src/node/zone_traffic.rs
@@ -4,7 +4,7 @@
 use crate::identity::{InstanceId, ZoneName};
 use crate::io::{Action, ExchangeFailure, ExchangeId};
 use crate::peers::Datagram;
-use crate::zone_traffic::{ORDERS, Place, REQUESTS, STORE, TRANSFERS};
+use crate::zone_traffic::{ORDERS, REQUESTS, STORE, TRANSFERS, ZoneRelation};
 use ledgelead_http::{Request, Response, request_bytes, response_bytes};
 use std::net::SocketAddr;
 
@@ -67,12 +67,12 @@
     }
 
     /// What an exchange is for and where it goes; nothing if it is forgotten.
-    fn purpose_of(&self, exchange: ExchangeId) -> Option<(&'static str, Place)> {
+    fn purpose_of(&self, exchange: ExchangeId) -> Option<(&'static str, ZoneRelation)> {
         if let Some(instance) = self.requests.instance_of(exchange) {
             return Some((REQUESTS, self.place_of_instance(instance)));
         }
         if self.store.owns(exchange) {
-            return Some((STORE, Place::Unknown));
+            return Some((STORE, ZoneRelation::Unknown));
         }
         if let Some(source) = self.transfers.source(exchange) {
             return Some((TRANSFERS, self.place_of_node(source)));
@@ -81,20 +81,20 @@
         Some((ORDERS, self.place_of_instance(instance)))
     }
 
-    fn place_of_instance(&self, id: &InstanceId) -> Place {
+    fn place_of_instance(&self, id: &InstanceId) -> ZoneRelation {
         let instance = self.directory.get(id);
         self.place_of(instance.map(|instance| &instance.record.zone))
     }
 
-    fn place_of_node(&self, address: SocketAddr) -> Place {
+    fn place_of_node(&self, address: SocketAddr) -> ZoneRelation {
         self.place_of(self.registry.zone_at(address))
     }
 
-    fn place_of(&self, zone: Option<&ZoneName>) -> Place {
+    fn place_of(&self, zone: Option<&ZoneName>) -> ZoneRelation {
         match zone {
-            Some(zone) if *zone == self.settings.zone => Place::Own,
-            Some(_) => Place::Other,
-            None => Place::Unknown,
+            Some(zone) if *zone == self.settings.zone => ZoneRelation::Own,
+            Some(_) => ZoneRelation::Other,
+            None => ZoneRelation::Unknown,
         }
     }
 }
--- a/crates/ledgelead-router/src/ownership/coordinator/mod.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/mod.rs
@@ -1,19 +1,19 @@
 //! The coordinator of ownership: grants, renewals, moves and the record.
 
-mod holding;
 mod orders;
 mod overload;
 mod placement;
+mod shard;
 mod unreachable;
 mod writes;
 
-use self::holding::{Holding, State};
-use self::placement::Gathering;
+use self::placement::RegistrationWindow;
+use self::shard::{Shard, State};
 use self::unreachable::UnreachableOwners;
 use super::lease::Lease;
 use super::load::KeyLoad;
 use super::record::OwnershipRecord;
-use super::work::{Work, WorkTable};
+use super::work::{CapacityEstimator, WorkSample};
 use crate::Timestamp;
 use crate::configuration::Configuration;
 use crate::dialect::Order;
@@ -91,7 +91,7 @@
     record: OwnershipRecord,
     next_fence: u64,
     /// A range keeps its place; what is split off it is added at the end.
-    holdings: Vec<Holding>,
+    shards: Vec<Shard>,
     /// Places of the ranges whose orders are out.
     orders_out: HashMap<ExchangeId, usize>,
     /// Changes of the directory by which owners were looked at last, and when they are next
@@ -99,10 +99,10 @@
     owners_reviewed: Option<u64>,
     next_owner_review: Timestamp,
     loads: BTreeMap<ServiceName, KeyLoad>,
-    work: WorkTable,
+    work: CapacityEstimator,
     /// The same over several seconds, for services whose owners are contended.
-    steady_loads: BTreeMap<ServiceName, KeyLoad>,
-    steady_work: WorkTable,
+    long_window_loads: BTreeMap<ServiceName, KeyLoad>,
+    long_window_work: CapacityEstimator,
     writing: Option<OwnershipRecord>,
     writing_since: Option<Timestamp>,
     /// When the record may be written again.
@@ -116,7 +116,7 @@
     unreachable: UnreachableOwners,
     /// Keys that are asked for more often than their owners can work.
     overloads: Vec<OverloadedKey>,
-    gatherings: BTreeMap<ServiceName, Gathering>,
+    registration_windows: BTreeMap<ServiceName, RegistrationWindow>,
     protections: Protections,
     counters: OwnershipCounters,
 }
@@ -161,10 +161,10 @@
         protections: Protections,
         now: Timestamp,
     ) -> Coordinator {
-        let holdings = record
+        let shards = record
             .assignments
             .iter()
-            .map(|assignment| Holding {
+            .map(|assignment| Shard {
                 service: assignment.service.clone(),
                 range: assignment.range(),
                 owner: Some(assignment.owner.clone()),
@@ -176,14 +176,14 @@
         Coordinator {
             next_fence: record.next_fence,
             record,
-            holdings,
+            shards,
             orders_out: HashMap::new(),
             owners_reviewed: None,
             next_owner_review: now,
             loads: BTreeMap::new(),
-            work: WorkTable::new(now),
-            steady_loads: BTreeMap::new(),
-            steady_work: WorkTable::steady(now),
+            work: CapacityEstimator::new(now),
+            long_window_loads: BTreeMap::new(),
+            long_window_work: CapacityEstimator::long_window(now),
             writing: None,
             writing_since: None,
             next_write: now,
@@ -193,7 +193,7 @@
             next_placement: now,
             unreachable: UnreachableOwners::default(),
             overloads: Vec::new(),
-            gatherings: BTreeMap::new(),
+            registration_windows: BTreeMap::new(),
             protections,
             counters: OwnershipCounters::default(),
         }
@@ -204,8 +204,8 @@
     /// owners that it names, or to others where those are gone.
     pub fn with_unknown_holds(mut self, until: Timestamp) -> Coordinator {
         self.unknown_holds_until = until;
-        for holding in &mut self.holdings {
-            holding.wait_out(until);
+        for shard in &mut self.shards {
+            shard.wait_out(until);
         }
         self
     }
@@ -243,8 +243,8 @@
         }
         self.earlier.predecessor = now;
         let earliest = Lease::inherited(now, self.earlier.end()).possible_until;
-        for holding in &mut self.holdings {
-            holding.lease.possible_until = holding.lease.possible_until.min(earliest);
+        for shard in &mut self.shards {
+            shard.lease.possible_until = shard.lease.possible_until.min(earliest);
         }
     }
 
@@ -262,17 +262,17 @@
         for key in keys {
             load.record(*key);
         }
-        if let Some(steady) = self.steady_loads.get_mut(service) {
+        if let Some(long_window) = self.long_window_loads.get_mut(service) {
             for key in keys {
-                steady.record(*key);
+                long_window.record(*key);
             }
         }
     }
 
     /// An owner did this work for one node's requests.
-    pub fn record_work(&mut self, instance: u64, work: Work) {
+    pub fn record_work(&mut self, instance: u64, work: WorkSample) {
         self.work.record(instance, work);
-        self.steady_work.record(instance, work);
+        self.long_window_work.record(instance, work);
     }
 
     /// Decides what is due. Orders must be sent at once or not at all: the
@@ -292,26 +292,26 @@
 
     /// When `step` has something to do next.
     pub fn next_step(&self) -> Timestamp {
-        let of_holding = |holding: &Holding| match &holding.state {
-            State::Held if holding.lease.order.is_some() => None,
-            State::Held if holding.lease.is_given_up() => Some(holding.lease.possible_until),
-            State::Held => Some(holding.lease.next_grant),
-            State::Releasing { order: None, .. } if holding.lease.order.is_some() => None,
+        let of_shard = |shard: &Shard| match &shard.state {
+            State::Held if shard.lease.order.is_some() => None,
+            State::Held if shard.lease.is_given_up() => Some(shard.lease.possible_until),
+            State::Held => Some(shard.lease.next_grant),
+            State::Releasing { order: None, .. } if shard.lease.order.is_some() => None,
             State::Releasing {
                 order: None,
                 next_try,
                 ..
-            } if holding.lease.fenced => Some(*next_try),
-            State::Releasing { order: None, .. } if holding.lease.is_given_up() => {
-                Some(holding.lease.possible_until)
+            } if shard.lease.fenced => Some(*next_try),
+            State::Releasing { order: None, .. } if shard.lease.is_given_up() => {
+                Some(shard.lease.possible_until)
             }
-            State::Releasing { order: None, .. } => Some(holding.lease.next_grant),
-            State::Releasing { .. } => Some(holding.lease.possible_until),
-            State::Free { .. } | State::Writing { .. } => None,
+            State::Releasing { order: None, .. } => Some(shard.lease.next_grant),
+            State::Releasing { .. } => Some(shard.lease.possible_until),
+            State::Free { .. } | State::Assigning { .. } => None,
         };
-        self.holdings
+        self.shards
             .iter()
-            .filter_map(of_holding)
+            .filter_map(of_shard)
             .chain([self.next_plan])
             .chain(self.next_possible_write())
             .min()
--- a/crates/ledgelead-router/src/ownership/coordinator/orders.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/orders.rs
@@ -1,8 +1,8 @@
 //! Orders to instances, and their ends.
 
-use super::holding::RELEASE_RETRY;
-use super::holding::{Holding, State};
-use super::placement::takers;
+use super::placement::eligible_instances;
+use super::shard::RELEASE_RETRY;
+use super::shard::{Shard, State};
 use super::{Commands, Context, Coordinator, OutgoingOrder};
 use crate::Timestamp;
 use crate::dialect::{Order, OrderAnswer};
@@ -29,24 +29,24 @@
     /// after the owner has answered a grant of this epoch: otherwise a grant
     /// of this or of an earlier coordinator could take the keys once more.
     pub(super) fn release(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
-        for (place, holding) in self.holdings.iter_mut().enumerate() {
+        for (place, shard) in self.shards.iter_mut().enumerate() {
             let State::Releasing {
                 target,
                 order,
                 next_try,
-            } = &mut holding.state
+            } = &mut shard.state
             else {
                 continue;
             };
-            if holding.lease.is_over(self.protections, context.now) {
+            if shard.lease.is_over(self.protections, context.now) {
                 self.counters.lapses += 1;
-                holding.state = State::Free {
+                shard.state = State::Free {
                     target: target.take(),
                     handover: None,
                 };
                 continue;
             }
-            let reachable = holding.lease.fenced && holding.lease.order.is_none();
+            let reachable = shard.lease.fenced && shard.lease.order.is_none();
             if order.is_some() || *next_try > context.now || !reachable {
                 continue;
             }
@@ -55,12 +55,12 @@
                 *next_try = context.now + RELEASE_RETRY;
                 continue;
             }
-            let Some(instance) = holding
+            let Some(instance) = shard
                 .owner
                 .as_ref()
                 .and_then(|id| context.directory.addressee(id))
             else {
-                *next_try = holding.lease.possible_until;
+                *next_try = shard.lease.possible_until;
                 continue;
             };
             let exchange = context.exchanges.next_id();
@@ -74,7 +74,7 @@
                 instance: instance.record.id.clone(),
                 address: instance.record.address,
                 order: Order::Release {
-                    range: holding.range,
+                    range: shard.range,
                     fence,
                 },
             });
@@ -85,27 +85,27 @@
     /// released is granted on only until its owner has answered this coordinator once.
     pub(super) fn grant(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
         for place in self.due_grants(context.now) {
-            let holding = &mut self.holdings[place];
-            let instance = holding
+            let shard = &mut self.shards[place];
+            let instance = shard
                 .owner
                 .as_ref()
                 .and_then(|id| context.directory.addressee(id));
             let Some(instance) = instance else {
-                holding.lease.unanswered(false, context.now);
+                shard.lease.unanswered(false, context.now);
                 continue;
             };
             let exchange = context.exchanges.next_id();
-            holding.lease.granting(exchange);
+            shard.lease.granting(exchange);
             self.orders_out.insert(exchange, place);
             commands.orders.push(OutgoingOrder {
                 exchange,
                 instance: instance.record.id.clone(),
                 address: instance.record.address,
                 order: Order::Grant {
-                    range: holding.range,
-                    fence: holding.fence,
+                    range: shard.range,
+                    fence: shard.fence,
                     hold: crate::settings::HOLD,
-                    handover: holding.lease.handover.clone(),
+                    handover: shard.lease.handover.clone(),
                 },
             });
         }
@@ -113,22 +113,22 @@
 
     /// Places of the ranges whose grants are due, as many as may be out.
     fn due_grants(&self, now: Timestamp) -> Vec<usize> {
-        let is_due = |holding: &Holding| {
-            let wanted = match &holding.state {
-                _ if holding.lease.is_given_up() => false,
+        let is_due = |shard: &Shard| {
+            let wanted = match &shard.state {
+                _ if shard.lease.is_given_up() => false,
                 State::Held => true,
-                State::Releasing { order, .. } => order.is_none() && !holding.lease.fenced,
-                State::Free { .. } | State::Writing { .. } => false,
+                State::Releasing { order, .. } => order.is_none() && !shard.lease.fenced,
+                State::Free { .. } | State::Assigning { .. } => false,
             };
-            wanted && holding.lease.order.is_none() && holding.lease.next_grant <= now
+            wanted && shard.lease.order.is_none() && shard.lease.next_grant <= now
         };
-        let places = 0..self.holdings.len();
+        let places = 0..self.shards.len();
         let mut due: Vec<usize> = places
-            .filter(|place| is_due(&self.holdings[*place]))
+            .filter(|place| is_due(&self.shards[*place]))
             .collect();
         let room = MAX_ORDERS_OUT.saturating_sub(self.orders_out.len());
         if due.len() > room {
-            due.sort_by_key(|place| self.holdings[*place].lease.next_grant);
+            due.sort_by_key(|place| self.shards[*place].lease.next_grant);
             due.truncate(room);
         }
         due
@@ -136,7 +136,7 @@
 
     /// Time between two grants of a range: longer where there are many.
     fn renewal_interval(&self) -> Duration {
-        let ranges = u32::try_from(self.holdings.len()).unwrap_or(u32::MAX);
+        let ranges = u32::try_from(self.shards.len()).unwrap_or(u32::MAX);
         let interval = Duration::from_secs(1).saturating_mul(ranges) / RENEWALS_PER_S;
         interval.clamp(RENEWAL_INTERVAL, MAX_RENEWAL_INTERVAL)
     }
@@ -150,13 +150,13 @@
     ) {
         let interval = self.renewal_interval();
         let place = self.orders_out.remove(&exchange);
-        let Some(holding) = place.and_then(|place| self.holdings.get_mut(place)) else {
+        let Some(shard) = place.and_then(|place| self.shards.get_mut(place)) else {
             return;
         };
-        if holding.lease.order == Some(exchange) {
-            holding.grant_ended(result, interval, now, &mut self.counters);
+        if shard.lease.order == Some(exchange) {
+            shard.grant_ended(result, interval, now, &mut self.counters);
         } else {
-            holding.release_ended(result, now, &mut self.counters);
+            shard.release_ended(result, now, &mut self.counters);
         }
     }
 
@@ -171,36 +171,36 @@
             self.owners_reviewed = Some(changes);
             self.next_owner_review = context.now + OWNER_REVIEW_INTERVAL;
         }
-        for holding in &mut self.holdings {
-            let Some(owner) = &holding.owner else {
+        for shard in &mut self.shards {
+            let Some(owner) = &shard.owner else {
                 continue;
             };
-            if !reviews_all && !holding.lease.is_silent() {
+            if !reviews_all && !shard.lease.is_silent() {
                 continue;
             }
             if let Some(later) = context.directory.later_life(owner) {
-                if holding.has_order_out() {
+                if shard.has_order_out() {
                     // To be looked at again as soon as that has ended.
                     self.owners_reviewed = None;
                 }
                 let later = later.serves().then(|| later.record.id.clone());
-                holding.pass_to_later_life(later, context.now);
+                shard.hand_to_later_incarnation(later, context.now);
                 continue;
             }
             if context.directory.has_ended(owner) {
-                holding.lease.possible_until = holding.lease.possible_until.min(context.now);
+                shard.lease.possible_until = shard.lease.possible_until.min(context.now);
             }
             let leaving = match context.directory.get(owner) {
                 Some(instance) => !instance.serves() || must_warm_up(context, instance),
                 None => context.directory.is_settled(context.now),
             };
-            let over = holding.lease.is_over(self.protections, context.now);
-            let lapsed = holding.lease.is_silent() && over;
+            let over = shard.lease.is_over(self.protections, context.now);
+            let lapsed = shard.lease.is_silent() && over;
             if lapsed {
                 self.unreachable.note(owner, context.now);
             }
-            if matches!(holding.state, State::Held) && (leaving || lapsed) {
-                holding.state = State::Releasing {
+            if matches!(shard.state, State::Held) && (leaving || lapsed) {
+                shard.state = State::Releasing {
                     target: None,
                     order: None,
                     next_try: context.now,
@@ -219,5 +219,7 @@
         service.is_some_and(|service| service.cold_rate.is_some())
     };
     let is_warm = |other: &Instance| !other.is_cold(context.now);
-    instance.is_cold(context.now) && is_bounded() && takers(context, service).any(is_warm)
+    instance.is_cold(context.now)
+        && is_bounded()
+        && eligible_instances(context, service).any(is_warm)
 }
--- a/crates/ledgelead-router/src/ownership/coordinator/overload.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/overload.rs
@@ -9,10 +9,10 @@
 /// Utilisation of an owner by one key from which part of its requests is
 /// refused: by chance, counts of a second reach 1.3 at a capacity of 12 a second.
 const OVERLOAD: f64 = 1.5;
-/// Share of the owner's capacity that is admitted. Somewhat more than all of it,
+/// InstanceShare of the owner's capacity that is admitted. Somewhat more than all of it,
 /// so that its slots never wait for the next request.
 const ADMITTED: f64 = 1.1;
-/// Share of the owner's capacity that such a key gets at least, whatever the
+/// InstanceShare of the owner's capacity that such a key gets at least, whatever the
 /// owner's other keys are asked for: those move away.
 const LEAST_LEFT: f64 = 0.3;
 /// Most keys that are announced, those that exceed their owners the most.
--- a/crates/ledgelead-router/src/ownership/coordinator/placement.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/placement.rs
@@ -1,7 +1,7 @@
 //! Who should own what: first owners, moves, the next owner of free keys.
 
 use super::PLAN_INTERVAL;
-use super::holding::{Holding, State};
+use super::shard::{Shard, State};
 use super::{Context, Coordinator};
 use crate::Timestamp;
 use crate::dialect::KeyRange;
@@ -13,7 +13,7 @@
 use crate::ownership::load::KeyLoad;
 use crate::ownership::planner;
 use crate::ownership::planner::{Candidate, PlanSettings};
-use crate::ownership::work::WorkTable;
+use crate::ownership::work::CapacityEstimator;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 
 /// What an instance has of a service's keys.
 #[derive(Clone, Debug, Default)]
-struct Share {
+struct InstanceShare {
     /// Ranges that it holds and that are not on the move.
     ranges: Vec<KeyRange>,
     /// Requests a second for ranges that are on their way to it.
@@ -48,13 +48,13 @@
 
 /// The first owners of a service's keys as they register.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Gathering {
+pub(super) struct RegistrationWindow {
     began: Timestamp,
     count: usize,
     grew: Timestamp,
 }
 
-impl Gathering {
+impl RegistrationWindow {
     pub(super) fn is_over(&self, demand: bool, now: Timestamp) -> bool {
         let waited = now.saturating_sub(self.began);
         let settled = now >= self.grew + FIRST_OWNERS_SETTLED;
@@ -72,7 +72,7 @@
         }
         self.next_plan = context.now + PLAN_INTERVAL;
         self.work.decay(context.now);
-        self.steady_work.decay(context.now);
+        self.long_window_work.decay(context.now);
         self.follow_contended(context);
         self.overloads.clear();
         // A range that is released while the record can't be written is
@@ -88,16 +88,20 @@
             let overloaded = self.overloaded(&service, &candidates);
             self.overloads.extend(overloaded);
             if may_move {
-                self.plan_moves_of(context, &service, within_limits(context, candidates));
-                self.plan_steady_moves(context, &service);
+                self.plan_moves_of(
+                    context,
+                    &service,
+                    capped_by_rate_limits(context, candidates),
+                );
+                self.plan_long_window_moves(context, &service);
             }
         }
     }
 
-    /// Keeps steady counts for contended services: there the load comes so near to the
+    /// Keeps long_window counts for contended services: there the load comes so near to the
     /// capacity that owners of unequal speed have to be filled evenly.
     fn follow_contended(&mut self, context: &Context<'_>) {
-        let contended = match context.mechanisms.has(Mechanism::SteadyBalance) {
+        let contended = match context.mechanisms.has(Mechanism::LongWindowBalance) {
             true => {
                 let mut contended = context.configuration.contended_services();
                 contended.retain(|service| self.loads.contains_key(service));
@@ -105,22 +109,22 @@
             }
             false => BTreeSet::new(),
         };
-        self.steady_loads
+        self.long_window_loads
             .retain(|service, _| contended.contains(service));
         for service in contended {
-            let load = self.steady_loads.entry(service);
-            load.or_insert_with(|| KeyLoad::steady(context.now))
+            let load = self.long_window_loads.entry(service);
+            load.or_insert_with(|| KeyLoad::long_window(context.now))
                 .decay(context.now);
         }
     }
 
-    fn plan_steady_moves(&mut self, context: &Context<'_>, service: &ServiceName) {
-        let Some(load) = self.steady_loads.get(service) else {
+    fn plan_long_window_moves(&mut self, context: &Context<'_>, service: &ServiceName) {
+        let Some(load) = self.long_window_loads.get(service) else {
             return;
         };
-        let candidates = self.candidates_by(context, service, &self.steady_work, Some(load));
-        let settings = PlanSettings::steady();
-        let candidates = within_limits(context, candidates);
+        let candidates = self.candidates_by(context, service, &self.long_window_work, Some(load));
+        let settings = PlanSettings::long_window();
+        let candidates = capped_by_rate_limits(context, candidates);
         for planned in planner::plan(candidates, load, settings) {
             self.begin_move(service, &planned, context.now);
         }
@@ -136,7 +140,7 @@
             return;
         };
         let settings = PlanSettings {
-            chance_margin: context.mechanisms.has(Mechanism::ChanceMargin),
+            noise_margin: context.mechanisms.has(Mechanism::NoiseMargin),
             ..PlanSettings::default()
         };
         for planned in planner::plan(candidates, load, settings) {
@@ -157,10 +161,10 @@
         &self,
         context: &Context<'_>,
         service: &ServiceName,
-        work: &WorkTable,
+        work: &CapacityEstimator,
         load: Option<&KeyLoad>,
     ) -> Vec<Candidate> {
-        let instances: Vec<&Instance> = takers(context, service).collect();
+        let instances: Vec<&Instance> = eligible_instances(context, service).collect();
         let capacities: Vec<Option<f64>> = instances
             .iter()
             .map(|instance| {
@@ -180,12 +184,12 @@
                 let assumed = || typical.unwrap_or_else(|| default_capacity(instance));
                 let share = shares.remove(&instance.record.id).unwrap_or_default();
                 let is_unreachable = self.unreachable.contains(&instance.record.id, context.now);
-                let takes_keys = !share.is_silent && !is_unreachable;
+                let accepts_keys = !share.is_silent && !is_unreachable;
                 Candidate {
                     id: instance.record.id.clone(),
                     capacity: capacity.unwrap_or_else(assumed),
                     ranges: share.ranges,
-                    takes_keys: takes_keys && !instance.is_cold(context.now),
+                    accepts_keys: accepts_keys && !instance.is_cold(context.now),
                     incoming: share.incoming,
                     keys: share.keys,
                 }
@@ -194,41 +198,45 @@
     }
 
     /// What each instance has of a service's keys, in one pass over all ranges.
-    fn shares(&self, service: &ServiceName, load: Option<&KeyLoad>) -> HashMap<InstanceId, Share> {
-        let mut shares: HashMap<InstanceId, Share> = HashMap::new();
-        let of_service = |holding: &&Holding| holding.service == *service;
-        for holding in self.holdings.iter().filter(of_service) {
-            if let Some(owner) = &holding.owner {
+    fn shares(
+        &self,
+        service: &ServiceName,
+        load: Option<&KeyLoad>,
+    ) -> HashMap<InstanceId, InstanceShare> {
+        let mut shares: HashMap<InstanceId, InstanceShare> = HashMap::new();
+        let of_service = |shard: &&Shard| shard.service == *service;
+        for shard in self.shards.iter().filter(of_service) {
+            if let Some(owner) = &shard.owner {
                 let share = shares.entry(owner.clone()).or_default();
-                share.is_silent |= holding.lease.is_silent();
-                if matches!(holding.state, State::Held) && holding.lease.fenced {
-                    share.ranges.push(holding.range);
-                    share.keys += holding.range.len();
+                share.is_silent |= shard.lease.is_silent();
+                if matches!(shard.state, State::Held) && shard.lease.fenced {
+                    share.ranges.push(shard.range);
+                    share.keys += shard.range.len();
                 }
             }
-            if let Some(next) = holding.next_owner() {
+            if let Some(next) = shard.next_owner() {
                 let share = shares.entry(next.clone()).or_default();
-                share.incoming += load.map_or(0.0, |load| load.rate(holding.range));
-                share.keys += holding.range.len();
+                share.incoming += load.map_or(0.0, |load| load.rate(shard.range));
+                share.keys += shard.range.len();
             }
         }
         shares
     }
 
-    /// Splits the range off its holding and begins to release it.
+    /// Splits the range off its shard and begins to release it.
     pub(super) fn begin_move(
         &mut self,
         service: &ServiceName,
         planned: &planner::PlannedMove,
         now: Timestamp,
     ) {
-        let position = self.holdings.iter().position(|holding| {
-            holding.service == *service
-                && holding.owner.as_ref() == Some(&planned.from)
-                && holding.range.contains(planned.range.first)
-                && holding.range.contains(planned.range.last)
-                && matches!(holding.state, State::Held)
-                && holding.lease.order.is_none()
+        let position = self.shards.iter().position(|shard| {
+            shard.service == *service
+                && shard.owner.as_ref() == Some(&planned.from)
+                && shard.range.contains(planned.range.first)
+                && shard.range.contains(planned.range.last)
+                && matches!(shard.state, State::Held)
+                && shard.lease.order.is_none()
         });
         let Some(position) = position else {
             return;
@@ -241,13 +249,13 @@
             to: &planned.to,
         };
         begins.emit();
-        let whole = self.holdings[position].clone();
+        let whole = self.shards[position].clone();
         let rest = whole.range.without(planned.range).into_iter();
-        self.holdings.extend(rest.map(|range| Holding {
+        self.shards.extend(rest.map(|range| Shard {
             range,
             ..whole.clone()
         }));
-        self.holdings[position] = Holding {
+        self.shards[position] = Shard {
             range: planned.range,
             state: State::Releasing {
                 target: Some(planned.to.clone()),
@@ -261,31 +269,31 @@
     /// Ranges without an owner for the services of the configuration.
     pub(super) fn cover_services(&mut self, context: &Context<'_>) {
         for service in context.configuration.sharded_services() {
-            let covered = self
-                .holdings
-                .iter()
-                .any(|holding| holding.service == *service);
+            let covered = self.shards.iter().any(|shard| shard.service == *service);
             if covered {
                 continue;
             }
-            let owners: Vec<InstanceId> = takers(context, service)
+            let owners: Vec<InstanceId> = eligible_instances(context, service)
                 .map(|instance| instance.record.id.clone())
                 .collect();
-            let gathering = self.gatherings.entry(service.clone()).or_insert(Gathering {
-                began: context.now,
-                count: 0,
-                grew: context.now,
-            });
-            if owners.len() > gathering.count {
-                gathering.count = owners.len();
-                gathering.grew = context.now;
+            let window =
+                self.registration_windows
+                    .entry(service.clone())
+                    .or_insert(RegistrationWindow {
+                        began: context.now,
+                        count: 0,
+                        grew: context.now,
+                    });
+            if owners.len() > window.count {
+                window.count = owners.len();
+                window.grew = context.now;
             }
             let demand = self.loads.contains_key(service);
-            if !gathering.is_over(demand, context.now) {
+            if !window.is_over(demand, context.now) {
                 continue;
             }
             for (range, owner) in equal_ranges(owners.len()).into_iter().zip(owners) {
-                self.holdings.push(Holding {
+                self.shards.push(Shard {
                     service: service.clone(),
                     range,
                     owner: None,
@@ -303,7 +311,7 @@
 
 /// The same with no more capacity than the rate limits that they name. What is refused for
 /// one is none of the work that they can do, so other decisions go without.
-pub(super) fn within_limits(
+pub(super) fn capped_by_rate_limits(
     context: &Context<'_>,
     mut candidates: Vec<Candidate>,
 ) -> Vec<Candidate> {
@@ -320,7 +328,7 @@
 }
 
 /// The instances of a service that keys can be given to.
-pub(super) fn takers<'a>(
+pub(super) fn eligible_instances<'a>(
     context: &'a Context<'_>,
     service: &'a ServiceName,
 ) -> impl Iterator<Item = &'a Instance> {
@@ -331,7 +339,7 @@
 }
 
 /// Whether keys of a service can be given to this instance.
-pub(super) fn takes(context: &Context<'_>, service: &ServiceName, id: &InstanceId) -> bool {
+pub(super) fn is_eligible(context: &Context<'_>, service: &ServiceName, id: &InstanceId) -> bool {
     let instance = context.directory.get(id);
     instance.is_some_and(|instance| instance.serves() && instance.record.service == *service)
 }
--- a/crates/ledgelead-router/src/ownership/coordinator/holding.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/shard.rs
@@ -28,7 +28,7 @@
         handover: Option<String>,
     },
     /// The record is being written with the next owner.
-    Writing {
+    Assigning {
         owner: InstanceId,
         fence: u64,
         handover: Option<String>,
@@ -37,7 +37,7 @@
 
 /// A range of keys and where it stands.
 #[derive(Clone, Debug)]
-pub(super) struct Holding {
+pub(super) struct Shard {
     pub(super) service: ServiceName,
     pub(super) range: KeyRange,
     pub(super) owner: Option<InstanceId>,
@@ -46,7 +46,7 @@
     pub(super) state: State,
 }
 
-impl Holding {
+impl Shard {
     pub(super) fn release_order(&self) -> Option<ExchangeId> {
         match &self.state {
             State::Releasing { order, .. } => *order,
@@ -66,13 +66,13 @@
                 .then_some(self.owner.as_ref())
                 .flatten(),
             State::Releasing { target, .. } | State::Free { target, .. } => target.as_ref(),
-            State::Writing { owner, .. } => Some(owner),
+            State::Assigning { owner, .. } => Some(owner),
         }
     }
 
     pub(super) fn projected(&self) -> Option<Assignment> {
         let (owner, fence) = match &self.state {
-            State::Writing { owner, fence, .. } => (owner.clone(), *fence),
+            State::Assigning { owner, fence, .. } => (owner.clone(), *fence),
             _ => (self.owner.clone()?, self.fence),
         };
         Some(Assignment {
@@ -88,7 +88,7 @@
     /// grant that was meant for the earlier one, also one that was answered; so the
     /// lease goes on, except towards the later life itself: it gets the keys under a
     /// higher token at once, and refuses the others once it has that.
-    pub(super) fn pass_to_later_life(&mut self, later: Option<InstanceId>, now: Timestamp) {
+    pub(super) fn hand_to_later_incarnation(&mut self, later: Option<InstanceId>, now: Timestamp) {
         if self.has_order_out() {
             return;
         }
--- a/crates/ledgelead-router/src/ownership/coordinator/writes.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/writes.rs
@@ -1,13 +1,13 @@
 //! Versions of the record.
 
-use super::holding::{Holding, State};
-use super::placement::{takes, within_limits};
+use super::placement::{capped_by_rate_limits, is_eligible};
+use super::shard::{Shard, State};
 use super::{Context, Coordinator, PLAN_INTERVAL};
 use crate::Timestamp;
 use crate::dialect::KeyRange;
 use crate::events::Event;
 use crate::identity::ServiceName;
-use crate::ownership::next_owner::{NextOwners, TakenPart};
+use crate::ownership::next_owner::{NextOwners, RangePlacement};
 use crate::ownership::record::{Assignment, OwnershipRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 const SLOW_WRITE: Duration = Duration::from_millis(150);
 
 /// A free range whose next owners are decided.
-struct GivenRange {
-    /// Its place among the holdings.
+struct DecidedRange {
+    /// Its place among the shards.
     index: usize,
-    parts: Vec<TakenPart>,
+    parts: Vec<RangePlacement>,
     /// What nobody has room for.
     rest: Vec<KeyRange>,
     handover: Option<String>,
@@ -38,36 +38,38 @@
         let places = self.next_placement <= context.now;
         let mut placements: BTreeMap<ServiceName, NextOwners> = BTreeMap::new();
         let mut given = Vec::new();
-        for index in 0..self.holdings.len() {
-            let State::Free { target, handover } = &self.holdings[index].state else {
+        for index in 0..self.shards.len() {
+            let State::Free { target, handover } = &self.shards[index].state else {
                 continue;
             };
             let handover = handover.clone();
-            let service = self.holdings[index].service.clone();
-            let wished = target.clone().filter(|id| takes(context, &service, id));
-            let over = self.holdings[index]
+            let service = self.shards[index].service.clone();
+            let wished = target
+                .clone()
+                .filter(|id| is_eligible(context, &service, id));
+            let over = self.shards[index]
                 .lease
                 .is_over(self.protections, context.now);
             if wished.is_none() && !over {
                 // Refused by an owner that left since: it may hold the keys.
-                self.holdings[index].state = State::Releasing {
+                self.shards[index].state = State::Releasing {
                     target: None,
                     order: None,
                     next_try: context.now,
                 };
                 continue;
             }
-            let range = self.holdings[index].range;
+            let range = self.shards[index].range;
             let parts = match wished {
-                Some(owner) => vec![TakenPart { range, owner }],
+                Some(owner) => vec![RangePlacement { range, owner }],
                 None if !places => continue,
                 None => {
                     let load = self.loads.get(&service);
                     let next_owners = placements.entry(service.clone()).or_insert_with(|| {
                         let candidates = self.candidates(context, &service);
-                        NextOwners::new(within_limits(context, candidates), load)
+                        NextOwners::new(capped_by_rate_limits(context, candidates), load)
                     });
-                    next_owners.take(range)
+                    next_owners.assign(range)
                 }
             };
             let rest = parts.iter().fold(vec![range], |left, part| {
@@ -80,7 +82,7 @@
             if parts.is_empty() {
                 continue;
             }
-            given.push(GivenRange {
+            given.push(DecidedRange {
                 index,
                 parts,
                 rest,
@@ -104,25 +106,25 @@
 
     /// When free ranges may be written under their next owners, if there are some.
     pub(super) fn next_possible_write(&self) -> Option<Timestamp> {
-        let is_free = |holding: &Holding| matches!(holding.state, State::Free { .. });
-        let waits = self.writing.is_none() && self.holdings.iter().any(is_free);
+        let is_free = |shard: &Shard| matches!(shard.state, State::Free { .. });
+        let waits = self.writing.is_none() && self.shards.iter().any(is_free);
         waits.then_some(self.next_write.max(self.next_placement))
     }
 
     /// Puts the parts of a free range under their next owners; the rest stays free.
-    fn divide(&mut self, given: GivenRange) {
-        let GivenRange {
+    fn divide(&mut self, given: DecidedRange) {
+        let DecidedRange {
             index,
             parts,
             rest,
             handover,
         } = given;
-        let whole = self.holdings[index].clone();
+        let whole = self.shards[index].clone();
         let mut divided = Vec::new();
         for part in parts {
-            divided.push(Holding {
+            divided.push(Shard {
                 range: part.range,
-                state: State::Writing {
+                state: State::Assigning {
                     owner: part.owner,
                     fence: self.next_fence,
                     handover: handover.clone(),
@@ -131,24 +133,21 @@
             });
             self.next_fence += 1;
         }
-        divided.extend(rest.into_iter().map(|range| Holding {
+        divided.extend(rest.into_iter().map(|range| Shard {
             range,
             ..whole.clone()
         }));
         let mut divided = divided.into_iter();
         if let Some(first) = divided.next() {
-            self.holdings[index] = first;
+            self.shards[index] = first;
         }
-        self.holdings.extend(divided);
+        self.shards.extend(divided);
     }
 
     /// The record as it stands once all writes that are decided are done.
     pub(super) fn projected_record(&self, now: Timestamp) -> OwnershipRecord {
-        let mut assignments: Vec<Assignment> = self
-            .holdings
-            .iter()
-            .filter_map(Holding::projected)
-            .collect();
+        let mut assignments: Vec<Assignment> =
+            self.shards.iter().filter_map(Shard::projected).collect();
         assignments
             .sort_by(|left, right| (&left.service, left.first).cmp(&(&right.service, right.first)));
         let mut record = OwnershipRecord {
@@ -178,7 +177,7 @@
     }
 
     /// The version that was being written is in the store.
-    pub fn written(&mut self, now: Timestamp) {
+    pub fn record_written(&mut self, now: Timestamp) {
         let Some(record) = self.writing.take() else {
             return;
         };
@@ -186,28 +185,28 @@
         // A next owner may have begun to leave meanwhile.
         self.owners_reviewed = None;
         self.record = record;
-        for holding in &mut self.holdings {
-            let State::Writing {
+        for shard in &mut self.shards {
+            let State::Assigning {
                 owner,
                 fence,
                 handover,
-            } = &holding.state
+            } = &shard.state
             else {
                 continue;
             };
             self.counters.moves += 1;
             let owned = Event::KeysOwned {
-                service: &holding.service,
-                first: holding.range.first,
-                last: holding.range.last,
+                service: &shard.service,
+                first: shard.range.first,
+                last: shard.range.last,
                 owner,
                 fence: *fence,
             };
             owned.emit();
-            holding.lease = holding.next_lease(owner, handover.clone(), now);
-            holding.fence = *fence;
-            holding.owner = Some(owner.clone());
-            holding.state = State::Held;
+            shard.lease = shard.next_lease(owner, handover.clone(), now);
+            shard.fence = *fence;
+            shard.owner = Some(owner.clone());
+            shard.state = State::Held;
         }
     }
 }
--- a/crates/ledgelead-router/src/ownership/election.rs
+++ b/crates/ledgelead-router/src/ownership/election.rs
@@ -86,7 +86,7 @@
 
     /// When a node should try whose own earlier life is the coordinator that the
     /// record names: at once, since nobody else knows as early that it has ended.
-    pub fn due_after_own_life(&self) -> Timestamp {
+    pub fn due_after_own_restart(&self) -> Timestamp {
         self.next_try
     }
 
--- a/crates/ledgelead-router/src/ownership/load.rs
+++ b/crates/ledgelead-router/src/ownership/load.rs
@@ -13,7 +13,7 @@
 const DECAY: f32 = 0.8;
 /// The same for counts that stand for five seconds: with ten requests a second, chance is
 /// then a seventh of the count.
-const STEADY_DECAY: f32 = 0.96;
+const LONG_WINDOW_DECAY: f32 = 0.96;
 
 /// Decaying counts of the requests for each key.
 pub struct KeyLoad {
@@ -30,8 +30,8 @@
     }
 
     /// No requests yet; counts stand for the last five seconds.
-    pub fn steady(now: Timestamp) -> KeyLoad {
-        KeyLoad::keeping(STEADY_DECAY, now)
+    pub fn long_window(now: Timestamp) -> KeyLoad {
+        KeyLoad::keeping(LONG_WINDOW_DECAY, now)
     }
 
     fn keeping(kept: f32, now: Timestamp) -> KeyLoad {
--- a/crates/ledgelead-router/src/ownership/next_owner.rs
+++ b/crates/ledgelead-router/src/ownership/next_owner.rs
@@ -8,16 +8,16 @@
 /// Utilisation up to which an instance is given ranges. Somewhat above all that it
 /// can work on, since rates and capacities are estimates; beyond, one range more
 /// would take the time of those that it serves.
-const BEARABLE_UTILISATION: f64 = 1.2;
+const MAX_PLACED_UTILISATION: f64 = 1.2;
 /// The same as a multiple of the mean utilisation, where that is higher: what all
 /// instances together can't bear is shared by them, not left to nobody.
-const BEARABLE_IMBALANCE: f64 = 1.5;
+const MAX_PLACED_IMBALANCE: f64 = 1.5;
 /// Least part of an instance's capacity that a part of a range is cut off for.
-const LEAST_ROOM: f64 = 0.05;
+const MIN_SPARE_SHARE: f64 = 0.05;
 
 /// An instance that ranges can be given to.
 #[derive(Clone, Debug)]
-struct Taker {
+struct EligibleInstance {
     id: InstanceId,
     capacity: f64,
     /// Requests a second for all keys that it has or is to get.
@@ -25,7 +25,7 @@
     keys: u32,
 }
 
-impl Taker {
+impl EligibleInstance {
     fn utilisation_with(&self, rate: f64) -> f64 {
         // Without any known load, keys count.
         let tie = f64::from(self.keys) * 1e-9;
@@ -33,14 +33,14 @@
     }
 
     /// Requests a second that it can take up to a utilisation.
-    fn room(&self, utilisation: f64) -> f64 {
+    fn spare_capacity(&self, utilisation: f64) -> f64 {
         utilisation * self.capacity - self.rate
     }
 }
 
 /// A part of a free range, and who gets it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TakenPart {
+pub struct RangePlacement {
     /// The keys.
     pub range: KeyRange,
     /// Their next owner.
@@ -50,34 +50,34 @@
 /// The instances of a service that can be given free ranges at one moment.
 #[derive(Clone)]
 pub struct NextOwners<'a> {
-    takers: Vec<Taker>,
+    instances: Vec<EligibleInstance>,
     load: Option<&'a KeyLoad>,
     /// Up to which utilisation they are given ranges.
-    bearable: f64,
+    max_utilisation: f64,
 }
 
 impl<'a> NextOwners<'a> {
     /// Those that take keys, or all where none does. Without a `load` none is known.
     pub fn new(candidates: Vec<Candidate>, load: Option<&'a KeyLoad>) -> NextOwners<'a> {
-        let any_takes = candidates.iter().any(|candidate| candidate.takes_keys);
+        let any_accepts = candidates.iter().any(|candidate| candidate.accepts_keys);
         let rate = |range: &KeyRange| load.map_or(0.0, |load| load.rate(*range));
-        let taker = |candidate: Candidate| Taker {
+        let instance = |candidate: Candidate| EligibleInstance {
             rate: candidate.ranges.iter().map(rate).sum::<f64>() + candidate.incoming,
             id: candidate.id,
             capacity: candidate.capacity,
             keys: candidate.keys,
         };
-        let takers: Vec<Taker> = candidates
+        let instances: Vec<EligibleInstance> = candidates
             .into_iter()
-            .filter(|candidate| candidate.takes_keys || !any_takes)
-            .map(taker)
+            .filter(|candidate| candidate.accepts_keys || !any_accepts)
+            .map(instance)
             .collect();
-        let capacity: f64 = takers.iter().map(|taker| taker.capacity).sum();
+        let capacity: f64 = instances.iter().map(|instance| instance.capacity).sum();
         let mean = rate(&KeyRange::ALL) / capacity;
         NextOwners {
-            takers,
+            instances,
             load,
-            bearable: BEARABLE_UTILISATION.max(mean * BEARABLE_IMBALANCE),
+            max_utilisation: MAX_PLACED_UTILISATION.max(mean * MAX_PLACED_IMBALANCE),
         }
     }
 
@@ -85,7 +85,7 @@
     /// is more than one of them can bear. What is left over stays free until there is
     /// room. A single key that is too much for any instance goes to the one that is
     /// least utilised.
-    pub fn take(&mut self, range: KeyRange) -> Vec<TakenPart> {
+    pub fn assign(&mut self, range: KeyRange) -> Vec<RangePlacement> {
         let mut parts = Vec::new();
         let mut left = Some(range);
         while let Some(range) = left.take() {
@@ -93,10 +93,10 @@
             let Some(least) = self.least_utilised(rate) else {
                 break;
             };
-            let room = self.takers[least].room(self.bearable);
+            let room = self.instances[least].spare_capacity(self.max_utilisation);
             let (taken, rest) = if rate <= room {
                 (range, None)
-            } else if room < LEAST_ROOM * self.takers[least].capacity {
+            } else if room < MIN_SPARE_SHARE * self.instances[least].capacity {
                 break;
             } else {
                 self.front(range, room)
@@ -113,8 +113,8 @@
 
     /// The one that is least utilised with this many requests a second more.
     fn least_utilised(&self, rate: f64) -> Option<usize> {
-        let utilisation = |place: &usize| self.takers[*place].utilisation_with(rate);
-        let places = 0..self.takers.len();
+        let utilisation = |place: &usize| self.instances[*place].utilisation_with(rate);
+        let places = 0..self.instances.len();
         places.min_by(|left, right| utilisation(left).total_cmp(&utilisation(right)))
     }
 
@@ -131,14 +131,14 @@
         (front, range.without(front).pop())
     }
 
-    fn give(&mut self, place: usize, range: KeyRange) -> TakenPart {
+    fn give(&mut self, place: usize, range: KeyRange) -> RangePlacement {
         let rate = self.rate(range);
-        let taker = &mut self.takers[place];
-        taker.rate += rate;
-        taker.keys += range.len();
-        TakenPart {
+        let instance = &mut self.instances[place];
+        instance.rate += rate;
+        instance.keys += range.len();
+        RangePlacement {
             range,
-            owner: taker.id.clone(),
+            owner: instance.id.clone(),
         }
     }
 }
--- a/crates/ledgelead-router/src/ownership/planner.rs
+++ b/crates/ledgelead-router/src/ownership/planner.rs
@@ -14,12 +14,12 @@
 const IMBALANCE: f64 = 1.25;
 /// The same by counts of several seconds, which tell lasting differences from chance: near
 /// capacity, a tenth too much is what waits.
-const STEADY_IMBALANCE: f64 = 1.08;
+const LONG_WINDOW_IMBALANCE: f64 = 1.08;
 /// Seconds of requests that a rate rests on: few requests may be many by
 /// chance.
 const COUNTED_SECONDS: f64 = 1.8;
-/// The same for steady counts.
-const STEADY_SECONDS: f64 = 9.8;
+/// The same for long_window counts.
+const LONG_WINDOW_SECONDS: f64 = 9.8;
 /// Up to which an instance is filled at once, where the mean is lower.
 const FILLED_UTILISATION: f64 = 0.7;
 /// Smallest part of an instance's capacity worth a move.
@@ -40,7 +40,7 @@
     /// Its ranges that are not on the move.
     pub ranges: Vec<KeyRange>,
     /// Whether keys may move to it.
-    pub takes_keys: bool,
+    pub accepts_keys: bool,
     /// Requests a second of keys on their way to it.
     pub incoming: f64,
     /// Keys that it owns or that are on their way to it.
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlanSettings {
     /// Whether an owner counts as busy only beyond the chance in its counts.
-    pub chance_margin: bool,
+    pub noise_margin: bool,
     /// By how much an owner has to stand above the mean.
     pub imbalance: f64,
     /// Seconds of requests that rates rest on.
@@ -60,10 +60,10 @@
 
 impl PlanSettings {
     /// For counts that stand for several seconds.
-    pub fn steady() -> PlanSettings {
+    pub fn long_window() -> PlanSettings {
         PlanSettings {
-            imbalance: STEADY_IMBALANCE,
-            counted_seconds: STEADY_SECONDS,
+            imbalance: LONG_WINDOW_IMBALANCE,
+            counted_seconds: LONG_WINDOW_SECONDS,
             ..PlanSettings::default()
         }
     }
@@ -72,7 +72,7 @@
 impl Default for PlanSettings {
     fn default() -> PlanSettings {
         PlanSettings {
-            chance_margin: true,
+            noise_margin: true,
             imbalance: IMBALANCE,
             counted_seconds: COUNTED_SECONDS,
         }
@@ -90,12 +90,12 @@
     pub range: KeyRange,
 }
 
-struct Standing {
+struct InstanceState {
     candidate: Candidate,
     rate: f64,
 }
 
-impl Standing {
+impl InstanceState {
     fn utilisation(&self) -> f64 {
         self.utilisation_with(0.0)
     }
@@ -124,16 +124,16 @@
     load: &KeyLoad,
     settings: PlanSettings,
 ) -> Vec<PlannedMove> {
-    let mut standings: Vec<Standing> = candidates
+    let mut instances: Vec<InstanceState> = candidates
         .into_iter()
-        .map(|candidate| Standing {
+        .map(|candidate| InstanceState {
             rate: candidate.ranges.iter().map(|range| load.rate(*range)).sum(),
             candidate,
         })
         .collect();
     let mut moves = Vec::new();
     while moves.len() < MAX_MOVES {
-        let Some(planned) = next_move(&mut standings, load, settings) else {
+        let Some(planned) = next_move(&mut instances, load, settings) else {
             break;
         };
         moves.push(planned);
@@ -143,56 +143,56 @@
 
 /// The next move from the busiest instance that has a part to give.
 fn next_move(
-    standings: &mut [Standing],
+    instances: &mut [InstanceState],
     load: &KeyLoad,
     settings: PlanSettings,
 ) -> Option<PlannedMove> {
-    let capacity: f64 = standings
+    let capacity: f64 = instances
         .iter()
-        .map(|standing| standing.candidate.capacity)
+        .map(|instance| instance.candidate.capacity)
         .sum();
-    let rate: f64 = standings
+    let rate: f64 = instances
         .iter()
-        .map(|standing| standing.rate + standing.candidate.incoming)
+        .map(|instance| instance.rate + instance.candidate.incoming)
         .sum();
     let mean = rate / capacity;
-    let freest = standings
+    let least_loaded = instances
         .iter()
         .enumerate()
-        .filter(|(_, standing)| standing.candidate.takes_keys)
+        .filter(|(_, instance)| instance.candidate.accepts_keys)
         .max_by(|(_, left), (_, right)| left.free_capacity().total_cmp(&right.free_capacity()))
         .map(|(index, _)| index)?;
-    let mut sources: Vec<usize> = (0..standings.len())
-        .filter(|index| *index != freest)
+    let mut sources: Vec<usize> = (0..instances.len())
+        .filter(|index| *index != least_loaded)
         .filter(|index| {
-            let standing = &standings[*index];
-            let busy = if settings.chance_margin {
-                standing.certain_utilisation(settings.counted_seconds)
+            let instance = &instances[*index];
+            let busy = if settings.noise_margin {
+                instance.certain_utilisation(settings.counted_seconds)
             } else {
-                standing.utilisation()
+                instance.utilisation()
             };
             busy > BUSY_UTILISATION.max(mean * settings.imbalance)
         })
         .collect();
     sources.sort_by(|left, right| {
-        let utilisation = |index: usize| standings[index].utilisation();
+        let utilisation = |index: usize| instances[index].utilisation();
         utilisation(*right).total_cmp(&utilisation(*left))
     });
     let (source, part) = sources.into_iter().find_map(|source| {
-        let amount = amount_to_move(&standings[source], &standings[freest], mean)?;
-        let part = best_part(&standings[source], &standings[freest], amount, load)?;
+        let amount = amount_to_move(&instances[source], &instances[least_loaded], mean)?;
+        let part = best_part(&instances[source], &instances[least_loaded], amount, load)?;
         Some((source, part))
     })?;
-    let giving = &mut standings[source];
+    let giving = &mut instances[source];
     giving.rate -= part.rate;
     let ranges = &mut giving.candidate.ranges;
     let whole = ranges.remove(part.position);
     ranges.extend(whole.without(part.range));
     let from = giving.candidate.id.clone();
-    standings[freest].candidate.incoming += part.rate;
+    instances[least_loaded].candidate.incoming += part.rate;
     Some(PlannedMove {
         from,
-        to: standings[freest].candidate.id.clone(),
+        to: instances[least_loaded].candidate.id.clone(),
         range: part.range,
     })
 }
@@ -200,7 +200,7 @@
 /// Requests a second that should go from one instance to the other, if that
 /// is worth a move: no more than evens out the two, and no more than fills the
 /// other up to a moderate load.
-fn amount_to_move(source: &Standing, target: &Standing, mean: f64) -> Option<f64> {
+fn amount_to_move(source: &InstanceState, target: &InstanceState, mean: f64) -> Option<f64> {
     let capacity = target.candidate.capacity;
     let high = source.utilisation();
     let low = target.utilisation();
@@ -223,7 +223,12 @@
 /// The part of one of the source's ranges after whose move the busier of the
 /// two is least busy, if that is worth it; of equal ones the one with the
 /// fewest keys.
-fn best_part(source: &Standing, target: &Standing, amount: f64, load: &KeyLoad) -> Option<Part> {
+fn best_part(
+    source: &InstanceState,
+    target: &InstanceState,
+    amount: f64,
+    load: &KeyLoad,
+) -> Option<Part> {
     let busier = |part: &Part| {
         let left = source.utilisation_with(-part.rate);
         left.max(target.utilisation_with(part.rate))
--- a/crates/ledgelead-router/src/ownership/record.rs
+++ b/crates/ledgelead-router/src/ownership/record.rs
@@ -3,7 +3,7 @@
 use crate::dialect::KeyRange;
 use crate::identity::{InstanceId, NodeIdentity, ServiceName};
 use crate::protections::{Protection, Protections};
-use crate::store::first_of;
+use crate::store::first_in_era;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
@@ -94,8 +94,8 @@
         let mut record = self.clone();
         record.epoch += 1;
         if protections.has(Protection::EraTokens) {
-            record.epoch = record.epoch.max(first_of(era));
-            record.next_fence = record.next_fence.max(first_of(era));
+            record.epoch = record.epoch.max(first_in_era(era));
+            record.next_fence = record.next_fence.max(first_in_era(era));
         }
         record.era = era;
         record.coordinator = Some(coordinator.clone());
@@ -167,7 +167,7 @@
 
     /// Lays assignments over this record, one after the other: what they overlap gives way.
     /// The assignments of the record are in their order.
-    pub fn overlay(&mut self, changes: Vec<Assignment>) {
+    pub fn apply_changes(&mut self, changes: Vec<Assignment>) {
         for change in changes {
             let before =
                 |old: &Assignment| (&old.service, old.last) < (&change.service, change.first);
--- a/crates/ledgelead-router/src/ownership/view.rs
+++ b/crates/ledgelead-router/src/ownership/view.rs
@@ -31,14 +31,14 @@
     revision: Option<u64>,
     /// The revision by which the record was written. A store that came back from a copy holds
     /// another version at `revision`.
-    written_at: Option<u64>,
+    written_revision: Option<u64>,
     /// Whether the store itself told this version.
     confirmed: bool,
 }
 
 impl OwnershipView {
     /// Whether a version is newer than what is known, or confirms it.
-    pub fn is_news(&self, version: RecordVersion) -> bool {
+    pub fn is_update(&self, version: RecordVersion) -> bool {
         let RecordVersion {
             revision,
             is_confirmed,
@@ -50,7 +50,7 @@
     /// Takes over a version, unless a newer one is known.
     /// Returns whether it was newer, or confirms what was known.
     pub fn update(&mut self, record: OwnershipRecord, version: RecordVersion) -> bool {
-        if !self.is_news(version) {
+        if !self.is_update(version) {
             return false;
         }
         let RecordVersion {
@@ -60,7 +60,7 @@
         self.record = record;
         self.record.sort();
         self.revision = Some(revision);
-        self.written_at = Some(revision);
+        self.written_revision = Some(revision);
         self.confirmed = is_confirmed;
         true
     }
@@ -69,13 +69,13 @@
     /// on the version that is known. Requests are routed by it; nothing is
     /// written on its base before the store has confirmed it.
     /// Returns whether it did.
-    pub fn overlay(&mut self, base: u64, revision: u64, changes: Vec<Assignment>) -> bool {
+    pub fn apply_changes(&mut self, base: u64, revision: u64, changes: Vec<Assignment>) -> bool {
         if self.revision != Some(base) || revision <= base {
             return false;
         }
-        self.record.overlay(changes);
+        self.record.apply_changes(changes);
         self.revision = Some(revision);
-        self.written_at = Some(revision);
+        self.written_revision = Some(revision);
         self.confirmed = false;
         true
     }
@@ -90,7 +90,7 @@
         }
         self.record = record;
         self.revision = Some(revision);
-        self.written_at = Some(revision);
+        self.written_revision = Some(revision);
         self.confirmed = false;
         true
     }
@@ -98,19 +98,19 @@
     /// Since it came back from a copy, the store holds an earlier version at this revision, or
     /// none. What is known stays, for requests to be routed by it and for a coordinator to
     /// write it again.
-    pub fn set_back(&mut self, revision: Option<u64>, is_confirmed: bool) {
+    pub fn rewind_revision(&mut self, revision: Option<u64>, is_confirmed: bool) {
         self.revision = revision;
         self.confirmed = is_confirmed;
     }
 
     /// The revision by which the record that is known was written.
-    pub fn written_at(&self) -> Option<u64> {
-        self.written_at
+    pub fn written_revision(&self) -> Option<u64> {
+        self.written_revision
     }
 
     /// Whether versions that followed on this one may be lost: it was written in an earlier
     /// era than the one in which the store holds it.
-    pub fn is_of_former_era(&self) -> bool {
+    pub fn is_from_earlier_era(&self) -> bool {
         self.revision
             .is_none_or(|revision| self.record.era < era_of(revision))
     }
--- a/crates/ledgelead-router/src/ownership/work.rs
+++ b/crates/ledgelead-router/src/ownership/work.rs
@@ -17,7 +17,7 @@
 const DECAY: f64 = 0.9;
 /// The same for counts that stand for six seconds: machines that are slow for moments count
 /// by how often they are.
-const STEADY_DECAY: f64 = 0.97;
+const LONG_WINDOW_DECAY: f64 = 0.97;
 /// Answers from which a capacity can be told.
 const LEAST_ANSWERS: f64 = 4.0;
 /// How long a capacity is believed without new answers; an owner that was slow
@@ -26,14 +26,14 @@
 
 /// What an instance did for one node's requests in some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct WorkSample {
     /// Requests that it answered.
     pub answered: u32,
     /// Time that requests spent there.
     pub busy: Duration,
 }
 
-impl Work {
+impl WorkSample {
     /// An attempt ended there.
     pub fn note(&mut self, took: Duration, answered: bool) {
         self.answered += u32::from(answered);
@@ -58,9 +58,9 @@
     at: Timestamp,
 }
 
-/// Work of all owners.
+/// WorkSample of all owners.
 #[derive(Debug)]
-pub struct WorkTable {
+pub struct CapacityEstimator {
     /// By the stable hash of the instance's id.
     owners: HashMap<u64, Counted>,
     /// The seconds that the counts stand for.
@@ -70,19 +70,19 @@
     next_decay: Timestamp,
 }
 
-impl WorkTable {
+impl CapacityEstimator {
     /// Nothing seen yet; counts stand for two seconds.
-    pub fn new(now: Timestamp) -> WorkTable {
-        WorkTable::keeping(DECAY, now)
+    pub fn new(now: Timestamp) -> CapacityEstimator {
+        CapacityEstimator::keeping(DECAY, now)
     }
 
     /// Nothing seen yet; counts stand for six seconds.
-    pub fn steady(now: Timestamp) -> WorkTable {
-        WorkTable::keeping(STEADY_DECAY, now)
+    pub fn long_window(now: Timestamp) -> CapacityEstimator {
+        CapacityEstimator::keeping(LONG_WINDOW_DECAY, now)
     }
 
-    fn keeping(kept: f64, now: Timestamp) -> WorkTable {
-        WorkTable {
+    fn keeping(kept: f64, now: Timestamp) -> CapacityEstimator {
+        CapacityEstimator {
             owners: HashMap::new(),
             seconds: 0.0,
             kept,
@@ -91,7 +91,7 @@
     }
 
     /// A node tells what an owner did.
-    pub fn record(&mut self, instance: u64, work: Work) {
+    pub fn record(&mut self, instance: u64, work: WorkSample) {
         let counted = self.owners.entry(instance).or_default();
         counted.answered += f64::from(work.answered);
         counted.busy_seconds += work.busy.as_secs_f64();
--- a/crates/ledgelead-router/src/peers/assembly.rs
+++ b/crates/ledgelead-router/src/peers/change_list.rs
@@ -42,21 +42,21 @@
 
 /// Collects the parts of the newest list.
 #[derive(Debug)]
-pub struct Assembly<T> {
+pub struct ChangeListAssembler<T> {
     span: Option<ChangeSpan>,
     parts: Vec<Option<Vec<T>>>,
 }
 
-impl<T> Default for Assembly<T> {
-    fn default() -> Assembly<T> {
-        Assembly {
+impl<T> Default for ChangeListAssembler<T> {
+    fn default() -> ChangeListAssembler<T> {
+        ChangeListAssembler {
             span: None,
             parts: Vec::new(),
         }
     }
 }
 
-impl<T> Assembly<T> {
+impl<T> ChangeListAssembler<T> {
     /// Takes a part. Returns the list once all of its parts are there. Parts
     /// of an older list than the one being collected are dropped.
     pub fn add(&mut self, span: ChangeSpan, changes: Vec<T>) -> Option<ChangeList<T>> {
--- a/crates/ledgelead-router/src/peers/configuration.rs
+++ b/crates/ledgelead-router/src/peers/configuration.rs
@@ -1,11 +1,11 @@
 //! Versions of the configuration as nodes send them to each other: what one
 //! version changes of another.
 
-use crate::boundary::{self, MAX_TIMEOUT};
 use crate::configuration::{
     ClientLimits, Configuration, Repeatability, Route, RouteTarget, Service,
 };
 use crate::identity::ServiceName;
+use crate::validation::{self, MAX_TIMEOUT};
 use crate::whole_millis;
 use ledgelead_types::codec::{List, Text};
 use nanoserde::{DeBin, SerBin};
@@ -159,7 +159,7 @@
         for change in self.changes {
             apply(&mut next, change);
         }
-        boundary::configuration(&next).is_ok().then_some(next)
+        validation::configuration(&next).is_ok().then_some(next)
     }
 }
 
--- a/crates/ledgelead-router/src/peers/delay.rs
+++ b/crates/ledgelead-router/src/peers/delay.rs
@@ -18,7 +18,7 @@
 
 impl DelayEstimate {
     /// A heartbeat of this epoch arrives. Returns its delay beyond the fastest.
-    pub fn arrived(&mut self, epoch: u64, sent_ms: u64, now: Timestamp) -> Duration {
+    pub fn record_arrival(&mut self, epoch: u64, sent_ms: u64, now: Timestamp) -> Duration {
         if self.epoch != epoch {
             self.epoch = epoch;
             self.smallest = None;
--- a/crates/ledgelead-router/src/peers/evidence.rs
+++ b/crates/ledgelead-router/src/peers/evidence.rs
@@ -1,7 +1,7 @@
 //! Facts about requests under which instances ended, as nodes send them to each other.
 
 use crate::Timestamp;
-use crate::quarantine::{CallerId, End, Entry};
+use crate::quarantine::{CallerId, Entry, InstanceEnd};
 use crate::requests::RequestDigest;
 use crate::whole_millis;
 use ledgelead_types::codec::{self, List, Text};
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct AgedEntry {
     /// The caller, or the stable hash of the instance's id.
-    pub of: u64,
+    pub subject: u64,
     /// How long ago it began to hold, in milliseconds.
     pub age_ms: u32,
 }
@@ -46,7 +46,7 @@
     /// Instances that ended.
     pub ends: List<EndEntry>,
     /// Callers whose requests were answered by an instance.
-    pub acquitted: List<AgedEntry>,
+    pub cleared: List<AgedEntry>,
     /// Callers whose requests are held back.
     pub quarantined: List<AgedEntry>,
 }
@@ -54,7 +54,7 @@
 impl RequestEntry {
     /// What is known, as of now.
     pub fn new(request: &RequestDigest, entry: &Entry, now: Timestamp) -> RequestEntry {
-        let end = |end: &End| EndEntry {
+        let end = |end: &InstanceEnd| EndEntry {
             caller: end.caller.0,
             instance: end.instance,
             age_ms: age_ms(end.at, now),
@@ -65,7 +65,7 @@
             digest: [(number >> 64) as u64, number as u64],
             path: Text(entry.path.clone()),
             ends: List(entry.ends.iter().take(MAX_ENDS).map(end).collect()),
-            acquitted: aged(&entry.acquitted, now),
+            cleared: aged(&entry.cleared, now),
             quarantined: aged(&entry.quarantined, now),
         }
     }
@@ -74,16 +74,16 @@
     pub fn received(&self, now: Timestamp) -> (RequestDigest, Entry) {
         let [high, low] = self.digest;
         let number = (u128::from(high) << 64) | u128::from(low);
-        let end = |end: &EndEntry| End {
+        let end = |end: &EndEntry| InstanceEnd {
             caller: CallerId(end.caller),
             instance: end.instance,
-            at: time_of(end.age_ms, now),
+            at: time_from_age(end.age_ms, now),
             settled: end.settled,
         };
         let entry = Entry {
             path: self.path.0.clone(),
             ends: self.ends.iter().map(end).collect(),
-            acquitted: times(&self.acquitted, now),
+            cleared: times(&self.cleared, now),
             quarantined: times(&self.quarantined, now),
         };
         (RequestDigest(number.to_be_bytes()), entry)
@@ -114,14 +114,14 @@
     now: Timestamp,
 ) -> Vec<AgedEntry> {
     let aged = |(instance, at): (&u64, &Timestamp)| AgedEntry {
-        of: *instance,
+        subject: *instance,
         age_ms: age_ms(*at, now),
     };
     alive.map(aged).collect()
 }
 
 /// When something began to hold, by the receiver's clock.
-pub fn time_of(age_ms: u32, now: Timestamp) -> Timestamp {
+pub fn time_from_age(age_ms: u32, now: Timestamp) -> Timestamp {
     now.saturating_sub(Duration::from_millis(u64::from(age_ms)))
 }
 
@@ -132,13 +132,13 @@
 
 fn aged(known: &BTreeMap<CallerId, Timestamp>, now: Timestamp) -> List<AgedEntry> {
     let aged = |(caller, at): (&CallerId, &Timestamp)| AgedEntry {
-        of: caller.0,
+        subject: caller.0,
         age_ms: age_ms(*at, now),
     };
     List(known.iter().map(aged).collect())
 }
 
 fn times(entries: &List<AgedEntry>, now: Timestamp) -> BTreeMap<CallerId, Timestamp> {
-    let time = |entry: &AgedEntry| (CallerId(entry.of), time_of(entry.age_ms, now));
+    let time = |entry: &AgedEntry| (CallerId(entry.subject), time_from_age(entry.age_ms, now));
     entries.iter().map(time).collect()
 }
--- a/crates/ledgelead-router/src/peers/instance_table.rs
+++ b/crates/ledgelead-router/src/peers/instance_table.rs
@@ -1,9 +1,9 @@
 //! All instances in few bytes: names of services and zones stand once.
 
 use super::message::PeerAddress;
-use crate::boundary::{self, MAX_WARMUP};
 use crate::directory::InstanceRecord;
 use crate::identity::{InstanceId, ServiceName, ZoneName};
+use crate::validation::{self, MAX_WARMUP};
 use ledgelead_types::codec::{List, Text};
 use nanoserde::{DeBin, SerBin};
 use std::collections::HashMap;
@@ -107,7 +107,7 @@
                 draining: row.draining,
                 warmup_left: warmup_left.min(MAX_WARMUP),
             };
-            boundary::instance(&record).is_ok().then_some(record)
+            validation::instance(&record).is_ok().then_some(record)
         };
         self.rows.0.into_iter().filter_map(record).collect()
     }
--- a/crates/ledgelead-router/src/peers/message.rs
+++ b/crates/ledgelead-router/src/peers/message.rs
@@ -137,13 +137,13 @@
     /// Milliseconds until an answer is late.
     pub to_target_ms: u16,
     /// Milliseconds until the request ends in any case.
-    pub left_ms: u16,
+    pub remaining_ms: u16,
     /// Hash of what makes the tries of a caller's request the same.
     pub caller: u64,
     /// Whether its key was lost with its owner, so that it takes longer.
     pub is_cold: bool,
     /// Stable hash of the instance that has failed the request; 0 if none has.
-    pub tried: u64,
+    pub failed_instance: u64,
 }
 
 /// What a dispatcher decides on an ask.
@@ -156,7 +156,7 @@
     /// It can't be in time.
     Refused,
     /// The node stops, and hands out no permits any more.
-    Stops,
+    ShuttingDown,
     /// The node doesn't know the queue.
     UnknownQueue,
 }
@@ -185,7 +185,7 @@
 
 /// How a request ended whose permit comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum PermitEnd {
+pub enum PermitReturnReason {
     /// The instance answered.
     Answered,
     /// It says nothing of the instance: not run, never sent, or its caller left.
@@ -296,13 +296,13 @@
     /// Whether the store serves it.
     pub store_serves: bool,
     /// The store's revision of the newest record.
-    pub revision: u64,
+    pub record_revision: u64,
     /// The version of the configuration that it has in force.
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// The store's revision by which it last read a change of who may get work.
-    pub instances: u64,
+    pub instances_revision: u64,
     /// The store's revision by which it last read a change of the nodes.
-    pub nodes: u64,
+    pub nodes_revision: u64,
     /// How long ago the store told it of instances, or how long ago its configuration was
     /// the store's, the longer of both, in milliseconds.
     pub age_ms: u16,
@@ -316,7 +316,7 @@
     /// Zones that the operator has emptied.
     pub evacuations: EvacuationsEntry,
     /// Checksum of what it knows of requests that crash instances.
-    pub evidence: u64,
+    pub evidence_checksum: u64,
 }
 
 /// A datagram.
@@ -369,7 +369,7 @@
     },
     /// A node has taken the coordinator's place: each assignment has a new
     /// token, counted from the first in the order of the record.
-    TookOver {
+    CoordinatorTookOver {
         /// The revision before.
         base: u64,
         /// The revision now.
@@ -391,24 +391,24 @@
         changes: List<ChangedAssignment>,
     },
     /// The coordinator has left its place; the record says so as well.
-    Resigned {
+    CoordinatorResigned {
         /// Its epoch.
         epoch: u64,
     },
     /// Keys asked for; sent to the coordinator.
     LoadReport {
         /// The version of the configuration that the sender has in force.
-        configuration: u64,
+        configuration_version: u64,
         /// The store's revision by which the sender knows the nodes; 0 before
         /// it has listed them.
-        nodes: u64,
+        nodes_revision: u64,
         /// By service.
         reports: List<KeyReport>,
         /// By owner.
         work: List<WorkReport>,
     },
     /// Open requests by instance; sent within a zone.
-    Open {
+    OpenRequestCounts {
         /// The sender's life; counts of an earlier one are void.
         incarnation: u64,
         /// How long the sender lets kept connections rest, in milliseconds; 0
@@ -453,7 +453,7 @@
         /// Names the queue.
         queue: u64,
         /// How the request ended.
-        ended: PermitEnd,
+        reason: PermitReturnReason,
         /// Time from the request to its answer in milliseconds, if there was one; for which
         /// the instance wants no requests, if it says so.
         took_ms: u16,
@@ -471,7 +471,7 @@
     },
     /// Instances that have said in answers that they leave, and whose entries don't say so
     /// yet; sent to the coordinator, and by it to all nodes.
-    Leaving {
+    LeavingInstances {
         /// The instances, and how long ago each said so first.
         instances: List<AgedEntry>,
     },
@@ -527,17 +527,17 @@
             PeerMessage::NodesChanged { .. } => "nodes",
             PeerMessage::ConfigurationChanged { .. } => "configuration",
             PeerMessage::ResyncRequest { .. } => "resync_request",
-            PeerMessage::TookOver { .. } => "take_over",
+            PeerMessage::CoordinatorTookOver { .. } => "take_over",
             PeerMessage::OwnershipChanged { .. } => "ownership",
-            PeerMessage::Resigned { .. } => "resignation",
+            PeerMessage::CoordinatorResigned { .. } => "resignation",
             PeerMessage::LoadReport { .. } => "load_report",
-            PeerMessage::Open { .. } => "open_requests",
+            PeerMessage::OpenRequestCounts { .. } => "open_requests",
             PeerMessage::LoadDigest { .. } => "load_digest",
             PeerMessage::ZoneSums { .. } => "zone_sums",
             PeerMessage::PermitAsk(_) => "permit_ask",
             PeerMessage::PermitDecision { .. } => "permit_decision",
             PeerMessage::PermitReturn { .. } => "permit_return",
-            PeerMessage::Leaving { .. } => "leaving",
+            PeerMessage::LeavingInstances { .. } => "leaving",
             PeerMessage::RateLimits { .. } => "rate_limits",
             PeerMessage::TokenAsk { .. } => "token_ask",
             PeerMessage::TokenDecision { .. } => "token_decision",
--- a/crates/ledgelead-router/src/peers/bounds.rs
+++ b/crates/ledgelead-router/src/peers/message_validation.rs
@@ -2,7 +2,7 @@
 //! with ranges of keys that are none.
 
 use super::message::{ChangeSpan, ChangedAssignment, ChangedNode, PeerMessage};
-use crate::boundary::MAX_REVISION;
+use crate::validation::MAX_REVISION;
 
 impl PeerMessage {
     /// Whether its numbers can be what a node counted up to.
@@ -10,10 +10,10 @@
         match self {
             PeerMessage::CoordinatorHeartbeat(heartbeat) => are_counted(&[
                 heartbeat.epoch,
-                heartbeat.revision,
-                heartbeat.configuration,
-                heartbeat.instances,
-                heartbeat.nodes,
+                heartbeat.record_revision,
+                heartbeat.configuration_version,
+                heartbeat.instances_revision,
+                heartbeat.nodes_revision,
                 heartbeat.evacuations.revision,
             ]),
             PeerMessage::InstancesChanged { span, .. }
@@ -25,27 +25,27 @@
             PeerMessage::OwnershipChanged { span, changes } => {
                 is_counted(*span) && changes.iter().all(is_range)
             }
-            PeerMessage::TookOver {
+            PeerMessage::CoordinatorTookOver {
                 base,
                 revision,
                 first_fence,
                 ..
             } => are_counted(&[*base, *revision, *first_fence]),
-            PeerMessage::Resigned { epoch } => are_counted(&[*epoch]),
+            PeerMessage::CoordinatorResigned { epoch } => are_counted(&[*epoch]),
             PeerMessage::LoadReport {
-                configuration,
-                nodes,
+                configuration_version,
+                nodes_revision,
                 ..
-            } => are_counted(&[*configuration, *nodes]),
+            } => are_counted(&[*configuration_version, *nodes_revision]),
             PeerMessage::ResyncRequest { since, .. } => are_counted(&[*since]),
             PeerMessage::Forwarded { .. }
-            | PeerMessage::Open { .. }
+            | PeerMessage::OpenRequestCounts { .. }
             | PeerMessage::LoadDigest { .. }
             | PeerMessage::ZoneSums { .. }
             | PeerMessage::PermitAsk(_)
             | PeerMessage::PermitDecision { .. }
             | PeerMessage::PermitReturn { .. }
-            | PeerMessage::Leaving { .. }
+            | PeerMessage::LeavingInstances { .. }
             | PeerMessage::RateLimits { .. }
             | PeerMessage::TokenAsk { .. }
             | PeerMessage::TokenDecision { .. }
--- a/crates/ledgelead-router/src/peers/mod.rs
+++ b/crates/ledgelead-router/src/peers/mod.rs
@@ -3,39 +3,39 @@
 //! Datagrams only hasten what the store or an answer would show later: any of
 //! them may be lost, late or doubled without harm.
 
-mod assembly;
-mod bounds;
+mod change_list;
 mod change_log;
 mod configuration;
 mod delay;
 mod evidence;
 mod instance_table;
 mod message;
+mod message_validation;
 mod registry;
 mod shared_load;
 mod traffic;
 mod transfer;
 
-pub use assembly::{Assembly, ChangeList, MAX_PARTS};
+pub use change_list::{ChangeList, ChangeListAssembler, MAX_PARTS};
 pub use change_log::{ChangeLog, Changes};
 pub use configuration::{
     ConfigurationChange, ConfigurationDelta, LimitsEntry, RouteEntry, ServiceEntry, TargetEntry,
 };
 pub use delay::DelayEstimate;
 pub use evidence::{
-    AgedEntry, EndEntry, RequestEntry, age_ms, aged_instances, evidence_parts, time_of,
+    AgedEntry, EndEntry, RequestEntry, age_ms, aged_instances, evidence_parts, time_from_age,
 };
 pub use instance_table::InstanceTable;
 pub use message::{
     ChangeSpan, ChangedAssignment, ChangedInstance, ChangedNode, Datagram, DigestEntry, Heartbeat,
     InstanceEntry, KeyReport, NodeEntry, OpenRequests, PeerAddress, PeerMessage, PermitAskEntry,
-    PermitEnd, PermitVerdict, RateLimitEntry, RelayedKind, TokenVerdictEntry, WorkReport, ZoneSum,
-    decode, encode,
+    PermitReturnReason, PermitVerdict, RateLimitEntry, RelayedKind, TokenVerdictEntry, WorkReport,
+    ZoneSum, decode, encode,
 };
 pub use registry::{NodeRecord, Registration, Registry};
 pub use shared_load::{SharedLoad, SpeedSample};
 pub use traffic::{PeerTraffic, TrafficCount};
 pub use transfer::{
-    CoordinatorEntry, RecordEntry, TransferAnswer, TransferRequest, TransferredObjects,
-    TransferredState, WholeConfiguration,
+    CoordinatorEntry, FullConfiguration, RecordEntry, TransferAnswer, TransferRequest,
+    TransferredObjects, TransferredState,
 };
--- a/crates/ledgelead-router/src/peers/shared_load.rs
+++ b/crates/ledgelead-router/src/peers/shared_load.rs
@@ -6,7 +6,7 @@
 
 use super::message::{DigestEntry, OpenRequests, ZoneSum};
 use crate::Timestamp;
-use crate::boundary::{self, MAX_TIMEOUT};
+use crate::validation::{self, MAX_TIMEOUT};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -123,7 +123,7 @@
 
 impl SharedLoad {
     /// A node of this zone has sent its counts.
-    pub fn counted(
+    pub fn record_node_counts(
         &mut self,
         from: SocketAddr,
         incarnation: u64,
@@ -144,7 +144,7 @@
     }
 
     /// This node's own requests have shown how fast an instance is.
-    pub fn learn(&mut self, instance: u64, sample: SpeedSample, now: Timestamp) {
+    pub fn record_speed(&mut self, instance: u64, sample: SpeedSample, now: Timestamp) {
         let load = self.instances.entry(instance).or_default();
         load.learn(sample, now);
         self.changed.insert(instance);
@@ -152,7 +152,7 @@
 
     /// The zone's hub has sent a digest. `own` says how many requests this node has
     /// reported for an instance: the others have the rest.
-    pub fn digested(
+    pub fn record_digest(
         &mut self,
         from: SocketAddr,
         zones: u8,
@@ -185,7 +185,7 @@
     }
 
     /// The hub of another zone has sent the sums of its zone.
-    pub fn summed(&mut self, from: SocketAddr, sums: &[ZoneSum], now: Timestamp) {
+    pub fn record_zone_sums(&mut self, from: SocketAddr, sums: &[ZoneSum], now: Timestamp) {
         self.other_hubs.insert(from, now);
         for sum in sums {
             let load = self.instances.entry(sum.instance).or_default();
@@ -217,7 +217,7 @@
     /// The time of work for one request at an instance that works as usual.
     pub fn service_time(&self, instance: u64, now: Timestamp) -> Option<Duration> {
         let time = self.instances.get(&instance)?.service_time(now)?;
-        Some(boundary::millis(time, MAX_TIMEOUT))
+        Some(validation::millis(time, MAX_TIMEOUT))
     }
 
     /// How long work takes at an instance now, in percent of the usual time.
@@ -226,13 +226,13 @@
     }
 
     /// When the last digest of a hub came.
-    pub fn digest_from(&self, hub: SocketAddr) -> Option<Timestamp> {
+    pub fn last_digest_from(&self, hub: SocketAddr) -> Option<Timestamp> {
         let digest = self.digest.filter(|digest| digest.from == hub)?;
         Some(digest.at)
     }
 
     /// Whether a node has sent the sums of its zone lately.
-    pub fn hears_hub(&self, hub: SocketAddr, now: Timestamp) -> bool {
+    pub fn has_recent_sums_from(&self, hub: SocketAddr, now: Timestamp) -> bool {
         let at = self.other_hubs.get(&hub);
         at.is_some_and(|at| *at + COUNT_TTL > now)
     }
--- a/crates/ledgelead-router/src/peers/transfer.rs
+++ b/crates/ledgelead-router/src/peers/transfer.rs
@@ -14,7 +14,7 @@
     /// The kind.
     pub kind: RelayedKind,
     /// The revision up to which the sender knows the objects; it wants later ones.
-    pub known: u64,
+    pub known_revision: u64,
     /// The sender's zone.
     pub zone: Text,
     /// Where others can ask the sender, once it has the objects.
@@ -29,7 +29,7 @@
     /// The objects.
     State(TransferredState),
     /// The receiver has none that are newer, or no room on its link.
-    Elsewhere {
+    Redirect {
         /// Nodes that were sent the objects lately.
         nodes: List<PeerAddress>,
     },
@@ -59,7 +59,7 @@
     /// The record of ownership.
     Ownership(RecordEntry),
     /// The configuration.
-    Configuration(WholeConfiguration),
+    Configuration(FullConfiguration),
 }
 
 /// The record of ownership.
@@ -93,14 +93,14 @@
 
 /// A version of the configuration.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct WholeConfiguration {
+pub struct FullConfiguration {
     /// Its limits.
     pub limits: LimitsEntry,
     /// Its routes and services.
     pub entries: List<ConfigurationChange>,
 }
 
-impl WholeConfiguration {
+impl FullConfiguration {
     /// This configuration as what it changes of none.
     pub fn into_delta(self, version: u64) -> ConfigurationDelta {
         ConfigurationDelta {
--- a/crates/ledgelead-router/src/protections.rs
+++ b/crates/ledgelead-router/src/protections.rs
@@ -13,42 +13,42 @@
     BoundedAuthority,
     /// A request that may run once is sent again only on proof that it has
     /// not run.
-    UnknownNotRepeated,
+    RetryOnlyIfNotRun,
     /// A request that may have run is not told as refused.
-    HonestRefusal,
+    AccurateRefusal,
     /// A leaving owner gets nothing more after its time.
     DrainBound,
     /// The word of a coordinator counts for nothing once a later epoch is known.
-    NewestEpoch,
+    IgnoreOlderEpochs,
     /// Nodes broadcast under which requests instances ended.
     SharedEvidence,
     /// What is known of such requests is kept in the store.
-    KeptEvidence,
+    PersistedEvidence,
     /// A request that an instance answers is no such request.
-    Acquittal,
+    AnswerClearsSuspicion,
     /// An object that can't be read takes no other of the store's answer with it.
-    ForeignApart,
+    IsolateUnreadable,
     /// An instance whose entry can't be read gets nothing more.
-    ForeignUnused,
+    ExcludeUnreadable,
     /// A later life of an instance is not taken for the earlier one.
-    LivesApart,
+    DistinctIncarnations,
     /// Work goes by a first list that may be stale only once it is confirmed.
     ConfirmedView,
     /// An instance leaves as soon as some answer of it says so.
-    HeededLeaving,
+    HonorLeaving,
     /// An instance that has asked a node for a pause gets nothing from it until its end.
-    HeededBackoff,
+    HonorBackoff,
     /// An instance gets no more requests than the rate limit that it names allows.
-    HeededRateLimit,
+    HonorRateLimit,
     /// Such a limit binds all nodes together, not each of them.
     SharedRateLimit,
     /// What was taken from the store in an era counts for nothing in a later one, unless it
     /// is proved there.
-    EraBound,
+    EraIsolation,
     /// Epochs and fencing tokens of an era are above all of earlier ones.
     EraTokens,
     /// A request is recognised by all that makes it the same, not by its path alone.
-    WholeIdentity,
+    FullRequestIdentity,
 }
 
 impl Protection {
@@ -57,24 +57,24 @@
         ("skip-lease-wait", Protection::LeaseWait),
         ("keep-fences", Protection::TakeoverFence),
         ("endless-authority", Protection::BoundedAuthority),
-        ("repeat-unknown", Protection::UnknownNotRepeated),
-        ("claim-not-run", Protection::HonestRefusal),
+        ("repeat-unknown", Protection::RetryOnlyIfNotRun),
+        ("claim-not-run", Protection::AccurateRefusal),
         ("send-while-draining", Protection::DrainBound),
-        ("heed-former", Protection::NewestEpoch),
+        ("heed-former", Protection::IgnoreOlderEpochs),
         ("share-no-evidence", Protection::SharedEvidence),
-        ("keep-no-evidence", Protection::KeptEvidence),
-        ("acquit-nobody", Protection::Acquittal),
-        ("one-life", Protection::LivesApart),
+        ("keep-no-evidence", Protection::PersistedEvidence),
+        ("acquit-nobody", Protection::AnswerClearsSuspicion),
+        ("one-life", Protection::DistinctIncarnations),
         ("trust-first-list", Protection::ConfirmedView),
-        ("forget-leaving", Protection::HeededLeaving),
-        ("ignore-backoff", Protection::HeededBackoff),
-        ("ignore-limit", Protection::HeededRateLimit),
+        ("forget-leaving", Protection::HonorLeaving),
+        ("ignore-backoff", Protection::HonorBackoff),
+        ("ignore-limit", Protection::HonorRateLimit),
         ("keep-limit-alone", Protection::SharedRateLimit),
-        ("ignore-era", Protection::EraBound),
+        ("ignore-era", Protection::EraIsolation),
         ("reuse-fences", Protection::EraTokens),
-        ("know-by-path", Protection::WholeIdentity),
-        ("drop-with-foreign", Protection::ForeignApart),
-        ("use-foreign", Protection::ForeignUnused),
+        ("know-by-path", Protection::FullRequestIdentity),
+        ("drop-with-foreign", Protection::IsolateUnreadable),
+        ("use-foreign", Protection::ExcludeUnreadable),
     ];
 }
 
--- a/crates/ledgelead-router/src/quarantine/answers.rs
+++ b/crates/ledgelead-router/src/quarantine/answers.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether an instance has answered a caller's request lately, or anybody's.
-    pub fn holds(&self, request: RequestDigest, caller: CallerId) -> bool {
+    pub fn contains(&self, request: RequestDigest, caller: CallerId) -> bool {
         let known = (request, caller);
         self.current.contains(&known) || self.previous.contains(&known)
     }
--- a/crates/ledgelead-router/src/quarantine/entry.rs
+++ b/crates/ledgelead-router/src/quarantine/entry.rs
@@ -35,7 +35,7 @@
 
 /// An instance has ended while a caller's request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct InstanceEnd {
     /// The caller.
     pub caller: CallerId,
     /// Stable hash of the instance's id.
@@ -52,9 +52,9 @@
     /// Its path, for operators.
     pub path: String,
     /// Instances that ended.
-    pub ends: Vec<End>,
+    pub ends: Vec<InstanceEnd>,
     /// Callers whose requests were answered by an instance, and when last.
-    pub acquitted: BTreeMap<CallerId, Timestamp>,
+    pub cleared: BTreeMap<CallerId, Timestamp>,
     /// Callers whose requests are held back, and since when.
     pub quarantined: BTreeMap<CallerId, Timestamp>,
 }
@@ -69,14 +69,15 @@
         for end in &other.ends {
             is_news |= self.add(*end);
         }
-        is_news |= merge_latest(&mut self.acquitted, &other.acquitted);
+        is_news |= merge_latest(&mut self.cleared, &other.cleared);
         is_news |= merge_latest(&mut self.quarantined, &other.quarantined);
         is_news
     }
 
     /// An instance has ended. Returns whether that is news.
-    pub(super) fn add(&mut self, end: End) -> bool {
-        let same = |known: &&mut End| (known.caller, known.instance) == (end.caller, end.instance);
+    pub(super) fn add(&mut self, end: InstanceEnd) -> bool {
+        let same =
+            |known: &&mut InstanceEnd| (known.caller, known.instance) == (end.caller, end.instance);
         match self.ends.iter_mut().find(same) {
             Some(known) => {
                 known.settled |= end.settled;
@@ -102,21 +103,21 @@
                 .filter(|(caller, _)| judged.contains(caller));
             self.quarantined = still.collect();
             if self.quarantined.is_empty() {
-                self.acquitted.insert(CallerId::ALL, now);
+                self.cleared.insert(CallerId::ALL, now);
             }
         }
     }
 
     /// Whether what happened at a time counts for nothing, by an answer.
     pub(super) fn is_void(&self, caller: CallerId, at: Timestamp) -> bool {
-        let answered = self.acquitted.get(&caller);
-        let lifted = self.acquitted.get(&CallerId::ALL);
+        let answered = self.cleared.get(&caller);
+        let lifted = self.cleared.get(&CallerId::ALL);
         answered.is_some_and(|answered| at <= *answered + ACQUITTED_FOR)
             || lifted.is_some_and(|lifted| at <= *lifted)
     }
 
     /// Whether a caller's request is held back.
-    pub fn holds_back(&self, caller: CallerId) -> bool {
+    pub fn is_quarantined_for(&self, caller: CallerId) -> bool {
         let held = |by: CallerId| {
             let since = self.quarantined.get(&by);
             since.is_some_and(|since| !self.is_void(caller, *since))
@@ -132,7 +133,7 @@
 
     /// Instances that ended under a caller's request.
     pub fn ends_of(&self, caller: CallerId) -> usize {
-        let of_caller = |end: &&End| end.caller == caller && !self.is_void(caller, end.at);
+        let of_caller = |end: &&InstanceEnd| end.caller == caller && !self.is_void(caller, end.at);
         let ends = self.ends.iter().filter(of_caller);
         ends.map(|end| end.instance)
             .collect::<BTreeSet<u64>>()
@@ -143,7 +144,7 @@
     /// instances ended under them; everybody's, if several instances ended under those of
     /// each of several callers alone, and none was ever answered.
     pub(super) fn judge(&self) -> Vec<CallerId> {
-        let counts = |end: &&End| end.settled && !self.is_void(end.caller, end.at);
+        let counts = |end: &&InstanceEnd| end.settled && !self.is_void(end.caller, end.at);
         let mut by_caller: BTreeMap<CallerId, BTreeSet<u64>> = BTreeMap::new();
         for end in self.ends.iter().filter(counts) {
             by_caller
@@ -158,17 +159,17 @@
             .filter(is_enough)
             .map(|(caller, _)| *caller)
             .collect();
-        if self.acquitted.is_empty() && is_everybodys(&by_caller) {
+        if self.cleared.is_empty() && is_everybodys(&by_caller) {
             judged.push(CallerId::ALL);
         }
-        judged.retain(|caller| !self.holds_back(*caller));
+        judged.retain(|caller| !self.is_quarantined_for(*caller));
         judged
     }
 
     /// When something was last learned.
     pub(super) fn newest(&self) -> Timestamp {
         let ends = self.ends.iter().map(|end| &end.at);
-        let others = self.acquitted.values().chain(self.quarantined.values());
+        let others = self.cleared.values().chain(self.quarantined.values());
         ends.chain(others).max().copied().unwrap_or_default()
     }
 }
--- a/crates/ledgelead-router/src/quarantine/evidence.rs
+++ b/crates/ledgelead-router/src/quarantine/evidence.rs
@@ -1,6 +1,6 @@
 //! What all nodes know together of requests under which instances ended.
 
-use super::entry::{ACQUITTED_FOR, CallerId, End, Entry};
+use super::entry::{ACQUITTED_FOR, CallerId, Entry, InstanceEnd};
 use crate::Timestamp;
 use crate::requests::RequestDigest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 
 /// What a review of the evidence has changed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Verdicts(pub Vec<(RequestDigest, CallerId)>);
+pub struct NewQuarantines(pub Vec<(RequestDigest, CallerId)>);
 
 /// Facts of all nodes. Merging is union, so any order of messages leads to the same.
 #[derive(Debug, Default)]
@@ -65,9 +65,9 @@
     }
 
     /// Whether a caller's request is held back.
-    pub fn holds_back(&self, request: &RequestDigest, caller: CallerId) -> bool {
+    pub fn is_quarantined_for(&self, request: &RequestDigest, caller: CallerId) -> bool {
         let entry = self.entries.get(request);
-        entry.is_some_and(|entry| entry.holds_back(caller))
+        entry.is_some_and(|entry| entry.is_quarantined_for(caller))
     }
 
     /// Instances that ended under a caller's request.
@@ -77,13 +77,13 @@
     }
 
     /// When an instance ended, if some node says so and none has disproved it.
-    pub fn said_to_have_ended(&self, instance: u64) -> Option<Timestamp> {
+    pub fn reported_end(&self, instance: u64) -> Option<Timestamp> {
         let ended = self.ended.get(&instance).copied();
         ended.filter(|_| !self.alive.contains_key(&instance))
     }
 
     /// An instance has ended under a request.
-    pub fn accuse(&mut self, request: RequestDigest, path: &str, end: End) {
+    pub fn record_end(&mut self, request: RequestDigest, path: &str, end: InstanceEnd) {
         let entry = Entry {
             path: path.to_owned(),
             ends: vec![end],
@@ -95,16 +95,16 @@
 
     /// An instance has answered a caller's request. Only one that is suspected needs that;
     /// an answer to any other caller shows that not everybody's crashes instances.
-    pub fn acquit(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
+    pub fn record_answer(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
         let Some(entry) = self.entries.get_mut(&request) else {
             return;
         };
-        let is_suspected = entry.ends_of(caller) > 0 || entry.holds_back(caller);
+        let is_suspected = entry.ends_of(caller) > 0 || entry.is_quarantined_for(caller);
         if is_suspected {
-            entry.acquitted.insert(caller, now);
+            entry.cleared.insert(caller, now);
             self.news.insert(request);
-        } else if entry.acquitted.is_empty() && !entry.ends.is_empty() {
-            entry.acquitted.insert(CallerId::SOME_OTHER, now);
+        } else if entry.cleared.is_empty() && !entry.ends.is_empty() {
+            entry.cleared.insert(CallerId::SOME_OTHER, now);
             self.news.insert(request);
         }
     }
@@ -112,14 +112,14 @@
     /// The operator has lifted a quarantine.
     pub fn lift(&mut self, request: RequestDigest, now: Timestamp) {
         if let Some(entry) = self.entries.get_mut(&request) {
-            entry.acquitted.insert(CallerId::ALL, now);
+            entry.cleared.insert(CallerId::ALL, now);
             self.news.insert(request);
         }
     }
 
     /// An instance that was said to have ended has answered: it ended nowhere.
-    pub fn disprove(&mut self, instance: u64, now: Timestamp) {
-        if !self.note_alive(instance, now) {
+    pub fn disprove_end(&mut self, instance: u64, now: Timestamp) {
+        if !self.record_alive(instance, now) {
             return;
         }
         self.news_alive.insert(instance);
@@ -127,7 +127,7 @@
 
     /// Some node has seen an instance live that was said to have ended. Returns whether
     /// that is news.
-    pub fn note_alive(&mut self, instance: u64, at: Timestamp) -> bool {
+    pub fn record_alive(&mut self, instance: u64, at: Timestamp) -> bool {
         if self.alive.insert(instance, at).is_some() {
             return false;
         }
@@ -161,8 +161,8 @@
     }
 
     /// Judges the ends that have settled by now.
-    pub fn review(&mut self, now: Timestamp) -> Verdicts {
-        let mut verdicts = Verdicts::default();
+    pub fn review(&mut self, now: Timestamp) -> NewQuarantines {
+        let mut verdicts = NewQuarantines::default();
         if self.next_review.is_none_or(|at| now < at) {
             return verdicts;
         }
@@ -191,25 +191,25 @@
 
     /// Requests of which something was learned since the last call, and instances that
     /// live after all.
-    pub fn take_news(&mut self) -> (BTreeSet<RequestDigest>, BTreeSet<u64>) {
+    pub fn take_unannounced(&mut self) -> (BTreeSet<RequestDigest>, BTreeSet<u64>) {
         let news = std::mem::take(&mut self.news);
         (news, std::mem::take(&mut self.news_alive))
     }
 
-    /// Whether `take_news` would return anything.
-    pub fn has_news(&self) -> bool {
+    /// Whether `take_unannounced` would return anything.
+    pub fn has_unannounced(&self) -> bool {
         !self.news.is_empty() || !self.news_alive.is_empty()
     }
 
     /// Requests of which every node has to know: two instances or more ended under them.
-    pub fn weighty(&self) -> impl Iterator<Item = (&RequestDigest, &Entry)> {
-        let is_weighty = |(_, entry): &(&RequestDigest, &Entry)| entry.is_weighty();
-        self.entries.iter().filter(is_weighty)
+    pub fn broadcast_entries(&self) -> impl Iterator<Item = (&RequestDigest, &Entry)> {
+        let must_broadcast = |(_, entry): &(&RequestDigest, &Entry)| entry.must_broadcast();
+        self.entries.iter().filter(must_broadcast)
     }
 
     /// A checksum of what every node has to know; 0 if that is nothing.
     pub fn checksum(&self) -> u64 {
-        self.weighty()
+        self.broadcast_entries()
             .fold(0, |sum, (request, entry)| sum ^ entry.checksum(request))
     }
 
@@ -221,7 +221,11 @@
             .retain(|_, entry| entry.is_quarantined() || is_recent(entry.newest()));
         while self.entries.len() > MAX_ENTRIES {
             let oldest = self.entries.iter().min_by_key(|(_, entry)| {
-                (entry.is_quarantined(), entry.is_weighty(), entry.newest())
+                (
+                    entry.is_quarantined(),
+                    entry.must_broadcast(),
+                    entry.newest(),
+                )
             });
             let Some(oldest) = oldest.map(|(request, _)| *request) else {
                 break;
@@ -234,7 +238,7 @@
 }
 
 impl Entry {
-    fn is_weighty(&self) -> bool {
+    fn must_broadcast(&self) -> bool {
         let ended: BTreeSet<u64> = self.ends.iter().map(|end| end.instance).collect();
         ended.len() >= 2 || !self.quarantined.is_empty()
     }
@@ -249,7 +253,7 @@
             ends.into_iter()
                 .flat_map(|(caller, instance)| [caller, instance]),
         );
-        for known in [&self.acquitted, &self.quarantined] {
+        for known in [&self.cleared, &self.quarantined] {
             facts.push(u64::MAX);
             facts.extend(known.keys().map(|caller| caller.0));
         }
--- a/crates/ledgelead-router/src/quarantine/suspects.rs
+++ b/crates/ledgelead-router/src/quarantine/lost_attempts.rs
@@ -17,7 +17,7 @@
 
 /// A request that was in flight at an instance as the connection was lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Accusation {
+pub struct LostAttempt {
     /// The request.
     pub request: RequestDigest,
     /// Its caller.
@@ -30,15 +30,15 @@
 
 #[derive(Debug, Default)]
 struct Pending {
-    accused: Vec<Accusation>,
+    accused: Vec<LostAttempt>,
     next_probe: Timestamp,
 }
 
 /// What waits for proof.
 #[derive(Debug, Default)]
-pub struct Suspects(BTreeMap<InstanceId, Pending>);
+pub struct LostAttempts(BTreeMap<InstanceId, Pending>);
 
-impl Suspects {
+impl LostAttempts {
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -55,7 +55,7 @@
     }
 
     /// An attempt was lost. Returns whether the instance is to be probed now.
-    pub fn lost(&mut self, instance: &InstanceId, accused: Accusation, now: Timestamp) -> bool {
+    pub fn record(&mut self, instance: &InstanceId, accused: LostAttempt, now: Timestamp) -> bool {
         let pending = self.0.entry(instance.clone()).or_default();
         if pending.accused.len() < MAX_ACCUSED {
             pending.accused.push(accused);
@@ -68,7 +68,7 @@
     }
 
     /// The instance has ended. Returns what was in flight there.
-    pub fn ended(&mut self, instance: &InstanceId) -> Vec<Accusation> {
+    pub fn take_ended(&mut self, instance: &InstanceId) -> Vec<LostAttempt> {
         let pending = self.0.remove(instance);
         pending.map_or(Vec::new(), |pending| pending.accused)
     }
--- a/crates/ledgelead-router/src/quarantine/record.rs
+++ b/crates/ledgelead-router/src/quarantine/record.rs
@@ -1,6 +1,6 @@
 //! What the store keeps of a request that crashes instances, over the loss of all nodes.
 
-use super::entry::{CallerId, End, Entry};
+use super::entry::{CallerId, Entry, InstanceEnd};
 use crate::Timestamp;
 use serde::{Deserialize, Serialize};
 
@@ -18,10 +18,10 @@
 impl QuarantineRecord {
     /// What counts of an entry.
     pub fn new(entry: &Entry) -> QuarantineRecord {
-        let counts = |end: &&End| !entry.is_void(end.caller, end.at);
-        let end = |end: &End| (hex(end.caller.0), hex(end.instance));
+        let counts = |end: &&InstanceEnd| !entry.is_void(end.caller, end.at);
+        let end = |end: &InstanceEnd| (hex(end.caller.0), hex(end.instance));
         let quarantined = entry.quarantined.keys();
-        let held = quarantined.filter(|caller| entry.holds_back(**caller));
+        let held = quarantined.filter(|caller| entry.is_quarantined_for(**caller));
         QuarantineRecord {
             path: entry.path.clone(),
             ends: entry.ends.iter().filter(counts).map(end).collect(),
@@ -32,7 +32,7 @@
     /// The entry of a node that reads it now.
     pub fn entry(&self, now: Timestamp) -> Entry {
         let end = |(caller, instance): &(String, String)| {
-            Some(End {
+            Some(InstanceEnd {
                 caller: CallerId(number(caller)?),
                 instance: number(instance)?,
                 at: now,
--- a/crates/ledgelead-router/src/quarantine/unconfirmed_answers.rs
+++ b/crates/ledgelead-router/src/quarantine/unconfirmed_answers.rs
@@ -7,7 +7,7 @@
 
 /// Time within which a life that answers has written its entry (a heartbeat, 0.9 to
 /// 1.3 s), and nodes have read it.
-const NEW_LIFE_KNOWN_WITHIN: Duration = Duration::from_secs(2);
+const NEW_INCARNATION_KNOWN_WITHIN: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
 struct Answer {
@@ -24,7 +24,7 @@
     /// What was asked of a life at this time was answered under its id. The first
     /// answer counts, so that later ones don't put it off.
     pub fn answered(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
-        let due = now + NEW_LIFE_KNOWN_WITHIN;
+        let due = now + NEW_INCARNATION_KNOWN_WITHIN;
         let answer = Answer { asked, due };
         self.0.entry(instance.clone()).or_insert(answer);
     }
--- a/crates/ledgelead-router/src/rate_limit/succession.rs
+++ b/crates/ledgelead-router/src/rate_limit/failover.rs
@@ -24,7 +24,7 @@
 
 /// What follows for a node that is asked in place of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct FailoverStatus {
     /// Whether the other counts as lost.
     pub is_lost: bool,
     /// Whether it is probed now.
@@ -33,13 +33,13 @@
 
 /// First limiters in whose place this node is asked.
 #[derive(Clone, Debug, Default)]
-pub struct Succession {
+pub struct LimiterFailover {
     unheard: HashMap<SocketAddr, Unheard>,
 }
 
-impl Succession {
+impl LimiterFailover {
     /// This node is asked in place of another one.
-    pub fn asked_for(&mut self, first: SocketAddr, now: Timestamp) -> Standing {
+    pub fn asked_in_place_of(&mut self, first: SocketAddr, now: Timestamp) -> FailoverStatus {
         let anew = Unheard {
             since: now,
             asked_at: now,
@@ -54,7 +54,7 @@
         if is_probed {
             unheard.next_probe = now + PROBE_PAUSE;
         }
-        Standing {
+        FailoverStatus {
             is_lost: unheard.since + LOST_AFTER <= now,
             is_probed,
         }
--- a/crates/ledgelead-router/src/rate_limit/known.rs
+++ b/crates/ledgelead-router/src/rate_limit/known.rs
@@ -36,7 +36,12 @@
 
 impl KnownLimits {
     /// An answer to this node says what holds. Returns whether that is new.
-    pub fn answered(&mut self, instance: u64, limit: Option<RateLimit>, now: Timestamp) -> bool {
+    pub fn record_from_answer(
+        &mut self,
+        instance: u64,
+        limit: Option<RateLimit>,
+        now: Timestamp,
+    ) -> bool {
         if limit.is_none() && !self.known.contains_key(&instance) {
             return false;
         }
@@ -49,7 +54,7 @@
     }
 
     /// Another node says what holds; of two statements the later one counts.
-    pub fn announced(&mut self, instance: u64, statement: LimitStatement) {
+    pub fn record_from_peer(&mut self, instance: u64, statement: LimitStatement) {
         let known = self.known.get(&instance);
         let is_older = known.is_some_and(|known| known.statement.at > statement.at);
         if !is_older {
@@ -58,7 +63,7 @@
     }
 
     /// The coordinator knows of a limit: it need not be reported, if it is the same.
-    pub fn reported(&mut self, instance: u64, limit: Option<RateLimit>) {
+    pub fn mark_reported(&mut self, instance: u64, limit: Option<RateLimit>) {
         if let Some(known) = self.known.get_mut(&instance) {
             known.is_unreported &= known.statement.limit != limit;
         }
@@ -75,14 +80,14 @@
     }
 
     /// There is no token for this node for so long.
-    pub fn refused(&mut self, instance: u64, wait: Duration, now: Timestamp) {
+    pub fn mark_refused(&mut self, instance: u64, wait: Duration, now: Timestamp) {
         if let Some(known) = self.known.get_mut(&instance) {
             known.empty_until = known.empty_until.max(now + wait);
         }
     }
 
     /// For how much longer there is no token for this node.
-    pub fn empty_for(&self, instance: u64, now: Timestamp) -> Option<Duration> {
+    pub fn token_wait(&self, instance: u64, now: Timestamp) -> Option<Duration> {
         let known = self.known.get(&instance)?;
         known.statement.limit?;
         let left = known.empty_until.saturating_sub(now);
@@ -106,7 +111,7 @@
     }
 
     /// What all nodes are to know: limits that hold, and those that ended lately.
-    pub fn current(&self, now: Timestamp) -> impl Iterator<Item = (u64, LimitStatement)> {
+    pub fn to_announce(&self, now: Timestamp) -> impl Iterator<Item = (u64, LimitStatement)> {
         let counts = move |known: &KnownLimit| {
             known.statement.limit.is_some() || known.statement.at + ENDED_ANNOUNCED > now
         };
--- a/crates/ledgelead-router/src/rate_limit/limiter.rs
+++ b/crates/ledgelead-router/src/rate_limit/limiter.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimiterRole {
     /// The one that is asked.
-    First,
+    Primary,
     /// The one that is asked where the first is silent.
-    Second,
+    Secondary,
 }
 
 /// What becomes of an ask for a token.
@@ -86,7 +86,7 @@
     }
 
     /// Decides on an ask for one request to an instance with this limit.
-    pub fn ask(
+    pub fn request_token(
         &mut self,
         asker: SocketAddr,
         instance: u64,
@@ -96,8 +96,8 @@
     ) -> TokenVerdict {
         let rate = limit.per_s().max(LEAST_RATE);
         let rate = match role {
-            LimiterRole::First => rate,
-            LimiterRole::Second => rate * SECOND_SHARE,
+            LimiterRole::Primary => rate,
+            LimiterRole::Secondary => rate * SECOND_SHARE,
         };
         let bucket = self.buckets.entry(instance).or_insert(Bucket {
             tokens: -rate * STARTING_PAUSE.as_secs_f64(),
--- a/crates/ledgelead-router/src/rate_limit/mod.rs
+++ b/crates/ledgelead-router/src/rate_limit/mod.rs
@@ -1,11 +1,11 @@
 //! Rate limits that instances name, each of which binds all nodes together.
 
+mod failover;
 mod known;
 mod limiter;
 mod notice;
-mod succession;
 
+pub use failover::{FailoverStatus, LimiterFailover};
 pub use known::{KnownLimits, LimitStatement};
 pub use limiter::{Limiter, LimiterCounters, LimiterRole, TokenVerdict};
 pub use notice::{RateLimit, RateNotice};
-pub use succession::{Standing, Succession};
--- a/crates/ledgelead-router/src/rate_limit/notice.rs
+++ b/crates/ledgelead-router/src/rate_limit/notice.rs
@@ -1,8 +1,8 @@
 //! What an answer says of the rate at which its instance takes requests.
 
-use crate::boundary::decimal;
 use crate::dialect::HeaderNames;
 use crate::identity::InstanceId;
+use crate::validation::decimal;
 use ledgelead_http::Response;
 
 /// Status of an answer that may come from another instance, which doesn't name itself.
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateNotice {
     /// Nothing: the answer may be another instance's.
-    Silent,
+    NotStated,
     /// A limit that can't be read.
     Unreadable,
     /// No limit holds.
@@ -49,7 +49,7 @@
     pub fn of(meant: &InstanceId, response: &Response, headers: &HeaderNames) -> RateNotice {
         let answering = response.headers.text(&headers.instance);
         if answering.is_some_and(|id| id != meant.name()) || response.status == MISDIRECTED {
-            return RateNotice::Silent;
+            return RateNotice::NotStated;
         }
         let mut notice = RateNotice::Unlimited;
         for value in response.headers.all(&headers.rate_limit) {
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -5,7 +5,6 @@
 use super::repeats::rejection_cause;
 use super::{RequestContext, Requests};
 use crate::Timestamp;
-use crate::boundary::MAX_SLOTS;
 use crate::dispatch::PermitOutcome;
 use crate::events::Event;
 use crate::identity::{InstanceId, ServiceName};
@@ -19,6 +18,7 @@
 use crate::requests::rejection_cause::RejectionCause;
 use crate::requests::selection::Selected;
 use crate::requests::statistics::ReportedLoad;
+use crate::validation::MAX_SLOTS;
 use crate::whole_millis;
 use ledgelead_http::{Request, Response};
 use std::collections::BTreeSet;
@@ -70,7 +70,7 @@
         let Some(attempt) = open.attempt.clone() else {
             return false;
         };
-        let reviews = self.mechanisms.has(Mechanism::Review) && !self.stopping;
+        let reviews = self.mechanisms.has(Mechanism::Hedging) && !self.stopping;
         if attempt.review > context.now || !reviews || !open.is_idempotent() {
             let next = if attempt.review > context.now && reviews {
                 attempt.review.min(open.due)
@@ -196,7 +196,7 @@
             self.cold_sends.note(&selected.id, context.now);
         }
         let exchange = context.exchanges.next_id();
-        let limits = self.mechanisms.has(Mechanism::RestLimit);
+        let limits = self.mechanisms.has(Mechanism::IdleConnectionLimit);
         let rest_limit = self.rest_limit.current(context.now).filter(|_| limits);
         let options = attempt_options(open, rest_limit, context);
         let review = open.route.target_latency.mul_f64(REVIEW_SHARE);
@@ -282,7 +282,7 @@
                 self.misdirected |= misdirected && open.misdirection.is_some();
             }
             Verdict::Unknown { timed_out } => {
-                open.may_have_run = self.protections.has(Protection::HonestRefusal);
+                open.may_have_run = self.protections.has(Protection::AccurateRefusal);
                 open.timed_out |= timed_out;
             }
             Verdict::Failed(response) => {
@@ -291,7 +291,7 @@
             }
             Verdict::Relay(_) => {}
         }
-        let repeats_unknown = !self.protections.has(Protection::UnknownNotRepeated);
+        let repeats_unknown = !self.protections.has(Protection::RetryOnlyIfNotRun);
         if open.may_have_run && !open.is_idempotent() && !repeats_unknown {
             open.exhausted = true;
         }
@@ -466,7 +466,7 @@
         connect_timeout: CONNECT_TIMEOUT.min(write_timeout),
         write_timeout: Some(write_timeout),
         // Sent again, an idempotent request loses less than by waiting.
-        settle: if open.is_idempotent() {
+        settle_time: if open.is_idempotent() {
             Duration::ZERO
         } else {
             SETTLE_ONCE
@@ -474,7 +474,7 @@
         // A little longer than this node waits: the final answer at the end
         // of the time is given by the request's own timer.
         timeout: left + ANSWER_MARGIN,
-        renewed: false,
+        timeout_is_idle: false,
     }
 }
 
--- a/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
@@ -4,7 +4,7 @@
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use crate::io::{ClientId, ExchangeFailure};
-use crate::quarantine::{Accusation, CallerId};
+use crate::quarantine::{CallerId, LostAttempt};
 use crate::requests::digest::RequestDigest;
 use crate::requests::open_request::{Attempt, OpenRequest};
 use ledgelead_http::Response;
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct CrashSigns {
     /// Attempts whose connection was lost.
-    pub lost: Vec<(InstanceId, Accusation)>,
+    pub lost: Vec<(InstanceId, LostAttempt)>,
     /// Instances that refused a connection.
     pub refused: Vec<InstanceId>,
     /// Instances that answered, and when they were asked.
@@ -76,7 +76,7 @@
     /// Whether a request is one that crashes instances.
     pub(super) fn is_held_back(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
         let evidence = context.evidence;
-        !evidence.is_empty() && evidence.holds_back(&open.digest(), open.caller)
+        !evidence.is_empty() && evidence.is_quarantined_for(&open.digest(), open.caller)
     }
 
     /// Whether a request that was lost with its instance is sent again by this node.
@@ -107,13 +107,13 @@
         && headers.get(&context.headers.signature).is_some()
 }
 
-fn accusation(open: &OpenRequest, now: Timestamp) -> Accusation {
+fn accusation(open: &OpenRequest, now: Timestamp) -> LostAttempt {
     let path = open.request.path();
     let mut end = path.len().min(MAX_PATH_BYTES);
     while !path.is_char_boundary(end) {
         end -= 1;
     }
-    Accusation {
+    LostAttempt {
         request: open.digest(),
         caller: open.caller,
         path: path[..end].to_owned(),
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -26,7 +26,7 @@
 use super::overload::Overloads;
 use super::permits::{PermitCounters, Permits};
 use super::refusal_share::RefusalShares;
-use super::rest_limit::RestLimit;
+use super::rest_limit::IdleConnectionLimit;
 use super::split::Splits;
 use super::statistics::StatisticsTable;
 use super::tokens::TokenAsks;
@@ -41,7 +41,7 @@
 use crate::ownership::cold_keys::ColdKeys;
 use crate::ownership::coordinator::ExchangeIds;
 use crate::ownership::view::OwnershipView;
-use crate::ownership::work::Work;
+use crate::ownership::work::WorkSample;
 use crate::peers::{OpenRequests, Registry, SharedLoad, SpeedSample};
 use crate::protections::{Protection, Protections};
 use crate::quarantine::{CallerId, Evidence};
@@ -127,11 +127,11 @@
     evacuation_bound: Duration,
     rng: Pcg64Mcg,
     asked: BTreeMap<ServiceName, Vec<u16>>,
-    worked: BTreeMap<InstanceId, Work>,
+    worked: BTreeMap<InstanceId, WorkSample>,
     changed: BTreeSet<InstanceId>,
     /// Services whose instances report their load in their answers.
     reporting: BTreeSet<ServiceName>,
-    rest_limit: RestLimit,
+    rest_limit: IdleConnectionLimit,
     refusals: RefusalShares,
     permits: Permits,
     tokens: TokenAsks,
@@ -173,7 +173,7 @@
             worked: BTreeMap::new(),
             changed: BTreeSet::new(),
             reporting: BTreeSet::new(),
-            rest_limit: RestLimit::default(),
+            rest_limit: IdleConnectionLimit::default(),
             refusals: RefusalShares::default(),
             permits: Permits::new(first_number),
             tokens: TokenAsks::new(first_number),
@@ -254,7 +254,7 @@
     }
 
     /// What owners did for this node's requests since the last call.
-    pub fn take_worked(&mut self) -> BTreeMap<InstanceId, Work> {
+    pub fn take_worked(&mut self) -> BTreeMap<InstanceId, WorkSample> {
         std::mem::take(&mut self.worked)
     }
 
@@ -500,7 +500,7 @@
             .map(|wait| Duration::from_millis(wait).saturating_sub(ANSWER_MARGIN));
         let due = context.now + client_wait.map_or(route.timeout, |wait| wait.min(route.timeout));
         Ok(OpenRequest {
-            caller: match self.protections.has(Protection::WholeIdentity) {
+            caller: match self.protections.has(Protection::FullRequestIdentity) {
                 true => CallerId::new(source),
                 false => CallerId::ALL,
             },
@@ -533,7 +533,7 @@
 
     /// Not worked out yet, unless a simulation turns that protection off.
     fn first_digest(&self, request: &Request) -> OnceCell<RequestDigest> {
-        match self.protections.has(Protection::WholeIdentity) {
+        match self.protections.has(Protection::FullRequestIdentity) {
             true => OnceCell::new(),
             false => {
                 let by_path = Request::new("", request.path(), Vec::new());
--- a/crates/ledgelead-router/src/requests/lifecycle/notices.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/notices.rs
@@ -28,7 +28,7 @@
         }
         let known = context.directory.get(instance);
         let leaves = notice.leaving && known.is_some_and(|known| known.leaving_since().is_none());
-        let heeds = self.protections.has(Protection::HeededBackoff);
+        let heeds = self.protections.has(Protection::HonorBackoff);
         let earlier = self.statistics.backoff_left(instance, context.now);
         let pauses = notice.backoff.is_some() && earlier.is_none();
         if let Some(backoff) = notice.backoff.filter(|_| heeds) {
@@ -58,18 +58,18 @@
         let kind = match notice {
             RateNotice::Limited(_) => Some("rate_limit"),
             RateNotice::Unreadable => Some("unreadable"),
-            RateNotice::Unlimited | RateNotice::Silent => None,
+            RateNotice::Unlimited | RateNotice::NotStated => None,
         };
         if let Some(kind) = kind {
             *self.counters.notices.entry(kind).or_default() += 1;
         }
         let is_new = match notice {
-            RateNotice::Silent | RateNotice::Unreadable => false,
+            RateNotice::NotStated | RateNotice::Unreadable => false,
             // Nearly all answers: nothing has to be looked up.
             RateNotice::Unlimited if self.statistics.limits.is_empty() => false,
             RateNotice::Unlimited | RateNotice::Limited(_) => {
                 let limits = &mut self.statistics.limits;
-                limits.answered(instance.stable_hash(), limit, now)
+                limits.record_from_answer(instance.stable_hash(), limit, now)
             }
         };
         if is_new {
@@ -133,7 +133,7 @@
         if limits.is_empty() {
             return false;
         }
-        let lacks = |id: &InstanceId| limits.empty_for(id.stable_hash(), context.now).is_some();
+        let lacks = |id: &InstanceId| limits.token_wait(id.stable_hash(), context.now).is_some();
         match open.key {
             Some(key) => context
                 .ownership
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -34,7 +34,7 @@
     /// What is done first with a request that is about to be sent to this instance, if it
     /// needs a token and has none.
     pub(super) fn token_step(&self, client: ClientId, instance: &InstanceId) -> Option<Step> {
-        if self.statistics.limits.is_empty() || !self.protections.has(Protection::HeededRateLimit) {
+        if self.statistics.limits.is_empty() || !self.protections.has(Protection::HonorRateLimit) {
             return None;
         }
         self.statistics.limits.limit(instance.stable_hash())?;
@@ -106,7 +106,9 @@
         let statement = self.statistics.limits.statement(hash);
         let (Some((limiter, asks)), Some(zone), Some(statement)) = (limiter, zone, statement)
         else {
-            self.statistics.limits.refused(hash, UNREACHABLE_WAIT, now);
+            self.statistics
+                .limits
+                .mark_refused(hash, UNREACHABLE_WAIT, now);
             self.advance(client, context, out);
             return;
         };
@@ -181,14 +183,18 @@
         match decision.verdict {
             TokenVerdict::Granted => {}
             TokenVerdict::Refused(wait) => {
-                self.statistics.limits.refused(decision.instance, wait, now);
+                self.statistics
+                    .limits
+                    .mark_refused(decision.instance, wait, now);
             }
             TokenVerdict::Unlimited => {
                 let ended = LimitStatement {
                     limit: None,
                     at: now,
                 };
-                self.statistics.limits.announced(decision.instance, ended);
+                self.statistics
+                    .limits
+                    .record_from_peer(decision.instance, ended);
             }
         }
         let Some(client) = self.tokens.take_client(decision.number) else {
--- a/crates/ledgelead-router/src/requests/mod.rs
+++ b/crates/ledgelead-router/src/requests/mod.rs
@@ -37,7 +37,7 @@
 pub use refusal_share::{RefusalShare, RefusalShares, return_after};
 pub use rejection_cause::RejectionCause;
 pub use repeat_value::{BudgetLevel, RepeatDemand, RepeatFacts};
-pub use rest_limit::RestLimit;
+pub use rest_limit::IdleConnectionLimit;
 pub use selection::{Selected, SelectionContext};
 pub use split::{LARGE_BODY_BYTES, SplitRequest, Splits};
 pub use statistics::{ReportedLoad, Statistics, StatisticsTable};
