--- a/crates/ledgelead-router/src/requests/notice.rs
+++ b/crates/ledgelead-router/src/requests/notice.rs
@@ -1,8 +1,8 @@
 //! What an instance says of itself in its answers.
 
-use crate::boundary::{MAX_TIMEOUT, decimal};
 use crate::dialect::HeaderNames;
 use crate::identity::InstanceId;
+use crate::validation::{MAX_TIMEOUT, decimal};
 use ledgelead_http::Response;
 use std::time::Duration;
 
--- a/crates/ledgelead-router/src/requests/rest_limit.rs
+++ b/crates/ledgelead-router/src/requests/rest_limit.rs
@@ -24,7 +24,7 @@
 
 /// What became of requests on kept connections.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RestLimit {
+pub struct IdleConnectionLimit {
     lost: f64,
     answered: f64,
     lost_fresh: f64,
@@ -33,7 +33,7 @@
     told: Option<(Duration, Timestamp)>,
 }
 
-impl RestLimit {
+impl IdleConnectionLimit {
     /// A request on a connection that had rested for `rested`, nothing if it
     /// was new, was answered.
     pub fn answered(&mut self, rested: Duration, now: Timestamp) {
--- a/crates/ledgelead-router/src/requests/statistics.rs
+++ b/crates/ledgelead-router/src/requests/statistics.rs
@@ -196,7 +196,7 @@
         if self.limits.is_empty() {
             return backoff;
         }
-        backoff.max(self.limits.empty_for(id.stable_hash(), now))
+        backoff.max(self.limits.token_wait(id.stable_hash(), now))
     }
 
     /// Forgets instances that are unknown to `known` and have nothing open.
--- a/crates/ledgelead-router/src/store/era.rs
+++ b/crates/ledgelead-router/src/store/era.rs
@@ -17,17 +17,17 @@
 }
 
 /// A number above all revisions, epochs and fencing tokens of earlier eras.
-pub fn first_of(era: u64) -> u64 {
+pub fn first_in_era(era: u64) -> u64 {
     era << REVISION_BITS
 }
 
 /// The store's own number of a revision.
 fn own_number(revision: u64) -> u64 {
-    revision & (first_of(1) - 1)
+    revision & (first_in_era(1) - 1)
 }
 
 /// A call as the store understands it.
-pub fn call_of_store(call: &StoreCall) -> StoreCall {
+pub fn with_store_revisions(call: &StoreCall) -> StoreCall {
     let mut call = call.clone();
     match &mut call {
         StoreCall::Watch { revision, .. } => *revision = own_number(*revision),
@@ -41,16 +41,16 @@
 }
 
 /// An answer of the store in an era; a finding where its numbers are out of bounds.
-pub fn answer_in(era: u64, answer: StoreAnswer) -> Result<StoreAnswer, String> {
+pub fn with_era(era: u64, answer: StoreAnswer) -> Result<StoreAnswer, String> {
     let number = |revision: u64| match era_of(revision) {
-        0 if era <= MAX_ERA => Ok(first_of(era) | revision),
+        0 if era <= MAX_ERA => Ok(first_in_era(era) | revision),
         _ => Err(format!("revision {revision} in era {era}")),
     };
     // An object out of bounds spoils itself alone.
     let numbered = |object: Object| match number(object.revision) {
         Ok(revision) => Object { revision, ..object },
         Err(finding) => Object {
-            revision: first_of(era.min(MAX_ERA)),
+            revision: first_in_era(era.min(MAX_ERA)),
             content: Err(finding),
             ..object
         },
--- a/crates/ledgelead-router/src/store/health.rs
+++ b/crates/ledgelead-router/src/store/health.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Without an answer for this long the store counts as lost.
-pub const LOST_AFTER: Duration = Duration::from_millis(1_500);
+pub const UNAVAILABLE_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Time without any word of the store, although no call failed, after which it may
 /// have been away: longer than a follower's view lasts (1.75 s) before it asks by
@@ -49,7 +49,7 @@
             return false;
         };
         let limit = if self.has_failed() {
-            LOST_AFTER
+            UNAVAILABLE_AFTER
         } else {
             UNSEEN_AFTER
         };
@@ -69,7 +69,7 @@
     /// this node's failed calls would have told, it knows. So the store is lost to
     /// it from now on at the earliest. Returns whether the store may have been away
     /// between the last word of it and this one.
-    pub fn followed_until(&mut self, now: Timestamp) -> bool {
+    pub fn relayed_until(&mut self, now: Timestamp) -> bool {
         let was_away = self.may_have_been_away(now);
         self.vouch(now);
         if let Some(since) = &mut self.failing_since {
@@ -100,15 +100,15 @@
 
     /// Whether the store served again only lately, so that others may not have
     /// noticed yet.
-    pub fn recovered_lately(&self, now: Timestamp) -> bool {
+    pub fn recovered_recently(&self, now: Timestamp) -> bool {
         self.recovered_at
             .is_some_and(|recovered| now.saturating_sub(recovered) < RECOVERY)
     }
 
     /// Whether calls have failed for longer than a moment.
-    pub fn is_lost(&self, now: Timestamp) -> bool {
+    pub fn is_unavailable(&self, now: Timestamp) -> bool {
         match self.failing_since {
-            Some(since) => now.saturating_sub(since) >= LOST_AFTER,
+            Some(since) => now.saturating_sub(since) >= UNAVAILABLE_AFTER,
             None => !self.has_served,
         }
     }
--- a/crates/ledgelead-router/src/store/mod.rs
+++ b/crates/ledgelead-router/src/store/mod.rs
@@ -5,6 +5,6 @@
 mod health;
 mod watcher;
 
-pub use era::{MAX_ERA, answer_in, call_of_store, era_of, first_of};
+pub use era::{MAX_ERA, era_of, first_in_era, with_era, with_store_revisions};
 pub use health::StoreHealth;
 pub use watcher::{Backoff, WatchChange, Watcher, WatcherPace};
--- a/crates/ledgelead-router/src/store/watcher.rs
+++ b/crates/ledgelead-router/src/store/watcher.rs
@@ -19,7 +19,7 @@
 const CONFIRMING_WAIT: Duration = Duration::from_millis(1);
 /// Pause between an answer and a call for what another node has seen; many
 /// changes in a row are told by few calls.
-const POKE_PAUSE: Duration = Duration::from_millis(400);
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(400);
 
 /// How often a watch calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,7 +92,7 @@
     /// Whether changes are told by another node, so that the store isn't asked.
     paused: bool,
     /// Whether the store is asked once although the watch is paused.
-    poked: bool,
+    catch_up_requested: bool,
     /// Whether the next call is to tell at once how things are.
     prompt: bool,
     /// Whether requests wait for the next answer, since the first list may be stale.
@@ -106,7 +106,7 @@
     /// Whether the list that is being read may be some seconds old.
     reads_stale: bool,
     /// Whether the call that is out was made of another node.
-    is_elsewhere: bool,
+    is_call_to_peer: bool,
     /// Whether a list took more than one page.
     is_paged: bool,
 }
@@ -127,14 +127,14 @@
             list_began: Timestamp::ZERO,
             as_of: None,
             paused: false,
-            poked: false,
+            catch_up_requested: false,
             prompt: false,
             confirming: false,
             first_watch: Timestamp::ZERO,
             is_first: true,
             first_may_be_stale: true,
             reads_stale: false,
-            is_elsewhere: false,
+            is_call_to_peer: false,
             is_paged: false,
         }
     }
@@ -185,15 +185,15 @@
     }
 
     /// The next call is due now, if none is out.
-    pub fn hasten(&mut self, now: Timestamp) {
+    pub fn call_now(&mut self, now: Timestamp) {
         self.next_call = self.next_call.min(now);
     }
 
     /// The next call is due now, if none is out, and is not to wait for long for
     /// a change.
-    pub fn ask_at_once(&mut self, now: Timestamp) {
+    pub fn call_now_with_short_wait(&mut self, now: Timestamp) {
         self.prompt = true;
-        self.hasten(now);
+        self.call_now(now);
     }
 
     /// Asks the store at once for what has changed since a first list that may be stale.
@@ -204,7 +204,7 @@
             Some((began, _)) if self.in_flight => began,
             _ => {
                 self.confirming = true;
-                self.hasten(now);
+                self.call_now(now);
                 now
             }
         }
@@ -223,10 +223,10 @@
         }
     }
 
-    /// A paused watch asks only when it is poked or told to list once more.
+    /// A paused watch asks only when it is catch_up_requested or told to list once more.
     pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
-        self.poked &= paused;
+        self.catch_up_requested &= paused;
     }
 
     /// Whether the watch is paused.
@@ -236,16 +236,16 @@
 
     /// A paused watch asks the store once for what it has missed, until the
     /// store has answered.
-    pub fn poke(&mut self, now: Timestamp) {
+    pub fn request_catch_up(&mut self, now: Timestamp) {
         let rested = self.rests();
-        let already = self.poked;
-        self.poked = self.paused;
+        let already = self.catch_up_requested;
+        self.catch_up_requested = self.paused;
         if self.failures > 0 || already {
             return;
         }
         match self.last_answer {
-            Some(last) if rested => self.next_call = now.max(last + POKE_PAUSE),
-            _ => self.hasten(now),
+            Some(last) if rested => self.next_call = now.max(last + CATCH_UP_PAUSE),
+            _ => self.call_now(now),
         }
     }
 
@@ -263,13 +263,13 @@
     }
 
     /// The call that is due is made of another node.
-    pub fn asks_elsewhere(&mut self) {
-        self.is_elsewhere = true;
+    pub fn mark_call_to_peer(&mut self) {
+        self.is_call_to_peer = true;
     }
 
     /// Another node has sent the whole list, with all changes up to a revision.
-    pub fn listed_elsewhere(&mut self, revision: u64, now: Timestamp) {
-        let was_asked = std::mem::take(&mut self.is_elsewhere);
+    pub fn listed_by_peer(&mut self, revision: u64, now: Timestamp) {
+        let was_asked = std::mem::take(&mut self.is_call_to_peer);
         if self.in_flight && !was_asked && matches!(self.position, Position::Listing { .. }) {
             // The store's own list is on its way.
             return;
@@ -286,8 +286,8 @@
     }
 
     /// The list that another node was asked for has not come; the next call begins anew.
-    pub fn list_again(&mut self, at: Timestamp) {
-        if std::mem::take(&mut self.is_elsewhere) {
+    pub fn restart_list(&mut self, at: Timestamp) {
+        if std::mem::take(&mut self.is_call_to_peer) {
             self.in_flight = false;
             self.position = Position::start();
             self.next_call = at;
@@ -295,7 +295,7 @@
     }
 
     fn rests(&self) -> bool {
-        let is_asked = self.poked || self.confirming;
+        let is_asked = self.catch_up_requested || self.confirming;
         self.paused && !is_asked && matches!(self.position, Position::Watching { .. })
     }
 
@@ -481,7 +481,7 @@
     fn succeeded(&mut self, now: Timestamp) {
         self.in_flight = false;
         self.failures = 0;
-        self.poked = false;
+        self.catch_up_requested = false;
         self.prompt = false;
         self.confirming = false;
         self.last_answer = Some(now);
--- a/crates/ledgelead-router/src/zone_traffic.rs
+++ b/crates/ledgelead-router/src/zone_traffic.rs
@@ -18,7 +18,7 @@
 
 /// Where the other side is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum ZoneRelation {
     /// In this node's zone.
     Own,
     /// In another zone.
@@ -39,11 +39,11 @@
 }
 
 impl ZoneBytes {
-    fn add(&mut self, place: Place, bytes: usize) {
+    fn add(&mut self, place: ZoneRelation, bytes: usize) {
         let count = match place {
-            Place::Own => &mut self.own,
-            Place::Other => &mut self.other,
-            Place::Unknown => &mut self.unknown,
+            ZoneRelation::Own => &mut self.own,
+            ZoneRelation::Other => &mut self.other,
+            ZoneRelation::Unknown => &mut self.unknown,
         };
         *count += bytes as u64;
     }
@@ -61,12 +61,12 @@
 
 impl ZoneTraffic {
     /// Bytes were sent.
-    pub fn sent(&mut self, purpose: &'static str, place: Place, bytes: usize) {
+    pub fn sent(&mut self, purpose: &'static str, place: ZoneRelation, bytes: usize) {
         self.sent.entry(purpose).or_default().add(place, bytes);
     }
 
     /// Bytes came.
-    pub fn received(&mut self, purpose: &'static str, place: Place, bytes: usize) {
+    pub fn received(&mut self, purpose: &'static str, place: ZoneRelation, bytes: usize) {
         self.received.entry(purpose).or_default().add(place, bytes);
     }
 }
--- a/crates/ledgelead-router/tests/assembly.rs
+++ b/crates/ledgelead-router/tests/assembly.rs
@@ -7,7 +7,7 @@
 };
 use ledgelead_router::directory::{Directory, InstanceRecord, Presence};
 use ledgelead_router::identity::{InstanceId, ServiceName, ZoneName};
-use ledgelead_router::peers::{Assembly, ChangeSpan};
+use ledgelead_router::peers::{ChangeListAssembler, ChangeSpan};
 use ledgelead_router::store::{WatchChange, Watcher, WatcherPace};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -149,7 +149,7 @@
 struct Picture {
     directory: Directory,
     watcher: Watcher,
-    assembly: Assembly<Change>,
+    assembly: ChangeListAssembler<Change>,
 }
 
 impl Picture {
@@ -238,7 +238,7 @@
         let mut picture = Picture {
             directory: Directory::default(),
             watcher: Watcher::new(ObjectKind::Instances, pace),
-            assembly: Assembly::default(),
+            assembly: ChangeListAssembler::default(),
         };
         let mut store = Store::default();
         let mut on_the_way = Vec::new();
@@ -292,7 +292,7 @@
         count in 1..12u8,
         order in proptest::collection::vec(0..12u8, 0..40),
     ) {
-        let mut assembly = Assembly::default();
+        let mut assembly = ChangeListAssembler::default();
         let mut arrived = std::collections::BTreeSet::new();
         for part in order {
             let span = ChangeSpan { base: 3, revision: 9, part, parts: count };
--- a/crates/ledgelead-router/tests/eras.rs
+++ b/crates/ledgelead-router/tests/eras.rs
@@ -5,7 +5,7 @@
 use ledgelead_router::directory::{Directory, InstanceRecord, Presence};
 use ledgelead_router::identity::{InstanceId, ServiceName, ZoneName};
 use ledgelead_router::protections::Protections;
-use ledgelead_router::store::{MAX_ERA, answer_in, call_of_store, era_of, first_of};
+use ledgelead_router::store::{MAX_ERA, era_of, first_in_era, with_era, with_store_revisions};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 /// The revision of an answer in an era; none if it is out of bounds.
 fn numbered(era: u64, revision: u64) -> Option<u64> {
-    match answer_in(era, events(revision)) {
+    match with_era(era, events(revision)) {
         Ok(StoreAnswer::Events { revision, .. }) => Some(revision),
         _ => None,
     }
@@ -26,7 +26,7 @@
 
 #[gtest]
 fn each_revision_of_an_era_is_above_all_of_earlier_ones() {
-    let last = first_of(1) - 1;
+    let last = first_in_era(1) - 1;
     let first = numbered(1, 1).expect("a revision");
     expect_that!(first, gt(last));
     expect_that!(era_of(first), eq(1));
@@ -37,7 +37,7 @@
 
 #[gtest]
 fn numbers_out_of_bounds_are_findings() {
-    expect_that!(numbered(1, first_of(1)), none());
+    expect_that!(numbered(1, first_in_era(1)), none());
     expect_that!(numbered(MAX_ERA, 1), some(anything()));
     expect_that!(numbered(MAX_ERA + 1, 1), none());
     let object = Object {
@@ -50,7 +50,7 @@
         more: false,
         revision: 3,
     };
-    let Ok(StoreAnswer::Objects { objects, .. }) = answer_in(1, listed) else {
+    let Ok(StoreAnswer::Objects { objects, .. }) = with_era(1, listed) else {
         panic!("the list can be read");
     };
     expect_that!(objects[0].content.is_err(), eq(true));
@@ -60,10 +60,10 @@
 fn the_store_is_asked_by_its_own_numbers() {
     let watch = StoreCall::Watch {
         kind: ObjectKind::Instances,
-        revision: first_of(3) | 41,
+        revision: first_in_era(3) | 41,
         wait: Duration::ZERO,
     };
-    match call_of_store(&watch) {
+    match with_store_revisions(&watch) {
         StoreCall::Watch { revision, .. } => expect_that!(revision, eq(41)),
         call => panic!("{call:?}"),
     }
--- a/crates/ledgelead-router/tests/identity.rs
+++ b/crates/ledgelead-router/tests/identity.rs
@@ -25,7 +25,10 @@
 
 #[gtest]
 fn lives_of_one_name_differ() {
-    let (first, second) = (InstanceId::of_life("i", 9), InstanceId::of_life("i", 10));
+    let (first, second) = (
+        InstanceId::started_at("i", 9),
+        InstanceId::started_at("i", 10),
+    );
     expect_that!(first, not(eq(&second)));
     expect_that!(first.cmp(&second), eq(std::cmp::Ordering::Less));
     expect_that!(first.stable_hash(), not(eq(second.stable_hash())));
@@ -43,12 +46,12 @@
         born in proptest::option::of(prop_oneof![0u64..20, proptest::num::u64::ANY]),
     ) {
         let id = match born {
-            Some(born) => InstanceId::of_life(&name, born),
+            Some(born) => InstanceId::started_at(&name, born),
             None => InstanceId::from(name.as_str()),
         };
         let read = InstanceId::parse(id.as_str());
         prop_assert_eq!(read.name(), name.as_str());
-        prop_assert_eq!(read.born(), born);
+        prop_assert_eq!(read.start_ms(), born);
         prop_assert_eq!(&read, &id);
         let stored = serde_json::to_string(&id).expect("a text");
         prop_assert_eq!(serde_json::from_str::<InstanceId>(&stored).expect("a life"), id);
@@ -71,5 +74,5 @@
     let marks = "#".repeat(60_000);
     expect_that!(InstanceId::parse(&marks).name(), eq(marks.as_str()));
     expect_that!(InstanceId::parse("a#").name(), eq("a#"));
-    expect_that!(InstanceId::parse("a#").born(), none());
+    expect_that!(InstanceId::parse("a#").start_ms(), none());
 }
--- a/crates/ledgelead-router/tests/node/configuration.rs
+++ b/crates/ledgelead-router/tests/node/configuration.rs
@@ -39,19 +39,19 @@
         epoch: 4,
         sent_ms: u64::try_from(fixture.now.as_millis()).expect("a short test"),
         store_serves: true,
-        revision: fixture
+        record_revision: fixture
             .store
             .revision_of(ObjectKind::Ownership, "record")
             .unwrap_or(0),
-        configuration,
-        instances: 0,
-        nodes: 0,
+        configuration_version: configuration,
+        instances_revision: 0,
+        nodes_revision: 0,
         age_ms: 100,
         instances_age_ms: 100,
         served_for_ms: 5_000,
         overloads: List(Vec::new()),
         evacuations: EvacuationsEntry::default(),
-        evidence: 0,
+        evidence_checksum: 0,
     })
 }
 
--- a/crates/ledgelead-router/tests/node/eras.rs
+++ b/crates/ledgelead-router/tests/node/eras.rs
@@ -12,7 +12,7 @@
 use ledgelead_http::Response;
 use ledgelead_router::dialect::{ObjectContent, ObjectKind};
 use ledgelead_router::ownership::record::OwnershipRecord;
-use ledgelead_router::store::{era_of, first_of};
+use ledgelead_router::store::{era_of, first_in_era};
 
 /// The target of orders.
 const ORDER: &str = "order";
@@ -62,7 +62,7 @@
     };
     expect_that!(owners(&after), eq(&owners(&before)));
     expect_that!(after.era, eq(1));
-    expect_that!(after.epoch, ge(first_of(1)));
+    expect_that!(after.epoch, ge(first_in_era(1)));
     for assignment in &after.assignments {
         expect_that!(era_of(assignment.fence), eq(1));
     }
@@ -104,7 +104,7 @@
     let mut store = owned_store(configuration(1));
     store.own(OwnershipRecord {
         era: 2,
-        epoch: first_of(2),
+        epoch: first_in_era(2),
         unknown_holds_ms: 10_000,
         ..all_keys_of("i-3", 0)
     });
@@ -119,7 +119,7 @@
     let mut store = owned_store(configuration(1));
     store.own(OwnershipRecord {
         era: 2,
-        epoch: first_of(2),
+        epoch: first_in_era(2),
         ..all_keys_of("i-3", 0)
     });
     store.era = Some("2".to_owned());
--- a/crates/ledgelead-router/tests/node/evacuation.rs
+++ b/crates/ledgelead-router/tests/node/evacuation.rs
@@ -58,10 +58,10 @@
         epoch: 4,
         sent_ms: u64::try_from(fixture.now.as_millis()).expect("a short test"),
         store_serves: true,
-        revision: record.expect("a record"),
-        configuration: 1,
-        instances: fixture.store.revision,
-        nodes: fixture.store.revision,
+        record_revision: record.expect("a record"),
+        configuration_version: 1,
+        instances_revision: fixture.store.revision,
+        nodes_revision: fixture.store.revision,
         age_ms: 50,
         instances_age_ms: 50,
         served_for_ms: 30_000,
@@ -70,7 +70,7 @@
             revision,
             zones: List(zones.iter().map(hash).collect()),
         },
-        evidence: 0,
+        evidence_checksum: 0,
     });
     fixture.receive(node_address(1), &heartbeat);
 }
--- a/crates/ledgelead-router/tests/node/fixture.rs
+++ b/crates/ledgelead-router/tests/node/fixture.rs
@@ -722,10 +722,10 @@
 
     /// An attempt ends.
     pub fn end(&mut self, exchange: ExchangeId, result: Result<Response, ExchangeFailure>) {
-        self.step(Input::Exchanged {
+        self.step(Input::ExchangeEnded {
             exchange,
             result,
-            rested: Duration::ZERO,
+            idle_for: Duration::ZERO,
         });
     }
 
@@ -809,10 +809,10 @@
             return None;
         };
         self.mailbox.borrow_mut().answers.insert(number, answer);
-        let input = Input::Exchanged {
+        let input = Input::ExchangeEnded {
             exchange,
             result: Ok(self.store.carried(number)),
-            rested: Duration::ZERO,
+            idle_for: Duration::ZERO,
         };
         if self.store.is_slow {
             self.on_the_way.push((call, input));
--- a/crates/ledgelead-router/tests/node/former_coordinator.rs
+++ b/crates/ledgelead-router/tests/node/former_coordinator.rs
@@ -64,16 +64,16 @@
         epoch,
         sent_ms: u64::try_from(fixture.now.as_millis()).expect("a short test"),
         store_serves: true,
-        revision: revision_of(ObjectKind::Ownership, "record"),
-        configuration: fixture.store.version(),
-        instances: 0,
-        nodes: 0,
+        record_revision: revision_of(ObjectKind::Ownership, "record"),
+        configuration_version: fixture.store.version(),
+        instances_revision: 0,
+        nodes_revision: 0,
         age_ms: 100,
         instances_age_ms: 100,
         served_for_ms: 5_000,
         overloads: List(Vec::new()),
         evacuations: EvacuationsEntry::default(),
-        evidence: 0,
+        evidence_checksum: 0,
     }
 }
 
@@ -152,7 +152,7 @@
     let changed = fixture.store.revision;
     let before = calls_about(&fixture, ObjectKind::Instances);
     hear_successor_say(&mut fixture, &former, KNOWN_WITHIN, |prompt| Heartbeat {
-        instances: changed,
+        instances_revision: changed,
         ..prompt
     });
     let after = calls_about(&fixture, ObjectKind::Instances);
@@ -245,8 +245,8 @@
     fixture.store.answers_changes = true;
     fixture.store.configure(configuration(8));
     let report = |configuration| PeerMessage::LoadReport {
-        configuration,
-        nodes: 0,
+        configuration_version: configuration,
+        nodes_revision: 0,
         reports: List(Vec::new()),
         work: List(Vec::new()),
     };
@@ -307,7 +307,7 @@
             let is_newest = word.coordinator == 2;
             let message = Heartbeat {
                 store_serves: is_newest || word.store_serves,
-                configuration: if is_newest { version } else { former.configuration },
+                configuration_version: if is_newest { version } else { former.configuration_version },
                 ..heartbeat(&fixture, speaker)
             };
             hear(&mut fixture, speaker, &message);
--- a/crates/ledgelead-router/tests/node/hostile.rs
+++ b/crates/ledgelead-router/tests/node/hostile.rs
@@ -222,16 +222,16 @@
                 epoch,
                 sent_ms,
                 store_serves,
-                revision,
-                configuration,
-                instances,
-                nodes,
+                record_revision: revision,
+                configuration_version: configuration,
+                instances_revision: instances,
+                nodes_revision: nodes,
                 age_ms,
                 instances_age_ms,
                 served_for_ms,
                 overloads,
                 evacuations,
-                evidence,
+                evidence_checksum: evidence,
             })
         },
     )
@@ -291,13 +291,15 @@
         (span(), some(assignment))
             .prop_map(|(span, changes)| PeerMessage::OwnershipChanged { span, changes }),
         (number(), number(), text(), number(), number(), number()).prop_map(
-            |(base, revision, node, incarnation, first_fence, digest)| PeerMessage::TookOver {
-                base,
-                revision,
-                node,
-                incarnation,
-                first_fence,
-                digest,
+            |(base, revision, node, incarnation, first_fence, digest)| {
+                PeerMessage::CoordinatorTookOver {
+                    base,
+                    revision,
+                    node,
+                    incarnation,
+                    first_fence,
+                    digest,
+                }
             }
         ),
     ]
@@ -332,14 +334,14 @@
     prop_oneof![
         (number(), number(), some(keys), some(work)).prop_map(
             |(configuration, nodes, reports, work)| PeerMessage::LoadReport {
-                configuration,
-                nodes,
+                configuration_version: configuration,
+                nodes_revision: nodes,
                 reports,
                 work,
             }
         ),
         (number(), short(), some(open)).prop_map(|(incarnation, rest_limit_ms, changes)| {
-            PeerMessage::Open {
+            PeerMessage::OpenRequestCounts {
                 incarnation,
                 rest_limit_ms,
                 changes,
@@ -357,7 +359,12 @@
 }
 
 fn evidence() -> impl Strategy<Value = PeerMessage> {
-    let aged = || (hash(), small()).prop_map(|(of, age_ms)| AgedEntry { of, age_ms });
+    let aged = || {
+        (hash(), small()).prop_map(|(of, age_ms)| AgedEntry {
+            subject: of,
+            age_ms,
+        })
+    };
     let end =
         (hash(), hash(), small(), any::<bool>()).prop_map(|(caller, instance, age_ms, settled)| {
             EndEntry {
@@ -379,7 +386,7 @@
                 digest,
                 path,
                 ends,
-                acquitted,
+                cleared: acquitted,
                 quarantined,
             },
         );
@@ -406,7 +413,7 @@
         1 => evidence(),
         1 => (prop::sample::select(kinds), number())
             .prop_map(|(kind, since)| PeerMessage::ResyncRequest { kind, since }),
-        1 => number().prop_map(|epoch| PeerMessage::Resigned { epoch }),
+        1 => number().prop_map(|epoch| PeerMessage::CoordinatorResigned { epoch }),
     ];
     let wrap = (any::<u8>(), any::<u32>(), any::<u16>(), any::<bool>());
     (plain, wrap).prop_map(|(message, (draw, ip, port, to_zone))| match draw % 8 {
--- a/crates/ledgelead-router/tests/node/leaving.rs
+++ b/crates/ledgelead-router/tests/node/leaving.rs
@@ -21,7 +21,9 @@
 fn told(fixture: &Fixture) -> Vec<u64> {
     let messages = fixture.datagrams.iter().map(|(_, _, message)| message);
     let named = messages.filter_map(|message| match message {
-        PeerMessage::Leaving { instances } => Some(instances.iter().map(|entry| entry.of)),
+        PeerMessage::LeavingInstances { instances } => {
+            Some(instances.iter().map(|entry| entry.subject))
+        }
         _ => None,
     });
     named.flatten().collect()
@@ -63,9 +65,9 @@
         .map(|(_, to, _)| *to)
         .collect();
     expect_that!(to, each(eq(&node_address(1))));
-    let announced = PeerMessage::Leaving {
+    let announced = PeerMessage::LeavingInstances {
         instances: List(vec![AgedEntry {
-            of: hash(number),
+            subject: hash(number),
             age_ms: 250,
         }]),
     };
@@ -78,9 +80,9 @@
 #[gtest]
 fn a_node_that_is_told_sends_nothing_new() {
     let mut fixture = follower();
-    let announced = PeerMessage::Leaving {
+    let announced = PeerMessage::LeavingInstances {
         instances: List(vec![AgedEntry {
-            of: hash(1),
+            subject: hash(1),
             age_ms: 100,
         }]),
     };
--- a/crates/ledgelead-router/tests/node/open_requests.rs
+++ b/crates/ledgelead-router/tests/node/open_requests.rs
@@ -141,7 +141,7 @@
     let reporters = [node_address(5), node_address(6)];
     let counted = InstanceId::from("i-1").stable_hash();
     let mut fixture = node_with_hub(40, 1, |_| {});
-    let open = |count| PeerMessage::Open {
+    let open = |count| PeerMessage::OpenRequestCounts {
         incarnation: 1,
         rest_limit_ms: 0,
         changes: List(vec![OpenRequests {
@@ -232,7 +232,7 @@
     });
     let mut fixture = Fixture::new(store);
     fixture.run_until(ms(200));
-    let open = |instance, count| PeerMessage::Open {
+    let open = |instance, count| PeerMessage::OpenRequestCounts {
         incarnation: 1,
         rest_limit_ms: 0,
         changes: List(vec![OpenRequests {
--- a/crates/ledgelead-router/tests/node/outage.rs
+++ b/crates/ledgelead-router/tests/node/outage.rs
@@ -52,16 +52,16 @@
         epoch: 4,
         sent_ms: u64::try_from(fixture.now.as_millis()).expect("a short test"),
         store_serves: true,
-        revision: record.expect("a record"),
-        configuration: 1,
-        instances,
-        nodes: 0,
+        record_revision: record.expect("a record"),
+        configuration_version: 1,
+        instances_revision: instances,
+        nodes_revision: 0,
         age_ms: 200,
         instances_age_ms: 200,
         served_for_ms: 30_000,
         overloads: List(Vec::new()),
         evacuations: EvacuationsEntry::default(),
-        evidence: 0,
+        evidence_checksum: 0,
     })
 }
 
@@ -156,7 +156,7 @@
         PeerMessage::CoordinatorHeartbeat(heartbeat) => {
             PeerMessage::CoordinatorHeartbeat(Heartbeat {
                 store_serves,
-                configuration,
+                configuration_version: configuration,
                 ..heartbeat
             })
         }
--- a/crates/ledgelead-router/tests/node/overload.rs
+++ b/crates/ledgelead-router/tests/node/overload.rs
@@ -43,16 +43,16 @@
         epoch: 4,
         sent_ms: u64::try_from(fixture.now.as_millis()).expect("a short test"),
         store_serves: true,
-        revision: record.expect("a record"),
-        configuration: 1,
-        instances: 0,
-        nodes: 0,
+        record_revision: record.expect("a record"),
+        configuration_version: 1,
+        instances_revision: 0,
+        nodes_revision: 0,
         age_ms: 0,
         instances_age_ms: 0,
         served_for_ms: 100,
         overloads: List(admitted_permille.map(key).into_iter().collect()),
         evacuations: EvacuationsEntry::default(),
-        evidence: 0,
+        evidence_checksum: 0,
     });
     fixture.receive(node_address(COORDINATOR), &message);
 }
@@ -113,8 +113,8 @@
     let mut keys = vec![HOT; 15];
     keys.push(HOT + 900);
     let message = PeerMessage::LoadReport {
-        configuration: 1,
-        nodes: 0,
+        configuration_version: 1,
+        nodes_revision: 0,
         reports: List(vec![KeyReport {
             service: ServiceName::from(KEYED).stable_hash(),
             keys: List(keys),
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -10,7 +10,7 @@
 use ledgelead_router::identity::ServiceName;
 use ledgelead_router::io::{ClientId, ExchangeFailure, Input};
 use ledgelead_router::peers::{
-    NodeRecord, PeerMessage, PermitAskEntry, PermitEnd, PermitVerdict, encode,
+    NodeRecord, PeerMessage, PermitAskEntry, PermitReturnReason, PermitVerdict, encode,
 };
 use ledgelead_types::codec::List;
 use std::net::SocketAddr;
@@ -94,10 +94,10 @@
     fixture.receive(dispatcher, &message);
 }
 
-fn returns(fixture: &Fixture) -> Vec<PermitEnd> {
+fn returns(fixture: &Fixture) -> Vec<PermitReturnReason> {
     let messages = fixture.datagrams.iter();
     let ended = messages.filter_map(|(_, _, message)| match message {
-        PeerMessage::PermitReturn { ended, .. } => Some(*ended),
+        PeerMessage::PermitReturn { reason, .. } => Some(*reason),
         _ => None,
     });
     ended.collect()
@@ -122,7 +122,10 @@
     let exchange = fixture.attempts[0].exchange;
     fixture.now += ms(80);
     fixture.answer(exchange, success());
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::Answered)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::Answered)]
+    );
     let took = fixture
         .datagrams
         .iter()
@@ -254,7 +257,10 @@
         return_ms: 0,
     };
     fixture.receive(dispatcher, &message);
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
     expect_that!(fixture.attempts.len(), eq(1));
 }
 
@@ -263,12 +269,15 @@
     let mut fixture = node(contended());
     let client = fixture.ask(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Queued, 1);
-    fixture.step(Input::ClientLeft { client });
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    fixture.step(Input::ClientDisconnected { client });
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
     let client = fixture.ask(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Granted, 1);
-    fixture.step(Input::ClientLeft { client });
-    expect_that!(returns(&fixture)[1], eq(PermitEnd::NoSample));
+    fixture.step(Input::ClientDisconnected { client });
+    expect_that!(returns(&fixture)[1], eq(PermitReturnReason::NoSample));
 }
 
 #[gtest]
@@ -278,7 +287,10 @@
     decide(&mut fixture, PermitVerdict::Granted, 1);
     let exchange = fixture.attempts[0].exchange;
     fixture.end(exchange, Err(ExchangeFailure::NotConnected));
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
 }
 
 #[gtest]
@@ -291,7 +303,10 @@
     let mut response = Response::new(500, "");
     response.headers.push("signature", "s");
     fixture.answer(exchange, response);
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::Failed)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::Failed)]
+    );
 }
 
 #[gtest]
@@ -314,7 +329,10 @@
     fixture.ask(SERVICE, None);
     decide(&mut fixture, PermitVerdict::Granted, 7);
     expect_that!(fixture.attempts.len(), eq(1));
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
     expect_that!(fixture.sent("permit_ask"), eq(1));
 }
 
@@ -350,10 +368,10 @@
         service: ServiceName::from(KEYED).stable_hash(),
         urgency,
         to_target_ms: 400,
-        left_ms: 2_000,
+        remaining_ms: 2_000,
         caller: number,
         is_cold: false,
-        tried: 0,
+        failed_instance: 0,
     })
 }
 
@@ -385,7 +403,7 @@
     let message = PeerMessage::PermitReturn {
         number: 0,
         queue: instance(1, KEYED).id.stable_hash(),
-        ended: PermitEnd::Answered,
+        reason: PermitReturnReason::Answered,
         took_ms: 60,
         load: None,
     };
@@ -404,7 +422,7 @@
     fixture.receive(node_address(5), &ask_of(1, 1));
     expect_that!(
         verdicts(&fixture),
-        elements_are![eq(&(1, PermitVerdict::Stops))]
+        elements_are![eq(&(1, PermitVerdict::ShuttingDown))]
     );
 }
 
@@ -466,7 +484,7 @@
     let returned = PeerMessage::PermitReturn {
         number: 1,
         queue: 2,
-        ended: PermitEnd::Answered,
+        reason: PermitReturnReason::Answered,
         took_ms: 70,
         load: Some((1, 0)),
     };
--- a/crates/ledgelead-router/tests/node/transfer.rs
+++ b/crates/ledgelead-router/tests/node/transfer.rs
@@ -59,13 +59,13 @@
         epoch: 5,
         sent_ms: 1,
         store_serves: true,
-        revision: fixture
+        record_revision: fixture
             .store
             .revision_of(ObjectKind::Ownership, "record")
             .unwrap_or(0),
-        configuration: 1,
-        instances: fixture.store.revision,
-        nodes: 0,
+        configuration_version: 1,
+        instances_revision: fixture.store.revision,
+        nodes_revision: 0,
         age_ms: 0,
         instances_age_ms: 0,
         served_for_ms: 60_000,
@@ -74,7 +74,7 @@
             revision: 0,
             zones: List(Vec::new()),
         },
-        evidence: 0,
+        evidence_checksum: 0,
     })
 }
 
@@ -132,7 +132,7 @@
 fn asked_by(fixture: &mut Fixture, number: u8, zone: &str) -> TransferAnswer {
     let request = TransferRequest {
         kind: RelayedKind::Instances,
-        known: 0,
+        known_revision: 0,
         zone: Text(zone.to_owned()),
         address: PeerAddress::new(node_address(number)).expect("IPv4"),
         link_bytes_per_s: 2_500_000,
@@ -164,7 +164,7 @@
         .iter()
         .filter_map(|node| PeerAddress::new(*node))
         .collect();
-    Response::new(200, codec::encode(&TransferAnswer::Elsewhere { nodes }))
+    Response::new(200, codec::encode(&TransferAnswer::Redirect { nodes }))
 }
 
 /// A node that has seen one page and hears a coordinator.
@@ -244,7 +244,7 @@
     let mut fixture = coordinator();
     let first = asked_by(&mut fixture, 10, "b");
     expect_that!(first, matches_pattern!(TransferAnswer::State(_)));
-    let referred = TransferAnswer::Elsewhere {
+    let referred = TransferAnswer::Redirect {
         nodes: List(vec![PeerAddress::new(node_address(10)).expect("IPv4")]),
     };
     expect_that!(asked_by(&mut fixture, 11, "b"), eq(&referred));
@@ -263,7 +263,7 @@
 fn request(fixture: &mut Fixture, number: u8, link_bytes_per_s: u64) -> ClientId {
     let request = TransferRequest {
         kind: RelayedKind::Instances,
-        known: 0,
+        known_revision: 0,
         zone: Text("a".to_owned()),
         address: PeerAddress::new(node_address(number)).expect("IPv4"),
         link_bytes_per_s,
@@ -283,7 +283,7 @@
     for (client, response) in &fixture.answers {
         match codec::decode::<TransferAnswer>(&response.body).expect("it can be read") {
             TransferAnswer::State(_) => sent.push(*client),
-            TransferAnswer::Elsewhere { nodes } => {
+            TransferAnswer::Redirect { nodes } => {
                 referred.extend(nodes.iter().map(|node| node.socket()));
             }
         }
@@ -351,7 +351,7 @@
     follow_for(&mut fixture, 100);
     let asks = request(&mut fixture, 3, 1_000);
     let leaves = request(&mut fixture, 2, 1_000);
-    fixture.step(Input::ClientLeft { client: leaves });
+    fixture.step(Input::ClientDisconnected { client: leaves });
     follow_for(&mut fixture, 200);
     expect_that!(fixture.answers, is_empty());
     let own = take_requests(&mut fixture).pop().expect("a request");
@@ -378,7 +378,7 @@
     let mut fixture = Fixture::new(paged_store());
     fixture.run_until(ms(50));
     let answer = asked_by(&mut fixture, 3, "a");
-    let nothing = TransferAnswer::Elsewhere {
+    let nothing = TransferAnswer::Redirect {
         nodes: List(Vec::new()),
     };
     expect_that!(answer, eq(&nothing));
--- a/crates/ledgelead-router/tests/node/zone_relay.rs
+++ b/crates/ledgelead-router/tests/node/zone_relay.rs
@@ -44,8 +44,8 @@
 
 fn report(fixture: &mut Fixture, from: u8, nodes: u64) {
     let message = PeerMessage::LoadReport {
-        configuration: 1,
-        nodes,
+        configuration_version: 1,
+        nodes_revision: nodes,
         reports: List(Vec::new()),
         work: List(Vec::new()),
     };
@@ -147,16 +147,16 @@
         epoch: 7,
         sent_ms: 50,
         store_serves: true,
-        revision: 0,
-        configuration: 9,
-        instances: 0,
-        nodes: 0,
+        record_revision: 0,
+        configuration_version: 9,
+        instances_revision: 0,
+        nodes_revision: 0,
         age_ms: 0,
         instances_age_ms: 0,
         served_for_ms: 100,
         overloads: List(Vec::new()),
         evacuations: EvacuationsEntry::default(),
-        evidence: 0,
+        evidence_checksum: 0,
     });
     let origin = PeerAddress::new(node_address(STRONGEST)).expect("IPv4");
     let forwarded = |to_zone| PeerMessage::Forwarded {
@@ -188,11 +188,11 @@
 fn a_heartbeat_that_waited_is_older_than_it_says() {
     let mut delay = DelayEstimate::default();
     // The clocks have different origins.
-    expect_that!(delay.arrived(3, 900_000, ms(5_020)), eq(ms(0)));
-    expect_that!(delay.arrived(3, 900_200, ms(5_203)), eq(ms(0)));
-    expect_that!(delay.arrived(3, 900_400, ms(5_405)), eq(ms(2)));
-    expect_that!(delay.arrived(3, 900_600, ms(9_603)), eq(ms(4_000)));
-    expect_that!(delay.arrived(3, 904_600, ms(9_603)), eq(ms(0)));
+    expect_that!(delay.record_arrival(3, 900_000, ms(5_020)), eq(ms(0)));
+    expect_that!(delay.record_arrival(3, 900_200, ms(5_203)), eq(ms(0)));
+    expect_that!(delay.record_arrival(3, 900_400, ms(5_405)), eq(ms(2)));
+    expect_that!(delay.record_arrival(3, 900_600, ms(9_603)), eq(ms(4_000)));
+    expect_that!(delay.record_arrival(3, 904_600, ms(9_603)), eq(ms(0)));
     // Another coordinator has another clock.
-    expect_that!(delay.arrived(4, 70, ms(9_700)), eq(ms(0)));
+    expect_that!(delay.record_arrival(4, 70, ms(9_700)), eq(ms(0)));
 }
--- a/crates/ledgelead-router/tests/node/zone_traffic.rs
+++ b/crates/ledgelead-router/tests/node/zone_traffic.rs
@@ -94,7 +94,7 @@
 #[gtest]
 fn datagrams_count_by_the_zone_of_the_other_node() {
     let mut fixture = node();
-    let message = PeerMessage::Resigned { epoch: 1 };
+    let message = PeerMessage::CoordinatorResigned { epoch: 1 };
     let bytes = encode(&message).bytes.len() as u64;
     for number in [1, 2, 9] {
         fixture.receive(node_address(number), &message);
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -11,7 +11,7 @@
 use ledgelead_router::ownership::planner::{Candidate, PlanSettings, plan};
 use ledgelead_router::ownership::record::{Assignment, OwnershipRecord};
 use ledgelead_router::ownership::view::{OwnershipView, RecordVersion};
-use ledgelead_router::ownership::work::{Work, WorkTable};
+use ledgelead_router::ownership::work::{CapacityEstimator, WorkSample};
 use ledgelead_router::peers::{NodeRecord, Registration, Registry};
 use ledgelead_router::protections::Protections;
 use ledgelead_router::settings::{ORDER_TRANSIT, RENEWAL_INTERVAL, longest_hold};
@@ -29,7 +29,7 @@
         id: InstanceId::from(name),
         capacity: 30.0,
         ranges,
-        takes_keys: true,
+        accepts_keys: true,
         incoming: 0.0,
         keys: 0,
     }
@@ -105,7 +105,7 @@
     let (low, high) = halves();
     let load = loaded((0..40).map(|index| 100 + index % 10));
     let closed = Candidate {
-        takes_keys: false,
+        accepts_keys: false,
         ..candidate("b", vec![high])
     };
     expect_that!(
@@ -132,14 +132,14 @@
     let keys = (0..4u16).flat_map(|place| (0..16).map(move |key| place * 100 + key));
     let load = loaded(keys);
     let silent = Candidate {
-        takes_keys: false,
+        accepts_keys: false,
         ..candidate("c", Vec::new())
     };
     let busy = candidate("a", vec![hundred(0)]);
     let candidates = vec![busy, candidate("b", Vec::new()), silent];
     let mut next = NextOwners::new(candidates, Some(&load));
     let owners: Vec<String> = (1..4)
-        .flat_map(|place| next.take(hundred(place)))
+        .flat_map(|place| next.assign(hundred(place)))
         .map(|part| part.owner.to_string())
         .collect();
     expect_that!(owners, unordered_elements_are![eq("a"), eq("b"), eq("b")]);
@@ -155,7 +155,7 @@
     };
     let candidates = vec![candidate("a", Vec::new()), candidate("b", Vec::new())];
     let mut next = NextOwners::new(candidates, Some(&load));
-    let parts = next.take(range);
+    let parts = next.assign(range);
     expect_that!(parts.len(), eq(2));
     expect_that!(parts[0].range.last + 1, eq(parts[1].range.first));
     expect_that!(parts[1].range.last, eq(299));
@@ -169,7 +169,7 @@
     let load = loaded(hot.chain(1..=20));
     let candidates = vec![candidate("a", Vec::new()), candidate("b", Vec::new())];
     let mut next = NextOwners::new(candidates, Some(&load));
-    let parts = next.take(hundred(0));
+    let parts = next.assign(hundred(0));
     expect_that!(parts.len(), eq(2));
     expect_that!(parts[0].range.len(), eq(1));
     expect_that!(parts[0].owner == parts[1].owner, eq(false));
@@ -184,7 +184,7 @@
         ..candidate("a", Vec::new())
     };
     let mut next = NextOwners::new(vec![busy], Some(&load));
-    expect_that!(next.take(hundred(0)), is_empty());
+    expect_that!(next.assign(hundred(0)), is_empty());
 }
 
 fn record_of(fences: &[u64]) -> OwnershipRecord {
@@ -342,8 +342,8 @@
     expect_that!(of("e"), eq(4));
 }
 
-fn work(answered: u32, busy: u64) -> Work {
-    Work {
+fn work(answered: u32, busy: u64) -> WorkSample {
+    WorkSample {
         answered,
         busy: ms(busy),
     }
@@ -353,7 +353,7 @@
 /// several nodes.
 fn capacity_of(answered: u32, busy: u64) -> Option<f64> {
     let owner = InstanceId::from("a");
-    let mut table = WorkTable::new(ms(0));
+    let mut table = CapacityEstimator::new(ms(0));
     for interval in 1..=15 {
         for _node in 0..3 {
             table.record(owner.stable_hash(), work(answered, busy));
@@ -380,7 +380,7 @@
 #[gtest]
 fn a_capacity_needs_answers_and_is_forgotten_without_new_ones() {
     let owner = InstanceId::from("a");
-    let mut table = WorkTable::new(ms(0));
+    let mut table = CapacityEstimator::new(ms(0));
     table.record(owner.stable_hash(), work(2, 200));
     table.decay(ms(200));
     expect_that!(table.capacity(&owner, 4, ms(200)), none());
@@ -413,7 +413,7 @@
     expect_that!(planned(20), not(is_empty()));
     let load = loaded((0..5).map(|key| key * 100));
     let without = PlanSettings {
-        chance_margin: false,
+        noise_margin: false,
         ..PlanSettings::default()
     };
     let moves = plan(vec![slow("a", low), slow("b", high)], &load, without);
@@ -459,13 +459,13 @@
             owner: InstanceId::from("b"),
             fence: 100,
         };
-        after.overlay(vec![moved.clone()]);
+        after.apply_changes(vec![moved.clone()]);
         after.next_fence = 101;
         prop_assert!(after.is_consistent());
         let mut view = OwnershipView::default();
         view.update(before.clone(), RecordVersion::confirmed(7));
-        prop_assert!(!view.overlay(6, 9, after.changes_since(&before)));
-        prop_assert!(view.overlay(7, 9, after.changes_since(&before)));
+        prop_assert!(!view.apply_changes(6, 9, after.changes_since(&before)));
+        prop_assert!(view.apply_changes(7, 9, after.changes_since(&before)));
         prop_assert!(!view.is_confirmed());
         let service = ServiceName::from("s");
         for key in keys {
--- a/crates/ledgelead-router/tests/picture.rs
+++ b/crates/ledgelead-router/tests/picture.rs
@@ -301,7 +301,7 @@
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
     watcher.set_paused(true);
-    watcher.poke(ms(1_010));
+    watcher.request_catch_up(ms(1_010));
     expect_that!(watcher.take_call(ms(1_010)).is_some(), eq(true));
     watcher.failed(ms(1_020));
     expect_that!(watcher.take_call(ms(1_020)).is_none(), eq(true));
@@ -325,7 +325,7 @@
     let mut calls = 0;
     // A change each 80 ms for four seconds, and one long after.
     for at in (1..=50).map(|change| ms(80 * change)).chain([ms(9_000)]) {
-        watcher.poke(at);
+        watcher.request_catch_up(at);
         if watcher.take_call(at).is_some() {
             calls += 1;
             let nothing = StoreAnswer::Events {
@@ -362,7 +362,7 @@
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
-    watcher.ask_at_once(ms(10));
+    watcher.call_now_with_short_wait(ms(10));
     let wait = |call| match call {
         Some(StoreCall::Watch { wait, .. }) => wait,
         _ => Duration::MAX,
@@ -478,8 +478,8 @@
     health.succeeded(ms(100));
     health.failed(ms(200));
     expect_that!(health.serves(), eq(false));
-    expect_that!(health.is_lost(ms(300)), eq(false));
-    expect_that!(health.is_lost(ms(2_000)), eq(true));
+    expect_that!(health.is_unavailable(ms(300)), eq(false));
+    expect_that!(health.is_unavailable(ms(2_000)), eq(true));
     expect_that!(health.succeeded(ms(2_100)), eq(true));
     expect_that!(health.serves(), eq(true));
 }
@@ -491,7 +491,7 @@
     expect_that!(health.succeeded(ms(1_900)), eq(false));
     expect_that!(health.serving_since(), some(eq(ms(100))));
     // A coordinator that was served has vouched for the time until here.
-    health.followed_until(ms(9_000));
+    health.relayed_until(ms(9_000));
     expect_that!(health.succeeded(ms(10_800)), eq(false));
     expect_that!(health.succeeded(ms(12_800)), eq(true));
     expect_that!(health.serving_since(), some(eq(ms(12_800))));
@@ -570,7 +570,7 @@
             // nothing is asked.
             let follows = ms(paused) <= now && now < ms(paused + 4_000);
             if follows && outages.serves(now) {
-                if health.followed_until(now) {
+                if health.relayed_until(now) {
                     directory.store_was_lost(now);
                 }
                 if outages.lists(now) {
@@ -608,11 +608,11 @@
     };
     let from = ([10, 0, 0, 1], 1).into();
     let mut shared = SharedLoad::default();
-    shared.counted(from, 1, &told(3), ms(0));
+    shared.record_node_counts(from, 1, &told(3), ms(0));
     expect_that!(shared.open_at(1, ms(100)), eq(3));
-    shared.counted(from, 2, &[], ms(100));
+    shared.record_node_counts(from, 2, &[], ms(100));
     expect_that!(shared.open_at(1, ms(100)), eq(0));
-    shared.counted(from, 2, &told(2), ms(100));
+    shared.record_node_counts(from, 2, &told(2), ms(100));
     expect_that!(shared.open_at(1, ms(5_000)), eq(0));
 }
 
@@ -662,7 +662,7 @@
             .into_iter()
             .map(|(instance, count)| OpenRequests { instance, count, answered: 3, busy_ms: 40, slowness: 100 })
             .collect();
-        let message = PeerMessage::Open { incarnation: 5, rest_limit_ms: 0, changes };
+        let message = PeerMessage::OpenRequestCounts { incarnation: 5, rest_limit_ms: 0, changes };
         prop_assert_eq!(decode(&encode(&message).bytes).ok(), Some(message));
         let _ = decode(&noise);
     }
--- a/crates/ledgelead-router/tests/quarantine.rs
+++ b/crates/ledgelead-router/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use ledgelead_http::Request;
 use ledgelead_router::Timestamp;
 use ledgelead_router::peers::RequestEntry;
-use ledgelead_router::quarantine::{CallerId, End, Entry, Evidence, QuarantineRecord};
+use ledgelead_router::quarantine::{CallerId, Entry, Evidence, InstanceEnd, QuarantineRecord};
 use ledgelead_router::requests::RequestDigest;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -22,8 +22,8 @@
     CallerId::new([10, 0, 0, last].into())
 }
 
-fn end(by: u8, instance: u64, at: u64) -> End {
-    End {
+fn end(by: u8, instance: u64, at: u64) -> InstanceEnd {
+    InstanceEnd {
         caller: caller(by),
         instance,
         at: ms(at),
@@ -32,10 +32,10 @@
 }
 
 /// Evidence of these ends, judged a second after the last.
-fn judged(ends: &[End]) -> Evidence {
+fn judged(ends: &[InstanceEnd]) -> Evidence {
     let mut evidence = Evidence::default();
     for end in ends {
-        evidence.accuse(request("/a"), "/a", *end);
+        evidence.record_end(request("/a"), "/a", *end);
     }
     review(&mut evidence);
     evidence
@@ -45,49 +45,57 @@
     evidence.review(Timestamp::from_secs(100));
 }
 
-fn holds_back(evidence: &Evidence, by: u8) -> bool {
-    evidence.holds_back(&request("/a"), caller(by))
+fn is_quarantined_for(evidence: &Evidence, by: u8) -> bool {
+    evidence.is_quarantined_for(&request("/a"), caller(by))
 }
 
 #[gtest]
 fn three_ends_hold_a_request_of_one_caller_back() {
     let ends = [end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)];
-    expect_that!(holds_back(&judged(&ends[..2]), 1), eq(false));
-    expect_that!(holds_back(&judged(&ends), 1), eq(true));
-    expect_that!(holds_back(&judged(&ends), 2), eq(false), "another caller");
+    expect_that!(is_quarantined_for(&judged(&ends[..2]), 1), eq(false));
+    expect_that!(is_quarantined_for(&judged(&ends), 1), eq(true));
+    expect_that!(
+        is_quarantined_for(&judged(&ends), 2),
+        eq(false),
+        "another caller"
+    );
     let same = [end(1, 1, 0), end(1, 1, 1_000), end(1, 1, 2_000)];
-    expect_that!(holds_back(&judged(&same), 1), eq(false), "one instance");
+    expect_that!(
+        is_quarantined_for(&judged(&same), 1),
+        eq(false),
+        "one instance"
+    );
 }
 
 #[gtest]
 fn an_answer_before_or_after_the_third_end_acquits() {
     let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000)]);
-    evidence.acquit(request("/a"), caller(1), ms(1_500));
-    evidence.accuse(request("/a"), "/a", end(1, 3, 2_000));
+    evidence.record_answer(request("/a"), caller(1), ms(1_500));
+    evidence.record_end(request("/a"), "/a", end(1, 3, 2_000));
     review(&mut evidence);
-    expect_that!(holds_back(&evidence, 1), eq(false));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(false));
     let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
-    evidence.acquit(request("/a"), caller(1), ms(100_500));
-    expect_that!(holds_back(&evidence, 1), eq(false));
+    evidence.record_answer(request("/a"), caller(1), ms(100_500));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(false));
 }
 
 #[gtest]
 fn what_ends_with_others_at_the_same_moment_accuses_nobody() {
     let mut evidence = judged(&[]);
     for (number, at) in [(1, 0), (2, 2_000), (3, 4_000)] {
-        evidence.accuse(request("/a"), "/a", end(1, number, at));
-        evidence.accuse(request("/b"), "/b", end(2, 10 + number, at + 100));
+        evidence.record_end(request("/a"), "/a", end(1, number, at));
+        evidence.record_end(request("/b"), "/b", end(2, 10 + number, at + 100));
     }
     review(&mut evidence);
-    expect_that!(holds_back(&evidence, 1), eq(false));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(false));
 }
 
 #[gtest]
 fn an_end_that_an_answer_disproves_counts_no_more() {
     let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
-    evidence.disprove(2, ms(100_500));
-    expect_that!(holds_back(&evidence, 1), eq(false));
-    evidence.accuse(request("/a"), "/a", end(1, 2, 101_000));
+    evidence.disprove_end(2, ms(100_500));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(false));
+    evidence.record_end(request("/a"), "/a", end(1, 2, 101_000));
     expect_that!(evidence.ends_of(&request("/a"), caller(1)), eq(0));
 }
 
@@ -99,45 +107,45 @@
         end(1, 2, 1_000),
         end(2, 2, 1_000),
     ];
-    expect_that!(holds_back(&judged(&together), 3), eq(false));
+    expect_that!(is_quarantined_for(&judged(&together), 3), eq(false));
     let alone = [
         end(1, 1, 0),
         end(1, 2, 1_000),
         end(2, 3, 2_000),
         end(2, 4, 3_000),
     ];
-    expect_that!(holds_back(&judged(&alone[..3]), 3), eq(false));
-    expect_that!(holds_back(&judged(&alone), 3), eq(true));
+    expect_that!(is_quarantined_for(&judged(&alone[..3]), 3), eq(false));
+    expect_that!(is_quarantined_for(&judged(&alone), 3), eq(true));
 }
 
 #[gtest]
 fn an_answer_to_another_caller_keeps_a_request_from_being_held_back_for_all() {
     let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(2, 3, 2_000)]);
-    evidence.acquit(request("/a"), caller(9), ms(2_500));
-    evidence.accuse(request("/a"), "/a", end(2, 4, 3_000));
+    evidence.record_answer(request("/a"), caller(9), ms(2_500));
+    evidence.record_end(request("/a"), "/a", end(2, 4, 3_000));
     review(&mut evidence);
-    expect_that!(holds_back(&evidence, 3), eq(false));
-    evidence.accuse(request("/a"), "/a", end(1, 5, 4_000));
+    expect_that!(is_quarantined_for(&evidence, 3), eq(false));
+    evidence.record_end(request("/a"), "/a", end(1, 5, 4_000));
     review(&mut evidence);
     expect_that!(
-        holds_back(&evidence, 1),
+        is_quarantined_for(&evidence, 1),
         eq(true),
         "its own three ends count"
     );
-    expect_that!(holds_back(&evidence, 3), eq(false));
+    expect_that!(is_quarantined_for(&evidence, 3), eq(false));
 }
 
 #[gtest]
 fn what_an_operator_lifts_is_sent_until_three_more_ends() {
     let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
     evidence.lift(request("/a"), ms(100_500));
-    expect_that!(holds_back(&evidence, 1), eq(false));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(false));
     for (number, at) in [(4, 101_000), (5, 102_000), (6, 103_000)] {
-        expect_that!(holds_back(&evidence, 1), eq(false));
-        evidence.accuse(request("/a"), "/a", end(1, number, at));
+        expect_that!(is_quarantined_for(&evidence, 1), eq(false));
+        evidence.record_end(request("/a"), "/a", end(1, number, at));
         evidence.review(ms(at + 500));
     }
-    expect_that!(holds_back(&evidence, 1), eq(true));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(true));
 }
 
 #[gtest]
@@ -149,8 +157,8 @@
     let read: QuarantineRecord = serde_json::from_str(&text).expect("a record");
     let mut other = Evidence::default();
     other.merge(request("/a"), &read.entry(ms(5)));
-    expect_that!(holds_back(&other, 1), eq(true));
-    expect_that!(holds_back(&other, 2), eq(false));
+    expect_that!(is_quarantined_for(&other, 1), eq(true));
+    expect_that!(is_quarantined_for(&other, 2), eq(false));
 }
 
 #[gtest]
@@ -159,14 +167,14 @@
     for number in 0..2_000_u64 {
         let path = format!("/innocent/{number}");
         let at = 10_000 + number;
-        evidence.accuse(request(&path), &path, end(2, 100 + number, at));
+        evidence.record_end(request(&path), &path, end(2, 100 + number, at));
     }
     evidence.expire(ms(20_000));
     expect_that!(evidence.iter().count(), eq(512));
-    expect_that!(holds_back(&evidence, 1), eq(true));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(true));
     evidence.expire(Timestamp::from_secs(3_600));
     expect_that!(evidence.iter().count(), eq(1));
-    expect_that!(holds_back(&evidence, 1), eq(true));
+    expect_that!(is_quarantined_for(&evidence, 1), eq(true));
 }
 
 /// A fact that some node learns.
@@ -195,10 +203,10 @@
         match fact {
             Fact::Ended { by, instance, at } => entry.ends.push(end(*by, *instance, *at)),
             Fact::Answered { by, at } => {
-                entry.acquitted.insert(caller(*by), ms(*at));
+                entry.cleared.insert(caller(*by), ms(*at));
             }
             Fact::Lives { instance } => {
-                evidence.note_alive(*instance, now);
+                evidence.record_alive(*instance, now);
                 continue;
             }
         }
@@ -240,7 +248,7 @@
         review(&mut other);
         prop_assert_eq!(one.checksum(), other.checksum());
         for by in 1..4 {
-            prop_assert_eq!(holds_back(&one, by), holds_back(&other, by));
+            prop_assert_eq!(is_quarantined_for(&one, by), is_quarantined_for(&other, by));
         }
     }
 }
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -6,8 +6,8 @@
 use ledgelead_http::Response;
 use ledgelead_router::identity::InstanceId;
 use ledgelead_router::rate_limit::{
-    KnownLimits, LimitStatement, Limiter, LimiterRole, RateLimit, RateNotice, Standing, Succession,
-    TokenVerdict,
+    FailoverStatus, KnownLimits, LimitStatement, Limiter, LimiterFailover, LimiterRole, RateLimit,
+    RateNotice, TokenVerdict,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 ) -> Vec<u64> {
     let asks = span.step_by(5);
     let is_granted = |at: &u64| {
-        let verdict = limiter.ask(asker(1), INSTANCE, limit, role, ms(*at));
+        let verdict = limiter.request_token(asker(1), INSTANCE, limit, role, ms(*at));
         verdict == TokenVerdict::Granted
     };
     asks.filter(is_granted).collect()
@@ -92,19 +92,22 @@
         expect_that!(notice(status, &[]), eq(RateNotice::Unlimited));
     }
     let other = [("rate-limit", "3"), ("instance", "b")];
-    expect_that!(notice(200, &other), eq(RateNotice::Silent));
-    expect_that!(notice(421, &[]), eq(RateNotice::Silent));
-    expect_that!(notice(421, &[("rate-limit", "3")]), eq(RateNotice::Silent));
+    expect_that!(notice(200, &other), eq(RateNotice::NotStated));
+    expect_that!(notice(421, &[]), eq(RateNotice::NotStated));
+    expect_that!(
+        notice(421, &[("rate-limit", "3")]),
+        eq(RateNotice::NotStated)
+    );
 }
 
 #[gtest]
 fn a_limiter_hands_out_the_named_rate() {
     let mut limiter = Limiter::default();
-    granted(&mut limiter, limit(6_500), LimiterRole::First, 0..5_000);
+    granted(&mut limiter, limit(6_500), LimiterRole::Primary, 0..5_000);
     let steady = granted(
         &mut limiter,
         limit(6_500),
-        LimiterRole::First,
+        LimiterRole::Primary,
         5_000..15_000,
     );
     expect_that!(steady.len(), all!(ge(64), le(66)));
@@ -113,25 +116,25 @@
 #[gtest]
 fn a_limiter_that_begins_counts_what_was_sent_before_it() {
     let mut limiter = Limiter::default();
-    let first = granted(&mut limiter, limit(6_500), LimiterRole::First, 0..4_000);
+    let first = granted(&mut limiter, limit(6_500), LimiterRole::Primary, 0..4_000);
     expect_that!(first[0], all!(ge(2_000), le(2_300)));
 }
 
 #[gtest]
 fn unused_tokens_let_few_requests_through_at_once() {
     let mut limiter = Limiter::default();
-    granted(&mut limiter, limit(6_000), LimiterRole::First, 0..5_000);
+    granted(&mut limiter, limit(6_000), LimiterRole::Primary, 0..5_000);
     let after_silence = granted(
         &mut limiter,
         limit(6_000),
-        LimiterRole::First,
+        LimiterRole::Primary,
         60_000..60_005,
     );
     expect_that!(after_silence, len(eq(1)));
     let all = granted(
         &mut limiter,
         limit(6_000),
-        LimiterRole::First,
+        LimiterRole::Primary,
         60_005..64_000,
     );
     expect_that!(all.len(), all!(ge(24), le(28)));
@@ -143,13 +146,13 @@
         let mut first = Limiter::default();
         let mut second = Limiter::default();
         let named = limit(millis_per_s);
-        let mut times = granted(&mut first, named, LimiterRole::First, 0..30_000);
+        let mut times = granted(&mut first, named, LimiterRole::Primary, 0..30_000);
         // Unused for long, so that its burst falls into the same window.
-        granted(&mut second, named, LimiterRole::Second, 0..10_000);
+        granted(&mut second, named, LimiterRole::Secondary, 0..10_000);
         times.extend(granted(
             &mut second,
             named,
-            LimiterRole::Second,
+            LimiterRole::Secondary,
             20_000..30_000,
         ));
         let allowed = (f64::from(millis_per_s) / 1_000.0 * 4.0).mul_add(1.5, 5.0);
@@ -165,17 +168,17 @@
 fn an_instance_that_takes_nothing_gets_a_request_now_and_then() {
     // Only an answer can say that it takes requests again.
     let mut limiter = Limiter::default();
-    let times = granted(&mut limiter, limit(0), LimiterRole::First, 0..30_000);
+    let times = granted(&mut limiter, limit(0), LimiterRole::Primary, 0..30_000);
     expect_that!(times.len(), all!(ge(5), le(8)));
 }
 
 #[gtest]
 fn refused_nodes_are_told_the_times_of_different_tokens() {
     let mut limiter = Limiter::default();
-    granted(&mut limiter, limit(5_000), LimiterRole::First, 0..4_005);
+    granted(&mut limiter, limit(5_000), LimiterRole::Primary, 0..4_005);
     let mut wait_of = |number| {
-        let role = LimiterRole::First;
-        match limiter.ask(asker(number), INSTANCE, limit(5_000), role, ms(4_010)) {
+        let role = LimiterRole::Primary;
+        match limiter.request_token(asker(number), INSTANCE, limit(5_000), role, ms(4_010)) {
             TokenVerdict::Refused(wait) => wait,
             verdict => panic!("{verdict:?}"),
         }
@@ -193,33 +196,33 @@
         limit: Some(limit(millis_per_s)),
         at: ms(at),
     };
-    limits.announced(INSTANCE, said(2_000, 500));
-    limits.announced(INSTANCE, said(8_000, 400));
+    limits.record_from_peer(INSTANCE, said(2_000, 500));
+    limits.record_from_peer(INSTANCE, said(8_000, 400));
     expect_that!(limits.limit(INSTANCE), some(eq(limit(2_000))));
-    limits.announced(INSTANCE, said(8_000, 600));
+    limits.record_from_peer(INSTANCE, said(8_000, 600));
     expect_that!(limits.limit(INSTANCE), some(eq(limit(8_000))));
-    limits.answered(INSTANCE, None, ms(700));
-    limits.announced(INSTANCE, said(8_000, 650));
+    limits.record_from_answer(INSTANCE, None, ms(700));
+    limits.record_from_peer(INSTANCE, said(8_000, 650));
     expect_that!(limits.limit(INSTANCE), none());
 }
 
 #[gtest]
 fn what_an_answer_says_is_reported_until_the_coordinator_knows_it() {
     let mut limits = KnownLimits::default();
-    limits.answered(INSTANCE, Some(limit(2_000)), ms(100));
+    limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
     expect_that!(limits.unreported().count(), eq(1));
-    limits.reported(INSTANCE, Some(limit(9_000)));
+    limits.mark_reported(INSTANCE, Some(limit(9_000)));
     expect_that!(limits.unreported().count(), eq(1));
-    limits.reported(INSTANCE, Some(limit(2_000)));
+    limits.mark_reported(INSTANCE, Some(limit(2_000)));
     expect_that!(limits.unreported().count(), eq(0));
-    limits.answered(INSTANCE, None, ms(300));
+    limits.record_from_answer(INSTANCE, None, ms(300));
     expect_that!(limits.unreported().count(), eq(1));
 }
 
 #[gtest]
 fn limits_of_instances_that_are_gone_are_forgotten() {
     let mut limits = KnownLimits::default();
-    limits.answered(INSTANCE, Some(limit(2_000)), ms(100));
+    limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
     limits.expire(|_| true, ms(100_000));
     expect_that!(limits.is_empty(), eq(false));
     limits.expire(|_| false, ms(100_000));
@@ -227,16 +230,16 @@
 }
 
 /// How a limiter stands that is asked in place of another each 100 ms for so long.
-fn asked_for(succession: &mut Succession, span: std::ops::Range<u64>) -> Standing {
+fn asked_for(succession: &mut LimiterFailover, span: std::ops::Range<u64>) -> FailoverStatus {
     let standings = span
         .step_by(100)
-        .map(|at| succession.asked_for(asker(1), ms(at)));
+        .map(|at| succession.asked_in_place_of(asker(1), ms(at)));
     standings.last().expect("an ask")
 }
 
 #[gtest]
 fn the_second_limiter_follows_one_that_is_lost_for_good() {
-    let mut succession = Succession::default();
+    let mut succession = LimiterFailover::default();
     expect_that!(asked_for(&mut succession, 0..9_900).is_lost, eq(false));
     expect_that!(asked_for(&mut succession, 9_900..10_200).is_lost, eq(true));
     succession.heard(asker(1));
@@ -248,7 +251,7 @@
 
 #[gtest]
 fn silence_counts_only_while_the_first_limiter_is_missed() {
-    let mut succession = Succession::default();
+    let mut succession = LimiterFailover::default();
     asked_for(&mut succession, 0..1_000);
     expect_that!(
         asked_for(&mut succession, 11_000..12_000).is_lost,
@@ -258,8 +261,8 @@
 
 #[gtest]
 fn a_first_limiter_is_probed_each_second() {
-    let mut succession = Succession::default();
+    let mut succession = LimiterFailover::default();
     let asks = (0..5_000).step_by(100);
-    let probes = asks.filter(|at| succession.asked_for(asker(1), ms(*at)).is_probed);
+    let probes = asks.filter(|at| succession.asked_in_place_of(asker(1), ms(*at)).is_probed);
     expect_that!(probes.count(), eq(5));
 }
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -11,8 +11,8 @@
 use ledgelead_router::ownership::record::Assignment;
 use ledgelead_router::peers::{DigestEntry, OpenRequests, Registry, SharedLoad};
 use ledgelead_router::requests::{
-    BudgetBounds, ColdBound, ColdGate, ColdSends, Misdirection, Notice, RestLimit, RetryBudget,
-    Selected, SelectionContext, StatisticsTable, Verdict, judge,
+    BudgetBounds, ColdBound, ColdGate, ColdSends, IdleConnectionLimit, Misdirection, Notice,
+    RetryBudget, Selected, SelectionContext, StatisticsTable, Verdict, judge,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -85,7 +85,7 @@
 #[gtest]
 fn a_misdirected_answer_under_the_id_of_a_life_proves_no_end() {
     let misdirected = Ok(answer(421, &[("instance", "a")]));
-    let judged = judge(misdirected, &InstanceId::of_life("a", 10), &headers());
+    let judged = judge(misdirected, &InstanceId::started_at("a", 10), &headers());
     expect_that!(
         matches!(judged, Verdict::Rejected { ended: false, .. }),
         eq(true)
@@ -246,7 +246,7 @@
         ..OpenRequests::default()
     }];
     let from = ([10, 0, 0, 9], 1).into();
-    fixture.shared.counted(from, 1, &told, ms(900));
+    fixture.shared.record_node_counts(from, 1, &told, ms(900));
     expect_that!(fixture.chosen(&[]), eq("b"));
 }
 
@@ -320,7 +320,9 @@
     };
     let entries: Vec<DigestEntry> = loads.iter().map(entry).collect();
     let hub = ([10, 0, 0, 9], 1).into();
-    fixture.shared.digested(hub, 2, &entries, |_| 0, ms(950));
+    fixture
+        .shared
+        .record_digest(hub, 2, &entries, |_| 0, ms(950));
 }
 
 /// How often each of the three instances is chosen in a hundred selections.
@@ -389,7 +391,7 @@
 
 #[gtest]
 fn connections_that_rested_too_long_are_not_used_for_some_time() {
-    let mut limit = RestLimit::default();
+    let mut limit = IdleConnectionLimit::default();
     limit.lost(ms(900), ms(1_000));
     expect_that!(limit.current(ms(1_000)), none());
     limit.lost(ms(500), ms(1_100));
@@ -405,14 +407,14 @@
 #[gtest]
 fn connections_that_end_for_other_reasons_make_no_limit() {
     // Instances that are full end connections whether they rested or not.
-    let mut full = RestLimit::default();
+    let mut full = IdleConnectionLimit::default();
     for at in 0..10 {
         full.lost(ms(500), ms(at));
         full.lost(ms(0), ms(at));
     }
     expect_that!(full.current(ms(20)), none());
     // Most requests on rested connections are answered.
-    let mut rare = RestLimit::default();
+    let mut rare = IdleConnectionLimit::default();
     for at in 0..10 {
         rare.lost(ms(500), ms(at));
         (0..9).for_each(|_| rare.answered(ms(500), ms(at)));
@@ -445,7 +447,7 @@
         }];
         fixture
             .shared
-            .counted(([10, 0, 0, 9], 1).into(), 1, &changes, ms(900));
+            .record_node_counts(([10, 0, 0, 9], 1).into(), 1, &changes, ms(900));
     };
     let (with, off) = without(Mechanism::SharedLoad, &told);
     expect_that!((with.as_str(), off.as_str()), eq(("b", "a")));
--- a/crates/ledgelead-router/tests/scale.rs
+++ b/crates/ledgelead-router/tests/scale.rs
@@ -161,7 +161,7 @@
             self.coordinator.order_ended(order.exchange, done, now);
         }
         if self.writing.take_if(|at| *at <= now).is_some() {
-            self.coordinator.written(now);
+            self.coordinator.record_written(now);
         }
     }
 
@@ -287,10 +287,10 @@
         changes in prop::collection::vec(drawn_assignment(), 0..20),
     ) {
         let mut record = OwnershipRecord::default();
-        record.overlay(before.clone());
+        record.apply_changes(before.clone());
         let first = overlaid(&[], &before);
         prop_assert_eq!(&record.assignments, &first);
-        record.overlay(changes.clone());
+        record.apply_changes(changes.clone());
         prop_assert_eq!(&record.assignments, &overlaid(&first, &changes));
     }
 }
--- a/crates/ledgelead-runtime/src/outbound.rs
+++ b/crates/ledgelead-runtime/src/outbound.rs
@@ -2,8 +2,8 @@
 
 use crate::stream::{Stream, StreamEnd};
 use ledgelead_http::{Request, Response, ResponseProgress, ResponseReader, write_request};
-use ledgelead_router::boundary::MAX_TIMEOUT;
 use ledgelead_router::io::{ExchangeFailure, ExchangeId, ExchangeOptions, Input};
+use ledgelead_router::validation::MAX_TIMEOUT;
 use slab::Slab;
 use stakker_mio::MioSource;
 use stakker_mio::mio::net::TcpStream;
@@ -81,9 +81,9 @@
                 reuse_idle_below: Duration::ZERO,
                 connect_timeout: timeout,
                 write_timeout: None,
-                settle: Duration::ZERO,
+                settle_time: Duration::ZERO,
                 timeout,
-                renewed: false,
+                timeout_is_idle: false,
             },
         }
     }
@@ -279,11 +279,11 @@
                 Duration::ZERO
             },
             write_at: None,
-            settle: new.options.settle,
+            settle: new.options.settle_time,
             connect_by,
             write_by,
             answer_by,
-            renewed_by: new.options.renewed.then_some(new.options.timeout),
+            renewed_by: new.options.timeout_is_idle.then_some(new.options.timeout),
         });
         self.by_exchange.insert(new.exchange, index);
         self.deadlines.insert((first_deadline, key));
@@ -478,10 +478,10 @@
         } else {
             self.drop_connection(index);
         }
-        inputs.push(Input::Exchanged {
+        inputs.push(Input::ExchangeEnded {
             exchange: running.exchange,
             result: Ok(response),
-            rested: running.rested,
+            idle_for: running.rested,
         });
     }
 
@@ -501,10 +501,10 @@
         if let Some(running) = running {
             self.forget_deadlines(key, &running);
             self.by_exchange.remove(&running.exchange);
-            inputs.push(Input::Exchanged {
+            inputs.push(Input::ExchangeEnded {
                 exchange: running.exchange,
                 result: Err(failure),
-                rested: running.rested,
+                idle_for: running.rested,
             });
         }
     }
--- a/crates/ledgelead-runtime/src/reactor.rs
+++ b/crates/ledgelead-runtime/src/reactor.rs
@@ -262,10 +262,11 @@
         while let Some(event) = queue.pop_front() {
             match event {
                 ClientEvent::Unread { client, request } => {
-                    self.inputs.push_back(Input::Unread { client, request });
+                    self.inputs
+                        .push_back(Input::RequestWithoutBody { client, request });
                 }
                 ClientEvent::Left { client } => {
-                    self.inputs.push_back(Input::ClientLeft { client });
+                    self.inputs.push_back(Input::ClientDisconnected { client });
                 }
                 ClientEvent::Request {
                     client,
@@ -430,10 +431,10 @@
             Ok(source) => self.outbound.start_on_new(source, new, now),
             Err(error) => {
                 log::warn!(target: "runtime", "no connection to {}: {error}", new.address);
-                self.inputs.push_back(Input::Exchanged {
+                self.inputs.push_back(Input::ExchangeEnded {
                     exchange,
                     result: Err(connect_failure(&error)),
-                    rested: Duration::ZERO,
+                    idle_for: Duration::ZERO,
                 });
             }
         }
--- a/crates/ledgelead-runtime/tests/outbound.rs
+++ b/crates/ledgelead-runtime/tests/outbound.rs
@@ -31,16 +31,16 @@
         reuse_idle_below: Duration::ZERO,
         connect_timeout: SETTLE * 2,
         write_timeout: None,
-        settle: SETTLE,
+        settle_time: SETTLE,
         timeout: SETTLE * 2,
-        renewed: false,
+        timeout_is_idle: false,
     }
 }
 
 /// The request is written as soon as the connection is up.
 fn unsettled() -> ExchangeOptions {
     ExchangeOptions {
-        settle: Duration::ZERO,
+        settle_time: Duration::ZERO,
         ..options()
     }
 }
@@ -94,7 +94,7 @@
     }
     let proves_not_sent = matches!(
         inputs[0],
-        Input::Exchanged {
+        Input::ExchangeEnded {
             result: Err(ExchangeFailure::NotConnected),
             ..
         }
@@ -196,7 +196,7 @@
         cause(fixture, &mut inputs);
     }
     match inputs.remove(0) {
-        Input::Exchanged {
+        Input::ExchangeEnded {
             result: Err(failure),
             ..
         } => failure,
@@ -318,7 +318,7 @@
         .expire(fixture.start + SETTLE * 2, &mut inputs);
     let timed_out = matches!(
         inputs[0],
-        Input::Exchanged {
+        Input::ExchangeEnded {
             result: Err(ExchangeFailure::TimedOut),
             ..
         }
@@ -362,7 +362,7 @@
     expect_that!(started.is_ok(), eq(true));
     let not_sent = matches!(
         inputs.first(),
-        Some(Input::Exchanged {
+        Some(Input::ExchangeEnded {
             result: Err(ExchangeFailure::NotConnected),
             ..
         })
