--- a/crates/ledgelead-lab/src/fleet/restarts.rs
+++ b/crates/ledgelead-lab/src/fleet/restarts.rs
@@ -60,7 +60,7 @@
             0 => self.birth_rng.random_range(SET_BACK_MS),
             _ => 0,
         };
-        InstanceId::started_at(name, RUN_BEGINS_MS + elapsed - set_back)
+        InstanceId::with_start_time(name, RUN_BEGINS_MS + elapsed - set_back)
     }
 
     /// An instance crashes; another life of it begins there after a while.
--- a/crates/ledgelead-router/src/identity.rs
+++ b/crates/ledgelead-router/src/identity.rs
@@ -71,7 +71,7 @@
 
 impl InstanceId {
     /// The life that an instance began at `born`, in Unix milliseconds.
-    pub fn started_at(name: &str, born: u64) -> InstanceId {
+    pub fn with_start_time(name: &str, born: u64) -> InstanceId {
         InstanceId {
             text: Arc::from(format!("{name}{START_MARK}{born}")),
             name_len: name.len(),
--- a/crates/ledgelead-router/src/io.rs
+++ b/crates/ledgelead-router/src/io.rs
@@ -61,7 +61,7 @@
     pub connect_timeout: Duration,
     /// How long a new connection is watched before the first byte is written: an
     /// instance that takes no more connections resets them at once.
-    pub settle_time: Duration,
+    pub observe_before_write: Duration,
     /// Time in which the whole request must be written, if that is bounded apart from the
     /// exchange. What is not written by then has proved that it never ran.
     pub write_timeout: Option<Duration>,
@@ -69,7 +69,7 @@
     pub timeout: Duration,
     /// Whether each part of the answer that arrives begins the time anew. A
     /// long answer over a slow link then ends, instead of being begun again.
-    pub timeout_is_idle: bool,
+    pub timeout_restarts: bool,
 }
 
 /// What happened outside.
--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -490,9 +490,9 @@
                 reuse_idle_below: ORDER_REUSE_IDLE,
                 connect_timeout: ORDER_CONNECT_TIMEOUT,
                 write_timeout: None,
-                settle_time: Duration::ZERO,
+                observe_before_write: Duration::ZERO,
                 timeout,
-                timeout_is_idle: false,
+                timeout_restarts: false,
             },
         });
     }
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -470,9 +470,9 @@
                 reuse_idle_below: REUSE_IDLE,
                 connect_timeout: CONNECT_TIMEOUT,
                 write_timeout: None,
-                settle_time: Duration::ZERO,
+                observe_before_write: Duration::ZERO,
                 timeout,
-                timeout_is_idle: true,
+                timeout_restarts: true,
             },
         });
         self.store.calls += 1;
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -257,9 +257,9 @@
                 reuse_idle_below: Duration::ZERO,
                 connect_timeout: CONNECT_TIMEOUT,
                 write_timeout: None,
-                settle_time: Duration::ZERO,
+                observe_before_write: Duration::ZERO,
                 timeout: PROGRESS_TIMEOUT,
-                timeout_is_idle: true,
+                timeout_restarts: true,
             },
         });
     }
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -466,7 +466,7 @@
         connect_timeout: CONNECT_TIMEOUT.min(write_timeout),
         write_timeout: Some(write_timeout),
         // Sent again, an idempotent request loses less than by waiting.
-        settle_time: if open.is_idempotent() {
+        observe_before_write: if open.is_idempotent() {
             Duration::ZERO
         } else {
             SETTLE_ONCE
@@ -474,7 +474,7 @@
         // A little longer than this node waits: the final answer at the end
         // of the time is given by the request's own timer.
         timeout: left + ANSWER_MARGIN,
-        timeout_is_idle: false,
+        timeout_restarts: false,
     }
 }
 
--- a/crates/ledgelead-router/src/validation.rs
+++ b/crates/ledgelead-router/src/validation.rs
@@ -41,12 +41,12 @@
         Err(finding) => Err(finding.clone()),
     };
     if let Err(finding) = checked {
-        object.content = Err(shortened(&finding));
+        object.content = Err(truncated(&finding));
     }
 }
 
 /// The start of a text that another process wrote, for the log.
-pub fn shortened(text: &str) -> String {
+pub fn truncated(text: &str) -> String {
     let mut end = text.len().min(MAX_FINDING_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
--- a/crates/ledgelead-router/tests/identity.rs
+++ b/crates/ledgelead-router/tests/identity.rs
@@ -26,8 +26,8 @@
 #[gtest]
 fn lives_of_one_name_differ() {
     let (first, second) = (
-        InstanceId::started_at("i", 9),
-        InstanceId::started_at("i", 10),
+        InstanceId::with_start_time("i", 9),
+        InstanceId::with_start_time("i", 10),
     );
     expect_that!(first, not(eq(&second)));
     expect_that!(first.cmp(&second), eq(std::cmp::Ordering::Less));
@@ -46,7 +46,7 @@
         born in proptest::option::of(prop_oneof![0u64..20, proptest::num::u64::ANY]),
     ) {
         let id = match born {
-            Some(born) => InstanceId::started_at(&name, born),
+            Some(born) => InstanceId::with_start_time(&name, born),
             None => InstanceId::from(name.as_str()),
         };
         let read = InstanceId::parse(id.as_str());
--- a/crates/ledgelead-router/tests/leaving.rs
+++ b/crates/ledgelead-router/tests/leaving.rs
@@ -17,7 +17,7 @@
 }
 
 fn life(born: u64) -> InstanceId {
-    InstanceId::started_at("i-1", born)
+    InstanceId::with_start_time("i-1", born)
 }
 
 fn record(id: InstanceId, draining: bool) -> InstanceRecord {
--- a/crates/ledgelead-router/tests/lives.rs
+++ b/crates/ledgelead-router/tests/lives.rs
@@ -24,7 +24,7 @@
 
 fn life(name: &str, born: u64) -> InstanceRecord {
     InstanceRecord {
-        id: InstanceId::started_at(name, born),
+        id: InstanceId::with_start_time(name, born),
         service: ServiceName::from("s"),
         address: ([10, 0, 0, u8::from(name == "a")], 80).into(),
         zone: ZoneName::from("z"),
@@ -35,7 +35,7 @@
 }
 
 fn known(directory: &Directory, born: u64) -> (bool, bool) {
-    let id = InstanceId::started_at("a", born);
+    let id = InstanceId::with_start_time("a", born);
     let instance = directory.get(&id);
     let serves = instance.is_some_and(|instance| instance.serves());
     (serves, directory.has_ended(&id))
@@ -63,7 +63,7 @@
     expect_that!(known(&directory, 10), eq(UNKNOWN));
     expect_that!(
         directory
-            .later_life(&InstanceId::started_at("a", 10))
+            .later_life(&InstanceId::with_start_time("a", 10))
             .is_none(),
         eq(true)
     );
@@ -82,7 +82,7 @@
     directory.upsert(moved, ms(1_000));
     expect_that!(known(&directory, 10), eq(ENDED));
     expect_that!(known(&directory, 20), eq(SERVES));
-    let gone = directory.get(&InstanceId::started_at("a", 10));
+    let gone = directory.get(&InstanceId::with_start_time("a", 10));
     expect_that!(gone.is_some_and(|gone| gone.is_gone()), eq(true));
 }
 
@@ -161,7 +161,7 @@
                 service: ServiceName::from("s"),
                 first: 0,
                 last: u16::MAX,
-                owner: InstanceId::started_at("a", 10),
+                owner: InstanceId::with_start_time("a", 10),
                 fence: 5,
             }],
         };
@@ -234,7 +234,7 @@
     fixture.done(&granted, ms(10_005));
     fixture.directory.upsert(life("a", 20), ms(10_500));
     let next = fixture.next_owner(ms(10_500), ms(11_000));
-    let later = InstanceId::started_at("a", 20);
+    let later = InstanceId::with_start_time("a", 20);
     expect_that!(next, some(eq(&(ms(10_500), later.clone(), 6))));
     fixture.coordinator.record_written(ms(10_510));
     let order = fixture.order(ms(10_510));
@@ -258,7 +258,7 @@
     let next = fixture.next_owner(ms(10_600), ms(10_700));
     expect_that!(
         next,
-        some(eq(&(ms(10_600), InstanceId::started_at("a", 20), 6)))
+        some(eq(&(ms(10_600), InstanceId::with_start_time("a", 20), 6)))
     );
 }
 
@@ -279,7 +279,7 @@
     let next = fixture.next_owner(ms(10_600), end + ms(1_000));
     let (at, owner, fence) = next.expect("another owner");
     expect_that!(at, ge(end));
-    expect_that!(owner, eq(&InstanceId::started_at("b", 1)));
+    expect_that!(owner, eq(&InstanceId::with_start_time("b", 1)));
     expect_that!(fence, eq(6));
 }
 
@@ -308,7 +308,7 @@
     expect_that!(at, ge(end));
     expect_that!(
         record.assignments[0].owner,
-        eq(&InstanceId::started_at("b", 1))
+        eq(&InstanceId::with_start_time("b", 1))
     );
 }
 
@@ -335,7 +335,7 @@
     let granted = fixture.order(ms(10_000));
     fixture.done(&granted, ms(10_005));
     let other = InstanceRecord {
-        id: InstanceId::started_at("c", 20),
+        id: InstanceId::with_start_time("c", 20),
         ..life("a", 20)
     };
     fixture.directory.upsert(other, ms(10_100));
@@ -345,7 +345,7 @@
 
 #[gtest]
 fn an_answer_under_an_id_shows_a_life_only_after_a_later_one_would_be_known() {
-    let id = InstanceId::started_at("a", 10);
+    let id = InstanceId::with_start_time("a", 10);
     let mut signs = UnconfirmedAnswers::default();
     signs.answered(&id, ms(1_000), ms(1_100));
     // Answers that go on don't put it off.
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -85,7 +85,11 @@
 #[gtest]
 fn a_misdirected_answer_under_the_id_of_a_life_proves_no_end() {
     let misdirected = Ok(answer(421, &[("instance", "a")]));
-    let judged = judge(misdirected, &InstanceId::started_at("a", 10), &headers());
+    let judged = judge(
+        misdirected,
+        &InstanceId::with_start_time("a", 10),
+        &headers(),
+    );
     expect_that!(
         matches!(judged, Verdict::Rejected { ended: false, .. }),
         eq(true)
--- a/crates/ledgelead-runtime/src/outbound.rs
+++ b/crates/ledgelead-runtime/src/outbound.rs
@@ -81,9 +81,9 @@
                 reuse_idle_below: Duration::ZERO,
                 connect_timeout: timeout,
                 write_timeout: None,
-                settle_time: Duration::ZERO,
+                observe_before_write: Duration::ZERO,
                 timeout,
-                timeout_is_idle: false,
+                timeout_restarts: false,
             },
         }
     }
@@ -279,11 +279,11 @@
                 Duration::ZERO
             },
             write_at: None,
-            settle: new.options.settle_time,
+            settle: new.options.observe_before_write,
             connect_by,
             write_by,
             answer_by,
-            renewed_by: new.options.timeout_is_idle.then_some(new.options.timeout),
+            renewed_by: new.options.timeout_restarts.then_some(new.options.timeout),
         });
         self.by_exchange.insert(new.exchange, index);
         self.deadlines.insert((first_deadline, key));
--- a/crates/ledgelead-runtime/tests/outbound.rs
+++ b/crates/ledgelead-runtime/tests/outbound.rs
@@ -31,16 +31,16 @@
         reuse_idle_below: Duration::ZERO,
         connect_timeout: SETTLE * 2,
         write_timeout: None,
-        settle_time: SETTLE,
+        observe_before_write: SETTLE,
         timeout: SETTLE * 2,
-        timeout_is_idle: false,
+        timeout_restarts: false,
     }
 }
 
 /// The request is written as soon as the connection is up.
 fn unsettled() -> ExchangeOptions {
     ExchangeOptions {
-        settle_time: Duration::ZERO,
+        observe_before_write: Duration::ZERO,
         ..options()
     }
 }
