--- a/crates/ledgelead-router/src/mechanisms.rs
+++ b/crates/ledgelead-router/src/mechanisms.rs
@@ -9,7 +9,7 @@
     /// Where a digest tells the load, instances are drawn by the room that they have.
     FreeSlots,
     /// An idempotent request whose instance is silent is sent to another.
-    Hedging,
+    SlowAttemptRetry,
     /// An idempotent request whose instance failed is sent to another.
     RepeatFailed,
     /// An instance that fails several times in a row is passed over.
@@ -59,7 +59,7 @@
     pub const ALL: [(&'static str, Mechanism); 24] = [
         ("zone-preference", Mechanism::ZonePreference),
         ("free-slots", Mechanism::FreeSlots),
-        ("review", Mechanism::Hedging),
+        ("review", Mechanism::SlowAttemptRetry),
         ("repeat-failed", Mechanism::RepeatFailed),
         ("ejection", Mechanism::Ejection),
         ("failure-share", Mechanism::FailureShare),
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -70,7 +70,7 @@
         let Some(attempt) = open.attempt.clone() else {
             return false;
         };
-        let reviews = self.mechanisms.has(Mechanism::Hedging) && !self.stopping;
+        let reviews = self.mechanisms.has(Mechanism::SlowAttemptRetry) && !self.stopping;
         if attempt.review > context.now || !reviews || !open.is_idempotent() {
             let next = if attempt.review > context.now && reviews {
                 attempt.review.min(open.due)
