--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -40,16 +40,16 @@
             epoch: coordinator.epoch(),
             sent_ms: whole_millis(now),
             store_serves: self.store.health.serves() && has_authority,
-            revision: self.ownership.revision().unwrap_or(0),
-            configuration: self.configuration_version(),
-            instances: self.messaging.relay.instances_revision(),
-            nodes: self.messaging.relay.nodes_revision(),
+            record_revision: self.ownership.revision().unwrap_or(0),
+            configuration_version: self.configuration_version(),
+            instances_revision: self.messaging.relay.instances_revision(),
+            nodes_revision: self.messaging.relay.nodes_revision(),
             age_ms: short_millis(self.store.view_age(now)),
             instances_age_ms: short_millis(self.store.state_age(ObjectKind::Instances, now)),
             served_for_ms: short_millis(self.store.served_for(now)),
             overloads: List(overloads),
             evacuations: self.evacuations.entry(),
-            evidence: self.quarantine.evidence.checksum(),
+            evidence_checksum: self.quarantine.evidence.checksum(),
         };
         self.overloads.replace(&heartbeat.overloads, now);
         let datagram = encode(&PeerMessage::CoordinatorHeartbeat(heartbeat));
@@ -72,17 +72,20 @@
             return;
         }
         // The content was valid when the heartbeat was sent.
-        let delay = self.messaging.delay.arrived(epoch, heartbeat.sent_ms, now);
+        let delay = self
+            .messaging
+            .delay
+            .record_arrival(epoch, heartbeat.sent_ms, now);
         let sent_at = now.saturating_sub(delay);
         self.coordination
-            .note_final_version(epoch, heartbeat.revision, sent_at);
+            .note_final_version(epoch, heartbeat.record_revision, sent_at);
         let age = delay + Duration::from_millis(u64::from(heartbeat.age_ms));
         self.messaging.coordinator_address = Some(from);
         self.messaging.heartbeat_sender = Some(from);
         self.overloads.replace(&heartbeat.overloads, now);
         self.store_health_announced(store_serves, now, out);
         self.evacuations_announced(&heartbeat.evacuations, now, out);
-        self.compare_evidence(from, heartbeat.evidence, now, out);
+        self.compare_evidence(from, heartbeat.evidence_checksum, now, out);
         if store_serves && age < self.view_ttl() {
             self.follow_coordinator(from, epoch, age, now, out);
             let served_for = Duration::from_millis(u64::from(heartbeat.served_for_ms));
@@ -90,12 +93,24 @@
             self.directory.store_served_since(served_since);
             let instances_age =
                 delay + Duration::from_millis(u64::from(heartbeat.instances_age_ms));
-            self.confirm_instances(heartbeat.instances, instances_age, now);
-            self.revision_announced(RelayedKind::Instances, heartbeat.instances, now, out);
-            self.revision_announced(RelayedKind::Nodes, heartbeat.nodes, now, out);
+            self.confirm_instances(heartbeat.instances_revision, instances_age, now);
+            self.revision_announced(
+                RelayedKind::Instances,
+                heartbeat.instances_revision,
+                now,
+                out,
+            );
+            self.revision_announced(RelayedKind::Nodes, heartbeat.nodes_revision, now, out);
         }
-        self.configuration_version_announced(heartbeat.configuration, now, out);
-        self.coordinator_heard(epoch, store_serves, heartbeat.revision, delay, now, out);
+        self.configuration_version_announced(heartbeat.configuration_version, now, out);
+        self.coordinator_heard(
+            epoch,
+            store_serves,
+            heartbeat.record_revision,
+            delay,
+            now,
+            out,
+        );
     }
 
     /// Whether the coordinator of this epoch is the latest known one. Epochs increase only by
@@ -103,7 +118,7 @@
     /// role. That coordinator can't read this while the store refuses its calls, and its
     /// messages would undo those of its successor.
     fn is_newest_coordinator(&mut self, epoch: u64, now: Timestamp) -> bool {
-        let is_protected = self.settings.protections.has(Protection::NewestEpoch);
+        let is_protected = self.settings.protections.has(Protection::IgnoreOlderEpochs);
         if epoch < self.newest_epoch() {
             self.messaging.former_heartbeats += 1;
             return !is_protected;
@@ -150,13 +165,13 @@
         out: &mut Vec<Action>,
     ) {
         let follows = self.coordination.coordinator().is_none() && self.store.health.has_served();
-        let may_pause_watches = self.settings.mechanisms.has(Mechanism::RestingWatches);
+        let may_pause_watches = self.settings.mechanisms.has(Mechanism::PausedWatches);
         if follows && may_pause_watches {
             if self.messaging.followed_epoch.replace(epoch) != Some(epoch) {
                 Event::FollowsCoordinator { epoch, from }.emit();
             }
             self.messaging.following_until = Some(now + self.view_ttl().saturating_sub(age));
-            if self.store.health.followed_until(now.saturating_sub(age)) {
+            if self.store.health.relayed_until(now.saturating_sub(age)) {
                 // Until the coordinator reports for how long the store has served it.
                 self.directory.note_store_outage(now);
             }
@@ -217,7 +232,7 @@
         // While the store serves no node, no node can succeed the coordinator either. After an
         // outage of the store the coordinator gets time to notice its end.
         let health = &self.store.health;
-        if store_serves || !health.serves() || health.recovered_lately(now) {
+        if store_serves || !health.serves() || health.recovered_recently(now) {
             self.coordination
                 .election
                 .heard(epoch, now.saturating_sub(delay));
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -11,7 +11,7 @@
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use crate::io::Action;
-use crate::peers::{AgedEntry, Datagram, PeerMessage, aged_instances, encode, time_of};
+use crate::peers::{AgedEntry, Datagram, PeerMessage, aged_instances, encode, time_from_age};
 use crate::protections::Protection;
 use crate::requests::Notice;
 use ledgelead_http::Response;
@@ -62,7 +62,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let is_enabled = self.settings.protections.has(Protection::HeededLeaving);
+        let is_enabled = self.settings.protections.has(Protection::HonorLeaving);
         if is_enabled && self.directory.mark_leaving(instance, at) {
             self.coordination.note_change();
             self.reconsider_waiting(now, out);
@@ -102,7 +102,7 @@
             .take(MAX_INSTANCES);
         let sent: BTreeMap<u64, Timestamp> = sent.collect();
         let instances = List(aged_instances(sent.iter(), now));
-        (!sent.is_empty()).then(|| encode(&PeerMessage::Leaving { instances }))
+        (!sent.is_empty()).then(|| encode(&PeerMessage::LeavingInstances { instances }))
     }
 
     /// Applies a list of leaving instances sent by another node.
@@ -113,11 +113,11 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let ages: BTreeMap<u64, u32> = instances.iter().map(|of| (of.of, of.age_ms)).collect();
+        let ages: BTreeMap<u64, u32> = instances.iter().map(|of| (of.subject, of.age_ms)).collect();
         let known = self.directory.iter().filter_map(|instance| {
             let id = &instance.record.id;
             let age = ages.get(&id.stable_hash())?;
-            Some((id.clone(), time_of(*age, now)))
+            Some((id.clone(), time_from_age(*age, now)))
         });
         let known: Vec<(InstanceId, Timestamp)> = known.collect();
         for (instance, at) in known {
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -125,7 +125,7 @@
         }
         let candidate_index = self.load_hub.candidate_index % candidates.len();
         let current = candidates[candidate_index];
-        let heard = self.shared.digest_from(current).unwrap_or_default();
+        let heard = self.shared.last_digest_from(current).unwrap_or_default();
         let silent = heard.max(self.load_hub.since) + HUB_TIMEOUT <= now;
         if silent && current != self.settings.peer_address {
             self.load_hub
@@ -178,7 +178,7 @@
     ) {
         let reported = &self.load_hub.reported;
         let own = |instance: u64| u32::from(reported.get(&instance).copied().unwrap_or(0));
-        self.shared.digested(from, zones, entries, own, now);
+        self.shared.record_digest(from, zones, entries, own, now);
         self.reconsider_waiting(now, out);
     }
 
@@ -270,7 +270,7 @@
             let candidates = self.hub_candidates(zone);
             let heard = candidates
                 .iter()
-                .find(|hub| self.shared.hears_hub(**hub, now));
+                .find(|hub| self.shared.has_recent_sums_from(**hub, now));
             heard.or(candidates.first()).copied()
         };
         zones.into_iter().filter_map(hub).collect()
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -14,7 +14,7 @@
 use crate::events::Event;
 use crate::identity::{InstanceId, NodeIdentity, NodeName};
 use crate::io::Action;
-use crate::ownership::work::Work;
+use crate::ownership::work::WorkSample;
 use crate::peers::{
     Datagram, DelayEstimate, KeyReport, NodeRecord, PeerMessage, WorkReport, decode, encode,
 };
@@ -194,8 +194,8 @@
             })
             .collect();
         let report = encode(&PeerMessage::LoadReport {
-            configuration: self.configuration_version(),
-            nodes: self.store.revision_of(ObjectKind::Nodes).unwrap_or(0),
+            configuration_version: self.configuration_version(),
+            nodes_revision: self.store.revision_of(ObjectKind::Nodes).unwrap_or(0),
             reports,
             work: work_reports(worked),
         });
@@ -259,7 +259,7 @@
                 limits,
                 changes,
             } => self.configuration_announced(span, limits, changes, now, out),
-            PeerMessage::TookOver {
+            PeerMessage::CoordinatorTookOver {
                 base,
                 revision,
                 node,
@@ -286,19 +286,21 @@
             PeerMessage::ResyncRequest { kind, since } => {
                 self.changes_requested(from, kind, since, now, out);
             }
-            PeerMessage::Resigned { epoch } => self.resignation_announced(epoch, now, out),
+            PeerMessage::CoordinatorResigned { epoch } => {
+                self.resignation_announced(epoch, now, out)
+            }
             PeerMessage::LoadReport {
-                configuration,
-                nodes,
+                configuration_version,
+                nodes_revision,
                 reports,
                 work,
             } => {
-                self.zone_relays.note_report(from, nodes, now);
-                self.configuration_version_announced(configuration, now, out);
+                self.zone_relays.note_report(from, nodes_revision, now);
+                self.configuration_version_announced(configuration_version, now, out);
                 self.record_key_reports(&reports, now);
                 self.record_work_reports(&work);
             }
-            PeerMessage::Open {
+            PeerMessage::OpenRequestCounts {
                 incarnation,
                 rest_limit_ms,
                 changes,
@@ -307,7 +309,8 @@
                 if self.has_hub(self.zone_peers().count()) {
                     self.load_hub.reported_by(from, now);
                 }
-                self.shared.counted(from, incarnation, &changes, now);
+                self.shared
+                    .record_node_counts(from, incarnation, &changes, now);
                 self.reconsider_waiting(now, out);
             }
             PeerMessage::LoadDigest {
@@ -318,7 +321,7 @@
                 self.follow_rest_limit(rest_limit_ms, now);
                 self.digest_received(from, zones, &entries, now, out);
             }
-            PeerMessage::ZoneSums { sums } => self.shared.summed(from, &sums, now),
+            PeerMessage::ZoneSums { sums } => self.shared.record_zone_sums(from, &sums, now),
             PeerMessage::PermitAsk(ask) => self.permit_asked(from, &ask, now, out),
             PeerMessage::PermitDecision {
                 number,
@@ -338,12 +341,12 @@
             PeerMessage::PermitReturn {
                 number,
                 queue,
-                ended,
+                reason,
                 took_ms,
                 load,
             } => {
                 let asker = PermitId { node: from, number };
-                let outcome = permit_outcome(ended, took_ms, load);
+                let outcome = permit_outcome(reason, took_ms, load);
                 self.permit_returned(queue, asker, outcome, now, out);
             }
             PeerMessage::Evidence {
@@ -358,7 +361,9 @@
                 };
                 self.evidence_received(from, message, now, out);
             }
-            PeerMessage::Leaving { instances } => self.leaving_received(from, &instances, now, out),
+            PeerMessage::LeavingInstances { instances } => {
+                self.leaving_received(from, &instances, now, out)
+            }
             PeerMessage::RateLimits { limits } => self.limits_received(from, &limits, now, out),
             PeerMessage::TokenAsk {
                 number,
@@ -406,7 +411,7 @@
     /// Announces that this node has given up the coordinator role.
     pub(super) fn announce_resignation(&self, out: &mut Vec<Action>) {
         let epoch = self.ownership.record().epoch;
-        self.send_to_all(&[encode(&PeerMessage::Resigned { epoch })], out);
+        self.send_to_all(&[encode(&PeerMessage::CoordinatorResigned { epoch })], out);
     }
 
     /// Only the first nodes in the order of succession read the record immediately. The others
@@ -423,7 +428,7 @@
             return;
         };
         for report in reports {
-            let work = Work {
+            let work = WorkSample {
                 answered: u32::from(report.answered),
                 busy: Duration::from_millis(u64::from(report.busy_ms)),
             };
@@ -444,8 +449,8 @@
 }
 
 /// Converts the work done by owners to report entries.
-fn work_reports(worked: BTreeMap<InstanceId, Work>) -> List<WorkReport> {
-    let report = |(instance, work): (InstanceId, Work)| WorkReport {
+fn work_reports(worked: BTreeMap<InstanceId, WorkSample>) -> List<WorkReport> {
+    let report = |(instance, work): (InstanceId, WorkSample)| WorkReport {
         instance: instance.stable_hash(),
         answered: u16::try_from(work.answered).unwrap_or(u16::MAX),
         busy_ms: u32::try_from(work.busy.as_millis()).unwrap_or(u32::MAX),
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -13,7 +13,8 @@
 use crate::io::{Action, ExchangeFailure, ExchangeId};
 use crate::protections::Protection;
 use crate::quarantine::{
-    CallerId, End, Evidence, QuarantineRecord, RecentAnswers, Suspects, UnconfirmedAnswers,
+    CallerId, Evidence, InstanceEnd, LostAttempts, QuarantineRecord, RecentAnswers,
+    UnconfirmedAnswers,
 };
 use crate::requests::RequestDigest;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -43,7 +44,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
     pub(super) evidence: Evidence,
-    suspects: Suspects,
+    suspects: LostAttempts,
     recent: RecentAnswers,
     unconfirmed_answers: UnconfirmedAnswers,
     probes: HashMap<ExchangeId, InstanceId>,
@@ -114,12 +115,12 @@
     pub(super) fn take_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let signs = self.requests.take_crash_signs();
         for (instance, accusation) in signs.lost {
-            if self.quarantine.suspects.lost(&instance, accusation, now) {
+            if self.quarantine.suspects.record(&instance, accusation, now) {
                 self.probe(instance, out);
             }
         }
         for (instance, asked) in signs.answered {
-            if instance.born().is_none() {
+            if instance.start_ms().is_none() {
                 self.instance_is_alive(&instance, asked, now);
             } else if self.is_answer_relevant(&instance, asked) {
                 self.quarantine
@@ -145,7 +146,7 @@
     /// instance.
     fn disproves_end(&self, instance: &InstanceId, asked: Timestamp) -> bool {
         let evidence = &self.quarantine.evidence;
-        let ended = evidence.said_to_have_ended(instance.stable_hash());
+        let ended = evidence.reported_end(instance.stable_hash());
         // An answer to an earlier request may have been in flight when the instance ended.
         ended.is_some_and(|at| at < asked)
     }
@@ -156,7 +157,7 @@
         if self.disproves_end(instance, asked) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
-            self.quarantine.evidence.disprove(hash, now);
+            self.quarantine.evidence.disprove_end(hash, now);
         }
     }
 
@@ -172,17 +173,20 @@
 
     /// Acquits a request that an instance has answered recently, whichever instance has ended.
     fn acquit_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
-        let protects = self.settings.protections.has(Protection::Acquittal);
+        let protects = self
+            .settings
+            .protections
+            .has(Protection::AnswerClearsSuspicion);
         let quarantine = &mut self.quarantine;
         if !protects || quarantine.evidence.is_empty() {
             return;
         }
-        if quarantine.recent.holds(request, caller) {
-            quarantine.evidence.acquit(request, caller, now);
-        } else if quarantine.recent.holds(request, CallerId::ALL) {
+        if quarantine.recent.contains(request, caller) {
+            quarantine.evidence.record_answer(request, caller, now);
+        } else if quarantine.recent.contains(request, CallerId::ALL) {
             quarantine
                 .evidence
-                .acquit(request, CallerId::SOME_OTHER, now);
+                .record_answer(request, CallerId::SOME_OTHER, now);
         }
     }
 
@@ -215,14 +219,14 @@
 
     /// An instance has ended: the requests lost there are accused of having crashed it.
     fn instance_ended(&mut self, instance: &InstanceId, now: Timestamp) {
-        let accused = self.quarantine.suspects.ended(instance);
+        let accused = self.quarantine.suspects.take_ended(instance);
         if accused.is_empty() {
             return;
         }
         let requests = accused.len();
         Event::InstanceEnded { instance, requests }.emit();
         for accusation in accused {
-            let end = End {
+            let end = InstanceEnd {
                 caller: accusation.caller,
                 instance: instance.stable_hash(),
                 // Not earlier than the time at which the other nodes learn of the loss.
@@ -230,7 +234,7 @@
                 settled: false,
             };
             let evidence = &mut self.quarantine.evidence;
-            evidence.accuse(accusation.request, &accusation.path, end);
+            evidence.record_end(accusation.request, &accusation.path, end);
             self.acquit_if_answered(accusation.request, accusation.caller, now);
         }
     }
--- a/crates/ledgelead-router/src/node/quarantine/sharing.rs
+++ b/crates/ledgelead-router/src/node/quarantine/sharing.rs
@@ -6,7 +6,8 @@
 use crate::node::Node;
 use crate::node::messaging::send;
 use crate::peers::{
-    AgedEntry, Datagram, PeerMessage, RequestEntry, aged_instances, encode, evidence_parts, time_of,
+    AgedEntry, Datagram, PeerMessage, RequestEntry, aged_instances, encode, evidence_parts,
+    time_from_age,
 };
 use crate::protections::Protection;
 use crate::quarantine::CallerId;
@@ -38,8 +39,8 @@
     /// Sends evidence that this node has gathered itself to the other nodes, and repeats it
     /// after `REPEAT_DELAYS`.
     pub(super) fn share_evidence(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if self.quarantine.evidence.has_news() {
-            let (requests, alive) = self.quarantine.evidence.take_news();
+        if self.quarantine.evidence.has_unannounced() {
+            let (requests, alive) = self.quarantine.evidence.take_unannounced();
             self.send_evidence_of(&requests, &alive, now, out);
             let repeat = |after: Duration| PendingRepeat {
                 at: now + after,
@@ -81,7 +82,7 @@
     /// All evidence that every node must know.
     fn all_evidence(&self, wants_reply: bool, now: Timestamp) -> Vec<Datagram> {
         let evidence = &self.quarantine.evidence;
-        let weighty = evidence.weighty();
+        let weighty = evidence.broadcast_entries();
         let entries = weighty.map(|(request, entry)| RequestEntry::new(request, entry, now));
         let alive = aged_instances(evidence.alive().iter(), now);
         evidence_datagrams(entries.collect(), alive, wants_reply)
@@ -113,8 +114,8 @@
         out: &mut Vec<Action>,
     ) {
         for entry in message.alive.iter() {
-            let at = time_of(entry.age_ms, now);
-            self.quarantine.evidence.note_alive(entry.of, at);
+            let at = time_from_age(entry.age_ms, now);
+            self.quarantine.evidence.record_alive(entry.subject, at);
         }
         for entry in message.requests.iter() {
             let (request, entry) = entry.received(now);
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -90,7 +90,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let is_protected = self.settings.protections.has(Protection::NewestEpoch);
+        let is_protected = self.settings.protections.has(Protection::IgnoreOlderEpochs);
         let gap = self.messaging.relay.gap(kind);
         let earlier = if is_protected { gap.announced } else { 0 };
         gap.announced = revision.max(earlier);
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -30,7 +30,7 @@
         };
         self.coordination.note_change();
         let answer = self.read_store_answer(&pending.call, pending.era, result, now, out);
-        let isolates_unreadable = self.settings.protections.has(Protection::ForeignApart);
+        let isolates_unreadable = self.settings.protections.has(Protection::IsolateUnreadable);
         let answer = match answer {
             Ok(answer) if !isolates_unreadable && holds_unreadable(&answer) => Ok(
                 StoreAnswer::Unreadable("the answer contains an unreadable object".to_owned()),
@@ -89,7 +89,9 @@
             }
             self.store.health.failed(started);
             // This watch continues while others are suspended, even if it was paused.
-            self.store.watcher(ObjectKind::Instances).poke(now);
+            self.store
+                .watcher(ObjectKind::Instances)
+                .request_catch_up(now);
             if !self.directory.is_confirmed() {
                 // Requests that wait for the first list to be confirmed need not wait any
                 // longer.
@@ -115,7 +117,7 @@
             self.store.interrupt(kind, now, now, out);
             let watcher = self.store.watcher(kind);
             if kind == ObjectKind::Instances {
-                watcher.hasten(now);
+                watcher.call_now(now);
             } else if !coordinating {
                 // The call is not needed if a coordinator is heard by then.
                 watcher.defer(now + AFTER_FAILURE_PAUSE);
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -10,7 +10,7 @@
 use crate::quarantine::QuarantineRecord;
 use crate::requests::RequestDigest;
 use crate::settings::NodeSettings;
-use crate::store::{StoreHealth, Watcher, call_of_store};
+use crate::store::{StoreHealth, Watcher, with_store_revisions};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -268,7 +268,7 @@
         for kind in [ObjectKind::Instances, ObjectKind::Nodes] {
             let watcher = self.watcher(kind);
             if watcher.is_paged() && !watcher.has_listed() {
-                watcher.hasten(now);
+                watcher.call_now(now);
             }
         }
     }
@@ -278,8 +278,8 @@
         let before = now.saturating_sub(PROBE_PAUSE);
         self.interrupt(ObjectKind::Instances, before, now, out);
         let watcher = self.watcher(ObjectKind::Instances);
-        watcher.poke(now);
-        watcher.hasten(now);
+        watcher.request_catch_up(now);
+        watcher.call_now(now);
     }
 
     pub(super) fn is_registering(&self) -> bool {
@@ -307,7 +307,7 @@
                 // Until the coordinator knows the current state, it can't relay anything, and
                 // the other nodes start to call the store themselves.
                 watcher.set_first_may_be_stale(false);
-                watcher.ask_at_once(now);
+                watcher.call_now_with_short_wait(now);
             }
         }
     }
@@ -327,10 +327,10 @@
         }
         if paused && self.health.has_failed() {
             // This watch continues as the probe of the store.
-            self.watcher(ObjectKind::Instances).poke(now);
+            self.watcher(ObjectKind::Instances).request_catch_up(now);
         }
         if resumes {
-            self.watcher(ObjectKind::Instances).hasten(now);
+            self.watcher(ObjectKind::Instances).call_now(now);
             for (kind, pause) in RESUME_PAUSES {
                 self.watcher(kind).defer(now + pause);
             }
@@ -375,7 +375,7 @@
 
     /// Makes one call for what a paused watch may have missed.
     pub(super) fn poke(&mut self, kind: ObjectKind, now: Timestamp) {
-        self.watcher(kind).poke(now);
+        self.watcher(kind).request_catch_up(now);
     }
 
     /// This node misses a change that only the store can supply, while its calls fail. The
@@ -464,15 +464,15 @@
         out.push(Action::Exchange {
             exchange,
             address: self.settings.store_address,
-            request: self.dialect.store_request(&call_of_store(&call)),
+            request: self.dialect.store_request(&with_store_revisions(&call)),
             options: ExchangeOptions {
                 match_header: None,
                 reuse_idle_below: REUSE_IDLE,
                 connect_timeout: CONNECT_TIMEOUT,
                 write_timeout: None,
-                settle: Duration::ZERO,
+                observe_before_write: Duration::ZERO,
                 timeout,
-                renewed: true,
+                timeout_restarts: true,
             },
         });
         self.store.calls += 1;
--- a/crates/ledgelead-router/src/node/store_era.rs
+++ b/crates/ledgelead-router/src/node/store_era.rs
@@ -15,7 +15,7 @@
 use crate::ownership::record::OwnershipRecord;
 use crate::ownership::view::RecordVersion;
 use crate::protections::Protection;
-use crate::store::{answer_in, era_of};
+use crate::store::{era_of, with_era};
 use ledgelead_http::Response;
 
 impl Node {
@@ -44,14 +44,14 @@
     ) -> Result<StoreAnswer, ExchangeFailure> {
         let response = result?;
         let answer = self.dialect.store_answer(call, &response);
-        if !self.settings.protections.has(Protection::EraBound) {
+        if !self.settings.protections.has(Protection::EraIsolation) {
             return Ok(answer);
         }
         let era = match self.era_of_answer(&response) {
             Ok(era) => era,
             Err(finding) => return Ok(StoreAnswer::Unreadable(finding)),
         };
-        let answer = match answer_in(era, answer) {
+        let answer = match with_era(era, answer) {
             Ok(answer) => answer,
             Err(finding) => return Ok(StoreAnswer::Unreadable(finding)),
         };
@@ -117,7 +117,7 @@
         version: RecordVersion,
         now: Timestamp,
     ) {
-        if !self.ownership.is_news(version) {
+        if !self.ownership.is_update(version) {
             return;
         }
         if record.is_later_than(self.ownership.record()) {
@@ -127,7 +127,7 @@
             revision,
             is_confirmed,
         } = version;
-        self.ownership.set_back(Some(revision), is_confirmed);
+        self.ownership.rewind_revision(Some(revision), is_confirmed);
         self.coordination.election.confirmed(now);
     }
 
@@ -136,7 +136,7 @@
         let era = self.store.era;
         let known = self.ownership.revision();
         if known.is_some_and(|known| era_of(known) < era) {
-            self.ownership.set_back(None, true);
+            self.ownership.rewind_revision(None, true);
             self.coordination.election.confirmed(now);
         }
     }
@@ -146,7 +146,7 @@
     /// its final version of the record is the one known here. In both cases no later
     /// coordinator may be known.
     pub(super) fn has_complete_ownership(&self) -> bool {
-        if !self.ownership.is_of_former_era() {
+        if !self.ownership.is_from_earlier_era() {
             return true;
         }
         let record = self.ownership.record();
@@ -155,7 +155,7 @@
         let is_first = epoch == 0 && record.assignments.is_empty();
         let written = self
             .ownership
-            .written_at()
+            .written_revision()
             .map(|revision| (epoch, revision));
         let is_final_version = written.is_some() && self.coordination.final_version() == written;
         is_first || self.continues_own_epoch() || is_final_version && self.newest_epoch() <= epoch
@@ -165,7 +165,7 @@
     /// coordinator since.
     pub(super) fn continues_own_epoch(&self) -> bool {
         let epoch = self.ownership.record().epoch;
-        self.ownership.is_of_former_era()
+        self.ownership.is_from_earlier_era()
             && self.coordination.coordinated_in_former_era() == Some(epoch)
             && self.newest_epoch() <= epoch
     }
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -41,7 +41,7 @@
 use crate::ownership::cold_keys::ColdKeys;
 use crate::ownership::coordinator::ExchangeIds;
 use crate::ownership::view::OwnershipView;
-use crate::ownership::work::Work;
+use crate::ownership::work::WorkSample;
 use crate::peers::{OpenRequests, Registry, SharedLoad, SpeedSample};
 use crate::protections::{Protection, Protections};
 use crate::quarantine::{CallerId, Evidence};
@@ -127,7 +127,7 @@
     evacuation_bound: Duration,
     rng: Pcg64Mcg,
     asked: BTreeMap<ServiceName, Vec<u16>>,
-    worked: BTreeMap<InstanceId, Work>,
+    worked: BTreeMap<InstanceId, WorkSample>,
     changed: BTreeSet<InstanceId>,
     /// Services whose instances report their load in their answers.
     reporting: BTreeSet<ServiceName>,
@@ -254,7 +254,7 @@
     }
 
     /// What owners did for this node's requests since the last call.
-    pub fn take_owner_work(&mut self) -> BTreeMap<InstanceId, Work> {
+    pub fn take_owner_work(&mut self) -> BTreeMap<InstanceId, WorkSample> {
         std::mem::take(&mut self.worked)
     }
 
@@ -501,7 +501,7 @@
             .map(|wait| Duration::from_millis(wait).saturating_sub(ANSWER_MARGIN));
         let due = context.now + client_wait.map_or(route.timeout, |wait| wait.min(route.timeout));
         Ok(OpenRequest {
-            caller: match self.protections.has(Protection::WholeIdentity) {
+            caller: match self.protections.has(Protection::FullRequestIdentity) {
                 true => CallerId::new(source),
                 false => CallerId::ALL,
             },
@@ -534,7 +534,7 @@
 
     /// Not worked out yet, unless a simulation turns that protection off.
     fn first_digest(&self, request: &Request) -> OnceCell<RequestDigest> {
-        match self.protections.has(Protection::WholeIdentity) {
+        match self.protections.has(Protection::FullRequestIdentity) {
             true => OnceCell::new(),
             false => {
                 let by_path = Request::new("", request.path(), Vec::new());
--- a/crates/ledgelead-router/tests/node/fixture.rs
+++ b/crates/ledgelead-router/tests/node/fixture.rs
@@ -723,10 +723,10 @@
 
     /// Ends an attempt.
     pub fn end(&mut self, exchange: ExchangeId, result: Result<Response, ExchangeFailure>) {
-        self.step(Input::Exchanged {
+        self.step(Input::ExchangeEnded {
             exchange,
             result,
-            rested: Duration::ZERO,
+            idle_for: Duration::ZERO,
         });
     }
 
@@ -810,10 +810,10 @@
             return None;
         };
         self.typed_calls.borrow_mut().answers.insert(number, answer);
-        let input = Input::Exchanged {
+        let input = Input::ExchangeEnded {
             exchange,
             result: Ok(self.store.response_with(number)),
-            rested: Duration::ZERO,
+            idle_for: Duration::ZERO,
         };
         if self.store.is_slow {
             self.in_flight.push((call, input));
--- a/crates/ledgelead-router/tests/node/former_coordinator.rs
+++ b/crates/ledgelead-router/tests/node/former_coordinator.rs
@@ -60,16 +60,16 @@
         epoch,
         sent_ms: u64::try_from(fixture.now.as_millis()).expect("a short test"),
         store_serves: true,
-        revision: revision_of(ObjectKind::Ownership, "record"),
-        configuration: fixture.store.version(),
-        instances: 0,
-        nodes: 0,
+        record_revision: revision_of(ObjectKind::Ownership, "record"),
+        configuration_version: fixture.store.version(),
+        instances_revision: 0,
+        nodes_revision: 0,
         age_ms: 100,
         instances_age_ms: 100,
         served_for_ms: 5_000,
         overloads: List(Vec::new()),
         evacuations: EvacuationsEntry::default(),
-        evidence: 0,
+        evidence_checksum: 0,
     }
 }
 
@@ -150,7 +150,7 @@
     let before = calls_about(&fixture, ObjectKind::Instances);
     receive_from_both_with(&mut fixture, &former, APPLIED_WITHIN, |unchanged| {
         Heartbeat {
-            instances: changed,
+            instances_revision: changed,
             ..unchanged
         }
     });
@@ -244,8 +244,8 @@
     fixture.store.answers_changes = true;
     fixture.store.put_configuration(configuration(8));
     let report = |configuration| PeerMessage::LoadReport {
-        configuration,
-        nodes: 0,
+        configuration_version: configuration,
+        nodes_revision: 0,
         reports: List(Vec::new()),
         work: List(Vec::new()),
     };
@@ -307,7 +307,7 @@
             let is_newest = announcement.coordinator == 2;
             let message = Heartbeat {
                 store_serves: is_newest || announcement.store_serves,
-                configuration: if is_newest { version } else { former.configuration },
+                configuration_version: if is_newest { version } else { former.configuration_version },
                 ..heartbeat(&fixture, sender)
             };
             receive_heartbeat(&mut fixture, sender, &message);
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -10,7 +10,7 @@
 use ledgelead_router::identity::ServiceName;
 use ledgelead_router::io::{ClientId, ExchangeFailure, Input};
 use ledgelead_router::peers::{
-    NodeRecord, PeerMessage, PermitAskEntry, PermitEnd, PermitVerdict, encode,
+    NodeRecord, PeerMessage, PermitAskEntry, PermitReturnReason, PermitVerdict, encode,
 };
 use ledgelead_types::codec::List;
 use std::net::SocketAddr;
@@ -94,10 +94,10 @@
     fixture.receive(dispatcher, &message);
 }
 
-fn returns(fixture: &Fixture) -> Vec<PermitEnd> {
+fn returns(fixture: &Fixture) -> Vec<PermitReturnReason> {
     let messages = fixture.datagrams.iter();
     let ended = messages.filter_map(|(_, _, message)| match message {
-        PeerMessage::PermitReturn { ended, .. } => Some(*ended),
+        PeerMessage::PermitReturn { reason, .. } => Some(*reason),
         _ => None,
     });
     ended.collect()
@@ -122,7 +122,10 @@
     let exchange = fixture.attempts[0].exchange;
     fixture.now += ms(80);
     fixture.answer(exchange, success());
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::Answered)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::Answered)]
+    );
     let took = fixture
         .datagrams
         .iter()
@@ -254,7 +257,10 @@
         return_ms: 0,
     };
     fixture.receive(dispatcher, &message);
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
     expect_that!(fixture.attempts.len(), eq(1));
 }
 
@@ -263,12 +269,15 @@
     let mut fixture = node(contended());
     let client = fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Queued, 1);
-    fixture.step(Input::ClientLeft { client });
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    fixture.step(Input::ClientDisconnected { client });
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
     let client = fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Granted, 1);
-    fixture.step(Input::ClientLeft { client });
-    expect_that!(returns(&fixture)[1], eq(PermitEnd::NoSample));
+    fixture.step(Input::ClientDisconnected { client });
+    expect_that!(returns(&fixture)[1], eq(PermitReturnReason::NoSample));
 }
 
 #[gtest]
@@ -278,7 +287,10 @@
     decide(&mut fixture, PermitVerdict::Granted, 1);
     let exchange = fixture.attempts[0].exchange;
     fixture.end(exchange, Err(ExchangeFailure::NotConnected));
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
 }
 
 #[gtest]
@@ -291,7 +303,10 @@
     let mut response = Response::new(500, "");
     response.headers.push("signature", "s");
     fixture.answer(exchange, response);
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::Failed)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::Failed)]
+    );
 }
 
 #[gtest]
@@ -314,7 +329,10 @@
     fixture.request(SERVICE, None);
     decide(&mut fixture, PermitVerdict::Granted, 7);
     expect_that!(fixture.attempts.len(), eq(1));
-    expect_that!(returns(&fixture), elements_are![eq(&PermitEnd::NoSample)]);
+    expect_that!(
+        returns(&fixture),
+        elements_are![eq(&PermitReturnReason::NoSample)]
+    );
     expect_that!(fixture.sent("permit_ask"), eq(1));
 }
 
@@ -350,10 +368,10 @@
         service: ServiceName::from(KEYED).stable_hash(),
         urgency,
         to_target_ms: 400,
-        left_ms: 2_000,
+        remaining_ms: 2_000,
         caller: number,
         is_cold: false,
-        tried: 0,
+        failed_instance: 0,
     })
 }
 
@@ -385,7 +403,7 @@
     let message = PeerMessage::PermitReturn {
         number: 0,
         queue: instance(1, KEYED).id.stable_hash(),
-        ended: PermitEnd::Answered,
+        reason: PermitReturnReason::Answered,
         took_ms: 60,
         load: None,
     };
@@ -404,7 +422,7 @@
     fixture.receive(node_address(5), &permit_request(1, 1));
     expect_that!(
         verdicts(&fixture),
-        elements_are![eq(&(1, PermitVerdict::Stops))]
+        elements_are![eq(&(1, PermitVerdict::ShuttingDown))]
     );
 }
 
@@ -469,7 +487,7 @@
     let returned = PeerMessage::PermitReturn {
         number: 1,
         queue: 2,
-        ended: PermitEnd::Answered,
+        reason: PermitReturnReason::Answered,
         took_ms: 70,
         load: Some((1, 0)),
     };
--- a/crates/ledgelead-router/tests/node/zone_traffic.rs
+++ b/crates/ledgelead-router/tests/node/zone_traffic.rs
@@ -95,7 +95,7 @@
 #[gtest]
 fn datagrams_are_counted_by_the_zone_of_the_other_node() {
     let mut fixture = node();
-    let message = PeerMessage::Resigned { epoch: 1 };
+    let message = PeerMessage::CoordinatorResigned { epoch: 1 };
     let bytes = encode(&message).bytes.len() as u64;
     for number in [1, 2, 9] {
         fixture.receive(node_address(number), &message);
