--- a/crates/ledgelead-lab/src/fleet/checker.rs
+++ b/crates/ledgelead-lab/src/fleet/checker.rs
@@ -1,6 +1,6 @@
 //! Judges what the stand-ins recorded.
 
-use super::instance::{Instance, KEYS};
+use super::instance::{Instance, KEY_COUNT};
 use ledgelead_router::dialect::KeyRange;
 use ledgelead_router::identity::{InstanceId, ServiceName};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -89,7 +89,7 @@
 }
 
 impl Checker {
-    fn found(&mut self, kind: ViolationKind, at: Duration, what: String) {
+    fn record_violation(&mut self, kind: ViolationKind, at: Duration, what: String) {
         self.violations.push(Violation { kind, at, what });
     }
 
@@ -108,7 +108,7 @@
             if same {
                 continue;
             }
-            let overlapping = other.holds.iter().find(|hold| {
+            let overlapping = other.held_ranges.iter().find(|hold| {
                 hold.until > now
                     && !hold.late
                     && hold.range.first <= range.last
@@ -122,7 +122,7 @@
                     hold.range,
                     hold.until
                 );
-                self.found(ViolationKind::SingleOwner, now, what);
+                self.record_violation(ViolationKind::SingleOwner, now, what);
             }
         }
     }
@@ -130,20 +130,20 @@
     /// A life took a grant that came in time. Its token is above those under which other
     /// lives have held the keys; a grant that was meant for an earlier life, and was on
     /// its way as that ended, is the same grant as before.
-    pub fn passed(
+    pub fn keys_transferred(
         &mut self,
         holder: usize,
-        is_meant: bool,
+        is_intended: bool,
         (range, fence): (KeyRange, u64),
         instances: &[Instance],
         now: Duration,
     ) {
         let tokens = self.tokens.entry(instances[holder].record.service.clone());
-        let tokens = tokens.or_insert_with(|| vec![(0, holder); KEYS]);
+        let tokens = tokens.or_insert_with(|| vec![(0, holder); KEY_COUNT]);
         let mut found = None;
         for token in &mut tokens[usize::from(range.first)..=usize::from(range.last)] {
             let (highest, other) = *token;
-            if highest >= fence && other != holder && is_meant {
+            if highest >= fence && other != holder && is_intended {
                 found = Some(*token);
             }
             if fence >= highest {
@@ -153,26 +153,27 @@
         if let Some((highest, other)) = found {
             let (holder, other) = (instances[holder].id(), instances[other].id());
             let what = format!("{holder} takes {range:?} under {fence}, {other} had {highest}");
-            self.found(ViolationKind::TokenRises, now, what);
+            self.record_violation(ViolationKind::TokenRises, now, what);
         }
     }
 
     /// A life got an order for its earlier life from a node that had long known of it.
-    pub fn former_life_meant(
+    pub fn order_for_previous_incarnation(
         &mut self,
         node: usize,
-        meant: &InstanceId,
-        life: &Instance,
+        intended: &InstanceId,
+        incarnation: &Instance,
         (range, fence): (KeyRange, u64),
         now: Duration,
     ) {
-        let life = life.id();
-        let what = format!("{life} gets {range:?} under {fence} for {meant} from node {node}");
-        self.found(ViolationKind::LivesApart, now, what);
+        let incarnation = incarnation.id();
+        let what =
+            format!("{incarnation} gets {range:?} under {fence} for {intended} from node {node}");
+        self.record_violation(ViolationKind::LivesApart, now, what);
     }
 
     /// An instance began a request.
-    pub fn began(
+    pub fn request_started(
         &mut self,
         holder: usize,
         attempt: u64,
@@ -184,11 +185,11 @@
         let runs = self.runs.entry(attempt).or_default();
         *runs += 1;
         if once && *runs > 1 {
-            self.found(ViolationKind::OnceOnly, now, format!("request {attempt}"));
+            self.record_violation(ViolationKind::OnceOnly, now, format!("request {attempt}"));
         }
         if self.refused.contains_key(&attempt) {
             let what = format!("request {attempt} begins after its refusal");
-            self.found(ViolationKind::NotRunIsTrue, now, what);
+            self.record_violation(ViolationKind::NotRunIsTrue, now, what);
         }
         if let Some(key) = key {
             self.check_owner(holder, key, instances, now);
@@ -196,7 +197,7 @@
     }
 
     fn check_owner(&mut self, holder: usize, key: u16, instances: &[Instance], now: Duration) {
-        let Some(own) = instances[holder].hold_of(key, now) else {
+        let Some(own) = instances[holder].held_range_of(key, now) else {
             return;
         };
         let both = instances.iter().enumerate().find(|(index, other)| {
@@ -204,9 +205,12 @@
                 && other.alive
                 && other.record.service == instances[holder].record.service;
             relevant
-                && other.hold_of(key, now).is_some_and(|hold| {
+                && other.held_range_of(key, now).is_some_and(|hold| {
                     let since = hold.since.max(own.since);
-                    other.begun.get(&key).is_some_and(|begun| *begun >= since)
+                    other
+                        .last_started
+                        .get(&key)
+                        .is_some_and(|last_started| *last_started >= since)
                 })
         });
         if let Some((index, _)) = both {
@@ -215,7 +219,7 @@
                 instances[holder].id(),
                 instances[index].id()
             );
-            self.found(ViolationKind::TwoOwnersServed, now, what);
+            self.record_violation(ViolationKind::TwoOwnersServed, now, what);
         }
     }
 
@@ -224,44 +228,54 @@
         self.refused.insert(attempt, now);
         if once && self.runs.contains_key(&attempt) {
             let what = format!("request {attempt} is refused after it ran");
-            self.found(ViolationKind::NotRunIsTrue, now, what);
+            self.record_violation(ViolationKind::NotRunIsTrue, now, what);
         }
     }
 
     /// A request has reached instances too often after the third had ended under it.
-    pub fn crashing_sent_on(&mut self, number: usize, node: usize, ended: usize, now: Duration) {
+    pub fn crashing_request_reached_instance(
+        &mut self,
+        number: usize,
+        node: usize,
+        ended: usize,
+        now: Duration,
+    ) {
         let what = format!("request {number} from node {node}, {ended} instances have ended");
-        self.found(ViolationKind::CrashesContained, now, what);
+        self.record_violation(ViolationKind::CrashesContained, now, what);
     }
 
     /// A harmless request was refused as one that crashes instances.
-    pub fn harmless_held_back(&mut self, attempt: u64, now: Duration) {
+    pub fn harmless_request_quarantined(&mut self, attempt: u64, now: Duration) {
         let what = format!("request {attempt}");
-        self.found(ViolationKind::HarmlessServed, now, what);
+        self.record_violation(ViolationKind::HarmlessServed, now, what);
     }
 
     /// A client got an answer.
     pub fn answered(&mut self, asked: u64, carried: Option<u64>, now: Duration) {
         if carried != Some(asked) {
             let what = format!("request {asked} got the answer to {carried:?}");
-            self.found(ViolationKind::AnswerMatchesRequest, now, what);
+            self.record_violation(ViolationKind::AnswerMatchesRequest, now, what);
         }
     }
 
     /// A leaving instance got a request.
-    pub fn worked_while_leaving(
+    pub fn request_to_leaving(
         &mut self,
         caller: (usize, u64),
         instance: &Instance,
-        left: Duration,
+        leaving_since: Duration,
         now: Duration,
     ) {
-        let what = format!("{} since {left:?}, from node {}", instance.id(), caller.0);
-        self.found(ViolationKind::NoNewWorkAfterLeave, now, what);
+        let what = format!(
+            "{} since {leaving_since:?}, from node {}",
+            instance.id(),
+            caller.0
+        );
+        self.record_violation(ViolationKind::NoNewWorkAfterLeave, now, what);
     }
 
     /// An instance got a request of a node that had an answer of it saying that it leaves.
-    pub fn sent_to_leaving(
+    pub fn request_after_leave_notice(
         &mut self,
         caller: (usize, u64),
         instance: &Instance,
@@ -273,11 +287,11 @@
             instance.id(),
             caller.0
         );
-        self.found(ViolationKind::LeavingHeeded, now, what);
+        self.record_violation(ViolationKind::LeavingHeeded, now, what);
     }
 
     /// An instance got so many requests in a pause that it had asked a node for.
-    pub fn sent_in_pause(
+    pub fn requests_in_pause(
         &mut self,
         caller: (usize, u64),
         instance: &Instance,
@@ -289,11 +303,11 @@
             instance.id(),
             caller.0
         );
-        self.found(ViolationKind::PauseKept, now, what);
+        self.record_violation(ViolationKind::PauseKept, now, what);
     }
 
     /// An instance got more than it allows of the nodes that know of its limit.
-    pub fn sent_beyond_limit(
+    pub fn requests_beyond_limit(
         &mut self,
         instance: &Instance,
         arrived: usize,
@@ -301,25 +315,25 @@
         now: Duration,
     ) {
         let what = format!("{arrived} requests to {}, {allowed} allowed", instance.id());
-        self.found(ViolationKind::LimitKept, now, what);
+        self.record_violation(ViolationKind::LimitKept, now, what);
     }
 
     /// A node in touch has to have this configuration in force by now.
-    pub fn due_in_force(&mut self, caller: (usize, u64), due: u64, now: Duration) {
+    pub fn check_due_version(&mut self, caller: (usize, u64), due: u64, now: Duration) {
         let known = self.versions.get(&caller).copied().unwrap_or(0);
         // One report for each version that a life of a node lacks.
         if known < due && self.late.insert((caller, due)) {
             let what = format!("node {} has {known} and lacks {due}", caller.0);
-            self.found(ViolationKind::ConfigurationInTime, now, what);
+            self.record_violation(ViolationKind::ConfigurationInTime, now, what);
         }
     }
 
     /// A node has this configuration in force.
-    pub fn in_force(&mut self, caller: (usize, u64), version: u64, now: Duration) {
+    pub fn configuration_applied(&mut self, caller: (usize, u64), version: u64, now: Duration) {
         let known = self.versions.entry(caller).or_default();
         if version < *known {
             let what = format!("node {} goes from {known} to {version}", caller.0);
-            self.found(ViolationKind::ConfigurationMonotonic, now, what);
+            self.record_violation(ViolationKind::ConfigurationMonotonic, now, what);
         } else {
             *known = version;
         }
--- a/crates/ledgelead-lab/src/fleet/clients.rs
+++ b/crates/ledgelead-lab/src/fleet/clients.rs
@@ -21,22 +21,22 @@
 const HOT_KEYS: Range<u16> = 1_000..1_040;
 
 /// The body of the refusal of a request that crashes instances.
-const HELD_BACK: &[u8] = b"quarantined";
+const QUARANTINED_BODY: &[u8] = b"quarantined";
 /// Every so many-th request asks for one of a few things, again and again.
 const HOT_EVERY: u64 = 3;
 /// How many such things there are.
-const HOT_THINGS: u64 = 2;
+const HOT_PATHS: u64 = 2;
 
 /// The last part of a request's path.
 fn path_of(attempt: u64) -> String {
     match attempt % HOT_EVERY {
-        0 => format!("hot{}", attempt / HOT_EVERY % HOT_THINGS),
+        0 => format!("hot{}", attempt / HOT_EVERY % HOT_PATHS),
         _ => format!("x{attempt}"),
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingRequest {
     attempt: u64,
     once: bool,
 }
@@ -45,27 +45,27 @@
 #[derive(Default)]
 pub struct Clients {
     last: u64,
-    asked: HashMap<(Caller, ClientId), Asked>,
+    pending: HashMap<(Caller, ClientId), PendingRequest>,
     lost: u64,
 }
 
 impl Clients {
     /// A node's process ended: its clients get no answer.
     pub fn node_lost(&mut self, caller: Caller) {
-        let before = self.asked.len();
-        self.asked.retain(|(node, _), _| *node != caller);
-        self.lost += (before - self.asked.len()) as u64;
+        let before = self.pending.len();
+        self.pending.retain(|(node, _), _| *node != caller);
+        self.lost += (before - self.pending.len()) as u64;
     }
 
     /// A request is sent to a node.
     pub(super) fn expect(&mut self, caller: Caller, attempt: u64, once: bool) {
-        let asked = Asked { attempt, once };
-        self.asked.insert((caller, ClientId(attempt)), asked);
+        let request = PendingRequest { attempt, once };
+        self.pending.insert((caller, ClientId(attempt)), request);
     }
 
     /// How many got no answer.
     pub fn open(&self) -> u64 {
-        self.lost + self.asked.len() as u64
+        self.lost + self.pending.len() as u64
     }
 }
 
@@ -80,13 +80,13 @@
     }
 
     /// A client sends a request to some node that is ready.
-    pub(super) fn client_asks(&mut self) {
+    pub(super) fn send_client_request(&mut self) {
         let ready = self.ready_nodes();
         if ready.is_empty() {
             return;
         }
         let index = ready[self.rng.random_range(0..ready.len())];
-        let caller = (index, self.nodes[index].life);
+        let caller = (index, self.nodes[index].incarnation);
         self.clients.last += 1;
         let attempt = self.clients.last;
         let once = self.rng.random_range(0..4) == 0;
@@ -130,23 +130,25 @@
         client: ClientId,
         response: &Response,
     ) {
-        let Some(asked) = self.clients.asked.remove(&(caller, client)) else {
+        let Some(request) = self.clients.pending.remove(&(caller, client)) else {
             // A request that crashes instances.
-            self.report.held_back += u64::from(response.body == HELD_BACK);
+            self.report.held_back += u64::from(response.body == QUARANTINED_BODY);
             return;
         };
         match response.status {
             200 => {
                 self.report.answered += 1;
                 let carried = response.headers.number("attempt");
-                self.checker.answered(asked.attempt, carried, self.now);
+                self.checker.answered(request.attempt, carried, self.now);
             }
             503 => {
-                if response.body == HELD_BACK {
-                    self.checker.harmless_held_back(asked.attempt, self.now);
+                if response.body == QUARANTINED_BODY {
+                    self.checker
+                        .harmless_request_quarantined(request.attempt, self.now);
                 }
                 self.report.refused += 1;
-                self.checker.refused(asked.attempt, asked.once, self.now);
+                self.checker
+                    .refused(request.attempt, request.once, self.now);
             }
             _ => self.report.unknown += 1,
         }
--- a/crates/ledgelead-lab/src/fleet/command.rs
+++ b/crates/ledgelead-lab/src/fleet/command.rs
@@ -3,7 +3,7 @@
 use super::crashing::CrashingRequest;
 use super::faults::Schedule;
 use super::report::FleetReport;
-use super::store::PAGE;
+use super::store::PAGE_OBJECTS;
 use super::transport::Transport;
 use super::world::{FleetSettings, SHARDED_INSTANCES, TRAFFIC_FROM, World, violation_lines};
 use ledgelead_router::protections::{Protection, Protections};
@@ -20,13 +20,13 @@
 /// Most nodes of a run; each has an address of its own.
 const MAX_NODES: usize = 250;
 /// How long clients ask.
-const TRAFFIC: Duration = Duration::from_secs(40);
+const TRAFFIC_DURATION: Duration = Duration::from_secs(40);
 /// When the last fault may begin, counted from the first request.
 const LAST_FAULT: Duration = Duration::from_secs(25);
 /// Objects of a page where lists are to take several.
-const SMALL_PAGE: usize = 4;
+const SMALL_PAGE_OBJECTS: usize = 4;
 /// Violations that are printed.
-const SHOWN: usize = 20;
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// A run with faults drawn from a seed.
 pub fn drawn(seed: u64, protections: Protections) -> FleetSettings {
@@ -46,16 +46,16 @@
     FleetSettings {
         seed,
         nodes,
-        traffic: TRAFFIC,
+        traffic: TRAFFIC_DURATION,
         schedule,
-        transport: Transport::WITHOUT_MEMORY,
+        transport: Transport::LOSSY,
         clock: ProcessClock::SOURCE,
-        page: PAGE,
+        page_objects: PAGE_OBJECTS,
         trace: false,
         hot_from: None,
         crashing: Vec::new(),
-        tells_births: false,
-        tells_leaving: false,
+        reports_start_times: false,
+        reports_leaving_in_responses: false,
         datagram_loss: DATAGRAM_LOSSES[(seed % 3) as usize],
         protections,
     }
@@ -107,7 +107,7 @@
     };
     FleetSettings {
         schedule,
-        transport: Transport::OF_RUNTIME,
+        transport: Transport::RUNTIME,
         ..drawn
     }
 }
@@ -145,8 +145,8 @@
     FleetSettings {
         schedule,
         crashing,
-        transport: Transport::OF_RUNTIME,
-        tells_births: true,
+        transport: Transport::RUNTIME,
+        reports_start_times: true,
         ..drawn
     }
 }
@@ -165,8 +165,8 @@
     };
     FleetSettings {
         schedule,
-        tells_births: true,
-        tells_leaving: true,
+        reports_start_times: true,
+        reports_leaving_in_responses: true,
         ..drawn
     }
 }
@@ -185,7 +185,7 @@
     };
     FleetSettings {
         schedule,
-        tells_births: true,
+        reports_start_times: true,
         ..drawn
     }
 }
@@ -227,7 +227,7 @@
 /// get them from each other.
 pub fn drawn_paged(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     FleetSettings {
-        page: SMALL_PAGE,
+        page_objects: SMALL_PAGE_OBJECTS,
         ..drawn_for(seed, nodes, protections)
     }
 }
@@ -239,14 +239,14 @@
 pub type Draw = fn(u64, usize, Protections) -> FleetSettings;
 
 /// Plays runs that are drawn from their seeds.
-pub fn play(
+pub fn run_seeds(
     draw: Draw,
     seeds: RangeInclusive<u64>,
     nodes: usize,
     protections: Protections,
     trace: bool,
 ) -> (FleetReport, Vec<String>) {
-    play_each(seeds, |seed| FleetSettings {
+    run_each_seed(seeds, |seed| FleetSettings {
         trace,
         ..draw(seed, nodes, protections)
     })
@@ -254,7 +254,7 @@
 
 /// Plays the run of each seed and adds up what they show; with the first seed of each
 /// violation.
-fn play_each(
+fn run_each_seed(
     seeds: RangeInclusive<u64>,
     settings: impl Fn(u64) -> FleetSettings,
 ) -> (FleetReport, Vec<String>) {
@@ -301,9 +301,9 @@
             other => return Err(other.unexpected()),
         }
     }
-    let (report, lines) = play(draw, seeds, nodes, protections, trace);
+    let (report, lines) = run_seeds(draw, seeds, nodes, protections, trace);
     if !json {
-        for line in lines.iter().take(SHOWN) {
+        for line in lines.iter().take(MAX_PRINTED_VIOLATIONS) {
             println!("{line}");
         }
     }
--- a/crates/ledgelead-lab/src/fleet/crashing.rs
+++ b/crates/ledgelead-lab/src/fleet/crashing.rs
@@ -3,9 +3,9 @@
 
 use super::event::{Caller, Event};
 use super::faults::{Fault, FaultKind, Schedule, draw_time};
-use super::instance::Work;
+use super::instance::InstanceRequest;
 use super::network::LATENCY;
-use super::versions::CONTACT;
+use super::versions::CONTACT_TIME;
 use super::world::{HOST, ONCE, READ, SHARDED, World, exchanged};
 use ledgelead_http::Request;
 use ledgelead_router::io::{ClientId, ExchangeFailure, Input};
@@ -18,19 +18,19 @@
 /// Header by which the stand-ins recognise such a request; nodes don't look at it.
 pub(super) const CRASHES: &str = "crashes";
 /// Instances that may end before a request counts as one that crashes instances.
-const ENDS_ALLOWED: usize = 3;
+const ALLOWED_CRASHES: usize = 3;
 /// How often it may reach instances after that, and the time in which all nodes in touch
 /// learn of it.
-const SENDS_ALLOWED: u32 = 3;
+const ALLOWED_DELIVERIES: u32 = 3;
 /// How long a crashed instance is away, in milliseconds.
-const AWAY_MS: Range<u64> = 1_500..4_500;
+const DOWNTIME_MS: Range<u64> = 1_500..4_500;
 /// Time that the caller waits, in milliseconds.
 const DEADLINE_MS: u64 = 800;
 /// The first number of such a caller's tries, apart from those of other clients.
 const FIRST_ATTEMPT: u64 = 1 << 40;
 
 /// Who sends harmless requests with the path of one that crashes instances.
-const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 5, 1));
+const HARMLESS_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 5, 1));
 
 /// Where a request goes that crashes instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,8 +57,8 @@
 /// What became of such a request.
 #[derive(Debug, Default)]
 pub(super) struct Crashing {
-    ends: Vec<Duration>,
-    late_sends: u32,
+    crash_times: Vec<Duration>,
+    late_deliveries: u32,
 }
 
 impl CrashingRequest {
@@ -85,7 +85,7 @@
         let count = rng.random_range(0..3);
         let one = |rng: &mut Pcg64Mcg| Fault {
             at: draw_time(rng, from, to),
-            lasts: Duration::ZERO,
+            duration: Duration::ZERO,
             kind: match rng.random_range(0..2) {
                 0 => FaultKind::CrashMany,
                 _ => FaultKind::CrashInTurn,
@@ -97,7 +97,7 @@
 
 impl World {
     /// Such a request comes, at any node that is ready.
-    pub(super) fn crashing_client_asks(&mut self, number: usize) {
+    pub(super) fn send_crashing_request(&mut self, number: usize) {
         let crashing = self.settings.crashing[number];
         let pause = crashing
             .pause
@@ -112,19 +112,19 @@
         request.headers.push(CRASHES, number.to_string());
         self.report.crashing_tries += 1;
         self.send_try(index, attempt, crashing_caller(number), request);
-        self.harmless_neighbour_asks(number, &ready);
+        self.send_similar_harmless_request(number, &ready);
     }
 
     /// A harmless request that differs in little: another caller, or another query.
-    fn harmless_neighbour_asks(&mut self, number: usize, ready: &[usize]) {
+    fn send_similar_harmless_request(&mut self, number: usize, ready: &[usize]) {
         let (source, query) = match self.crash_rng.random_range(0..4) {
-            0 => (OTHER_CALLER, ""),
+            0 => (HARMLESS_CALLER, ""),
             1 => (crashing_caller(number), "?page=2"),
             _ => return,
         };
         let index = ready[self.crash_rng.random_range(0..ready.len())];
         let (attempt, request) = self.next_try(number, query);
-        let caller = (index, self.nodes[index].life);
+        let caller = (index, self.nodes[index].incarnation);
         let once = self.settings.crashing[number].service == CrashedService::Once;
         self.clients.expect(caller, attempt, once);
         self.send_try(index, attempt, source, request);
@@ -152,7 +152,7 @@
     }
 
     fn send_try(&mut self, index: usize, attempt: u64, source: IpAddr, request: Request) {
-        let caller = (index, self.nodes[index].life);
+        let caller = (index, self.nodes[index].incarnation);
         let input = Input::Request {
             client: ClientId(attempt),
             source,
@@ -162,65 +162,78 @@
     }
 
     /// Such a request has reached an instance.
-    pub(super) fn crashing_arrives(&mut self, number: usize, caller: Caller) {
-        let is_judged = self.is_in_touch(caller.0);
+    pub(super) fn crashing_request_arrives(&mut self, number: usize, caller: Caller) {
+        let is_checked = self.is_in_touch(caller.0);
         let now = self.now;
         self.trace(|| format!("crashing request {number} from node {}", caller.0));
         let Some(crashing) = self.crashing.get_mut(number) else {
             return;
         };
-        let third = crashing.ends.get(ENDS_ALLOWED - 1).copied();
-        let is_late = third.is_some_and(|third| third + CONTACT < now);
-        if !is_late || !is_judged {
+        let third = crashing.crash_times.get(ALLOWED_CRASHES - 1).copied();
+        let is_late = third.is_some_and(|third| third + CONTACT_TIME < now);
+        if !is_late || !is_checked {
             return;
         }
-        crashing.late_sends += 1;
-        if crashing.late_sends == SENDS_ALLOWED + 1 {
-            let ended = crashing.ends.len();
-            self.checker.crashing_sent_on(number, caller.0, ended, now);
+        crashing.late_deliveries += 1;
+        if crashing.late_deliveries == ALLOWED_DELIVERIES + 1 {
+            let ended = crashing.crash_times.len();
+            self.checker
+                .crashing_request_reached_instance(number, caller.0, ended, now);
         }
     }
 
     /// An instance has begun to run such a request: it ends, and all of its work with it.
-    pub(super) fn crash_under(&mut self, instance: usize, number: usize, work: Work) {
+    pub(super) fn crash_by_request(
+        &mut self,
+        instance: usize,
+        number: usize,
+        instance_request: InstanceRequest,
+    ) {
         self.trace(|| format!("instance {instance} ends under crashing request {number}"));
         self.report.ended_by_requests += 1;
         if let Some(crashing) = self.crashing.get_mut(number) {
-            crashing.ends.push(self.now);
+            crashing.crash_times.push(self.now);
         }
-        self.lose_work(work);
-        self.crash_with_work(instance);
+        self.fail_request(instance_request);
+        self.crash_and_fail_requests(instance);
     }
 
     /// An instance's process ends. Its connections are reset, new ones refused, and
     /// another life begins there after a while.
-    pub(super) fn crash_with_work(&mut self, instance: usize) {
-        if !self.instances[instance].alive || self.instances[instance].dark {
+    pub(super) fn crash_and_fail_requests(&mut self, instance: usize) {
+        if !self.instances[instance].alive || self.instances[instance].unresponsive {
             return;
         }
         let ended = &mut self.instances[instance];
         let running = std::mem::take(&mut ended.running).into_iter();
         let queued = std::mem::take(&mut ended.queue);
-        let lost: Vec<Work> = running.map(|(work, _)| work).chain(queued).collect();
-        lost.into_iter().for_each(|work| self.lose_work(work));
+        let lost: Vec<InstanceRequest> = running
+            .map(|(instance_request, _)| instance_request)
+            .chain(queued)
+            .collect();
+        lost.into_iter()
+            .for_each(|instance_request| self.fail_request(instance_request));
         self.crash(instance);
-        let away = Duration::from_millis(self.crash_rng.random_range(AWAY_MS));
-        self.schedule(away, Event::InstanceReturns(instance));
+        let downtime = Duration::from_millis(self.crash_rng.random_range(DOWNTIME_MS));
+        self.schedule(downtime, Event::InstanceReturns(instance));
     }
 
-    fn lose_work(&mut self, work: Work) {
-        let lost = exchanged(work.exchange, Err(ExchangeFailure::Lost));
-        self.schedule(LATENCY, Event::Exchanged(work.caller, work.exchange, lost));
+    fn fail_request(&mut self, instance_request: InstanceRequest) {
+        let lost = exchanged(instance_request.exchange, Err(ExchangeFailure::Lost));
+        self.schedule(
+            LATENCY,
+            Event::Exchanged(instance_request.caller, instance_request.exchange, lost),
+        );
     }
 
     /// A new life of an instance that has crashed, unless there is one.
     pub(super) fn instance_returns(&mut self, index: usize) {
         let address = self.instances[index].record.address;
-        let is_alone = self.live_at(address).is_none();
+        let is_alone = self.running_instance_at(address).is_none();
         if !is_alone {
             return;
         }
-        if self.settings.tells_births {
+        if self.settings.reports_start_times {
             self.restart(index);
         } else {
             self.replace(index);
@@ -229,9 +242,9 @@
 
     /// Half of all instances end at the same moment.
     pub(super) fn crash_many(&mut self) {
-        for instance in self.living_instances() {
+        for instance in self.running_instances() {
             if self.crash_rng.random_bool(0.5) {
-                self.crash_with_work(instance);
+                self.crash_and_fail_requests(instance);
             }
         }
     }
@@ -239,13 +252,13 @@
     /// All instances end one after the other, each some hundred milliseconds later.
     pub(super) fn crash_in_turn(&mut self) {
         let mut after = Duration::ZERO;
-        for instance in self.living_instances() {
+        for instance in self.running_instances() {
             after += Duration::from_millis(self.crash_rng.random_range(150..900));
             self.schedule(after, Event::InstanceCrashes(instance));
         }
     }
 
-    fn living_instances(&self) -> Vec<usize> {
+    fn running_instances(&self) -> Vec<usize> {
         let alive = |index: &usize| self.instances[*index].alive;
         (0..self.instances.len()).filter(alive).collect()
     }
--- a/crates/ledgelead-lab/src/fleet/eras.rs
+++ b/crates/ledgelead-lab/src/fleet/eras.rs
@@ -3,7 +3,7 @@
 
 use super::event::Event;
 use super::faults::{FaultKind, Schedule, Target, draw_time};
-use super::store::StoreCopy;
+use super::store::StoreSnapshot;
 use super::world::World;
 use ledgelead_router::dialect::ObjectKind;
 use rand::RngExt;
@@ -13,18 +13,18 @@
 use std::time::Duration;
 
 /// How long the store is away before it comes back, in milliseconds.
-const AWAY_MS: Range<u64> = 200..3_000;
+const DOWNTIME_MS: Range<u64> = 200..3_000;
 /// How old the copy is then, in milliseconds, counted from when the store went away.
-const COPY_AGE_MS: Range<u64> = 0..10_000;
+const SNAPSHOT_AGE_MS: Range<u64> = 0..10_000;
 /// How long after its return other faults come, in milliseconds.
-const AFTER_MS: Range<u64> = 0..3_000;
+const FOLLOW_UP_FAULT_DELAY_MS: Range<u64> = 0..3_000;
 /// How long the operator takes to write again what is gone.
-const OPERATOR_WRITES_AGAIN: Duration = Duration::from_millis(500);
+const OPERATOR_REWRITE_DELAY: Duration = Duration::from_millis(500);
 
 /// Copies of the store, by the times at which they were made.
 #[derive(Default)]
-pub(super) struct Copies {
-    made: BTreeMap<Duration, StoreCopy>,
+pub(super) struct Snapshots {
+    by_time: BTreeMap<Duration, StoreSnapshot>,
 }
 
 impl Schedule {
@@ -39,11 +39,11 @@
         let mut schedule = Schedule::default();
         for _ in 0..rng.random_range(1..4) {
             let at = draw_time(rng, from, to);
-            let away = Duration::from_millis(rng.random_range(AWAY_MS));
-            let age = Duration::from_millis(rng.random_range(COPY_AGE_MS));
-            schedule = schedule.and(at, away, FaultKind::StoreRestored(age));
+            let downtime = Duration::from_millis(rng.random_range(DOWNTIME_MS));
+            let age = Duration::from_millis(rng.random_range(SNAPSHOT_AGE_MS));
+            schedule = schedule.and(at, downtime, FaultKind::StoreRestored(age));
             if rng.random_bool(0.5) {
-                let after = Duration::from_millis(rng.random_range(AFTER_MS));
+                let after = Duration::from_millis(rng.random_range(FOLLOW_UP_FAULT_DELAY_MS));
                 let kind = match rng.random_range(0..5) {
                     0 => FaultKind::KillAllNodes,
                     1 => FaultKind::KillNode(Target::Coordinator),
@@ -51,8 +51,8 @@
                     3 => FaultKind::CutFromStore(Target::Coordinator),
                     _ => FaultKind::KillNode(Target::Node(rng.random_range(0..nodes))),
                 };
-                let lasts = Duration::from_millis(rng.random_range(500..4_000));
-                schedule = schedule.and(at + away + after, lasts, kind);
+                let duration = Duration::from_millis(rng.random_range(500..4_000));
+                schedule = schedule.and(at + downtime + after, duration, kind);
             }
         }
         schedule
@@ -61,46 +61,46 @@
 
 impl World {
     /// Copies are made at the times to which the store is to go back.
-    pub(super) fn schedule_copies(&mut self) {
+    pub(super) fn schedule_snapshots(&mut self) {
         let restored = self.settings.schedule.0.iter();
         let times = restored.filter_map(|fault| match fault.kind {
             FaultKind::StoreRestored(age) => Some(fault.at.saturating_sub(age)),
             _ => None,
         });
         for at in times.collect::<Vec<_>>() {
-            self.schedule_at(at, Event::CopyStore);
+            self.schedule_at(at, Event::TakeSnapshot);
         }
     }
 
-    pub(super) fn copy_store(&mut self) {
-        let copy = self.store.copy();
-        self.copies.made.insert(self.now, copy);
+    pub(super) fn take_snapshot(&mut self) {
+        let snapshot = self.store.snapshot();
+        self.snapshots.by_time.insert(self.now, snapshot);
     }
 
     /// The store comes back from the newest copy that is so old.
     pub(super) fn restore_store(&mut self, went: Duration, age: Duration) {
         let until = went.saturating_sub(age);
-        let Some((_, copy)) = self.copies.made.range(..=until).next_back() else {
+        let Some((_, snapshot)) = self.snapshots.by_time.range(..=until).next_back() else {
             return;
         };
-        self.store.restore(copy.clone());
-        self.mood.returned_at = self.now;
+        self.store.restore(snapshot.clone());
+        self.store_faults.recovered_at = self.now;
         // What left meanwhile leaves again; others that the copy holds go if they are silent.
         let names = self.store.names(ObjectKind::Instances);
         for index in 0..self.instances.len() {
             let is_listed = names.contains(self.instances[index].id().name());
-            if is_listed && self.left.contains_key(&index) {
+            if is_listed && self.unregistered_since.contains_key(&index) {
                 self.remove_entry(index);
-            } else if is_listed && !self.last_beat.contains_key(&index) {
-                self.last_beat.insert(index, self.now);
+            } else if is_listed && !self.last_heartbeat.contains_key(&index) {
+                self.last_heartbeat.insert(index, self.now);
             }
         }
         self.trace(|| "the store is back from a copy".to_owned());
-        self.schedule(OPERATOR_WRITES_AGAIN, Event::OperatorWritesAgain);
+        self.schedule(OPERATOR_REWRITE_DELAY, Event::OperatorRewrites);
     }
 
     /// The operator writes again what it has written.
-    pub(super) fn operator_writes_again(&mut self) {
+    pub(super) fn rewrite_configuration(&mut self) {
         self.store.configure(self.versions.newest());
         self.answer_watches();
     }
--- a/crates/ledgelead-lab/src/fleet/event.rs
+++ b/crates/ledgelead-lab/src/fleet/event.rs
@@ -1,8 +1,8 @@
 //! What happens at a time.
 
 use super::faults::FaultKind;
-use super::instance::Work;
-use super::transport::HeldOrder;
+use super::instance::InstanceRequest;
+use super::transport::BlockedOrder;
 use ledgelead_http::Request;
 use ledgelead_router::dialect::{Order, StoreCall};
 use ledgelead_router::identity::InstanceId;
@@ -39,16 +39,16 @@
         /// The instance.
         instance: usize,
         /// The life that is meant.
-        meant: InstanceId,
+        intended: InstanceId,
         /// When it was sent.
         sent: Duration,
         /// The order.
         order: Order,
     },
     /// A kernel repeats an order that a cut has held up.
-    HeldOrder(Box<HeldOrder>),
+    BlockedOrder(Box<BlockedOrder>),
     /// A request has ended at an instance.
-    WorkDone(usize, Box<Work>),
+    RequestDone(usize, Box<InstanceRequest>),
     /// An instance writes to the store.
     Heartbeat(usize),
     /// An instance that left without a word ends.
@@ -66,9 +66,9 @@
     /// A client asks.
     Client,
     /// The store's state is kept, to come back to.
-    CopyStore,
+    TakeSnapshot,
     /// The operator writes again what it has written.
-    OperatorWritesAgain,
+    OperatorRewrites,
     /// Every node's version of the configuration is looked at.
     CheckVersions,
     /// A fault begins, which lasts for so long.
--- a/crates/ledgelead-lab/src/fleet/faults.rs
+++ b/crates/ledgelead-lab/src/fleet/faults.rs
@@ -57,10 +57,10 @@
     /// takes that, in its entry; it ends later.
     Leave(usize),
     /// An instance of any service turns everything away, and asks for pauses.
-    AskForPause(usize),
+    RequestPause(usize),
     /// An instance of any service names this rate limit in its answers, in thousandths of a
     /// request a second, until the end.
-    NameLimit(usize, u32),
+    AnnounceLimit(usize, u32),
     /// Another writer replaces an instance's entry by what can't be read, until the end.
     ForeignEntry(usize),
     /// The store answers nothing.
@@ -72,7 +72,7 @@
     /// The store is silent, and comes back in the end from a copy that was so old as it went.
     StoreRestored(Duration),
     /// The store forgets its history.
-    StoreForgets,
+    StoreCompacts,
     /// Some orders get no answer and are carried out seconds later.
     OrdersLate,
     /// Some requests run and their answers are lost.
@@ -97,7 +97,7 @@
     /// When it begins.
     pub at: Duration,
     /// How long it lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What happens.
     pub kind: FaultKind,
 }
@@ -108,13 +108,13 @@
 
 impl Schedule {
     /// One fault.
-    pub fn one(at: Duration, lasts: Duration, kind: FaultKind) -> Schedule {
-        Schedule(vec![Fault { at, lasts, kind }])
+    pub fn one(at: Duration, duration: Duration, kind: FaultKind) -> Schedule {
+        Schedule(vec![Fault { at, duration, kind }])
     }
 
     /// One more fault.
-    pub fn and(mut self, at: Duration, lasts: Duration, kind: FaultKind) -> Schedule {
-        self.0.push(Fault { at, lasts, kind });
+    pub fn and(mut self, at: Duration, duration: Duration, kind: FaultKind) -> Schedule {
+        self.0.push(Fault { at, duration, kind });
         self
     }
 
@@ -135,14 +135,14 @@
         let mut schedule = Schedule::default();
         for number in 0..rng.random_range(1..4) {
             let at = draw_time(rng, from, to);
-            let lasts = Duration::from_millis(rng.random_range(CUT_MS));
+            let duration = Duration::from_millis(rng.random_range(CUT_MS));
             let target = match number {
                 0 => Target::Coordinator,
                 _ => Target::Node(rng.random_range(0..nodes)),
             };
-            schedule = schedule.and(at, lasts, FaultKind::CutFromInstances(target));
+            schedule = schedule.and(at, duration, FaultKind::CutFromInstances(target));
             if rng.random_bool(0.5) {
-                let after = lasts.mul_f64(rng.random_range(0.0..1.0));
+                let after = duration.mul_f64(rng.random_range(0.0..1.0));
                 let kill = FaultKind::KillNode(target);
                 schedule = schedule.and(at + after, Duration::from_secs(2), kill);
             }
@@ -159,7 +159,7 @@
     ) -> Schedule {
         let one = |number: usize, rng: &mut Pcg64Mcg| Fault {
             at: draw_time(rng, from, to),
-            lasts: Duration::from_millis(rng.random_range(SUSPENDED_MS)),
+            duration: Duration::from_millis(rng.random_range(SUSPENDED_MS)),
             kind: FaultKind::SuspendNode(match number {
                 0 => Target::Coordinator,
                 _ => Target::Node(rng.random_range(0..nodes)),
@@ -180,7 +180,7 @@
         let count = rng.random_range(3..9);
         let draw = |rng: &mut Pcg64Mcg| Fault {
             at: draw_time(rng, from, to),
-            lasts: draw_length(rng),
+            duration: draw_length(rng),
             kind: draw_kind(rng, nodes, instances),
         };
         Schedule((0..count).map(|_| draw(rng)).collect())
@@ -224,7 +224,7 @@
         10 => FaultKind::StoreSilent,
         11 => FaultKind::StoreRefuses,
         12 => FaultKind::StoreLosesAnswers,
-        13 => FaultKind::StoreForgets,
+        13 => FaultKind::StoreCompacts,
         14 => FaultKind::OrdersLate,
         15 => FaultKind::AnswersLost,
         16 => FaultKind::IsolateWithCoordinator(instance),
--- a/crates/ledgelead-lab/src/fleet/foreign.rs
+++ b/crates/ledgelead-lab/src/fleet/foreign.rs
@@ -22,7 +22,7 @@
         for _ in 0..rng.random_range(FOREIGN_ENTRIES) {
             schedule.0.push(Fault {
                 at: draw_time(rng, from, to),
-                lasts: Duration::from_millis(rng.random_range(FOREIGN_MS)),
+                duration: Duration::from_millis(rng.random_range(FOREIGN_MS)),
                 kind: FaultKind::ForeignEntry(rng.random_range(0..ALL_INSTANCES)),
             });
         }
@@ -40,27 +40,27 @@
 impl World {
     /// Another writer puts what can't be read in the place of an instance's entry, and
     /// beside the objects of each kind. The instance serves on, and writes no more.
-    pub(super) fn spoil_entry(&mut self, index: usize) {
+    pub(super) fn make_entry_unreadable(&mut self, index: usize) {
         for kind in ObjectKind::ALL {
-            self.store.spoil(kind, "foreign");
+            self.store.write_unreadable(kind, "foreign");
         }
         let instance = &mut self.instances[index];
-        let is_well = instance.alive && !instance.dark && instance.heartbeats;
-        let is_away = self.mood.silent + self.mood.refusing > 0;
+        let is_well = instance.alive && !instance.unresponsive && instance.heartbeats;
+        let is_away = self.store_faults.silent + self.store_faults.refusing > 0;
         if is_well && !instance.record.draining && !is_away {
             instance.heartbeats = false;
             let name = instance.id().to_string();
-            self.store.spoil(ObjectKind::Instances, &name);
-            self.left.insert(index, self.now);
-            self.spoiled.insert(index);
+            self.store.write_unreadable(ObjectKind::Instances, &name);
+            self.unregistered_since.insert(index, self.now);
+            self.unreadable_entries.insert(index);
         }
         self.answer_watches();
     }
 
     /// The instance writes its entry again.
     pub(super) fn restore_entry(&mut self, index: usize) {
-        if self.spoiled.remove(&index) && self.instances[index].alive {
-            self.left.remove(&index);
+        if self.unreadable_entries.remove(&index) && self.instances[index].alive {
+            self.unregistered_since.remove(&index);
             self.instances[index].heartbeats = true;
         }
     }
--- a/crates/ledgelead-lab/src/fleet/instance.rs
+++ b/crates/ledgelead-lab/src/fleet/instance.rs
@@ -11,13 +11,13 @@
 /// How much longer a hold may last by the instance's clock.
 const CLOCK_FACTOR: f64 = 1.02;
 /// Requests that may wait.
-const QUEUE: usize = 8;
+const QUEUE_CAPACITY: usize = 8;
 /// Number of keys.
-pub(super) const KEYS: usize = 1 << 16;
+pub(super) const KEY_COUNT: usize = 1 << 16;
 
 /// Keys held under one grant.
 #[derive(Clone, Debug)]
-pub struct Hold {
+pub struct HeldRange {
     /// The keys.
     pub range: KeyRange,
     /// Since when these keys are held without a gap.
@@ -30,7 +30,7 @@
 
 /// A request at an instance.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct InstanceRequest {
     /// The node and its life.
     pub caller: (usize, u64),
     /// Its exchange.
@@ -54,20 +54,20 @@
     /// Whether its process runs.
     pub alive: bool,
     /// Whether it answers nothing, alive or not.
-    pub dark: bool,
+    pub unresponsive: bool,
     /// Whether its heartbeats reach the store.
     pub heartbeats: bool,
     /// Time of work for one request.
     pub service_time: Duration,
     /// Keys held.
-    pub holds: Vec<Hold>,
+    pub held_ranges: Vec<HeldRange>,
     fences: Vec<u64>,
     /// Requests that run, with their ends.
-    pub running: Vec<(Work, Duration)>,
+    pub running: Vec<(InstanceRequest, Duration)>,
     /// Requests that wait.
-    pub queue: VecDeque<Work>,
+    pub queue: VecDeque<InstanceRequest>,
     /// When a request on a key was begun last.
-    pub begun: HashMap<u16, Duration>,
+    pub last_started: HashMap<u16, Duration>,
 }
 
 /// What becomes of a grant.
@@ -86,14 +86,18 @@
             record,
             sharded,
             alive: true,
-            dark: false,
+            unresponsive: false,
             heartbeats: true,
             service_time,
-            holds: Vec::new(),
-            fences: if sharded { vec![0; KEYS] } else { Vec::new() },
+            held_ranges: Vec::new(),
+            fences: if sharded {
+                vec![0; KEY_COUNT]
+            } else {
+                Vec::new()
+            },
             running: Vec::new(),
             queue: VecDeque::new(),
-            begun: HashMap::new(),
+            last_started: HashMap::new(),
         }
     }
 
@@ -103,8 +107,8 @@
     }
 
     /// The hold on a key at a time, if there is one.
-    pub fn hold_of(&self, key: u16, now: Duration) -> Option<&Hold> {
-        self.holds
+    pub fn held_range_of(&self, key: u16, now: Duration) -> Option<&HeldRange> {
+        self.held_ranges
             .iter()
             .find(|hold| hold.range.contains(key) && hold.until > now)
     }
@@ -124,11 +128,11 @@
         }
         self.fences[keys].fill(fence);
         let continued = self
-            .hold_of(range.first, now)
+            .held_range_of(range.first, now)
             .filter(|held| held.range.contains(range.last))
             .map(|held| held.since);
-        self.drop_holds(range);
-        self.holds.push(Hold {
+        self.drop_held_ranges(range);
+        self.held_ranges.push(HeldRange {
             range,
             since: continued.unwrap_or(now),
             until: now + hold.mul_f64(CLOCK_FACTOR),
@@ -141,17 +145,19 @@
     /// Nothing is published of a release raising the highest token seen, so
     /// this one doesn't.
     pub fn release(&mut self, range: KeyRange, now: Duration) -> Duration {
-        self.drop_holds(range);
+        self.drop_held_ranges(range);
         self.running
             .iter()
-            .filter(|(work, _)| work.key.is_some_and(|key| range.contains(key)))
+            .filter(|(instance_request, _)| {
+                instance_request.key.is_some_and(|key| range.contains(key))
+            })
             .map(|(_, end)| *end)
             .fold(now, Duration::max)
     }
 
-    fn drop_holds(&mut self, range: KeyRange) {
+    fn drop_held_ranges(&mut self, range: KeyRange) {
         let mut kept = Vec::new();
-        for hold in self.holds.drain(..) {
+        for hold in self.held_ranges.drain(..) {
             if hold.range.last < range.first || range.last < hold.range.first {
                 kept.push(hold);
                 continue;
@@ -161,7 +167,7 @@
                     first: hold.range.first,
                     last: range.first - 1,
                 };
-                kept.push(Hold {
+                kept.push(HeldRange {
                     range: front,
                     ..hold.clone()
                 });
@@ -171,22 +177,22 @@
                     first: range.last + 1,
                     last: hold.range.last,
                 };
-                kept.push(Hold {
+                kept.push(HeldRange {
                     range: back,
                     ..hold
                 });
             }
         }
-        self.holds = kept;
+        self.held_ranges = kept;
     }
 
     /// Whether one more request can run now.
-    pub fn has_slot(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.running.len() < self.record.slots as usize
     }
 
     /// Whether one more request can wait.
-    pub fn has_room(&self) -> bool {
-        self.queue.len() < QUEUE
+    pub fn has_queue_space(&self) -> bool {
+        self.queue.len() < QUEUE_CAPACITY
     }
 }
--- a/crates/ledgelead-lab/src/fleet/limits.rs
+++ b/crates/ledgelead-lab/src/fleet/limits.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// How long an instance names a limit, in milliseconds.
-const NAMED_MS: Range<u64> = 2_000..20_000;
+const ANNOUNCED_MS: Range<u64> = 2_000..20_000;
 /// Limits of owners of keys, in thousandths of a request a second: a third of what is asked
 /// of one, and more than that.
 const OWNER_LIMIT: Range<u32> = 4_000..15_000;
@@ -28,13 +28,13 @@
 /// Multiple of the limit that may arrive in a window.
 const OVERAGE: f64 = 1.5;
 /// How long a node isn't judged after it was cut or stood still.
-const EXCUSED: Duration = Duration::from_secs(2);
+const GRACE_AFTER_DISTURBANCE: Duration = Duration::from_secs(2);
 /// Requests that may arrive beyond that.
 const SLACK: f64 = 5.0;
 
 /// A limit that an instance names.
 #[derive(Debug)]
-struct NamedLimit {
+struct AnnouncedLimit {
     since: Duration,
     /// Limits with the times at which they were named first, the newest last.
     history: Vec<(Duration, f64)>,
@@ -43,22 +43,22 @@
     arrived: VecDeque<Duration>,
 }
 
-impl NamedLimit {
+impl AnnouncedLimit {
     /// The highest limit that was named in a window.
     fn highest_since(&self, from: Duration) -> f64 {
         let is_over = |later: Option<&(Duration, f64)>| later.is_some_and(|(at, _)| *at < from);
-        let named = self.history.iter().enumerate();
-        let counts = named.filter(|(index, _)| !is_over(self.history.get(index + 1)));
-        counts.map(|(_, (_, limit))| *limit).fold(0.0, f64::max)
+        let announced = self.history.iter().enumerate();
+        let applicable = announced.filter(|(index, _)| !is_over(self.history.get(index + 1)));
+        applicable.map(|(_, (_, limit))| *limit).fold(0.0, f64::max)
     }
 }
 
 /// Limits that are named, by instance.
 #[derive(Debug, Default)]
 pub(super) struct Limits {
-    named: HashMap<usize, NamedLimit>,
+    announced: HashMap<usize, AnnouncedLimit>,
     /// Answers on their way that name one.
-    on_the_way: HashMap<(Caller, ExchangeId), usize>,
+    in_flight: HashMap<(Caller, ExchangeId), usize>,
 }
 
 impl Schedule {
@@ -66,17 +66,17 @@
     pub(super) fn draw_limits(rng: &mut Pcg64Mcg, from: Duration, to: Duration) -> Schedule {
         let mut schedule = Schedule::default();
         for _ in 0..rng.random_range(2..6) {
-            let place = rng.random_range(0..ALL_INSTANCES);
+            let position = rng.random_range(0..ALL_INSTANCES);
             let at = draw_time(rng, from, to);
-            let lasts = Duration::from_millis(rng.random_range(NAMED_MS));
+            let duration = Duration::from_millis(rng.random_range(ANNOUNCED_MS));
             for change in 0..rng.random_range(1..4) {
-                let millis_per_s = match place < SHARDED_INSTANCES {
+                let millis_per_s = match position < SHARDED_INSTANCES {
                     true => rng.random_range(OWNER_LIMIT),
                     false => rng.random_range(OTHER_LIMIT),
                 };
-                let begins = at + lasts * change / 3;
-                let name = FaultKind::NameLimit(place, millis_per_s);
-                schedule = schedule.and(begins, at + lasts - begins, name);
+                let begins = at + duration * change / 3;
+                let name = FaultKind::AnnounceLimit(position, millis_per_s);
+                schedule = schedule.and(begins, at + duration - begins, name);
             }
         }
         schedule
@@ -85,24 +85,28 @@
 
 impl World {
     /// An instance names a limit from now on.
-    pub(super) fn name_limit(&mut self, place: usize, millis_per_s: u32) {
-        let index = self.present(place);
+    pub(super) fn announce_limit(&mut self, position: usize, millis_per_s: u32) {
+        let index = self.instance_at(position);
         let limit = f64::from(millis_per_s) / 1_000.0;
         let now = self.now;
         self.trace(|| format!("{index} names a limit of {limit}"));
-        let named = self.limits.named.entry(index).or_insert(NamedLimit {
-            since: now,
-            history: Vec::new(),
-            notified: HashMap::new(),
-            arrived: VecDeque::new(),
-        });
-        named.history.push((now, limit));
+        let announced = self
+            .limits
+            .announced
+            .entry(index)
+            .or_insert(AnnouncedLimit {
+                since: now,
+                history: Vec::new(),
+                notified: HashMap::new(),
+                arrived: VecDeque::new(),
+            });
+        announced.history.push((now, limit));
     }
 
     /// An instance names no limit any more.
-    pub(super) fn end_limit(&mut self, place: usize) {
-        let index = self.present(place);
-        self.limits.named.remove(&index);
+    pub(super) fn end_limit(&mut self, position: usize) {
+        let index = self.instance_at(position);
+        self.limits.announced.remove(&index);
     }
 
     /// An instance's answer, with the limit that it names.
@@ -113,10 +117,10 @@
         index: usize,
         mut response: Response,
     ) -> Response {
-        let named = self.limits.named.get(&index);
-        if let Some((_, limit)) = named.and_then(|named| named.history.last()) {
+        let announced = self.limits.announced.get(&index);
+        if let Some((_, limit)) = announced.and_then(|announced| announced.history.last()) {
             response.headers.push("rate-limit", limit.to_string());
-            self.limits.on_the_way.insert((caller, exchange), index);
+            self.limits.in_flight.insert((caller, exchange), index);
         }
         response
     }
@@ -124,9 +128,9 @@
     /// An answer has reached a node.
     pub(super) fn limit_arrives(&mut self, caller: Caller, exchange: ExchangeId) {
         let now = self.now;
-        let index = self.limits.on_the_way.remove(&(caller, exchange));
-        if let Some(named) = index.and_then(|index| self.limits.named.get_mut(&index)) {
-            named.notified.entry(caller).or_insert(now);
+        let index = self.limits.in_flight.remove(&(caller, exchange));
+        if let Some(announced) = index.and_then(|index| self.limits.announced.get_mut(&index)) {
+            announced.notified.entry(caller).or_insert(now);
         }
     }
 
@@ -134,33 +138,38 @@
     pub(super) fn check_limit(&mut self, caller: Caller, index: usize) {
         let now = self.now;
         let node = &self.nodes[caller.0];
-        let touched = node.thawed_at.max(node.healed_at);
+        let disturbed_at = node.thawed_at.max(node.healed_at);
         let is_cut = self.network.cut_from_nodes.contains(&caller.0);
-        let Some(named) = self.limits.named.get_mut(&index) else {
+        let Some(announced) = self.limits.announced.get_mut(&index) else {
             return;
         };
-        if now >= named.since + BINDS_AFTER {
+        if now >= announced.since + BINDS_AFTER {
             self.report.arrived_under_limit += 1;
         }
-        let Some(notified) = named.notified.get(&caller) else {
+        let Some(notified) = announced.notified.get(&caller) else {
             return;
         };
         // A node that was cut or stood still may not have learned what others know.
-        let excused = is_cut || (touched > Duration::ZERO && now < touched + EXCUSED);
-        if excused || now < *notified + NODE_BINDS_AFTER {
+        let is_exempt = is_cut
+            || (disturbed_at > Duration::ZERO && now < disturbed_at + GRACE_AFTER_DISTURBANCE);
+        if is_exempt || now < *notified + NODE_BINDS_AFTER {
             return;
         }
-        named.arrived.push_back(now);
-        while named.arrived.front().is_some_and(|at| *at + WINDOW <= now) {
-            named.arrived.pop_front();
+        announced.arrived.push_back(now);
+        while announced
+            .arrived
+            .front()
+            .is_some_and(|at| *at + WINDOW <= now)
+        {
+            announced.arrived.pop_front();
         }
-        let highest = named.highest_since(now.saturating_sub(WINDOW + NODE_BINDS_AFTER));
+        let highest = announced.highest_since(now.saturating_sub(WINDOW + NODE_BINDS_AFTER));
         let allowed = highest * WINDOW.as_secs_f64() * OVERAGE + SLACK;
-        let arrived = named.arrived.len();
-        if arrived as f64 > allowed && now >= named.since + BINDS_AFTER {
+        let arrived = announced.arrived.len();
+        if arrived as f64 > allowed && now >= announced.since + BINDS_AFTER {
             let limited = &self.instances[index];
             self.checker
-                .sent_beyond_limit(limited, arrived, allowed, now);
+                .requests_beyond_limit(limited, arrived, allowed, now);
         }
     }
 }
--- a/crates/ledgelead-lab/src/fleet/notices.rs
+++ b/crates/ledgelead-lab/src/fleet/notices.rs
@@ -18,13 +18,13 @@
 const BACKOFF_MS: Range<u64> = 100..4_000;
 /// Time after such an answer in which requests still reach the instance that were on
 /// their way, or whose connection was being opened.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
 /// Requests that may reach an instance from a node in the rest of a pause.
 const ALLOWED_IN_PAUSE: u32 = 2;
 /// How much longer than its bound a leaving instance may get requests: some waited.
 const LEAVE_SLACK: Duration = Duration::from_millis(300);
 /// How long an instance lives on after its bound, once the store knows that it leaves.
-const LINGER: Duration = Duration::from_secs(4);
+const END_AFTER_LEAVE: Duration = Duration::from_secs(4);
 /// How long before an instance leaves the store begins to fail, in milliseconds.
 const FAILS_BEFORE_MS: Range<u64> = 0..4_000;
 
@@ -42,7 +42,7 @@
     /// Instances that turn everything away, until when.
     paused: HashMap<usize, Duration>,
     /// Answers on their way that say that their instance leaves.
-    on_the_way: HashMap<(Caller, ExchangeId), usize>,
+    in_flight: HashMap<(Caller, ExchangeId), usize>,
     /// When the first of them reached a life of a node.
     notified: HashMap<(Caller, usize), Duration>,
     pauses: HashMap<(Caller, usize), Vec<Pause>>,
@@ -75,9 +75,9 @@
         }
         for _ in 0..rng.random_range(1..5) {
             let at = draw_time(rng, from, to);
-            let lasts = Duration::from_millis(rng.random_range(PAUSED_MS));
-            let pause = FaultKind::AskForPause(rng.random_range(0..ALL_INSTANCES));
-            schedule = schedule.and(at, lasts, pause);
+            let duration = Duration::from_millis(rng.random_range(PAUSED_MS));
+            let pause = FaultKind::RequestPause(rng.random_range(0..ALL_INSTANCES));
+            schedule = schedule.and(at, duration, pause);
         }
         schedule
     }
@@ -85,19 +85,19 @@
 
 impl World {
     /// The instance that has one of the first addresses now, of whichever service.
-    pub(super) fn present(&self, place: usize) -> usize {
-        match place < SHARDED_INSTANCES {
-            true => self.occupant(place),
-            false => place,
+    pub(super) fn instance_at(&self, position: usize) -> usize {
+        match position < SHARDED_INSTANCES {
+            true => self.sharded_instance_at(position),
+            false => position,
         }
     }
 
     /// An instance says from now on in all its answers that it leaves, and in its entry as
     /// soon as the store takes that.
-    pub(super) fn leave(&mut self, place: usize) {
-        let index = self.present(place);
+    pub(super) fn leave(&mut self, position: usize) {
+        let index = self.instance_at(position);
         let instance = &mut self.instances[index];
-        if !instance.alive || instance.dark || instance.record.draining {
+        if !instance.alive || instance.unresponsive || instance.record.draining {
             return;
         }
         instance.record.draining = true;
@@ -109,14 +109,14 @@
     pub(super) fn entry_taken(&mut self, index: usize) {
         if self.instances[index].record.draining && !self.leaving.contains_key(&index) {
             self.leaving.insert(index, self.now);
-            self.schedule(DRAIN_BOUND + LINGER, Event::InstanceEnds(index));
+            self.schedule(DRAIN_BOUND + END_AFTER_LEAVE, Event::InstanceEnds(index));
         }
     }
 
     /// An instance turns everything away for so long.
-    pub(super) fn ask_for_pause(&mut self, place: usize, lasts: Duration) {
-        let index = self.present(place);
-        self.notices.paused.insert(index, self.now + lasts);
+    pub(super) fn start_pause(&mut self, position: usize, duration: Duration) {
+        let index = self.instance_at(position);
+        self.notices.paused.insert(index, self.now + duration);
     }
 
     /// The seconds that an instance asks a node for, if it turns everything away now.
@@ -144,10 +144,10 @@
         index: usize,
         mut response: Response,
     ) -> Response {
-        if self.settings.tells_leaving && self.instances[index].record.draining {
+        if self.settings.reports_leaving_in_responses && self.instances[index].record.draining {
             response.headers.push("leaving", "1");
             if let Some(exchange) = exchange {
-                self.notices.on_the_way.insert((caller, exchange), index);
+                self.notices.in_flight.insert((caller, exchange), index);
             }
         }
         response
@@ -155,7 +155,7 @@
 
     /// An answer has reached a node.
     pub(super) fn notice_arrives(&mut self, caller: Caller, exchange: ExchangeId) {
-        if let Some(index) = self.notices.on_the_way.remove(&(caller, exchange)) {
+        if let Some(index) = self.notices.in_flight.remove(&(caller, exchange)) {
             let now = self.now;
             self.notices.notified.entry((caller, index)).or_insert(now);
         }
@@ -170,7 +170,7 @@
         if self.now > since + DRAIN_BOUND + LEAVE_SLACK {
             let leaving = &self.instances[index];
             self.checker
-                .sent_to_leaving(caller, leaving, since, self.now);
+                .request_after_leave_notice(caller, leaving, since, self.now);
         }
     }
 
@@ -178,7 +178,7 @@
     pub(super) fn check_pauses(&mut self, caller: Caller, index: usize) {
         let now = self.now;
         let node = &self.nodes[caller.0];
-        let touched = node.thawed_at.max(node.healed_at);
+        let disturbed_at = node.thawed_at.max(node.healed_at);
         let is_cut = self.network.cut_from_nodes.contains(&caller.0);
         let Some(pauses) = self.notices.pauses.get_mut(&(caller, index)) else {
             return;
@@ -186,13 +186,14 @@
         pauses.retain(|pause| pause.until > now);
         let mut most = 0;
         for pause in pauses {
-            let is_judged = pause.asked + ON_THE_WAY < now && touched <= pause.asked && !is_cut;
-            pause.reached += u32::from(is_judged);
+            let is_checked =
+                pause.asked + IN_FLIGHT_ALLOWANCE < now && disturbed_at <= pause.asked && !is_cut;
+            pause.reached += u32::from(is_checked);
             most = most.max(pause.reached);
         }
         if most > ALLOWED_IN_PAUSE {
             let paused = &self.instances[index];
-            self.checker.sent_in_pause(caller, paused, most, now);
+            self.checker.requests_in_pause(caller, paused, most, now);
         }
     }
 }
--- a/crates/ledgelead-lab/src/fleet/orders.rs
+++ b/crates/ledgelead-lab/src/fleet/orders.rs
@@ -4,11 +4,11 @@
 use super::dialect::HANDOVER;
 use super::event::{Caller, Event};
 use super::faults::{FaultKind, Target};
-use super::instance::{GrantOutcome, Work};
+use super::instance::{GrantOutcome, InstanceRequest};
 use super::network::LATENCY;
-use super::versions::{CONTACT, LARGE_VERSION_ROUTES};
+use super::versions::{CONTACT_TIME, LARGE_VERSION_ROUTES};
 use super::world::{
-    DRAIN_BOUND, Loss, ONCE, SHARDED_INSTANCES, World, exchanged, instance_address,
+    DRAIN_BOUND, LostKey, ONCE, SHARDED_INSTANCES, World, exchanged, instance_address,
 };
 use ledgelead_http::{Request, Response};
 use ledgelead_router::dialect::{KeyRange, Order};
@@ -25,11 +25,11 @@
 /// How much longer than its bound a leaving instance may get requests.
 const LEAVE_SLACK: Duration = Duration::from_millis(300);
 /// How long after its bound a leaving instance ends.
-const LEAVE_LINGER: Duration = Duration::from_secs(1);
+const END_AFTER_DRAIN: Duration = Duration::from_secs(1);
 /// How long an instance serves on that left without a word.
-const UNANNOUNCED_LINGER: Duration = Duration::from_secs(15);
+const END_AFTER_UNANNOUNCED_LEAVE: Duration = Duration::from_secs(15);
 /// Keys of a lost hold that are followed until they are held again.
-const FOLLOWED_KEYS: u16 = 4;
+const TRACKED_KEYS_PER_RANGE: u16 = 4;
 
 impl World {
     /// An order is on its way, or is carried out late.
@@ -38,7 +38,7 @@
         caller: Caller,
         exchange: ExchangeId,
         instance: usize,
-        meant: InstanceId,
+        intended: InstanceId,
         order: Order,
     ) {
         let late = self.orders_late > 0 && self.rng.random_range(0..3) == 0;
@@ -51,7 +51,7 @@
             caller,
             exchange: (!late).then_some(exchange),
             instance,
-            meant,
+            intended,
             sent: self.now,
             order,
         };
@@ -63,15 +63,15 @@
         (caller, sent): (Caller, Duration),
         exchange: Option<ExchangeId>,
         instance: usize,
-        meant: &InstanceId,
+        intended: &InstanceId,
         order: Order,
     ) {
-        self.trace(|| format!("node {} to {meant}: {order:?}", caller.0));
+        self.trace(|| format!("node {} to {intended}: {order:?}", caller.0));
         let target = &self.instances[instance];
-        if !target.alive || target.dark {
+        if !target.alive || target.unresponsive {
             return;
         }
-        if !target.id().shares_name(meant) {
+        if !target.id().shares_name(intended) {
             self.respond(caller, exchange, Response::new(421, ""), Duration::ZERO);
             return;
         }
@@ -79,10 +79,10 @@
             Order::Grant {
                 range, fence, hold, ..
             } => {
-                self.check_life(caller, sent, instance, meant, (range, fence));
-                let is_meant = self.instances[instance].id() == meant;
+                self.check_incarnation(caller, sent, instance, intended, (range, fence));
+                let is_intended = self.instances[instance].id() == intended;
                 let token = (range, fence);
-                self.grant(caller, exchange, instance, is_meant, token, hold);
+                self.grant(caller, exchange, instance, is_intended, token, hold);
             }
             Order::Release { range, .. } => {
                 let now = self.now;
@@ -100,7 +100,7 @@
         caller: Caller,
         exchange: Option<ExchangeId>,
         instance: usize,
-        is_meant: bool,
+        is_intended: bool,
         (range, fence): (KeyRange, u64),
         hold: Duration,
     ) {
@@ -116,21 +116,26 @@
             if !late && !thawed {
                 self.checker.granted(instance, range, &self.instances, now);
                 let instances = &self.instances;
-                self.checker
-                    .passed(instance, is_meant, (range, fence), instances, now);
+                self.checker.keys_transferred(
+                    instance,
+                    is_intended,
+                    (range, fence),
+                    instances,
+                    now,
+                );
             }
-            self.keys_held(range);
+            self.record_regained_keys(range);
         }
         let response = self.with_notice(caller, exchange, instance, Response::new(status, ""));
         self.respond(caller, exchange, response, Duration::ZERO);
     }
 
-    fn keys_held(&mut self, range: KeyRange) {
+    fn record_regained_keys(&mut self, range: KeyRange) {
         let now = self.now;
-        let (held, lost): (Vec<Loss>, Vec<Loss>) = std::mem::take(&mut self.losses)
+        let (held, lost): (Vec<LostKey>, Vec<LostKey>) = std::mem::take(&mut self.lost_keys)
             .into_iter()
             .partition(|loss| range.contains(loss.key));
-        self.losses = lost;
+        self.lost_keys = lost;
         for loss in held {
             self.report.unserved.0.push(now - loss.at);
         }
@@ -160,12 +165,12 @@
         let now = self.now;
         let target = &self.instances[instance];
         let open = self.pending.contains_key(&(caller, exchange));
-        if !target.alive || target.dark || !open {
+        if !target.alive || target.unresponsive || !open {
             return;
         }
         let crashes: Option<usize> = request.headers.number(CRASHES);
         if let Some(number) = crashes {
-            self.crashing_arrives(number, caller);
+            self.crashing_request_arrives(number, caller);
         }
         self.check_pauses(caller, instance);
         self.check_limit(caller, instance);
@@ -175,10 +180,10 @@
             .headers
             .number::<u16>("key")
             .filter(|_| target.sharded);
-        let meant = request.headers.text("target").unwrap_or_default();
-        let misdirected = meant != target.id().name()
-            || key.is_some_and(|key| target.hold_of(key, now).is_none());
-        let full = !target.has_slot() && !target.has_room();
+        let intended = request.headers.text("target").unwrap_or_default();
+        let misdirected = intended != target.id().name()
+            || key.is_some_and(|key| target.held_range_of(key, now).is_none());
+        let full = !target.has_free_slot() && !target.has_queue_space();
         let id = target.id().name().to_owned();
         if !misdirected {
             self.check_leaving(caller, instance);
@@ -200,18 +205,18 @@
             self.respond(caller, Some(exchange), response, Duration::ZERO);
             return;
         }
-        if let Some(left) = self.leaving.get(&instance).copied()
-            && now > left + DRAIN_BOUND + LEAVE_SLACK
-            && self.mood.silent + self.mood.refusing == 0
+        if let Some(leaving_since) = self.leaving.get(&instance).copied()
+            && now > leaving_since + DRAIN_BOUND + LEAVE_SLACK
+            && self.store_faults.silent + self.store_faults.refusing == 0
             && !self.network.cut_from_store.contains(&caller.0)
             && !self.network.refused_by_store.contains(&caller.0)
         {
             let leaving = &self.instances[instance];
             self.checker
-                .worked_while_leaving(caller, leaving, left, now);
+                .request_to_leaving(caller, leaving, leaving_since, now);
         }
-        self.check_left(caller, instance);
-        let work = Work {
+        self.check_unregistered(caller, instance);
+        let instance_request = InstanceRequest {
             caller,
             exchange,
             attempt,
@@ -219,90 +224,121 @@
             until,
             crashes,
         };
-        if self.instances[instance].has_slot() {
-            self.begin_work(instance, work);
+        if self.instances[instance].has_free_slot() {
+            self.start_request(instance, instance_request);
         } else {
-            self.instances[instance].queue.push_back(work);
+            self.instances[instance].queue.push_back(instance_request);
         }
     }
 
-    fn begin_work(&mut self, instance: usize, work: Work) {
+    fn start_request(&mut self, instance: usize, instance_request: InstanceRequest) {
         let now = self.now;
-        let lost_key = work
+        let lost_key = instance_request
             .key
-            .is_some_and(|key| self.instances[instance].hold_of(key, now).is_none());
-        if work.until <= now || lost_key {
+            .is_some_and(|key| self.instances[instance].held_range_of(key, now).is_none());
+        if instance_request.until <= now || lost_key {
             return;
         }
         let once = self.instances[instance].record.service.as_str() == ONCE;
-        self.checker
-            .began(instance, work.attempt, once, work.key, &self.instances, now);
-        if let Some(number) = work.crashes {
-            self.crash_under(instance, number, work);
+        self.checker.request_started(
+            instance,
+            instance_request.attempt,
+            once,
+            instance_request.key,
+            &self.instances,
+            now,
+        );
+        if let Some(number) = instance_request.crashes {
+            self.crash_by_request(instance, number, instance_request);
             return;
         }
         let target = &mut self.instances[instance];
-        if let Some(key) = work.key {
-            target.begun.insert(key, now);
+        if let Some(key) = instance_request.key {
+            target.last_started.insert(key, now);
         }
         let end = now + target.service_time;
-        target.running.push((work.clone(), end));
-        self.schedule_at(end, Event::WorkDone(instance, Box::new(work)));
+        target.running.push((instance_request.clone(), end));
+        self.schedule_at(
+            end,
+            Event::RequestDone(instance, Box::new(instance_request)),
+        );
     }
 
-    pub(super) fn work_done(&mut self, instance: usize, work: &Work) {
+    pub(super) fn request_done(&mut self, instance: usize, instance_request: &InstanceRequest) {
         let now = self.now;
         let target = &mut self.instances[instance];
-        let running = target
-            .running
-            .iter()
-            .position(|(other, _)| other.caller == work.caller && other.exchange == work.exchange);
+        let running = target.running.iter().position(|(other, _)| {
+            other.caller == instance_request.caller && other.exchange == instance_request.exchange
+        });
         if let Some(position) = running {
             target.running.remove(position);
-            if target.alive && !target.dark {
-                self.answer_work(instance, work);
+            if target.alive && !target.unresponsive {
+                self.answer_request(instance, instance_request);
             }
         }
-        while self.instances[instance].has_slot() {
+        while self.instances[instance].has_free_slot() {
             let Some(next) = self.instances[instance].queue.pop_front() else {
                 return;
             };
             if next.until > now {
-                self.begin_work(instance, next);
+                self.start_request(instance, next);
             }
         }
     }
 
-    fn answer_work(&mut self, instance: usize, work: &Work) {
+    fn answer_request(&mut self, instance: usize, instance_request: &InstanceRequest) {
         if self.answers_lost > 0 && self.rng.random_range(0..5) == 0 {
-            let lost = exchanged(work.exchange, Err(ExchangeFailure::Lost));
-            self.schedule(LATENCY, Event::Exchanged(work.caller, work.exchange, lost));
+            let lost = exchanged(instance_request.exchange, Err(ExchangeFailure::Lost));
+            self.schedule(
+                LATENCY,
+                Event::Exchanged(instance_request.caller, instance_request.exchange, lost),
+            );
             return;
         }
-        if !self.network.instance_connected(work.caller.0, instance) {
+        if !self
+            .network
+            .instance_connected(instance_request.caller.0, instance)
+        {
             return;
         }
         let mut response = Response::new(200, "done");
-        response.headers.push("attempt", work.attempt.to_string());
+        response
+            .headers
+            .push("attempt", instance_request.attempt.to_string());
         response.headers.push("signature", "s");
-        let response = self.with_notice(work.caller, Some(work.exchange), instance, response);
-        let response = self.with_limit(work.caller, work.exchange, instance, response);
-        self.respond(work.caller, Some(work.exchange), response, Duration::ZERO);
+        let response = self.with_notice(
+            instance_request.caller,
+            Some(instance_request.exchange),
+            instance,
+            response,
+        );
+        let response = self.with_limit(
+            instance_request.caller,
+            instance_request.exchange,
+            instance,
+            response,
+        );
+        self.respond(
+            instance_request.caller,
+            Some(instance_request.exchange),
+            response,
+            Duration::ZERO,
+        );
     }
 
     /// The caller closed its connection.
-    pub(super) fn drop_work(&mut self, caller: Caller, exchange: ExchangeId) {
+    pub(super) fn drop_requests(&mut self, caller: Caller, exchange: ExchangeId) {
         for instance in &mut self.instances {
-            instance
-                .queue
-                .retain(|work| work.caller != caller || work.exchange != exchange);
-            instance
-                .running
-                .retain(|(work, _)| work.caller != caller || work.exchange != exchange);
+            instance.queue.retain(|instance_request| {
+                instance_request.caller != caller || instance_request.exchange != exchange
+            });
+            instance.running.retain(|(instance_request, _)| {
+                instance_request.caller != caller || instance_request.exchange != exchange
+            });
         }
     }
 
-    pub(super) fn begin_fault(&mut self, kind: &FaultKind, lasts: Duration) {
+    pub(super) fn begin_fault(&mut self, kind: &FaultKind, duration: Duration) {
         self.trace(|| format!("{kind:?} begins"));
         match kind {
             FaultKind::KillNode(target) => {
@@ -317,7 +353,7 @@
             }
             FaultKind::SuspendNode(target) => {
                 let index = self.target(*target);
-                self.suspend(index, lasts);
+                self.suspend(index, duration);
             }
             FaultKind::CutNode(target) => {
                 let index = self.target(*target);
@@ -330,37 +366,41 @@
             }
             FaultKind::StopNode(target) => {
                 let index = self.target(*target);
-                self.input((index, self.nodes[index].life), Input::Stop);
+                self.input((index, self.nodes[index].incarnation), Input::Stop);
             }
             FaultKind::KillAllNodes => {
                 (0..self.nodes.len()).for_each(|index| self.kill_node(index))
             }
-            FaultKind::CrashInstance(index) => self.crash(self.occupant(*index)),
-            FaultKind::SilenceInstance(index) => self.silence(self.occupant(*index)),
-            FaultKind::CutInstance(index) => self.cut_instance(self.occupant(*index)),
+            FaultKind::CrashInstance(index) => self.crash(self.sharded_instance_at(*index)),
+            FaultKind::SilenceInstance(index) => self.silence(self.sharded_instance_at(*index)),
+            FaultKind::CutInstance(index) => self.cut_instance(self.sharded_instance_at(*index)),
             FaultKind::CutFromInstances(target) => self.cut_from_instances(*target),
-            FaultKind::IsolateWithCoordinator(place) => self.isolate(self.occupant(*place)),
+            FaultKind::IsolateWithCoordinator(position) => {
+                self.isolate(self.sharded_instance_at(*position))
+            }
             FaultKind::DrainInstance(index) => self.drain(*index),
             FaultKind::LeaveUnannounced(index) => self.leave_unannounced(*index),
-            FaultKind::Leave(place) => self.leave(*place),
-            FaultKind::AskForPause(place) => self.ask_for_pause(*place, lasts),
-            FaultKind::NameLimit(place, millis_per_s) => self.name_limit(*place, *millis_per_s),
-            FaultKind::ForeignEntry(index) => self.spoil_entry(*index),
+            FaultKind::Leave(position) => self.leave(*position),
+            FaultKind::RequestPause(position) => self.start_pause(*position, duration),
+            FaultKind::AnnounceLimit(position, millis_per_s) => {
+                self.announce_limit(*position, *millis_per_s)
+            }
+            FaultKind::ForeignEntry(index) => self.make_entry_unreadable(*index),
             FaultKind::StoreSilent => {
-                self.mood.silent += 1;
-                self.store.waiting.clear();
+                self.store_faults.silent += 1;
+                self.store.pending_watches.clear();
             }
             FaultKind::StoreRestored(_) => {
-                self.mood.silent += 1;
-                self.store.waiting.clear();
-                self.went_away_at = self.now;
+                self.store_faults.silent += 1;
+                self.store.pending_watches.clear();
+                self.restore_outage_started_at = self.now;
             }
-            FaultKind::StoreRefuses => self.mood.refusing += 1,
-            FaultKind::StoreLosesAnswers => self.mood.losing += 1,
-            FaultKind::StoreForgets => self.store.compact(),
+            FaultKind::StoreRefuses => self.store_faults.refusing += 1,
+            FaultKind::StoreLosesAnswers => self.store_faults.losing_answers += 1,
+            FaultKind::StoreCompacts => self.store.compact(),
             FaultKind::OrdersLate => self.orders_late += 1,
             FaultKind::AnswersLost => self.answers_lost += 1,
-            FaultKind::RestartInstance(place) => self.crash_and_restart(*place, lasts),
+            FaultKind::RestartInstance(position) => self.crash_and_restart(*position, duration),
             FaultKind::CrashMany => self.crash_many(),
             FaultKind::CrashInTurn => self.crash_in_turn(),
             FaultKind::Configure => self.configure_next(0),
@@ -394,32 +434,32 @@
             }
             FaultKind::CutNode(_) | FaultKind::CutFromStore(_) => self.heal_nodes(),
             FaultKind::CrashInstance(index) | FaultKind::SilenceInstance(index) => {
-                self.replace(self.occupant(*index));
+                self.replace(self.sharded_instance_at(*index));
             }
             FaultKind::IsolateWithCoordinator(index) | FaultKind::CutInstance(index) => {
                 self.heal_nodes();
-                let index = self.occupant(*index);
-                self.instances[index].heartbeats = !self.left.contains_key(&index);
+                let index = self.sharded_instance_at(*index);
+                self.instances[index].heartbeats = !self.unregistered_since.contains_key(&index);
                 self.network.cut_from_instance.clear();
             }
             FaultKind::CutFromInstances(_) => self.network.cut_from_instance.clear(),
             FaultKind::ForeignEntry(index) => self.restore_entry(*index),
-            FaultKind::NameLimit(place, _) => self.end_limit(*place),
+            FaultKind::AnnounceLimit(position, _) => self.end_limit(*position),
             FaultKind::StoreSilent => {
-                self.mood.silent -= 1;
-                self.mood.returned_at = self.now;
+                self.store_faults.silent -= 1;
+                self.store_faults.recovered_at = self.now;
             }
             FaultKind::StoreRestored(age) => {
-                self.mood.silent -= 1;
-                self.restore_store(self.went_away_at, *age);
+                self.store_faults.silent -= 1;
+                self.restore_store(self.restore_outage_started_at, *age);
             }
             FaultKind::StoreRefuses => {
-                self.mood.refusing -= 1;
-                self.mood.returned_at = self.now;
+                self.store_faults.refusing -= 1;
+                self.store_faults.recovered_at = self.now;
             }
             FaultKind::StoreLosesAnswers => {
-                self.mood.losing -= 1;
-                self.mood.lost_until = self.now;
+                self.store_faults.losing_answers -= 1;
+                self.store_faults.answers_lost_until = self.now;
             }
             FaultKind::StoreRefusesNode(_) => {
                 for index in std::mem::take(&mut self.network.refused_by_store) {
@@ -431,10 +471,10 @@
             FaultKind::DrainInstance(_)
             | FaultKind::LeaveUnannounced(_)
             | FaultKind::Leave(_)
-            | FaultKind::AskForPause(_)
+            | FaultKind::RequestPause(_)
             | FaultKind::FreezeNode(_)
             | FaultKind::SuspendNode(_)
-            | FaultKind::StoreForgets
+            | FaultKind::StoreCompacts
             | FaultKind::Configure
             | FaultKind::ConfigureLarge
             | FaultKind::CrashMany
@@ -444,18 +484,18 @@
     }
 
     /// A machine stands still, and its steady clock with it.
-    fn suspend(&mut self, index: usize, lasts: Duration) {
-        let until = self.now + lasts;
-        let counts = self.settings.clock == ClockSource::SinceBoot;
+    fn suspend(&mut self, index: usize, duration: Duration) {
+        let until = self.now + duration;
+        let clock_runs_while_suspended = self.settings.clock == ClockSource::SinceBoot;
         let simulated = &mut self.nodes[index];
         if simulated.frozen_until > self.now {
             return;
         }
         simulated.frozen_until = until;
         simulated.thawed_at = until;
-        simulated.resumes = true;
-        if !counts {
-            simulated.clock_behind += lasts;
+        simulated.resumed_without_step = true;
+        if !clock_runs_while_suspended {
+            simulated.clock_behind += duration;
         }
     }
 
@@ -467,8 +507,8 @@
     }
 
     /// The instance that has one of the first addresses now.
-    pub(super) fn occupant(&self, place: usize) -> usize {
-        let address = instance_address(place % SHARDED_INSTANCES);
+    pub(super) fn sharded_instance_at(&self, position: usize) -> usize {
+        let address = instance_address(position % SHARDED_INSTANCES);
         self.instances
             .iter()
             .rposition(|instance| instance.record.address == address)
@@ -484,36 +524,36 @@
     }
 
     pub(super) fn crash(&mut self, index: usize) {
-        self.follow_losses(index);
+        self.track_lost_keys(index);
         self.end_instance(index);
     }
 
     fn silence(&mut self, index: usize) {
-        self.follow_losses(index);
-        self.instances[index].dark = true;
+        self.track_lost_keys(index);
+        self.instances[index].unresponsive = true;
         self.instances[index].running.clear();
         self.instances[index].queue.clear();
     }
 
-    fn follow_losses(&mut self, index: usize) {
+    fn track_lost_keys(&mut self, index: usize) {
         let now = self.now;
         let followed: Vec<u16> = self.instances[index]
-            .holds
+            .held_ranges
             .iter()
             .filter(|hold| hold.until > now)
             .flat_map(|hold| {
-                let step = (hold.range.last - hold.range.first) / FOLLOWED_KEYS;
-                (0..FOLLOWED_KEYS).map(move |part| hold.range.first + part * step)
+                let step = (hold.range.last - hold.range.first) / TRACKED_KEYS_PER_RANGE;
+                (0..TRACKED_KEYS_PER_RANGE).map(move |part| hold.range.first + part * step)
             })
             .collect();
-        let loss = |key| Loss { at: now, key };
-        self.losses.extend(followed.into_iter().map(loss));
+        let loss = |key| LostKey { at: now, key };
+        self.lost_keys.extend(followed.into_iter().map(loss));
     }
 
     fn end_instance(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         instance.alive = false;
-        instance.holds.clear();
+        instance.held_ranges.clear();
         instance.running.clear();
         instance.queue.clear();
     }
@@ -561,51 +601,57 @@
     /// The entry of an instance goes for good, while it serves on.
     fn leave_unannounced(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        let well = instance.alive && !instance.dark && instance.heartbeats;
-        if !well || instance.record.draining || self.mood.silent + self.mood.refusing > 0 {
+        let well = instance.alive && !instance.unresponsive && instance.heartbeats;
+        if !well
+            || instance.record.draining
+            || self.store_faults.silent + self.store_faults.refusing > 0
+        {
             return;
         }
         instance.heartbeats = false;
         self.remove_entry(index);
-        self.left.insert(index, self.now);
+        self.unregistered_since.insert(index, self.now);
         self.answer_watches();
-        self.schedule(UNANNOUNCED_LINGER, Event::InstanceEnds(index));
+        self.schedule(END_AFTER_UNANNOUNCED_LEAVE, Event::InstanceEnds(index));
     }
 
     /// Its successor comes at its address.
-    pub(super) fn left_instance_ends(&mut self, index: usize) {
+    pub(super) fn departed_instance_ends(&mut self, index: usize) {
         if self.instances[index].alive {
             self.replace(index);
         }
     }
 
     /// A node that has been in touch with the store knows who has left.
-    fn check_left(&mut self, caller: Caller, instance: usize) {
-        let Some(left) = self.left.get(&instance).copied() else {
+    fn check_unregistered(&mut self, caller: Caller, instance: usize) {
+        let Some(unregistered_since) = self.unregistered_since.get(&instance).copied() else {
             return;
         };
         let node = &self.nodes[caller.0];
-        let touched = node.healed_at.max(node.thawed_at).max(node.started_at);
-        let known_from = (left + DRAIN_BOUND)
-            .max(touched + CONTACT)
-            .max(self.mood.returned_at + CONTACT);
+        let disturbed_at = node.healed_at.max(node.thawed_at).max(node.started_at);
+        let known_from = (unregistered_since + DRAIN_BOUND)
+            .max(disturbed_at + CONTACT_TIME)
+            .max(self.store_faults.recovered_at + CONTACT_TIME);
         let cut = self.network.cut_from_store.contains(&caller.0);
-        let outage = self.mood.silent + self.mood.refusing + self.mood.losing > 0;
+        let outage = self.store_faults.silent
+            + self.store_faults.refusing
+            + self.store_faults.losing_answers
+            > 0;
         if self.now > known_from + LEAVE_SLACK && !cut && !outage {
             let leaving = &self.instances[instance];
             self.checker
-                .worked_while_leaving(caller, leaving, left, self.now);
+                .request_to_leaving(caller, leaving, unregistered_since, self.now);
         }
     }
 
     /// An instance says that it leaves; it ends some time after its bound.
-    fn drain(&mut self, place: usize) {
-        let index = self.occupant(place);
+    fn drain(&mut self, position: usize) {
+        let index = self.sharded_instance_at(position);
         let instance = &mut self.instances[index];
-        if !instance.alive || instance.dark || !instance.heartbeats {
+        if !instance.alive || instance.unresponsive || !instance.heartbeats {
             return;
         }
-        if self.mood.silent + self.mood.refusing > 0 || instance.record.draining {
+        if self.store_faults.silent + self.store_faults.refusing > 0 || instance.record.draining {
             return;
         }
         instance.record.draining = true;
@@ -613,7 +659,7 @@
         self.store.register(record);
         self.leaving.insert(index, self.now);
         self.answer_watches();
-        let end = FaultKind::CrashInstance(place);
-        self.schedule(DRAIN_BOUND + LEAVE_LINGER, Event::FaultEnds(end));
+        let end = FaultKind::CrashInstance(position);
+        self.schedule(DRAIN_BOUND + END_AFTER_DRAIN, Event::FaultEnds(end));
     }
 }
--- a/crates/ledgelead-lab/src/fleet/store.rs
+++ b/crates/ledgelead-lab/src/fleet/store.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 /// Most objects of one page of a list, unless a run says otherwise.
-pub const PAGE: usize = 500;
+pub const PAGE_OBJECTS: usize = 500;
 
 /// How many revisions a stale list may be behind.
 const STALE_REVISIONS: u64 = 12;
 
 /// Who waits for changes.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct PendingWatch {
     /// The node and its life.
     pub caller: (usize, u64),
     /// Its exchange.
@@ -47,19 +47,19 @@
 
 /// Objects as they were at an earlier revision, for lists that may be stale.
 #[derive(Clone)]
-struct Earlier {
+struct StaleView {
     objects: BTreeMap<(ObjectKind, String), Object>,
     revision: u64,
 }
 
 /// The store's state at a time.
 #[derive(Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     revision: u64,
     objects: BTreeMap<(ObjectKind, String), Object>,
     history: Vec<Change>,
-    forgotten: u64,
-    earlier: Option<Earlier>,
+    compacted_revision: u64,
+    stale_view: Option<StaleView>,
 }
 
 #[derive(Clone)]
@@ -75,20 +75,20 @@
     revision: u64,
     objects: BTreeMap<(ObjectKind, String), Object>,
     history: Vec<Change>,
-    forgotten: u64,
-    earlier: Option<Earlier>,
-    page: usize,
+    compacted_revision: u64,
+    stale_view: Option<StaleView>,
+    page_objects: usize,
     /// Rises each time the store comes back from a copy.
     era: u64,
     /// Watches that wait.
-    pub waiting: Vec<Waiting>,
+    pub pending_watches: Vec<PendingWatch>,
 }
 
 impl Store {
     /// An empty store whose lists come in pages of so many objects.
-    pub fn with_page(page: usize) -> Store {
+    pub fn with_page_size(page_objects: usize) -> Store {
         Store {
-            page,
+            page_objects,
             ..Store::default()
         }
     }
@@ -99,24 +99,24 @@
     }
 
     /// The state as it is now.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot {
             revision: self.revision,
             objects: self.objects.clone(),
             history: self.history.clone(),
-            forgotten: self.forgotten,
-            earlier: self.earlier.clone(),
+            compacted_revision: self.compacted_revision,
+            stale_view: self.stale_view.clone(),
         }
     }
 
     /// The state is that of a copy again.
-    pub fn restore(&mut self, copy: StoreCopy) {
-        self.revision = copy.revision;
-        self.objects = copy.objects;
-        self.history = copy.history;
-        self.forgotten = copy.forgotten;
-        self.earlier = copy.earlier;
-        self.waiting.clear();
+    pub fn restore(&mut self, snapshot: StoreSnapshot) {
+        self.revision = snapshot.revision;
+        self.objects = snapshot.objects;
+        self.history = snapshot.history;
+        self.compacted_revision = snapshot.compacted_revision;
+        self.stale_view = snapshot.stale_view;
+        self.pending_watches.clear();
         self.era += 1;
     }
 
@@ -163,13 +163,13 @@
     }
 
     /// Another writer makes or replaces an object, by what can't be read.
-    pub fn spoil(&mut self, kind: ObjectKind, name: &str) {
+    pub fn write_unreadable(&mut self, kind: ObjectKind, name: &str) {
         self.write(kind, name, Err("no such field".to_owned()));
     }
 
     /// The history is forgotten; watches that wait get no more of it.
     pub fn compact(&mut self) {
-        self.forgotten = self.revision;
+        self.compacted_revision = self.revision;
         self.history.clear();
     }
 
@@ -195,7 +195,7 @@
         content: Result<ObjectContent, String>,
     ) -> Object {
         if self.revision.is_multiple_of(STALE_REVISIONS) {
-            self.earlier = Some(Earlier {
+            self.stale_view = Some(StaleView {
                 objects: self.objects.clone(),
                 revision: self.revision,
             });
@@ -241,7 +241,7 @@
                 Outcome::Answer(if exists {
                     StoreAnswer::Conflict
                 } else {
-                    StoreAnswer::Written(self.put(content.kind(), name, unwritten(content)))
+                    StoreAnswer::Written(self.put(content.kind(), name, object_content(content)))
                 })
             }
             StoreCall::Replace {
@@ -265,13 +265,13 @@
         if revision.is_some_and(|revision| revision != object.revision) {
             return StoreAnswer::Conflict;
         }
-        StoreAnswer::Written(self.put(content.kind(), name, unwritten(content)))
+        StoreAnswer::Written(self.put(content.kind(), name, object_content(content)))
     }
 
     fn list(&self, kind: ObjectKind, after: Option<&str>, stale: bool) -> StoreAnswer {
         let after = after.unwrap_or_default();
-        let (listed, revision) = match &self.earlier {
-            Some(earlier) if stale => (&earlier.objects, earlier.revision),
+        let (listed, revision) = match &self.stale_view {
+            Some(stale_view) if stale => (&stale_view.objects, stale_view.revision),
             _ => (&self.objects, self.revision),
         };
         let mut objects: Vec<Object> = listed
@@ -279,8 +279,8 @@
             .filter(|((of, name), _)| *of == kind && name.as_str() > after)
             .map(|(_, object)| object.clone())
             .collect();
-        let more = objects.len() > self.page;
-        objects.truncate(self.page);
+        let more = objects.len() > self.page_objects;
+        objects.truncate(self.page_objects);
         StoreAnswer::Objects {
             objects,
             more,
@@ -290,7 +290,7 @@
 
     /// The changes of a kind after a revision, if there are some.
     pub fn changes(&self, kind: ObjectKind, revision: u64) -> Option<StoreAnswer> {
-        if revision < self.forgotten || revision > self.revision {
+        if revision < self.compacted_revision || revision > self.revision {
             return Some(StoreAnswer::HistoryLost);
         }
         let events: Vec<ObjectEvent> = self
@@ -314,7 +314,7 @@
     }
 }
 
-fn unwritten(content: &WrittenContent) -> ObjectContent {
+fn object_content(content: &WrittenContent) -> ObjectContent {
     match content {
         WrittenContent::Ownership(record) => ObjectContent::Ownership(record.clone()),
         WrittenContent::Node(record) => ObjectContent::Node(record.clone()),
--- a/crates/ledgelead-lab/src/fleet/store_traffic.rs
+++ b/crates/ledgelead-lab/src/fleet/store_traffic.rs
@@ -3,7 +3,7 @@
 
 use super::event::{Caller, Event};
 use super::network::LATENCY;
-use super::store::{Outcome, Waiting};
+use super::store::{Outcome, PendingWatch};
 use super::world::{HEARTBEAT, World, exchanged};
 use ledgelead_router::dialect::{StoreAnswer, StoreCall};
 use ledgelead_router::io::ExchangeId;
@@ -17,16 +17,16 @@
     /// A node calls the store.
     pub(super) fn store_call(&mut self, caller: Caller, exchange: ExchangeId, call: &StoreCall) {
         self.report.store_calls += 1;
-        if self.mood.silent > 0 || !self.pending.contains_key(&(caller, exchange)) {
+        if self.store_faults.silent > 0 || !self.pending.contains_key(&(caller, exchange)) {
             return;
         }
         let is_refused = self.network.refused_by_store.contains(&caller.0);
-        if self.mood.refusing > 0 || is_refused {
+        if self.store_faults.refusing > 0 || is_refused {
             self.store_answers(caller, exchange, StoreAnswer::Refused);
             return;
         }
         let writes = matches!(call, StoreCall::Create { .. } | StoreCall::Replace { .. });
-        if writes && self.mood.losing > 0 && self.rng.random_range(0..3) == 0 {
+        if writes && self.store_faults.losing_answers > 0 && self.rng.random_range(0..3) == 0 {
             let late = Duration::from_millis(self.rng.random_range(0..5_000));
             self.schedule(late, Event::LateWrite(Box::new(call.clone())));
             return;
@@ -38,7 +38,7 @@
                 revision,
                 wait,
             } => {
-                self.store.waiting.push(Waiting {
+                self.store.pending_watches.push(PendingWatch {
                     caller,
                     exchange,
                     kind,
@@ -72,12 +72,12 @@
     pub(super) fn watch_over(&mut self, caller: Caller, exchange: ExchangeId) {
         let position = self
             .store
-            .waiting
+            .pending_watches
             .iter()
-            .position(|waiting| waiting.caller == caller && waiting.exchange == exchange);
+            .position(|watch| watch.caller == caller && watch.exchange == exchange);
         if let Some(position) = position {
-            self.store.waiting.remove(position);
-            if self.mood.silent == 0 {
+            self.store.pending_watches.remove(position);
+            if self.store_faults.silent == 0 {
                 let answer = self.store.no_changes();
                 self.store_answers(caller, exchange, answer);
             }
@@ -86,14 +86,14 @@
 
     /// Answers the watches whose kind has changed.
     pub(super) fn answer_watches(&mut self) {
-        if self.mood.silent > 0 {
+        if self.store_faults.silent > 0 {
             return;
         }
-        let waiting = std::mem::take(&mut self.store.waiting);
-        for watch in waiting {
+        let pending_watches = std::mem::take(&mut self.store.pending_watches);
+        for watch in pending_watches {
             match self.store.changes(watch.kind, watch.revision) {
                 Some(answer) => self.store_answers(watch.caller, watch.exchange, answer),
-                None => self.store.waiting.push(watch),
+                None => self.store.pending_watches.push(watch),
             }
         }
     }
@@ -110,8 +110,11 @@
     /// An instance's entry reaches the store, if that serves it.
     pub(super) fn write_entry(&mut self, index: usize) {
         let instance = &self.instances[index];
-        if instance.heartbeats && !instance.dark && self.mood.silent + self.mood.refusing == 0 {
-            self.last_beat.insert(index, self.now);
+        if instance.heartbeats
+            && !instance.unresponsive
+            && self.store_faults.silent + self.store_faults.refusing == 0
+        {
+            self.last_heartbeat.insert(index, self.now);
             self.registered.entry(index).or_insert(self.now);
             self.store.register(instance.record.clone());
             self.entry_taken(index);
@@ -123,9 +126,9 @@
     pub(super) fn expire_entries(&mut self) {
         let limit = HEARTBEAT * MISSED_HEARTBEATS;
         let gone: Vec<usize> = self
-            .last_beat
+            .last_heartbeat
             .iter()
-            .filter(|(_, beat)| **beat + limit <= self.now)
+            .filter(|(_, heartbeat_at)| **heartbeat_at + limit <= self.now)
             .map(|(index, _)| *index)
             .collect();
         for index in gone {
@@ -136,7 +139,7 @@
     }
 
     pub(super) fn remove_entry(&mut self, index: usize) {
-        self.last_beat.remove(&index);
+        self.last_heartbeat.remove(&index);
         let name = self.instances[index].id().name();
         self.store.remove_instance(name);
     }
--- a/crates/ledgelead-lab/src/fleet/transfers.rs
+++ b/crates/ledgelead-lab/src/fleet/transfers.rs
@@ -40,7 +40,7 @@
         }
         self.transfers.last += 1;
         let client = ClientId(FIRST_NUMBER + self.transfers.last);
-        let to = (receiver, self.nodes[receiver].life);
+        let to = (receiver, self.nodes[receiver].incarnation);
         self.transfers.open.insert((to, client), (caller, exchange));
         let input = Input::PeerRequest { client, request };
         self.schedule(LATENCY, Event::Input(to, input));
--- a/crates/ledgelead-lab/src/fleet/transport.rs
+++ b/crates/ledgelead-lab/src/fleet/transport.rs
@@ -10,7 +10,7 @@
 
 /// When bytes without an acknowledgement are sent again, counted from the first time: each
 /// pause is twice the one before.
-const REPETITIONS: [Duration; 6] = [
+const RETRANSMISSION_TIMES: [Duration; 6] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
     Duration::from_millis(1_400),
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transport {
     /// Whether bytes that a cut holds up are delivered after it.
-    pub holds_bytes: bool,
+    pub retransmits: bool,
     /// Whether an exchange that is broken off takes its bytes back.
     pub resets: bool,
     /// How long bytes are repeated.
@@ -32,15 +32,15 @@
 
 impl Transport {
     /// Cuts lose what is written meanwhile.
-    pub const WITHOUT_MEMORY: Transport = Transport {
-        holds_bytes: false,
+    pub const LOSSY: Transport = Transport {
+        retransmits: false,
         resets: true,
         user_timeout: None,
     };
 
     /// As the product's runtime sets its connections up.
-    pub const OF_RUNTIME: Transport = Transport {
-        holds_bytes: true,
+    pub const RUNTIME: Transport = Transport {
+        retransmits: true,
         resets: transport::RESETS_BROKEN_OFF,
         user_timeout: transport::USER_TIMEOUT,
     };
@@ -48,11 +48,11 @@
 
 /// An order that a kernel holds.
 #[derive(Clone, Debug)]
-pub struct HeldOrder {
+pub struct BlockedOrder {
     pub(super) caller: Caller,
     pub(super) exchange: ExchangeId,
     pub(super) instance: usize,
-    pub(super) meant: InstanceId,
+    pub(super) intended: InstanceId,
     pub(super) order: Order,
     /// When it was written.
     pub(super) sent: Duration,
@@ -60,17 +60,18 @@
 
 impl World {
     /// The kernel sends an order again, and on until it arrives or is given up.
-    pub(super) fn repeat_later(&mut self, held: HeldOrder) {
-        let next = REPETITIONS.iter().map(|after| held.sent + *after);
+    pub(super) fn schedule_retransmission(&mut self, held: BlockedOrder) {
+        let next = RETRANSMISSION_TIMES.iter().map(|after| held.sent + *after);
         if let Some(at) = next.into_iter().find(|at| *at > self.now) {
-            self.schedule_at(at, Event::HeldOrder(Box::new(held)));
+            self.schedule_at(at, Event::BlockedOrder(Box::new(held)));
         }
     }
 
-    pub(super) fn repeat_order(&mut self, held: HeldOrder) {
+    pub(super) fn retransmit_order(&mut self, held: BlockedOrder) {
         let transport = self.settings.transport;
-        let (index, life) = held.caller;
-        let lives = self.nodes[index].life == life && self.nodes[index].node.is_some();
+        let (index, incarnation) = held.caller;
+        let lives =
+            self.nodes[index].incarnation == incarnation && self.nodes[index].node.is_some();
         let is_open = self.pending.contains_key(&(held.caller, held.exchange));
         // Only a process that lives can reset.
         let was_reset = transport.resets && lives && !is_open;
@@ -80,18 +81,18 @@
         }
         if !self
             .network
-            .instance_connected(index, self.living(held.instance))
+            .instance_connected(index, self.current_incarnation(held.instance))
         {
-            self.repeat_later(held);
+            self.schedule_retransmission(held);
             return;
         }
         let exchange = Some(held.exchange);
-        let instance = self.living(held.instance);
+        let instance = self.current_incarnation(held.instance);
         self.order_arrives(
             (held.caller, held.sent),
             exchange,
             instance,
-            &held.meant,
+            &held.intended,
             held.order,
         );
     }
--- a/crates/ledgelead-lab/src/fleet/versions.rs
+++ b/crates/ledgelead-lab/src/fleet/versions.rs
@@ -20,7 +20,7 @@
 /// (12 of 1,100 bytes, some 115 bytes a route).
 pub(super) const LARGE_VERSION_ROUTES: usize = 390;
 /// Time without trouble after which a node counts as in touch with the store.
-pub(super) const CONTACT: Duration = Duration::from_secs(3);
+pub(super) const CONTACT_TIME: Duration = Duration::from_secs(3);
 /// The longest time from a refusal to a version that follows on it.
 const VERSION_AFTER: Duration = Duration::from_millis(2_500);
 /// By how much each version exceeds the one before.
@@ -62,7 +62,7 @@
     }
 
     /// The newest version that has to be in force by now.
-    fn due_in_force(&self, now: Duration) -> Option<u64> {
+    fn check_due_version(&self, now: Duration) -> Option<u64> {
         let is_due = |(at, _): &&(Duration, u64)| *at + CONFIGURATION_BOUND <= now;
         let last = self.acknowledged.iter().rfind(is_due);
         last.map(|(_, version)| *version)
@@ -81,12 +81,12 @@
         let mut schedule = Schedule::default();
         for _ in 0..rng.random_range(1..4) {
             let at = draw_time(rng, from, to);
-            let lasts = draw_length(rng);
+            let duration = draw_length(rng);
             let refused = FaultKind::StoreRefusesNode;
-            schedule = schedule.and(at, lasts, refused(Target::Coordinator));
+            schedule = schedule.and(at, duration, refused(Target::Coordinator));
             for _ in 0..rng.random_range(0..3) {
                 let node = Target::Node(rng.random_range(0..nodes));
-                schedule = schedule.and(at, lasts, refused(node));
+                schedule = schedule.and(at, duration, refused(node));
             }
             for _ in 0..rng.random_range(1..4) {
                 let after = VERSION_AFTER.mul_f64(rng.random_range(0.0..1.0));
@@ -112,13 +112,13 @@
     /// Each node in touch has every version that was acknowledged long enough ago.
     pub(super) fn check_versions(&mut self) {
         let now = self.now;
-        let Some(due) = self.versions.due_in_force(now) else {
+        let Some(due) = self.versions.check_due_version(now) else {
             return;
         };
         for index in 0..self.nodes.len() {
             if self.is_in_touch(index) {
-                let caller = (index, self.nodes[index].life);
-                self.checker.due_in_force(caller, due, now);
+                let caller = (index, self.nodes[index].incarnation);
+                self.checker.check_due_version(caller, due, now);
             }
         }
     }
@@ -130,7 +130,7 @@
             .node
             .as_ref()
             .is_some_and(|node| !node.is_stopping());
-        let mood = &self.mood;
+        let store_faults = &self.store_faults;
         let is_cut = self.network.cut_from_store.contains(&index)
             || self.network.cut_from_nodes.contains(&index)
             || self.network.refused_by_store.contains(&index);
@@ -139,13 +139,15 @@
             simulated.thawed_at,
             simulated.healed_at,
             simulated.refused_until,
-            mood.returned_at,
-            mood.lost_until,
+            store_faults.recovered_at,
+            store_faults.answers_lost_until,
         ];
         let is_calm = disturbed_until
             .into_iter()
-            .all(|until| until + CONTACT <= self.now);
-        runs && !is_cut && is_calm && mood.silent + mood.refusing + mood.losing == 0
+            .all(|until| until + CONTACT_TIME <= self.now);
+        runs && !is_cut
+            && is_calm
+            && store_faults.silent + store_faults.refusing + store_faults.losing_answers == 0
     }
 }
 
--- a/crates/ledgelead-lab/src/fleet/world.rs
+++ b/crates/ledgelead-lab/src/fleet/world.rs
@@ -3,7 +3,7 @@
 use super::checker::{Checker, Violation};
 use super::crashing::{Crashing, CrashingRequest};
 use super::dialect::{TicketDialect, Tickets};
-use super::eras::Copies;
+use super::eras::Snapshots;
 use super::event::{Caller, Event, Scheduled};
 use super::faults::{Fault, Schedule, Target};
 use super::instance::Instance;
@@ -12,7 +12,7 @@
 use super::notices::Notices;
 use super::report::FleetReport;
 use super::store::Store;
-use super::transport::{HeldOrder, Transport};
+use super::transport::{BlockedOrder, Transport};
 use super::versions::{CONFIGURATION_BOUND, VERSION_CHECK_INTERVAL, Versions};
 use ledgelead_http::{Request, Response};
 use ledgelead_router::directory::InstanceRecord;
@@ -86,12 +86,12 @@
     /// Requests that crash the instances which run them.
     pub crashing: Vec<CrashingRequest>,
     /// Whether instances tell when they were started.
-    pub tells_births: bool,
+    pub reports_start_times: bool,
     /// Whether instances that leave say so in their answers as well. Without that the other
     /// protections are judged alone.
-    pub tells_leaving: bool,
+    pub reports_leaving_in_responses: bool,
     /// Most objects of one page of the store's lists.
-    pub page: usize,
+    pub page_objects: usize,
     /// Whether faults, orders and records are printed.
     pub trace: bool,
     /// Protections of the nodes.
@@ -101,13 +101,13 @@
 /// One node.
 pub(super) struct SimulatedNode {
     pub(super) node: Option<Node>,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) frozen_until: Duration,
     pub(super) thawed_at: Duration,
     /// By how much its clock is behind, since that stood still.
     pub(super) clock_behind: Duration,
     /// Whether it has done nothing since it was suspended.
-    pub(super) resumes: bool,
+    pub(super) resumed_without_step: bool,
     /// When its last cut from the store ended.
     pub(super) healed_at: Duration,
     /// Until when the store refused its calls.
@@ -118,21 +118,21 @@
 }
 
 /// A lost hold whose keys have to be held again.
-pub(super) struct Loss {
+pub(super) struct LostKey {
     pub(super) at: Duration,
     pub(super) key: u16,
 }
 
 /// How the store behaves.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StoreMood {
+pub(super) struct StoreFaults {
     pub(super) silent: u32,
     pub(super) refusing: u32,
-    pub(super) losing: u32,
+    pub(super) losing_answers: u32,
     /// When the last outage ended.
-    pub(super) returned_at: Duration,
+    pub(super) recovered_at: Duration,
     /// Until when answers were lost.
-    pub(super) lost_until: Duration,
+    pub(super) answers_lost_until: Duration,
 }
 
 /// The world.
@@ -147,28 +147,28 @@
     /// The same for requests that crash instances.
     pub(super) crash_rng: Pcg64Mcg,
     /// The same for the clocks of instances that start again.
-    pub(super) birth_rng: Pcg64Mcg,
+    pub(super) start_time_rng: Pcg64Mcg,
     /// The same for the pauses that instances ask for.
     pub(super) notice_rng: Pcg64Mcg,
     pub(super) notices: Notices,
     pub(super) limits: Limits,
-    pub(super) copies: Copies,
+    pub(super) snapshots: Snapshots,
     /// When the store last went away to come back from a copy.
-    pub(super) went_away_at: Duration,
+    pub(super) restore_outage_started_at: Duration,
     /// When the entry of each instance was written first.
     pub(super) registered: HashMap<usize, Duration>,
     pub(super) crashing: Vec<Crashing>,
     pub(super) crashing_tries: u64,
     pub(super) nodes: Vec<SimulatedNode>,
     pub(super) store: Store,
-    pub(super) mood: StoreMood,
+    pub(super) store_faults: StoreFaults,
     pub(super) instances: Vec<Instance>,
-    pub(super) last_beat: BTreeMap<usize, Duration>,
+    pub(super) last_heartbeat: BTreeMap<usize, Duration>,
     pub(super) leaving: HashMap<usize, Duration>,
     /// Instances that left without a word, and since when.
-    pub(super) left: HashMap<usize, Duration>,
+    pub(super) unregistered_since: HashMap<usize, Duration>,
     /// Those among them whose entry another writer has replaced for a while.
-    pub(super) spoiled: BTreeSet<usize>,
+    pub(super) unreadable_entries: BTreeSet<usize>,
     pub(super) network: Network,
     pub(super) tickets: Rc<RefCell<Tickets>>,
     pub(super) pending: HashMap<(Caller, ExchangeId), Duration>,
@@ -177,7 +177,7 @@
     pub(super) versions: Versions,
     pub(super) checker: Checker,
     pub(super) report: FleetReport,
-    pub(super) losses: Vec<Loss>,
+    pub(super) lost_keys: Vec<LostKey>,
     pub(super) clients: super::clients::Clients,
     pub(super) transfers: super::transfers::Transfers,
 }
@@ -192,12 +192,12 @@
             rng: Pcg64Mcg::seed_from_u64(settings.seed),
             datagram_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xda7a),
             crash_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xc4a5),
-            birth_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xb04a),
+            start_time_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xb04a),
             notice_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0x5a1d),
             notices: Notices::default(),
             limits: Limits::default(),
-            copies: Copies::default(),
-            went_away_at: Duration::ZERO,
+            snapshots: Snapshots::default(),
+            restore_outage_started_at: Duration::ZERO,
             registered: HashMap::new(),
             crashing: settings
                 .crashing
@@ -206,13 +206,13 @@
                 .collect(),
             crashing_tries: 0,
             nodes: Vec::new(),
-            store: Store::with_page(settings.page),
-            mood: StoreMood::default(),
+            store: Store::with_page_size(settings.page_objects),
+            store_faults: StoreFaults::default(),
             instances: Vec::new(),
-            last_beat: BTreeMap::new(),
+            last_heartbeat: BTreeMap::new(),
             leaving: HashMap::new(),
-            left: HashMap::new(),
-            spoiled: BTreeSet::new(),
+            unregistered_since: HashMap::new(),
+            unreadable_entries: BTreeSet::new(),
             network: Network::default(),
             tickets: Rc::default(),
             pending: HashMap::new(),
@@ -221,7 +221,7 @@
             versions: Versions::new(!settings.crashing.is_empty()),
             checker: Checker::default(),
             report: FleetReport::default(),
-            losses: Vec::new(),
+            lost_keys: Vec::new(),
             clients: super::clients::Clients::default(),
             transfers: super::transfers::Transfers::default(),
             settings,
@@ -249,11 +249,11 @@
         for index in 0..self.settings.nodes {
             self.nodes.push(SimulatedNode {
                 node: None,
-                life: 0,
+                incarnation: 0,
                 frozen_until: Duration::ZERO,
                 thawed_at: Duration::ZERO,
                 clock_behind: Duration::ZERO,
-                resumes: false,
+                resumed_without_step: false,
                 healed_at: Duration::ZERO,
                 refused_until: Duration::ZERO,
                 started_at: Duration::ZERO,
@@ -265,10 +265,10 @@
         self.schedule(HEARTBEAT, Event::ExpireEntries);
         self.schedule(TRAFFIC_FROM, Event::Client);
         self.schedule(VERSION_CHECK_INTERVAL, Event::CheckVersions);
-        self.schedule_copies();
-        for Fault { at, lasts, kind } in self.settings.schedule.0.clone() {
-            self.schedule_at(at, Event::Fault(kind.clone(), lasts));
-            self.schedule_at(at + lasts, Event::FaultEnds(kind));
+        self.schedule_snapshots();
+        for Fault { at, duration, kind } in self.settings.schedule.0.clone() {
+            self.schedule_at(at, Event::Fault(kind.clone(), duration));
+            self.schedule_at(at + duration, Event::FaultEnds(kind));
         }
     }
 
@@ -278,7 +278,7 @@
         let zone = format!("zone-{}", index % 3);
         let sharded = service == SHARDED;
         let record = InstanceRecord {
-            id: self.life_of(&format!("i-{index}")),
+            id: self.new_incarnation_id(&format!("i-{index}")),
             service: ServiceName::from(service),
             address: instance_address(index),
             zone: ZoneName::from(zone.as_str()),
@@ -286,8 +286,9 @@
             draining: false,
             warmup_left: Duration::ZERO,
         };
-        let work = Duration::from_millis(self.rng.random_range(15..45));
-        self.instances.push(Instance::new(record, sharded, work));
+        let service_time = Duration::from_millis(self.rng.random_range(15..45));
+        self.instances
+            .push(Instance::new(record, sharded, service_time));
         let delay = Duration::from_millis(self.rng.random_range(0..1_000));
         self.schedule(delay, Event::Heartbeat(index));
     }
@@ -300,14 +301,14 @@
                 break;
             }
             self.now = next.at;
-            self.happen(next.event);
+            self.handle_event(next.event);
         }
         self.finish(end)
     }
 
     fn finish(mut self, end: Duration) -> FleetReport {
         // Keys that nobody held at the end count as lost until then.
-        for loss in std::mem::take(&mut self.losses) {
+        for loss in std::mem::take(&mut self.lost_keys) {
             self.report.unserved.0.push(end - loss.at);
         }
         let epochs = self.nodes.iter().filter_map(|simulated| {
@@ -340,7 +341,7 @@
         });
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Start(index) => self.start_node(index),
             Event::Deadline(caller) => self.deadline(caller),
@@ -365,34 +366,36 @@
                 caller,
                 exchange,
                 instance,
-                meant,
+                intended,
                 sent,
                 order,
             } => {
-                let instance = self.living(instance);
-                self.order_arrives((caller, sent), exchange, instance, &meant, order);
+                let instance = self.current_incarnation(instance);
+                self.order_arrives((caller, sent), exchange, instance, &intended, order);
+            }
+            Event::BlockedOrder(held) => self.retransmit_order(*held),
+            Event::RequestDone(instance, instance_request) => {
+                self.request_done(instance, &instance_request)
             }
-            Event::HeldOrder(held) => self.repeat_order(*held),
-            Event::WorkDone(instance, work) => self.work_done(instance, &work),
             Event::Heartbeat(index) => self.heartbeat(index),
-            Event::InstanceEnds(index) => self.left_instance_ends(index),
+            Event::InstanceEnds(index) => self.departed_instance_ends(index),
             Event::ExpireEntries => self.expire_entries(),
             Event::InstanceReturns(index) => self.instance_returns(index),
             Event::InstanceRestarts(index) => self.restart(index),
-            Event::InstanceCrashes(index) => self.crash_with_work(index),
-            Event::CrashingClient(number) => self.crashing_client_asks(number),
+            Event::InstanceCrashes(index) => self.crash_and_fail_requests(index),
+            Event::CrashingClient(number) => self.send_crashing_request(number),
             Event::Client => {
-                self.client_asks();
+                self.send_client_request();
                 let jitter = Duration::from_micros(self.rng.random_range(0..4_000));
                 self.schedule(CLIENT_INTERVAL + jitter, Event::Client);
             }
-            Event::CopyStore => self.copy_store(),
-            Event::OperatorWritesAgain => self.operator_writes_again(),
+            Event::TakeSnapshot => self.take_snapshot(),
+            Event::OperatorRewrites => self.rewrite_configuration(),
             Event::CheckVersions => {
                 self.check_versions();
                 self.schedule(VERSION_CHECK_INTERVAL, Event::CheckVersions);
             }
-            Event::Fault(kind, lasts) => self.begin_fault(&kind, lasts),
+            Event::Fault(kind, duration) => self.begin_fault(&kind, duration),
             Event::FaultEnds(kind) => self.end_fault(&kind),
         }
     }
@@ -402,11 +405,11 @@
         if self.nodes[index].node.is_some() {
             return;
         }
-        let life = self.nodes[index].life + 1;
+        let incarnation = self.nodes[index].incarnation + 1;
         let settings = NodeSettings {
             identity: NodeIdentity {
                 node: NodeName::from(format!("node-{index}").as_str()),
-                incarnation: life * 1_000 + index as u64,
+                incarnation: incarnation * 1_000 + index as u64,
             },
             zone: ZoneName::from(format!("zone-{}", index % 3).as_str()),
             peer_address: node_address(index),
@@ -430,25 +433,25 @@
         };
         let dialect = Box::new(TicketDialect::new(self.tickets.clone()));
         let simulated = &mut self.nodes[index];
-        simulated.life = life;
+        simulated.incarnation = incarnation;
         simulated.started_at = self.now;
         simulated.frozen_until = Duration::ZERO;
         simulated.deadline = None;
         simulated.clock_behind = Duration::ZERO;
-        simulated.resumes = false;
+        simulated.resumed_without_step = false;
         simulated.node = Some(Node::new(settings, dialect, self.now));
-        self.input((index, life), Input::Deadline);
+        self.input((index, incarnation), Input::Deadline);
     }
 
     /// A node's process ends at once.
     pub(super) fn kill_node(&mut self, index: usize) {
-        let life = self.nodes[index].life;
+        let incarnation = self.nodes[index].incarnation;
         self.nodes[index].node = None;
         self.pending.retain(|((node, _), _), _| *node != index);
         self.store
-            .waiting
-            .retain(|waiting| waiting.caller.0 != index);
-        self.clients.node_lost((index, life));
+            .pending_watches
+            .retain(|watch| watch.caller.0 != index);
+        self.clients.node_lost((index, incarnation));
     }
 
     fn deadline(&mut self, caller: Caller) {
@@ -464,7 +467,7 @@
     /// Passes an input to a node, and carries out what it wants.
     pub(super) fn input(&mut self, caller: Caller, input: Input) {
         let simulated = &mut self.nodes[caller.0];
-        if simulated.life != caller.1 || simulated.node.is_none() {
+        if simulated.incarnation != caller.1 || simulated.node.is_none() {
             return;
         }
         if simulated.frozen_until > self.now {
@@ -477,7 +480,7 @@
         };
         let mut actions = Vec::new();
         let time = self.now - simulated.clock_behind;
-        if std::mem::take(&mut simulated.resumes) && node.next_deadline() <= time {
+        if std::mem::take(&mut simulated.resumed_without_step) && node.next_deadline() <= time {
             // What is due comes before what waited.
             node.step(Input::Deadline, time, &mut actions);
         }
@@ -497,7 +500,8 @@
             self.schedule_at(deadline, Event::Deadline(caller));
         }
         if let Some(version) = version {
-            self.checker.in_force(caller, version, self.now);
+            self.checker
+                .configuration_applied(caller, version, self.now);
         }
         for action in actions {
             self.perform(caller, action);
@@ -544,7 +548,7 @@
             from: node_address(caller.0),
             bytes,
         };
-        let to = (receiver, self.nodes[receiver].life);
+        let to = (receiver, self.nodes[receiver].incarnation);
         self.schedule(LATENCY + delay, Event::Input(to, input));
     }
 
@@ -555,9 +559,9 @@
     fn cancel(&mut self, caller: Caller, exchange: ExchangeId) {
         self.pending.remove(&(caller, exchange));
         self.store
-            .waiting
-            .retain(|waiting| waiting.caller != caller || waiting.exchange != exchange);
-        self.drop_work(caller, exchange);
+            .pending_watches
+            .retain(|watch| watch.caller != caller || watch.exchange != exchange);
+        self.drop_requests(caller, exchange);
     }
 
     fn exchange(
@@ -586,16 +590,16 @@
             self.ask_node(caller, exchange, receiver, request);
             return;
         }
-        let instance = self.live_at(address);
+        let instance = self.running_instance_at(address);
         match instance {
             Some(instance) if self.network.instance_connected(caller.0, instance) => {
                 self.reach_instance(caller, exchange, instance, request);
             }
             Some(instance) => {
-                let held = self.held_order(caller, exchange, instance, &request);
+                let held = self.blocked_order(caller, exchange, instance, &request);
                 match held {
                     // On a kept connection; its end is that of the exchange's time.
-                    Some(held) => self.repeat_later(held),
+                    Some(held) => self.schedule_retransmission(held),
                     None => self.not_connected(caller, exchange, options.connect_timeout),
                 }
             }
@@ -607,22 +611,22 @@
     }
 
     /// An order that was written into a cut, if kernels hold such bytes.
-    fn held_order(
+    fn blocked_order(
         &self,
         caller: Caller,
         exchange: ExchangeId,
         instance: usize,
         request: &Request,
-    ) -> Option<HeldOrder> {
-        if !self.settings.transport.holds_bytes {
+    ) -> Option<BlockedOrder> {
+        if !self.settings.transport.retransmits {
             return None;
         }
-        let (meant, order) = self.tickets.borrow_mut().take_order(request)?;
-        Some(HeldOrder {
+        let (intended, order) = self.tickets.borrow_mut().take_order(request)?;
+        Some(BlockedOrder {
             caller,
             exchange,
             instance,
-            meant,
+            intended,
             order,
             sent: self.now,
         })
@@ -639,9 +643,9 @@
         self.pending.insert((caller, exchange), self.now + timeout);
         let is_reached = |instance: usize| {
             let connected = self.network.instance_connected(caller.0, instance);
-            connected && !self.instances[instance].dark
+            connected && !self.instances[instance].unresponsive
         };
-        let (after, result) = match self.live_at(address) {
+        let (after, result) = match self.running_instance_at(address) {
             Some(instance) if is_reached(instance) => (LATENCY * 2, Ok(Response::new(200, ""))),
             Some(_) => (timeout, Err(ExchangeFailure::NotConnected)),
             None => (LATENCY * 2, Err(ExchangeFailure::Refused)),
@@ -651,7 +655,7 @@
     }
 
     /// The instance that has an address now.
-    pub(super) fn live_at(&self, address: SocketAddr) -> Option<usize> {
+    pub(super) fn running_instance_at(&self, address: SocketAddr) -> Option<usize> {
         self.instances
             .iter()
             .rposition(|instance| instance.record.address == address && instance.alive)
@@ -664,14 +668,14 @@
         instance: usize,
         request: Request,
     ) {
-        if self.instances[instance].dark {
+        if self.instances[instance].unresponsive {
             let wait = Duration::from_millis(250);
             self.not_connected(caller, exchange, wait);
             return;
         }
         let order = self.tickets.borrow_mut().take_order(&request);
         match order {
-            Some((meant, order)) => self.send_order(caller, exchange, instance, meant, order),
+            Some((intended, order)) => self.send_order(caller, exchange, instance, intended, order),
             None => {
                 let until = self.pending[&(caller, exchange)];
                 let event = Event::Request(caller, exchange, instance, Box::new(request), until);
--- a/crates/ledgelead-lab/tests/fleet.rs
+++ b/crates/ledgelead-lab/tests/fleet.rs
@@ -3,7 +3,7 @@
 //! each protection that is turned off.
 
 use googletest::prelude::*;
-use ledgelead_lab::fleet::command::{NODES, drawn, drawn_for, play};
+use ledgelead_lab::fleet::command::{NODES, drawn, drawn_for, run_seeds};
 use ledgelead_lab::fleet::{
     FaultKind, FleetReport, FleetSettings, Schedule, Target, ViolationKind, World,
 };
@@ -71,14 +71,14 @@
 fn relayed_changes_of_instances_spare_the_store() {
     // Hot keys move, so the record is written between the changes of instances
     // and raises the store's revision as well.
-    let drain = |place| {
-        let at = seconds(16.0 + 4.0 * place as f64);
-        (at, seconds(3.0), FaultKind::DrainInstance(place))
+    let drain = |position| {
+        let at = seconds(16.0 + 4.0 * position as f64);
+        (at, seconds(3.0), FaultKind::DrainInstance(position))
     };
     let schedule = (0..6)
         .map(drain)
-        .fold(Schedule::default(), |schedule, (at, lasts, kind)| {
-            schedule.and(at, lasts, kind)
+        .fold(Schedule::default(), |schedule, (at, duration, kind)| {
+            schedule.and(at, duration, kind)
         });
     let busy = |nodes| FleetSettings {
         hot_from: Some(seconds(12.0)),
@@ -109,7 +109,7 @@
 
 #[gtest]
 fn drawn_faults_break_nothing() {
-    let (report, lines) = play(drawn_for, 1..=60, NODES, Protections::default(), false);
+    let (report, lines) = run_seeds(drawn_for, 1..=60, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
     expect_that!(report.answered as f64 / report.requests as f64, gt(0.9));
 }
@@ -119,7 +119,7 @@
 
 #[gtest]
 fn drawn_faults_break_nothing_where_broadcasts_are_passed_on() {
-    let (report, lines) = play(drawn_for, 1..=24, MANY_NODES, Protections::default(), false);
+    let (report, lines) = run_seeds(drawn_for, 1..=24, MANY_NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
     expect_that!(report.answered as f64 / report.requests as f64, gt(0.9));
 }
@@ -133,8 +133,8 @@
     };
     let schedule = (0..MANY_NODES)
         .map(freeze)
-        .fold(Schedule::default(), |schedule, (at, lasts, kind)| {
-            schedule.and(at, lasts, kind)
+        .fold(Schedule::default(), |schedule, (at, duration, kind)| {
+            schedule.and(at, duration, kind)
         })
         .and(seconds(12.0), seconds(3.0), FaultKind::DrainInstance(1))
         .and(seconds(18.0), seconds(3.0), FaultKind::DrainInstance(2))
@@ -153,7 +153,7 @@
 fn a_write_that_is_served_again_renews_the_watch_on_instances() {
     // A coordinator that was cut off writes the record while its watch on
     // instances still waits where nobody answers; an instance left meanwhile.
-    let (_, lines) = play(drawn_for, 129..=129, NODES, Protections::default(), false);
+    let (_, lines) = run_seeds(drawn_for, 129..=129, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
@@ -231,10 +231,18 @@
     // Some nodes, the coordinator among them, lose the way to owners that just
     // said that they leave.
     let mut schedule = Schedule::default();
-    for place in 0..4 {
+    for position in 0..4 {
         schedule = schedule
-            .and(seconds(15.4), seconds(3.0), FaultKind::DrainInstance(place))
-            .and(seconds(15.51), seconds(8.0), FaultKind::CutInstance(place));
+            .and(
+                seconds(15.4),
+                seconds(3.0),
+                FaultKind::DrainInstance(position),
+            )
+            .and(
+                seconds(15.51),
+                seconds(8.0),
+                FaultKind::CutInstance(position),
+            );
     }
     expect_protected(
         &schedule,
@@ -266,7 +274,7 @@
     )
     .and(seconds(18.0), seconds(1.0), FaultKind::LeaveUnannounced(1))
     .and(seconds(18.0), seconds(1.0), FaultKind::LeaveUnannounced(8))
-    .and(seconds(21.0), seconds(1.0), FaultKind::StoreForgets);
+    .and(seconds(21.0), seconds(1.0), FaultKind::StoreCompacts);
     let report = run(schedule, Protections::default());
     expect_that!(report.violations, is_empty());
 }
--- a/crates/ledgelead-lab/tests/fleet_crashing.rs
+++ b/crates/ledgelead-lab/tests/fleet_crashing.rs
@@ -17,7 +17,7 @@
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::ViolationKind;
-use ledgelead_lab::fleet::command::{NODES, drawn_crashing, play};
+use ledgelead_lab::fleet::command::{NODES, drawn_crashing, run_seeds};
 use ledgelead_router::protections::{Protection, Protections};
 
 /// Nodes of a run whose zones are large enough for broadcasts to be passed on.
@@ -25,13 +25,13 @@
 
 #[gtest]
 fn a_request_that_crashes_instances_reaches_few_after_the_third() {
-    let (_, lines) = play(drawn_crashing, 1..=80, NODES, Protections::default(), false);
+    let (_, lines) = run_seeds(drawn_crashing, 1..=80, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
 fn a_request_that_crashes_instances_reaches_few_of_many_nodes() {
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_crashing,
         1..=20,
         MANY_NODES,
@@ -44,7 +44,7 @@
 /// How often runs with a protection turned off break each of the two promises: that such a
 /// request reaches few instances, and that no harmless one is held back.
 fn broken(without: Protection, seeds: std::ops::RangeInclusive<u64>) -> (usize, usize) {
-    let (report, _) = play(
+    let (report, _) = run_seeds(
         drawn_crashing,
         seeds,
         NODES,
--- a/crates/ledgelead-lab/tests/fleet_cuts.rs
+++ b/crates/ledgelead-lab/tests/fleet_cuts.rs
@@ -11,13 +11,13 @@
 //! 18.817 s is 6.2 s, TCP's fifth repetition, after a grant of 12.6 s.
 
 use googletest::prelude::*;
-use ledgelead_lab::fleet::command::{NODES, drawn_cuts, play};
+use ledgelead_lab::fleet::command::{NODES, drawn_cuts, run_seeds};
 use ledgelead_lab::fleet::{FleetReport, FleetSettings, Transport, World};
 use ledgelead_router::protections::Protections;
 
 #[gtest]
 fn orders_that_a_cut_holds_up_give_no_keys_two_owners() {
-    let (_, lines) = play(drawn_cuts, 1..=200, NODES, Protections::default(), false);
+    let (_, lines) = run_seeds(drawn_cuts, 1..=200, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
@@ -31,7 +31,7 @@
     let closes = Transport {
         resets: false,
         user_timeout: None,
-        ..Transport::OF_RUNTIME
+        ..Transport::RUNTIME
     };
     expect_that!(played(10, closes).violations, not(is_empty()));
 }
--- a/crates/ledgelead-lab/tests/fleet_foreign.rs
+++ b/crates/ledgelead-lab/tests/fleet_foreign.rs
@@ -2,7 +2,7 @@
 //! gets nothing more, and the others hold, also where they leave meanwhile.
 
 use googletest::prelude::*;
-use ledgelead_lab::fleet::command::{NODES, drawn, drawn_foreign, play};
+use ledgelead_lab::fleet::command::{NODES, drawn, drawn_foreign, run_seeds};
 use ledgelead_lab::fleet::{FaultKind, FleetSettings, Schedule, ViolationKind, World};
 use ledgelead_router::protections::{Protection, Protections};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const MANY_NODES: usize = 21;
 
 fn kinds(protection: Protection) -> Vec<ViolationKind> {
-    let (report, _) = play(
+    let (report, _) = run_seeds(
         drawn_foreign,
         1..=20,
         NODES,
@@ -23,13 +23,13 @@
 
 #[gtest]
 fn foreign_entries_break_nothing() {
-    let (_, lines) = play(drawn_foreign, 1..=60, NODES, Protections::default(), false);
+    let (_, lines) = run_seeds(drawn_foreign, 1..=60, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
 fn foreign_entries_break_nothing_where_broadcasts_are_passed_on() {
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_foreign,
         1..=16,
         MANY_NODES,
@@ -53,7 +53,7 @@
 fn a_drain_is_known_to_nodes_that_start_without_a_coordinator() {
     // All nodes are killed and an instance begins to drain meanwhile; three of them sent it
     // work 2.7 s later, by lists that were older than that.
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_foreign,
         279..=279,
         NODES,
@@ -99,7 +99,7 @@
 #[gtest]
 fn the_checker_sees_work_by_a_first_list_that_nothing_confirms() {
     let protections = Protections::without(Protection::ConfirmedView);
-    let (report, _) = play(drawn_foreign, 279..=279, NODES, protections, false);
+    let (report, _) = run_seeds(drawn_foreign, 279..=279, NODES, protections, false);
     let found: Vec<ViolationKind> = report.violations.iter().map(|found| found.kind).collect();
     expect_that!(found, contains(eq(&ViolationKind::NoNewWorkAfterLeave)));
 }
--- a/crates/ledgelead-lab/tests/fleet_limits.rs
+++ b/crates/ledgelead-lab/tests/fleet_limits.rs
@@ -2,7 +2,7 @@
 //! of instances and the store fail meanwhile.
 
 use googletest::prelude::*;
-use ledgelead_lab::fleet::command::{NODES, drawn_for, drawn_limits, play};
+use ledgelead_lab::fleet::command::{NODES, drawn_for, drawn_limits, run_seeds};
 use ledgelead_lab::fleet::{
     FaultKind, FleetSettings, SHARDED_INSTANCES, Schedule, TRAFFIC_FROM, ViolationKind, World,
 };
@@ -18,13 +18,13 @@
 
 #[gtest]
 fn instances_get_no_more_of_all_nodes_than_the_limits_that_they_name() {
-    let (_, lines) = play(drawn_limits, 1..=40, NODES, Protections::default(), false);
+    let (_, lines) = run_seeds(drawn_limits, 1..=40, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
 fn limits_are_kept_by_many_nodes() {
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_limits,
         1..=12,
         MANY_NODES,
@@ -39,8 +39,12 @@
 fn used_share(seed: u64, millis_per_s: u32) -> f64 {
     let drawn = drawn_for(seed, NODES, Protections::default());
     let begins = TRAFFIC_FROM + Duration::from_secs(4);
-    let name = |schedule: Schedule, place| {
-        schedule.and(begins, NAMED, FaultKind::NameLimit(place, millis_per_s))
+    let name = |schedule: Schedule, position| {
+        schedule.and(
+            begins,
+            NAMED,
+            FaultKind::AnnounceLimit(position, millis_per_s),
+        )
     };
     let settings = FleetSettings {
         schedule: (0..SHARDED_INSTANCES).fold(Schedule::default(), name),
@@ -64,7 +68,7 @@
 
 fn kinds(protection: Protection) -> Vec<ViolationKind> {
     let protections = Protections::without(protection);
-    let (report, _) = play(drawn_limits, 1..=10, NODES, protections, false);
+    let (report, _) = run_seeds(drawn_limits, 1..=10, NODES, protections, false);
     report.violations.iter().map(|found| found.kind).collect()
 }
 
--- a/crates/ledgelead-lab/tests/fleet_notices.rs
+++ b/crates/ledgelead-lab/tests/fleet_notices.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::ViolationKind;
-use ledgelead_lab::fleet::command::{NODES, drawn_notices, play};
+use ledgelead_lab::fleet::command::{NODES, drawn_notices, run_seeds};
 use ledgelead_router::protections::{Protection, Protections};
 
 /// Nodes of a run whose zones are large enough for broadcasts to be passed on.
@@ -11,20 +11,20 @@
 
 fn kinds(protection: Protection) -> Vec<ViolationKind> {
     let protections = Protections::without(protection);
-    let (report, _) = play(drawn_notices, 1..=10, NODES, protections, false);
+    let (report, _) = run_seeds(drawn_notices, 1..=10, NODES, protections, false);
     report.violations.iter().map(|found| found.kind).collect()
 }
 
 #[gtest]
 fn what_instances_say_in_answers_is_heeded() {
-    let (report, lines) = play(drawn_notices, 1..=60, NODES, Protections::default(), false);
+    let (report, lines) = run_seeds(drawn_notices, 1..=60, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
     expect_that!(report.answered as f64 / report.requests as f64, gt(0.9));
 }
 
 #[gtest]
 fn what_instances_say_is_heeded_where_broadcasts_are_passed_on() {
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_notices,
         1..=16,
         MANY_NODES,
@@ -41,7 +41,7 @@
     // with its first request, but read the configuration 0.2 s later, and followed a
     // coordinator by then: the call went with the other watches, and a request reached the
     // instance at 25.588 s, 1.5 s after its bound.
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_notices,
         189..=189,
         NODES,
--- a/crates/ledgelead-lab/tests/fleet_paged.rs
+++ b/crates/ledgelead-lab/tests/fleet_paged.rs
@@ -2,7 +2,7 @@
 //! get them from each other.
 
 use googletest::prelude::*;
-use ledgelead_lab::fleet::command::{NODES, drawn_paged, play};
+use ledgelead_lab::fleet::command::{NODES, drawn_paged, run_seeds};
 use ledgelead_lab::fleet::{FleetSettings, Schedule, World};
 use ledgelead_router::protections::Protections;
 
@@ -11,14 +11,14 @@
 
 #[gtest]
 fn lists_from_other_nodes_break_nothing() {
-    let (report, lines) = play(drawn_paged, 1..=40, NODES, Protections::default(), false);
+    let (report, lines) = run_seeds(drawn_paged, 1..=40, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
     expect_that!(report.answered as f64 / report.requests as f64, gt(0.9));
 }
 
 #[gtest]
 fn lists_from_other_nodes_break_nothing_where_broadcasts_are_passed_on() {
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_paged,
         1..=16,
         MANY_NODES,
--- a/crates/ledgelead-lab/tests/fleet_suspended.rs
+++ b/crates/ledgelead-lab/tests/fleet_suspended.rs
@@ -9,14 +9,14 @@
 //!     46.8890 single_owner: i-3 takes 32768 to 43689 while i-2 holds them until 50.067
 
 use googletest::prelude::*;
-use ledgelead_lab::fleet::command::{NODES, drawn_suspended, play};
+use ledgelead_lab::fleet::command::{NODES, drawn_suspended, run_seeds};
 use ledgelead_lab::fleet::{FleetSettings, World};
 use ledgelead_router::protections::Protections;
 use ledgelead_runtime::clock::ClockSource;
 
 #[gtest]
 fn a_suspended_machine_leaves_no_keys_with_two_owners() {
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_suspended,
         1..=130,
         NODES,
--- a/crates/ledgelead-lab/tests/fleet_versions.rs
+++ b/crates/ledgelead-lab/tests/fleet_versions.rs
@@ -10,7 +10,7 @@
 //! 17.6 s, `configuration_in_time: node 2 has 1 and lacks 4`, and the same of nodes 3 to 5.
 
 use googletest::prelude::*;
-use ledgelead_lab::fleet::command::{NODES, drawn, drawn_versions, play};
+use ledgelead_lab::fleet::command::{NODES, drawn, drawn_versions, run_seeds};
 use ledgelead_lab::fleet::{FaultKind, FleetSettings, Schedule, Target, ViolationKind, World};
 use ledgelead_router::protections::{Protection, Protections};
 use std::time::Duration;
@@ -55,13 +55,13 @@
 
 #[gtest]
 fn acknowledged_versions_are_in_force_in_time() {
-    let (_, lines) = play(drawn_versions, 1..=80, NODES, Protections::default(), false);
+    let (_, lines) = run_seeds(drawn_versions, 1..=80, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
 fn acknowledged_versions_are_in_force_in_time_where_broadcasts_are_passed_on() {
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_versions,
         1..=20,
         MANY_NODES,
@@ -95,7 +95,7 @@
     // touch with it, and is not judged. What it lacked it has 0.8 s after it hears node 2:
     // all instances, which no node's log reached back to (`node/snapshot.rs` of the router's
     // own tests).
-    let (_, lines) = play(
+    let (_, lines) = run_seeds(
         drawn_versions,
         127..=127,
         NODES,
