--- a/crates/ledgelead-lab/src/fleet/checker.rs
+++ b/crates/ledgelead-lab/src/fleet/checker.rs
@@ -1,4 +1,4 @@
-//! Judges what the stand-ins recorded.
+//! Checks the recorded behaviour of the simulated services for violations.
 
 use super::instance::{Instance, KEY_COUNT};
 use ledgelead_router::dialect::KeyRange;
@@ -6,38 +6,41 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What must never happen.
+/// Kinds of violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ViolationKind {
-    /// Two live instances held the same key by grants that came in time.
+    /// Two live instances held the same key under grants that were not late.
     SingleOwner,
-    /// Keys passed to another instance, or another life, under no higher token.
+    /// Keys moved to another instance or incarnation without a higher token.
     TokenRises,
-    /// A life got its earlier life's keys from a node that knew of it.
+    /// An incarnation received the keys of its predecessor from a node that knew of the new
+    /// incarnation.
     LivesApart,
-    /// Two live instances held the same key and both began requests on it.
+    /// Two live instances held the same key and both started requests for it.
     TwoOwnersServed,
-    /// A request that may run once ran twice.
+    /// A request that may run at most once ran twice.
     OnceOnly,
-    /// A request ran although its client was told that it had not.
+    /// A request ran although its client was told that it did not.
     NotRunIsTrue,
-    /// A leaving instance got a request long after it said so.
+    /// A leaving instance received a request long after it announced its departure.
     NoNewWorkAfterLeave,
-    /// A leaving instance got a request long after an answer had told the node so.
+    /// A leaving instance received a request from a node long after it told that node in a
+    /// response.
     LeavingHeeded,
-    /// An instance got several requests of a node in a pause that it had asked it for.
+    /// An instance received several requests from a node during a pause that it had requested
+    /// from that node.
     PauseKept,
-    /// An instance got more requests than the rate limit that it names allows.
+    /// An instance received more requests than its announced rate limit allows.
     LimitKept,
-    /// A node went back to an older configuration.
+    /// A node reverted to an older configuration.
     ConfigurationMonotonic,
-    /// A node in touch lacked a configuration long after it was acknowledged.
+    /// A node connected to the store lacked a configuration long after its acknowledgement.
     ConfigurationInTime,
-    /// A client got the answer to another request.
+    /// A client received the response to another request.
     AnswerMatchesRequest,
-    /// A request under which three instances had ended went on to be sent.
+    /// A request that had crashed three instances was forwarded again.
     CrashesContained,
-    /// A request was held back under which no instance ended by itself.
+    /// A request that crashes no instances was quarantined.
     HarmlessServed,
 }
 
@@ -64,27 +67,27 @@
     }
 }
 
-/// One violation.
+/// A violation.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// Its kind.
     pub kind: ViolationKind,
-    /// When it was seen.
+    /// When it was detected.
     pub at: Duration,
-    /// What was seen.
+    /// Details of the violation.
     pub what: String,
 }
 
-/// The checker.
+/// Collects violations during a run.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// What was found.
+    /// Violations found so far.
     pub violations: Vec<Violation>,
     runs: HashMap<u64, u32>,
     refused: HashMap<u64, Duration>,
     versions: BTreeMap<(usize, u64), u64>,
     late: BTreeSet<((usize, u64), u64)>,
-    /// The highest token of each key so far, and the life that held the key under it.
+    /// The highest token seen for each key, and the incarnation that held the key under it.
     tokens: BTreeMap<ServiceName, Vec<(u64, usize)>>,
 }
 
@@ -93,7 +96,7 @@
         self.violations.push(Violation { kind, at, what });
     }
 
-    /// An instance took a grant that came in time.
+    /// An instance accepted a grant that was not late.
     pub fn granted(
         &mut self,
         holder: usize,
@@ -127,9 +130,9 @@
         }
     }
 
-    /// A life took a grant that came in time. Its token is above those under which other
-    /// lives have held the keys; a grant that was meant for an earlier life, and was on
-    /// its way as that ended, is the same grant as before.
+    /// An incarnation accepted a grant that was not late. Its token must exceed those under
+    /// which other incarnations held the keys. A grant addressed to a previous incarnation
+    /// that was in flight when that ended counts as the same grant.
     pub fn keys_transferred(
         &mut self,
         holder: usize,
@@ -157,7 +160,8 @@
         }
     }
 
-    /// A life got an order for its earlier life from a node that had long known of it.
+    /// An incarnation received an order addressed to its predecessor, from a node that had
+    /// known of the new incarnation for long enough.
     pub fn order_for_previous_incarnation(
         &mut self,
         node: usize,
@@ -172,7 +176,7 @@
         self.record_violation(ViolationKind::LivesApart, now, what);
     }
 
-    /// An instance began a request.
+    /// An instance started a request.
     pub fn request_started(
         &mut self,
         holder: usize,
@@ -223,7 +227,7 @@
         }
     }
 
-    /// A client was told that its request had not run.
+    /// A client was told that its request did not run.
     pub fn refused(&mut self, attempt: u64, once: bool, now: Duration) {
         self.refused.insert(attempt, now);
         if once && self.runs.contains_key(&attempt) {
@@ -232,7 +236,7 @@
         }
     }
 
-    /// A request has reached instances too often after the third had ended under it.
+    /// A request reached more instances than allowed after it had crashed the third one.
     pub fn crashing_request_reached_instance(
         &mut self,
         number: usize,
@@ -250,7 +254,7 @@
         self.record_violation(ViolationKind::HarmlessServed, now, what);
     }
 
-    /// A client got an answer.
+    /// A client received a response.
     pub fn answered(&mut self, asked: u64, carried: Option<u64>, now: Duration) {
         if carried != Some(asked) {
             let what = format!("request {asked} got the answer to {carried:?}");
@@ -258,7 +262,7 @@
         }
     }
 
-    /// A leaving instance got a request.
+    /// An instance received a request after the drain bound of its departure.
     pub fn request_to_leaving(
         &mut self,
         caller: (usize, u64),
@@ -274,7 +278,7 @@
         self.record_violation(ViolationKind::NoNewWorkAfterLeave, now, what);
     }
 
-    /// An instance got a request of a node that had an answer of it saying that it leaves.
+    /// An instance received a request from a node that it had told of its departure.
     pub fn request_after_leave_notice(
         &mut self,
         caller: (usize, u64),
@@ -290,7 +294,8 @@
         self.record_violation(ViolationKind::LeavingHeeded, now, what);
     }
 
-    /// An instance got so many requests in a pause that it had asked a node for.
+    /// An instance received too many requests during a pause that it had requested from a
+    /// node.
     pub fn requests_in_pause(
         &mut self,
         caller: (usize, u64),
@@ -306,7 +311,7 @@
         self.record_violation(ViolationKind::PauseKept, now, what);
     }
 
-    /// An instance got more than it allows of the nodes that know of its limit.
+    /// An instance received more requests than it allows from the nodes that know its limit.
     pub fn requests_beyond_limit(
         &mut self,
         instance: &Instance,
@@ -318,17 +323,17 @@
         self.record_violation(ViolationKind::LimitKept, now, what);
     }
 
-    /// A node in touch has to have this configuration in force by now.
+    /// A connected node must have applied this configuration by now.
     pub fn check_due_version(&mut self, caller: (usize, u64), due: u64, now: Duration) {
         let known = self.versions.get(&caller).copied().unwrap_or(0);
-        // One report for each version that a life of a node lacks.
+        // One report per version that an incarnation of a node lacks.
         if known < due && self.late.insert((caller, due)) {
             let what = format!("node {} has {known} and lacks {due}", caller.0);
             self.record_violation(ViolationKind::ConfigurationInTime, now, what);
         }
     }
 
-    /// A node has this configuration in force.
+    /// A node has applied this configuration.
     pub fn configuration_applied(&mut self, caller: (usize, u64), version: u64, now: Duration) {
         let known = self.versions.entry(caller).or_default();
         if version < *known {
--- a/crates/ledgelead-lab/src/fleet/clients.rs
+++ b/crates/ledgelead-lab/src/fleet/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, and what they were told.
+//! Clients and the responses that they receive.
 
 use super::event::{Caller, Event};
 use super::world::{HOST, ONCE, READ, SHARDED, World};
@@ -11,23 +11,23 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Time that a client waits, in milliseconds.
+/// How long a client waits, in milliseconds.
 const DEADLINE_MS: u64 = 1_500;
 
-/// Where clients connect from.
+/// Source address of clients.
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 3, 1));
 
-/// Neighbouring keys that much is asked of, if a run has hot keys.
+/// Adjacent keys that receive most of the load in runs with hot keys.
 const HOT_KEYS: Range<u16> = 1_000..1_040;
 
-/// The body of the refusal of a request that crashes instances.
+/// Body of the response that refuses a request known to crash instances.
 const QUARANTINED_BODY: &[u8] = b"quarantined";
-/// Every so many-th request asks for one of a few things, again and again.
+/// Every n-th request uses one of a few recurring paths.
 const HOT_EVERY: u64 = 3;
-/// How many such things there are.
+/// Number of recurring paths.
 const HOT_PATHS: u64 = 2;
 
-/// The last part of a request's path.
+/// The last segment of a request's path.
 fn path_of(attempt: u64) -> String {
     match attempt % HOT_EVERY {
         0 => format!("hot{}", attempt / HOT_EVERY % HOT_PATHS),
@@ -41,7 +41,7 @@
     once: bool,
 }
 
-/// Requests without an answer.
+/// Requests that await a response.
 #[derive(Default)]
 pub struct Clients {
     last: u64,
@@ -50,27 +50,27 @@
 }
 
 impl Clients {
-    /// A node's process ended: its clients get no answer.
+    /// Drops the pending requests of a node whose process ended; they get no response.
     pub fn node_lost(&mut self, caller: Caller) {
         let before = self.pending.len();
         self.pending.retain(|(node, _), _| *node != caller);
         self.lost += (before - self.pending.len()) as u64;
     }
 
-    /// A request is sent to a node.
+    /// Records a request sent to a node.
     pub(super) fn expect(&mut self, caller: Caller, attempt: u64, once: bool) {
         let request = PendingRequest { attempt, once };
         self.pending.insert((caller, ClientId(attempt)), request);
     }
 
-    /// How many got no answer.
+    /// Number of requests that got no response.
     pub fn open(&self) -> u64 {
         self.lost + self.pending.len() as u64
     }
 }
 
 impl World {
-    /// The nodes that are ready.
+    /// Indexes of the ready nodes.
     pub(super) fn ready_nodes(&self) -> Vec<usize> {
         let is_ready = |index: &usize| {
             let node = self.nodes[*index].node.as_ref();
@@ -79,7 +79,7 @@
         (0..self.nodes.len()).filter(is_ready).collect()
     }
 
-    /// A client sends a request to some node that is ready.
+    /// Sends a client request to a random ready node.
     pub(super) fn send_client_request(&mut self) {
         let ready = self.ready_nodes();
         if ready.is_empty() {
@@ -91,7 +91,7 @@
         let attempt = self.clients.last;
         let once = self.rng.random_range(0..4) == 0;
         let mut service = if once { ONCE } else { SHARDED };
-        // Where there is one, half of the rest is for the service without keys.
+        // If the unsharded `READ` service exists, half of the other requests go to it.
         if !once && !self.crashing.is_empty() && attempt.is_multiple_of(2) {
             service = READ;
         }
@@ -123,7 +123,7 @@
         self.rng.random()
     }
 
-    /// A node answers a client.
+    /// Handles the response of a node to a client.
     pub(super) fn client_answered(
         &mut self,
         caller: Caller,
@@ -131,7 +131,7 @@
         response: &Response,
     ) {
         let Some(request) = self.clients.pending.remove(&(caller, client)) else {
-            // A request that crashes instances.
+            // The response to a crashing request.
             self.report.held_back += u64::from(response.body == QUARANTINED_BODY);
             return;
         };
--- a/crates/ledgelead-lab/src/fleet/command.rs
+++ b/crates/ledgelead-lab/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! `ledgelead-lab fleet`.
+//! The `ledgelead-lab fleet` command.
 
 use super::crashing::CrashingRequest;
 use super::faults::Schedule;
@@ -15,25 +15,25 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Nodes of a run, unless the command line says otherwise.
+/// Default number of nodes in a run.
 pub const NODES: usize = 6;
-/// Most nodes of a run; each has an address of its own.
+/// Maximum number of nodes in a run; each needs its own address.
 const MAX_NODES: usize = 250;
-/// How long clients ask.
+/// How long clients send requests.
 const TRAFFIC_DURATION: Duration = Duration::from_secs(40);
-/// When the last fault may begin, counted from the first request.
+/// Latest start of a fault, relative to the first client request.
 const LAST_FAULT: Duration = Duration::from_secs(25);
-/// Objects of a page where lists are to take several.
+/// Page size that makes lists span several pages.
 const SMALL_PAGE_OBJECTS: usize = 4;
-/// Violations that are printed.
+/// Maximum number of violations printed.
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-/// A run with faults drawn from a seed.
+/// Settings of a run with random faults derived from the seed.
 pub fn drawn(seed: u64, protections: Protections) -> FleetSettings {
     drawn_for(seed, NODES, protections)
 }
 
-/// A run of this many nodes with faults drawn from a seed.
+/// Settings of a run with the given number of nodes and random faults derived from the seed.
 pub fn drawn_for(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
     let schedule = Schedule::draw(
@@ -61,13 +61,15 @@
     }
 }
 
-/// A run with drawn faults, and versions drawn among refusals by the store.
+/// Settings of a run with random faults and with configuration changes while the store refuses
+/// some nodes.
 pub fn drawn_versions(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7e25);
     let versions =
         Schedule::draw_versions(&mut rng, nodes, TRAFFIC_FROM, TRAFFIC_FROM + LAST_FAULT);
-    // Half of the runs have no other faults, so that nodes are in touch for longer.
+    // Half of the runs have no other faults, so that nodes stay connected to the store for
+    // longer.
     let schedule = match seed % 2 {
         0 => versions,
         _ => drawn.schedule.join(versions),
@@ -75,14 +77,15 @@
     FleetSettings { schedule, ..drawn }
 }
 
-/// A run with drawn faults, and requests that crash instances.
+/// Settings of a run with random faults and with requests that crash instances.
 pub fn drawn_crashing(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xc4a5);
     let (from, to) = (TRAFFIC_FROM, TRAFFIC_FROM + LAST_FAULT / 2);
     let crashing = CrashingRequest::draw(&mut rng, from, to);
     let crashes = Schedule::draw_crashes(&mut rng, TRAFFIC_FROM, TRAFFIC_FROM + LAST_FAULT);
-    // Half of the runs have no other faults, so that nodes are in touch for longer.
+    // Half of the runs have no other faults, so that nodes stay connected to the store for
+    // longer.
     let schedule = match seed % 2 {
         0 => crashes,
         _ => drawn.schedule.join(crashes),
@@ -94,8 +97,8 @@
     }
 }
 
-/// A run with cuts between nodes and instances that hold orders up, and drawn faults
-/// besides in half of the runs.
+/// Settings of a run with network partitions between nodes and instances that delay orders.
+/// Half of the runs also have random faults.
 pub fn drawn_cuts(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xc075);
@@ -112,7 +115,8 @@
     }
 }
 
-/// A run with foreign entries in the store, and drawn faults besides in half of the runs.
+/// Settings of a run with store entries written by a foreign writer. Half of the runs also
+/// have random faults.
 pub fn drawn_foreign(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xf0e1);
@@ -125,8 +129,8 @@
     FleetSettings { schedule, ..drawn }
 }
 
-/// A run with instances that start again under their ids, orders that are carried out
-/// late, and other drawn faults, cuts, or requests that crash instances besides.
+/// Settings of a run with instances that restart under the same id and with delayed orders,
+/// optionally combined with random faults, partitions, or requests that crash instances.
 pub fn drawn_restarts(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x1155);
@@ -137,7 +141,7 @@
         1 => drawn.schedule.join(restarts),
         _ => Schedule::draw_cuts(&mut rng, nodes, from, to).join(restarts),
     };
-    // Faults of the other runs would hide when nodes learn of crashes.
+    // The faults of the other runs would obscure when nodes learn of crashes.
     let crashing = match seed % 4 {
         2 => CrashingRequest::draw(&mut rng, from, from + LAST_FAULT / 2),
         _ => Vec::new(),
@@ -151,8 +155,9 @@
     }
 }
 
-/// A run with instances that say in their answers that they leave or want a pause; in half
-/// of the runs with drawn faults besides, or with instances that start again under their ids.
+/// Settings of a run with instances that announce in their responses that they are leaving or
+/// want a pause. Half of the runs also have random faults or instances that restart under the
+/// same id.
 pub fn drawn_notices(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5a1d);
@@ -171,8 +176,8 @@
     }
 }
 
-/// A run with instances that name rate limits; in half of the runs with drawn faults besides,
-/// or with instances that start again under their ids.
+/// Settings of a run with instances that announce rate limits. Half of the runs also have
+/// random faults or instances that restart under the same id.
 pub fn drawn_limits(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x71a7);
@@ -190,8 +195,8 @@
     }
 }
 
-/// A run with a store that comes back from copies, and drawn faults besides in half of the
-/// runs, or cuts.
+/// Settings of a run with a store that is restored from snapshots. Half of the runs also have
+/// random faults or network partitions.
 pub fn drawn_eras(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xe4a5);
@@ -204,13 +209,14 @@
     };
     FleetSettings {
         schedule,
-        // Moves go on during a run, so that a copy knows other owners.
+        // Hot keys keep ownership changing during the run, so that a restored snapshot holds
+        // outdated owners.
         hot_from: Some(from),
         ..drawn
     }
 }
 
-/// A run with suspended machines, and drawn faults besides in half of the runs.
+/// Settings of a run with suspended machines. Half of the runs also have random faults.
 pub fn drawn_suspended(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     let drawn = drawn_for(seed, nodes, protections);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5199);
@@ -223,8 +229,8 @@
     FleetSettings { schedule, ..drawn }
 }
 
-/// A run whose lists of instances and nodes take several pages of the store, so that nodes
-/// get them from each other.
+/// Settings of a run whose lists of instances and nodes span several store pages, so that
+/// nodes fetch them from each other.
 pub fn drawn_paged(seed: u64, nodes: usize, protections: Protections) -> FleetSettings {
     FleetSettings {
         page_objects: SMALL_PAGE_OBJECTS,
@@ -232,13 +238,13 @@
     }
 }
 
-/// Share of the datagrams that are lost, by seed.
+/// Share of datagrams that are lost, selected by the seed.
 const DATAGRAM_LOSSES: [f64; 3] = [0.02, 0.1, 0.4];
 
-/// Draws a run from a seed, for so many nodes.
+/// Derives the settings of a run from a seed, a node count and the enabled protections.
 pub type Draw = fn(u64, usize, Protections) -> FleetSettings;
 
-/// Plays runs that are drawn from their seeds.
+/// Runs the simulation for each seed, with settings derived by `draw`.
 pub fn run_seeds(
     draw: Draw,
     seeds: RangeInclusive<u64>,
@@ -252,8 +258,8 @@
     })
 }
 
-/// Plays the run of each seed and adds up what they show; with the first seed of each
-/// violation.
+/// Runs the simulation for each seed. Returns the combined report and one line per violation,
+/// prefixed with its seed.
 fn run_each_seed(
     seeds: RangeInclusive<u64>,
     settings: impl Fn(u64) -> FleetSettings,
@@ -272,8 +278,7 @@
 
 /// Runs the command.
 ///
-/// # Errors
-/// When the command line is wrong.
+/// # Errors Returns an error if the command line is invalid.
 pub fn run(parser: &mut lexopt::Parser) -> Result<ExitCode, lexopt::Error> {
     let mut seeds = 1..=20;
     let mut nodes = NODES;
@@ -318,30 +323,30 @@
 fn node_count(text: &str) -> Result<usize, lexopt::Error> {
     match text.parse() {
         Ok(count) if (1..=MAX_NODES).contains(&count) => Ok(count),
-        _ => Err(format!("--nodes: `{text}` is no number from 1 to {MAX_NODES}").into()),
+        _ => Err(format!("--nodes: `{text}` is not a number from 1 to {MAX_NODES}").into()),
     }
 }
 
 fn seed_range(text: &str) -> Result<RangeInclusive<u64>, lexopt::Error> {
-    let wrong = || lexopt::Error::from(format!("`{text}` is no range of seeds like 1..200"));
-    let (first, last) = text.split_once("..").ok_or_else(wrong)?;
-    let first = first.parse().map_err(|_| wrong())?;
-    let last = last.parse().map_err(|_| wrong())?;
+    let invalid = || lexopt::Error::from(format!("`{text}` is not a seed range such as 1..200"));
+    let (first, last) = text.split_once("..").ok_or_else(invalid)?;
+    let first = first.parse().map_err(|_| invalid())?;
+    let last = last.parse().map_err(|_| invalid())?;
     Ok(first..=last)
 }
 
 fn sabotage(name: &str) -> Result<Protections, lexopt::Error> {
     let found = Protection::SABOTAGES
         .iter()
-        .find(|(known, _)| *known == name);
+        .find(|(sabotage, _)| *sabotage == name);
     match found {
         Some((_, protection)) => Ok(Protections::without(*protection)),
         None => {
             let names: Vec<&str> = Protection::SABOTAGES
                 .iter()
-                .map(|(known, _)| *known)
+                .map(|(sabotage, _)| *sabotage)
                 .collect();
-            Err(format!("no sabotage `{name}`; there are: {}", names.join(", ")).into())
+            Err(format!("unknown sabotage `{name}`; available: {}", names.join(", ")).into())
         }
     }
 }
--- a/crates/ledgelead-lab/src/fleet/crashing.rs
+++ b/crates/ledgelead-lab/src/fleet/crashing.rs
@@ -1,5 +1,5 @@
-//! Requests that crash each instance which begins to run them, callers that repeat them at
-//! any node, and the promise that they reach few instances.
+//! Requests that crash every instance that starts them, clients that retry them at arbitrary
+//! nodes, and the check that they reach only few instances.
 
 use super::event::{Caller, Event};
 use super::faults::{Fault, FaultKind, Schedule, draw_time};
@@ -15,46 +15,46 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Header by which the stand-ins recognise such a request; nodes don't look at it.
+/// Header that marks such a request for the simulated instances; nodes ignore it.
 pub(super) const CRASHES: &str = "crashes";
-/// Instances that may end before a request counts as one that crashes instances.
+/// Instances that a request may crash before nodes must contain it.
 const ALLOWED_CRASHES: usize = 3;
-/// How often it may reach instances after that, and the time in which all nodes in touch
+/// How many more instances it may reach after `CONTACT_TIME`, in which all connected nodes
 /// learn of it.
 const ALLOWED_DELIVERIES: u32 = 3;
-/// How long a crashed instance is away, in milliseconds.
+/// Downtime of a crashed instance, in milliseconds.
 const DOWNTIME_MS: Range<u64> = 1_500..4_500;
-/// Time that the caller waits, in milliseconds.
+/// How long the client waits, in milliseconds.
 const DEADLINE_MS: u64 = 800;
-/// The first number of such a caller's tries, apart from those of other clients.
+/// First attempt number of such clients, which keeps them apart from those of other clients.
 const FIRST_ATTEMPT: u64 = 1 << 40;
 
-/// Who sends harmless requests with the path of one that crashes instances.
+/// Source address of harmless requests whose path equals that of a crashing one.
 const HARMLESS_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 5, 1));
 
-/// Where a request goes that crashes instances.
+/// Destination of a request that crashes instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashedService {
-    /// To the owner of a key.
+    /// The owner of a key.
     Keyed(u16),
-    /// To any instance, more than once if need be.
+    /// Any instance; retries on other instances are allowed.
     Repeatable,
-    /// To any instance, at most once a try.
+    /// Any instance; at most one execution per attempt.
     Once,
 }
 
-/// A request that crashes instances, and how it comes again.
+/// A request that crashes instances, and how it is retried.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashingRequest {
-    /// When it comes first.
+    /// When it is first sent.
     pub from: Duration,
-    /// Mean time between two tries.
+    /// Mean time between two attempts.
     pub pause: Duration,
-    /// Where it goes.
+    /// Its destination.
     pub service: CrashedService,
 }
 
-/// What became of such a request.
+/// Recorded effects of such a request.
 #[derive(Debug, Default)]
 pub(super) struct Crashing {
     crash_times: Vec<Duration>,
@@ -62,7 +62,7 @@
 }
 
 impl CrashingRequest {
-    /// One or two of them, with pauses from a tenth of a second to two seconds.
+    /// Draws one or two of them, with mean pauses from 0.1 to 2 seconds.
     pub(super) fn draw(rng: &mut Pcg64Mcg, from: Duration, to: Duration) -> Vec<CrashingRequest> {
         let count = rng.random_range(1..3);
         let one = |rng: &mut Pcg64Mcg| CrashingRequest {
@@ -79,8 +79,7 @@
 }
 
 impl Schedule {
-    /// Instances that end for other reasons: many at the same moment, or one after the
-    /// other.
+    /// Draws crashes with other causes: many instances at once, or one after the other.
     pub(super) fn draw_crashes(rng: &mut Pcg64Mcg, from: Duration, to: Duration) -> Schedule {
         let count = rng.random_range(0..3);
         let one = |rng: &mut Pcg64Mcg| Fault {
@@ -96,7 +95,7 @@
 }
 
 impl World {
-    /// Such a request comes, at any node that is ready.
+    /// Sends a crashing request to a random ready node and schedules the next attempt.
     pub(super) fn send_crashing_request(&mut self, number: usize) {
         let crashing = self.settings.crashing[number];
         let pause = crashing
@@ -115,7 +114,7 @@
         self.send_similar_harmless_request(number, &ready);
     }
 
-    /// A harmless request that differs in little: another caller, or another query.
+    /// Sends a harmless request that differs only in its source address or its query.
     fn send_similar_harmless_request(&mut self, number: usize, ready: &[usize]) {
         let (source, query) = match self.crash_rng.random_range(0..4) {
             0 => (HARMLESS_CALLER, ""),
@@ -130,7 +129,7 @@
         self.send_try(index, attempt, source, request);
     }
 
-    /// The next try of a request with this path.
+    /// Builds the next attempt of a request with this path.
     fn next_try(&mut self, number: usize, query: &str) -> (u64, Request) {
         self.crashing_tries += 1;
         let attempt = FIRST_ATTEMPT + self.crashing_tries;
@@ -161,7 +160,7 @@
         self.schedule(Duration::ZERO, Event::Input(caller, input));
     }
 
-    /// Such a request has reached an instance.
+    /// Checks a crashing request that reached an instance.
     pub(super) fn crashing_request_arrives(&mut self, number: usize, caller: Caller) {
         let is_checked = self.is_in_touch(caller.0);
         let now = self.now;
@@ -182,14 +181,14 @@
         }
     }
 
-    /// An instance has begun to run such a request: it ends, and all of its work with it.
+    /// Crashes an instance that started such a request, along with all of its requests.
     pub(super) fn crash_by_request(
         &mut self,
         instance: usize,
         number: usize,
         instance_request: InstanceRequest,
     ) {
-        self.trace(|| format!("instance {instance} ends under crashing request {number}"));
+        self.trace(|| format!("instance {instance} crashes under crashing request {number}"));
         self.report.ended_by_requests += 1;
         if let Some(crashing) = self.crashing.get_mut(number) {
             crashing.crash_times.push(self.now);
@@ -198,8 +197,8 @@
         self.crash_and_fail_requests(instance);
     }
 
-    /// An instance's process ends. Its connections are reset, new ones refused, and
-    /// another life begins there after a while.
+    /// Crashes an instance. Its connections are reset, new ones are refused, and the instance
+    /// comes back after a downtime.
     pub(super) fn crash_and_fail_requests(&mut self, instance: usize) {
         if !self.instances[instance].alive || self.instances[instance].unresponsive {
             return;
@@ -226,7 +225,7 @@
         );
     }
 
-    /// A new life of an instance that has crashed, unless there is one.
+    /// Brings back a crashed instance, unless another one is running at its address.
     pub(super) fn instance_returns(&mut self, index: usize) {
         let address = self.instances[index].record.address;
         let is_alone = self.running_instance_at(address).is_none();
@@ -240,7 +239,7 @@
         }
     }
 
-    /// Half of all instances end at the same moment.
+    /// Crashes about half of all instances at the same moment.
     pub(super) fn crash_many(&mut self) {
         for instance in self.running_instances() {
             if self.crash_rng.random_bool(0.5) {
@@ -249,7 +248,7 @@
         }
     }
 
-    /// All instances end one after the other, each some hundred milliseconds later.
+    /// Crashes all instances one after the other, 150 to 900 ms apart.
     pub(super) fn crash_in_turn(&mut self) {
         let mut after = Duration::ZERO;
         for instance in self.running_instances() {
@@ -264,7 +263,7 @@
     }
 }
 
-/// Where such a request comes from.
+/// Source address of a crashing request.
 fn crashing_caller(number: usize) -> IpAddr {
     let last = u8::try_from(number).unwrap_or(u8::MAX);
     IpAddr::V4(Ipv4Addr::new(10, 0, 4, last))
--- a/crates/ledgelead-lab/src/fleet/dialect.rs
+++ b/crates/ledgelead-lab/src/fleet/dialect.rs
@@ -1,4 +1,5 @@
-//! A dialect whose messages carry tickets; the typed calls stay beside.
+//! A dialect whose messages carry only the ticket number of a typed message that is kept in
+//! memory.
 
 use ledgelead_http::{Request, Response};
 use ledgelead_router::dialect::{Dialect, HeaderNames, Order, OrderAnswer, StoreAnswer, StoreCall};
@@ -7,7 +8,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Typed messages by ticket.
+/// Typed messages by ticket number.
 #[derive(Default)]
 pub struct Tickets {
     last: u64,
@@ -22,18 +23,19 @@
         self.last
     }
 
-    /// The call that a request carries.
+    /// Takes the store call that a request refers to.
     pub fn take_call(&mut self, request: &Request) -> Option<StoreCall> {
         self.calls.remove(&ticket(&request.target)?)
     }
 
-    /// The order that a request carries, and the life that its sender means. Instances
-    /// know only the name by it; the checker judges by the life.
+    /// Takes the order that a request refers to, and the incarnation to which its sender
+    /// addressed it. Instances see only the name in that id; the checker also uses the
+    /// incarnation.
     pub fn take_order(&mut self, request: &Request) -> Option<(InstanceId, Order)> {
         self.orders.remove(&ticket(&request.target)?)
     }
 
-    /// A response that carries the store's answer.
+    /// Creates a response that refers to a store answer.
     pub fn answer(&mut self, answer: StoreAnswer) -> Response {
         let ticket = self.next();
         self.answers.insert(ticket, answer);
@@ -45,17 +47,17 @@
     text.rsplit('/').next()?.parse().ok()
 }
 
-/// Header with the state that a release hands over.
+/// Header with the state that a released owner hands over.
 pub const HANDOVER: &str = "handover";
 
-/// The dialect of the stand-ins.
+/// The dialect of the simulated services.
 pub struct TicketDialect {
     headers: HeaderNames,
     tickets: Rc<RefCell<Tickets>>,
 }
 
 impl TicketDialect {
-    /// A dialect whose typed messages lie in `tickets`.
+    /// Creates a dialect that keeps its typed messages in `tickets`.
     pub fn new(tickets: Rc<RefCell<Tickets>>) -> TicketDialect {
         TicketDialect {
             headers: header_names(),
@@ -64,7 +66,7 @@
     }
 }
 
-/// Names of headers towards the stand-ins.
+/// Header names used with the simulated services.
 pub fn header_names() -> HeaderNames {
     let name = |name: &str| name.to_owned();
     HeaderNames {
--- a/crates/ledgelead-lab/src/fleet/eras.rs
+++ b/crates/ledgelead-lab/src/fleet/eras.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from a copy: what was acknowledged since is gone, its revisions are
-//! given out again, and its era rises.
+//! A store that is restored from a snapshot: acknowledged writes are lost, revisions are
+//! reused, and the era increases.
 
 use super::event::Event;
 use super::faults::{FaultKind, Schedule, Target, draw_time};
@@ -12,24 +12,24 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How long the store is away before it comes back, in milliseconds.
+/// Duration of the outage before the restore, in milliseconds.
 const DOWNTIME_MS: Range<u64> = 200..3_000;
-/// How old the copy is then, in milliseconds, counted from when the store went away.
+/// Age of the snapshot at the start of the outage, in milliseconds.
 const SNAPSHOT_AGE_MS: Range<u64> = 0..10_000;
-/// How long after its return other faults come, in milliseconds.
+/// Time between the restore and a follow-up fault, in milliseconds.
 const FOLLOW_UP_FAULT_DELAY_MS: Range<u64> = 0..3_000;
-/// How long the operator takes to write again what is gone.
+/// Time after which the operator rewrites the configuration.
 const OPERATOR_REWRITE_DELAY: Duration = Duration::from_millis(500);
 
-/// Copies of the store, by the times at which they were made.
+/// Store snapshots by the time at which they were taken.
 #[derive(Default)]
 pub(super) struct Snapshots {
     by_time: BTreeMap<Duration, StoreSnapshot>,
 }
 
 impl Schedule {
-    /// Stores that come back from copies, half of them with kills of some or all nodes or
-    /// refusals of single ones right after.
+    /// Draws restores of the store. Half of them are followed by a kill of some or all nodes
+    /// or by the partition or refusal of a single node.
     pub(super) fn draw_eras(
         rng: &mut Pcg64Mcg,
         nodes: usize,
@@ -60,7 +60,7 @@
 }
 
 impl World {
-    /// Copies are made at the times to which the store is to go back.
+    /// Schedules snapshots at the times to which the store will be restored.
     pub(super) fn schedule_snapshots(&mut self) {
         let restored = self.settings.schedule.0.iter();
         let times = restored.filter_map(|fault| match fault.kind {
@@ -77,7 +77,7 @@
         self.snapshots.by_time.insert(self.now, snapshot);
     }
 
-    /// The store comes back from the newest copy that is so old.
+    /// Restores the store from the newest snapshot that is at least `age` older than `went`.
     pub(super) fn restore_store(&mut self, went: Duration, age: Duration) {
         let until = went.saturating_sub(age);
         let Some((_, snapshot)) = self.snapshots.by_time.range(..=until).next_back() else {
@@ -85,7 +85,8 @@
         };
         self.store.restore(snapshot.clone());
         self.store_faults.recovered_at = self.now;
-        // What left meanwhile leaves again; others that the copy holds go if they are silent.
+        // Instances that left since the snapshot are removed again; the others in it expire
+        // without heartbeats.
         let names = self.store.names(ObjectKind::Instances);
         for index in 0..self.instances.len() {
             let is_listed = names.contains(self.instances[index].id().name());
@@ -95,11 +96,11 @@
                 self.last_heartbeat.insert(index, self.now);
             }
         }
-        self.trace(|| "the store is back from a copy".to_owned());
+        self.trace(|| "the store is restored from a snapshot".to_owned());
         self.schedule(OPERATOR_REWRITE_DELAY, Event::OperatorRewrites);
     }
 
-    /// The operator writes again what it has written.
+    /// The operator writes the newest configuration again.
     pub(super) fn rewrite_configuration(&mut self) {
         self.store.configure(self.versions.newest());
         self.answer_watches();
--- a/crates/ledgelead-lab/src/fleet/event.rs
+++ b/crates/ledgelead-lab/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a time.
+//! Events of the simulation.
 
 use super::faults::FaultKind;
 use super::instance::InstanceRequest;
@@ -10,23 +10,23 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A node and its life.
+/// A node index and the incarnation of the node.
 pub type Caller = (usize, u64);
 
-/// What happens.
+/// An event.
 #[derive(Debug)]
 pub enum Event {
-    /// A node's own deadline.
+    /// The next deadline of a node is due.
     Deadline(Caller),
-    /// A node gets an input.
+    /// A node receives an input.
     Input(Caller, Input),
-    /// An exchange ends, unless it has ended before.
+    /// An exchange ends, unless it has already ended.
     Exchanged(Caller, ExchangeId, Box<Input>),
     /// A call reaches the store.
     StoreCall(Caller, ExchangeId, Box<StoreCall>),
-    /// A watch has waited long enough.
+    /// The wait time of a watch is over.
     WatchOver(Caller, ExchangeId),
-    /// A write whose answer was lost is carried out.
+    /// The store carries out a write whose response was lost.
     LateWrite(Box<StoreCall>),
     /// A request reaches an instance.
     Request(Caller, ExchangeId, usize, Box<Request>, Duration),
@@ -34,44 +34,44 @@
     Order {
         /// The sender.
         caller: Caller,
-        /// Its exchange; none if it was carried out late.
+        /// Its exchange; `None` if the order is carried out late.
         exchange: Option<ExchangeId>,
-        /// The instance.
+        /// Index of the instance.
         instance: usize,
-        /// The life that is meant.
+        /// The incarnation to which the order is addressed.
         intended: InstanceId,
         /// When it was sent.
         sent: Duration,
         /// The order.
         order: Order,
     },
-    /// A kernel repeats an order that a cut has held up.
+    /// The kernel retransmits an order that a partition blocked.
     BlockedOrder(Box<BlockedOrder>),
-    /// A request has ended at an instance.
+    /// An instance finishes a request.
     RequestDone(usize, Box<InstanceRequest>),
-    /// An instance writes to the store.
+    /// An instance writes its heartbeat to the store.
     Heartbeat(usize),
-    /// An instance that left without a word ends.
+    /// An instance that left ends.
     InstanceEnds(usize),
-    /// Another life of an instance that has crashed begins.
+    /// A crashed instance comes back or is replaced.
     InstanceReturns(usize),
-    /// An instance that has crashed starts again under its id.
+    /// A crashed instance restarts under the same id.
     InstanceRestarts(usize),
-    /// An instance crashes by itself.
+    /// An instance crashes without being caused by a request.
     InstanceCrashes(usize),
-    /// A request comes that crashes instances.
+    /// A client sends a request that crashes instances.
     CrashingClient(usize),
-    /// Entries without heartbeats go.
+    /// The store removes entries without recent heartbeats.
     ExpireEntries,
-    /// A client asks.
+    /// A client sends a request.
     Client,
-    /// The store's state is kept, to come back to.
+    /// Takes a snapshot of the store for a later restore.
     TakeSnapshot,
-    /// The operator writes again what it has written.
+    /// The operator writes the newest configuration again.
     OperatorRewrites,
-    /// Every node's version of the configuration is looked at.
+    /// Checks the configuration version of every node.
     CheckVersions,
-    /// A fault begins, which lasts for so long.
+    /// A fault of the given duration begins.
     Fault(FaultKind, Duration),
     /// A fault ends.
     FaultEnds(FaultKind),
@@ -79,14 +79,14 @@
     Start(usize),
 }
 
-/// An event with its time.
+/// An event scheduled for a given time.
 #[derive(Debug)]
 pub struct Scheduled {
     /// The time.
     pub at: Duration,
-    /// Keeps events of one time in their order.
+    /// Keeps events with the same time in insertion order.
     pub sequence: u64,
-    /// What happens.
+    /// The event.
     pub event: Event,
 }
 
@@ -106,7 +106,7 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Scheduled) -> Ordering {
-        // The earliest first, in a heap that gives the greatest.
+        // Reversed, because `BinaryHeap` pops the greatest element first.
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
--- a/crates/ledgelead-lab/src/fleet/faults.rs
+++ b/crates/ledgelead-lab/src/fleet/faults.rs
@@ -1,131 +1,133 @@
-//! Faults, and schedules of them drawn from a seed.
+//! Faults and random schedules of them.
 
 use super::world::ALL_INSTANCES;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// How long a node is cut from instances, in milliseconds: some cuts end between two
-/// repetitions of TCP at 3.0, 6.2 and 12.6 s.
+/// Duration of partitions between nodes and instances, in milliseconds. Some end between two
+/// TCP retransmissions, which occur at 3.0, 6.2 and 12.6 s.
 const CUT_MS: std::ops::Range<u64> = 1_000..15_000;
-/// How long a machine is suspended, in milliseconds: up to where every lease and every
-/// authority is over.
+/// Duration of machine suspensions, in milliseconds. The longest outlast every lease and every
+/// coordinator's authority.
 const SUSPENDED_MS: std::ops::Range<u64> = 1_000..18_000;
 
-/// Whom a fault hits.
+/// The node that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// The node that coordinates as the fault begins, or the first.
+    /// The coordinator at the start of the fault, or the first node if there is none.
     Coordinator,
-    /// The node of this number.
+    /// The node with this index.
     Node(usize),
 }
 
-/// What happens.
+/// Kinds of faults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A node is killed and starts again later.
+    /// A node is killed and restarts at the end of the fault.
     KillNode(Target),
-    /// A node stands still.
+    /// A node makes no progress for a while.
     FreezeNode(Target),
-    /// A node's machine is suspended: it stands still, and its steady clock with it.
+    /// A node's machine is suspended, and its monotonic clock with it.
     SuspendNode(Target),
-    /// A node is cut from the store and from other nodes.
+    /// A node is partitioned from the store and from other nodes.
     CutNode(Target),
-    /// A node is cut from the store.
+    /// A node is partitioned from the store.
     CutFromStore(Target),
-    /// A node gets the signal to stop, and starts again later.
+    /// A node receives the signal to stop and restarts at the end of the fault.
     StopNode(Target),
     /// All nodes are killed at once.
     KillAllNodes,
-    /// An instance of the sharded service crashes; its address answers.
+    /// An instance of the sharded service crashes; its address refuses connections.
     CrashInstance(usize),
-    /// An instance of the sharded service falls silent.
+    /// An instance of the sharded service stops responding.
     SilenceInstance(usize),
-    /// An instance is cut from the store, the coordinator and some nodes.
+    /// An instance is partitioned from the store, the coordinator and some other nodes.
     CutInstance(usize),
-    /// A node is cut from some instances, and from nobody else.
+    /// A node is partitioned from some instances only.
     CutFromInstances(Target),
-    /// The coordinator and an instance reach each other, and nobody else.
+    /// The coordinator and an instance reach each other but nothing else.
     IsolateWithCoordinator(usize),
-    /// An instance says that it leaves, and ends later.
+    /// An instance announces that it is leaving and ends later.
     DrainInstance(usize),
-    /// An instance of any service leaves without a word: its entry goes, and it
-    /// serves on for long.
+    /// An instance of any service leaves without notice: its entry is removed, but it keeps
+    /// serving for a long time.
     LeaveUnannounced(usize),
-    /// An instance of any service says that it leaves, in its answers and, once the store
-    /// takes that, in its entry; it ends later.
+    /// An instance of any service announces that it is leaving, in its responses and, as soon
+    /// as the store accepts it, in its entry. It ends later.
     Leave(usize),
-    /// An instance of any service turns everything away, and asks for pauses.
+    /// An instance of any service rejects all requests and asks callers to pause.
     RequestPause(usize),
-    /// An instance of any service names this rate limit in its answers, in thousandths of a
-    /// request a second, until the end.
+    /// An instance of any service announces this rate limit in its responses for the duration
+    /// of the fault, in thousandths of a request per second.
     AnnounceLimit(usize, u32),
-    /// Another writer replaces an instance's entry by what can't be read, until the end.
+    /// A foreign writer replaces the entry of an instance with unreadable content for the
+    /// duration of the fault.
     ForeignEntry(usize),
-    /// The store answers nothing.
+    /// The store does not respond.
     StoreSilent,
     /// The store refuses all calls.
     StoreRefuses,
-    /// The store does writes and answers some of them not, or late.
+    /// The store carries out some writes late and without a response.
     StoreLosesAnswers,
-    /// The store is silent, and comes back in the end from a copy that was so old as it went.
+    /// The store does not respond, and at the end is restored from a snapshot that was this
+    /// old when the outage began.
     StoreRestored(Duration),
-    /// The store forgets its history.
+    /// The store drops its change history.
     StoreCompacts,
-    /// Some orders get no answer and are carried out seconds later.
+    /// Some orders get no response and are carried out seconds later.
     OrdersLate,
-    /// Some requests run and their answers are lost.
+    /// Some requests run but their responses are lost.
     AnswersLost,
     /// The operator changes the configuration.
     Configure,
     /// The operator adds more routes than nodes send each other in datagrams.
     ConfigureLarge,
-    /// Half of all instances crash at the same moment, with their work.
+    /// About half of all instances crash at the same moment, along with their requests.
     CrashMany,
-    /// All instances crash with their work, one after the other.
+    /// All instances crash one after the other, along with their requests.
     CrashInTurn,
-    /// An instance of the sharded service crashes, and starts again under its id.
+    /// An instance of the sharded service crashes and restarts under the same id.
     RestartInstance(usize),
-    /// The store refuses all calls of a node, and serves the others.
+    /// The store refuses all calls of one node.
     StoreRefusesNode(Target),
 }
 
-/// A fault at a time.
+/// A scheduled fault.
 #[derive(Clone, Debug)]
 pub struct Fault {
     /// When it begins.
     pub at: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// What happens.
+    /// Its kind.
     pub kind: FaultKind,
 }
 
-/// Faults of one run.
+/// The faults of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Schedule(pub Vec<Fault>);
 
 impl Schedule {
-    /// One fault.
+    /// A schedule with a single fault.
     pub fn one(at: Duration, duration: Duration, kind: FaultKind) -> Schedule {
         Schedule(vec![Fault { at, duration, kind }])
     }
 
-    /// One more fault.
+    /// Adds a fault.
     pub fn and(mut self, at: Duration, duration: Duration, kind: FaultKind) -> Schedule {
         self.0.push(Fault { at, duration, kind });
         self
     }
 
-    /// The faults of both.
+    /// Combines two schedules.
     pub fn join(mut self, other: Schedule) -> Schedule {
         self.0.extend(other.0);
         self
     }
 
-    /// Cuts between nodes and instances of 1 to 15 s, and in half of the cases the node is
-    /// killed meanwhile.
+    /// Draws partitions of 1 to 15 s between nodes and instances. In half of the cases the
+    /// node is killed meanwhile.
     pub(super) fn draw_cuts(
         rng: &mut Pcg64Mcg,
         nodes: usize,
@@ -150,7 +152,7 @@
         schedule
     }
 
-    /// Suspensions of nodes, of the coordinator first.
+    /// Draws suspensions of nodes, the first of which affects the coordinator.
     pub(super) fn draw_suspensions(
         rng: &mut Pcg64Mcg,
         nodes: usize,
@@ -169,7 +171,7 @@
         Schedule((0..count).map(|number| one(number, rng)).collect())
     }
 
-    /// Faults drawn at random, between `from` and `to`.
+    /// Draws random faults that begin between `from` and `to`.
     pub fn draw(
         rng: &mut Pcg64Mcg,
         nodes: usize,
@@ -187,13 +189,14 @@
     }
 }
 
-/// A time between two others.
+/// Draws a time between two others.
 pub(super) fn draw_time(rng: &mut Pcg64Mcg, from: Duration, to: Duration) -> Duration {
     let span = u64::try_from((to - from).as_millis()).unwrap_or(1);
     from + Duration::from_millis(rng.random_range(0..span))
 }
 
-/// Most faults are short; some outlast every lease and every authority.
+/// Draws a duration. Most faults are short; some outlast every lease and every coordinator's
+/// authority.
 pub(super) fn draw_length(rng: &mut Pcg64Mcg) -> Duration {
     let longest = if rng.random_range(0..4) == 0 {
         25_000
--- a/crates/ledgelead-lab/src/fleet/foreign.rs
+++ b/crates/ledgelead-lab/src/fleet/foreign.rs
@@ -1,4 +1,4 @@
-//! Entries that another writer leaves in the store, and what must hold beside them.
+//! Store entries written by a foreign writer, and the behaviour required despite them.
 
 use super::faults::{Fault, FaultKind, Schedule, draw_time};
 use super::world::{ALL_INSTANCES, SHARDED_INSTANCES, World};
@@ -7,16 +7,16 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// How long an entry is foreign, in milliseconds: some go before that, as entries do that
-/// their instance doesn't write.
+/// How long an entry stays foreign, in milliseconds. Some expire earlier, as any entry does
+/// that its instance does not refresh.
 const FOREIGN_MS: std::ops::Range<u64> = 500..12_000;
-/// How many are drawn for a run.
+/// Number of foreign entries per run.
 const FOREIGN_ENTRIES: std::ops::Range<usize> = 2..6;
-/// What else changes meanwhile: instances that leave, of which nodes have to know.
+/// Number of instances that leave meanwhile, which nodes must notice.
 const LEAVING: std::ops::Range<usize> = 1..4;
 
 impl Schedule {
-    /// Foreign entries, and instances that leave beside them.
+    /// Draws foreign entries and departures of instances.
     pub(super) fn draw_foreign(rng: &mut Pcg64Mcg, from: Duration, to: Duration) -> Schedule {
         let mut schedule = Schedule::default();
         for _ in 0..rng.random_range(FOREIGN_ENTRIES) {
@@ -38,8 +38,8 @@
 }
 
 impl World {
-    /// Another writer puts what can't be read in the place of an instance's entry, and
-    /// beside the objects of each kind. The instance serves on, and writes no more.
+    /// Replaces the entry of an instance with unreadable content, and adds an unreadable
+    /// object of each kind. The instance keeps serving but writes no more heartbeats.
     pub(super) fn make_entry_unreadable(&mut self, index: usize) {
         for kind in ObjectKind::ALL {
             self.store.write_unreadable(kind, "foreign");
@@ -57,7 +57,7 @@
         self.answer_watches();
     }
 
-    /// The instance writes its entry again.
+    /// Lets the instance write its entry again.
     pub(super) fn restore_entry(&mut self, index: usize) {
         if self.unreadable_entries.remove(&index) && self.instances[index].alive {
             self.unregistered_since.remove(&index);
--- a/crates/ledgelead-lab/src/fleet/instance.rs
+++ b/crates/ledgelead-lab/src/fleet/instance.rs
@@ -1,5 +1,5 @@
-//! An instance's stand-in: slots, a queue, and keys held under fenced grants
-//! that run from their arrival.
+//! A simulated instance with execution slots, a queue, and keys held under fenced grants whose
+//! duration counts from their arrival.
 
 use ledgelead_router::dialect::KeyRange;
 use ledgelead_router::directory::InstanceRecord;
@@ -8,79 +8,79 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How much longer a hold may last by the instance's clock.
+/// Factor by which the clock of an instance may prolong a grant.
 const CLOCK_FACTOR: f64 = 1.02;
-/// Requests that may wait.
+/// Maximum number of queued requests.
 const QUEUE_CAPACITY: usize = 8;
 /// Number of keys.
 pub(super) const KEY_COUNT: usize = 1 << 16;
 
-/// Keys held under one grant.
+/// A key range held under one grant.
 #[derive(Clone, Debug)]
 pub struct HeldRange {
     /// The keys.
     pub range: KeyRange,
-    /// Since when these keys are held without a gap.
+    /// Since when the range has been held without interruption.
     pub since: Duration,
-    /// Until when.
+    /// When the grant expires.
     pub until: Duration,
     /// Whether the grant was carried out late.
     pub late: bool,
 }
 
-/// A request at an instance.
+/// A request that an instance executes or queues.
 #[derive(Clone, Debug)]
 pub struct InstanceRequest {
-    /// The node and its life.
+    /// The node index and its incarnation.
     pub caller: (usize, u64),
     /// Its exchange.
     pub exchange: ExchangeId,
-    /// The client's request.
+    /// Attempt number of the client request.
     pub attempt: u64,
     /// The key, if the service has keys.
     pub key: Option<u16>,
-    /// Until when the caller waits.
+    /// How long the caller waits for the response.
     pub until: Duration,
-    /// The number of the request among those that crash instances.
+    /// Index into the crashing requests, if this is one of them.
     pub crashes: Option<usize>,
 }
 
-/// An instance.
+/// A simulated instance.
 pub struct Instance {
-    /// What it registers.
+    /// The record that it registers.
     pub record: InstanceRecord,
     /// Whether its service has keys.
     pub sharded: bool,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub alive: bool,
-    /// Whether it answers nothing, alive or not.
+    /// Whether it sends no responses, regardless of whether the process is running.
     pub unresponsive: bool,
     /// Whether its heartbeats reach the store.
     pub heartbeats: bool,
-    /// Time of work for one request.
+    /// How long it takes to execute a request.
     pub service_time: Duration,
-    /// Keys held.
+    /// Key ranges that it holds.
     pub held_ranges: Vec<HeldRange>,
     fences: Vec<u64>,
-    /// Requests that run, with their ends.
+    /// Running requests with the times at which they finish.
     pub running: Vec<(InstanceRequest, Duration)>,
-    /// Requests that wait.
+    /// Queued requests.
     pub queue: VecDeque<InstanceRequest>,
-    /// When a request on a key was begun last.
+    /// When a request for each key was last started.
     pub last_started: HashMap<u16, Duration>,
 }
 
-/// What becomes of a grant.
+/// Result of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
     /// The keys are held.
     Held,
-    /// A higher token was seen.
+    /// Rejected because a higher token has been seen.
     Fenced,
 }
 
 impl Instance {
-    /// A new life of an instance.
+    /// Creates a new incarnation of an instance.
     pub fn new(record: InstanceRecord, sharded: bool, service_time: Duration) -> Instance {
         Instance {
             record,
@@ -106,14 +106,14 @@
         &self.record.id
     }
 
-    /// The hold on a key at a time, if there is one.
+    /// The unexpired range that holds a key, if any.
     pub fn held_range_of(&self, key: u16, now: Duration) -> Option<&HeldRange> {
         self.held_ranges
             .iter()
             .find(|hold| hold.range.contains(key) && hold.until > now)
     }
 
-    /// Takes a grant.
+    /// Applies a grant.
     pub fn grant(
         &mut self,
         range: KeyRange,
@@ -141,9 +141,9 @@
         GrantOutcome::Held
     }
 
-    /// Stops new work on keys; returns when the work that runs has ended.
-    /// Nothing is published of a release raising the highest token seen, so
-    /// this one doesn't.
+    /// Stops accepting requests for a range of keys. Returns when the running ones finish. The
+    /// platform does not specify that a release raises the highest token seen, so this one
+    /// does not.
     pub fn release(&mut self, range: KeyRange, now: Duration) -> Duration {
         self.drop_held_ranges(range);
         self.running
@@ -186,12 +186,12 @@
         self.held_ranges = kept;
     }
 
-    /// Whether one more request can run now.
+    /// Whether another request can start now.
     pub fn has_free_slot(&self) -> bool {
         self.running.len() < self.record.slots as usize
     }
 
-    /// Whether one more request can wait.
+    /// Whether another request can be queued.
     pub fn has_queue_space(&self) -> bool {
         self.queue.len() < QUEUE_CAPACITY
     }
--- a/crates/ledgelead-lab/src/fleet/limits.rs
+++ b/crates/ledgelead-lab/src/fleet/limits.rs
@@ -1,5 +1,5 @@
-//! Instances that name a rate limit in their answers, and the promise that all nodes together
-//! keep to it.
+//! Instances that announce a rate limit in their responses, and the check that all nodes
+//! together comply.
 
 use super::event::Caller;
 use super::faults::{FaultKind, Schedule, draw_time};
@@ -12,39 +12,40 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How long an instance names a limit, in milliseconds.
+/// How long an instance announces limits, in milliseconds.
 const ANNOUNCED_MS: Range<u64> = 2_000..20_000;
-/// Limits of owners of keys, in thousandths of a request a second: a third of what is asked
-/// of one, and more than that.
+/// Limits of key owners, in thousandths of a request per second: from a third of the usual
+/// load of an owner to more than that load.
 const OWNER_LIMIT: Range<u32> = 4_000..15_000;
-/// The same for instances without keys, which others can stand in for.
+/// Limits of unsharded instances, in thousandths of a request per second. Other instances can
+/// take over their requests.
 const OTHER_LIMIT: Range<u32> = 0..6_000;
-/// Time from the first answer that names a limit until it binds.
+/// Time from the first response that announces a limit until the limit is enforced.
 const BINDS_AFTER: Duration = Duration::from_secs(3);
-/// Time from such an answer until the node that has passed it on is bound.
+/// Time until a node that forwarded such a response must respect the limit.
 const NODE_BINDS_AFTER: Duration = Duration::from_millis(500);
-/// The span in which requests are counted.
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Multiple of the limit that may arrive in a window.
 const OVERAGE: f64 = 1.5;
-/// How long a node isn't judged after it was cut or stood still.
+/// How long a node is exempt from the check after a partition or a freeze.
 const GRACE_AFTER_DISTURBANCE: Duration = Duration::from_secs(2);
-/// Requests that may arrive beyond that.
+/// Requests that may arrive in addition.
 const SLACK: f64 = 5.0;
 
-/// A limit that an instance names.
+/// A limit that an instance announces.
 #[derive(Debug)]
 struct AnnouncedLimit {
     since: Duration,
-    /// Limits with the times at which they were named first, the newest last.
+    /// Limits with the times at which they were first announced, newest last.
     history: Vec<(Duration, f64)>,
-    /// Nodes that have passed on an answer that names one, since when.
+    /// Nodes that have forwarded a response announcing a limit, and since when.
     notified: HashMap<Caller, Duration>,
     arrived: VecDeque<Duration>,
 }
 
 impl AnnouncedLimit {
-    /// The highest limit that was named in a window.
+    /// The highest limit in effect since `from`.
     fn highest_since(&self, from: Duration) -> f64 {
         let is_over = |later: Option<&(Duration, f64)>| later.is_some_and(|(at, _)| *at < from);
         let announced = self.history.iter().enumerate();
@@ -53,16 +54,16 @@
     }
 }
 
-/// Limits that are named, by instance.
+/// Announced limits by instance.
 #[derive(Debug, Default)]
 pub(super) struct Limits {
     announced: HashMap<usize, AnnouncedLimit>,
-    /// Answers on their way that name one.
+    /// Responses in flight that announce a limit.
     in_flight: HashMap<(Caller, ExchangeId), usize>,
 }
 
 impl Schedule {
-    /// Instances that name limits, which rise, fall and end.
+    /// Draws instances that announce limits, which rise, fall and end.
     pub(super) fn draw_limits(rng: &mut Pcg64Mcg, from: Duration, to: Duration) -> Schedule {
         let mut schedule = Schedule::default();
         for _ in 0..rng.random_range(2..6) {
@@ -84,12 +85,12 @@
 }
 
 impl World {
-    /// An instance names a limit from now on.
+    /// An instance announces a limit from now on.
     pub(super) fn announce_limit(&mut self, position: usize, millis_per_s: u32) {
         let index = self.instance_at(position);
         let limit = f64::from(millis_per_s) / 1_000.0;
         let now = self.now;
-        self.trace(|| format!("{index} names a limit of {limit}"));
+        self.trace(|| format!("instance {index} announces a limit of {limit}"));
         let announced = self
             .limits
             .announced
@@ -103,13 +104,13 @@
         announced.history.push((now, limit));
     }
 
-    /// An instance names no limit any more.
+    /// An instance stops announcing a limit.
     pub(super) fn end_limit(&mut self, position: usize) {
         let index = self.instance_at(position);
         self.limits.announced.remove(&index);
     }
 
-    /// An instance's answer, with the limit that it names.
+    /// Adds the announced limit, if any, to the response of an instance.
     pub(super) fn with_limit(
         &mut self,
         caller: Caller,
@@ -125,7 +126,7 @@
         response
     }
 
-    /// An answer has reached a node.
+    /// Records that a response with a limit reached a node.
     pub(super) fn limit_arrives(&mut self, caller: Caller, exchange: ExchangeId) {
         let now = self.now;
         let index = self.limits.in_flight.remove(&(caller, exchange));
@@ -134,7 +135,7 @@
         }
     }
 
-    /// A request has reached an instance that may name a limit.
+    /// Checks a request that reached an instance which may announce a limit.
     pub(super) fn check_limit(&mut self, caller: Caller, index: usize) {
         let now = self.now;
         let node = &self.nodes[caller.0];
@@ -149,7 +150,7 @@
         let Some(notified) = announced.notified.get(&caller) else {
             return;
         };
-        // A node that was cut or stood still may not have learned what others know.
+        // A node that was partitioned or frozen may not know what the others know.
         let is_exempt = is_cut
             || (disturbed_at > Duration::ZERO && now < disturbed_at + GRACE_AFTER_DISTURBANCE);
         if is_exempt || now < *notified + NODE_BINDS_AFTER {
--- a/crates/ledgelead-lab/src/fleet/mod.rs
+++ b/crates/ledgelead-lab/src/fleet/mod.rs
@@ -1,9 +1,8 @@
-//! The store-backed router in virtual time, against stand-ins of what the
-//! platform publishes: a store with revisions and watches, and instances that
-//! hold keys under fenced grants.
+//! Simulates the store-backed router in virtual time against simulated platform services: a
+//! store with revisions and watches, and instances that hold keys under fenced grants.
 //!
-//! The nodes are the product's own `ledgelead_router::node::Node`. A checker
-//! reads only what the stand-ins recorded.
+//! The nodes run the production `ledgelead_router::node::Node`. The checker uses only what the
+//! simulated services recorded.
 
 mod checker;
 mod clients;
--- a/crates/ledgelead-lab/src/fleet/notices.rs
+++ b/crates/ledgelead-lab/src/fleet/notices.rs
@@ -1,5 +1,5 @@
-//! Instances that say of themselves in their answers that they leave or want a pause, and
-//! the promises that nodes heed that, whatever the store knows.
+//! Instances that announce in their responses that they are leaving or want a pause, and the
+//! checks that nodes comply, whatever the store says.
 
 use super::event::{Caller, Event};
 use super::faults::{FaultKind, Schedule, Target, draw_length, draw_time};
@@ -12,23 +12,24 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How long instances turn everything away, in milliseconds.
+/// How long an instance rejects all requests, in milliseconds.
 const PAUSED_MS: Range<u64> = 500..9_000;
-/// The time that such an instance asks for with each rejection, in milliseconds.
+/// Pause requested with each rejection, in milliseconds.
 const BACKOFF_MS: Range<u64> = 100..4_000;
-/// Time after such an answer in which requests still reach the instance that were on
-/// their way, or whose connection was being opened.
+/// Time after such a response in which requests may still arrive that were in flight or whose
+/// connection was being opened.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
-/// Requests that may reach an instance from a node in the rest of a pause.
+/// Requests from one node that may reach an instance in the rest of a pause.
 const ALLOWED_IN_PAUSE: u32 = 2;
-/// How much longer than its bound a leaving instance may get requests: some waited.
+/// Tolerance beyond the drain bound for requests that were queued in the node.
 const LEAVE_SLACK: Duration = Duration::from_millis(300);
-/// How long an instance lives on after its bound, once the store knows that it leaves.
+/// Time between the end of the drain bound and the end of the instance, once the store knows
+/// that it is leaving.
 const END_AFTER_LEAVE: Duration = Duration::from_secs(4);
-/// How long before an instance leaves the store begins to fail, in milliseconds.
+/// How long before the departure of an instance the store starts to fail, in milliseconds.
 const FAILS_BEFORE_MS: Range<u64> = 0..4_000;
 
-/// A pause that an instance has asked a node for.
+/// A pause that an instance requested from a node.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     asked: Duration,
@@ -36,21 +37,21 @@
     reached: u32,
 }
 
-/// What instances say, and whom they have said it to.
+/// What instances announced, and to whom.
 #[derive(Debug, Default)]
 pub(super) struct Notices {
-    /// Instances that turn everything away, until when.
+    /// Instances that reject all requests, with the end of that period.
     paused: HashMap<usize, Duration>,
-    /// Answers on their way that say that their instance leaves.
+    /// Responses in flight that say that their instance is leaving.
     in_flight: HashMap<(Caller, ExchangeId), usize>,
-    /// When the first of them reached a life of a node.
+    /// When the first such response of an instance reached an incarnation of a node.
     notified: HashMap<(Caller, usize), Duration>,
     pauses: HashMap<(Caller, usize), Vec<Pause>>,
 }
 
 impl Schedule {
-    /// Instances that leave and instances that ask for pauses, half of the former while the
-    /// store fails all nodes or some.
+    /// Draws departures of instances and pauses. In half of the departures the store fails for
+    /// all or some nodes.
     pub(super) fn draw_notices(
         rng: &mut Pcg64Mcg,
         nodes: usize,
@@ -84,7 +85,7 @@
 }
 
 impl World {
-    /// The instance that has one of the first addresses now, of whichever service.
+    /// Index of the instance at one of the initial addresses, of whichever service.
     pub(super) fn instance_at(&self, position: usize) -> usize {
         match position < SHARDED_INSTANCES {
             true => self.sharded_instance_at(position),
@@ -92,8 +93,8 @@
         }
     }
 
-    /// An instance says from now on in all its answers that it leaves, and in its entry as
-    /// soon as the store takes that.
+    /// An instance announces its departure in all responses from now on, and in its entry as
+    /// soon as the store accepts it.
     pub(super) fn leave(&mut self, position: usize) {
         let index = self.instance_at(position);
         let instance = &mut self.instances[index];
@@ -101,11 +102,11 @@
             return;
         }
         instance.record.draining = true;
-        self.trace(|| format!("{index} leaves"));
+        self.trace(|| format!("instance {index} is leaving"));
         self.write_entry(index);
     }
 
-    /// The store has taken an instance's entry: one that leaves ends some time after that.
+    /// The store accepted the entry of an instance. A leaving instance ends some time later.
     pub(super) fn entry_taken(&mut self, index: usize) {
         if self.instances[index].record.draining && !self.leaving.contains_key(&index) {
             self.leaving.insert(index, self.now);
@@ -113,13 +114,14 @@
         }
     }
 
-    /// An instance turns everything away for so long.
+    /// An instance rejects all requests for this duration.
     pub(super) fn start_pause(&mut self, position: usize, duration: Duration) {
         let index = self.instance_at(position);
         self.notices.paused.insert(index, self.now + duration);
     }
 
-    /// The seconds that an instance asks a node for, if it turns everything away now.
+    /// The pause in seconds that an instance requests from a node, if it currently rejects all
+    /// requests.
     pub(super) fn pause_of(&mut self, caller: Caller, index: usize) -> Option<String> {
         let until = self.notices.paused.get(&index)?;
         if *until <= self.now {
@@ -136,7 +138,7 @@
         Some(format!("{:.3}", backoff.as_secs_f64()))
     }
 
-    /// An instance's answer, with what it says of itself.
+    /// Adds the notice of departure, if any, to the response of an instance.
     pub(super) fn with_notice(
         &mut self,
         caller: Caller,
@@ -153,7 +155,7 @@
         response
     }
 
-    /// An answer has reached a node.
+    /// Records that a response with a notice of departure reached a node.
     pub(super) fn notice_arrives(&mut self, caller: Caller, exchange: ExchangeId) {
         if let Some(index) = self.notices.in_flight.remove(&(caller, exchange)) {
             let now = self.now;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// A request has reached an instance of which the node may know that it leaves.
+    /// Checks a request that reached an instance whose departure the node may know of.
     pub(super) fn check_leaving(&mut self, caller: Caller, index: usize) {
         let Some(notified) = self.notices.notified.get(&(caller, index)) else {
             return;
@@ -174,7 +176,8 @@
         }
     }
 
-    /// A request has reached an instance that may have asked the node for pauses.
+    /// Checks a request that reached an instance which may have requested pauses from the
+    /// node.
     pub(super) fn check_pauses(&mut self, caller: Caller, index: usize) {
         let now = self.now;
         let node = &self.nodes[caller.0];
--- a/crates/ledgelead-lab/src/fleet/orders.rs
+++ b/crates/ledgelead-lab/src/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! What reaches instances: requests and orders.
+//! Handling of requests and orders by instances, and the start and end of faults.
 
 use super::crashing::CRASHES;
 use super::dialect::HANDOVER;
@@ -18,21 +18,21 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Orders carried out late are so by 2 to 12 seconds.
+/// Delay of orders that are carried out late, in milliseconds.
 const LATE_MS: std::ops::Range<u64> = 2_000..12_000;
-/// Grants within this time of their sender's thaw are not judged.
+/// Grants are not checked within this time after their sender resumes from a freeze.
 const THAW_SLACK: Duration = Duration::from_millis(300);
-/// How much longer than its bound a leaving instance may get requests.
+/// Tolerance beyond the drain bound before requests to a leaving instance are violations.
 const LEAVE_SLACK: Duration = Duration::from_millis(300);
-/// How long after its bound a leaving instance ends.
+/// Time between the end of the drain bound and the end of the instance.
 const END_AFTER_DRAIN: Duration = Duration::from_secs(1);
-/// How long an instance serves on that left without a word.
+/// How long an instance keeps serving after leaving without notice.
 const END_AFTER_UNANNOUNCED_LEAVE: Duration = Duration::from_secs(15);
-/// Keys of a lost hold that are followed until they are held again.
+/// Keys per lost range that are tracked until they are granted again.
 const TRACKED_KEYS_PER_RANGE: u16 = 4;
 
 impl World {
-    /// An order is on its way, or is carried out late.
+    /// Sends an order, which may be delayed.
     pub(super) fn send_order(
         &mut self,
         caller: Caller,
@@ -326,7 +326,7 @@
         );
     }
 
-    /// The caller closed its connection.
+    /// Drops the requests of an exchange whose caller closed the connection.
     pub(super) fn drop_requests(&mut self, caller: Caller, exchange: ExchangeId) {
         for instance in &mut self.instances {
             instance.queue.retain(|instance_request| {
@@ -407,7 +407,7 @@
             FaultKind::ConfigureLarge => self.configure_next(LARGE_VERSION_ROUTES),
             FaultKind::StoreRefusesNode(target) => {
                 let index = self.target(*target);
-                self.trace(|| format!("node {index} is refused"));
+                self.trace(|| format!("the store refuses node {index}"));
                 self.network.refused_by_store.insert(index);
             }
         }
@@ -483,7 +483,7 @@
         }
     }
 
-    /// A machine stands still, and its steady clock with it.
+    /// Suspends a machine. Its clock stops too if it does not count suspension.
     fn suspend(&mut self, index: usize, duration: Duration) {
         let until = self.now + duration;
         let clock_runs_while_suspended = self.settings.clock == ClockSource::SinceBoot;
@@ -506,7 +506,7 @@
         self.network.cut_from_nodes.clear();
     }
 
-    /// The instance that has one of the first addresses now.
+    /// Index of the latest instance at one of the initial addresses of the sharded service.
     pub(super) fn sharded_instance_at(&self, position: usize) -> usize {
         let address = instance_address(position % SHARDED_INSTANCES);
         self.instances
@@ -558,7 +558,7 @@
         instance.queue.clear();
     }
 
-    /// A new life at the address of an instance.
+    /// Starts a new instance at the address of another one, which ends.
     pub(super) fn replace(&mut self, index: usize) {
         self.end_instance(index);
         let address = self.instances[index].record.address;
@@ -578,7 +578,7 @@
         }
     }
 
-    /// A node loses its path to a third of the instances.
+    /// Partitions a node from about a third of the instances.
     fn cut_from_instances(&mut self, target: Target) {
         let node = self.target(target);
         for instance in 0..self.instances.len() {
@@ -598,7 +598,7 @@
         }
     }
 
-    /// The entry of an instance goes for good, while it serves on.
+    /// Removes the entry of an instance permanently while the instance keeps serving.
     fn leave_unannounced(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         let well = instance.alive && !instance.unresponsive && instance.heartbeats;
@@ -615,14 +615,15 @@
         self.schedule(END_AFTER_UNANNOUNCED_LEAVE, Event::InstanceEnds(index));
     }
 
-    /// Its successor comes at its address.
+    /// A replacement starts at its address.
     pub(super) fn departed_instance_ends(&mut self, index: usize) {
         if self.instances[index].alive {
             self.replace(index);
         }
     }
 
-    /// A node that has been in touch with the store knows who has left.
+    /// Reports a request to an unregistered instance by a node that has been connected to the
+    /// store long enough to know.
     fn check_unregistered(&mut self, caller: Caller, instance: usize) {
         let Some(unregistered_since) = self.unregistered_since.get(&instance).copied() else {
             return;
@@ -644,7 +645,7 @@
         }
     }
 
-    /// An instance says that it leaves; it ends some time after its bound.
+    /// Marks an instance as draining; it ends some time after the drain bound.
     fn drain(&mut self, position: usize) {
         let index = self.sharded_instance_at(position);
         let instance = &mut self.instances[index];
--- a/crates/ledgelead-lab/src/fleet/report.rs
+++ b/crates/ledgelead-lab/src/fleet/report.rs
@@ -1,16 +1,16 @@
-//! Figures of runs.
+//! Results of runs.
 
 use super::checker::Violation;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Times for which keys were held by nobody.
+/// Durations for which keys had no owner.
 #[derive(Clone, Debug, Default)]
 pub struct Unserved(pub Vec<Duration>);
 
 impl Unserved {
-    /// The time that this share of the losses stayed below.
+    /// The given quantile of the durations.
     pub fn quantile(&self, share: f64) -> Duration {
         let mut sorted = self.0.clone();
         sorted.sort_unstable();
@@ -22,34 +22,34 @@
     }
 }
 
-/// What a run, or several, showed.
+/// Results of one or more runs.
 #[derive(Clone, Debug, Default)]
 pub struct FleetReport {
-    /// Requests of clients.
+    /// Client requests.
     pub requests: u64,
-    /// Answered by an instance.
+    /// Requests answered by an instance.
     pub answered: u64,
-    /// Refused as not run.
+    /// Requests refused without execution.
     pub refused: u64,
-    /// Ended without knowledge.
+    /// Requests whose execution is uncertain.
     pub unknown: u64,
-    /// Without any answer, since their node was lost.
+    /// Requests without a response because their node ended.
     pub unanswered: u64,
-    /// Tries of requests that crash instances.
+    /// Attempts of requests that crash instances.
     pub crashing_tries: u64,
-    /// Instances that ended under them.
+    /// Instances crashed by such requests.
     pub ended_by_requests: u64,
-    /// Tries that were refused as such.
+    /// Attempts refused because the request is known to crash instances.
     pub held_back: u64,
-    /// Requests that reached instances while they named a rate limit.
+    /// Requests that reached instances while a rate limit was in effect.
     pub arrived_under_limit: u64,
     /// Calls to the store.
     pub store_calls: u64,
-    /// Coordinators that there were.
+    /// Number of coordinator terms.
     pub epochs: u64,
-    /// Times until lost keys were held again.
+    /// Times until lost keys had an owner again.
     pub unserved: Unserved,
-    /// What must never happen.
+    /// Violations found by the checker.
     pub violations: Vec<Violation>,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl FleetReport {
-    /// Adds another run.
+    /// Adds the results of another run.
     pub fn merge(&mut self, other: FleetReport) {
         self.requests += other.requests;
         self.answered += other.answered;
@@ -89,7 +89,7 @@
         self.violations.extend(other.violations);
     }
 
-    /// One JSON object.
+    /// Formats the report as a JSON object.
     pub fn json(&self) -> String {
         let mut violations = BTreeMap::new();
         for violation in &self.violations {
--- a/crates/ledgelead-lab/src/fleet/restarts.rs
+++ b/crates/ledgelead-lab/src/fleet/restarts.rs
@@ -1,5 +1,5 @@
-//! Instances that start again under the ids that they had, with clocks that may have
-//! been set back, and the promise that their lives are kept apart.
+//! Instances that restart under the same id, some with a clock that was set back, and the
+//! check that nodes distinguish their incarnations.
 
 use super::event::{Caller, Event};
 use super::faults::{FaultKind, Schedule, draw_length, draw_time};
@@ -12,18 +12,20 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// The Unix time at which runs begin, in milliseconds.
+/// Unix time at which runs begin, in milliseconds.
 const RUN_BEGINS_MS: u64 = 1_700_000_000_000;
-/// By how much a machine's clock is set back, in milliseconds.
+/// How far a machine's clock is set back, in milliseconds.
 const SET_BACK_MS: std::ops::Range<u64> = 1..3_600_000;
-/// How soon most instances start again, in milliseconds: before their entries go.
+/// Downtime of most restarting instances, in milliseconds. It ends before their entries
+/// expire.
 const SHORT_DOWNTIME_MS: std::ops::Range<u64> = 1..1_500;
-/// Age of an order up to which its sender counts as in touch if it is now.
+/// Maximum age of an order for which the present connection state of its sender also counts as
+/// that at the time of sending.
 const RECENT_ORDER_AGE: Duration = Duration::from_millis(100);
 
 impl Schedule {
-    /// Instances that start again, at once or after a lease, most of them while orders
-    /// are carried out late.
+    /// Draws restarts of instances, immediately or after a lease has expired, most of them
+    /// while orders are delayed.
     pub(super) fn draw_restarts(
         rng: &mut Pcg64Mcg,
         instances: usize,
@@ -50,7 +52,7 @@
 }
 
 impl World {
-    /// The id of a life that begins now.
+    /// Creates the id of an incarnation that starts now.
     pub(super) fn new_incarnation_id(&mut self, name: &str) -> InstanceId {
         if !self.settings.reports_start_times {
             return InstanceId::from(name);
@@ -63,7 +65,7 @@
         InstanceId::of_life(name, RUN_BEGINS_MS + elapsed - set_back)
     }
 
-    /// An instance crashes; another life of it begins there after a while.
+    /// Crashes an instance, which restarts after `downtime`.
     pub(super) fn crash_and_restart(&mut self, position: usize, downtime: Duration) {
         let index = self.sharded_instance_at(position);
         if !self.instances[index].alive {
@@ -73,7 +75,7 @@
         self.schedule(downtime, Event::InstanceRestarts(index));
     }
 
-    /// Another life of an instance begins at its address, unless something else has.
+    /// Starts a new incarnation of an instance at its address, unless the address is in use.
     pub(super) fn restart(&mut self, predecessor: usize) {
         let address = self.instances[predecessor].record.address;
         if self.running_instance_at(address).is_some() {
@@ -88,16 +90,16 @@
             (predecessor.sharded, predecessor.service_time)
         };
         let index = self.instances.len();
-        self.trace(|| format!("{} begins", record.id));
+        self.trace(|| format!("{} starts", record.id));
         self.instances
             .push(Instance::new(record, sharded, service_time));
-        // The entry is the new life's from its first word.
+        // From its first heartbeat the entry belongs to the new incarnation.
         self.last_heartbeat.remove(&predecessor);
         self.schedule(Duration::from_millis(10), Event::Heartbeat(index));
     }
 
-    /// The life that what is sent to an instance reaches: a later one of the same id, if
-    /// that listens there.
+    /// The incarnation that receives messages sent to an instance: a later one with the same
+    /// name, if it runs at the same address.
     pub(super) fn current_incarnation(&self, instance: usize) -> usize {
         let intended = &self.instances[instance];
         if intended.alive {
@@ -108,7 +110,7 @@
         there.filter(shares_name).unwrap_or(instance)
     }
 
-    /// A node in touch doesn't give a life the keys of the earlier one.
+    /// Checks that a connected node does not give an incarnation the keys of its predecessor.
     pub(super) fn check_incarnation(
         &mut self,
         caller: Caller,
@@ -123,8 +125,8 @@
         let is_recent = self.now <= sent + RECENT_ORDER_AGE;
         let shares_name = |predecessor: &Instance| predecessor.id().shares_name(incarnation.id());
         let is_later = self.instances[..instance].iter().any(shares_name);
-        let is_former_meant = is_later && incarnation.id() != intended;
-        if is_former_meant && was_known && is_recent && self.is_in_touch(caller.0) {
+        let is_for_predecessor = is_later && incarnation.id() != intended;
+        if is_for_predecessor && was_known && is_recent && self.is_in_touch(caller.0) {
             self.checker.order_for_previous_incarnation(
                 caller.0,
                 intended,
--- a/crates/ledgelead-lab/src/fleet/store.rs
+++ b/crates/ledgelead-lab/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The store's stand-in: objects with revisions, watches, conditional writes.
+//! A simulated store with object revisions, watches and conditional writes.
 
 use ledgelead_router::boundary;
 use ledgelead_router::configuration::Configuration;
@@ -10,49 +10,49 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most objects of one page of a list, unless a run says otherwise.
+/// Default maximum number of objects per page of a list.
 pub const PAGE_OBJECTS: usize = 500;
 
-/// How many revisions a stale list may be behind.
+/// Interval, in revisions, at which the view for stale lists is refreshed.
 const STALE_REVISIONS: u64 = 12;
 
-/// Who waits for changes.
+/// A watch that waits for changes.
 #[derive(Clone, Debug)]
 pub struct PendingWatch {
-    /// The node and its life.
+    /// The node index and its incarnation.
     pub caller: (usize, u64),
     /// Its exchange.
     pub exchange: ExchangeId,
-    /// The kind that is watched.
+    /// The watched kind.
     pub kind: ObjectKind,
-    /// Changes after this revision are wanted.
+    /// The watch reports changes after this revision.
     pub revision: u64,
 }
 
-/// What a call leads to.
+/// Result of a store call.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An answer at once.
+    /// An immediate answer.
     Answer(StoreAnswer),
-    /// The watch waits.
+    /// The watch waits for changes.
     Wait {
-        /// The kind that is watched.
+        /// The watched kind.
         kind: ObjectKind,
-        /// Changes after this revision are wanted.
+        /// The watch reports changes after this revision.
         revision: u64,
-        /// For how long.
+        /// Maximum wait time.
         wait: Duration,
     },
 }
 
-/// Objects as they were at an earlier revision, for lists that may be stale.
+/// Objects at an earlier revision, which lists that accept stale data return.
 #[derive(Clone)]
 struct StaleView {
     objects: BTreeMap<(ObjectKind, String), Object>,
     revision: u64,
 }
 
-/// The store's state at a time.
+/// A snapshot of the store for a later restore.
 #[derive(Clone)]
 pub struct StoreSnapshot {
     revision: u64,
@@ -69,7 +69,7 @@
     event: ObjectEvent,
 }
 
-/// The store.
+/// The simulated store.
 #[derive(Default)]
 pub struct Store {
     revision: u64,
@@ -78,14 +78,14 @@
     compacted_revision: u64,
     stale_view: Option<StaleView>,
     page_objects: usize,
-    /// Rises each time the store comes back from a copy.
+    /// Increases each time the store is restored from a snapshot.
     era: u64,
-    /// Watches that wait.
+    /// Watches that wait for changes.
     pub pending_watches: Vec<PendingWatch>,
 }
 
 impl Store {
-    /// An empty store whose lists come in pages of so many objects.
+    /// Creates an empty store that lists up to `page_objects` objects per page.
     pub fn with_page_size(page_objects: usize) -> Store {
         Store {
             page_objects,
@@ -93,12 +93,12 @@
         }
     }
 
-    /// The era.
+    /// The current era.
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// The state as it is now.
+    /// Takes a snapshot of the current state.
     pub fn snapshot(&self) -> StoreSnapshot {
         StoreSnapshot {
             revision: self.revision,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The state is that of a copy again.
+    /// Replaces the state with a snapshot and increments the era.
     pub fn restore(&mut self, snapshot: StoreSnapshot) {
         self.revision = snapshot.revision;
         self.objects = snapshot.objects;
@@ -120,19 +120,20 @@
         self.era += 1;
     }
 
-    /// The names of all objects of a kind.
+    /// Names of all objects of a kind.
     pub fn names(&self, kind: ObjectKind) -> BTreeSet<String> {
         let of_kind = self.objects.keys().filter(|(of, _)| *of == kind);
         of_kind.map(|(_, name)| name.clone()).collect()
     }
 
-    /// The operator writes a configuration.
+    /// Writes a configuration on behalf of the operator.
     pub fn configure(&mut self, configuration: Configuration) {
         let content = ObjectContent::Configuration(configuration);
         self.put(ObjectKind::Configuration, "main", content);
     }
 
-    /// An instance writes its entry; a heartbeat alone is no change.
+    /// Writes the entry of an instance. An unchanged record, such as a mere heartbeat, creates
+    /// no revision.
     pub fn register(&mut self, record: InstanceRecord) {
         let name = record.id.name().to_owned();
         let known = self.objects.get(&(ObjectKind::Instances, name.clone()));
@@ -149,7 +150,7 @@
         );
     }
 
-    /// An entry goes.
+    /// Removes the entry of an instance.
     pub fn remove_instance(&mut self, name: &str) {
         let key = (ObjectKind::Instances, name.to_owned());
         if let Some(object) = self.objects.remove(&key) {
@@ -162,12 +163,12 @@
         }
     }
 
-    /// Another writer makes or replaces an object, by what can't be read.
+    /// Creates or replaces an object with unreadable content, as a foreign writer would.
     pub fn write_unreadable(&mut self, kind: ObjectKind, name: &str) {
         self.write(kind, name, Err("no such field".to_owned()));
     }
 
-    /// The history is forgotten; watches that wait get no more of it.
+    /// Drops the change history, so that pending watches lose their position in it.
     pub fn compact(&mut self) {
         self.compacted_revision = self.revision;
         self.history.clear();
@@ -179,7 +180,7 @@
         object
     }
 
-    /// What nodes and instances write is what an adapter would read.
+    /// Asserts that a store adapter would accept what nodes and instances write.
     fn assert_within_bounds(&self, kind: ObjectKind, object: &Object) {
         let mut checked = object.clone();
         boundary::check(kind, &mut checked);
@@ -288,7 +289,7 @@
         }
     }
 
-    /// The changes of a kind after a revision, if there are some.
+    /// The changes of a kind after a revision, if any.
     pub fn changes(&self, kind: ObjectKind, revision: u64) -> Option<StoreAnswer> {
         if revision < self.compacted_revision || revision > self.revision {
             return Some(StoreAnswer::HistoryLost);
@@ -305,7 +306,7 @@
         })
     }
 
-    /// The answer of a watch whose time is over.
+    /// The answer to a watch that timed out.
     pub fn no_changes(&self) -> StoreAnswer {
         StoreAnswer::Events {
             events: Vec::new(),
--- a/crates/ledgelead-lab/src/fleet/store_traffic.rs
+++ b/crates/ledgelead-lab/src/fleet/store_traffic.rs
@@ -1,5 +1,4 @@
-//! What goes to the store and comes from it: nodes' calls, watches that wait,
-//! instances' entries.
+//! Communication with the store: calls of nodes, pending watches and entries of instances.
 
 use super::event::{Caller, Event};
 use super::network::LATENCY;
@@ -10,11 +9,11 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Heartbeats after which an entry goes.
+/// Number of heartbeat intervals after which an entry expires.
 const MISSED_HEARTBEATS: u32 = 3;
 
 impl World {
-    /// A node calls the store.
+    /// Handles a store call of a node.
     pub(super) fn store_call(&mut self, caller: Caller, exchange: ExchangeId, call: &StoreCall) {
         self.report.store_calls += 1;
         if self.store_faults.silent > 0 || !self.pending.contains_key(&(caller, exchange)) {
@@ -68,7 +67,7 @@
         self.schedule(LATENCY * 3, Event::Exchanged(caller, exchange, input));
     }
 
-    /// The time of a watch that waits is over.
+    /// Answers a pending watch whose wait time is over.
     pub(super) fn watch_over(&mut self, caller: Caller, exchange: ExchangeId) {
         let position = self
             .store
@@ -98,7 +97,7 @@
         }
     }
 
-    /// An instance writes its entry.
+    /// An instance writes its entry and schedules the next heartbeat.
     pub(super) fn heartbeat(&mut self, index: usize) {
         if !self.instances[index].alive {
             return;
@@ -107,7 +106,7 @@
         self.schedule(HEARTBEAT, Event::Heartbeat(index));
     }
 
-    /// An instance's entry reaches the store, if that serves it.
+    /// Writes the entry of an instance, if the store accepts it.
     pub(super) fn write_entry(&mut self, index: usize) {
         let instance = &self.instances[index];
         if instance.heartbeats
@@ -122,7 +121,7 @@
         }
     }
 
-    /// Entries that were not written for long go.
+    /// Removes entries without recent heartbeats.
     pub(super) fn expire_entries(&mut self) {
         let limit = HEARTBEAT * MISSED_HEARTBEATS;
         let gone: Vec<usize> = self
--- a/crates/ledgelead-lab/src/fleet/transfers.rs
+++ b/crates/ledgelead-lab/src/fleet/transfers.rs
@@ -1,4 +1,4 @@
-//! Whole lists that nodes send each other.
+//! Complete lists that nodes fetch from each other.
 
 use super::event::{Caller, Event};
 use super::network::LATENCY;
@@ -8,12 +8,12 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time that a list takes beyond the latency.
+/// Transfer time of a list in addition to the latency.
 const TRANSFER_TIME: Duration = Duration::from_millis(20);
-/// Numbers of such requests begin here, apart from those of clients.
+/// First client id of requests between nodes, which keeps them apart from those of clients.
 const FIRST_NUMBER: u64 = 1 << 48;
 
-/// Requests of nodes at other nodes.
+/// Pending requests between nodes.
 #[derive(Default)]
 pub struct Transfers {
     last: u64,
@@ -21,7 +21,7 @@
 }
 
 impl World {
-    /// A node asks another one.
+    /// Sends a request from one node to another.
     pub(super) fn ask_node(
         &mut self,
         caller: Caller,
@@ -30,7 +30,7 @@
         request: Request,
     ) {
         if !self.network.nodes_connected(caller.0, receiver) {
-            // The exchange ends with its time.
+            // The exchange ends with its timeout.
             return;
         }
         if self.nodes[receiver].node.is_none() {
@@ -46,7 +46,8 @@
         self.schedule(LATENCY, Event::Input(to, input));
     }
 
-    /// Passes on the answer to a node's request. Returns whether it is one.
+    /// Forwards the response to a request between nodes. Returns whether the response belongs
+    /// to one.
     pub(super) fn node_answered(
         &mut self,
         answering: Caller,
--- a/crates/ledgelead-lab/src/fleet/transport.rs
+++ b/crates/ledgelead-lab/src/fleet/transport.rs
@@ -1,4 +1,4 @@
-//! Bytes that a kernel holds while a cut lasts, and delivers by TCP's repetition.
+//! TCP retransmission of bytes that a network partition blocks.
 
 use super::event::{Caller, Event};
 use super::world::World;
@@ -8,8 +8,8 @@
 use ledgelead_runtime::transport;
 use std::time::Duration;
 
-/// When bytes without an acknowledgement are sent again, counted from the first time: each
-/// pause is twice the one before.
+/// Times of TCP retransmissions after the first transmission; each interval is twice the
+/// previous one.
 const RETRANSMISSION_TIMES: [Duration; 6] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
@@ -19,26 +19,26 @@
     Duration::from_millis(12_600),
 ];
 
-/// What nodes' connections are like.
+/// Behaviour of node connections during partitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transport {
-    /// Whether bytes that a cut holds up are delivered after it.
+    /// Whether bytes blocked by a partition are delivered after it.
     pub retransmits: bool,
-    /// Whether an exchange that is broken off takes its bytes back.
+    /// Whether aborting an exchange discards its undelivered bytes.
     pub resets: bool,
-    /// How long bytes are repeated.
+    /// How long bytes are retransmitted.
     pub user_timeout: Option<Duration>,
 }
 
 impl Transport {
-    /// Cuts lose what is written meanwhile.
+    /// Partitions drop what is sent during them.
     pub const LOSSY: Transport = Transport {
         retransmits: false,
         resets: true,
         user_timeout: None,
     };
 
-    /// As the product's runtime sets its connections up.
+    /// The settings that the production runtime uses for its connections.
     pub const RUNTIME: Transport = Transport {
         retransmits: true,
         resets: transport::RESETS_BROKEN_OFF,
@@ -46,7 +46,7 @@
     };
 }
 
-/// An order that a kernel holds.
+/// An order that waits for retransmission by the kernel.
 #[derive(Clone, Debug)]
 pub struct BlockedOrder {
     pub(super) caller: Caller,
@@ -54,12 +54,12 @@
     pub(super) instance: usize,
     pub(super) intended: InstanceId,
     pub(super) order: Order,
-    /// When it was written.
+    /// When it was first sent.
     pub(super) sent: Duration,
 }
 
 impl World {
-    /// The kernel sends an order again, and on until it arrives or is given up.
+    /// Schedules the next retransmission, if any is left.
     pub(super) fn schedule_retransmission(&mut self, held: BlockedOrder) {
         let next = RETRANSMISSION_TIMES.iter().map(|after| held.sent + *after);
         if let Some(at) = next.into_iter().find(|at| *at > self.now) {
@@ -73,7 +73,7 @@
         let lives =
             self.nodes[index].incarnation == incarnation && self.nodes[index].node.is_some();
         let is_open = self.pending.contains_key(&(held.caller, held.exchange));
-        // Only a process that lives can reset.
+        // Only a running process can reset its connections.
         let was_reset = transport.resets && lives && !is_open;
         let is_over = |limit: Duration| held.sent + limit <= self.now;
         if was_reset || transport.user_timeout.is_some_and(is_over) {
--- a/crates/ledgelead-lab/src/fleet/versions.rs
+++ b/crates/ledgelead-lab/src/fleet/versions.rs
@@ -1,5 +1,5 @@
-//! Versions of the configuration: what the operator writes, and the promise that
-//! each is in force in time at every node in touch.
+//! Configuration changes by the operator, and the check that every connected node applies each
+//! version in time.
 
 use super::faults::{FaultKind, Schedule, Target, draw_length, draw_time};
 use super::world::{HOST, ONCE, READ, SHARDED, World};
@@ -12,33 +12,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time from the acknowledgement of a configuration in which nodes bring it into force.
+/// Time within which nodes apply an acknowledged configuration.
 pub(super) const CONFIGURATION_BOUND: Duration = Duration::from_secs(2);
-/// Time between two looks at the nodes' versions.
+/// Interval between checks of the nodes' versions.
 pub(super) const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Routes that a large version adds: three times what nodes send each other in datagrams
-/// (12 of 1,100 bytes, some 115 bytes a route).
+/// Routes that a large version adds. With about 115 bytes per route this is three times what
+/// nodes send each other in datagrams (12 of 1,100 bytes).
 pub(super) const LARGE_VERSION_ROUTES: usize = 390;
-/// Time without trouble after which a node counts as in touch with the store.
+/// Undisturbed time after which a node counts as connected to the store.
 pub(super) const CONTACT_TIME: Duration = Duration::from_secs(3);
-/// The longest time from a refusal to a version that follows on it.
+/// Maximum time between the start of a refusal and the versions that follow it.
 const VERSION_AFTER: Duration = Duration::from_millis(2_500);
-/// By how much each version exceeds the one before.
+/// Increment between consecutive versions.
 const VERSION_STEP: u64 = 3;
 
-/// What the operator has written.
+/// The configurations that the operator has written.
 #[derive(Debug)]
 pub(super) struct Versions {
     newest: u64,
-    /// Whether there is a service without keys whose requests may be repeated.
+    /// Whether the `READ` service exists.
     has_read: bool,
     more_routes: usize,
-    /// When each was acknowledged.
+    /// When each version was acknowledged.
     acknowledged: Vec<(Duration, u64)>,
 }
 
 impl Versions {
-    /// The first version.
+    /// Starts with the first version.
     pub(super) fn new(has_read: bool) -> Versions {
         Versions {
             newest: 1,
@@ -53,7 +53,8 @@
         configuration(self.newest, self.more_routes, self.has_read)
     }
 
-    /// The operator writes the next version, with so many routes more.
+    /// Writes the next version on behalf of the operator, with `more_routes` additional
+    /// routes.
     fn write(&mut self, more_routes: usize, now: Duration) -> Configuration {
         self.newest += VERSION_STEP;
         self.more_routes += more_routes;
@@ -61,8 +62,8 @@
         self.newest()
     }
 
-    /// The newest version that has to be in force by now.
-    fn check_due_version(&self, now: Duration) -> Option<u64> {
+    /// The newest version that connected nodes must have applied by now.
+    fn newest_due(&self, now: Duration) -> Option<u64> {
         let is_due = |(at, _): &&(Duration, u64)| *at + CONFIGURATION_BOUND <= now;
         let last = self.acknowledged.iter().rfind(is_due);
         last.map(|(_, version)| *version)
@@ -70,8 +71,8 @@
 }
 
 impl Schedule {
-    /// Versions, most of them large, among refusals of some nodes' calls, those of the
-    /// coordinator first.
+    /// Draws configuration changes, most of them large, while the store refuses the
+    /// coordinator and some other nodes.
     pub fn draw_versions(
         rng: &mut Pcg64Mcg,
         nodes: usize,
@@ -102,17 +103,18 @@
 }
 
 impl World {
-    /// The configuration with the next version, and so many routes more.
+    /// Writes the next version, with `more_routes` additional routes.
     pub(super) fn configure_next(&mut self, more_routes: usize) {
         let next = self.versions.write(more_routes, self.now);
         self.store.configure(next);
         self.answer_watches();
     }
 
-    /// Each node in touch has every version that was acknowledged long enough ago.
+    /// Checks that each connected node has every version that was acknowledged long enough
+    /// ago.
     pub(super) fn check_versions(&mut self) {
         let now = self.now;
-        let Some(due) = self.versions.check_due_version(now) else {
+        let Some(due) = self.versions.newest_due(now) else {
             return;
         };
         for index in 0..self.nodes.len() {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Whether a node has run, and has been served by a sound store, for `CONTACT`.
+    /// Whether a node has been running, and served by a fault-free store, for `CONTACT_TIME`.
     pub(super) fn is_in_touch(&self, index: usize) -> bool {
         let simulated = &self.nodes[index];
         let runs = simulated
@@ -151,7 +153,7 @@
     }
 }
 
-/// A configuration with a route to each service, and so many routes more.
+/// A configuration with a route to each service and `more_routes` additional routes.
 fn configuration(version: u64, more_routes: usize, has_read: bool) -> Configuration {
     let route = |name: &str, repeatability| {
         Arc::new(Route {
--- a/crates/ledgelead-lab/src/fleet/world.rs
+++ b/crates/ledgelead-lab/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The world: nodes, store and instances in virtual time.
+//! The simulated nodes, store and instances in virtual time.
 
 use super::checker::{Checker, Violation};
 use super::crashing::{Crashing, CrashingRequest};
@@ -33,129 +33,129 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The service whose keys have owners.
+/// The sharded service, whose keys have owners.
 pub const SHARDED: &str = "lookup";
-/// The service whose requests run once.
+/// The service whose requests run at most once.
 pub const ONCE: &str = "submit";
-/// A service without keys whose requests may run more than once; only runs with requests
-/// that crash instances have it.
+/// An unsharded service whose requests may run more than once. It exists only in runs with
+/// requests that crash instances.
 pub const READ: &str = "read";
 /// The host of all routes.
 pub const HOST: &str = "example";
-/// Instances of the sharded service that are there from the start.
+/// Initial instances of the sharded service.
 pub const SHARDED_INSTANCES: usize = 6;
-/// Instances of the other service.
+/// Initial instances of the run-once service.
 const ONCE_INSTANCES: usize = 4;
-/// Instances of the service without keys, where there is one.
+/// Initial instances of the `READ` service in runs that have it.
 const READ_INSTANCES: usize = 6;
-/// Instances that are there from the start.
+/// Initial instances of the sharded and run-once services.
 pub const ALL_INSTANCES: usize = SHARDED_INSTANCES + ONCE_INSTANCES;
-/// Time between heartbeats of an instance.
+/// Interval between the heartbeats of an instance.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(1_300);
-/// Time between two requests of clients.
+/// Interval between client requests.
 const CLIENT_INTERVAL: Duration = Duration::from_millis(8);
-/// When clients begin.
+/// When clients start sending requests.
 pub const TRAFFIC_FROM: Duration = Duration::from_secs(8);
-/// Time for which a leaving instance goes on.
+/// How long a leaving instance still accepts requests.
 pub const DRAIN_BOUND: Duration = Duration::from_secs(2);
 
-/// The longest that a datagram takes beyond the latency.
+/// Maximum delay of a datagram beyond the network latency.
 const MAX_DATAGRAM_DELAY: Duration = Duration::from_millis(3);
 
-/// What a run is like.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Seed of all randomness.
+    /// Seed of all random numbers.
     pub seed: u64,
     /// Number of nodes, spread over three zones.
     pub nodes: usize,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub traffic: Duration,
-    /// What goes wrong.
+    /// The faults of the run.
     pub schedule: Schedule,
-    /// What their connections are like.
+    /// How node connections behave during network partitions.
     pub transport: Transport,
-    /// The clock by which nodes go.
+    /// The clock that nodes use.
     pub clock: ClockSource,
-    /// From when on nine in ten keyed requests are for a few neighbouring keys.
+    /// When set, nine in ten keyed requests after this time go to a small range of adjacent
+    /// keys.
     pub hot_from: Option<Duration>,
-    /// Share of the datagrams between nodes that are lost. The others take up
-    /// to `MAX_DATAGRAM_DELAY` longer than anything else, so that some overtake
-    /// others.
+    /// Share of datagrams between nodes that are lost. The others are delayed by up to
+    /// `MAX_DATAGRAM_DELAY` more than other messages, so that they can arrive out of order.
     pub datagram_loss: f64,
-    /// Requests that crash the instances which run them.
+    /// Requests that crash the instances executing them.
     pub crashing: Vec<CrashingRequest>,
-    /// Whether instances tell when they were started.
+    /// Whether instance ids include the start time of the process.
     pub reports_start_times: bool,
-    /// Whether instances that leave say so in their answers as well. Without that the other
-    /// protections are judged alone.
+    /// Whether leaving instances also say so in their responses. If unset, runs test the other
+    /// protections alone.
     pub reports_leaving_in_responses: bool,
-    /// Most objects of one page of the store's lists.
+    /// Maximum number of objects per page of a store list.
     pub page_objects: usize,
-    /// Whether faults, orders and records are printed.
+    /// Whether to print faults, orders and records.
     pub trace: bool,
-    /// Protections of the nodes.
+    /// Protections enabled on the nodes.
     pub protections: Protections,
 }
 
-/// One node.
+/// A simulated node.
 pub(super) struct SimulatedNode {
     pub(super) node: Option<Node>,
     pub(super) incarnation: u64,
     pub(super) frozen_until: Duration,
     pub(super) thawed_at: Duration,
-    /// By how much its clock is behind, since that stood still.
+    /// How far its clock lags behind because it stopped during suspensions.
     pub(super) clock_behind: Duration,
-    /// Whether it has done nothing since it was suspended.
+    /// Whether the node has processed nothing since its last suspension.
     pub(super) resumed_without_step: bool,
-    /// When its last cut from the store ended.
+    /// End of its last partition from the store.
     pub(super) healed_at: Duration,
-    /// Until when the store refused its calls.
+    /// End of the last period in which the store refused its calls.
     pub(super) refused_until: Duration,
-    /// When its life began.
+    /// When its current incarnation started.
     pub(super) started_at: Duration,
     deadline: Option<Duration>,
 }
 
-/// A lost hold whose keys have to be held again.
+/// A key that lost its owner and has not been granted again.
 pub(super) struct LostKey {
     pub(super) at: Duration,
     pub(super) key: u16,
 }
 
-/// How the store behaves.
+/// Active faults of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StoreFaults {
     pub(super) silent: u32,
     pub(super) refusing: u32,
     pub(super) losing_answers: u32,
-    /// When the last outage ended.
+    /// End of the last outage.
     pub(super) recovered_at: Duration,
-    /// Until when answers were lost.
+    /// End of the last period in which responses to writes were lost.
     pub(super) answers_lost_until: Duration,
 }
 
-/// The world.
+/// The simulation state.
 pub struct World {
     pub(super) now: Duration,
     sequence: u64,
     queue: BinaryHeap<Scheduled>,
     pub(super) settings: FleetSettings,
     pub(super) rng: Pcg64Mcg,
-    /// Apart from the rest, so that other draws stay as they are.
+    /// Separate from `rng`, so that datagrams leave its sequence unchanged.
     datagram_rng: Pcg64Mcg,
-    /// The same for requests that crash instances.
+    /// Separate generator for requests that crash instances.
     pub(super) crash_rng: Pcg64Mcg,
-    /// The same for the clocks of instances that start again.
+    /// Separate generator for the clocks of restarted instances.
     pub(super) start_time_rng: Pcg64Mcg,
-    /// The same for the pauses that instances ask for.
+    /// Separate generator for the pauses that instances request.
     pub(super) notice_rng: Pcg64Mcg,
     pub(super) notices: Notices,
     pub(super) limits: Limits,
     pub(super) snapshots: Snapshots,
-    /// When the store last went away to come back from a copy.
+    /// Start of the last outage that ends with a restore from a snapshot.
     pub(super) restore_outage_started_at: Duration,
-    /// When the entry of each instance was written first.
+    /// When the entry of each instance was first written.
     pub(super) registered: HashMap<usize, Duration>,
     pub(super) crashing: Vec<Crashing>,
     pub(super) crashing_tries: u64,
@@ -165,9 +165,10 @@
     pub(super) instances: Vec<Instance>,
     pub(super) last_heartbeat: BTreeMap<usize, Duration>,
     pub(super) leaving: HashMap<usize, Duration>,
-    /// Instances that left without a word, and since when.
+    /// Instances that left without notice, with the time at which they did.
     pub(super) unregistered_since: HashMap<usize, Duration>,
-    /// Those among them whose entry another writer has replaced for a while.
+    /// Instances from `unregistered_since` whose entry is currently replaced by a foreign
+    /// writer.
     pub(super) unreadable_entries: BTreeSet<usize>,
     pub(super) network: Network,
     pub(super) tickets: Rc<RefCell<Tickets>>,
@@ -183,7 +184,7 @@
 }
 
 impl World {
-    /// A world before its start.
+    /// Creates a simulation that has not started.
     pub fn new(settings: FleetSettings) -> World {
         let mut world = World {
             now: Duration::ZERO,
@@ -272,7 +273,7 @@
         }
     }
 
-    /// A new instance, with an entry soon.
+    /// Adds an instance, which registers itself shortly after.
     pub(super) fn add_instance(&mut self, service: &str) {
         let index = self.instances.len();
         let zone = format!("zone-{}", index % 3);
@@ -293,7 +294,7 @@
         self.schedule(delay, Event::Heartbeat(index));
     }
 
-    /// Plays the run.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> FleetReport {
         let end = TRAFFIC_FROM + self.settings.traffic;
         while let Some(next) = self.queue.pop() {
@@ -307,7 +308,7 @@
     }
 
     fn finish(mut self, end: Duration) -> FleetReport {
-        // Keys that nobody held at the end count as lost until then.
+        // Keys without an owner at the end count as lost until then.
         for loss in std::mem::take(&mut self.lost_keys) {
             self.report.unserved.0.push(end - loss.at);
         }
@@ -321,7 +322,7 @@
         self.report
     }
 
-    /// Prints what happens, if the run is traced.
+    /// Prints a line if tracing is enabled.
     pub(super) fn trace(&self, what: impl FnOnce() -> String) {
         if self.settings.trace {
             println!("{:>10.4} {}", self.now.as_secs_f64(), what());
@@ -400,7 +401,7 @@
         }
     }
 
-    /// Starts a node under a new life.
+    /// Starts a new incarnation of a node.
     pub(super) fn start_node(&mut self, index: usize) {
         if self.nodes[index].node.is_some() {
             return;
@@ -443,7 +444,7 @@
         self.input((index, incarnation), Input::Deadline);
     }
 
-    /// A node's process ends at once.
+    /// Ends the process of a node immediately.
     pub(super) fn kill_node(&mut self, index: usize) {
         let incarnation = self.nodes[index].incarnation;
         self.nodes[index].node = None;
@@ -464,7 +465,7 @@
         }
     }
 
-    /// Passes an input to a node, and carries out what it wants.
+    /// Passes an input to a node and performs the resulting actions.
     pub(super) fn input(&mut self, caller: Caller, input: Input) {
         let simulated = &mut self.nodes[caller.0];
         if simulated.incarnation != caller.1 || simulated.node.is_none() {
@@ -481,7 +482,7 @@
         let mut actions = Vec::new();
         let time = self.now - simulated.clock_behind;
         if std::mem::take(&mut simulated.resumed_without_step) && node.next_deadline() <= time {
-            // What is due comes before what waited.
+            // Overdue deadlines run before inputs that arrived during the suspension.
             node.step(Input::Deadline, time, &mut actions);
         }
         node.step(input, time, &mut actions);
@@ -489,7 +490,7 @@
         let deadline = node.next_deadline() + simulated.clock_behind;
         assert!(
             deadline > self.now,
-            "node {} has done what is due at {:?}, but asks for {deadline:?}: {:?}",
+            "node {} processed its due deadlines at {:?} but requests another at {deadline:?}: {:?}",
             caller.0,
             self.now,
             node.next_deadlines()
@@ -598,7 +599,8 @@
             Some(instance) => {
                 let held = self.blocked_order(caller, exchange, instance, &request);
                 match held {
-                    // On a kept connection; its end is that of the exchange's time.
+                    // Sent on an established connection, so the exchange ends only with its
+                    // timeout.
                     Some(held) => self.schedule_retransmission(held),
                     None => self.not_connected(caller, exchange, options.connect_timeout),
                 }
@@ -610,7 +612,8 @@
         }
     }
 
-    /// An order that was written into a cut, if kernels hold such bytes.
+    /// The order that the kernel retransmits after the partition, if the transport
+    /// retransmits.
     fn blocked_order(
         &self,
         caller: Caller,
@@ -632,7 +635,7 @@
         })
     }
 
-    /// A connection is opened, and nothing sent on it.
+    /// Opens a connection without sending anything on it.
     fn probe(
         &mut self,
         caller: Caller,
@@ -654,7 +657,7 @@
         self.schedule(after, Event::Exchanged(caller, exchange, input));
     }
 
-    /// The instance that has an address now.
+    /// The running instance at an address.
     pub(super) fn running_instance_at(&self, address: SocketAddr) -> Option<usize> {
         self.instances
             .iter()
@@ -689,7 +692,7 @@
         self.schedule(after, Event::Exchanged(caller, exchange, input));
     }
 
-    /// The node that a fault hits.
+    /// Index of the node that a fault affects.
     pub(super) fn target(&self, target: Target) -> usize {
         let epoch = |index: &usize| {
             let node = self.nodes[*index].node.as_ref()?;
@@ -705,7 +708,7 @@
     }
 }
 
-/// The end of an exchange as an input.
+/// Wraps the result of an exchange in an input.
 pub(super) fn exchanged(
     exchange: ExchangeId,
     result: Result<Response, ExchangeFailure>,
@@ -731,7 +734,7 @@
     SocketAddr::from(([10, 0, 2, 0], 9_000))
 }
 
-/// Violations as lines.
+/// Formats violations, one per line.
 pub fn violation_lines(violations: &[Violation]) -> Vec<String> {
     violations
         .iter()
--- a/crates/ledgelead-lab/tests/checker.rs
+++ b/crates/ledgelead-lab/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds what it is for, and nothing in a run without faults.
+//! Tests that the checker detects each kind of violation and reports none without faults.
 
 use googletest::prelude::*;
 use ledgelead_lab::checker::ownership::{AcknowledgedMove, Claim, OwnershipChecker};
@@ -142,10 +142,10 @@
     }
 }
 
-/// Seed 20 of the storm: the slice moved on before the owner that the first
-/// move named had heard of it.
+/// The slice moves on before the owner named by the first move learns of it. Found by seed 20
+/// of the storm scenario.
 #[gtest]
-fn move_that_a_later_one_overtook_is_not_found_and_others_are() {
+fn superseded_move_is_not_found_and_others_are() {
     let told = |position, to, seconds| AcknowledgedMove {
         service: SERVICE,
         position: Position(position),
@@ -172,10 +172,10 @@
     }
 }
 
-/// The slice reaches the server that the first of two moves named: the second,
-/// which an operator was told of later, still has to come into force.
+/// The slice reaches the server named by the first of two moves. The second one was
+/// acknowledged to an operator later, so it must still take effect.
 #[gtest]
-fn move_told_later_than_the_one_in_force_is_found() {
+fn move_acknowledged_after_the_effective_one_is_found() {
     let told = |position, to, seconds| AcknowledgedMove {
         service: SERVICE,
         position: Position(position),
@@ -217,7 +217,7 @@
 }
 
 #[gtest]
-fn work_given_late_and_cut_work_are_found() {
+fn requests_after_a_leave_and_requests_interrupted_by_a_stop_are_found() {
     let mut checker = Checker::default();
     let leaving = &mut checker.leaving;
     leaving.told(at(1), ServerId(1));
@@ -244,7 +244,7 @@
 }
 
 #[gtest]
-fn late_reverted_and_doubly_won_configurations_are_found() {
+fn late_reverted_and_conflicting_configurations_are_found() {
     let mut checker = Checker::default();
     let violations = &mut checker.violations;
     let configuration = &mut checker.configuration;
--- a/crates/ledgelead-lab/tests/demo_checker.rs
+++ b/crates/ledgelead-lab/tests/demo_checker.rs
@@ -1,4 +1,4 @@
-//! The demonstration's checker finds each kind of broken promise.
+//! Tests that the checker of the demonstration detects each kind of violation.
 
 use googletest::prelude::*;
 use ledgelead_lab::demo::checker::{
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn an_orderly_move_breaks_nothing() {
+fn orderly_move_causes_no_violations() {
     let callers = [
         record(1, answered(true)),
         record(2, answered(true)),
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn two_servers_at_once_and_older_tokens_are_found() {
+fn concurrent_owners_and_older_tokens_are_found() {
     let overlapping = [
         execution(1, 1, "1.1.1", (0, 10)),
         execution(2, 2, "1.1.2", (9, 20)),
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn broken_words_to_callers_are_found() {
+fn wrong_outcomes_reported_to_callers_are_found() {
     let callers = [
         record(1, CallerOutcome::NotRun("overloaded".to_owned())),
         record(2, answered(true)),
@@ -110,7 +110,7 @@
 }
 
 #[gtest]
-fn work_for_a_leaving_server_and_cut_work_are_found() {
+fn requests_to_a_leaving_server_and_interrupted_requests_are_found() {
     let at = Time::ZERO + Span::from_millis(5);
     let departure = Departure {
         server: ServerId(1),
@@ -135,7 +135,7 @@
 }
 
 #[gtest]
-fn requests_cut_by_the_stop_of_a_node_are_found() {
+fn requests_interrupted_by_a_node_stop_are_found() {
     let address = ([127, 0, 0, 1], 7_000).into();
     let millis = |millis| Time::ZERO + Span::from_millis(millis);
     let unknown = |request, due, finished| CallerRecord {
--- a/crates/ledgelead-lab/tests/demo_endpoints.rs
+++ b/crates/ledgelead-lab/tests/demo_endpoints.rs
@@ -1,4 +1,4 @@
-//! The stand-ins behind real sockets.
+//! Tests of the simulated servers and the simulated platform over real sockets.
 
 use googletest::prelude::*;
 use ledgelead_lab::demo::caller::{self, Client, Targets};
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn load_sent_directly_is_answered_whole() {
+fn every_directly_sent_request_is_answered() {
     let servers = [1, 2, 3].map(|server| start_server(server, true, Span::from_millis(1)));
     let addresses = servers.each_ref().map(ServerEndpoint::address).to_vec();
     let shape = LoadShape {
@@ -93,7 +93,7 @@
 }
 
 #[gtest]
-fn a_killed_server_answers_nothing_more() {
+fn killed_server_stops_responding() {
     let mut server = start_server(1, false, Span::from_seconds(30));
     let address = server.address();
     let asking = std::thread::spawn(move || send_directly(address, &planned(1)));
@@ -139,7 +139,7 @@
 }
 
 #[gtest]
-fn a_keyed_server_runs_only_what_its_lease_covers() {
+fn keyed_server_runs_only_what_its_lease_covers() {
     let server = start_server(1, true, Span::ZERO);
     let agent = caller::new_agent();
     let token = FencingToken::parse("1.2.3").expect("a token");
@@ -190,7 +190,7 @@
     );
 }
 
-/// Status, `Object-Version` and body of an answer of the platform.
+/// Status, `Object-Version` and body of a response of the platform.
 fn object(agent: &Agent, request: Request<Vec<u8>>) -> (u16, String, Vec<u8>) {
     let mut response = agent.run(request).expect("an answer");
     let version = response.headers().get("Object-Version");
@@ -201,7 +201,7 @@
 }
 
 #[gtest]
-fn the_platform_swaps_by_version_and_wakes_watches() {
+fn platform_compares_versions_and_wakes_watches() {
     let platform = PlatformEndpoint::start(WallClock::start()).expect("a free port");
     let url = format!("http://{}/objects/configuration", platform.address());
     let agent = caller::new_agent();
--- a/crates/ledgelead-lab/tests/fleet.rs
+++ b/crates/ledgelead-lab/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! The store-backed router against the stand-ins of the platform, in virtual
-//! time: drawn faults, directed faults, and the proof that the checker sees
-//! each protection that is turned off.
+//! Runs the store-backed router against the simulated platform services in virtual time: with
+//! random faults, with chosen faults, and with single protections disabled, which the checker
+//! must detect.
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::command::{NODES, drawn, drawn_for, run_seeds};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 fn seconds(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds).expect("a time of a test")
+    Duration::try_from_secs_f64(seconds).expect("valid duration")
 }
 
 fn run(schedule: Schedule, protections: Protections) -> FleetReport {
@@ -31,7 +31,7 @@
         .count()
 }
 
-/// The schedule breaks nothing, but does with the protection off.
+/// Expects no violations with all protections, but some with the given protection disabled.
 fn expect_protected(schedule: &Schedule, protection: Protection, kind: ViolationKind) {
     let safe = run(schedule.clone(), Protections::default());
     expect_that!(safe.violations, is_empty());
@@ -40,14 +40,14 @@
 }
 
 #[gtest]
-fn a_calm_run_answers_every_request() {
+fn run_without_faults_answers_every_request() {
     let report = run(Schedule::default(), Protections::default());
     expect_that!(report.violations, is_empty());
     expect_that!(report.requests, gt(3_000));
     expect_that!(report.answered + report.unanswered, eq(report.requests));
 }
 
-/// Calls to the store of a run.
+/// Number of store calls of a run.
 fn calls(settings: FleetSettings) -> u64 {
     let report = World::new(settings).run();
     expect_that!(report.violations, is_empty());
@@ -68,9 +68,9 @@
 }
 
 #[gtest]
-fn relayed_changes_of_instances_spare_the_store() {
-    // Hot keys move, so the record is written between the changes of instances
-    // and raises the store's revision as well.
+fn relayed_instance_changes_cause_few_store_calls() {
+    // Hot keys cause moves, so the ownership record is also written between the changes of
+    // instances, which raises the store's revision.
     let drain = |position| {
         let at = seconds(16.0 + 4.0 * position as f64);
         (at, seconds(3.0), FaultKind::DrainInstance(position))
@@ -90,43 +90,43 @@
 }
 
 #[gtest]
-fn nodes_that_hear_a_coordinator_leave_the_store_alone() {
-    // What is left for a node is its start: four lists, most of them cheap since
-    // they may be stale, and its registration.
+fn nodes_following_a_coordinator_make_few_store_calls() {
+    // A node only needs its startup calls: four lists, most of them cheap because they may be
+    // stale, and its registration.
     let added = calm_calls(12, 0.0) - calm_calls(6, 0.0);
     expect_that!(added, le(6 * 6));
 }
 
 #[gtest]
-fn lost_datagrams_cost_calls_but_nothing_else() {
+fn lost_datagrams_only_add_store_calls() {
     let added = calm_calls(12, 0.05) - calm_calls(6, 0.05);
     expect_that!(added, le(6 * 10));
-    // Three heartbeats in a row are often lost: nodes go back to the store.
+    // Three heartbeats in a row are often lost, after which nodes use the store again.
     for nodes in [6, 12] {
         expect_that!(calm_calls(nodes, 0.4), gt(calm_calls(nodes, 0.05)));
     }
 }
 
 #[gtest]
-fn drawn_faults_break_nothing() {
+fn random_faults_cause_no_violations() {
     let (report, lines) = run_seeds(drawn_for, 1..=60, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
     expect_that!(report.answered as f64 / report.requests as f64, gt(0.9));
 }
 
-/// Nodes of a run whose zones are large enough for broadcasts to be passed on.
+/// Number of nodes for which zones are large enough that broadcasts are relayed.
 const MANY_NODES: usize = 21;
 
 #[gtest]
-fn drawn_faults_break_nothing_where_broadcasts_are_passed_on() {
+fn random_faults_cause_no_violations_with_relayed_broadcasts() {
     let (report, lines) = run_seeds(drawn_for, 1..=24, MANY_NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
     expect_that!(report.answered as f64 / report.requests as f64, gt(0.9));
 }
 
 #[gtest]
-fn a_node_that_passes_broadcasts_on_may_freeze() {
-    // Every node freezes for a while in turn, those that pass on among them.
+fn freezing_broadcast_relays_causes_no_violations() {
+    // Every node freezes in turn, including those that relay broadcasts.
     let freeze = |node| {
         let at = seconds(10.0 + 1.5 * node as f64);
         (at, seconds(4.0), FaultKind::FreezeNode(Target::Node(node)))
@@ -150,23 +150,24 @@
 }
 
 #[gtest]
-fn a_write_that_is_served_again_renews_the_watch_on_instances() {
-    // A coordinator that was cut off writes the record while its watch on
-    // instances still waits where nobody answers; an instance left meanwhile.
+fn successful_write_after_a_partition_renews_the_instance_watch() {
+    // A partitioned coordinator writes the record while its watch on instances still waits on
+    // the broken path. An instance left in the meantime.
     let (_, lines) = run_seeds(drawn_for, 129..=129, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
-fn the_same_seed_gives_the_same_run() {
+fn same_seed_gives_the_same_run() {
     let once = World::new(drawn(17, Protections::default())).run();
     let again = World::new(drawn(17, Protections::default())).run();
     expect_eq!(once.json(), again.json());
 }
 
 #[gtest]
-fn a_silent_owner_keeps_its_keys_until_its_lease_is_over() {
-    // Cut from the store and from all nodes, it goes on holding its keys.
+fn partitioned_owner_keeps_its_keys_until_its_lease_expires() {
+    // Partitioned from the store and all other nodes, the coordinator keeps renewing this
+    // owner.
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(20.0),
@@ -181,9 +182,9 @@
 }
 
 #[gtest]
-fn a_deposed_coordinator_cannot_renew_what_has_moved() {
-    // Still in touch with instances, it goes on while the owner drains under
-    // another coordinator.
+fn replaced_coordinator_cannot_renew_moved_keys() {
+    // The old coordinator still reaches instances and continues while the owner drains under a
+    // new coordinator.
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(12.0),
@@ -198,7 +199,7 @@
 }
 
 #[gtest]
-fn a_coordinator_without_the_store_stops_in_time() {
+fn coordinator_partitioned_from_the_store_stops_in_time() {
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(25.0),
@@ -212,7 +213,7 @@
 }
 
 #[gtest]
-fn a_request_that_may_have_run_is_not_sent_again_and_not_called_refused() {
+fn request_that_may_have_run_is_neither_retried_nor_reported_as_refused() {
     let schedule = Schedule::one(seconds(12.0), seconds(10.0), FaultKind::AnswersLost);
     expect_protected(
         &schedule,
@@ -227,9 +228,9 @@
 }
 
 #[gtest]
-fn a_leaving_owner_gets_nothing_more_although_nobody_moves_its_keys() {
-    // Some nodes, the coordinator among them, lose the way to owners that just
-    // said that they leave.
+fn draining_owner_gets_no_requests_even_if_its_keys_are_not_moved() {
+    // Some nodes, including the coordinator, lose the connection to owners that have just
+    // announced that they are leaving.
     let mut schedule = Schedule::default();
     for position in 0..4 {
         schedule = schedule
@@ -252,7 +253,7 @@
 }
 
 #[gtest]
-fn a_leaving_owner_is_noticed_although_the_coordinator_has_lost_the_store() {
+fn draining_owner_is_noticed_while_the_coordinator_is_partitioned_from_the_store() {
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(8.0),
@@ -264,9 +265,9 @@
 }
 
 #[gtest]
-fn who_left_while_a_node_was_cut_off_gets_nothing_from_it() {
-    // One owner of keys and one of the others; the store forgets the history
-    // in which they went.
+fn instance_removed_during_a_partition_gets_no_requests_from_the_partitioned_node() {
+    // One of the instances owns keys, the other one is unsharded. The store drops the history
+    // that contains their removal.
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(12.0),
@@ -280,7 +281,7 @@
 }
 
 #[gtest]
-fn orders_carried_out_late_break_nothing() {
+fn late_orders_cause_no_violations() {
     let schedule = Schedule::one(seconds(10.0), seconds(12.0), FaultKind::OrdersLate)
         .and(seconds(12.0), seconds(1.0), FaultKind::DrainInstance(0))
         .and(seconds(14.0), seconds(3.0), FaultKind::SilenceInstance(3))
@@ -307,9 +308,9 @@
 }
 
 #[gtest]
-fn the_authority_of_all_earlier_coordinators_is_waited_for() {
-    // The first coordinator is cut off together with an owner, the second one
-    // leaves its place in good order while the first may still give orders.
+fn new_coordinator_waits_for_the_authority_of_all_previous_ones() {
+    // The first coordinator is partitioned together with an owner. The second one stops
+    // gracefully while the first may still send orders.
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(20.0),
@@ -322,7 +323,7 @@
     );
     let report = run(schedule.clone(), Protections::default());
     expect_that!(report.violations, is_empty());
-    // Or it is killed, and its next life proves that this one is over.
+    // Alternatively it is killed, and its next incarnation proves that this one has ended.
     let mut killed = schedule;
     killed.0[1].kind = FaultKind::KillNode(Target::Coordinator);
     let report = run(killed, Protections::default());
@@ -330,7 +331,7 @@
 }
 
 #[gtest]
-fn a_coordinator_outlasts_an_outage_of_the_store() {
+fn coordinator_survives_a_store_outage() {
     let schedule = Schedule::one(seconds(15.0), seconds(6.0), FaultKind::StoreSilent);
     let calm = run(Schedule::default(), Protections::default());
     let report = run(schedule, Protections::default());
@@ -338,7 +339,7 @@
 }
 
 #[gtest]
-fn keys_are_not_taken_from_owners_while_nobody_can_be_written_down_as_the_next() {
+fn keys_are_not_released_while_the_store_cannot_record_a_new_owner() {
     let hot_run = |schedule| {
         World::new(FleetSettings {
             schedule,
@@ -355,7 +356,7 @@
 }
 
 #[gtest]
-fn keys_stay_served_while_the_coordinator_is_followed() {
+fn keys_stay_served_while_the_coordinator_is_replaced() {
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(5.0),
@@ -367,7 +368,7 @@
 }
 
 #[gtest]
-fn all_nodes_at_once_come_back_to_what_the_store_holds() {
+fn nodes_recover_the_stored_state_after_all_were_killed() {
     let schedule = Schedule::one(seconds(15.0), seconds(2.0), FaultKind::KillAllNodes)
         .and(seconds(15.1), seconds(3.0), FaultKind::StoreRefuses)
         .and(seconds(15.2), seconds(1.0), FaultKind::Configure);
--- a/crates/ledgelead-lab/tests/fleet_crashing.rs
+++ b/crates/ledgelead-lab/tests/fleet_crashing.rs
@@ -1,36 +1,29 @@
-//! A request that crashes each instance which begins to run it is soon held back at every
-//! node, and no harmless request is.
+//! A request that crashes every instance that starts it must soon be refused by all nodes, and
+//! no harmless request may be.
 //!
-//! Callers repeat such a request at any node. Each node judged each try by itself, so
-//! nothing kept the next try from the next instance: in one run of 113 s, 13 instances ended
-//! under the requests of three callers. What settled it, from the logs of five nodes: the
-//! same key, a different instance each time, sent at once, by nodes that knew of no try
-//! before.
-//!
-//!     64.3005 records-room-3 attempt_ended answer_lost i-18fca4a701 key 3254 sent_after_ms 0
-//!     68.2627 records-room-2 attempt_ended answer_lost i-85d729d528 key 3254 sent_after_ms 0
-//!     72.7631 records-room-2 attempt_ended answer_lost i-fb82e77367 key 3254 sent_after_ms 0
-//!     75.9272 bench-hall-5   attempt_ended answer_lost i-26bb7dce85 key 3254 sent_after_ms 50
-//!     79.7580 bench-hall-2   attempt_ended answer_lost i-fc681eaf37 key 3254 sent_after_ms 0
-//!
-//! In the simulation seeds 1 to 40 had 1,414 instances end under 3,031 tries.
+//! Clients retry such a request at arbitrary nodes. If each node judges every attempt
+//! separately, nothing keeps the next attempt from the next instance: in one run of 113 s, 13
+//! instances crashed under the requests of three clients. Each attempt had the same key but
+//! went to a different instance, within 50 ms of its arrival, through a node that knew of no
+//! earlier attempt. In the simulation, 1,414 instances crashed under 3,031 attempts in seeds 1
+//! to 40.
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::ViolationKind;
 use ledgelead_lab::fleet::command::{NODES, drawn_crashing, run_seeds};
 use ledgelead_router::protections::{Protection, Protections};
 
-/// Nodes of a run whose zones are large enough for broadcasts to be passed on.
+/// Number of nodes for which zones are large enough that broadcasts are relayed.
 const MANY_NODES: usize = 21;
 
 #[gtest]
-fn a_request_that_crashes_instances_reaches_few_after_the_third() {
+fn crashing_request_reaches_few_instances_after_the_third_crash() {
     let (_, lines) = run_seeds(drawn_crashing, 1..=80, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
-fn a_request_that_crashes_instances_reaches_few_of_many_nodes() {
+fn crashing_request_reaches_few_instances_in_a_large_fleet() {
     let (_, lines) = run_seeds(
         drawn_crashing,
         1..=20,
@@ -41,9 +34,9 @@
     expect_that!(lines, is_empty());
 }
 
-/// How often runs with a protection turned off break each of the two promises: that such a
-/// request reaches few instances, and that no harmless one is held back.
-fn broken(without: Protection, seeds: std::ops::RangeInclusive<u64>) -> (usize, usize) {
+/// Counts both kinds of violations with a protection disabled: crashing requests that reach
+/// too many instances, and harmless requests that are refused.
+fn count_violations(without: Protection, seeds: std::ops::RangeInclusive<u64>) -> (usize, usize) {
     let (report, _) = run_seeds(
         drawn_crashing,
         seeds,
@@ -62,25 +55,25 @@
 }
 
 #[gtest]
-fn the_checker_sees_nodes_that_do_not_share_what_they_know() {
-    let (sent_on, _) = broken(Protection::SharedEvidence, 1..=20);
-    expect_that!(sent_on, gt(0));
+fn checker_detects_crash_evidence_that_is_not_shared() {
+    let (forwarded, _) = count_violations(Protection::SharedEvidence, 1..=20);
+    expect_that!(forwarded, gt(0));
 }
 
 #[gtest]
-fn the_checker_sees_that_a_loss_of_all_nodes_forgets_what_is_not_kept() {
-    let (sent_on, _) = broken(Protection::KeptEvidence, 225..=225);
-    expect_that!(sent_on, gt(0));
+fn checker_detects_crash_evidence_lost_with_all_nodes() {
+    let (forwarded, _) = count_violations(Protection::KeptEvidence, 225..=225);
+    expect_that!(forwarded, gt(0));
 }
 
 #[gtest]
-fn the_checker_sees_harmless_requests_that_no_answer_acquits() {
-    let (_, held_back) = broken(Protection::Acquittal, 10..=20);
-    expect_that!(held_back, gt(0));
+fn checker_detects_harmless_requests_still_suspected_after_a_response() {
+    let (_, refused_harmless) = count_violations(Protection::Acquittal, 10..=20);
+    expect_that!(refused_harmless, gt(0));
 }
 
 #[gtest]
-fn the_checker_sees_harmless_requests_with_the_path_of_another() {
-    let (_, held_back) = broken(Protection::WholeIdentity, 1..=5);
-    expect_that!(held_back, gt(0));
+fn checker_detects_requests_identified_by_path_alone() {
+    let (_, refused_harmless) = count_violations(Protection::WholeIdentity, 1..=5);
+    expect_that!(refused_harmless, gt(0));
 }
--- a/crates/ledgelead-lab/tests/fleet_eras.rs
+++ b/crates/ledgelead-lab/tests/fleet_eras.rs
@@ -1,53 +1,53 @@
-//! A store that comes back from a copy, so that what was acknowledged since is gone and its
-//! revisions are given out again: keys have one owner, and tokens rise, all the same.
+//! A store restored from a snapshot loses acknowledged writes and reuses revisions. Keys must
+//! still have one owner, and tokens must still increase.
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::ViolationKind;
 use ledgelead_lab::fleet::command::{NODES, drawn_eras, run_seeds};
 use ledgelead_router::protections::{Protection, Protections};
 
-/// A run in which a copy lacks tokens that were given out after it.
-const FENCED_TWICE: u64 = 169;
-/// Nodes of a run whose zones are large enough for broadcasts to be passed on.
+/// A seed whose snapshot lacks tokens that were issued after it.
+const SEED_WITH_REUSED_TOKENS: u64 = 169;
+/// Number of nodes for which zones are large enough that broadcasts are relayed.
 const MANY_NODES: usize = 21;
 
 #[gtest]
-fn nothing_outlives_the_era_of_the_store_unproved() {
+fn restored_store_causes_no_violations() {
     let (report, lines) = run_seeds(drawn_eras, 1..=40, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
     expect_that!(report.answered as f64 / report.requests as f64, gt(0.75));
 }
 
 #[gtest]
-fn nothing_outlives_its_era_where_broadcasts_are_passed_on() {
+fn restored_store_causes_no_violations_with_relayed_broadcasts() {
     let (_, lines) = run_seeds(drawn_eras, 1..=8, MANY_NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
-fn the_checker_sees_an_era_that_is_ignored() {
+fn checker_detects_an_ignored_store_era() {
     let protections = Protections::without(Protection::EraBound);
     let (report, _) = run_seeds(drawn_eras, 1..=10, NODES, protections, false);
-    let kinds = report.violations.iter().map(|found| found.kind);
+    let violation_kinds = report.violations.iter().map(|found| found.kind);
     expect_that!(
-        kinds.collect::<Vec<_>>(),
+        violation_kinds.collect::<Vec<_>>(),
         contains(eq(&ViolationKind::SingleOwner))
     );
 }
 
 #[gtest]
-fn the_checker_sees_tokens_that_are_given_out_in_two_eras() {
+fn checker_detects_tokens_reused_across_eras() {
     let protections = Protections::without(Protection::EraTokens);
     let (report, _) = run_seeds(
         drawn_eras,
-        FENCED_TWICE..=FENCED_TWICE,
+        SEED_WITH_REUSED_TOKENS..=SEED_WITH_REUSED_TOKENS,
         NODES,
         protections,
         false,
     );
-    let kinds = report.violations.iter().map(|found| found.kind);
+    let violation_kinds = report.violations.iter().map(|found| found.kind);
     expect_that!(
-        kinds.collect::<Vec<_>>(),
+        violation_kinds.collect::<Vec<_>>(),
         contains(eq(&ViolationKind::TokenRises))
     );
 }
--- a/crates/ledgelead-lab/tests/fleet_foreign.rs
+++ b/crates/ledgelead-lab/tests/fleet_foreign.rs
@@ -1,5 +1,5 @@
-//! Entries of the store that another writer made: the instance that such an entry named
-//! gets nothing more, and the others hold, also where they leave meanwhile.
+//! Store entries written by a foreign writer: the instance of such an entry must get no more
+//! requests, and the other instances must be unaffected, even if they leave meanwhile.
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::command::{NODES, drawn, drawn_foreign, run_seeds};
@@ -7,10 +7,10 @@
 use ledgelead_router::protections::{Protection, Protections};
 use std::time::Duration;
 
-/// Nodes of a run whose zones are large enough for broadcasts to be passed on.
+/// Number of nodes for which zones are large enough that broadcasts are relayed.
 const MANY_NODES: usize = 21;
 
-fn kinds(protection: Protection) -> Vec<ViolationKind> {
+fn violation_kinds(protection: Protection) -> Vec<ViolationKind> {
     let (report, _) = run_seeds(
         drawn_foreign,
         1..=20,
@@ -22,13 +22,13 @@
 }
 
 #[gtest]
-fn foreign_entries_break_nothing() {
+fn foreign_entries_cause_no_violations() {
     let (_, lines) = run_seeds(drawn_foreign, 1..=60, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
-fn foreign_entries_break_nothing_where_broadcasts_are_passed_on() {
+fn foreign_entries_cause_no_violations_with_relayed_broadcasts() {
     let (_, lines) = run_seeds(
         drawn_foreign,
         1..=16,
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn foreign_entries_alone_break_nothing_where_broadcasts_are_passed_on() {
+fn foreign_entries_alone_cause_no_violations_with_relayed_broadcasts() {
     // Even seeds draw no other faults.
     for seed in (2..=32).step_by(2) {
         let settings = drawn_foreign(seed, MANY_NODES, Protections::default());
@@ -50,9 +50,9 @@
 }
 
 #[gtest]
-fn a_drain_is_known_to_nodes_that_start_without_a_coordinator() {
-    // All nodes are killed and an instance begins to drain meanwhile; three of them sent it
-    // work 2.7 s later, by lists that were older than that.
+fn drain_is_known_to_nodes_that_start_without_a_coordinator() {
+    // All nodes are killed, and an instance begins to drain meanwhile. Nodes that start with
+    // lists older than that must not send it requests; three of them did 2.7 s later.
     let (_, lines) = run_seeds(
         drawn_foreign,
         279..=279,
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn others_are_served_beside_a_foreign_entry() {
+fn foreign_entry_does_not_affect_other_instances() {
     let calm = drawn(4, Protections::default());
     let run = |schedule| {
         World::new(FleetSettings {
@@ -74,7 +74,7 @@
         .run()
     };
     let without = run(Schedule::default());
-    // An instance without keys: three others of its service have room for its work.
+    // An unsharded instance: three others of its service can take over its requests.
     let foreign = FaultKind::ForeignEntry(7);
     let at = Duration::from_secs(15);
     let beside = run(Schedule::one(at, Duration::from_secs(20), foreign));
@@ -85,19 +85,19 @@
 }
 
 #[gtest]
-fn the_checker_sees_an_answer_that_is_dropped_with_a_foreign_entry() {
-    let found = kinds(Protection::ForeignApart);
+fn checker_detects_store_answers_dropped_because_of_a_foreign_entry() {
+    let found = violation_kinds(Protection::ForeignApart);
     expect_that!(found, contains(eq(&ViolationKind::NoNewWorkAfterLeave)));
 }
 
 #[gtest]
-fn the_checker_sees_the_use_of_an_instance_whose_entry_is_foreign() {
-    let found = kinds(Protection::ForeignUnused);
+fn checker_detects_requests_to_an_instance_with_a_foreign_entry() {
+    let found = violation_kinds(Protection::ForeignUnused);
     expect_that!(found, contains(eq(&ViolationKind::NoNewWorkAfterLeave)));
 }
 
 #[gtest]
-fn the_checker_sees_work_by_a_first_list_that_nothing_confirms() {
+fn checker_detects_requests_based_on_an_unconfirmed_first_list() {
     let protections = Protections::without(Protection::ConfirmedView);
     let (report, _) = run_seeds(drawn_foreign, 279..=279, NODES, protections, false);
     let found: Vec<ViolationKind> = report.violations.iter().map(|found| found.kind).collect();
--- a/crates/ledgelead-lab/tests/fleet_restarts.rs
+++ b/crates/ledgelead-lab/tests/fleet_restarts.rs
@@ -1,11 +1,11 @@
-//! Instances that start again under the ids that they had: their lives are kept apart.
+//! Instances that restart under the same id: nodes must distinguish their incarnations.
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::command::{NODES, drawn_restarts, run_seeds};
 use ledgelead_router::protections::{Protection, Protections};
 
 #[gtest]
-fn lives_of_one_id_hold_keys_under_rising_tokens() {
+fn incarnations_of_one_instance_hold_keys_under_increasing_tokens() {
     let (_, lines) = run_seeds(
         drawn_restarts,
         1..=100,
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn the_checker_sees_lives_that_are_taken_for_one() {
+fn checker_detects_incarnations_that_are_not_distinguished() {
     let sabotaged = Protections::without(Protection::LivesApart);
     let (_, lines) = run_seeds(drawn_restarts, 1..=4, NODES, sabotaged, false);
     expect_that!(lines, contains(contains_substring("lives_apart")));
--- a/crates/ledgelead-lab/tests/fleet_suspended.rs
+++ b/crates/ledgelead-lab/tests/fleet_suspended.rs
@@ -1,9 +1,9 @@
-//! Machines that are suspended: a process stands still, and its steady clock with it.
+//! Suspended machines: a process makes no progress, and its monotonic clock stops too.
 //!
-//! A coordinator that was suspended took its authority for as young as before, since it
-//! counted that by a clock which stands still meanwhile. Its successor had waited the
-//! authority out and given a silent owner's keys away; the former one, awake again, went on
-//! to renew them at the earlier owner. In the simulation:
+//! If a coordinator measures the age of its authority by a clock that stops during suspension,
+//! it overestimates its remaining authority after it resumes. Its successor has meanwhile
+//! waited out that authority and given the keys of an unresponsive owner to another instance,
+//! but the resumed coordinator renews them at the previous owner. In the simulation:
 //!
 //!     45.9867 single_owner: i-2 takes 32768 to 43689 while i-3 holds them until 49.967
 //!     46.8890 single_owner: i-3 takes 32768 to 43689 while i-2 holds them until 50.067
@@ -15,7 +15,7 @@
 use ledgelead_runtime::clock::ClockSource;
 
 #[gtest]
-fn a_suspended_machine_leaves_no_keys_with_two_owners() {
+fn suspended_machine_creates_no_second_owner() {
     let (_, lines) = run_seeds(
         drawn_suspended,
         1..=130,
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn the_checker_sees_two_owners_by_a_clock_that_stands_still() {
+fn checker_detects_two_owners_if_the_clock_stops_during_suspension() {
     let report = World::new(FleetSettings {
         clock: ClockSource::Steady,
         ..drawn_suspended(1_807, NODES, Protections::default())
--- a/crates/ledgelead-lab/tests/fleet_versions.rs
+++ b/crates/ledgelead-lab/tests/fleet_versions.rs
@@ -1,13 +1,14 @@
-//! A version of the configuration that was acknowledged is in force in time at each node
-//! in touch with the store, and none goes back: small versions and large ones, while the
-//! store refuses some nodes, and among all other faults.
+//! Every node connected to the store must apply each acknowledged configuration version in
+//! time and never revert to an older one, for small and large versions, while the store
+//! refuses some nodes, and under all other faults.
 //!
-//! The directed runs began with six seconds in which nine nodes of eleven lacked a version
-//! of 390 more routes: the store refused the coordinator and served all others, and the
-//! heartbeats of two coordinators undid each other's word of what a node lacks
-//! (`former_coordinator.rs` of the router's own tests). While that was so, the run with
-//! 700 ms between refusal and version reported, 2.0 s after the version was acknowledged at
-//! 17.6 s, `configuration_in_time: node 2 has 1 and lacks 4`, and the same of nodes 3 to 5.
+//! The tests with chosen faults guard against a failure in which nine of eleven nodes lacked a
+//! version with 390 more routes for six seconds: the store refused the coordinator but served
+//! all other nodes, and the heartbeats of two coordinators overwrote each other's information
+//! about what a node lacked (`former_coordinator.rs` of the router's own tests). With that
+//! fault, the run with 700 ms between refusal and version reported `configuration_in_time:
+//! node 2 has 1 and lacks 4` 2.0 s after the version was acknowledged at 17.6 s, and the same
+//! for nodes 3 to 5.
 
 use googletest::prelude::*;
 use ledgelead_lab::fleet::command::{NODES, drawn, drawn_versions, run_seeds};
@@ -15,15 +16,15 @@
 use ledgelead_router::protections::{Protection, Protections};
 use std::time::Duration;
 
-/// Nodes of a run whose zones are large enough for broadcasts to be passed on.
+/// Number of nodes for which zones are large enough that broadcasts are relayed.
 const MANY_NODES: usize = 21;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// The store refuses the coordinator, and some nodes besides, for six seconds; a version
-/// follows after a while.
+/// The store refuses the coordinator and the nodes in `refused` for six seconds. A version is
+/// written `version_after` the start of the refusal.
 fn refusal(refused: &[usize], version_after: Duration, kind: FaultKind) -> Schedule {
     let at = ms(16_900);
     let coordinator = FaultKind::StoreRefusesNode(Target::Coordinator);
@@ -35,7 +36,7 @@
 }
 
 #[gtest]
-fn a_large_version_is_in_force_in_time_while_the_store_refuses_the_coordinator() {
+fn large_version_is_applied_in_time_while_the_store_refuses_the_coordinator() {
     for nodes in [NODES, MANY_NODES] {
         for version_after in [0, 300, 600, 700, 800, 1_100, 1_500, 1_900, 3_000] {
             for refused in [&[][..], &[2, 4]] {
@@ -54,13 +55,13 @@
 }
 
 #[gtest]
-fn acknowledged_versions_are_in_force_in_time() {
+fn acknowledged_versions_are_applied_in_time() {
     let (_, lines) = run_seeds(drawn_versions, 1..=80, NODES, Protections::default(), false);
     expect_that!(lines, is_empty());
 }
 
 #[gtest]
-fn acknowledged_versions_are_in_force_in_time_where_broadcasts_are_passed_on() {
+fn acknowledged_versions_are_applied_in_time_with_relayed_broadcasts() {
     let (_, lines) = run_seeds(
         drawn_versions,
         1..=20,
@@ -72,7 +73,7 @@
 }
 
 #[gtest]
-fn the_checker_sees_versions_that_a_former_coordinator_holds_up() {
+fn checker_detects_versions_delayed_by_a_former_coordinator() {
     let protections = Protections::without(Protection::NewestEpoch);
     let schedule = refusal(&[], ms(700), FaultKind::ConfigureLarge);
     let report = World::new(FleetSettings {
@@ -87,14 +88,14 @@
 }
 
 #[gtest]
-fn a_node_that_the_store_refuses_learns_who_leaves() {
-    // Node 1 coordinates and is refused by the store from 20.0 s on. The store was silent
-    // until 20.6 s, so the others leave it time to notice; node 2 takes its place only at
-    // 25.88 s. The instance says at 23.0 s that it leaves. Up to 25.74 s, when node 1 sends
-    // it a request, nobody could have told node 1. A node that the store refuses is not in
-    // touch with it, and is not judged. What it lacked it has 0.8 s after it hears node 2:
-    // all instances, which no node's log reached back to (`node/snapshot.rs` of the router's
-    // own tests).
+fn node_refused_by_the_store_learns_of_departures() {
+    // Node 1 coordinates and is refused by the store from 20.0 s on. The store was
+    // unresponsive until 20.6 s, so the other nodes give the coordinator time to notice, and
+    // node 2 replaces it only at 25.88 s. An instance announces at 23.0 s that it is leaving.
+    // Until 25.74 s, when node 1 sends it a request, nothing could have informed node 1. A
+    // node that the store refuses is not connected to it, so the checker ignores it. Node 1
+    // has what it lacked 0.8 s after it hears node 2: all instances, since no node's log
+    // reaches back far enough (`node/snapshot.rs` of the router's own tests).
     let (_, lines) = run_seeds(
         drawn_versions,
         127..=127,
--- a/crates/ledgelead-lab/tests/hollow.rs
+++ b/crates/ledgelead-lab/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow nodes: small runs in virtual time.
+//! Small runs of hollow nodes in virtual time.
 
 use googletest::prelude::*;
 use ledgelead_lab::hollow::accounts::{Direction, NodeAccount, Traffic};
@@ -32,9 +32,9 @@
     found.expect("every kind is run")
 }
 
-/// The groups that a lost zone leaves short once all took the node of the
-/// lowest identifier in the emptiest zone: of 16 nodes with 72 replicas one had
-/// 16 in this run.
+/// Guards against concentrating replicas when a lost zone leaves groups short of replicas. If
+/// every group picks the node with the lowest identifier in the emptiest zone, one of 16 nodes
+/// ends up with 16 of the 72 replicas in this run.
 #[gtest]
 fn replacements_spread_over_the_nodes() {
     let mut options = options(20);
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn news_reaches_every_node_in_time() {
+fn changes_reach_every_node_in_time() {
     let phases = run(&options(20));
     let changes = phase(&phases, PhaseKind::ConfigurationChanges);
     expect_that!(changes.failed_commands, eq(0));
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn accounts_tell_control_from_requests() {
+fn accounts_separate_control_traffic_from_requests() {
     let mut account = NodeAccount::default();
     account.count(Traffic::Lease, Direction::Out, 100);
     account.count(Traffic::ALL[4], Direction::In, 1_000);
--- a/crates/ledgelead-lab/tests/key_load.rs
+++ b/crates/ledgelead-lab/tests/key_load.rs
@@ -1,4 +1,4 @@
-//! Load that servers are to expect from their keys.
+//! Expected load of servers, given the popularity of their keys.
 
 use googletest::prelude::*;
 use ledgelead_lab::simulation::key_load::{Popularity, imbalance_over_floor};
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn one_hot_position_is_the_floor() {
+fn imbalance_is_relative_to_the_hottest_position() {
     expect_that!(
         imbalance_over_floor(&[0.5, 0.3, 0.2], 0.1),
         some(near(1.5, 1e-9))
--- a/crates/ledgelead-lab/tests/server_standin.rs
+++ b/crates/ledgelead-lab/tests/server_standin.rs
@@ -1,4 +1,4 @@
-//! A server stand-in obeys its lease, its token and its slots.
+//! Tests that a simulated server respects its lease, its tokens and its slots.
 
 use googletest::prelude::*;
 use ledgelead_lab::standin::Moment;
@@ -80,8 +80,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// However long a grant was on its way, nothing starts after the echoed
-    /// stamp plus the lease, and a stamp from before the start grants nothing.
+    /// However long a grant was in flight, no request starts after the echoed stamp plus the
+    /// lease, and a stamp from before the server's start grants nothing.
     #[test]
     fn lease_runs_from_the_echoed_stamp(stamp in 0_u64..2_000_000, delay in 0_u64..2_000_000) {
         let mut server = server(1, true);
--- a/crates/ledgelead-lab/tests/session.rs
+++ b/crates/ledgelead-lab/tests/session.rs
@@ -1,5 +1,5 @@
-//! One whole session in virtual time, as a golden file; and the same seed
-//! twice.
+//! Compares a complete session in virtual time with a snapshot, and two runs of the same seed
+//! with each other.
 
 use googletest::prelude::*;
 use ledgelead_lab::scenario::parse;
@@ -27,6 +27,6 @@
 }
 
 #[gtest]
-fn one_seed_gives_one_run() {
+fn same_seed_gives_the_same_session() {
     expect_that!(session(2), eq(&session(2)));
 }
--- a/crates/ledgelead-lab/tests/simulated_world.rs
+++ b/crates/ledgelead-lab/tests/simulated_world.rs
@@ -1,4 +1,4 @@
-//! The parts of the simulated world, and scenario files.
+//! Tests of the parts of the simulation and of scenario files.
 
 use googletest::prelude::*;
 use ledgelead_lab::scenario::parse;
@@ -24,7 +24,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Waiting the run's span for a span of a skewed clock never ends early.
+    /// Waiting for the converted span never ends before the span has passed on the skewed
+    /// clock.
     #[test]
     fn timers_of_skewed_clocks_never_fire_early(seed: u64, run in 0_u64..1 << 36, span in 0_u64..1 << 32) {
         let clock = SkewedClock::draw(&mut Dice::new(seed, 0), 5_000);
@@ -33,7 +34,7 @@
         prop_assert!(elapsed.0 + 1 >= span);
     }
 
-    /// Events come in the order of their time, and of their adding.
+    /// Events are taken in the order of their times, and of insertion if the times are equal.
     #[test]
     fn events_come_in_order(times in proptest::collection::vec(0_u64..20, 0..50)) {
         let mut queue = EventQueue::default();
@@ -64,7 +65,7 @@
 }
 
 #[gtest]
-fn cut_zone_is_cut_from_others_but_not_within() {
+fn partitioned_zone_is_isolated_from_others_but_connected_within() {
     let scenario = parse(BOGOTA).expect("the scenario is valid");
     let dice = Dice::new(1, 1);
     let mut network = Network::new(&scenario.network, &scenario.platform, &scenario.zones, dice);
@@ -89,7 +90,7 @@
 }
 
 #[gtest]
-fn swap_whose_answer_was_lost_has_taken_effect() {
+fn compare_and_swap_with_a_lost_answer_takes_effect() {
     let mut platform = PlatformState::default();
     platform.condition.loses_answers = true;
     let name = Text::from("object");
@@ -109,7 +110,7 @@
 }
 
 #[gtest]
-fn machine_shows_as_gone_late_and_as_live_at_once() {
+fn machine_is_listed_as_gone_with_delay_and_as_live_immediately() {
     let mut platform = PlatformState::new(Span(10));
     let entry = |state| MachineEntry {
         node: NodeId(1),
@@ -133,8 +134,8 @@
 }
 
 #[gtest]
-fn all_mistakes_of_a_scenario_are_reported_with_their_place() {
-    let broken = BOGOTA
+fn all_scenario_errors_are_reported_with_their_location() {
+    let invalid = BOGOTA
         .replace("quiet_seconds = 15", "quiet_seconds = 90")
         .replace("clock_drift_ppm = 5000", "clock_drift_ppm = 50000")
         .replacen("slots = 2", "slots = 0", 1)
@@ -144,7 +145,7 @@
             "kind = \"kill-node\"\nat_seconds = 1.0",
             1,
         );
-    let findings = parse(&broken).expect_err("the scenario has mistakes");
+    let findings = parse(&invalid).expect_err("the scenario has mistakes");
     let places = findings.iter().map(|finding| finding.place.as_str());
     expect_that!(
         places.collect::<Vec<_>>(),
--- a/crates/ledgelead-lab/tests/storm.rs
+++ b/crates/ledgelead-lab/tests/storm.rs
@@ -1,5 +1,5 @@
-//! Many faults at once on a small deployment: nothing is found, and with a
-//! protection switched off something is.
+//! Many concurrent faults on a small deployment: no violations with all protections, and some
+//! with a protection disabled.
 
 use googletest::prelude::*;
 use ledgelead_lab::checker::Violation;
@@ -8,8 +8,8 @@
 use ledgelead_types::assigner::AssignerChoice;
 use ledgelead_types::protections::{Protection, Protections};
 
-/// Violations found in some seeds.
-fn found(
+/// Number of violations found over the given seeds.
+fn count_violations(
     seeds: impl Iterator<Item = u64>,
     protections: Protections,
     violation: Option<Violation>,
@@ -26,24 +26,24 @@
         .sum()
 }
 
-/// Seed 30 stops a node while it is paused: requests that reach it before it
-/// sees the order to stop must be refused, not cut.
+/// Seed 30 stops a node while it is paused: requests that reach it before it sees the stop
+/// signal must be refused, not interrupted.
 #[gtest]
-fn nothing_is_found_with_every_protection() {
+fn no_violation_is_found_with_every_protection() {
     let seeds = (1..=6).chain([30]);
-    expect_that!(found(seeds, Protections::default(), None), eq(0));
+    expect_that!(count_violations(seeds, Protections::default(), None), eq(0));
 }
 
 #[gtest]
-fn older_configuration_is_found_when_it_is_not_refused() {
+fn older_configuration_is_found_if_it_is_not_refused() {
     let protections = Protections::without(Protection::ConfigurationOrder);
     let violation = Some(Violation::ConfigurationMonotonic);
-    expect_that!(found(1..=6, protections, violation), gt(0));
+    expect_that!(count_violations(1..=6, protections, violation), gt(0));
 }
 
 #[gtest]
-fn cut_requests_are_found_when_a_stop_does_not_wait() {
+fn interrupted_requests_are_found_if_a_stop_does_not_wait() {
     let protections = Protections::without(Protection::StopWaitsForInFlight);
     let violation = Some(Violation::PlannedStopCutsNothing);
-    expect_that!(found(1..=6, protections, violation), gt(0));
+    expect_that!(count_violations(1..=6, protections, violation), gt(0));
 }
