--- a/crates/ledgelead-lab/src/fleet/foreign.rs
+++ b/crates/ledgelead-lab/src/fleet/foreign.rs
@@ -1,4 +1,4 @@
-//! Entries that another writer leaves in the store, and what must hold beside them.
+//! Store entries written by a foreign writer, and the behaviour required despite them.
 
 use super::faults::{Fault, FaultKind, Schedule, draw_time};
 use super::world::{ALL_INSTANCES, SHARDED_INSTANCES, World};
@@ -7,22 +7,22 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// How long an entry is foreign, in milliseconds: some go before that, as entries do that
-/// their instance doesn't write.
+/// How long an entry stays foreign, in milliseconds. Some expire earlier, as any entry does
+/// that its instance does not refresh.
 const FOREIGN_MS: std::ops::Range<u64> = 500..12_000;
-/// How many are drawn for a run.
+/// Number of foreign entries per run.
 const FOREIGN_ENTRIES: std::ops::Range<usize> = 2..6;
-/// What else changes meanwhile: instances that leave, of which nodes have to know.
+/// Number of instances that leave meanwhile, which nodes must notice.
 const LEAVING: std::ops::Range<usize> = 1..4;
 
 impl Schedule {
-    /// Foreign entries, and instances that leave beside them.
+    /// Draws foreign entries and departures of instances.
     pub(super) fn draw_foreign(rng: &mut Pcg64Mcg, from: Duration, to: Duration) -> Schedule {
         let mut schedule = Schedule::default();
         for _ in 0..rng.random_range(FOREIGN_ENTRIES) {
             schedule.0.push(Fault {
                 at: draw_time(rng, from, to),
-                lasts: Duration::from_millis(rng.random_range(FOREIGN_MS)),
+                duration: Duration::from_millis(rng.random_range(FOREIGN_MS)),
                 kind: FaultKind::ForeignEntry(rng.random_range(0..ALL_INSTANCES)),
             });
         }
@@ -38,29 +38,29 @@
 }
 
 impl World {
-    /// Another writer puts what can't be read in the place of an instance's entry, and
-    /// beside the objects of each kind. The instance serves on, and writes no more.
-    pub(super) fn spoil_entry(&mut self, index: usize) {
+    /// Replaces the entry of an instance with unreadable content, and adds an unreadable
+    /// object of each kind. The instance keeps serving but writes no more heartbeats.
+    pub(super) fn make_entry_unreadable(&mut self, index: usize) {
         for kind in ObjectKind::ALL {
-            self.store.spoil(kind, "foreign");
+            self.store.write_unreadable(kind, "foreign");
         }
         let instance = &mut self.instances[index];
-        let is_well = instance.alive && !instance.dark && instance.heartbeats;
-        let is_away = self.mood.silent + self.mood.refusing > 0;
+        let is_well = instance.alive && !instance.unresponsive && instance.heartbeats;
+        let is_away = self.store_faults.silent + self.store_faults.refusing > 0;
         if is_well && !instance.record.draining && !is_away {
             instance.heartbeats = false;
             let name = instance.id().to_string();
-            self.store.spoil(ObjectKind::Instances, &name);
-            self.left.insert(index, self.now);
-            self.spoiled.insert(index);
+            self.store.write_unreadable(ObjectKind::Instances, &name);
+            self.unregistered_since.insert(index, self.now);
+            self.unreadable_entries.insert(index);
         }
         self.answer_watches();
     }
 
-    /// The instance writes its entry again.
+    /// Lets the instance write its entry again.
     pub(super) fn restore_entry(&mut self, index: usize) {
-        if self.spoiled.remove(&index) && self.instances[index].alive {
-            self.left.remove(&index);
+        if self.unreadable_entries.remove(&index) && self.instances[index].alive {
+            self.unregistered_since.remove(&index);
             self.instances[index].heartbeats = true;
         }
     }
--- a/crates/ledgelead-lab/src/fleet/store_traffic.rs
+++ b/crates/ledgelead-lab/src/fleet/store_traffic.rs
@@ -1,32 +1,31 @@
-//! What goes to the store and comes from it: nodes' calls, watches that wait,
-//! instances' entries.
+//! Communication with the store: calls of nodes, pending watches and entries of instances.
 
 use super::event::{Caller, Event};
 use super::network::LATENCY;
-use super::store::{Outcome, Waiting};
+use super::store::{Outcome, PendingWatch};
 use super::world::{HEARTBEAT, World, exchanged};
 use ledgelead_router::dialect::{StoreAnswer, StoreCall};
 use ledgelead_router::io::ExchangeId;
 use rand::RngExt;
 use std::time::Duration;
 
-/// Heartbeats after which an entry goes.
+/// Number of heartbeat intervals after which an entry expires.
 const MISSED_HEARTBEATS: u32 = 3;
 
 impl World {
-    /// A node calls the store.
+    /// Handles a store call of a node.
     pub(super) fn store_call(&mut self, caller: Caller, exchange: ExchangeId, call: &StoreCall) {
         self.report.store_calls += 1;
-        if self.mood.silent > 0 || !self.pending.contains_key(&(caller, exchange)) {
+        if self.store_faults.silent > 0 || !self.pending.contains_key(&(caller, exchange)) {
             return;
         }
         let is_refused = self.network.refused_by_store.contains(&caller.0);
-        if self.mood.refusing > 0 || is_refused {
+        if self.store_faults.refusing > 0 || is_refused {
             self.store_answers(caller, exchange, StoreAnswer::Refused);
             return;
         }
         let writes = matches!(call, StoreCall::Create { .. } | StoreCall::Replace { .. });
-        if writes && self.mood.losing > 0 && self.rng.random_range(0..3) == 0 {
+        if writes && self.store_faults.losing_answers > 0 && self.rng.random_range(0..3) == 0 {
             let late = Duration::from_millis(self.rng.random_range(0..5_000));
             self.schedule(late, Event::LateWrite(Box::new(call.clone())));
             return;
@@ -38,7 +37,7 @@
                 revision,
                 wait,
             } => {
-                self.store.waiting.push(Waiting {
+                self.store.pending_watches.push(PendingWatch {
                     caller,
                     exchange,
                     kind,
@@ -68,16 +67,16 @@
         self.schedule(LATENCY * 3, Event::Exchanged(caller, exchange, input));
     }
 
-    /// The time of a watch that waits is over.
+    /// Answers a pending watch whose wait time is over.
     pub(super) fn watch_over(&mut self, caller: Caller, exchange: ExchangeId) {
         let position = self
             .store
-            .waiting
+            .pending_watches
             .iter()
-            .position(|waiting| waiting.caller == caller && waiting.exchange == exchange);
+            .position(|watch| watch.caller == caller && watch.exchange == exchange);
         if let Some(position) = position {
-            self.store.waiting.remove(position);
-            if self.mood.silent == 0 {
+            self.store.pending_watches.remove(position);
+            if self.store_faults.silent == 0 {
                 let answer = self.store.no_changes();
                 self.store_answers(caller, exchange, answer);
             }
@@ -86,19 +85,19 @@
 
     /// Answers the watches whose kind has changed.
     pub(super) fn answer_watches(&mut self) {
-        if self.mood.silent > 0 {
+        if self.store_faults.silent > 0 {
             return;
         }
-        let waiting = std::mem::take(&mut self.store.waiting);
-        for watch in waiting {
+        let pending_watches = std::mem::take(&mut self.store.pending_watches);
+        for watch in pending_watches {
             match self.store.changes(watch.kind, watch.revision) {
                 Some(answer) => self.store_answers(watch.caller, watch.exchange, answer),
-                None => self.store.waiting.push(watch),
+                None => self.store.pending_watches.push(watch),
             }
         }
     }
 
-    /// An instance writes its entry.
+    /// An instance writes its entry and schedules the next heartbeat.
     pub(super) fn heartbeat(&mut self, index: usize) {
         if !self.instances[index].alive {
             return;
@@ -107,11 +106,14 @@
         self.schedule(HEARTBEAT, Event::Heartbeat(index));
     }
 
-    /// An instance's entry reaches the store, if that serves it.
+    /// Writes the entry of an instance, if the store accepts it.
     pub(super) fn write_entry(&mut self, index: usize) {
         let instance = &self.instances[index];
-        if instance.heartbeats && !instance.dark && self.mood.silent + self.mood.refusing == 0 {
-            self.last_beat.insert(index, self.now);
+        if instance.heartbeats
+            && !instance.unresponsive
+            && self.store_faults.silent + self.store_faults.refusing == 0
+        {
+            self.last_heartbeat.insert(index, self.now);
             self.registered.entry(index).or_insert(self.now);
             self.store.register(instance.record.clone());
             self.entry_taken(index);
@@ -119,13 +121,13 @@
         }
     }
 
-    /// Entries that were not written for long go.
+    /// Removes entries without recent heartbeats.
     pub(super) fn expire_entries(&mut self) {
         let limit = HEARTBEAT * MISSED_HEARTBEATS;
         let gone: Vec<usize> = self
-            .last_beat
+            .last_heartbeat
             .iter()
-            .filter(|(_, beat)| **beat + limit <= self.now)
+            .filter(|(_, heartbeat_at)| **heartbeat_at + limit <= self.now)
             .map(|(index, _)| *index)
             .collect();
         for index in gone {
@@ -136,7 +138,7 @@
     }
 
     pub(super) fn remove_entry(&mut self, index: usize) {
-        self.last_beat.remove(&index);
+        self.last_heartbeat.remove(&index);
         let name = self.instances[index].id().name();
         self.store.remove_instance(name);
     }
--- a/crates/ledgelead-lab/src/fleet/world.rs
+++ b/crates/ledgelead-lab/src/fleet/world.rs
@@ -1,9 +1,9 @@
-//! The world: nodes, store and instances in virtual time.
+//! The simulated nodes, store and instances in virtual time.
 
 use super::checker::{Checker, Violation};
 use super::crashing::{Crashing, CrashingRequest};
 use super::dialect::{TicketDialect, Tickets};
-use super::eras::Copies;
+use super::eras::Snapshots;
 use super::event::{Caller, Event, Scheduled};
 use super::faults::{Fault, Schedule, Target};
 use super::instance::Instance;
@@ -12,7 +12,7 @@
 use super::notices::Notices;
 use super::report::FleetReport;
 use super::store::Store;
-use super::transport::{HeldOrder, Transport};
+use super::transport::{BlockedOrder, Transport};
 use super::versions::{CONFIGURATION_BOUND, VERSION_CHECK_INTERVAL, Versions};
 use ledgelead_http::{Request, Response};
 use ledgelead_router::directory::InstanceRecord;
@@ -33,142 +33,143 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The service whose keys have owners.
+/// The sharded service, whose keys have owners.
 pub const SHARDED: &str = "lookup";
-/// The service whose requests run once.
+/// The service whose requests run at most once.
 pub const ONCE: &str = "submit";
-/// A service without keys whose requests may run more than once; only runs with requests
-/// that crash instances have it.
+/// An unsharded service whose requests may run more than once. It exists only in runs with
+/// requests that crash instances.
 pub const READ: &str = "read";
 /// The host of all routes.
 pub const HOST: &str = "example";
-/// Instances of the sharded service that are there from the start.
+/// Initial instances of the sharded service.
 pub const SHARDED_INSTANCES: usize = 6;
-/// Instances of the other service.
+/// Initial instances of the run-once service.
 const ONCE_INSTANCES: usize = 4;
-/// Instances of the service without keys, where there is one.
+/// Initial instances of the `READ` service in runs that have it.
 const READ_INSTANCES: usize = 6;
-/// Instances that are there from the start.
+/// Initial instances of the sharded and run-once services.
 pub const ALL_INSTANCES: usize = SHARDED_INSTANCES + ONCE_INSTANCES;
-/// Time between heartbeats of an instance.
+/// Interval between the heartbeats of an instance.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(1_300);
-/// Time between two requests of clients.
+/// Interval between client requests.
 const CLIENT_INTERVAL: Duration = Duration::from_millis(8);
-/// When clients begin.
+/// When clients start sending requests.
 pub const TRAFFIC_FROM: Duration = Duration::from_secs(8);
-/// Time for which a leaving instance goes on.
+/// How long a leaving instance still accepts requests.
 pub const DRAIN_BOUND: Duration = Duration::from_secs(2);
 
-/// The longest that a datagram takes beyond the latency.
+/// Maximum delay of a datagram beyond the network latency.
 const MAX_DATAGRAM_DELAY: Duration = Duration::from_millis(3);
 
-/// What a run is like.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Seed of all randomness.
+    /// Seed of all random numbers.
     pub seed: u64,
     /// Number of nodes, spread over three zones.
     pub nodes: usize,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub traffic: Duration,
-    /// What goes wrong.
+    /// The faults of the run.
     pub schedule: Schedule,
-    /// What their connections are like.
+    /// How node connections behave during network partitions.
     pub transport: Transport,
-    /// The clock by which nodes go.
+    /// The clock that nodes use.
     pub clock: ClockSource,
-    /// From when on nine in ten keyed requests are for a few neighbouring keys.
+    /// When set, nine in ten keyed requests after this time go to a small range of adjacent
+    /// keys.
     pub hot_from: Option<Duration>,
-    /// Share of the datagrams between nodes that are lost. The others take up
-    /// to `MAX_DATAGRAM_DELAY` longer than anything else, so that some overtake
-    /// others.
+    /// Share of datagrams between nodes that are lost. The others are delayed by up to
+    /// `MAX_DATAGRAM_DELAY` more than other messages, so that they can arrive out of order.
     pub datagram_loss: f64,
-    /// Requests that crash the instances which run them.
+    /// Requests that crash the instances executing them.
     pub crashing: Vec<CrashingRequest>,
-    /// Whether instances tell when they were started.
-    pub tells_births: bool,
-    /// Whether instances that leave say so in their answers as well. Without that the other
-    /// protections are judged alone.
-    pub tells_leaving: bool,
-    /// Most objects of one page of the store's lists.
-    pub page: usize,
-    /// Whether faults, orders and records are printed.
+    /// Whether instance ids include the start time of the process.
+    pub reports_start_times: bool,
+    /// Whether leaving instances also say so in their responses. If unset, runs test the other
+    /// protections alone.
+    pub reports_leaving_in_responses: bool,
+    /// Maximum number of objects per page of a store list.
+    pub page_objects: usize,
+    /// Whether to print faults, orders and records.
     pub trace: bool,
-    /// Protections of the nodes.
+    /// Protections enabled on the nodes.
     pub protections: Protections,
 }
 
-/// One node.
+/// A simulated node.
 pub(super) struct SimulatedNode {
     pub(super) node: Option<Node>,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) frozen_until: Duration,
     pub(super) thawed_at: Duration,
-    /// By how much its clock is behind, since that stood still.
+    /// How far its clock lags behind because it stopped during suspensions.
     pub(super) clock_behind: Duration,
-    /// Whether it has done nothing since it was suspended.
-    pub(super) resumes: bool,
-    /// When its last cut from the store ended.
+    /// Whether the node has processed nothing since its last suspension.
+    pub(super) resumed_without_step: bool,
+    /// End of its last partition from the store.
     pub(super) healed_at: Duration,
-    /// Until when the store refused its calls.
+    /// End of the last period in which the store refused its calls.
     pub(super) refused_until: Duration,
-    /// When its life began.
+    /// When its current incarnation started.
     pub(super) started_at: Duration,
     deadline: Option<Duration>,
 }
 
-/// A lost hold whose keys have to be held again.
-pub(super) struct Loss {
+/// A key that lost its owner and has not been granted again.
+pub(super) struct LostKey {
     pub(super) at: Duration,
     pub(super) key: u16,
 }
 
-/// How the store behaves.
+/// Active faults of the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StoreMood {
+pub(super) struct StoreFaults {
     pub(super) silent: u32,
     pub(super) refusing: u32,
-    pub(super) losing: u32,
-    /// When the last outage ended.
-    pub(super) returned_at: Duration,
-    /// Until when answers were lost.
-    pub(super) lost_until: Duration,
+    pub(super) losing_answers: u32,
+    /// End of the last outage.
+    pub(super) recovered_at: Duration,
+    /// End of the last period in which responses to writes were lost.
+    pub(super) answers_lost_until: Duration,
 }
 
-/// The world.
+/// The simulation state.
 pub struct World {
     pub(super) now: Duration,
     sequence: u64,
     queue: BinaryHeap<Scheduled>,
     pub(super) settings: FleetSettings,
     pub(super) rng: Pcg64Mcg,
-    /// Apart from the rest, so that other draws stay as they are.
+    /// Separate from `rng`, so that datagrams leave its sequence unchanged.
     datagram_rng: Pcg64Mcg,
-    /// The same for requests that crash instances.
+    /// Separate generator for requests that crash instances.
     pub(super) crash_rng: Pcg64Mcg,
-    /// The same for the clocks of instances that start again.
-    pub(super) birth_rng: Pcg64Mcg,
-    /// The same for the pauses that instances ask for.
+    /// Separate generator for the clocks of restarted instances.
+    pub(super) start_time_rng: Pcg64Mcg,
+    /// Separate generator for the pauses that instances request.
     pub(super) notice_rng: Pcg64Mcg,
     pub(super) notices: Notices,
     pub(super) limits: Limits,
-    pub(super) copies: Copies,
-    /// When the store last went away to come back from a copy.
-    pub(super) went_away_at: Duration,
-    /// When the entry of each instance was written first.
+    pub(super) snapshots: Snapshots,
+    /// Start of the last outage that ends with a restore from a snapshot.
+    pub(super) restore_outage_started_at: Duration,
+    /// When the entry of each instance was first written.
     pub(super) registered: HashMap<usize, Duration>,
     pub(super) crashing: Vec<Crashing>,
     pub(super) crashing_tries: u64,
     pub(super) nodes: Vec<SimulatedNode>,
     pub(super) store: Store,
-    pub(super) mood: StoreMood,
+    pub(super) store_faults: StoreFaults,
     pub(super) instances: Vec<Instance>,
-    pub(super) last_beat: BTreeMap<usize, Duration>,
+    pub(super) last_heartbeat: BTreeMap<usize, Duration>,
     pub(super) leaving: HashMap<usize, Duration>,
-    /// Instances that left without a word, and since when.
-    pub(super) left: HashMap<usize, Duration>,
-    /// Those among them whose entry another writer has replaced for a while.
-    pub(super) spoiled: BTreeSet<usize>,
+    /// Instances that left without notice, with the time at which they did.
+    pub(super) unregistered_since: HashMap<usize, Duration>,
+    /// Instances from `unregistered_since` whose entry is currently replaced by a foreign
+    /// writer.
+    pub(super) unreadable_entries: BTreeSet<usize>,
     pub(super) network: Network,
     pub(super) tickets: Rc<RefCell<Tickets>>,
     pub(super) pending: HashMap<(Caller, ExchangeId), Duration>,
@@ -177,13 +178,13 @@
     pub(super) versions: Versions,
     pub(super) checker: Checker,
     pub(super) report: FleetReport,
-    pub(super) losses: Vec<Loss>,
+    pub(super) lost_keys: Vec<LostKey>,
     pub(super) clients: super::clients::Clients,
     pub(super) transfers: super::transfers::Transfers,
 }
 
 impl World {
-    /// A world before its start.
+    /// Creates a simulation that has not started.
     pub fn new(settings: FleetSettings) -> World {
         let mut world = World {
             now: Duration::ZERO,
@@ -192,12 +193,12 @@
             rng: Pcg64Mcg::seed_from_u64(settings.seed),
             datagram_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xda7a),
             crash_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xc4a5),
-            birth_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xb04a),
+            start_time_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0xb04a),
             notice_rng: Pcg64Mcg::seed_from_u64(settings.seed ^ 0x5a1d),
             notices: Notices::default(),
             limits: Limits::default(),
-            copies: Copies::default(),
-            went_away_at: Duration::ZERO,
+            snapshots: Snapshots::default(),
+            restore_outage_started_at: Duration::ZERO,
             registered: HashMap::new(),
             crashing: settings
                 .crashing
@@ -206,13 +207,13 @@
                 .collect(),
             crashing_tries: 0,
             nodes: Vec::new(),
-            store: Store::with_page(settings.page),
-            mood: StoreMood::default(),
+            store: Store::with_page_size(settings.page_objects),
+            store_faults: StoreFaults::default(),
             instances: Vec::new(),
-            last_beat: BTreeMap::new(),
+            last_heartbeat: BTreeMap::new(),
             leaving: HashMap::new(),
-            left: HashMap::new(),
-            spoiled: BTreeSet::new(),
+            unregistered_since: HashMap::new(),
+            unreadable_entries: BTreeSet::new(),
             network: Network::default(),
             tickets: Rc::default(),
             pending: HashMap::new(),
@@ -221,7 +222,7 @@
             versions: Versions::new(!settings.crashing.is_empty()),
             checker: Checker::default(),
             report: FleetReport::default(),
-            losses: Vec::new(),
+            lost_keys: Vec::new(),
             clients: super::clients::Clients::default(),
             transfers: super::transfers::Transfers::default(),
             settings,
@@ -249,11 +250,11 @@
         for index in 0..self.settings.nodes {
             self.nodes.push(SimulatedNode {
                 node: None,
-                life: 0,
+                incarnation: 0,
                 frozen_until: Duration::ZERO,
                 thawed_at: Duration::ZERO,
                 clock_behind: Duration::ZERO,
-                resumes: false,
+                resumed_without_step: false,
                 healed_at: Duration::ZERO,
                 refused_until: Duration::ZERO,
                 started_at: Duration::ZERO,
@@ -265,20 +266,20 @@
         self.schedule(HEARTBEAT, Event::ExpireEntries);
         self.schedule(TRAFFIC_FROM, Event::Client);
         self.schedule(VERSION_CHECK_INTERVAL, Event::CheckVersions);
-        self.schedule_copies();
-        for Fault { at, lasts, kind } in self.settings.schedule.0.clone() {
-            self.schedule_at(at, Event::Fault(kind.clone(), lasts));
-            self.schedule_at(at + lasts, Event::FaultEnds(kind));
+        self.schedule_snapshots();
+        for Fault { at, duration, kind } in self.settings.schedule.0.clone() {
+            self.schedule_at(at, Event::Fault(kind.clone(), duration));
+            self.schedule_at(at + duration, Event::FaultEnds(kind));
         }
     }
 
-    /// A new instance, with an entry soon.
+    /// Adds an instance, which registers itself shortly after.
     pub(super) fn add_instance(&mut self, service: &str) {
         let index = self.instances.len();
         let zone = format!("zone-{}", index % 3);
         let sharded = service == SHARDED;
         let record = InstanceRecord {
-            id: self.life_of(&format!("i-{index}")),
+            id: self.new_incarnation_id(&format!("i-{index}")),
             service: ServiceName::from(service),
             address: instance_address(index),
             zone: ZoneName::from(zone.as_str()),
@@ -286,13 +287,14 @@
             draining: false,
             warmup_left: Duration::ZERO,
         };
-        let work = Duration::from_millis(self.rng.random_range(15..45));
-        self.instances.push(Instance::new(record, sharded, work));
+        let service_time = Duration::from_millis(self.rng.random_range(15..45));
+        self.instances
+            .push(Instance::new(record, sharded, service_time));
         let delay = Duration::from_millis(self.rng.random_range(0..1_000));
         self.schedule(delay, Event::Heartbeat(index));
     }
 
-    /// Plays the run.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> FleetReport {
         let end = TRAFFIC_FROM + self.settings.traffic;
         while let Some(next) = self.queue.pop() {
@@ -300,14 +302,14 @@
                 break;
             }
             self.now = next.at;
-            self.happen(next.event);
+            self.handle_event(next.event);
         }
         self.finish(end)
     }
 
     fn finish(mut self, end: Duration) -> FleetReport {
-        // Keys that nobody held at the end count as lost until then.
-        for loss in std::mem::take(&mut self.losses) {
+        // Keys without an owner at the end count as lost until then.
+        for loss in std::mem::take(&mut self.lost_keys) {
             self.report.unserved.0.push(end - loss.at);
         }
         let epochs = self.nodes.iter().filter_map(|simulated| {
@@ -320,7 +322,7 @@
         self.report
     }
 
-    /// Prints what happens, if the run is traced.
+    /// Prints a line if tracing is enabled.
     pub(super) fn trace(&self, what: impl FnOnce() -> String) {
         if self.settings.trace {
             println!("{:>10.4} {}", self.now.as_secs_f64(), what());
@@ -340,7 +342,7 @@
         });
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Start(index) => self.start_node(index),
             Event::Deadline(caller) => self.deadline(caller),
@@ -365,48 +367,50 @@
                 caller,
                 exchange,
                 instance,
-                meant,
+                intended,
                 sent,
                 order,
             } => {
-                let instance = self.living(instance);
-                self.order_arrives((caller, sent), exchange, instance, &meant, order);
+                let instance = self.current_incarnation(instance);
+                self.order_arrives((caller, sent), exchange, instance, &intended, order);
+            }
+            Event::BlockedOrder(held) => self.retransmit_order(*held),
+            Event::RequestDone(instance, instance_request) => {
+                self.request_done(instance, &instance_request)
             }
-            Event::HeldOrder(held) => self.repeat_order(*held),
-            Event::WorkDone(instance, work) => self.work_done(instance, &work),
             Event::Heartbeat(index) => self.heartbeat(index),
-            Event::InstanceEnds(index) => self.left_instance_ends(index),
+            Event::InstanceEnds(index) => self.departed_instance_ends(index),
             Event::ExpireEntries => self.expire_entries(),
             Event::InstanceReturns(index) => self.instance_returns(index),
             Event::InstanceRestarts(index) => self.restart(index),
-            Event::InstanceCrashes(index) => self.crash_with_work(index),
-            Event::CrashingClient(number) => self.crashing_client_asks(number),
+            Event::InstanceCrashes(index) => self.crash_and_fail_requests(index),
+            Event::CrashingClient(number) => self.send_crashing_request(number),
             Event::Client => {
-                self.client_asks();
+                self.send_client_request();
                 let jitter = Duration::from_micros(self.rng.random_range(0..4_000));
                 self.schedule(CLIENT_INTERVAL + jitter, Event::Client);
             }
-            Event::CopyStore => self.copy_store(),
-            Event::OperatorWritesAgain => self.operator_writes_again(),
+            Event::TakeSnapshot => self.take_snapshot(),
+            Event::OperatorRewrites => self.rewrite_configuration(),
             Event::CheckVersions => {
                 self.check_versions();
                 self.schedule(VERSION_CHECK_INTERVAL, Event::CheckVersions);
             }
-            Event::Fault(kind, lasts) => self.begin_fault(&kind, lasts),
+            Event::Fault(kind, duration) => self.begin_fault(&kind, duration),
             Event::FaultEnds(kind) => self.end_fault(&kind),
         }
     }
 
-    /// Starts a node under a new life.
+    /// Starts a new incarnation of a node.
     pub(super) fn start_node(&mut self, index: usize) {
         if self.nodes[index].node.is_some() {
             return;
         }
-        let life = self.nodes[index].life + 1;
+        let incarnation = self.nodes[index].incarnation + 1;
         let settings = NodeSettings {
             identity: NodeIdentity {
                 node: NodeName::from(format!("node-{index}").as_str()),
-                incarnation: life * 1_000 + index as u64,
+                incarnation: incarnation * 1_000 + index as u64,
             },
             zone: ZoneName::from(format!("zone-{}", index % 3).as_str()),
             peer_address: node_address(index),
@@ -430,25 +434,25 @@
         };
         let dialect = Box::new(TicketDialect::new(self.tickets.clone()));
         let simulated = &mut self.nodes[index];
-        simulated.life = life;
+        simulated.incarnation = incarnation;
         simulated.started_at = self.now;
         simulated.frozen_until = Duration::ZERO;
         simulated.deadline = None;
         simulated.clock_behind = Duration::ZERO;
-        simulated.resumes = false;
+        simulated.resumed_without_step = false;
         simulated.node = Some(Node::new(settings, dialect, self.now));
-        self.input((index, life), Input::Deadline);
+        self.input((index, incarnation), Input::Deadline);
     }
 
-    /// A node's process ends at once.
+    /// Ends the process of a node immediately.
     pub(super) fn kill_node(&mut self, index: usize) {
-        let life = self.nodes[index].life;
+        let incarnation = self.nodes[index].incarnation;
         self.nodes[index].node = None;
         self.pending.retain(|((node, _), _), _| *node != index);
         self.store
-            .waiting
-            .retain(|waiting| waiting.caller.0 != index);
-        self.clients.node_lost((index, life));
+            .pending_watches
+            .retain(|watch| watch.caller.0 != index);
+        self.clients.node_lost((index, incarnation));
     }
 
     fn deadline(&mut self, caller: Caller) {
@@ -461,10 +465,10 @@
         }
     }
 
-    /// Passes an input to a node, and carries out what it wants.
+    /// Passes an input to a node and performs the resulting actions.
     pub(super) fn input(&mut self, caller: Caller, input: Input) {
         let simulated = &mut self.nodes[caller.0];
-        if simulated.life != caller.1 || simulated.node.is_none() {
+        if simulated.incarnation != caller.1 || simulated.node.is_none() {
             return;
         }
         if simulated.frozen_until > self.now {
@@ -477,8 +481,8 @@
         };
         let mut actions = Vec::new();
         let time = self.now - simulated.clock_behind;
-        if std::mem::take(&mut simulated.resumes) && node.next_deadline() <= time {
-            // What is due comes before what waited.
+        if std::mem::take(&mut simulated.resumed_without_step) && node.next_deadline() <= time {
+            // Overdue deadlines run before inputs that arrived during the suspension.
             node.step(Input::Deadline, time, &mut actions);
         }
         node.step(input, time, &mut actions);
@@ -486,7 +490,7 @@
         let deadline = node.next_deadline() + simulated.clock_behind;
         assert!(
             deadline > self.now,
-            "node {} has done what is due at {:?}, but asks for {deadline:?}: {:?}",
+            "node {} processed its due deadlines at {:?} but requests another at {deadline:?}: {:?}",
             caller.0,
             self.now,
             node.next_deadlines()
@@ -497,7 +501,8 @@
             self.schedule_at(deadline, Event::Deadline(caller));
         }
         if let Some(version) = version {
-            self.checker.in_force(caller, version, self.now);
+            self.checker
+                .configuration_applied(caller, version, self.now);
         }
         for action in actions {
             self.perform(caller, action);
@@ -544,7 +549,7 @@
             from: node_address(caller.0),
             bytes,
         };
-        let to = (receiver, self.nodes[receiver].life);
+        let to = (receiver, self.nodes[receiver].incarnation);
         self.schedule(LATENCY + delay, Event::Input(to, input));
     }
 
@@ -555,9 +560,9 @@
     fn cancel(&mut self, caller: Caller, exchange: ExchangeId) {
         self.pending.remove(&(caller, exchange));
         self.store
-            .waiting
-            .retain(|waiting| waiting.caller != caller || waiting.exchange != exchange);
-        self.drop_work(caller, exchange);
+            .pending_watches
+            .retain(|watch| watch.caller != caller || watch.exchange != exchange);
+        self.drop_requests(caller, exchange);
     }
 
     fn exchange(
@@ -586,16 +591,17 @@
             self.ask_node(caller, exchange, receiver, request);
             return;
         }
-        let instance = self.live_at(address);
+        let instance = self.running_instance_at(address);
         match instance {
             Some(instance) if self.network.instance_connected(caller.0, instance) => {
                 self.reach_instance(caller, exchange, instance, request);
             }
             Some(instance) => {
-                let held = self.held_order(caller, exchange, instance, &request);
+                let held = self.blocked_order(caller, exchange, instance, &request);
                 match held {
-                    // On a kept connection; its end is that of the exchange's time.
-                    Some(held) => self.repeat_later(held),
+                    // Sent on an established connection, so the exchange ends only with its
+                    // timeout.
+                    Some(held) => self.schedule_retransmission(held),
                     None => self.not_connected(caller, exchange, options.connect_timeout),
                 }
             }
@@ -606,29 +612,30 @@
         }
     }
 
-    /// An order that was written into a cut, if kernels hold such bytes.
-    fn held_order(
+    /// The order that the kernel retransmits after the partition, if the transport
+    /// retransmits.
+    fn blocked_order(
         &self,
         caller: Caller,
         exchange: ExchangeId,
         instance: usize,
         request: &Request,
-    ) -> Option<HeldOrder> {
-        if !self.settings.transport.holds_bytes {
+    ) -> Option<BlockedOrder> {
+        if !self.settings.transport.retransmits {
             return None;
         }
-        let (meant, order) = self.tickets.borrow_mut().take_order(request)?;
-        Some(HeldOrder {
+        let (intended, order) = self.tickets.borrow_mut().take_order(request)?;
+        Some(BlockedOrder {
             caller,
             exchange,
             instance,
-            meant,
+            intended,
             order,
             sent: self.now,
         })
     }
 
-    /// A connection is opened, and nothing sent on it.
+    /// Opens a connection without sending anything on it.
     fn probe(
         &mut self,
         caller: Caller,
@@ -639,9 +646,9 @@
         self.pending.insert((caller, exchange), self.now + timeout);
         let is_reached = |instance: usize| {
             let connected = self.network.instance_connected(caller.0, instance);
-            connected && !self.instances[instance].dark
+            connected && !self.instances[instance].unresponsive
         };
-        let (after, result) = match self.live_at(address) {
+        let (after, result) = match self.running_instance_at(address) {
             Some(instance) if is_reached(instance) => (LATENCY * 2, Ok(Response::new(200, ""))),
             Some(_) => (timeout, Err(ExchangeFailure::NotConnected)),
             None => (LATENCY * 2, Err(ExchangeFailure::Refused)),
@@ -650,8 +657,8 @@
         self.schedule(after, Event::Exchanged(caller, exchange, input));
     }
 
-    /// The instance that has an address now.
-    pub(super) fn live_at(&self, address: SocketAddr) -> Option<usize> {
+    /// The running instance at an address.
+    pub(super) fn running_instance_at(&self, address: SocketAddr) -> Option<usize> {
         self.instances
             .iter()
             .rposition(|instance| instance.record.address == address && instance.alive)
@@ -664,14 +671,14 @@
         instance: usize,
         request: Request,
     ) {
-        if self.instances[instance].dark {
+        if self.instances[instance].unresponsive {
             let wait = Duration::from_millis(250);
             self.not_connected(caller, exchange, wait);
             return;
         }
         let order = self.tickets.borrow_mut().take_order(&request);
         match order {
-            Some((meant, order)) => self.send_order(caller, exchange, instance, meant, order),
+            Some((intended, order)) => self.send_order(caller, exchange, instance, intended, order),
             None => {
                 let until = self.pending[&(caller, exchange)];
                 let event = Event::Request(caller, exchange, instance, Box::new(request), until);
@@ -685,7 +692,7 @@
         self.schedule(after, Event::Exchanged(caller, exchange, input));
     }
 
-    /// The node that a fault hits.
+    /// Index of the node that a fault affects.
     pub(super) fn target(&self, target: Target) -> usize {
         let epoch = |index: &usize| {
             let node = self.nodes[*index].node.as_ref()?;
@@ -701,7 +708,7 @@
     }
 }
 
-/// The end of an exchange as an input.
+/// Wraps the result of an exchange in an input.
 pub(super) fn exchanged(
     exchange: ExchangeId,
     result: Result<Response, ExchangeFailure>,
@@ -727,7 +734,7 @@
     SocketAddr::from(([10, 0, 2, 0], 9_000))
 }
 
-/// Violations as lines.
+/// Formats violations, one per line.
 pub fn violation_lines(violations: &[Violation]) -> Vec<String> {
     violations
         .iter()
