--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -436,8 +436,8 @@
         let is_earlier_incarnation = identity.node == self.settings.identity.node
             && identity.incarnation != self.settings.identity.incarnation;
         // Its role ended together with the era in which it held it.
-        let is_this = *identity == self.settings.identity;
-        is_this || is_earlier_incarnation || self.registry.has_ended(identity, *named_at)
+        let is_own = *identity == self.settings.identity;
+        is_own || is_earlier_incarnation || self.registry.has_ended(identity, *named_at)
     }
 
     fn step_coordinator(&mut self, now: Timestamp, out: &mut Vec<Action>) {
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -42,10 +42,10 @@
         let is_own = to == self.settings.peer_address;
         match message {
             PermitMessage::Ask(ask) if is_own => {
-                self.permit_asked(to, &ask_entry(&ask), now, out);
+                self.permit_requested(to, &encode_permit_request(&ask), now, out);
             }
             PermitMessage::Ask(ask) => {
-                let message = PeerMessage::PermitAsk(ask_entry(&ask));
+                let message = PeerMessage::PermitAsk(encode_permit_request(&ask));
                 send(to, &[encode(&message)], out);
             }
             PermitMessage::Return { number, queue, how } if is_own => {
@@ -78,7 +78,7 @@
     }
 
     /// Handles a request for a permit.
-    pub(super) fn permit_asked(
+    pub(super) fn permit_requested(
         &mut self,
         from: SocketAddr,
         entry: &PermitAskEntry,
@@ -106,7 +106,7 @@
         let decided = match self.stopping {
             true => Err(Declined::Stops),
             false => self
-                .ask_dispatcher(&ask, entry.service, now)
+                .dispatch_request(&ask, entry.service, now)
                 .ok_or(Declined::UnknownQueue),
         };
         match decided {
@@ -125,7 +125,7 @@
 
     /// Decides as dispatcher. Returns `None` if this node doesn't know the queue or already
     /// keeps too many queues.
-    fn ask_dispatcher(
+    fn dispatch_request(
         &mut self,
         ask: &QueueAsk,
         service: u64,
@@ -235,7 +235,10 @@
 }
 
 /// Decodes a dispatcher's verdict from a message.
-pub(super) fn permit_verdict(verdict: PermitVerdict, server: u64) -> Result<Admission, Declined> {
+pub(super) fn decode_permit_verdict(
+    verdict: PermitVerdict,
+    server: u64,
+) -> Result<Admission, Declined> {
     match verdict {
         PermitVerdict::Granted => Ok(Admission::Granted(server)),
         PermitVerdict::Queued => Ok(Admission::Queued),
@@ -246,7 +249,7 @@
 }
 
 /// Decodes how a request ended from a message.
-pub(super) fn permit_outcome(
+pub(super) fn decode_permit_outcome(
     ended: PermitEnd,
     took_ms: u16,
     load: Option<(u8, u8)>,
@@ -270,7 +273,7 @@
     (short(load.running), short(load.waiting))
 }
 
-fn ask_entry(ask: &Ask) -> PermitAskEntry {
+fn encode_permit_request(ask: &Ask) -> PermitAskEntry {
     PermitAskEntry {
         number: ask.number,
         queue: ask.queue,
--- a/crates/ledgelead-router/src/node/first_view.rs
+++ b/crates/ledgelead-router/src/node/first_view.rs
@@ -28,8 +28,8 @@
         {
             return;
         }
-        let asked = self.store.watcher(ObjectKind::Instances).confirm(now);
-        self.confirmation_deadline = Some(asked + CONFIRM_TIMEOUT);
+        let asked_at = self.store.watcher(ObjectKind::Instances).confirm(now);
+        self.confirmation_deadline = Some(asked_at + CONFIRM_TIMEOUT);
     }
 
     /// Until when requests wait for the first list to be confirmed.
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -173,8 +173,8 @@
         bound.mul_f64(VIEW_TTL_SHARE)
     }
 
-    /// The coordinator has read all changes of instances up to this revision, and at the age
-    /// of its view it knew all changes acknowledged by then.
+    /// The coordinator has read all changes of instances up to this revision. If this node
+    /// knows them too, its directory is as recent as the coordinator's view, of this age.
     fn confirm_instances(&mut self, revision: u64, age: Duration, now: Timestamp) {
         let known = self.store.revision_of(ObjectKind::Instances);
         if known.is_some_and(|known| known >= revision) {
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -12,7 +12,7 @@
 
 use super::Node;
 use super::messaging::send;
-use super::open_requests::{MAX_COUNTS, counts_beat_reports};
+use super::open_requests::{MAX_COUNTS, counts_are_useful};
 use super::zone_relay::rank;
 use crate::Timestamp;
 use crate::identity::{InstanceId, ZoneName};
@@ -105,7 +105,7 @@
     pub(super) fn has_hub(&self, peers: usize) -> bool {
         let mechanisms = self.settings.mechanisms;
         let shares = mechanisms.has(Mechanism::SharedLoad) && mechanisms.has(Mechanism::LoadDigest);
-        shares && !counts_beat_reports(peers)
+        shares && !counts_are_useful(peers)
     }
 
     /// The addresses of the candidates for a zone's hub, the preferred one first.
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -2,11 +2,11 @@
 //! and sending.
 
 use super::Node;
-use super::dispatch::{permit_outcome, permit_verdict};
+use super::dispatch::{decode_permit_outcome, decode_permit_verdict};
 use super::leaving::AnnouncedLeaving;
 use super::open_requests::OpenRequestSchedule;
 use super::quarantine::EvidenceMessage;
-use super::rate_limits::{limiter_probed, token_ask, token_verdict};
+use super::rate_limits::{decode_token_request, decode_token_verdict, limiter_probed};
 use super::relay::{RelayState, TakeOver};
 use crate::Timestamp;
 use crate::dialect::ObjectKind;
@@ -165,17 +165,17 @@
 
     /// Reports to the coordinator which keys were requested and what work owners did.
     fn report_load(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let asked = self.requests.take_asked();
-        let worked = self.requests.take_worked();
-        let is_empty = asked.is_empty() && worked.is_empty();
+        let requested_keys = self.requests.take_asked();
+        let owner_work = self.requests.take_worked();
+        let is_empty = requested_keys.is_empty() && owner_work.is_empty();
         if is_empty && !self.is_relay_candidate() {
             return;
         }
         if let Some(coordinator) = self.coordination.coordinator_mut() {
-            for (service, keys) in &asked {
+            for (service, keys) in &requested_keys {
                 coordinator.record_load(service, keys, now);
             }
-            for (instance, work) in worked {
+            for (instance, work) in owner_work {
                 coordinator.record_work(instance.stable_hash(), work);
             }
             return;
@@ -183,7 +183,7 @@
         let Some(address) = self.coordinator_address() else {
             return;
         };
-        let reports = asked
+        let reports = requested_keys
             .into_iter()
             .map(|(service, mut keys)| {
                 keys.truncate(MAX_KEYS);
@@ -197,7 +197,7 @@
             configuration: self.configuration_version(),
             nodes: self.store.revision_of(ObjectKind::Nodes).unwrap_or(0),
             reports,
-            work: work_reports(worked),
+            work: work_reports(owner_work),
         });
         send(address, &[report], out);
     }
@@ -319,7 +319,7 @@
                 self.digest_received(from, zones, &entries, now, out);
             }
             PeerMessage::ZoneSums { sums } => self.shared.summed(from, &sums, now),
-            PeerMessage::PermitAsk(ask) => self.permit_asked(from, &ask, now, out),
+            PeerMessage::PermitAsk(ask) => self.permit_requested(from, &ask, now, out),
             PeerMessage::PermitDecision {
                 number,
                 queue,
@@ -330,7 +330,7 @@
                 let decision = PermitDecision {
                     number,
                     queue,
-                    verdict: permit_verdict(verdict, server),
+                    verdict: decode_permit_verdict(verdict, server),
                     return_after: Duration::from_millis(u64::from(return_ms)),
                 };
                 self.permit_decided(from, &decision, now, out);
@@ -343,7 +343,7 @@
                 load,
             } => {
                 let asker = PermitId { node: from, number };
-                let outcome = permit_outcome(ended, took_ms, load);
+                let outcome = decode_permit_outcome(ended, took_ms, load);
                 self.permit_returned(queue, asker, outcome, now, out);
             }
             PeerMessage::Evidence {
@@ -365,8 +365,8 @@
                 zone,
                 limit,
             } => {
-                let ask = token_ask(number, &zone, &limit, now);
-                self.token_asked(from, &ask, now, out);
+                let ask = decode_token_request(number, &zone, &limit, now);
+                self.token_requested(from, &ask, now, out);
             }
             PeerMessage::TokenDecision {
                 number,
@@ -377,7 +377,7 @@
                 let decision = TokenDecision {
                     number,
                     instance,
-                    verdict: token_verdict(verdict, wait_ms),
+                    verdict: decode_token_verdict(verdict, wait_ms),
                 };
                 self.token_decided(from, &decision, now, out);
             }
@@ -444,13 +444,13 @@
 }
 
 /// Converts the work done by owners to report entries.
-fn work_reports(worked: BTreeMap<InstanceId, Work>) -> List<WorkReport> {
+fn work_reports(owner_work: BTreeMap<InstanceId, Work>) -> List<WorkReport> {
     let report = |(instance, work): (InstanceId, Work)| WorkReport {
         instance: instance.stable_hash(),
         answered: u16::try_from(work.answered).unwrap_or(u16::MAX),
         busy_ms: u32::try_from(work.busy.as_millis()).unwrap_or(u32::MAX),
     };
-    List(worked.into_iter().take(MAX_WORK).map(report).collect())
+    List(owner_work.into_iter().take(MAX_WORK).map(report).collect())
 }
 
 /// Sends datagrams to one node.
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -298,7 +298,7 @@
         self.dispatch(now, out);
         // A request that was granted a permit may then need a token, and one that was refused
         // a token may need another permit.
-        while self.ask_for_tokens(now, out) {
+        while self.send_token_requests(now, out) {
             self.dispatch(now, out);
         }
         self.announce_open_requests(now, out);
--- a/crates/ledgelead-router/src/node/open_requests.rs
+++ b/crates/ledgelead-router/src/node/open_requests.rs
@@ -57,7 +57,7 @@
 
 /// Whether counts are still useful with that many peers, if instances report their load
 /// themselves.
-pub(super) fn counts_beat_reports(peers: usize) -> bool {
+pub(super) fn counts_are_useful(peers: usize) -> bool {
     batch_pause(peers) <= FRESH_FOR
 }
 
@@ -106,7 +106,7 @@
             self.report_to_hub(&counts, refresh_due, now, out);
             return;
         }
-        if !counts_beat_reports(peers.len()) {
+        if !counts_are_useful(peers.len()) {
             counts.retain(|(id, _)| !self.reports_load(id));
         }
         let datagrams = self.open_request_datagrams(&counts, refresh_due, now);
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -118,13 +118,13 @@
                 self.probe(instance, out);
             }
         }
-        for (instance, asked) in signs.answered {
+        for (instance, sent_at) in signs.answered {
             if instance.born().is_none() {
-                self.instance_is_alive(&instance, asked, now);
-            } else if self.is_answer_relevant(&instance, asked) {
+                self.instance_is_alive(&instance, sent_at, now);
+            } else if self.is_answer_relevant(&instance, sent_at) {
                 self.quarantine
                     .unconfirmed_answers
-                    .answered(&instance, asked, now);
+                    .answered(&instance, sent_at, now);
             }
         }
         for (request, caller) in signs.acquitted {
@@ -137,35 +137,35 @@
     }
 
     /// Whether an answer to a request sent at this time would be relevant evidence.
-    fn is_answer_relevant(&self, instance: &InstanceId, asked: Timestamp) -> bool {
-        self.quarantine.suspects.contains(instance) || self.disproves_end(instance, asked)
+    fn is_answer_relevant(&self, instance: &InstanceId, sent_at: Timestamp) -> bool {
+        self.quarantine.suspects.contains(instance) || self.disproves_end(instance, sent_at)
     }
 
     /// Whether an answer to a request sent at this time disproves the reported end of an
     /// instance.
-    fn disproves_end(&self, instance: &InstanceId, asked: Timestamp) -> bool {
+    fn disproves_end(&self, instance: &InstanceId, sent_at: Timestamp) -> bool {
         let evidence = &self.quarantine.evidence;
         let ended = evidence.said_to_have_ended(instance.stable_hash());
         // An answer to an earlier request may have been in flight when the instance ended.
-        ended.is_some_and(|at| at < asked)
+        ended.is_some_and(|at| at < sent_at)
     }
 
     /// An instance has answered a request sent at this time, and so is alive.
-    fn instance_is_alive(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
-        self.quarantine.suspects.answered(instance, asked);
-        if self.disproves_end(instance, asked) {
+    fn instance_is_alive(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
+        self.quarantine.suspects.answered(instance, sent_at);
+        if self.disproves_end(instance, sent_at) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
             self.quarantine.evidence.disprove(hash, now);
         }
     }
 
-    /// Applies answers that a later incarnation of the instance would be known to have given
-    /// by now, unless there is one.
+    /// Applies answers that have been held back until a later incarnation of the instance
+    /// would be known. If one is known, the answers may be its own and prove nothing.
     fn check_unconfirmed_answers(&mut self, now: Timestamp) {
-        for (instance, asked) in self.quarantine.unconfirmed_answers.take_due(now) {
+        for (instance, sent_at) in self.quarantine.unconfirmed_answers.take_due(now) {
             if self.directory.later_life(&instance).is_none() {
-                self.instance_is_alive(&instance, asked, now);
+                self.instance_is_alive(&instance, sent_at, now);
             }
         }
     }
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -31,23 +31,23 @@
 impl Node {
     /// Sends the token requests of open requests to their limiters. Returns whether this node
     /// has decided on any of them itself.
-    pub(super) fn ask_for_tokens(&mut self, now: Timestamp, out: &mut Vec<Action>) -> bool {
+    pub(super) fn send_token_requests(&mut self, now: Timestamp, out: &mut Vec<Action>) -> bool {
         let mut has_decided = false;
         loop {
-            let asks = self.requests.take_token_asks();
-            if asks.is_empty() {
+            let token_requests = self.requests.take_token_asks();
+            if token_requests.is_empty() {
                 return has_decided;
             }
-            for (to, ask) in asks {
+            for (to, token_request) in token_requests {
                 if to == self.settings.peer_address {
                     has_decided = true;
-                    let decision = self.decide_on_token(to, &ask, now, out);
+                    let decision = self.decide_on_token(to, &token_request, now, out);
                     self.token_decided(to, &decision, now, out);
                 } else {
                     let message = PeerMessage::TokenAsk {
-                        number: ask.number,
-                        zone: Text(ask.zone.to_string()),
-                        limit: limit_entry(ask.instance, ask.statement, now),
+                        number: token_request.number,
+                        zone: Text(token_request.zone.to_string()),
+                        limit: limit_entry(token_request.instance, token_request.statement, now),
                     };
                     send(to, &[encode(&message)], out);
                 }
@@ -56,22 +56,22 @@
     }
 
     /// Answers another node's request for a token.
-    pub(super) fn token_asked(
+    pub(super) fn token_requested(
         &mut self,
         from: SocketAddr,
-        ask: &TokenAsk,
+        token_request: &TokenAsk,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let decision = self.decide_on_token(from, ask, now, out);
+        let decision = self.decide_on_token(from, token_request, now, out);
         let (verdict, wait) = match decision.verdict {
             TokenVerdict::Granted => (TokenVerdictEntry::Granted, Duration::ZERO),
             TokenVerdict::Refused(wait) => (TokenVerdictEntry::Refused, wait),
             TokenVerdict::Unlimited => (TokenVerdictEntry::Unlimited, Duration::ZERO),
         };
         let message = PeerMessage::TokenDecision {
-            number: ask.number,
-            instance: ask.instance,
+            number: token_request.number,
+            instance: token_request.instance,
             verdict,
             wait_ms: short_millis(wait),
         };
@@ -92,23 +92,25 @@
 
     fn decide_on_token(
         &mut self,
-        asker: SocketAddr,
-        ask: &TokenAsk,
+        requester: SocketAddr,
+        token_request: &TokenAsk,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> TokenDecision {
         let limits = self.requests.limits_mut();
-        limits.announced(ask.instance, ask.statement);
-        let verdict = match limits.limit(ask.instance) {
+        limits.announced(token_request.instance, token_request.statement);
+        let verdict = match limits.limit(token_request.instance) {
             None => TokenVerdict::Unlimited,
-            Some(limit) => match self.limiter_role(ask, now, out) {
-                Some(role) => self.limiter.ask(asker, ask.instance, limit, role, now),
+            Some(limit) => match self.limiter_role(token_request, now, out) {
+                Some(role) => self
+                    .limiter
+                    .ask(requester, token_request.instance, limit, role, now),
                 None => TokenVerdict::Refused(OTHER_LIMITER_WAIT),
             },
         };
         TokenDecision {
-            number: ask.number,
-            instance: ask.instance,
+            number: token_request.number,
+            instance: token_request.instance,
             verdict,
         }
     }
@@ -117,7 +119,7 @@
     /// act as the first limiter at the same time only as long as their views differ.
     fn limiter_role(
         &mut self,
-        ask: &TokenAsk,
+        token_request: &TokenAsk,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> Option<LimiterRole> {
@@ -125,7 +127,8 @@
             return Some(LimiterRole::First);
         }
         let own = self.settings.peer_address;
-        let candidates = Candidates::of_limit(ask.instance, &ask.zone, &self.registry)?;
+        let candidates =
+            Candidates::of_limit(token_request.instance, &token_request.zone, &self.registry)?;
         if candidates.first == own {
             return Some(LimiterRole::First);
         }
@@ -227,7 +230,7 @@
 }
 
 /// Decodes a limiter's verdict from a message.
-pub(super) fn token_verdict(verdict: TokenVerdictEntry, wait_ms: u16) -> TokenVerdict {
+pub(super) fn decode_token_verdict(verdict: TokenVerdictEntry, wait_ms: u16) -> TokenVerdict {
     match verdict {
         TokenVerdictEntry::Granted => TokenVerdict::Granted,
         TokenVerdictEntry::Refused => {
@@ -238,7 +241,7 @@
 }
 
 /// Decodes a token request from a message.
-pub(super) fn token_ask(
+pub(super) fn decode_token_request(
     number: u64,
     zone: &Text,
     limit: &RateLimitEntry,
--- a/crates/ledgelead-router/src/node/relay/configuration.rs
+++ b/crates/ledgelead-router/src/node/relay/configuration.rs
@@ -95,7 +95,7 @@
         };
         match delta.apply_to(self.configuration.as_ref()) {
             Some(configuration) => {
-                self.configure(configuration, now, out);
+                self.activate_configuration(configuration, now, out);
                 self.reconsider_waiting(now, out);
             }
             None => self.request_changes(RelayedKind::Configuration, now, out),
@@ -111,7 +111,7 @@
     ) {
         if self.coordination.coordinator().is_some() && self.configuration_version() < version {
             // No other node announces changes to the coordinator, so it asks the store.
-            self.store.poke(ObjectKind::Configuration, now);
+            self.store.request_catch_up(ObjectKind::Configuration, now);
         }
         self.revision_announced(RelayedKind::Configuration, version, now, out);
     }
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -164,6 +164,6 @@
             return;
         }
         self.store.interrupt(kind.object_kind(), since, now, out);
-        self.store.poke(kind.object_kind(), now);
+        self.store.request_catch_up(kind.object_kind(), now);
     }
 }
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -218,7 +218,7 @@
                 if kind == ObjectKind::Configuration {
                     self.store.configuration_listed(objects.is_empty(), now);
                 }
-                self.apply_all(kind, objects, started, now, out);
+                self.apply_list(kind, objects, started, now, out);
                 if kind == ObjectKind::Nodes {
                     self.nodes_listed(is_first, now);
                 }
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -95,7 +95,7 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingCall {
     pub(super) purpose: Purpose,
     pub(super) call: StoreCall,
     pub(super) started: Timestamp,
@@ -108,7 +108,7 @@
     pub(super) health: StoreHealth,
     /// Indexed by `ObjectKind`.
     watchers: [Watcher; ObjectKind::ALL.len()],
-    pub(super) pending: HashMap<ExchangeId, Pending>,
+    pub(super) pending: HashMap<ExchangeId, PendingCall>,
     pub(super) registration: RegistrationState,
     /// Delays of the first calls if no configuration is found.
     cold_start: ColdStart,
@@ -374,7 +374,7 @@
     }
 
     /// Makes one call for what a paused watch may have missed.
-    pub(super) fn poke(&mut self, kind: ObjectKind, now: Timestamp) {
+    pub(super) fn request_catch_up(&mut self, kind: ObjectKind, now: Timestamp) {
         self.watcher(kind).poke(now);
     }
 
@@ -479,7 +479,7 @@
         *self.store.calls_by.entry(purpose.label(&call)).or_default() += 1;
         self.store.pending.insert(
             exchange,
-            Pending {
+            PendingCall {
                 purpose,
                 call,
                 started: now,
--- a/crates/ledgelead-router/src/node/store_objects.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Applies a complete list of objects of one kind.
-    pub(super) fn apply_all(
+    pub(super) fn apply_list(
         &mut self,
         kind: ObjectKind,
         objects: Vec<Object>,
@@ -47,7 +47,7 @@
                     revision: object.revision,
                 }),
                 Ok(ObjectContent::Configuration(configuration)) => {
-                    self.configure(configuration, now, out);
+                    self.activate_configuration(configuration, now, out);
                 }
                 Ok(ObjectContent::Ownership(record)) => {
                     let version = RecordVersion {
@@ -154,7 +154,7 @@
                 self.note_earlier_incarnation();
             }
             Ok(ObjectContent::Configuration(configuration)) if !event.gone => {
-                self.configure(configuration, now, out);
+                self.activate_configuration(configuration, now, out);
             }
             Ok(ObjectContent::Ownership(record)) if !event.gone => {
                 let version = RecordVersion::confirmed(object.revision);
@@ -210,7 +210,7 @@
 
     /// Activates a configuration, unless this incarnation of the node already has that version
     /// or a higher one.
-    pub(super) fn configure(
+    pub(super) fn activate_configuration(
         &mut self,
         configuration: Configuration,
         now: Timestamp,
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -85,8 +85,8 @@
 #[derive(Debug, Default)]
 struct KindState {
     /// Until when other nodes are asked, counted from the first request.
-    until: Option<Timestamp>,
-    requests: u32,
+    ask_nodes_until: Option<Timestamp>,
+    request_count: u32,
     /// Number of consecutive requests without success.
     failed_requests: u32,
     /// Earliest time at which another gap may be filled.
@@ -121,7 +121,9 @@
 
     /// The node that a request in flight was sent to.
     pub(super) fn source(&self, exchange: ExchangeId) -> Option<SocketAddr> {
-        self.exchanges.get(&exchange).map(|asked| asked.source)
+        self.exchanges
+            .get(&exchange)
+            .map(|outstanding| outstanding.source)
     }
 
     /// Number of lists received from other nodes.
@@ -131,7 +133,9 @@
 
     /// Whether a request for a kind is in flight.
     fn has_request_in_flight(&self, kind: RelayedKind) -> bool {
-        self.exchanges.values().any(|asked| asked.kind == kind)
+        self.exchanges
+            .values()
+            .any(|outstanding| outstanding.kind == kind)
     }
 
     fn kind_state(&mut self, kind: RelayedKind) -> &mut KindState {
@@ -141,7 +145,7 @@
     /// Whether other nodes may still be asked for a kind. The first call starts the timeout.
     fn may_ask_nodes(&mut self, kind: RelayedKind, node_timeout: Duration, now: Timestamp) -> bool {
         let until = now + node_timeout.mul_f64(self.rng.random_range(1.0..2.0));
-        now < *self.kind_state(kind).until.get_or_insert(until)
+        now < *self.kind_state(kind).ask_nodes_until.get_or_insert(until)
     }
 }
 
@@ -188,7 +192,7 @@
         let bound = bound.min(self.settings.configuration_bound);
         let node_timeout = bound.mul_f64(GAP_FROM_NODES_SHARE);
         if !transfers_from_nodes || !self.transfers.may_ask_nodes(kind, node_timeout, now) {
-            self.transfers.kind_state(kind).until = None;
+            self.transfers.kind_state(kind).ask_nodes_until = None;
             return false;
         }
         if self.transfers.has_request_in_flight(kind) {
@@ -210,8 +214,8 @@
 
     fn next_source(&mut self, kind: RelayedKind) -> Option<SocketAddr> {
         let kind_state = self.transfers.kind_state(kind);
-        kind_state.requests += 1;
-        let asks_coordinator = kind_state.requests.is_multiple_of(COORDINATOR_EVERY);
+        kind_state.request_count += 1;
+        let asks_coordinator = kind_state.request_count.is_multiple_of(COORDINATOR_EVERY);
         let referred = kind_state.referred.pop();
         let relay = self.messaging.heartbeat_sender;
         let default_source = match asks_coordinator {
@@ -249,13 +253,13 @@
             self.store.watcher(kind.object_kind()).asks_elsewhere();
         }
         let exchange = self.exchanges.next_id();
-        let asked = OutstandingRequest {
+        let outstanding = OutstandingRequest {
             kind,
             source,
             started: now,
             is_list,
         };
-        self.transfers.exchanges.insert(exchange, asked);
+        self.transfers.exchanges.insert(exchange, outstanding);
         out.push(Action::Exchange {
             exchange,
             address: source,
@@ -280,7 +284,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let Some(asked) = self.transfers.exchanges.remove(&exchange) else {
+        let Some(outstanding) = self.transfers.exchanges.remove(&exchange) else {
             return;
         };
         let answer = result.ok().and_then(|response| {
@@ -289,21 +293,21 @@
         });
         match answer {
             Some(TransferAnswer::State(state)) => {
-                if self.apply_state(&asked, state, now, out) {
-                    *self.transfers.kind_state(asked.kind) = KindState {
+                if self.apply_state(&outstanding, state, now, out) {
+                    *self.transfers.kind_state(outstanding.kind) = KindState {
                         next_gap_fill: now + GAP_FILL_INTERVAL,
                         ..KindState::default()
                     };
                     return;
                 }
-                self.schedule_retry(&asked, Vec::new(), now);
+                self.schedule_retry(&outstanding, Vec::new(), now);
             }
             Some(TransferAnswer::Elsewhere { nodes }) => {
                 let mut nodes: Vec<SocketAddr> = nodes.iter().map(|node| node.socket()).collect();
-                nodes.retain(|node| *node != asked.source);
-                self.schedule_retry(&asked, nodes, now);
+                nodes.retain(|node| *node != outstanding.source);
+                self.schedule_retry(&outstanding, nodes, now);
             }
-            None => self.schedule_retry(&asked, Vec::new(), now),
+            None => self.schedule_retry(&outstanding, Vec::new(), now),
         }
     }
 
@@ -311,12 +315,12 @@
     /// review of the gap.
     fn schedule_retry(
         &mut self,
-        asked: &OutstandingRequest,
+        outstanding: &OutstandingRequest,
         referred: Vec<SocketAddr>,
         now: Timestamp,
     ) {
         let jitter = self.transfers.rng.random_range(1.0..2.0);
-        let kind_state = self.transfers.kind_state(asked.kind);
+        let kind_state = self.transfers.kind_state(outstanding.kind);
         kind_state.referred.extend(referred);
         let pause = if kind_state.referred.is_empty() {
             let doubled = RETRY_PAUSE.saturating_mul(1 << kind_state.failed_requests.min(4));
@@ -325,11 +329,13 @@
         } else {
             REFERRAL_PAUSE
         };
-        if asked.is_list {
-            let watcher = self.store.watcher(asked.kind.object_kind());
+        if outstanding.is_list {
+            let watcher = self.store.watcher(outstanding.kind.object_kind());
             watcher.list_again(now + pause);
         } else {
-            self.messaging.relay.review_gap_at(asked.kind, now + pause);
+            self.messaging
+                .relay
+                .review_gap_at(outstanding.kind, now + pause);
         }
     }
 
@@ -337,7 +343,7 @@
     /// whether they were applied.
     fn apply_state(
         &mut self,
-        asked: &OutstandingRequest,
+        outstanding: &OutstandingRequest,
         state: TransferredState,
         now: Timestamp,
         out: &mut Vec<Action>,
@@ -348,18 +354,18 @@
             unconfirmed_ms,
             objects,
         } = state;
-        let known = self.known_revision(asked.kind).unwrap_or(0);
-        let is_newer = asked.is_list || known < revision;
+        let known = self.known_revision(outstanding.kind).unwrap_or(0);
+        let is_newer = outstanding.is_list || known < revision;
         let is_former =
-            asked.kind != RelayedKind::Configuration && era_of(revision) < self.store.era;
+            outstanding.kind != RelayedKind::Configuration && era_of(revision) < self.store.era;
         if !is_newer || is_former || boundary::revision("revision", revision).is_err() {
             return false;
         }
         let as_of = age_ms.map(|age| {
             let age = Duration::from_millis(u64::from(age));
-            asked.started.saturating_sub(age)
+            outstanding.started.saturating_sub(age)
         });
-        let is_applied = match (asked.kind, objects) {
+        let is_applied = match (outstanding.kind, objects) {
             (RelayedKind::Instances, TransferredObjects::Instances(instances)) => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
                 self.directory.doubt_removals_until(now + unconfirmed);
@@ -371,13 +377,13 @@
                 true
             }
             (RelayedKind::Ownership, TransferredObjects::Ownership(entry)) => {
-                self.apply_record(entry, revision, asked.started, now, out)
+                self.apply_record(entry, revision, outstanding.started, now, out)
             }
             (RelayedKind::Configuration, TransferredObjects::Configuration(whole)) => {
                 let next = whole.into_delta(revision).apply_to(None);
                 let is_valid = next.is_some();
                 if let Some(next) = next {
-                    self.configure(next, now, out);
+                    self.activate_configuration(next, now, out);
                 }
                 is_valid
             }
@@ -386,9 +392,9 @@
         if is_applied {
             self.transfers.received += 1;
             let received = Event::StateReceived {
-                kind: asked.kind.name(),
+                kind: outstanding.kind.name(),
                 revision,
-                from: asked.source,
+                from: outstanding.source,
             };
             received.emit();
             self.coordination.note_change();
--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -56,7 +56,7 @@
     link_free_at: Timestamp,
     served: BTreeMap<(RelayedKind, ZoneName), ServedNodes>,
     encoded: [Option<Encoded>; RelayedKind::ALL.len()],
-    waiting: Vec<Waiting>,
+    waiting: Vec<WaitingRequest>,
     next_review: Timestamp,
     sent: u64,
 }
@@ -77,17 +77,17 @@
 }
 
 /// A request that has not been answered yet.
-struct Waiting {
+struct WaitingRequest {
     client: ClientId,
-    asked: TransferRequest,
+    transfer: TransferRequest,
     zone: ZoneName,
     since: Timestamp,
 }
 
-impl Waiting {
+impl WaitingRequest {
     /// Key of the nodes of the same zone that were sent the same kind.
     fn key(&self) -> (RelayedKind, ZoneName) {
-        (self.asked.kind, self.zone.clone())
+        (self.transfer.kind, self.zone.clone())
     }
 }
 
@@ -130,10 +130,10 @@
 
     /// The node with the fewest referrals in relation to the speed of its link, other than the
     /// asking node itself.
-    fn referral(&mut self, request: &Waiting) -> List<PeerAddress> {
+    fn referral(&mut self, request: &WaitingRequest) -> List<PeerAddress> {
         let served = self.served.get_mut(&request.key());
         let receivers = served.into_iter().flat_map(|served| &mut served.nodes);
-        let others = receivers.filter(|receiver| receiver.address != request.asked.address);
+        let others = receivers.filter(|receiver| receiver.address != request.transfer.address);
         let load_per_bandwidth = |receiver: &Receiver| {
             (receiver.referred + 1) as f64 / receiver.link_bytes_per_s.max(1) as f64
         };
@@ -146,15 +146,15 @@
         address.into_iter().collect()
     }
 
-    fn note_served(&mut self, request: &Waiting, now: Timestamp) {
+    fn note_served(&mut self, request: &WaitingRequest, now: Timestamp) {
         self.sent += 1;
-        let asked = &request.asked;
+        let transfer = &request.transfer;
         let served = self.served.entry(request.key()).or_default();
         served.last = now;
-        served.nodes.retain(|node| node.address != asked.address);
+        served.nodes.retain(|node| node.address != transfer.address);
         served.nodes.push_back(Receiver {
-            address: asked.address,
-            link_bytes_per_s: asked.link_bytes_per_s,
+            address: transfer.address,
+            link_bytes_per_s: transfer.link_bytes_per_s,
             referred: 0,
         });
         if served.nodes.len() > MAX_RECEIVERS_PER_ZONE {
@@ -183,19 +183,19 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let asked = match request.path() {
+        let transfer = match request.path() {
             TRANSFER_PATH => codec::decode::<TransferRequest>(&request.body).ok(),
             _ => None,
         };
-        let Some(asked) = asked else {
+        let Some(transfer) = transfer else {
             let response = Response::new(400, Vec::new());
             out.push(Action::Respond { client, response });
             return;
         };
-        let request = Waiting {
+        let request = WaitingRequest {
             client,
-            zone: ZoneName::from(asked.zone.0.as_str()),
-            asked,
+            zone: ZoneName::from(transfer.zone.0.as_str()),
+            transfer,
             since: now,
         };
         let server = &mut self.transfer_server;
@@ -217,12 +217,12 @@
         }
         server.next_review = now + REVIEW_INTERVAL;
         let mut waiting = std::mem::take(&mut server.waiting);
-        waiting.sort_by_key(|waiting| (Reverse(waiting.asked.link_bytes_per_s), waiting.since));
+        waiting.sort_by_key(|waiting| (Reverse(waiting.transfer.link_bytes_per_s), waiting.since));
         for request in waiting {
             match self.decide(&request, now) {
                 Decision::Send(body) => {
                     self.transfer_server.note_served(&request, now);
-                    self.count_transfer(request.asked.address.socket(), body.len());
+                    self.count_transfer(request.transfer.address.socket(), body.len());
                     respond(request.client, body, out);
                 }
                 Decision::Refer => self.refer(&request, out),
@@ -231,27 +231,32 @@
         }
     }
 
-    fn refer(&mut self, request: &Waiting, out: &mut Vec<Action>) {
+    fn refer(&mut self, request: &WaitingRequest, out: &mut Vec<Action>) {
         let nodes = self.transfer_server.referral(request);
         let answer = TransferAnswer::Elsewhere { nodes };
         respond(request.client, codec::encode(&answer), out);
     }
 
-    fn decide(&mut self, request: &Waiting, now: Timestamp) -> Decision {
-        let Waiting { asked, since, .. } = request;
+    fn decide(&mut self, request: &WaitingRequest, now: Timestamp) -> Decision {
+        let WaitingRequest {
+            transfer, since, ..
+        } = request;
         let has_timed_out = *since + MAX_REQUEST_WAIT <= now;
-        let is_other = request.zone != self.settings.zone;
+        let is_other_zone = request.zone != self.settings.zone;
         let served = self.transfer_server.served.get(&request.key());
         let is_served = served.is_some_and(|served| !served.nodes.is_empty());
-        let is_recent = served.is_some_and(|served| now < served.last + OTHER_ZONE_INTERVAL);
-        if is_other && is_recent {
+        let is_recently_served =
+            served.is_some_and(|served| now < served.last + OTHER_ZONE_INTERVAL);
+        if is_other_zone && is_recently_served {
             return Decision::Refer;
         }
-        if let Some(body) = self.state_for(asked, now) {
+        if let Some(body) = self.state_for(transfer, now) {
             return Decision::Send(body);
         }
         let has_waited = *since + LINK_WAIT <= now;
-        match has_timed_out || is_served && has_waited && self.has_newer(asked.kind, asked.known) {
+        match has_timed_out
+            || is_served && has_waited && self.has_newer(transfer.kind, transfer.known)
+        {
             true => Decision::Refer,
             false => Decision::Wait,
         }
@@ -259,12 +264,12 @@
 
     /// The encoded objects, if they are newer than what the asking node knows and there is
     /// free bandwidth.
-    fn state_for(&mut self, asked: &TransferRequest, now: Timestamp) -> Option<Vec<u8>> {
+    fn state_for(&mut self, transfer: &TransferRequest, now: Timestamp) -> Option<Vec<u8>> {
         let has_bandwidth = self.transfer_server.link_free_at <= now + MAX_BACKLOG;
-        if !has_bandwidth || !self.has_newer(asked.kind, asked.known) {
+        if !has_bandwidth || !self.has_newer(transfer.kind, transfer.known) {
             return None;
         }
-        let body = self.encoded_state(asked.kind, asked.known, now)?;
+        let body = self.encoded_state(transfer.kind, transfer.known, now)?;
         let share = self.settings.link_bytes_per_s as f64 * LINK_SHARE;
         let takes = Duration::try_from_secs_f64(body.len() as f64 / share.max(1.0));
         let server = &mut self.transfer_server;
