--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -125,8 +125,8 @@
         }
         let candidate_index = self.load_hub.candidate_index % candidates.len();
         let current = candidates[candidate_index];
-        let heard = self.shared.digest_from(current).unwrap_or_default();
-        let silent = heard.max(self.load_hub.since) + HUB_TIMEOUT <= now;
+        let last_digest = self.shared.digest_from(current).unwrap_or_default();
+        let silent = last_digest.max(self.load_hub.since) + HUB_TIMEOUT <= now;
         if silent && current != self.settings.peer_address {
             self.load_hub
                 .switch_to((candidate_index + 1) % candidates.len(), now);
@@ -268,10 +268,10 @@
             .collect();
         let hub = |zone: &ZoneName| {
             let candidates = self.hub_candidates(zone);
-            let heard = candidates
+            let active = candidates
                 .iter()
                 .find(|hub| self.shared.hears_hub(**hub, now));
-            heard.or(candidates.first()).copied()
+            active.or(candidates.first()).copied()
         };
         zones.into_iter().filter_map(hub).collect()
     }
--- a/crates/ledgelead-router/src/node/relay/configuration.rs
+++ b/crates/ledgelead-router/src/node/relay/configuration.rs
@@ -30,9 +30,9 @@
         if let Some(known) = self.configuration_datagrams.get(&since) {
             return known.clone();
         }
-        let kept = &self.configurations;
-        let next = kept.back().filter(|next| next.version > since)?;
-        let earlier = kept.iter().find(|earlier| earlier.version == since);
+        let versions = &self.configurations;
+        let next = versions.back().filter(|next| next.version > since)?;
+        let earlier = versions.iter().find(|earlier| earlier.version == since);
         let delta = ConfigurationDelta::between(earlier, next);
         let datagrams = delta.and_then(|delta| datagrams(&delta));
         self.configuration_datagrams
@@ -52,11 +52,11 @@
             return;
         };
         self.messaging.relay.configuration_datagrams.clear();
-        let kept = &mut self.messaging.relay.configurations;
-        let before = kept.back().map_or(0, |earlier| earlier.version);
-        kept.push_back(next);
-        if kept.len() > CONFIGURATION_LOG_LENGTH {
-            kept.pop_front();
+        let versions = &mut self.messaging.relay.configurations;
+        let before = versions.back().map_or(0, |earlier| earlier.version);
+        versions.push_back(next);
+        if versions.len() > CONFIGURATION_LOG_LENGTH {
+            versions.pop_front();
         }
         if self.coordination.coordinator().is_none() {
             return;
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -45,8 +45,8 @@
             Purpose::Register if is_former => self.store.registration.begin_era(),
             Purpose::Register => self.registration_answered(answer, now),
             Purpose::StoreEvidence(_) if is_former => self.quarantine.begin_era(),
-            Purpose::StoreEvidence(kept) => {
-                let (request, record) = *kept;
+            Purpose::StoreEvidence(evidence) => {
+                let (request, record) = *evidence;
                 self.evidence_stored(request, record, answer, now);
             }
             Purpose::TakeOver(record) => {
--- a/crates/ledgelead-router/src/node/zone_relay.rs
+++ b/crates/ledgelead-router/src/node/zone_relay.rs
@@ -80,14 +80,14 @@
             reports.is_some_and(|reports| reports.at + REPORT_TTL > now && reports.nodes >= nodes)
         };
         let is_member = |address: &SocketAddr| members.iter().any(|node| node.address == *address);
-        let kept = self.chosen.get(zone).copied();
-        let kept = kept.filter(is_eligible).filter(is_member);
-        let chosen = kept.or_else(|| {
+        let previous = self.chosen.get(zone).copied();
+        let previous = previous.filter(is_eligible).filter(is_member);
+        let chosen = previous.or_else(|| {
             let eligible = members.iter().filter(|node| is_eligible(&node.address));
             let strongest = eligible.min_by_key(|node| rank(node));
             strongest.map(|node| node.address)
         })?;
-        if kept.is_none() {
+        if previous.is_none() {
             self.chosen.insert(zone.clone(), chosen);
         }
         Some(chosen)
--- a/crates/ledgelead-router/src/node/zone_traffic.rs
+++ b/crates/ledgelead-router/src/node/zone_traffic.rs
@@ -27,8 +27,8 @@
     /// Counts a received datagram.
     pub(super) fn count_received(&mut self, from: SocketAddr, kind: &'static str, bytes: usize) {
         self.traffic.received(kind, bytes);
-        let place = self.place_of_node(from);
-        self.zone_traffic.received(kind, place, bytes);
+        let relation = self.zone_relation_of_node(from);
+        self.zone_traffic.received(kind, relation, bytes);
     }
 
     /// Counts a response, before its exchange is removed.
@@ -40,57 +40,57 @@
         let Ok(response) = result else {
             return;
         };
-        if let Some((purpose, place)) = self.purpose_of(exchange) {
+        if let Some((purpose, relation)) = self.purpose_of(exchange) {
             let bytes = response_bytes(response);
-            self.zone_traffic.received(purpose, place, bytes);
+            self.zone_traffic.received(purpose, relation, bytes);
         }
     }
 
     /// Counts a list sent to another node.
     pub(super) fn count_transfer(&mut self, to: SocketAddr, bytes: usize) {
-        let place = self.place_of_node(to);
-        self.zone_traffic.sent(TRANSFERS, place, bytes);
+        let relation = self.zone_relation_of_node(to);
+        self.zone_traffic.sent(TRANSFERS, relation, bytes);
     }
 
     fn count_datagram(&mut self, address: SocketAddr, datagram: &Datagram) {
         self.traffic.sent(datagram);
-        let place = self.place_of_node(address);
+        let relation = self.zone_relation_of_node(address);
         let bytes = datagram.bytes.len();
-        self.zone_traffic.sent(datagram.kind, place, bytes);
+        self.zone_traffic.sent(datagram.kind, relation, bytes);
     }
 
     fn count_request(&mut self, exchange: ExchangeId, request: &Request) {
-        if let Some((purpose, place)) = self.purpose_of(exchange) {
+        if let Some((purpose, relation)) = self.purpose_of(exchange) {
             let bytes = request_bytes(request);
-            self.zone_traffic.sent(purpose, place, bytes);
+            self.zone_traffic.sent(purpose, relation, bytes);
         }
     }
 
     /// Purpose and destination zone of an exchange; `None` if it is no longer known.
     fn purpose_of(&self, exchange: ExchangeId) -> Option<(&'static str, Place)> {
         if let Some(instance) = self.requests.instance_of(exchange) {
-            return Some((REQUESTS, self.place_of_instance(instance)));
+            return Some((REQUESTS, self.zone_relation_of_instance(instance)));
         }
         if self.store.owns(exchange) {
             return Some((STORE, Place::Unknown));
         }
         if let Some(source) = self.transfers.source(exchange) {
-            return Some((TRANSFERS, self.place_of_node(source)));
+            return Some((TRANSFERS, self.zone_relation_of_node(source)));
         }
         let instance = self.coordination.order_target(exchange)?;
-        Some((ORDERS, self.place_of_instance(instance)))
+        Some((ORDERS, self.zone_relation_of_instance(instance)))
     }
 
-    fn place_of_instance(&self, id: &InstanceId) -> Place {
+    fn zone_relation_of_instance(&self, id: &InstanceId) -> Place {
         let instance = self.directory.get(id);
-        self.place_of(instance.map(|instance| &instance.record.zone))
+        self.zone_relation(instance.map(|instance| &instance.record.zone))
     }
 
-    fn place_of_node(&self, address: SocketAddr) -> Place {
-        self.place_of(self.registry.zone_at(address))
+    fn zone_relation_of_node(&self, address: SocketAddr) -> Place {
+        self.zone_relation(self.registry.zone_at(address))
     }
 
-    fn place_of(&self, zone: Option<&ZoneName>) -> Place {
+    fn zone_relation(&self, zone: Option<&ZoneName>) -> Place {
         match zone {
             Some(zone) if *zone == self.settings.zone => Place::Own,
             Some(_) => Place::Other,
--- a/crates/ledgelead-router/tests/node/configuration.rs
+++ b/crates/ledgelead-router/tests/node/configuration.rs
@@ -123,10 +123,10 @@
     let mut fixture = follower();
     fixture.store.put_configuration(next_version(8));
     let before = lists_of_configuration(&fixture);
-    for beat in 0..4 {
+    for round in 0..4 {
         let message = heartbeat(&fixture, 8);
         fixture.receive(node_address(COORDINATOR), &message);
-        if beat == 0 {
+        if round == 0 {
             let wanted = fixture.datagrams.iter().filter(|(_, to, message)| {
                 let kind = RelayedKind::Configuration;
                 *to == node_address(COORDINATOR)
--- a/crates/ledgelead-router/tests/node/former_coordinator.rs
+++ b/crates/ledgelead-router/tests/node/former_coordinator.rs
@@ -93,18 +93,18 @@
 }
 
 /// Receives heartbeats of both coordinators every 200 ms, 100 ms apart.
-fn receive_from_both(fixture: &mut Fixture, former: &Heartbeat, lasts: Duration) {
-    receive_from_both_with(fixture, former, lasts, |unchanged| unchanged);
+fn receive_from_both(fixture: &mut Fixture, former: &Heartbeat, duration: Duration) {
+    receive_from_both_with(fixture, former, duration, |unchanged| unchanged);
 }
 
 /// Like `receive_from_both`, with a change to the successor's heartbeats.
 fn receive_from_both_with(
     fixture: &mut Fixture,
     former: &Heartbeat,
-    lasts: Duration,
+    duration: Duration,
     change: impl Fn(Heartbeat) -> Heartbeat,
 ) {
-    let end = fixture.now + lasts;
+    let end = fixture.now + duration;
     while fixture.now < end {
         let sent = change(heartbeat(fixture, SUCCESSOR));
         receive_heartbeat(fixture, SUCCESSOR, &sent);
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -157,9 +157,9 @@
     decide(&mut fixture, PermitVerdict::Refused, 1);
     let response = answered(&fixture, client).expect("an answer");
     expect_that!(response.status, eq(503));
-    let again = response.headers.text("retry-after").expect("a time");
-    let again: f64 = again.parse().expect("a number");
-    expect_that!(again, all!(ge(0.7), lt(1.2)));
+    let retry_after = response.headers.text("retry-after").expect("a time");
+    let retry_after: f64 = retry_after.parse().expect("a number");
+    expect_that!(retry_after, all!(ge(0.7), lt(1.2)));
     expect_that!(returns(&fixture), is_empty());
 }
 
--- a/crates/ledgelead-router/tests/node/rate_limits.rs
+++ b/crates/ledgelead-router/tests/node/rate_limits.rs
@@ -21,7 +21,7 @@
 const WINDOW_MS: u64 = 4_000;
 
 /// The only node, with an owner of all keys and two instances without keys.
-fn alone() -> Fixture {
+fn single_node() -> Fixture {
     let mut store = Store::default();
     store.put_configuration(configuration(1));
     store.add_instance(instance(1, SERVICE));
@@ -45,11 +45,11 @@
 fn send_requests_for(
     fixture: &mut Fixture,
     (service, key): (&str, Option<u16>),
-    lasts_ms: u64,
+    duration_ms: u64,
     answer: impl Fn(SocketAddr) -> Response,
 ) -> Vec<(Timestamp, SocketAddr)> {
-    let mut reached = Vec::new();
-    let end = fixture.now + ms(lasts_ms);
+    let mut attempts = Vec::new();
+    let end = fixture.now + ms(duration_ms);
     while fixture.now < end {
         fixture.request(service, key);
         fixture.run_until(fixture.now + ms(5));
@@ -58,22 +58,22 @@
                 fixture.answer(sent.exchange, Response::new(200, ""));
                 continue;
             }
-            reached.push((sent.at, sent.address));
+            attempts.push((sent.at, sent.address));
             fixture.answer(sent.exchange, answer(sent.address));
         }
         fixture.run_until(fixture.now + ms(10));
     }
-    reached
+    attempts
 }
 
 /// Maximum number of requests in any window.
-fn max_per_window(reached: &[(Timestamp, SocketAddr)]) -> usize {
+fn max_per_window(attempts: &[(Timestamp, SocketAddr)]) -> usize {
     let in_window = |from: Timestamp| {
         let until = from + ms(WINDOW_MS);
-        let within = reached.iter().filter(|(at, _)| (from..until).contains(at));
+        let within = attempts.iter().filter(|(at, _)| (from..until).contains(at));
         within.count()
     };
-    reached
+    attempts
         .iter()
         .map(|(at, _)| in_window(*at))
         .max()
@@ -82,45 +82,45 @@
 
 #[gtest]
 fn owner_gets_no_more_requests_than_its_rate_limit() {
-    let mut fixture = alone();
+    let mut fixture = single_node();
     send_requests_for(&mut fixture, (KEYED, Some(7)), 500, |_| {
         response_with_limit("6.5")
     });
-    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 12_000, |_| {
+    let attempts = send_requests_for(&mut fixture, (KEYED, Some(7)), 12_000, |_| {
         response_with_limit("6.5")
     });
-    expect_that!(max_per_window(&reached), le(44));
+    expect_that!(max_per_window(&attempts), le(44));
 }
 
 /// Sends a request every 50 ms for this time.
-fn send_slowly(fixture: &mut Fixture, lasts_ms: u64, limit: Option<&str>) -> Vec<Timestamp> {
-    let mut reached = Vec::new();
-    let end = fixture.now + ms(lasts_ms);
+fn send_slowly(fixture: &mut Fixture, duration_ms: u64, limit: Option<&str>) -> Vec<Timestamp> {
+    let mut attempts = Vec::new();
+    let end = fixture.now + ms(duration_ms);
     while fixture.now < end {
         let named = |_| limit.map_or_else(success, response_with_limit);
         let times = send_requests_for(fixture, (KEYED, Some(7)), 15, named);
-        reached.extend(times.into_iter().map(|(at, _)| at));
+        attempts.extend(times.into_iter().map(|(at, _)| at));
         fixture.run_until(fixture.now + ms(35));
     }
-    reached
+    attempts
 }
 
 #[gtest]
 fn requests_before_a_limit_count_in_its_first_window() {
-    let mut fixture = alone();
-    let mut reached = send_slowly(&mut fixture, 5_000, None);
+    let mut fixture = single_node();
+    let mut attempts = send_slowly(&mut fixture, 5_000, None);
     let named_at = fixture.now;
-    reached.extend(send_slowly(&mut fixture, 8_000, Some("6.5")));
+    attempts.extend(send_slowly(&mut fixture, 8_000, Some("6.5")));
     for end in (3_000..8_000).step_by(50).map(|after| named_at + ms(after)) {
         let window = end - ms(WINDOW_MS)..end;
-        let arrived = reached.iter().filter(|at| window.contains(at)).count();
+        let arrived = attempts.iter().filter(|at| window.contains(at)).count();
         expect_that!(arrived, le(44));
     }
 }
 
 #[gtest]
 fn caller_beyond_the_limit_is_refused_immediately_with_a_retry_time() {
-    let mut fixture = alone();
+    let mut fixture = single_node();
     send_requests_for(&mut fixture, (KEYED, Some(7)), 4_000, |_| {
         response_with_limit("1")
     });
@@ -136,15 +136,15 @@
     expect_that!(client, eq(refused));
     expect_that!(response.status, eq(503));
     expect_that!(response.body, eq(b"rate_limited"));
-    let again: Option<f64> = response.headers.number("retry-after");
+    let retry_after: Option<f64> = response.headers.number("retry-after");
     // One token per second, extended at random by up to 0.7 of that.
-    expect_that!(again, some(all!(gt(0.0), le(1.8))));
+    expect_that!(retry_after, some(all!(gt(0.0), le(1.8))));
     expect_that!(fixture.node.status().requests.repeats, is_empty());
 }
 
 #[gtest]
 fn requests_without_a_key_use_instances_without_a_limit() {
-    let mut fixture = alone();
+    let mut fixture = single_node();
     let limited = instance(1, SERVICE).address;
     let answer = |to: SocketAddr| match to == limited {
         true => response_with_limit("2"),
@@ -152,8 +152,8 @@
     };
     send_requests_for(&mut fixture, (SERVICE, None), 500, answer);
     fixture.answers.clear();
-    let reached = send_requests_for(&mut fixture, (SERVICE, None), 8_000, answer);
-    let to_limited: Vec<_> = reached
+    let attempts = send_requests_for(&mut fixture, (SERVICE, None), 8_000, answer);
+    let to_limited: Vec<_> = attempts
         .iter()
         .filter(|(_, to)| *to == limited)
         .copied()
@@ -168,24 +168,24 @@
 
 #[gtest]
 fn response_without_a_limit_ends_it() {
-    let mut fixture = alone();
+    let mut fixture = single_node();
     send_requests_for(&mut fixture, (KEYED, Some(7)), 5_000, |_| {
         response_with_limit("1")
     });
-    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 5_000, |_| success());
+    let attempts = send_requests_for(&mut fixture, (KEYED, Some(7)), 5_000, |_| success());
     // One token per second until the first response without a limit.
-    expect_that!(reached.len(), ge(250));
+    expect_that!(attempts.len(), ge(250));
 }
 
 #[gtest]
 fn instance_can_end_a_limit_of_zero() {
-    let mut fixture = alone();
-    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 20_000, |_| {
+    let mut fixture = single_node();
+    let attempts = send_requests_for(&mut fixture, (KEYED, Some(7)), 20_000, |_| {
         response_with_limit("0")
     });
-    expect_that!(max_per_window(&reached[1..]), le(5));
-    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 10_000, |_| success());
-    expect_that!(reached.len(), ge(250));
+    expect_that!(max_per_window(&attempts[1..]), le(5));
+    let attempts = send_requests_for(&mut fixture, (KEYED, Some(7)), 10_000, |_| success());
+    expect_that!(attempts.len(), ge(250));
 }
 
 /// One of three nodes, which is not the only limiter.
@@ -209,10 +209,10 @@
     let limits = List(vec![limit_of_the_owner(1_000)]);
     fixture.receive(node_address(1), &PeerMessage::RateLimits { limits });
     fixture.attempts.clear();
-    let reached = send_requests_for(&mut fixture, (KEYED, Some(7)), 1_000, |_| {
+    let attempts = send_requests_for(&mut fixture, (KEYED, Some(7)), 1_000, |_| {
         response_with_limit("1")
     });
-    expect_that!(reached, is_empty());
+    expect_that!(attempts, is_empty());
 }
 
 #[gtest]
@@ -278,14 +278,14 @@
 /// many were sent and how many were answered.
 fn send_requests_for_all_keys(
     fixture: &mut Fixture,
-    lasts_ms: u64,
+    duration_ms: u64,
     answer: impl Fn(SocketAddr) -> Response,
 ) -> (usize, usize) {
     let mut key = 0u16;
     let mut requested = 0;
     let mut answered = 0;
     let mut in_progress = Vec::new();
-    let end = fixture.now + ms(lasts_ms);
+    let end = fixture.now + ms(duration_ms);
     while fixture.now < end {
         key = key.wrapping_add(9_973);
         fixture.request(KEYED, Some(key));
@@ -368,10 +368,10 @@
         fixture.sent("limiter_probe") > 0
     };
     let instance = (1..100).find(is_probed).expect("such an instance");
-    let beside = granted_tokens(&mut in_fleet_of_two(), instance, true);
-    expect_that!(beside, all!(ge(10), le(14)));
-    let alone = granted_tokens(&mut in_fleet_of_two(), instance, false);
-    expect_that!(alone, all!(ge(38), le(44)));
+    let with_first = granted_tokens(&mut in_fleet_of_two(), instance, true);
+    expect_that!(with_first, all!(ge(10), le(14)));
+    let without_first = granted_tokens(&mut in_fleet_of_two(), instance, false);
+    expect_that!(without_first, all!(ge(38), le(44)));
 }
 
 #[gtest]
--- a/crates/ledgelead-router/tests/node/response_notices.rs
+++ b/crates/ledgelead-router/tests/node/response_notices.rs
@@ -42,38 +42,38 @@
 /// Answers all attempts. Returns the instances that received requests, not counting orders of
 /// a coordinator.
 fn answer_all(fixture: &mut Fixture, answer: impl Fn(SocketAddr) -> Response) -> Vec<SocketAddr> {
-    let mut reached = Vec::new();
+    let mut receivers = Vec::new();
     while let Some(sent) = fixture.attempts.pop() {
         fixture.run_until(fixture.now + ms(1));
         if sent.target == ORDER {
             fixture.answer(sent.exchange, Response::new(200, ""));
             continue;
         }
-        reached.push(sent.address);
+        receivers.push(sent.address);
         fixture.answer(sent.exchange, answer(sent.address));
     }
-    reached
+    receivers
 }
 
 /// Sends a request every 100 ms for this time. Returns the instances that received one.
 fn send_requests_for(
     fixture: &mut Fixture,
     (service, key): (&str, Option<u16>),
-    lasts_ms: u64,
+    duration_ms: u64,
     answer: impl Fn(SocketAddr) -> Response,
 ) -> Vec<SocketAddr> {
-    let mut reached = Vec::new();
-    let end = fixture.now + ms(lasts_ms);
+    let mut receivers = Vec::new();
+    let end = fixture.now + ms(duration_ms);
     while fixture.now < end {
         fixture.request(service, key);
-        reached.extend(answer_all(fixture, &answer));
+        receivers.extend(answer_all(fixture, &answer));
         let pause_over = fixture.now + ms(100);
         while fixture.now < pause_over {
             fixture.run_until((fixture.now + ms(10)).min(pause_over));
-            reached.extend(answer_all(fixture, &answer));
+            receivers.extend(answer_all(fixture, &answer));
         }
     }
-    reached
+    receivers
 }
 
 /// A node that knows the owner of all keys, and has lost the store since.
@@ -99,8 +99,8 @@
     fixture.request(KEYED, Some(7));
     expect_that!(answer_all(&mut fixture, |_| leaving()), len(eq(1)));
     fixture.run_until(fixture.now + ms(DRAIN_MS));
-    let reached = send_requests_for(&mut fixture, keyed(), 1_000, |_| success());
-    expect_that!(reached, not(contains(eq(&address(OWNER)))));
+    let receivers = send_requests_for(&mut fixture, keyed(), 1_000, |_| success());
+    expect_that!(receivers, not(contains(eq(&address(OWNER)))));
 }
 
 #[gtest]
@@ -112,9 +112,9 @@
     };
     send_requests_for(&mut fixture, unkeyed(), 1_000, respond);
     fixture.run_until(fixture.now + ms(DRAIN_MS));
-    let reached = send_requests_for(&mut fixture, unkeyed(), 1_000, respond);
-    expect_that!(reached, not(contains(eq(&address(1)))));
-    expect_that!(reached, contains(eq(&address(2))));
+    let receivers = send_requests_for(&mut fixture, unkeyed(), 1_000, respond);
+    expect_that!(receivers, not(contains(eq(&address(1)))));
+    expect_that!(receivers, contains(eq(&address(2))));
 }
 
 #[gtest]
@@ -123,8 +123,8 @@
     fixture.request(KEYED, Some(7));
     let first = answer_all(&mut fixture, |_| pause_response("3"));
     expect_that!(first, len(eq(1)));
-    let reached = send_requests_for(&mut fixture, keyed(), 2_500, |_| pause_response("3"));
-    expect_that!(reached, is_empty());
+    let receivers = send_requests_for(&mut fixture, keyed(), 2_500, |_| pause_response("3"));
+    expect_that!(receivers, is_empty());
     fixture.run_until(fixture.now + ms(500));
     let after = send_requests_for(&mut fixture, keyed(), 500, |_| success());
     expect_that!(after, len(ge(4)));
@@ -141,9 +141,9 @@
     let (client, response) = fixture.answers.pop().expect("an answer at once");
     expect_that!(client, eq(requester));
     expect_that!(response.status, eq(503));
-    let again: Option<f64> = response.headers.number("retry-after");
+    let retry_after: Option<f64> = response.headers.number("retry-after");
     // Two seconds remain, extended at random by up to 0.7 of that.
-    expect_that!(again, some(all!(ge(1.9), le(3.5))));
+    expect_that!(retry_after, some(all!(ge(1.9), le(3.5))));
 }
 
 #[gtest]
@@ -152,8 +152,8 @@
     let pause = |_| pause_response("2.5");
     let paused = send_requests_for(&mut fixture, unkeyed(), 300, pause);
     expect_that!(paused, len(eq(2)));
-    let reached = send_requests_for(&mut fixture, unkeyed(), 1_500, pause);
-    expect_that!(reached, is_empty());
+    let receivers = send_requests_for(&mut fixture, unkeyed(), 1_500, pause);
+    expect_that!(receivers, is_empty());
 }
 
 #[gtest]
@@ -167,8 +167,8 @@
     for (sent, seconds) in requests.zip(["3", "0.5"]) {
         fixture.answer(sent.exchange, pause_response(seconds));
     }
-    let reached = send_requests_for(&mut fixture, keyed(), 2_800, |_| success());
-    expect_that!(reached, is_empty());
+    let receivers = send_requests_for(&mut fixture, keyed(), 2_800, |_| success());
+    expect_that!(receivers, is_empty());
 }
 
 #[gtest]
--- a/crates/ledgelead-router/tests/node/snapshot.rs
+++ b/crates/ledgelead-router/tests/node/snapshot.rs
@@ -29,8 +29,8 @@
 }
 
 /// Another node asks every 200 ms for changes no longer in the log.
-fn request_changes_for(fixture: &mut Fixture, lasts: Duration) {
-    let end = fixture.now + lasts;
+fn request_changes_for(fixture: &mut Fixture, duration: Duration) {
+    let end = fixture.now + duration;
     while fixture.now < end {
         let request = PeerMessage::ResyncRequest {
             kind: RelayedKind::Instances,
@@ -121,8 +121,11 @@
     fixture.request(SERVICE, None);
     let addresses = fixture.attempts.iter().map(|sent| sent.address);
     let addresses: Vec<_> = addresses.collect();
-    let of = |number| instance(number, SERVICE).address;
-    expect_that!(addresses, elements_are![eq(&of(1)), eq(&of(2))]);
+    let address_of = |number| instance(number, SERVICE).address;
+    expect_that!(
+        addresses,
+        elements_are![eq(&address_of(1)), eq(&address_of(2))]
+    );
     let known = fixture.node.status().announced_and_known["instances"];
     expect_that!(known, eq((100, 100)));
 }
--- a/crates/ledgelead-router/tests/node/startup.rs
+++ b/crates/ledgelead-router/tests/node/startup.rs
@@ -16,18 +16,18 @@
 
 /// Sends a request every 100 ms for this time, all of them served. Returns the instances that
 /// received one.
-fn send_requests_for(fixture: &mut Fixture, lasts_ms: u64) -> Vec<SocketAddr> {
-    let mut reached = Vec::new();
-    let end = fixture.now + ms(lasts_ms);
+fn send_requests_for(fixture: &mut Fixture, duration_ms: u64) -> Vec<SocketAddr> {
+    let mut receivers = Vec::new();
+    let end = fixture.now + ms(duration_ms);
     while fixture.now < end {
         fixture.request(SERVICE, None);
         fixture.run_until(fixture.now + ms(100));
         while let Some(sent) = fixture.attempts.pop() {
-            reached.push(sent.address);
+            receivers.push(sent.address);
             fixture.answer(sent.exchange, success());
         }
     }
-    reached
+    receivers
 }
 
 /// Instances 1 and 2, of which the first is draining, while stale lists don't show that yet.
@@ -53,7 +53,7 @@
     let mut fixture = Fixture::new(lagging_store());
     fixture.run_until(ms(100));
     expect_that!(fixture.node.is_ready(), eq(true));
-    let reached = send_requests_for(&mut fixture, 600);
-    expect_that!(reached, not(contains(eq(&address(1)))));
-    expect_that!(reached, len(ge(5)));
+    let receivers = send_requests_for(&mut fixture, 600);
+    expect_that!(receivers, not(contains(eq(&address(1)))));
+    expect_that!(receivers, len(ge(5)));
 }
--- a/crates/ledgelead-router/tests/node/store_eras.rs
+++ b/crates/ledgelead-router/tests/node/store_eras.rs
@@ -21,9 +21,9 @@
 
 /// Advances the time while the instances carry out orders and the store answers watches every
 /// half second. Returns the number of orders.
-fn run_with_orders(fixture: &mut Fixture, lasts_ms: u64) -> usize {
+fn run_with_orders(fixture: &mut Fixture, duration_ms: u64) -> usize {
     let mut orders = 0;
-    for step in 1..=lasts_ms / 10 {
+    for step in 1..=duration_ms / 10 {
         fixture.run_until(fixture.now + ms(10));
         if step % 50 == 0 {
             fixture.answer_watches();
--- a/crates/ledgelead-router/tests/node/store_outage.rs
+++ b/crates/ledgelead-router/tests/node/store_outage.rs
@@ -81,10 +81,10 @@
     let mut fixture = refused_node();
     let known = fixture.store.revision;
     let before = fixture.calls.len();
-    for beat in 0..30 {
-        let message = heartbeat(&fixture, known + u64::from(beat >= 10));
+    for round in 0..30 {
+        let message = heartbeat(&fixture, known + u64::from(round >= 10));
         fixture.receive(node_address(1), &message);
-        if beat == 10 {
+        if round == 10 {
             fixture.receive(node_address(1), &new_instance(known));
         }
         fixture.run_until(fixture.now + ms(200));
--- a/crates/ledgelead-router/tests/node/transfer.rs
+++ b/crates/ledgelead-router/tests/node/transfer.rs
@@ -90,8 +90,8 @@
 }
 
 /// Receives heartbeats through the relay for this time.
-fn relay_heartbeats_for(fixture: &mut Fixture, lasts_ms: u64) {
-    let end = fixture.now + ms(lasts_ms);
+fn relay_heartbeats_for(fixture: &mut Fixture, duration_ms: u64) {
+    let end = fixture.now + ms(duration_ms);
     while fixture.now < end {
         relay_heartbeat(fixture);
         fixture.run_until(fixture.now + ms(100));
--- a/crates/ledgelead-router/tests/node/zone_relay.rs
+++ b/crates/ledgelead-router/tests/node/zone_relay.rs
@@ -74,11 +74,11 @@
         }
         fixture.run_until(fixture.now + ms(100));
     }
-    let got = |number: &u8| {
+    let is_receiver = |number: &u8| {
         let address = node_address(*number);
         fixture.datagrams.iter().any(|(_, to, _)| *to == address)
     };
-    OTHERS.filter(got).collect()
+    OTHERS.filter(is_receiver).collect()
 }
 
 #[gtest]
@@ -129,8 +129,8 @@
 fn node_with_outdated_registrations_is_no_relay() {
     let mut fixture = coordinator();
     let all: BTreeSet<u8> = OTHERS.collect();
-    let got = reporting_receivers(&mut fixture, &[STRONGEST], 0);
-    expect_that!(got, eq(&all));
+    let receivers_now = reporting_receivers(&mut fixture, &[STRONGEST], 0);
+    expect_that!(receivers_now, eq(&all));
 }
 
 #[gtest]
--- a/crates/ledgelead-router/tests/node/zone_traffic.rs
+++ b/crates/ledgelead-router/tests/node/zone_traffic.rs
@@ -45,9 +45,9 @@
 
 fn requests(fixture: &Fixture) -> (ZoneBytes, ZoneBytes) {
     let traffic = traffic(fixture);
-    let of = |counts: Option<&ZoneBytes>| counts.copied().unwrap_or_default();
-    let sent = of(traffic.sent.get(REQUESTS));
-    (sent, of(traffic.received.get(REQUESTS)))
+    let or_default = |counts: Option<&ZoneBytes>| counts.copied().unwrap_or_default();
+    let sent = or_default(traffic.sent.get(REQUESTS));
+    (sent, or_default(traffic.received.get(REQUESTS)))
 }
 
 /// Sends an upload and answers it.
