--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -41,11 +41,11 @@
     ) {
         let is_own = to == self.settings.peer_address;
         match message {
-            PermitMessage::Ask(ask) if is_own => {
-                self.permit_requested(to, &encode_permit_request(&ask), now, out);
+            PermitMessage::Ask(request) if is_own => {
+                self.permit_requested(to, &encode_permit_request(&request), now, out);
             }
-            PermitMessage::Ask(ask) => {
-                let message = PeerMessage::PermitAsk(encode_permit_request(&ask));
+            PermitMessage::Ask(request) => {
+                let message = PeerMessage::PermitAsk(encode_permit_request(&request));
                 send(to, &[encode(&message)], out);
             }
             PermitMessage::Return { number, queue, how } if is_own => {
@@ -89,7 +89,7 @@
             node: from,
             number: entry.number,
         };
-        let ask = QueueAsk {
+        let request = QueueAsk {
             queue: entry.queue,
             kind: match entry.is_pool {
                 true => QueueKind::Pool,
@@ -106,7 +106,7 @@
         let decided = match self.stopping {
             true => Err(Declined::Stops),
             false => self
-                .dispatch_request(&ask, entry.service, now)
+                .dispatch_request(&request, entry.service, now)
                 .ok_or(Declined::UnknownQueue),
         };
         match decided {
@@ -127,7 +127,7 @@
     /// keeps too many queues.
     fn dispatch_request(
         &mut self,
-        ask: &QueueAsk,
+        request: &QueueAsk,
         service: u64,
         now: Timestamp,
     ) -> Option<Vec<Decided>> {
@@ -137,7 +137,7 @@
             .find(|known| known.name.stable_hash() == service)?;
         let service = &known.name;
         let own_pool = pool_hash(service, &self.settings.zone);
-        if ask.kind == QueueKind::Pool && ask.queue != own_pool {
+        if request.kind == QueueKind::Pool && request.queue != own_pool {
             return None;
         }
         // If the rate to cold instances is limited, only a few nodes may send to them.
@@ -145,8 +145,8 @@
         let directory = &self.directory;
         let shared = &self.shared;
         let zone = &self.settings.zone;
-        let is_candidate = |instance: &&Instance| match ask.kind {
-            QueueKind::Owner => instance.record.id.stable_hash() == ask.queue,
+        let is_candidate = |instance: &&Instance| match request.kind {
+            QueueKind::Owner => instance.record.id.stable_hash() == request.queue,
             QueueKind::Pool => {
                 let is_usable = instance.serves() && !(is_bounded && instance.is_cold(now));
                 is_usable && instance.record.zone == *zone
@@ -165,7 +165,7 @@
             let candidates = directory.of_service(service).filter(is_candidate);
             candidates.map(server).collect::<Vec<Server>>()
         };
-        self.dispatcher.ask(ask, servers, now)
+        self.dispatcher.ask(request, servers, now)
     }
 
     /// Handles the return of a permit that this dispatcher granted.
@@ -273,17 +273,17 @@
     (short(load.running), short(load.waiting))
 }
 
-fn encode_permit_request(ask: &Ask) -> PermitAskEntry {
+fn encode_permit_request(request: &Ask) -> PermitAskEntry {
     PermitAskEntry {
-        number: ask.number,
-        queue: ask.queue,
-        is_pool: ask.kind == QueueKind::Pool,
-        service: ask.service,
-        urgency: u8::try_from(ask.urgency).unwrap_or(u8::MAX),
-        to_target_ms: short_millis(ask.to_target),
-        left_ms: short_millis(ask.left),
-        caller: ask.caller,
-        is_cold: ask.is_cold,
-        tried: ask.tried.unwrap_or(0),
+        number: request.number,
+        queue: request.queue,
+        is_pool: request.kind == QueueKind::Pool,
+        service: request.service,
+        urgency: u8::try_from(request.urgency).unwrap_or(u8::MAX),
+        to_target_ms: short_millis(request.to_target),
+        left_ms: short_millis(request.left),
+        caller: request.caller,
+        is_cold: request.is_cold,
+        tried: request.tried.unwrap_or(0),
     }
 }
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -113,8 +113,8 @@
     /// Applies what the outcomes of attempts show about crashes of instances.
     pub(super) fn take_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let signs = self.requests.take_crash_signs();
-        for (instance, accusation) in signs.lost {
-            if self.quarantine.suspects.lost(&instance, accusation, now) {
+        for (instance, lost_attempt) in signs.lost {
+            if self.quarantine.suspects.lost(&instance, lost_attempt, now) {
                 self.probe(instance, out);
             }
         }
@@ -129,7 +129,7 @@
         }
         for (request, caller) in signs.acquitted {
             self.quarantine.recent.note(request, caller, now);
-            self.acquit_if_answered(request, caller, now);
+            self.clear_if_answered(request, caller, now);
         }
         for instance in signs.refused {
             self.instance_ended(&instance, now);
@@ -170,11 +170,11 @@
         }
     }
 
-    /// Acquits a request that an instance has answered recently, whichever instance has ended.
-    fn acquit_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
-        let protects = self.settings.protections.has(Protection::Acquittal);
+    /// Clears a request that an instance has answered recently, whichever instance has ended.
+    fn clear_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
+        let is_enabled = self.settings.protections.has(Protection::Acquittal);
         let quarantine = &mut self.quarantine;
-        if !protects || quarantine.evidence.is_empty() {
+        if !is_enabled || quarantine.evidence.is_empty() {
             return;
         }
         if quarantine.recent.holds(request, caller) {
@@ -213,25 +213,25 @@
         }
     }
 
-    /// An instance has ended: the requests lost there are accused of having crashed it.
+    /// An instance has ended: the requests lost there are recorded as possible causes.
     fn instance_ended(&mut self, instance: &InstanceId, now: Timestamp) {
-        let accused = self.quarantine.suspects.ended(instance);
-        if accused.is_empty() {
+        let lost_attempts = self.quarantine.suspects.ended(instance);
+        if lost_attempts.is_empty() {
             return;
         }
-        let requests = accused.len();
+        let requests = lost_attempts.len();
         Event::InstanceEnded { instance, requests }.emit();
-        for accusation in accused {
+        for lost_attempt in lost_attempts {
             let end = End {
-                caller: accusation.caller,
+                caller: lost_attempt.caller,
                 instance: instance.stable_hash(),
                 // Not earlier than the time at which the other nodes learn of the loss.
-                at: accusation.at.min(now),
+                at: lost_attempt.at.min(now),
                 settled: false,
             };
             let evidence = &mut self.quarantine.evidence;
-            evidence.accuse(accusation.request, &accusation.path, end);
-            self.acquit_if_answered(accusation.request, accusation.caller, now);
+            evidence.accuse(lost_attempt.request, &lost_attempt.path, end);
+            self.clear_if_answered(lost_attempt.request, lost_attempt.caller, now);
         }
     }
 
@@ -265,11 +265,11 @@
     }
 
     fn review_evidence(&mut self, now: Timestamp) {
-        let verdicts = self.quarantine.evidence.review(now);
-        if !verdicts.0.is_empty() {
+        let new_quarantines = self.quarantine.evidence.review(now);
+        if !new_quarantines.0.is_empty() {
             self.quarantine.next_write = now;
         }
-        for (request, caller) in verdicts.0 {
+        for (request, caller) in new_quarantines.0 {
             let Some(entry) = self.quarantine.evidence.get(&request) else {
                 continue;
             };
--- a/crates/ledgelead-router/src/node/quarantine/sharing.rs
+++ b/crates/ledgelead-router/src/node/quarantine/sharing.rs
@@ -121,7 +121,7 @@
             self.quarantine.evidence.merge(request, &entry);
             let callers: BTreeSet<CallerId> = entry.ends.iter().map(|end| end.caller).collect();
             for caller in callers {
-                self.acquit_if_answered(request, caller, now);
+                self.clear_if_answered(request, caller, now);
             }
         }
         self.review_evidence(now);
--- a/crates/ledgelead-router/src/node/zone_relay.rs
+++ b/crates/ledgelead-router/src/node/zone_relay.rs
@@ -61,7 +61,7 @@
     /// Removes nodes whose last report is too old.
     pub(super) fn expire(&mut self, now: Timestamp) {
         self.reports
-            .retain(|_, reports| reports.at + REPORT_TTL > now);
+            .retain(|_, report| report.at + REPORT_TTL > now);
     }
 
     /// The relay of a zone, if there is a node that is alive and knows all nodes of the zone.
@@ -76,8 +76,8 @@
             return None;
         }
         let is_eligible = |address: &SocketAddr| {
-            let reports = self.reports.get(address);
-            reports.is_some_and(|reports| reports.at + REPORT_TTL > now && reports.nodes >= nodes)
+            let report = self.reports.get(address);
+            report.is_some_and(|report| report.at + REPORT_TTL > now && report.nodes >= nodes)
         };
         let is_member = |address: &SocketAddr| members.iter().any(|node| node.address == *address);
         let previous = self.chosen.get(zone).copied();
