--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -42,11 +42,11 @@
     ) {
         let is_own = to == self.settings.peer_address;
         match message {
-            PermitMessage::Request(ask) if is_own => {
-                self.permit_asked(to, &ask_entry(&ask), now, out);
+            PermitMessage::Request(request) if is_own => {
+                self.permit_requested(to, &encode_permit_request(&request), now, out);
             }
-            PermitMessage::Request(ask) => {
-                let message = PeerMessage::PermitAsk(ask_entry(&ask));
+            PermitMessage::Request(request) => {
+                let message = PeerMessage::PermitAsk(encode_permit_request(&request));
                 send(to, &[encode(&message)], out);
             }
             PermitMessage::Return { number, queue, how } if is_own => {
@@ -79,7 +79,7 @@
     }
 
     /// Handles a request for a permit.
-    pub(super) fn permit_asked(
+    pub(super) fn permit_requested(
         &mut self,
         from: SocketAddr,
         entry: &PermitAskEntry,
@@ -90,7 +90,7 @@
             node: from,
             number: entry.number,
         };
-        let ask = DispatchRequest {
+        let request = DispatchRequest {
             queue: entry.queue,
             kind: match entry.is_pool {
                 true => QueueKind::Pool,
@@ -107,7 +107,7 @@
         let decided = match self.stopping {
             true => Err(Declined::Stops),
             false => self
-                .ask_dispatcher(&ask, entry.service, now)
+                .dispatch_request(&request, entry.service, now)
                 .ok_or(Declined::UnknownQueue),
         };
         match decided {
@@ -126,9 +126,9 @@
 
     /// Decides as dispatcher. Returns `None` if this node doesn't know the queue or already
     /// keeps too many queues.
-    fn ask_dispatcher(
+    fn dispatch_request(
         &mut self,
-        ask: &DispatchRequest,
+        request: &DispatchRequest,
         service: u64,
         now: Timestamp,
     ) -> Option<Vec<DispatchDecision>> {
@@ -138,7 +138,7 @@
             .find(|known| known.name.stable_hash() == service)?;
         let service = &known.name;
         let own_pool = pool_hash(service, &self.settings.zone);
-        if ask.kind == QueueKind::Pool && ask.queue != own_pool {
+        if request.kind == QueueKind::Pool && request.queue != own_pool {
             return None;
         }
         // If the rate to cold instances is limited, only a few nodes may send to them.
@@ -146,8 +146,8 @@
         let directory = &self.directory;
         let shared = &self.shared;
         let zone = &self.settings.zone;
-        let is_candidate = |instance: &&Instance| match ask.kind {
-            QueueKind::Owner => instance.record.id.stable_hash() == ask.queue,
+        let is_candidate = |instance: &&Instance| match request.kind {
+            QueueKind::Owner => instance.record.id.stable_hash() == request.queue,
             QueueKind::Pool => {
                 let is_usable = instance.serves() && !(is_bounded && instance.is_cold(now));
                 is_usable && instance.record.zone == *zone
@@ -166,7 +166,7 @@
             let candidates = directory.of_service(service).filter(is_candidate);
             candidates.map(server).collect::<Vec<Server>>()
         };
-        self.dispatcher.ask(ask, servers, now)
+        self.dispatcher.ask(request, servers, now)
     }
 
     /// Handles the return of a permit that this dispatcher granted.
@@ -241,7 +241,10 @@
 }
 
 /// Decodes a dispatcher's verdict from a message.
-pub(super) fn permit_verdict(verdict: PermitVerdict, server: u64) -> Result<Admission, Declined> {
+pub(super) fn decode_permit_verdict(
+    verdict: PermitVerdict,
+    server: u64,
+) -> Result<Admission, Declined> {
     match verdict {
         PermitVerdict::Granted => Ok(Admission::Granted(server)),
         PermitVerdict::Queued => Ok(Admission::Queued),
@@ -252,7 +255,7 @@
 }
 
 /// Decodes how a request ended from a message.
-pub(super) fn permit_outcome(
+pub(super) fn decode_permit_outcome(
     ended: PermitReturnReason,
     took_ms: u16,
     load: Option<(u8, u8)>,
@@ -278,17 +281,17 @@
     (short(load.running), short(load.waiting))
 }
 
-fn ask_entry(ask: &PermitRequest) -> PermitAskEntry {
+fn encode_permit_request(request: &PermitRequest) -> PermitAskEntry {
     PermitAskEntry {
-        number: ask.number,
-        queue: ask.queue,
-        is_pool: ask.kind == QueueKind::Pool,
-        service: ask.service,
-        urgency: u8::try_from(ask.urgency).unwrap_or(u8::MAX),
-        to_target_ms: short_millis(ask.to_target),
-        remaining_ms: short_millis(ask.left),
-        caller: ask.caller,
-        is_cold: ask.is_cold,
-        failed_instance: ask.tried.unwrap_or(0),
+        number: request.number,
+        queue: request.queue,
+        is_pool: request.kind == QueueKind::Pool,
+        service: request.service,
+        urgency: u8::try_from(request.urgency).unwrap_or(u8::MAX),
+        to_target_ms: short_millis(request.to_target),
+        remaining_ms: short_millis(request.left),
+        caller: request.caller,
+        is_cold: request.is_cold,
+        failed_instance: request.tried.unwrap_or(0),
     }
 }
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -12,7 +12,7 @@
 
 use super::Node;
 use super::messaging::send;
-use super::open_requests::{MAX_COUNTS, counts_beat_reports};
+use super::open_requests::{MAX_COUNTS, counts_are_useful};
 use super::zone_relay::rank;
 use crate::Timestamp;
 use crate::identity::{InstanceId, ZoneName};
@@ -105,7 +105,7 @@
     pub(super) fn has_hub(&self, peers: usize) -> bool {
         let mechanisms = self.settings.mechanisms;
         let shares = mechanisms.has(Mechanism::SharedLoad) && mechanisms.has(Mechanism::LoadDigest);
-        shares && !counts_beat_reports(peers)
+        shares && !counts_are_useful(peers)
     }
 
     /// The addresses of the candidates for a zone's hub, the preferred one first.
@@ -125,8 +125,8 @@
         }
         let candidate_index = self.load_hub.candidate_index % candidates.len();
         let current = candidates[candidate_index];
-        let heard = self.shared.last_digest_from(current).unwrap_or_default();
-        let silent = heard.max(self.load_hub.since) + HUB_TIMEOUT <= now;
+        let last_digest = self.shared.last_digest_from(current).unwrap_or_default();
+        let silent = last_digest.max(self.load_hub.since) + HUB_TIMEOUT <= now;
         if silent && current != self.settings.peer_address {
             self.load_hub
                 .switch_to((candidate_index + 1) % candidates.len(), now);
@@ -268,10 +268,10 @@
             .collect();
         let hub = |zone: &ZoneName| {
             let candidates = self.hub_candidates(zone);
-            let heard = candidates
+            let active = candidates
                 .iter()
                 .find(|hub| self.shared.has_recent_sums_from(**hub, now));
-            heard.or(candidates.first()).copied()
+            active.or(candidates.first()).copied()
         };
         zones.into_iter().filter_map(hub).collect()
     }
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -114,23 +114,27 @@
     /// Applies what the outcomes of attempts show about crashes of instances.
     pub(super) fn take_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let signs = self.requests.take_crash_signs();
-        for (instance, accusation) in signs.lost {
-            if self.quarantine.suspects.record(&instance, accusation, now) {
+        for (instance, lost_attempt) in signs.lost {
+            if self
+                .quarantine
+                .suspects
+                .record(&instance, lost_attempt, now)
+            {
                 self.probe(instance, out);
             }
         }
-        for (instance, asked) in signs.answered {
+        for (instance, sent_at) in signs.answered {
             if instance.start_ms().is_none() {
-                self.instance_is_alive(&instance, asked, now);
-            } else if self.is_answer_relevant(&instance, asked) {
+                self.instance_is_alive(&instance, sent_at, now);
+            } else if self.is_answer_relevant(&instance, sent_at) {
                 self.quarantine
                     .unconfirmed_answers
-                    .answered(&instance, asked, now);
+                    .answered(&instance, sent_at, now);
             }
         }
         for (request, caller) in signs.completed {
             self.quarantine.recent.note(request, caller, now);
-            self.acquit_if_answered(request, caller, now);
+            self.clear_if_answered(request, caller, now);
         }
         for instance in signs.refused {
             self.instance_ended(&instance, now);
@@ -138,47 +142,47 @@
     }
 
     /// Whether an answer to a request sent at this time would be relevant evidence.
-    fn is_answer_relevant(&self, instance: &InstanceId, asked: Timestamp) -> bool {
-        self.quarantine.suspects.contains(instance) || self.disproves_end(instance, asked)
+    fn is_answer_relevant(&self, instance: &InstanceId, sent_at: Timestamp) -> bool {
+        self.quarantine.suspects.contains(instance) || self.disproves_end(instance, sent_at)
     }
 
     /// Whether an answer to a request sent at this time disproves the reported end of an
     /// instance.
-    fn disproves_end(&self, instance: &InstanceId, asked: Timestamp) -> bool {
+    fn disproves_end(&self, instance: &InstanceId, sent_at: Timestamp) -> bool {
         let evidence = &self.quarantine.evidence;
         let ended = evidence.reported_end(instance.stable_hash());
         // An answer to an earlier request may have been in flight when the instance ended.
-        ended.is_some_and(|at| at < asked)
+        ended.is_some_and(|at| at < sent_at)
     }
 
     /// An instance has answered a request sent at this time, and so is alive.
-    fn instance_is_alive(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
-        self.quarantine.suspects.answered(instance, asked);
-        if self.disproves_end(instance, asked) {
+    fn instance_is_alive(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
+        self.quarantine.suspects.answered(instance, sent_at);
+        if self.disproves_end(instance, sent_at) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
             self.quarantine.evidence.disprove_end(hash, now);
         }
     }
 
-    /// Applies answers that a later incarnation of the instance would be known to have given
-    /// by now, unless there is one.
+    /// Applies answers that have been held back until a later incarnation of the instance
+    /// would be known. If one is known, the answers may be its own and prove nothing.
     fn check_unconfirmed_answers(&mut self, now: Timestamp) {
-        for (instance, asked) in self.quarantine.unconfirmed_answers.take_due(now) {
+        for (instance, sent_at) in self.quarantine.unconfirmed_answers.take_due(now) {
             if self.directory.later_incarnation(&instance).is_none() {
-                self.instance_is_alive(&instance, asked, now);
+                self.instance_is_alive(&instance, sent_at, now);
             }
         }
     }
 
-    /// Acquits a request that an instance has answered recently, whichever instance has ended.
-    fn acquit_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
-        let protects = self
+    /// Clears a request that an instance has answered recently, whichever instance has ended.
+    fn clear_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
+        let is_enabled = self
             .settings
             .protections
             .has(Protection::AnswerClearsSuspicion);
         let quarantine = &mut self.quarantine;
-        if !protects || quarantine.evidence.is_empty() {
+        if !is_enabled || quarantine.evidence.is_empty() {
             return;
         }
         if quarantine.recent.contains(request, caller) {
@@ -217,25 +221,25 @@
         }
     }
 
-    /// An instance has ended: the requests lost there are accused of having crashed it.
+    /// An instance has ended: the requests lost there are recorded as possible causes.
     fn instance_ended(&mut self, instance: &InstanceId, now: Timestamp) {
-        let accused = self.quarantine.suspects.take_ended(instance);
-        if accused.is_empty() {
+        let lost_attempts = self.quarantine.suspects.take_ended(instance);
+        if lost_attempts.is_empty() {
             return;
         }
-        let requests = accused.len();
+        let requests = lost_attempts.len();
         Event::InstanceEnded { instance, requests }.emit();
-        for accusation in accused {
+        for lost_attempt in lost_attempts {
             let end = InstanceEnd {
-                caller: accusation.caller,
+                caller: lost_attempt.caller,
                 instance: instance.stable_hash(),
                 // Not earlier than the time at which the other nodes learn of the loss.
-                at: accusation.at.min(now),
+                at: lost_attempt.at.min(now),
                 settled: false,
             };
             let evidence = &mut self.quarantine.evidence;
-            evidence.record_end(accusation.request, &accusation.path, end);
-            self.acquit_if_answered(accusation.request, accusation.caller, now);
+            evidence.record_end(lost_attempt.request, &lost_attempt.path, end);
+            self.clear_if_answered(lost_attempt.request, lost_attempt.caller, now);
         }
     }
 
@@ -269,11 +273,11 @@
     }
 
     fn review_evidence(&mut self, now: Timestamp) {
-        let verdicts = self.quarantine.evidence.review(now);
-        if !verdicts.0.is_empty() {
+        let new_quarantines = self.quarantine.evidence.review(now);
+        if !new_quarantines.0.is_empty() {
             self.quarantine.next_write = now;
         }
-        for (request, caller) in verdicts.0 {
+        for (request, caller) in new_quarantines.0 {
             let Some(entry) = self.quarantine.evidence.get(&request) else {
                 continue;
             };
--- a/crates/ledgelead-router/src/node/zone_relay.rs
+++ b/crates/ledgelead-router/src/node/zone_relay.rs
@@ -61,7 +61,7 @@
     /// Removes nodes whose last report is too old.
     pub(super) fn expire(&mut self, now: Timestamp) {
         self.reports
-            .retain(|_, reports| reports.at + REPORT_TTL > now);
+            .retain(|_, report| report.at + REPORT_TTL > now);
     }
 
     /// The relay of a zone, if there is a node that is alive and knows all nodes of the zone.
@@ -76,18 +76,18 @@
             return None;
         }
         let is_eligible = |address: &SocketAddr| {
-            let reports = self.reports.get(address);
-            reports.is_some_and(|reports| reports.at + REPORT_TTL > now && reports.nodes >= nodes)
+            let report = self.reports.get(address);
+            report.is_some_and(|report| report.at + REPORT_TTL > now && report.nodes >= nodes)
         };
         let is_member = |address: &SocketAddr| members.iter().any(|node| node.address == *address);
-        let kept = self.chosen.get(zone).copied();
-        let kept = kept.filter(is_eligible).filter(is_member);
-        let chosen = kept.or_else(|| {
+        let previous = self.chosen.get(zone).copied();
+        let previous = previous.filter(is_eligible).filter(is_member);
+        let chosen = previous.or_else(|| {
             let eligible = members.iter().filter(|node| is_eligible(&node.address));
             let strongest = eligible.min_by_key(|node| rank(node));
             strongest.map(|node| node.address)
         })?;
-        if kept.is_none() {
+        if previous.is_none() {
             self.chosen.insert(zone.clone(), chosen);
         }
         Some(chosen)
