--- a/crates/ledgelead-router/examples/dispatch_bench.rs
+++ b/crates/ledgelead-router/examples/dispatch_bench.rs
@@ -66,12 +66,12 @@
         let Some(ended) = out.pop_front() else {
             break;
         };
-        let how = PermitOutcome::Answered {
+        let outcome = PermitOutcome::Answered {
             took: WORK,
             load: None,
         };
         let began = Instant::now();
-        let decided = dispatcher.returned(1, ended, how, now);
+        let decided = dispatcher.returned(1, ended, outcome, now);
         returns.push(began.elapsed().as_nanos());
         out.extend(decided.iter().map(|one| one.requester));
         number += 1;
--- a/crates/ledgelead-router/src/directory/instance.rs
+++ b/crates/ledgelead-router/src/directory/instance.rs
@@ -1,4 +1,4 @@
-//! Instances as a node knows them: entries, lives, presence.
+//! Instances as known to a node: entries, incarnations and presence.
 
 use crate::Timestamp;
 use crate::events::Event;
@@ -7,38 +7,38 @@
 use std::time::Duration;
 
 /// How long an instance is remembered after its entry is gone.
-const REMEMBER_GONE: Duration = Duration::from_secs(30);
+const GONE_TTL: Duration = Duration::from_secs(30);
 
-/// What an instance registered.
+/// The registration data of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceRecord {
-    /// This life of the instance.
+    /// This incarnation of the instance.
     pub id: InstanceId,
     /// Its service.
     pub service: ServiceName,
-    /// Where it is reached.
+    /// Its network address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// Requests it works on at once.
+    /// Requests it processes concurrently.
     pub slots: u32,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// How much longer it stays slow after its start.
+    /// How much longer it is slow after its start.
     pub warmup_left: Duration,
 }
 
-/// An entry of an instance, and how new it is.
+/// An instance's entry in the store, and its revision.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What the instance registered.
+    /// The registration data.
     pub record: InstanceRecord,
-    /// The store's revision by which it stood so, where that is known.
+    /// The store revision at which the entry had this content, if known.
     pub revision: Option<u64>,
 }
 
 impl Entry {
-    /// An entry that stood so by a revision of the store.
+    /// Creates an entry with the content it had at this store revision.
     pub fn at(revision: u64, record: InstanceRecord) -> Entry {
         Entry {
             record,
@@ -56,17 +56,17 @@
     }
 }
 
-/// The life that has the entry of an instance, or had it last.
+/// The incarnation that owns the entry of an instance, or owned it last.
 #[derive(Clone, Debug)]
-pub(super) struct CurrentLife {
+pub(super) struct CurrentIncarnation {
     pub(super) id: InstanceId,
     pub(super) revision: Option<u64>,
 }
 
-impl CurrentLife {
-    /// Whether the entry of another life was written later. The store's revisions
-    /// tell; the start of a life doesn't where they do, since a machine's clock may
-    /// have been set back between two lives.
+impl CurrentIncarnation {
+    /// Whether the entry of another incarnation was written later. Store revisions decide if
+    /// both are known. Start times only decide otherwise, since a machine's clock may have
+    /// been set back between two incarnations.
     pub(super) fn precedes(&self, id: &InstanceId, revision: Option<u64>) -> bool {
         match (self.revision, revision) {
             (Some(known), Some(other)) if known != other => known < other,
@@ -75,14 +75,14 @@
     }
 }
 
-/// Whether an instance may get work.
+/// Whether an instance may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// It said that it is leaving.
+    /// It announced that it is leaving.
     Draining {
-        /// The earliest time at which it can have said so.
+        /// The earliest time at which it can have announced that.
         since: Timestamp,
     },
     /// Its entry is gone.
@@ -92,32 +92,32 @@
     },
 }
 
-/// An instance as this node knows it.
+/// An instance as known to this node.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// What it registered last.
+    /// Its latest registration data.
     pub record: InstanceRecord,
-    /// Whether it may get work.
+    /// Whether it may get new requests.
     pub presence: Presence,
     /// Until when it is slow after its start.
     pub warm_at: Timestamp,
-    /// Whether this life of it is proved to be over.
+    /// Whether this incarnation is proved to have ended.
     pub ended: bool,
-    /// Whether that rests on the entry of another life alone.
+    /// Whether the only proof of that is the entry of another incarnation.
     pub(super) is_superseded: bool,
-    /// Since when this node knows that its zone is evacuated.
+    /// Since when this node knows that the instance's zone is evacuated.
     pub evacuated_since: Option<Timestamp>,
-    /// When it is forgotten, once its entry is gone.
+    /// When it is dropped, once its entry is gone.
     pub(super) forget_at: Option<Timestamp>,
 }
 
 impl Instance {
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub fn serves(&self) -> bool {
         self.presence == Presence::Serving && !self.ended && self.evacuated_since.is_none()
     }
 
-    /// Whether it is slow after its start, as far as it has said.
+    /// Whether it is still slow after its start, according to its registration.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         self.warm_at > now
     }
@@ -135,18 +135,19 @@
         }
     }
 
-    /// Its entry is gone. It has been leaving since it began to drain, or else since the view
-    /// was current.
-    pub(super) fn leave_from(&mut self, current_at: Timestamp, now: Timestamp) {
+    /// Records that its entry is gone. It has been leaving since it began to drain, or
+    /// otherwise since the time up to which the view was complete.
+    pub(super) fn mark_gone_as_of(&mut self, current_at: Timestamp, now: Timestamp) {
         let since = self.leaving_since().unwrap_or(current_at.min(now));
-        self.leave(since, now);
+        self.mark_gone(since, now);
     }
 
-    /// Its entry is gone, and it has been leaving since `since` at the earliest.
-    pub(super) fn leave(&mut self, since: Timestamp, now: Timestamp) {
+    /// Records that its entry is gone, and that it has been leaving since `since` at the
+    /// earliest.
+    pub(super) fn mark_gone(&mut self, since: Timestamp, now: Timestamp) {
         let instance = &self.record.id;
         Event::InstanceGone { instance }.emit();
         self.presence = Presence::Gone { since };
-        self.forget_at = Some(now + REMEMBER_GONE);
+        self.forget_at = Some(now + GONE_TTL);
     }
 }
--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -1,4 +1,4 @@
-//! The instances that registered themselves, as far as this node knows.
+//! The registered instances, as far as this node knows them.
 
 mod instance;
 
@@ -8,135 +8,136 @@
 use crate::events::Event;
 use crate::identity::{InstanceId, ServiceName, ZoneName};
 use crate::protections::{Protection, Protections};
-use instance::CurrentLife;
+use instance::CurrentIncarnation;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the return of the store within which every instance that lives
-/// and reaches it has written its entry again.
-const ENTRIES_RETURN_WITHIN: Duration = Duration::from_millis(2_200);
+/// Time after a store outage within which every running instance that reaches the store has
+/// rewritten its entry.
+const ENTRY_REWRITE_TIME: Duration = Duration::from_millis(2_200);
 
-/// Time within which an instance that has become cold has written so: a heartbeat
-/// (0.9 to 1.3 s), and the way to this node.
-const COLDNESS_KNOWN_WITHIN: Duration = Duration::from_millis(1_500);
+/// Time within which this node learns that an instance has become cold: a heartbeat interval
+/// (0.9 to 1.3 s) plus propagation.
+const COLDNESS_PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
-/// All instances.
+/// All known instances.
 #[derive(Debug, Default)]
 pub struct Directory {
     instances: BTreeMap<InstanceId, Instance>,
-    /// By address; in step with `instances`.
+    /// Instances by address; kept consistent with `instances`.
     by_address: HashMap<SocketAddr, BTreeSet<InstanceId>>,
-    /// By the names of instances; in step with `instances`.
-    current: BTreeMap<Arc<str>, CurrentLife>,
-    /// Whether lives of one name are taken for one.
-    merges_lives: bool,
-    /// Lives that have said in an answer that they leave, and when. No entry, list or
-    /// other answer takes that back: an entry may be from before, and be written anew as
-    /// long as the store doesn't take what the instance says.
-    said_leaving: BTreeMap<InstanceId, Timestamp>,
-    /// Entries that went while the store was in doubt, and until when their
-    /// instances are taken for present.
-    doubted: BTreeMap<InstanceId, Timestamp>,
-    /// Evacuated zones, by the stable hashes of their names, and since when this
-    /// node knows of it.
+    /// Current incarnations by instance name; kept consistent with `instances`.
+    current: BTreeMap<Arc<str>, CurrentIncarnation>,
+    /// Whether all incarnations with the same name are treated as one.
+    merges_incarnations: bool,
+    /// Incarnations that announced in a response that they leave, and when. No entry, list or
+    /// other response revokes that: an entry may predate the announcement, and such an entry
+    /// may be rewritten as long as the store doesn't accept the instance's updates.
+    announced_leaving: BTreeMap<InstanceId, Timestamp>,
+    /// Entries that vanished around a store outage, and until when their instances are assumed
+    /// to be present.
+    deferred_removals: BTreeMap<InstanceId, Timestamp>,
+    /// Evacuated zones by the stable hashes of their names, and since when this node knows of
+    /// the evacuation.
     evacuated: BTreeMap<u64, Timestamp>,
-    /// Until when vanished entries are doubted.
-    doubt_until: Timestamp,
-    /// All that the store acknowledged before this time is known here.
+    /// Until when vanished entries are not taken as removed.
+    defer_removals_until: Timestamp,
+    /// Everything that the store acknowledged before this time is known here.
     current_at: Timestamp,
     complete: bool,
-    /// From when on instances that are missing here are gone.
-    settled_at: Timestamp,
-    /// Counts changes of who may get work, heartbeats not among them.
+    /// From when on instances that are missing here are certainly gone.
+    absence_conclusive_at: Timestamp,
+    /// Counts changes of which instances may get new requests; heartbeats don't count.
     changes: u64,
 }
 
 impl Directory {
-    /// A directory that knows nothing yet.
+    /// Creates an empty directory.
     pub fn new(protections: Protections) -> Directory {
         Directory {
-            merges_lives: !protections.has(Protection::LivesApart),
+            merges_incarnations: !protections.has(Protection::LivesApart),
             ..Directory::default()
         }
     }
 
-    /// Whether the whole list was read once.
+    /// Whether a full list has been read.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// A number that rises with each change of who may get work.
+    /// A number that increases with each change of which instances may get new requests.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// The store could not be reached until now: entries that are missing were
-    /// perhaps dropped since nobody could write them.
+    /// Notes that the store could not be reached until now. Missing entries may have expired
+    /// only because nobody could rewrite them.
     pub fn note_store_outage(&mut self, now: Timestamp) {
-        self.defer_removals_until(now + ENTRIES_RETURN_WITHIN);
+        self.defer_removals_until(now + ENTRY_REWRITE_TIME);
     }
 
-    /// The store came back from a copy, whose entries may be from before an instance began to
-    /// leave. Such an entry takes nothing back.
+    /// Notes that the store was restored from an older copy, whose entries may predate an
+    /// instance's announcement that it leaves. Such an entry doesn't revoke the announcement.
     pub fn begin_era(&mut self, now: Timestamp) {
         self.note_store_outage(now);
         for (id, instance) in &self.instances {
             if let Presence::Draining { since } = instance.presence {
-                self.said_leaving.entry(id.clone()).or_insert(since);
+                self.announced_leaving.entry(id.clone()).or_insert(since);
             }
         }
     }
 
-    /// Entries that go before this time may come back: whoever tells of them
-    /// says so.
+    /// Treats entries that vanish before this time as possibly coming back. Nodes pass this
+    /// time on together with the changes that they relay.
     pub fn defer_removals_until(&mut self, until: Timestamp) {
-        self.doubt_until = self.doubt_until.max(until);
-        self.settled_at = self.settled_at.max(until);
+        self.defer_removals_until = self.defer_removals_until.max(until);
+        self.absence_conclusive_at = self.absence_conclusive_at.max(until);
     }
 
-    /// How much longer an entry that goes now may come back.
+    /// How much longer entries that vanish are treated as possibly coming back.
     pub fn removal_deferral_left(&self, now: Timestamp) -> Duration {
-        self.doubt_until.saturating_sub(now)
+        self.defer_removals_until.saturating_sub(now)
     }
 
-    /// Whether an instance that is unknown here is gone: not before entries that
-    /// lapsed in an outage have had their time to come back, nor sooner after the
-    /// first list, which may be of just such a moment.
+    /// Whether an instance that is unknown here is certainly gone. That is not so until
+    /// entries that expired in an outage have had time to return, nor right after the first
+    /// list, which may date from such a moment.
     pub fn is_absence_conclusive(&self, now: Timestamp) -> bool {
-        self.complete && self.settled_at <= now
+        self.complete && self.absence_conclusive_at <= now
     }
 
-    /// The store has served a node that asks it all the time since `since`. An
-    /// instance that lives could write its entry since then, whatever kept this
-    /// node from the store.
+    /// Notes that the store has continuously served another node since `since`. Any running
+    /// instance could write its entry since then, whatever kept this node from reaching the
+    /// store.
     pub fn store_served_since(&mut self, since: Timestamp) {
-        let until = since + ENTRIES_RETURN_WITHIN;
-        self.doubt_until = self.doubt_until.min(until);
-        for doubted in self.doubted.values_mut() {
-            *doubted = until.min(*doubted);
+        let until = since + ENTRY_REWRITE_TIME;
+        self.defer_removals_until = self.defer_removals_until.min(until);
+        for deferred_until in self.deferred_removals.values_mut() {
+            *deferred_until = until.min(*deferred_until);
         }
     }
 
-    /// Whether it is known of some time that all acknowledged before is known here. A first
-    /// list that may be stale shows none.
+    /// Whether there is a time up to which everything acknowledged by the store is known here.
+    /// A first list that may be stale establishes none.
     pub fn is_confirmed(&self) -> bool {
         self.current_at > Timestamp::ZERO
     }
 
-    /// Before when all that the store acknowledged is known here, if that is known.
+    /// The time before which everything acknowledged by the store is known here, if there is
+    /// one.
     pub fn current_at(&self) -> Option<Timestamp> {
         self.is_confirmed().then_some(self.current_at)
     }
 
-    /// All that the store acknowledged before `at` is known here. What is
+    /// Notes that everything that the store acknowledged before `at` is known here. Anything
     /// learned later has happened since.
     pub fn note_current(&mut self, at: Timestamp) {
         self.current_at = self.current_at.max(at);
     }
 
-    /// Takes over a whole list.
+    /// Replaces all entries by a full list.
     pub fn replace_all<E: Into<Entry>>(&mut self, entries: Vec<E>, now: Timestamp) {
         let entries: Vec<Entry> = entries.into_iter().map(Into::into).collect();
         let names = entries
@@ -153,30 +154,30 @@
         }
         if !self.complete {
             self.complete = true;
-            self.settled_at = self.settled_at.max(now + ENTRIES_RETURN_WITHIN);
+            self.absence_conclusive_at = self.absence_conclusive_at.max(now + ENTRY_REWRITE_TIME);
         }
     }
 
-    /// An entry was made or changed. One of a later life proves that the earlier life
-    /// has ended, and a new one at the address of another that this one has; one of an
-    /// earlier life is late and tells nothing.
+    /// Adds or updates an entry. An entry of a later incarnation proves that the earlier one
+    /// has ended, and a new entry at the address of another instance proves that the other one
+    /// has. An entry of an earlier incarnation is outdated and ignored.
     pub fn upsert(&mut self, entry: impl Into<Entry>, now: Timestamp) {
         let Entry {
             mut record,
             revision,
         } = entry.into();
-        if self.merges_lives {
+        if self.merges_incarnations {
             record.id = InstanceId::from(record.id.name());
         }
-        if self.lacks_start(&record.id) {
+        if self.lacks_start_time(&record.id) {
             self.remove_unreadable(record.id.name(), now);
             return;
         }
-        if !self.begin_life(&record.id, revision, now) {
+        if !self.update_incarnation(&record.id, revision, now) {
             return;
         }
         if !self.instances.contains_key(&record.id) {
-            // A first list has thousands, at each node.
+            // Not logged for the first list, which has thousands of entries at each node.
             if self.complete {
                 let registered = Event::InstanceRegistered {
                     instance: &record.id,
@@ -184,16 +185,18 @@
                     address: record.address,
                 };
                 registered.emit();
-                self.end_others_at(record.address);
+                self.mark_ended_at(record.address);
             }
         }
-        self.doubted.remove(&record.id);
+        self.deferred_removals.remove(&record.id);
         let id = record.id.clone();
         let warm_at = now + record.warmup_left;
         let earlier = self.instances.get(&id);
-        let said_leaving = self.said_leaving.get(&id).copied();
-        let leaving = earlier.and_then(Instance::leaving_since).or(said_leaving);
-        let presence = match (record.draining || said_leaving.is_some(), leaving) {
+        let announced_leaving = self.announced_leaving.get(&id).copied();
+        let leaving = earlier
+            .and_then(Instance::leaving_since)
+            .or(announced_leaving);
+        let presence = match (record.draining || announced_leaving.is_some(), leaving) {
             (false, _) => Presence::Serving,
             (true, Some(since)) => Presence::Draining { since },
             (true, None) => {
@@ -220,25 +223,34 @@
         self.insert(instance);
     }
 
-    /// Notes whose entry this is. Returns whether it is that of the instance's current
-    /// life.
-    fn begin_life(&mut self, id: &InstanceId, revision: Option<u64>, now: Timestamp) -> bool {
-        let former = match self.current.get_mut(id.name()) {
+    /// Updates the current incarnation from an entry. Returns whether the entry belongs to it.
+    fn update_incarnation(
+        &mut self,
+        id: &InstanceId,
+        revision: Option<u64>,
+        now: Timestamp,
+    ) -> bool {
+        let previous = match self.current.get_mut(id.name()) {
             Some(current) if current.id == *id => {
                 current.revision = current.revision.max(revision);
                 return true;
             }
             Some(current) if !current.precedes(id, revision) => return false,
-            former => former.map(|former| former.id.clone()),
+            previous => previous.map(|previous| previous.id.clone()),
         };
-        if let Some(former) = former {
-            self.supersede(&former, now);
+        if let Some(previous) = previous {
+            self.supersede(&previous, now);
         }
-        // Its own entry, written later than the other, shows that it lives.
-        if let Some(again) = self.instances.get_mut(id).filter(|life| life.is_superseded) {
+        // The incarnation's own entry, written later than the other one, shows that it is
+        // running.
+        if let Some(again) = self
+            .instances
+            .get_mut(id)
+            .filter(|incarnation| incarnation.is_superseded)
+        {
             again.ended = false;
         }
-        let current = CurrentLife {
+        let current = CurrentIncarnation {
             id: id.clone(),
             revision,
         };
@@ -246,9 +258,9 @@
         true
     }
 
-    /// This life is over, since a later one has its entry.
+    /// Marks this incarnation as ended, since a later one owns its entry.
     fn supersede(&mut self, id: &InstanceId, now: Timestamp) {
-        self.doubted.remove(id);
+        self.deferred_removals.remove(id);
         self.changes += 1;
         let Some(instance) = self.instances.get_mut(id) else {
             return;
@@ -256,20 +268,20 @@
         instance.is_superseded = !instance.ended;
         instance.ended = true;
         if !instance.is_gone() {
-            instance.leave_from(self.current_at, now);
+            instance.mark_gone_as_of(self.current_at, now);
         }
     }
 
-    /// Whether an entry leaves out the start of an instance that has told it: another writer
-    /// made it.
-    fn lacks_start(&self, id: &InstanceId) -> bool {
+    /// Whether an entry lacks the start time that the instance has already stated, and was
+    /// therefore written by something else.
+    fn lacks_start_time(&self, id: &InstanceId) -> bool {
         let current = self.current.get(id.name());
         id.born().is_none() && current.is_some_and(|current| current.id.born().is_some())
     }
 
-    /// The later life of an instance that has started again, if this life is known to
-    /// have ended by that. It listens under the same name, so that it takes what is
-    /// still on its way to this life.
+    /// The later incarnation of a restarted instance, if this one is known to have ended by
+    /// the restart. The later one listens under the same name, so it receives messages still
+    /// in flight to this one.
     pub fn later_incarnation(&self, id: &InstanceId) -> Option<&Instance> {
         let current = &self.current.get(id.name())?.id;
         let is_known = self.instances.contains_key(id);
@@ -277,7 +289,8 @@
         is_later.then(|| self.instances.get(current)).flatten()
     }
 
-    /// The instance that orders to this life reach: none if a later one would take them.
+    /// The instance that receives orders sent to this incarnation; `None` if a later
+    /// incarnation would receive them.
     pub fn get_unless_superseded(&self, id: &InstanceId) -> Option<&Instance> {
         match self.later_incarnation(id) {
             Some(_) => None,
@@ -292,9 +305,9 @@
         self.evacuated.get(&zone.stable_hash()).copied()
     }
 
-    /// The operator has emptied these zones, by the stable hashes of their names,
-    /// and no others. Instances of a zone that is taken back count as cold until
-    /// their entries can have told otherwise.
+    /// Replaces the set of zones that the operator has evacuated, by the stable hashes of
+    /// their names. Instances of a zone that is no longer evacuated count as cold until their
+    /// entries have had time to state otherwise.
     pub fn set_evacuated_zones(&mut self, zones: &BTreeSet<u64>, now: Timestamp) {
         let taken_back: Vec<u64> = self
             .evacuated
@@ -309,13 +322,13 @@
             let zone = instance.record.zone.stable_hash();
             instance.evacuated_since = self.evacuated.get(&zone).copied();
             if taken_back.contains(&zone) {
-                instance.warm_at = instance.warm_at.max(now + COLDNESS_KNOWN_WITHIN);
+                instance.warm_at = instance.warm_at.max(now + COLDNESS_PROPAGATION_TIME);
             }
         }
     }
 
-    /// This life of an instance said at `at`, in an answer, that it leaves. Returns whether
-    /// it has been in use until now.
+    /// Notes that this incarnation announced in a response at `at` that it leaves. Returns
+    /// whether it was in use until now.
     pub fn mark_leaving(&mut self, id: &InstanceId, at: Timestamp) -> bool {
         let Some(instance) = self.instances.get_mut(id) else {
             return false;
@@ -326,8 +339,8 @@
         let known = instance.leaving_since();
         let since = known.map_or(at, |known| known.min(at));
         instance.presence = Presence::Draining { since };
-        self.said_leaving.insert(id.clone(), since);
-        self.doubted.remove(id);
+        self.announced_leaving.insert(id.clone(), since);
+        self.deferred_removals.remove(id);
         if known.is_none() {
             self.changes += 1;
             Event::InstanceDrains { instance: id }.emit();
@@ -335,22 +348,23 @@
         known.is_none()
     }
 
-    /// Lives that have said in answers that they leave, whose entries don't say so.
+    /// Incarnations that announced in responses that they leave, and whose entries don't state
+    /// it.
     pub fn leaving_by_response(&self) -> impl Iterator<Item = (&InstanceId, Timestamp)> {
         let is_known_elsewhere = |id: &InstanceId| {
             let known = self.instances.get(id);
             known.is_none_or(|known| known.record.draining || known.is_gone() || known.ended)
         };
-        let said = self.said_leaving.iter().map(|(id, at)| (id, *at));
+        let said = self.announced_leaving.iter().map(|(id, at)| (id, *at));
         said.filter(move |(id, _)| !is_known_elsewhere(id))
     }
 
-    /// Whether an instance has said, by its entry or in an answer, that it leaves.
+    /// Whether an instance has announced that it leaves, in its entry or in a response.
     pub fn has_announced_leaving(&self, instance: &Instance) -> bool {
-        instance.record.draining || self.said_leaving.contains_key(&instance.record.id)
+        instance.record.draining || self.announced_leaving.contains_key(&instance.record.id)
     }
 
-    /// This life of an instance is proved to be over.
+    /// Notes that this incarnation is proved to have ended.
     pub fn mark_ended(&mut self, id: &InstanceId) {
         if let Some(instance) = self.instances.get_mut(id) {
             self.changes += u64::from(!instance.ended);
@@ -358,15 +372,16 @@
         }
     }
 
-    /// Whether this life of an instance is proved to be over.
+    /// Whether this incarnation is proved to have ended.
     pub fn has_ended(&self, id: &InstanceId) -> bool {
         self.instances
             .get(id)
             .is_some_and(|instance| instance.ended)
     }
 
-    /// Another instance has registered at an address: those that had it are over.
-    fn end_others_at(&mut self, address: SocketAddr) {
+    /// Marks the instances at an address as ended, since another instance has registered
+    /// there.
+    fn mark_ended_at(&mut self, address: SocketAddr) {
         for id in self.by_address.get(&address).into_iter().flatten() {
             if let Some(instance) = self.instances.get_mut(id) {
                 self.changes += u64::from(!instance.ended);
@@ -375,22 +390,22 @@
         }
     }
 
-    /// Takes an instance in, under its address.
+    /// Inserts an instance and indexes its address.
     fn insert(&mut self, instance: Instance) {
         let id = instance.record.id.clone();
         let address = instance.record.address;
         let before = self.instances.insert(id.clone(), instance);
-        let former = before.map(|before| before.record.address);
-        if former == Some(address) {
+        let previous = before.map(|before| before.record.address);
+        if previous == Some(address) {
             return;
         }
-        if let Some(former) = former {
-            self.leave_address(former, &id);
+        if let Some(previous) = previous {
+            self.remove_from_address(previous, &id);
         }
         self.by_address.entry(address).or_default().insert(id);
     }
 
-    fn leave_address(&mut self, address: SocketAddr, id: &InstanceId) {
+    fn remove_from_address(&mut self, address: SocketAddr, id: &InstanceId) {
         if let Some(ids) = self.by_address.get_mut(&address) {
             ids.remove(id);
             if ids.is_empty() {
@@ -399,50 +414,54 @@
         }
     }
 
-    /// The entry of an instance is gone.
+    /// Handles the removal of an instance's entry.
     pub fn remove(&mut self, name: &str, now: Timestamp) {
-        let Some((id, instance)) = standing(&self.current, &mut self.instances, name) else {
+        let Some((id, instance)) = present_incarnation(&self.current, &mut self.instances, name)
+        else {
             return;
         };
-        let outage = now < self.doubt_until && instance.presence == Presence::Serving;
-        if outage && self.doubted.contains_key(id) {
+        let outage = now < self.defer_removals_until && instance.presence == Presence::Serving;
+        if outage && self.deferred_removals.contains_key(id) {
             return;
         }
-        // Others that hear of changes from this node are to look for themselves.
+        // Counts as a change, so that nodes that follow the changes of this node check the store
+        // themselves.
         self.changes += 1;
         if outage {
-            self.doubted.insert(id.clone(), self.doubt_until);
+            self.deferred_removals
+                .insert(id.clone(), self.defer_removals_until);
         } else {
-            instance.leave_from(self.current_at, now);
+            instance.mark_gone_as_of(self.current_at, now);
         }
     }
 
-    /// An entry that stands in the store can't be read any more: it names no instance to
-    /// use. No outage has made it so, hence it is not doubted as one that is missing.
+    /// Handles an entry that exists in the store but can't be parsed, so that it describes no
+    /// usable instance. An outage can't have caused that, so the removal is not deferred.
     pub fn remove_unreadable(&mut self, name: &str, now: Timestamp) {
-        let Some((id, instance)) = standing(&self.current, &mut self.instances, name) else {
+        let Some((id, instance)) = present_incarnation(&self.current, &mut self.instances, name)
+        else {
             return;
         };
         self.changes += 1;
-        self.doubted.remove(id);
-        instance.leave_from(self.current_at, now);
+        self.deferred_removals.remove(id);
+        instance.mark_gone_as_of(self.current_at, now);
     }
 
-    /// Entries whose doubt has ended are gone; entries gone for long are
-    /// forgotten.
+    /// Removes entries whose removal was deferred until now, and drops instances whose entries
+    /// have been gone for long.
     pub fn expire(&mut self, now: Timestamp) {
         let ended: Vec<InstanceId> = self
-            .doubted
+            .deferred_removals
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| id.clone())
             .collect();
         for id in ended {
-            self.doubted.remove(&id);
+            self.deferred_removals.remove(&id);
             self.changes += 1;
             if let Some(instance) = self.instances.get_mut(&id) {
-                // It may have left at any time of the outage.
-                instance.leave(Timestamp::ZERO, now);
+                // It may have left at any time during the outage.
+                instance.mark_gone(Timestamp::ZERO, now);
             }
         }
         let is_forgotten = |instance: &&Instance| instance.forget_at.is_some_and(|at| at <= now);
@@ -454,22 +473,23 @@
             .collect();
         for (id, address) in &forgotten {
             self.instances.remove(id);
-            self.leave_address(*address, id);
+            self.remove_from_address(*address, id);
         }
         if !forgotten.is_empty() {
             let instances = &self.instances;
             self.current
                 .retain(|_, current| instances.contains_key(&current.id));
-            self.said_leaving.retain(|id, _| instances.contains_key(id));
+            self.announced_leaving
+                .retain(|id, _| instances.contains_key(id));
         }
     }
 
     /// The next time at which `expire` changes something.
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        self.doubted.values().min().copied()
+        self.deferred_removals.values().min().copied()
     }
 
-    /// One instance.
+    /// A known instance.
     pub fn get(&self, id: &InstanceId) -> Option<&Instance> {
         self.instances.get(id)
     }
@@ -484,38 +504,38 @@
             .filter(move |instance| instance.record.service == *service)
     }
 
-    /// Instances whose entries stand. One whose entry went while the store was in doubt is in
-    /// use for a while, but another node that took it for listed would never drop it.
+    /// Instances whose entries exist. An instance whose entry vanished around a store outage
+    /// stays in use for a while, but another node that took it for listed would never drop it.
     pub fn listed(&self) -> impl Iterator<Item = &Instance> {
         let is_listed = |instance: &&Instance| {
-            !instance.is_gone() && !self.doubted.contains_key(&instance.record.id)
+            !instance.is_gone() && !self.deferred_removals.contains_key(&instance.record.id)
         };
         self.instances.values().filter(is_listed)
     }
 
-    /// How many instances are known, present or not.
+    /// Number of known instances, present or not.
     pub fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// Whether none is known.
+    /// Whether no instance is known.
     pub fn is_empty(&self) -> bool {
         self.instances.is_empty()
     }
 
-    /// All instances.
+    /// All known instances.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.instances.values()
     }
 }
 
-/// The current life of this name, unless its entry is gone.
-fn standing<'a>(
-    current: &'a BTreeMap<Arc<str>, CurrentLife>,
+/// The current incarnation of this name, unless its entry is gone.
+fn present_incarnation<'a>(
+    current: &'a BTreeMap<Arc<str>, CurrentIncarnation>,
     instances: &'a mut BTreeMap<InstanceId, Instance>,
     name: &str,
 ) -> Option<(&'a InstanceId, &'a mut Instance)> {
-    let CurrentLife { id, .. } = current.get(name)?;
+    let CurrentIncarnation { id, .. } = current.get(name)?;
     let instance = instances.get_mut(id)?;
     (!instance.is_gone()).then_some((id, instance))
 }
--- a/crates/ledgelead-router/src/dispatch/dispatcher.rs
+++ b/crates/ledgelead-router/src/dispatch/dispatcher.rs
@@ -1,66 +1,67 @@
-//! A node as dispatcher: the queues that it hands out permits for.
+//! The dispatcher role of a node: the queues for which it grants permits.
 
 use super::queue::{Admission, AdmissionRequest, PermitId, PermitOutcome, PermitQueue};
-use super::refused::{Refused, RefusedCallers};
+use super::refused::{RefusedCaller, RefusedCallers};
 use super::servers::Server;
 use crate::Timestamp;
 use crate::requests::{RefusalShare, retry_after};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// How long a queue is kept that nobody uses: what it knows of the owner's work is out of
-/// date by then.
+/// How long an unused queue is kept; after that, its knowledge of the owner's service time is
+/// out of date.
 const UNUSED_TTL: Duration = Duration::from_secs(10);
-/// Most queues, some 500 bytes each when empty.
+/// Maximum number of queues. An empty one takes about 500 bytes.
 const MAX_QUEUES: usize = 4_096;
-/// How long the instances of a pool are used before the directory is asked again: less than
-/// the work of a request.
+/// How long the instances of a pool are used before they are read from the directory again:
+/// less than the service time of a request.
 const POOL_TTL: Duration = Duration::from_millis(100);
-/// How much later a caller may come back for each rank that it is less urgent, as a share
-/// of the time that the most urgent one is told.
-const LATER_BY_RANK: f64 = 0.25;
-/// Rank from which on callers are told the same.
+/// Additional retry delay per rank below the most urgent one, as a share of the delay for the
+/// most urgent rank.
+const EXTRA_DELAY_PER_RANK: f64 = 0.25;
+/// Rank from which on the retry delay no longer grows.
 const MAX_RANK: u8 = 4;
-/// Share of the time that a caller was told after which it counts as having waited: clocks
-/// and the way of its answer differ a little.
-const WAITED_SHARE: f64 = 0.8;
-/// Share of the time that a caller has left for which it can wait as it is told: later, its
-/// next try could not be answered any more.
-const PATIENCE_SHARE: f64 = 0.33;
+/// Share of its retry delay after which a caller counts as having waited. It allows for
+/// differences between clocks and for the time that the response takes to reach the caller.
+const MIN_WAITED_SHARE: f64 = 0.8;
+/// Share of a caller's time left for which it is expected to wait. If it waited longer, its
+/// next attempt could no longer be answered.
+const MAX_DELAY_SHARE: f64 = 0.33;
 
-/// What a dispatcher decides.
+/// A dispatcher's decision on a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchDecision {
-    /// Names the queue.
+    /// Identifies the queue.
     pub queue: u64,
-    /// Whose ask.
+    /// The permit request that was decided on.
     pub requester: PermitId,
-    /// What becomes of it.
+    /// The decision.
     pub verdict: Admission,
-    /// When its caller may come back, if it is refused.
+    /// When the caller may retry, if it is refused.
     pub retry_after: Duration,
 }
 
-/// An ask, and for what.
+/// A permit request, and the queue that it is for.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchRequest {
-    /// Names the queue: the stable hash of an owner's id, or of a pool's service and zone.
+    /// Identifies the queue: the stable hash of an owner's id, or of a pool's service and
+    /// zone.
     pub queue: u64,
-    /// What the queue is for.
+    /// The kind of the queue.
     pub kind: QueueKind,
-    /// Who asks.
+    /// The node that requests the permit, and its number for the request.
     pub requester: PermitId,
     /// Rank of the request; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until an answer is late.
+    /// Time left until the target latency.
     pub to_target: Duration,
-    /// Time until the request ends in any case.
+    /// Time left until the request's deadline.
     pub left: Duration,
-    /// Hash of what makes the tries of a caller's request the same.
+    /// Hash that is the same for all submissions of a caller's request.
     pub caller: u64,
-    /// Whether its key was lost with its owner, so that it takes longer.
+    /// Whether the key's state was lost with its owner, so that the request takes longer.
     pub is_cold: bool,
-    /// Stable hash of the instance that has failed the request.
+    /// Stable hash of the instance that failed the request.
     pub tried: Option<u64>,
 }
 
@@ -73,16 +74,16 @@
     Pool,
 }
 
-/// Counts for metrics.
+/// Dispatcher counts for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatcherCounters {
-    /// Permits handed out.
+    /// Permits granted.
     pub granted: u64,
-    /// Requests that waited for one.
+    /// Requests that waited for a permit.
     pub queued: u64,
-    /// Requests that could not be in time.
+    /// Requests refused because they could not meet their target.
     pub refused: u64,
-    /// Requests whose caller came back before the time that it was told.
+    /// Requests whose caller returned before its retry delay was over.
     pub early: u64,
 }
 
@@ -90,7 +91,7 @@
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     queues: HashMap<u64, Queue>,
-    /// When something is due at a queue.
+    /// When each queue needs attention.
     due: BTreeSet<(Timestamp, u64)>,
     callers: RefusedCallers,
     counters: DispatcherCounters,
@@ -104,7 +105,7 @@
     refusals: RefusalShare,
     /// Its entry in `Dispatcher::due`.
     due_at: Option<Timestamp>,
-    /// What callers of the requests that wait were, for when they are refused.
+    /// Callers of the waiting requests, needed if they are refused.
     waiting: HashMap<PermitId, Caller>,
 }
 
@@ -112,18 +113,18 @@
 struct Caller {
     hash: u64,
     urgency: u8,
-    /// The end of its time, counted from its first try.
+    /// The target of the caller's first submission.
     target: Timestamp,
     left_until: Timestamp,
 }
 
 impl Dispatcher {
-    /// Counts for metrics.
+    /// Dispatcher counts for metrics.
     pub fn counters(&self) -> DispatcherCounters {
         self.counters
     }
 
-    /// Requests that wait in all queues.
+    /// Number of waiting requests in all queues.
     pub fn waiting(&self) -> usize {
         self.queues
             .values()
@@ -131,9 +132,9 @@
             .sum()
     }
 
-    /// Decides on an ask, and on others that it makes way for; none if there are too many
-    /// queues or the owner isn't known yet, so that another has to. `servers` are the
-    /// instances behind the queue, as the directory knows them.
+    /// Decides on a permit request, and on others that can be decided as a result. `None` if
+    /// there are too many queues or the owner isn't known yet, so that another dispatcher has
+    /// to decide. `servers` returns the instances behind the queue according to the directory.
     pub fn ask<S>(
         &mut self,
         ask: &DispatchRequest,
@@ -178,7 +179,7 @@
         Some(decided)
     }
 
-    /// Takes over which instances are behind a queue, and makes it if it is new.
+    /// Updates the instances behind a queue, and creates the queue if it is new.
     fn read_servers(
         &mut self,
         ask: &DispatchRequest,
@@ -206,23 +207,24 @@
         Some(())
     }
 
-    /// A permit comes back, or a request waits no longer. Returns what follows for others.
+    /// Handles a returned permit, or the withdrawal of a waiting request. Returns the
+    /// decisions that follow for other requests.
     pub fn returned(
         &mut self,
         queue: u64,
         requester: PermitId,
-        how: PermitOutcome,
+        outcome: PermitOutcome,
         now: Timestamp,
     ) -> Vec<DispatchDecision> {
         let Some(known) = self.queues.get_mut(&queue) else {
             return Vec::new();
         };
         known.waiting.remove(&requester);
-        known.permits.returned(requester, how, now);
+        known.permits.returned(requester, outcome, now);
         self.advance(queue, now)
     }
 
-    /// What is due by now.
+    /// Makes the decisions that are due.
     pub fn deadline(&mut self, now: Timestamp) -> Vec<DispatchDecision> {
         let mut decided = Vec::new();
         while let Some((at, queue)) = self.due.first().copied() {
@@ -234,18 +236,18 @@
         decided
     }
 
-    /// When something is due.
+    /// When the next decision is due.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Forgets what nobody uses any more.
+    /// Drops unused queues and expired callers.
     pub fn expire(&mut self, now: Timestamp) {
         self.callers.expire(now);
         let due = &mut self.due;
         self.queues.retain(|hash, queue| {
             let is_used = queue.permits.used_at() + UNUSED_TTL > now;
-            let keeps = is_used || queue.permits.out() + queue.permits.waiting() > 0;
+            let keeps = is_used || queue.permits.outstanding() + queue.permits.waiting() > 0;
             if let Some(at) = queue.due_at.filter(|_| !keeps) {
                 due.remove(&(at, *hash));
             }
@@ -295,23 +297,23 @@
         }
     }
 
-    /// When a refused caller may come back: the later the more are refused, the most urgent
-    /// first.
+    /// Records a refusal and returns when the caller may retry: later the more requests are
+    /// refused, and earlier for more urgent ones.
     fn refuse(&mut self, queue: u64, caller: Caller, now: Timestamp) -> Duration {
         let share = self.queues.get_mut(&queue).map_or(0.0, |known| {
             known.refusals.refused(now);
             known.refusals.share(now)
         });
         let rank = f64::from(caller.urgency.min(MAX_RANK));
-        let retry_after = retry_after(share).mul_f64(1.0 + LATER_BY_RANK * rank);
-        let patience = caller.left_until.saturating_sub(now);
-        let can_wait = retry_after.min(patience.mul_f64(PATIENCE_SHARE));
-        let refused = Refused {
-            not_before: now + can_wait.mul_f64(WAITED_SHARE),
+        let retry_after = retry_after(share).mul_f64(1.0 + EXTRA_DELAY_PER_RANK * rank);
+        let time_left = caller.left_until.saturating_sub(now);
+        let expected_wait = retry_after.min(time_left.mul_f64(MAX_DELAY_SHARE));
+        let refused = RefusedCaller {
+            not_before: now + expected_wait.mul_f64(MIN_WAITED_SHARE),
             target: caller.target,
             until: caller.left_until,
         };
-        self.callers.note(caller.hash, refused);
+        self.callers.record(caller.hash, refused);
         retry_after
     }
 
--- a/crates/ledgelead-router/src/dispatch/queue.rs
+++ b/crates/ledgelead-router/src/dispatch/queue.rs
@@ -1,8 +1,8 @@
-//! One queue, and the permits that are out: for the owner of keys, or for all instances of a
-//! zone that serve a service without keys.
+//! A queue and its outstanding permits, for one owner of keys, or for all instances of a zone
+//! that serve a service without keys.
 //!
-//! The load it answers: peaks at which the callers of several routes ask for more than can
-//! be worked on, so that whoever is served next decides who is late.
+//! It is made for peaks in which the callers of several routes request more than the capacity,
+//! so that the order of service decides which requests are late.
 
 use super::servers::{Server, Servers};
 use crate::Timestamp;
@@ -10,99 +10,105 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the time to the target that waiting and work may be expected to take. Work
-/// spreads by a third to a half of its mean, and machines are slow for moments. Nearer to the
-/// target more is late at 1.5 times the capacity; further from it more is refused that would
-/// have been in time (the replay of `tests/dispatch`).
+/// Share of the time left until the target that waiting and service may be expected to take.
+/// Service times vary by a third to a half of their mean, and machines have slow moments. With
+/// a higher share more requests are late at 1.5 times the capacity; with a lower one more
+/// requests are refused that would have been in time (see the replay in `tests/dispatch`).
 const ADMITTED_SHARE: f64 = 0.8;
-/// Share of the expected work that must still fit before the target when a permit is handed
-/// out. Work that is a third shorter than expected is as common as work a third longer.
-const STILL_IN_TIME: f64 = 0.6;
-/// After so many permits for the first class in line, one goes to the others, so that the
-/// less urgent together get a sixth at least. Among them the nearest target goes first.
-const MAX_PASSED_OVER: u32 = 5;
-/// How long a late or cold request waits for a slot that nobody else needs, as a
-/// multiple of the expected work: a lull of that length is likely where load is near
-/// capacity, and beyond it a longer wait only holds the caller up.
-const LEFTOVER_PATIENCE: f64 = 2.0;
-/// How long a permit is out at least before it counts as lost, with its caller's node or its
-/// return: a few times the work of a request.
-const LEAST_EXPIRY: Duration = Duration::from_secs(1);
-/// The same as a multiple of the expected work: machines that are slow for moments take three
-/// times as long, and work spreads by half.
+/// Share of the expected service time that must still fit before the target when a permit is
+/// granted. A service time a third shorter than expected is as common as one a third longer.
+const MIN_SERVICE_TIME_SHARE: f64 = 0.6;
+/// Number of permits in a row for the first class before one goes to the other classes, so
+/// that the less urgent ones together get at least a sixth. Among them the nearest target goes
+/// first.
+const MAX_CONSECUTIVE_FIRST_CLASS: u32 = 5;
+/// How long a late or cold request waits for a slot that no other request needs, as a multiple
+/// of the expected service time. Near capacity, such a slot is likely to become free within
+/// that time; waiting longer would only delay the caller.
+const IDLE_SLOT_WAIT_FACTOR: f64 = 2.0;
+/// Minimum time before an outstanding permit counts as lost, because the requesting node or
+/// the message that returns it was lost: a few times the service time of a request.
+const MIN_EXPIRY: Duration = Duration::from_secs(1);
+/// The same as a multiple of the expected service time. Machines in a slow moment take three
+/// times as long, and service times vary by half.
 const EXPIRY_FACTOR: u32 = 6;
-/// The longest: a permit's place is lost for that time if it is not returned.
-const LONGEST_EXPIRY: Duration = Duration::from_secs(3);
-/// Most requests that wait in one queue, some 100 bytes each. Those that can be in time are
-/// far fewer; the bound is for callers that ask with targets of minutes.
+/// Maximum time before an outstanding permit counts as lost. A permit that is not returned
+/// blocks a slot for that time.
+const MAX_EXPIRY: Duration = Duration::from_secs(3);
+/// Maximum number of waiting requests in a queue, about 100 bytes each. Far fewer can meet
+/// their target; the limit is for callers with targets of minutes.
 const MAX_WAITING: usize = 1_000;
 
-/// Who asks for a permit: a node, and its number for the request.
+/// Identifies a permit request by its node and that node's number for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PermitId {
-    /// Where the node is reached.
+    /// Address of the node.
     pub node: SocketAddr,
-    /// The node's number for its request.
+    /// The node's number for the permit request.
     pub number: u64,
 }
 
-/// An ask for one permit.
+/// A request for one permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Who asks.
+    /// The node that requests the permit, and its number for the request.
     pub requester: PermitId,
     /// Rank of the request; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until an answer is late.
+    /// Time left until the target latency.
     pub to_target: Duration,
-    /// Whether its caller was refused and came back before the time that it was told.
+    /// Whether its caller was refused and returned before its retry delay was over.
     pub is_early: bool,
-    /// Whether its key was lost with its owner, so that it takes a few times the work.
+    /// Whether the key's state was lost with its owner, so that the request takes a few times
+    /// the usual service time.
     pub is_cold: bool,
-    /// Stable hash of the instance that has failed it, which is avoided.
+    /// Stable hash of the instance that failed the request, which is avoided.
     pub tried: Option<u64>,
 }
 
-/// What becomes of an ask.
+/// The decision on a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request may be sent to the instance with this stable hash.
     Granted(u64),
-    /// It waits here for a permit.
+    /// The request waits in the queue for a permit.
     Queued,
-    /// It can't be in time.
+    /// The request can't meet its target.
     Refused,
 }
 
-/// How a request ended whose permit comes back.
+/// How the request ended whose permit is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitOutcome {
     /// The instance answered.
     Answered {
-        /// Time from the request to its answer.
+        /// Time from sending the request to its response.
         took: Duration,
-        /// What the instance said of its load, if it says so.
+        /// The load reported by the instance, if any.
         load: Option<InstanceLoad>,
     },
-    /// It says nothing of the instance: not run, never sent, or its caller left.
+    /// The end tells nothing about the instance: the request was not run, was never sent, or
+    /// its caller left.
     NoSample,
-    /// The instance turned it away, and wants no requests of that node for so long.
+    /// The instance rejected the request and wants none from that node for this time.
     BackedOff(Duration),
-    /// It counts as a failure of the instance: broken off, its answer lost, or one that says so.
+    /// The end counts as a failure of the instance: the attempt was aborted, its response was
+    /// lost, or the response reported a failure.
     Failed,
 }
 
-/// What an instance says of its load.
+/// The load reported by an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceLoad {
-    /// Requests that run.
+    /// Requests being processed.
     pub running: usize,
-    /// Requests that wait.
+    /// Requests waiting.
     pub waiting: usize,
 }
 
-/// Who goes first: callers that waited as they were told, then requests of usual work, then
-/// those that can be in time, then the most urgent.
+/// Order of service. Callers that waited as long as they were told come first, then requests
+/// with the usual service time, then those that can meet their target, then the most urgent
+/// ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Class {
     is_early: bool,
@@ -112,24 +118,25 @@
 }
 
 impl Class {
-    /// Whether requests of this class get a share of the permits while others go first.
+    /// Whether requests of this class get a share of the permits while more urgent ones are
+    /// waiting.
     fn has_share(self) -> bool {
-        !self.is_early && !self.takes_leftover()
+        !self.is_early && !self.needs_idle_slot()
     }
 
-    /// Whether it only gets slots that nobody else needs.
-    fn takes_leftover(self) -> bool {
+    /// Whether requests of this class only get slots that no other request needs.
+    fn needs_idle_slot(self) -> bool {
         self.is_cold || self.is_late
     }
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     class: Class,
-    /// The end of its time; the nearest goes first within a class.
+    /// When the target latency ends; within a class the nearest goes first.
     target: Timestamp,
-    /// When it waits no longer.
+    /// Until when it waits.
     until: Timestamp,
     tried: Option<u64>,
 }
@@ -138,35 +145,36 @@
 struct Permit {
     server: u64,
     expires: Timestamp,
-    /// Requests for each slot of the server, this one with them, as it was handed out.
+    /// Requests per slot of the server when the permit was granted, including this one.
     load: f64,
-    /// Whether its work is that of other requests.
-    is_usual: bool,
+    /// Whether the request has the usual service time.
+    has_usual_service_time: bool,
 }
 
-/// A queue.
+/// A permit queue.
 #[derive(Clone, Debug)]
 pub struct PermitQueue {
     servers: Servers,
-    out: HashMap<PermitId, Permit>,
+    outstanding: HashMap<PermitId, Permit>,
     expiries: BTreeSet<(Timestamp, PermitId)>,
     waiting: HashMap<PermitId, Waiting>,
     order: BTreeMap<Class, BTreeSet<(Timestamp, PermitId)>>,
-    limits: BTreeSet<(Timestamp, PermitId)>,
-    /// Permits in a row that went to the first class while others waited.
-    passed_over: u32,
+    wait_limits: BTreeSet<(Timestamp, PermitId)>,
+    /// Number of permits in a row that went to the first class while others waited.
+    consecutive_first_class: u32,
     used_at: Timestamp,
 }
 
 impl PermitQueue {
-    /// The queue of an owner of keys. One more permit than it has slots is out at least: a
-    /// request is on its way while another ends, so that no slot is idle meanwhile.
+    /// Creates the queue of an owner of keys. It always has at least one more permit
+    /// outstanding than the owner has slots, so that the next request is already on its way
+    /// when one ends and no slot stays idle.
     pub fn of_owner(now: Timestamp) -> PermitQueue {
-        PermitQueue::new(Servers::one(), now)
+        PermitQueue::new(Servers::single_owner(), now)
     }
 
-    /// The queue of the instances of a zone. As many permits are out as they have slots, and
-    /// more where slots are idle all the same.
+    /// Creates the queue of the instances in a zone. It has as many permits outstanding as
+    /// they have slots, and more if slots are idle nevertheless.
     pub fn of_pool(now: Timestamp) -> PermitQueue {
         PermitQueue::new(Servers::pool(), now)
     }
@@ -174,46 +182,46 @@
     fn new(servers: Servers, now: Timestamp) -> PermitQueue {
         PermitQueue {
             servers,
-            out: HashMap::new(),
+            outstanding: HashMap::new(),
             expiries: BTreeSet::new(),
             waiting: HashMap::new(),
             order: BTreeMap::new(),
-            limits: BTreeSet::new(),
-            passed_over: 0,
+            wait_limits: BTreeSet::new(),
+            consecutive_first_class: 0,
             used_at: now,
         }
     }
 
-    /// These instances serve now, and no others.
+    /// Replaces the set of serving instances.
     pub fn replace_servers(&mut self, servers: impl IntoIterator<Item = Server>) {
         self.servers.replace(servers);
     }
 
-    /// Permits that are out.
-    pub fn out(&self) -> usize {
-        self.out.len()
+    /// Number of outstanding permits.
+    pub fn outstanding(&self) -> usize {
+        self.outstanding.len()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// When it was last asked for a permit, or one came back.
+    /// When a permit was last requested or returned.
     pub fn used_at(&self) -> Timestamp {
         self.used_at
     }
 
-    /// Time of work that is expected for one request.
+    /// Expected service time of one request.
     pub fn service_time(&self) -> Duration {
         self.servers.service_time()
     }
 
-    /// Decides on an ask. One that is known is a repeated message and gets the verdict of
-    /// the first.
+    /// Decides on a permit request. A request that is already known is a resent message and
+    /// gets the same decision.
     pub fn ask(&mut self, ask: AdmissionRequest, now: Timestamp) -> Admission {
         self.used_at = now;
-        if let Some(permit) = self.out.get(&ask.requester) {
+        if let Some(permit) = self.outstanding.get(&ask.requester) {
             return Admission::Granted(permit.server);
         }
         if self.waiting.contains_key(&ask.requester) {
@@ -222,9 +230,10 @@
         let request = self.request(&ask, now);
         let can_wait = self.can_wait(&ask, request.class);
         if self.waiting.is_empty() {
-            // Such a request takes nobody's place where a slot is free.
-            let needs_slot = request.class.takes_leftover() || !can_wait;
-            if let Some(server) = self.servers.pick(ask.tried, needs_slot, now) {
+            // Such a request is only granted a free slot, which takes no other request's
+            // place.
+            let needs_slot = request.class.needs_idle_slot() || !can_wait;
+            if let Some(server) = self.servers.select(ask.tried, needs_slot, now) {
                 return self.grant(ask.requester, request.class, server, now);
             }
         }
@@ -235,8 +244,14 @@
         Admission::Queued
     }
 
-    /// A permit comes back, or a request waits no longer. Returns whether it was known.
-    pub fn returned(&mut self, requester: PermitId, how: PermitOutcome, now: Timestamp) -> bool {
+    /// Handles a returned permit, or the withdrawal of a waiting request. Returns whether it
+    /// was known.
+    pub fn returned(
+        &mut self,
+        requester: PermitId,
+        outcome: PermitOutcome,
+        now: Timestamp,
+    ) -> bool {
         self.used_at = now;
         if self.dequeue(requester).is_some() {
             return true;
@@ -244,14 +259,14 @@
         let Some(permit) = self.take_permit(requester) else {
             return false;
         };
-        match how {
+        match outcome {
             PermitOutcome::Answered { took, load } => {
                 let service_time = took.div_f64(permit.load.max(1.0));
-                let service_time = Some(service_time).filter(|_| permit.is_usual);
+                let service_time = Some(service_time).filter(|_| permit.has_usual_service_time);
                 self.servers.answered(permit.server, service_time, now);
                 if let Some(load) = load {
                     let is_wanted = !self.waiting.is_empty();
-                    self.servers.load_reported(permit.server, load, is_wanted);
+                    self.servers.record_load(permit.server, load, is_wanted);
                 }
             }
             PermitOutcome::NoSample => {}
@@ -263,11 +278,12 @@
         true
     }
 
-    /// Hands out the permits that are free. Returns who gets one, and who waited in vain.
+    /// Grants the available permits. Returns the requests that got one, and those that waited
+    /// too long.
     pub fn advance(&mut self, now: Timestamp) -> Vec<(PermitId, Admission)> {
         self.expire(now);
-        let mut decided = self.give_up(now);
-        while let Some((requester, server)) = self.next(now) {
+        let mut decided = self.expire_waiting(now);
+        while let Some((requester, server)) = self.select_next(now) {
             if let Some(request) = self.dequeue(requester) {
                 decided.push((requester, self.grant(requester, request.class, server, now)));
             }
@@ -275,9 +291,9 @@
         decided
     }
 
-    /// When `advance` has something to do without a further message.
+    /// When `advance` next has something to do without a further message.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let limit = self.limits.first();
+        let limit = self.wait_limits.first();
         let expiry = self.expiries.first();
         limit.into_iter().chain(expiry).map(|(at, _)| *at).min()
     }
@@ -289,67 +305,68 @@
             is_late: ask.to_target.is_zero(),
             urgency: ask.urgency,
         };
-        let patience = match class.takes_leftover() {
-            true => self.service_time().mul_f64(LEFTOVER_PATIENCE),
+        let max_wait = match class.needs_idle_slot() {
+            true => self.service_time().mul_f64(IDLE_SLOT_WAIT_FACTOR),
             false => {
-                let least_service_time = self.service_time().mul_f64(STILL_IN_TIME);
-                ask.to_target.saturating_sub(least_service_time)
+                let min_service_time = self.service_time().mul_f64(MIN_SERVICE_TIME_SHARE);
+                ask.to_target.saturating_sub(min_service_time)
             }
         };
         Waiting {
             class,
             target: now + ask.to_target,
-            until: now + patience,
+            until: now + max_wait,
             tried: ask.tried,
         }
     }
 
-    /// Whether a wait for a permit is likely to end well.
+    /// Whether a request that waits for a permit is likely to get one in time.
     fn can_wait(&self, ask: &AdmissionRequest, class: Class) -> bool {
         if self.servers.slots() == 0 {
             return false;
         }
-        if class.takes_leftover() {
-            // Only one at a time: a slot that nobody needs is rare where several wait.
+        if class.needs_idle_slot() {
+            // Only one such request waits at a time, since slots that no other request needs
+            // are rare when several wait.
             return self.order.range(class..).next().is_none();
         }
         self.expected(class) <= ask.to_target.mul_f64(ADMITTED_SHARE)
     }
 
-    /// Expected time until a request that comes now is answered. Those before it share the
-    /// slots with it; a less urgent one has its least share of the permits.
+    /// Expected time until a new request is answered. The requests before it share the slots
+    /// with it; a less urgent request can count on the minimum share of its class.
     fn expected(&self, class: Class) -> Duration {
         let size = |waiting: &BTreeSet<(Timestamp, PermitId)>| waiting.len();
         let up_to = self.order.range(..=class);
         let before: usize = up_to.map(|(_, waiting)| size(waiting)).sum();
         let own = self.order.get(&class).map_or(0, size);
-        let by_share = (own + 1) * (MAX_PASSED_OVER as usize + 1);
+        let by_share = (own + 1) * (MAX_CONSECUTIVE_FIRST_CLASS as usize + 1);
         let before = match class.has_share() {
             true => before.min(by_share),
             false => before,
         };
         let slots = self.servers.slots().max(1);
-        let beyond_slots = (self.out.len() + before + 1).saturating_sub(slots);
+        let beyond_slots = (self.outstanding.len() + before + 1).saturating_sub(slots);
         let waits = beyond_slots as f64 / slots as f64;
         self.service_time().mul_f64(1.0 + waits)
     }
 
-    /// Who gets the next permit, and where: the first of the first class, and now and then
-    /// the most pressing one of the others.
-    fn next(&mut self, now: Timestamp) -> Option<(PermitId, u64)> {
-        let (requester, is_other) = self.first_in_line()?;
+    /// Selects the next request to get a permit, and its server: the first of the first class,
+    /// and from time to time the most pressing one of the others.
+    fn select_next(&mut self, now: Timestamp) -> Option<(PermitId, u64)> {
+        let (requester, is_other) = self.next_request()?;
         let Waiting { class, tried, .. } = self.waiting[&requester];
-        let server = self.servers.pick(tried, class.takes_leftover(), now)?;
-        self.passed_over = match is_other {
-            Some(false) => self.passed_over + 1,
+        let server = self.servers.select(tried, class.needs_idle_slot(), now)?;
+        self.consecutive_first_class = match is_other {
+            Some(false) => self.consecutive_first_class + 1,
             _ => 0,
         };
         Some((requester, server))
     }
 
-    /// The next request, and whether it is of another class than the first; none of that
-    /// where only one class waits.
-    fn first_in_line(&self) -> Option<(PermitId, Option<bool>)> {
+    /// The next request, and whether it is from another class than the first one; `None` for
+    /// the latter if only one class waits.
+    fn next_request(&self) -> Option<(PermitId, Option<bool>)> {
         let mut classes = self.order.iter();
         let (first, waiting) = classes.next()?;
         let (_, requester) = *waiting.first()?;
@@ -358,7 +375,7 @@
         let Some((_, other)) = other.copied() else {
             return Some((requester, None));
         };
-        match self.passed_over >= MAX_PASSED_OVER {
+        match self.consecutive_first_class >= MAX_CONSECUTIVE_FIRST_CLASS {
             true => Some((other, Some(true))),
             false => Some((requester, Some(false))),
         }
@@ -374,29 +391,29 @@
         let permit = Permit {
             server,
             expires: now + self.expiry(),
-            load: self.servers.take_place(server),
-            is_usual: !class.is_cold,
+            load: self.servers.reserve_slot(server),
+            has_usual_service_time: !class.is_cold,
         };
         self.expiries.insert((permit.expires, requester));
-        self.out.insert(requester, permit);
+        self.outstanding.insert(requester, permit);
         Admission::Granted(server)
     }
 
     fn take_permit(&mut self, requester: PermitId) -> Option<Permit> {
-        let permit = self.out.remove(&requester)?;
+        let permit = self.outstanding.remove(&requester)?;
         self.expiries.remove(&(permit.expires, requester));
-        self.servers.give_back_place(permit.server);
+        self.servers.release_slot(permit.server);
         Some(permit)
     }
 
     fn expiry(&self) -> Duration {
         let expected = self.service_time() * EXPIRY_FACTOR;
-        expected.clamp(LEAST_EXPIRY, LONGEST_EXPIRY)
+        expected.clamp(MIN_EXPIRY, MAX_EXPIRY)
     }
 
-    /// Frees the places of permits that did not come back. That says nothing of the instance:
-    /// the node that holds one may be lost, or the work takes long. A request that gets no
-    /// answer comes back as such.
+    /// Frees the slots of permits that were not returned. This doesn't count against the
+    /// instance: the node that holds the permit may be lost, or the service may take long. A
+    /// request without a response is reported as such when its permit is returned.
     fn expire(&mut self, now: Timestamp) {
         while let Some((at, requester)) = self.expiries.first().copied() {
             if at > now {
@@ -406,9 +423,9 @@
         }
     }
 
-    fn give_up(&mut self, now: Timestamp) -> Vec<(PermitId, Admission)> {
+    fn expire_waiting(&mut self, now: Timestamp) -> Vec<(PermitId, Admission)> {
         let mut refused = Vec::new();
-        while let Some((at, requester)) = self.limits.first().copied() {
+        while let Some((at, requester)) = self.wait_limits.first().copied() {
             if at > now {
                 break;
             }
@@ -421,13 +438,13 @@
     fn enqueue(&mut self, requester: PermitId, request: Waiting) {
         let place = (request.target, requester);
         self.order.entry(request.class).or_default().insert(place);
-        self.limits.insert((request.until, requester));
+        self.wait_limits.insert((request.until, requester));
         self.waiting.insert(requester, request);
     }
 
     fn dequeue(&mut self, requester: PermitId) -> Option<Waiting> {
         let request = self.waiting.remove(&requester)?;
-        self.limits.remove(&(request.until, requester));
+        self.wait_limits.remove(&(request.until, requester));
         if let Some(waiting) = self.order.get_mut(&request.class) {
             waiting.remove(&(request.target, requester));
             if waiting.is_empty() {
--- a/crates/ledgelead-router/src/dispatch/refused.rs
+++ b/crates/ledgelead-router/src/dispatch/refused.rs
@@ -1,52 +1,53 @@
-//! Callers that were refused: when they may come back, and until when they are in time.
+//! Refused callers: when they may retry, and what their original target was.
 //!
-//! The load it answers: callers that come back, some of them at once. Who comes back before
-//! the time that it was told goes behind those that waited, else it pays to ask again and
-//! again, and the others are late. Whose first try is past its target is late already and
-//! goes behind those that can still be in time. All requests for a key reach the same
-//! dispatcher while that lives, so that it recognises a caller whichever node it comes back
-//! to.
+//! This handles callers that retry, some of them at once. A caller that returns before its
+//! retry delay is over goes behind those that waited. Otherwise it would pay off to retry
+//! continuously, and the others would be late. A caller whose original target has passed is
+//! already late and goes behind those that can still meet theirs. All requests for a key reach
+//! the same dispatcher as long as that one lives, so it recognizes a caller whichever node the
+//! caller returns to.
 
 use crate::Timestamp;
 use std::collections::HashMap;
 
-/// Most callers that are remembered, 40 bytes each. Where more are refused at once, the
+/// Maximum number of remembered callers, 40 bytes each. If more are refused at once, the
 /// others count as new.
 const MAX_CALLERS: usize = 4_096;
 
-/// What is remembered of a caller.
+/// What is remembered of a refused caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
-    /// The earliest time at which it was told to come back.
+pub struct RefusedCaller {
+    /// The earliest time at which it was told to retry.
     pub not_before: Timestamp,
-    /// The end of its time, counted from its first try.
+    /// The target of its first submission.
     pub target: Timestamp,
     /// When it has given up.
     pub until: Timestamp,
 }
 
-/// Callers by a hash of what makes their request the same.
+/// Refused callers by a hash that is the same for all submissions of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RefusedCallers {
-    callers: HashMap<u64, Refused>,
+    callers: HashMap<u64, RefusedCaller>,
 }
 
 impl RefusedCallers {
-    /// A caller was refused.
-    pub fn note(&mut self, caller: u64, refused: Refused) {
+    /// Records a refused caller.
+    pub fn record(&mut self, caller: u64, refused: RefusedCaller) {
         if self.callers.len() < MAX_CALLERS {
             self.callers.insert(caller, refused);
         }
     }
 
-    /// What is known of a caller that comes back. A refusal explains one later try alone:
-    /// others by the same hash are other requests of the same address.
-    pub fn take(&mut self, caller: u64, now: Timestamp) -> Option<Refused> {
+    /// Returns and removes what is known of a returning caller. A refusal accounts for one
+    /// later submission only: others with the same hash are different requests from the same
+    /// address.
+    pub fn take(&mut self, caller: u64, now: Timestamp) -> Option<RefusedCaller> {
         let known = self.callers.remove(&caller)?;
         (now < known.until).then_some(known)
     }
 
-    /// Forgets callers that have given up.
+    /// Drops callers that have given up.
     pub fn expire(&mut self, now: Timestamp) {
         self.callers.retain(|_, refused| refused.until > now);
     }
--- a/crates/ledgelead-router/src/dispatch/servers.rs
+++ b/crates/ledgelead-router/src/dispatch/servers.rs
@@ -7,56 +7,56 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of a new sample of an instance's work: eight samples make two thirds of it.
+/// Weight of a new service time sample: eight samples account for two thirds of the mean.
 const SAMPLE_WEIGHT: f64 = 0.125;
-/// The work that is expected before there is a sample. Low, so that requests to an instance
-/// that is not known are admitted: a refusal costs a caller more than a short wait.
+/// Service time assumed before there is a sample. It is low, so that requests to an unknown
+/// instance are admitted: a refusal costs a caller more than a short wait.
 const UNKNOWN_SERVICE_TIME: Duration = Duration::from_millis(50);
-/// Requests that a cold instance works on at once: it takes a few times as long, and bears
-/// few requests a second.
+/// Slots of a cold instance that are used. It is a few times slower and handles few requests
+/// per second.
 const COLD_SLOTS: usize = 1;
-/// By how much the permits beyond an instance's slots change with an answer: four answers
-/// with idle slots send one request more ahead.
-const AHEAD_STEP: f64 = 0.25;
-/// What failures of an instance of a pool lead to. A dispatcher sees all requests of its zone
-/// there, so that two failures in a row tell more than at a node that sends a few.
+/// Change of the number of permits beyond an instance's slots per response: four responses
+/// with idle slots send one more request ahead.
+const EXTRA_PERMIT_STEP: f64 = 0.25;
+/// Ejection rules for instances of a pool. A dispatcher sees all requests of its zone to an
+/// instance, so that two failures in a row tell more than at a node that sends only a few.
 const FAILURE_RULES: FailureRules = FailureRules {
     outcome_weight: 0.15,
     eject_after: 2,
     first_ejection: Duration::from_millis(500),
     longest_ejection: Duration::from_secs(4),
 };
-/// Share of failures from which others are preferred: two failures in a row, or one in four
-/// for long.
+/// Failure share above which other instances are preferred: two failures in a row, or one in
+/// four over a longer time.
 const FAILING_SHARE: f64 = 0.25;
 
-/// An instance as the directory knows it.
+/// An instance according to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Server {
     /// Stable hash of its id.
     pub id: u64,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: usize,
     /// Whether it has just started.
     pub is_cold: bool,
-    /// Time of work for one request there, as far as it is known.
+    /// Service time of one request there, if known.
     pub service_time: Option<Duration>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct ServerState {
     slots: usize,
     is_cold: bool,
-    out: usize,
+    outstanding: usize,
     service_time: Option<Duration>,
     /// Permits beyond its slots.
-    ahead: f64,
+    extra_permits: f64,
     failures: Failures,
-    /// Until when it wants no requests of some node.
+    /// Until when it wants no requests from some node.
     backoff_until: Timestamp,
 }
 
-impl Known {
+impl ServerState {
     fn usable_slots(&self) -> usize {
         match self.is_cold {
             true => self.slots.min(COLD_SLOTS),
@@ -65,7 +65,7 @@
     }
 
     fn load_with_one_more(&self) -> f64 {
-        (self.out + 1) as f64 / self.usable_slots().max(1) as f64
+        (self.outstanding + 1) as f64 / self.usable_slots().max(1) as f64
     }
 
     fn sample(&mut self, service_time: Duration) {
@@ -79,7 +79,7 @@
     }
 }
 
-/// What decides between two instances that can both take a request.
+/// Criteria for choosing between instances that can take a request.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
     was_tried: bool,
@@ -110,33 +110,34 @@
 /// All instances of a queue.
 #[derive(Clone, Debug)]
 pub(super) struct Servers {
-    known: HashMap<u64, Known>,
-    /// Least permits beyond the slots of each.
-    least_ahead: f64,
-    /// Whether instances that fail are passed over for others.
+    known: HashMap<u64, ServerState>,
+    /// Minimum number of permits beyond the slots of each.
+    min_extra_permits: f64,
+    /// Whether failing instances are ejected in favor of others.
     ejects: bool,
 }
 
 impl Servers {
-    /// An owner of keys: nobody else can serve them.
-    pub(super) fn one() -> Servers {
+    /// The instances of an owner's queue: no other instance can serve its keys.
+    pub(super) fn single_owner() -> Servers {
         Servers {
             known: HashMap::new(),
-            least_ahead: 1.0,
+            min_extra_permits: 1.0,
             ejects: false,
         }
     }
 
-    /// Instances that serve the same.
+    /// The instances of a pool, which are interchangeable.
     pub(super) fn pool() -> Servers {
         Servers {
             known: HashMap::new(),
-            least_ahead: 0.0,
+            min_extra_permits: 0.0,
             ejects: true,
         }
     }
 
-    /// These serve now. One that has gone is forgotten once its permits are back.
+    /// Replaces the set of serving instances. One that is gone is dropped once its permits are
+    /// returned.
     pub(super) fn replace(&mut self, servers: impl IntoIterator<Item = Server>) {
         for known in self.known.values_mut() {
             known.slots = 0;
@@ -147,15 +148,16 @@
             known.is_cold = server.is_cold;
             known.service_time = known.service_time.or(server.service_time);
         }
-        self.known.retain(|_, known| known.slots + known.out > 0);
+        self.known
+            .retain(|_, known| known.slots + known.outstanding > 0);
     }
 
-    /// The slots of all.
+    /// Total number of slots.
     pub(super) fn slots(&self) -> usize {
-        self.known.values().map(Known::usable_slots).sum()
+        self.known.values().map(ServerState::usable_slots).sum()
     }
 
-    /// Time of work that is expected for one request.
+    /// Expected service time of one request.
     pub(super) fn service_time(&self) -> Duration {
         let samples = self.known.values().filter_map(|known| known.service_time);
         let (sum, count) = samples.fold((Duration::ZERO, 0u32), |(sum, count), service_time| {
@@ -167,24 +169,29 @@
         }
     }
 
-    /// An instance that can take one more request: the least loaded, of equal ones the
-    /// fastest. One that has failed the request before only if no other can; ejected ones
-    /// only where most are.
-    pub(super) fn pick(&self, tried: Option<u64>, needs_slot: bool, now: Timestamp) -> Option<u64> {
-        let can_take = |known: &Known| {
+    /// Selects an instance that can take one more request: the least loaded one, and the
+    /// fastest among equally loaded ones. An instance that failed the request before is
+    /// selected only if no other can take it, an ejected one only if most are ejected.
+    pub(super) fn select(
+        &self,
+        tried: Option<u64>,
+        needs_slot: bool,
+        now: Timestamp,
+    ) -> Option<u64> {
+        let can_take = |known: &ServerState| {
             let slots = known.usable_slots();
-            let ahead = match needs_slot {
+            let extra_permits = match needs_slot {
                 true => 0,
-                false => known.ahead.max(self.least_ahead) as usize,
+                false => known.extra_permits.max(self.min_extra_permits) as usize,
             };
-            slots > 0 && known.out < slots + ahead
+            slots > 0 && known.outstanding < slots + extra_permits
         };
         let ejects = self.ejects && self.ejected(now) * 2 <= self.known.len();
         let candidates = self.known.iter().filter(|(_, known)| {
             let is_ejected = ejects && known.failures.is_ejected(now);
             can_take(known) && !is_ejected
         });
-        let rank = |id: u64, known: &Known| Rank {
+        let rank = |id: u64, known: &ServerState| Rank {
             was_tried: tried == Some(id),
             is_backed_off: known.backoff_until > now,
             is_failing: known.failures.share(now) > FAILING_SHARE,
@@ -198,25 +205,25 @@
     }
 
     fn ejected(&self, now: Timestamp) -> usize {
-        let is_ejected = |known: &&Known| known.failures.is_ejected(now);
+        let is_ejected = |known: &&ServerState| known.failures.is_ejected(now);
         self.known.values().filter(is_ejected).count()
     }
 
-    /// One more request goes to an instance. Returns its requests for each slot.
-    pub(super) fn take_place(&mut self, server: u64) -> f64 {
+    /// Counts one more request at an instance. Returns its requests per slot.
+    pub(super) fn reserve_slot(&mut self, server: u64) -> f64 {
         let known = self.known.entry(server).or_default();
         let load = known.load_with_one_more();
-        known.out += 1;
+        known.outstanding += 1;
         load
     }
 
-    pub(super) fn give_back_place(&mut self, server: u64) {
+    pub(super) fn release_slot(&mut self, server: u64) {
         if let Some(known) = self.known.get_mut(&server) {
-            known.out = known.out.saturating_sub(1);
+            known.outstanding = known.outstanding.saturating_sub(1);
         }
     }
 
-    /// An instance has answered, after so much work if that says something of others.
+    /// Records a response, and its service time if it is representative.
     pub(super) fn answered(&mut self, server: u64, service_time: Option<Duration>, now: Timestamp) {
         if let Some(known) = self.known.get_mut(&server) {
             known.failures.answered(&FAILURE_RULES, now);
@@ -226,32 +233,34 @@
         }
     }
 
-    /// An instance has told its load; `is_wanted` if requests wait for it here. Where its
-    /// slots are idle meanwhile, requests take their time on the way, and more are sent
-    /// ahead; where requests wait there, fewer, since their order can't be changed any more.
-    pub(super) fn load_reported(&mut self, server: u64, load: InstanceLoad, is_wanted: bool) {
-        let least = self.least_ahead;
+    /// Records an instance's reported load; `is_wanted` if requests wait for the instance
+    /// here. If its slots are idle meanwhile, requests spend time in transit, and more are
+    /// sent ahead. If requests wait there, fewer are sent ahead, since their order can no
+    /// longer be changed.
+    pub(super) fn record_load(&mut self, server: u64, load: InstanceLoad, is_wanted: bool) {
+        let least = self.min_extra_permits;
         let Some(known) = self.known.get_mut(&server) else {
             return;
         };
         let most = known.usable_slots() as f64;
         if load.waiting > 0 {
-            known.ahead -= AHEAD_STEP * load.waiting as f64;
+            known.extra_permits -= EXTRA_PERMIT_STEP * load.waiting as f64;
         } else if is_wanted && load.running < known.usable_slots() {
-            known.ahead += AHEAD_STEP;
+            known.extra_permits += EXTRA_PERMIT_STEP;
         }
-        known.ahead = known.ahead.clamp(least, most.max(least));
+        known.extra_permits = known.extra_permits.clamp(least, most.max(least));
     }
 
-    /// An instance wants no requests of some node until then. Others are preferred for all
-    /// nodes; the one that was told sends nothing there whatever is handed out.
+    /// Records that an instance wants no requests from some node until then. Other instances
+    /// are preferred for all nodes; the node that was told sends nothing there whatever it is
+    /// granted.
     pub(super) fn backed_off(&mut self, server: u64, until: Timestamp) {
         if let Some(known) = self.known.get_mut(&server) {
             known.backoff_until = known.backoff_until.max(until);
         }
     }
 
-    /// A request there was broken off, or its answer was lost.
+    /// Records that a request there was aborted, or its response was lost.
     pub(super) fn failed(&mut self, server: u64, now: Timestamp) {
         if let Some(known) = self.known.get_mut(&server) {
             known.failures.failed(&FAILURE_RULES, now);
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -47,12 +47,20 @@
                 let message = PeerMessage::PermitAsk(ask_entry(&ask));
                 send(to, &[encode(&message)], out);
             }
-            PermitMessage::Return { number, queue, how } if is_own => {
+            PermitMessage::Return {
+                number,
+                queue,
+                outcome,
+            } if is_own => {
                 let requester = PermitId { node: to, number };
-                self.permit_returned(queue, requester, how, now, out);
+                self.permit_returned(queue, requester, outcome, now, out);
             }
-            PermitMessage::Return { number, queue, how } => {
-                let (ended, took_ms, load) = match how {
+            PermitMessage::Return {
+                number,
+                queue,
+                outcome,
+            } => {
+                let (ended, took_ms, load) = match outcome {
                     PermitOutcome::Answered { took, load } => (
                         PermitEnd::Answered,
                         short_millis(took),
@@ -171,11 +179,11 @@
         &mut self,
         queue: u64,
         requester: PermitId,
-        how: PermitOutcome,
+        outcome: PermitOutcome,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let decided = self.dispatcher.returned(queue, requester, how, now);
+        let decided = self.dispatcher.returned(queue, requester, outcome, now);
         self.announce_decisions(decided, now, out);
     }
 
--- a/crates/ledgelead-router/src/requests/answers.rs
+++ b/crates/ledgelead-router/src/requests/answers.rs
@@ -1,57 +1,56 @@
-//! Answers of the router's own.
+//! Responses that the router generates itself.
 
 use crate::dialect::HeaderNames;
 use ledgelead_http::{Request, Response};
 use std::time::Duration;
 
-/// Why the router answers by itself.
+/// Why the router answers a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
     /// No configuration is known yet.
     NotConfigured,
-    /// No route holds the request.
+    /// No route matches the request.
     NoRoute,
-    /// A key is missing or no number.
+    /// The key header is missing or not a number.
     BadKey,
     /// No instance can answer in time.
     Overloaded,
-    /// Those that wait for the key's owner take its time up to the target.
+    /// The requests that wait for the key's owner take up its time until the target latency.
     QueueTooLong,
-    /// Its key is asked for more often than its owner can work.
+    /// The request rate of the key exceeds the capacity of its owner.
     KeyOverloaded,
-    /// Nobody is known to own the key now.
+    /// The key has no known owner.
     NoOwner,
     /// The key's owner has left, or is leaving.
     OwnerLeft,
-    /// The key's owner has rejected it: it is on the move.
+    /// The key's owner rejected the request, since the key is being moved.
     KeyMoving,
     /// The key's owner has failed several times in a row.
     OwnerFails,
-    /// The key's owner is cold, and others send to it.
+    /// The key's owner is cold, and only other nodes may send to it.
     OwnerCold,
-    /// The service has no instance.
+    /// The service has no usable instance.
     NoInstance,
-    /// Rejected by instances; it was not run.
+    /// Instances rejected the request without running it.
     Rejected,
-    /// Every instance that could run it has asked this node for a pause.
+    /// Every instance that could run the request has asked this node for a pause.
     BackedOff,
-    /// Every instance that could run it gets as many requests as the rate limits allow that
-    /// they name.
+    /// Every instance that could run the request has reached its rate limit.
     RateLimited,
-    /// Instances have ended under it, so it is not sent to any more.
+    /// The request is quarantined because instances have crashed while running it.
     Quarantined,
-    /// This node has no memory for its body.
+    /// This node has no memory for the request's body.
     NoMemory,
-    /// The time was over before it could be sent.
+    /// The deadline passed before the request could be sent.
     NotSentInTime,
-    /// It may have run; its answer was lost.
+    /// The request may have run; its response was lost.
     AnswerLost,
-    /// It may have run; no answer came in time.
+    /// The request may have run; no response arrived in time.
     AnswerLate,
 }
 
 impl Refusal {
-    /// The status. 503 promises that the request has not run and never will.
+    /// The HTTP status. A 503 guarantees that the request has not run and never will.
     pub fn status(self) -> u16 {
         match self {
             Refusal::NoRoute => 404,
@@ -77,7 +76,8 @@
         }
     }
 
-    /// Whether there was no room for the request, so that others are refused as well.
+    /// Whether the request was refused for lack of capacity, so that others are refused as
+    /// well.
     pub fn lacks_room(self) -> bool {
         matches!(
             self,
@@ -85,7 +85,7 @@
         )
     }
 
-    /// A name for logs and metrics.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::NotConfigured => "not_configured",
@@ -112,7 +112,7 @@
     }
 }
 
-/// The answer that tells a client of a refusal, and when to come back.
+/// Builds the response that tells a client of a refusal, and when to retry.
 pub fn refusal(
     request: &Request,
     reason: Refusal,
--- a/crates/ledgelead-router/src/requests/budget.rs
+++ b/crates/ledgelead-router/src/requests/budget.rs
@@ -1,15 +1,16 @@
-//! This node's share of the retry budget that all nodes draw on together.
+//! This node's share of the retry budget, which all nodes have in common.
 //!
-//! A repeat is paid for by the node's own requests, so that this part is shared by demand.
-//! Each series of repeats within a window has to be paid for, by the requests since a
-//! window before it began. Were they to pay in whole, clients that change nodes would
-//! count at both.
+//! The part proportional to requests is divided by demand: retries are paid for by the node's
+//! own requests. Every run of retries within one window must be covered by the requests
+//! received since one window before the run began. Each request pays only part of the ratio;
+//! if it paid all of it, clients that change nodes would count at both.
 //!
-//! The slack is shared by heads, and no message is needed for the bound to hold: a life uses
-//! its whole share only once it is older than the window. Lives that did so within some
-//! window all lived when it began, thus two of one node are never among them. Each
-//! divides by the most nodes that it has known for minutes, so that those that remain
-//! don't use again what others have used before they ended, or use while they are cut off.
+//! The slack is divided equally among the nodes. The bound holds without any messages: an
+//! incarnation of a node uses its whole share only once it is older than the window. All
+//! incarnations that do so within some window therefore existed when it began, and no two of
+//! them belong to the same node. Each divides by the largest number of nodes known over the
+//! last minutes, so that remaining nodes don't reuse what others used before they ended, or
+//! are still using while partitioned.
 
 use super::node_count::NodeCount;
 use super::retry_value::{BudgetLevel, RetryCandidate, RetryDemand};
@@ -18,29 +19,30 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The share of its part of the slack that a node uses: what it sees and what the
-/// service receives differ a little in time.
-const SLACK_SHARE: f64 = 0.8;
-/// The share of the ratio that a request pays for repeats. Below one half: a request pays
-/// in its own window and in the next, where its client may be another node's.
-const PAID_SHARE: f64 = 0.48;
-/// The share of its part of the slack that a node uses in the first window of its life:
-/// the others still use theirs as if it weren't there. Where an earlier life of it is
-/// known, it grows from nothing with the age, since nobody knows what that has used:
-/// however often the node starts, with `SLACK_SHARE` its lives stay below the whole.
-const YOUNG_SHARE: f64 = 0.15;
-/// How long the most nodes are remembered: a node that is cut off from the store isn't
-/// registered any more and still sends. Cuts last for minutes at most.
-const NODES_REMEMBERED: Duration = Duration::from_secs(300);
-
-/// What the budget of a deployment is.
+/// The part of its share of the slack that a node uses. Its view of the requests and the
+/// service's view differ a little in time.
+const USABLE_SLACK_SHARE: f64 = 0.8;
+/// The part of the ratio that a request pays for retries. It is below one half because a
+/// request counts in its own window and in the next, when its client may be at another node.
+const PAID_RATIO_SHARE: f64 = 0.48;
+/// The part of its share of the slack that a node uses in the first window of its incarnation,
+/// while the other nodes still divide the slack without it. If an earlier incarnation is
+/// known, the part grows from zero with age, since what that one used is unknown. However
+/// often the node restarts, its incarnations stay below its whole share together with
+/// `USABLE_SLACK_SHARE`.
+const FIRST_WINDOW_SLACK_SHARE: f64 = 0.15;
+/// How long the largest number of nodes is remembered. A node partitioned from the store is no
+/// longer registered but still sends. Partitions last for minutes at most.
+const NODE_COUNT_TTL: Duration = Duration::from_secs(300);
+
+/// Limits of a deployment's retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetBounds {
-    /// Retries for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries besides in each window, over all nodes.
+    /// Additional retries allowed in each window, over all nodes.
     pub slack: f64,
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
 }
 
@@ -51,65 +53,65 @@
     demand: RetryDemand,
 }
 
-/// Retries by service.
+/// Retry budget by service.
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: BudgetBounds,
     usage: BTreeMap<ServiceName, Usage>,
-    /// When this life began; long ago, if that isn't known.
-    began: Option<Timestamp>,
-    /// Whether an earlier life of the node is known.
-    has_earlier_life: bool,
+    /// When this incarnation began. `None` if unknown, which counts as long ago.
+    started_at: Option<Timestamp>,
+    /// Whether an earlier incarnation of the node is known.
+    has_earlier_incarnation: bool,
     nodes: NodeCount,
 }
 
 impl RetryBudget {
-    /// Nothing used yet.
+    /// Creates an unused budget.
     pub fn new(bounds: BudgetBounds) -> RetryBudget {
         RetryBudget {
             bounds,
             usage: BTreeMap::new(),
-            began: None,
-            has_earlier_life: false,
+            started_at: None,
+            has_earlier_incarnation: false,
             nodes: NodeCount::default(),
         }
     }
 
-    /// This life of the node begins.
+    /// Marks the start of this incarnation of the node.
     pub fn start(&mut self, now: Timestamp) {
-        self.began = Some(now);
+        self.started_at = Some(now);
     }
 
-    /// There was another life of the node before.
+    /// Notes that the node had an earlier incarnation.
     pub fn note_earlier_incarnation(&mut self) {
-        self.has_earlier_life = true;
+        self.has_earlier_incarnation = true;
     }
 
-    /// So many nodes are registered now.
+    /// Records the number of nodes that are registered now.
     pub fn record_node_count(&mut self, nodes: usize, now: Timestamp) {
-        self.nodes.saw(nodes, NODES_REMEMBERED, now);
+        self.nodes.record(nodes, NODE_COUNT_TTL, now);
     }
 
-    /// From now on the budget is this.
+    /// Replaces the limits of the budget.
     pub fn set_bounds(&mut self, bounds: BudgetBounds) {
         self.bounds = bounds;
     }
 
-    /// A client's request for the service came.
-    pub fn requested(&mut self, service: &ServiceName, now: Timestamp) {
+    /// Records a client's request for the service.
+    pub fn record_request(&mut self, service: &ServiceName, now: Timestamp) {
         let window = self.bounds.window;
         let usage = self.usage.entry(service.clone()).or_default();
         usage.requests.push_back(now);
-        usage.forget(now, window);
+        usage.expire(now, window);
     }
 
-    /// Draws one retry, if the share of one among `nodes` nodes allows it.
-    /// A node that knows no other nodes has no share of the slack.
+    /// Takes one retry if this node's share among `nodes` nodes allows it. A node that knows
+    /// no other nodes has no share of the slack.
     pub fn try_acquire(&mut self, service: &ServiceName, nodes: usize, now: Timestamp) -> bool {
         let window = self.bounds.window;
         self.record_node_count(nodes, now);
         if let Some(usage) = self.usage.get_mut(service) {
-            usage.forget(now, window);
+            usage.expire(now, window);
         }
         if !self.has_retry_left(service, nodes, now) {
             return false;
@@ -119,8 +121,8 @@
         true
     }
 
-    /// The same for a repeat that also has to win enough, beside the others that are
-    /// asked for.
+    /// Like `try_acquire`, for a retry that must also be valuable enough compared to the
+    /// others requested recently.
     pub fn try_acquire_for(
         &mut self,
         service: &ServiceName,
@@ -129,7 +131,7 @@
         now: Timestamp,
     ) -> RetryDecision {
         let usage = self.usage.entry(service.clone()).or_default();
-        usage.forget(now, self.bounds.window);
+        usage.expire(now, self.bounds.window);
         usage.demand.record_request(facts, now);
         if !self.is_worthwhile(service, facts, nodes, now) {
             return RetryDecision::HeldBack;
@@ -144,14 +146,14 @@
         RetryDecision::Granted
     }
 
-    /// A retry that was drawn has not reached an instance.
+    /// Returns a retry that never reached an instance.
     pub fn refund(&mut self, service: &ServiceName) {
         if let Some(usage) = self.usage.get_mut(service) {
             usage.retries.pop_back();
         }
     }
 
-    /// The same for a repeat of this rank.
+    /// Like `refund`, for a retry of a request with this rank.
     pub fn refund_for(&mut self, service: &ServiceName, rank: u32) {
         self.refund(service);
         if let Some(usage) = self.usage.get_mut(service) {
@@ -159,12 +161,12 @@
         }
     }
 
-    /// Whether a retry could be drawn.
+    /// Whether a retry could be taken.
     pub fn has_retry_left(&self, service: &ServiceName, nodes: usize, now: Timestamp) -> bool {
         self.level(service, nodes, now).left >= 1.0
     }
 
-    /// Whether a repeat wins enough to be drawn.
+    /// Whether a retry is valuable enough to be taken.
     pub fn is_worthwhile(
         &self,
         service: &ServiceName,
@@ -194,41 +196,40 @@
         if nodes == 0 {
             return 0.0;
         }
-        self.bounds.slack * self.usable_share(now) / self.nodes.most(nodes) as f64
+        self.bounds.slack * self.usable_share(now) / self.nodes.largest(nodes) as f64
     }
 
     fn usable_share(&self, now: Timestamp) -> f64 {
         let window = self.bounds.window;
-        match self.began.map(|began| now.saturating_sub(began)) {
-            Some(age) if age < window && self.has_earlier_life => {
-                YOUNG_SHARE * age.div_duration_f64(window)
+        match self.started_at.map(|began| now.saturating_sub(began)) {
+            Some(age) if age < window && self.has_earlier_incarnation => {
+                FIRST_WINDOW_SLACK_SHARE * age.div_duration_f64(window)
             }
-            Some(age) if age < window => YOUNG_SHARE,
-            _ => SLACK_SHARE,
+            Some(age) if age < window => FIRST_WINDOW_SLACK_SHARE,
+            _ => USABLE_SLACK_SHARE,
         }
     }
 }
 
-/// What became of a repeat that was asked for.
+/// The decision about a requested retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It may be sent.
+    /// The retry may be sent.
     Granted,
-    /// Others win more.
+    /// The budget is kept for more valuable retries.
     HeldBack,
-    /// Nothing is left.
+    /// The budget is exhausted.
     Exhausted,
 }
 
 impl Usage {
-    /// What is left for a repeat now: the least over all series of repeats that end with
-    /// it.
+    /// The budget left for a retry now: the minimum over all runs of retries that end with it.
     fn level(&self, ratio: f64, slack: f64, now: Timestamp, window: Duration) -> BudgetLevel {
         let before = |limit: Timestamp| self.requests.partition_point(|at| *at < limit);
         let paid = |began: Timestamp| {
             let from = began.checked_sub(window).map_or(0, before);
             let requests = (self.requests.len() - from) as f64;
-            ratio * requests * PAID_SHARE + slack
+            ratio * requests * PAID_RATIO_SHARE + slack
         };
         let capacity = paid(now);
         let forgotten = self.retries.partition_point(|at| *at + window <= now);
@@ -240,14 +241,15 @@
         BudgetLevel { capacity, left }
     }
 
-    /// Requests pay for series of repeats that began a window after them.
-    fn forget(&mut self, now: Timestamp, window: Duration) {
-        forget_before(&mut self.requests, now, window * 2);
-        forget_before(&mut self.retries, now, window);
+    /// Drops entries that no longer count. Requests pay for runs of retries that begin up to
+    /// one window later.
+    fn expire(&mut self, now: Timestamp, window: Duration) {
+        drop_before(&mut self.requests, now, window * 2);
+        drop_before(&mut self.retries, now, window);
     }
 }
 
-fn forget_before(times: &mut VecDeque<Timestamp>, now: Timestamp, kept: Duration) {
+fn drop_before(times: &mut VecDeque<Timestamp>, now: Timestamp, kept: Duration) {
     while times.front().is_some_and(|time| *time + kept <= now) {
         times.pop_front();
     }
--- a/crates/ledgelead-router/src/requests/cold_start.rs
+++ b/crates/ledgelead-router/src/requests/cold_start.rs
@@ -1,10 +1,10 @@
-//! How many requests an instance gets while it is cold.
+//! Limits the requests that a cold instance receives.
 //!
-//! A cold instance bears few requests a second over all nodes together, and nodes
-//! don't know of each other's requests in time. So only few nodes send to it at all,
-//! those that come first for it by rendezvous hashing among the nodes of its zone,
-//! and each of them only so many a second. A node whose view of the nodes is behind
-//! may take itself for one of them; the bound's slack is for that.
+//! A cold instance handles only a few requests per second over all nodes, and nodes learn of
+//! each other's requests too late to coordinate. So only a few nodes send to it at all, the
+//! first ones for it by rendezvous hashing among the nodes of its zone, and each of them sends
+//! a fixed number per second. A node with an outdated view of the nodes may wrongly count
+//! itself among them; the slack of the bound covers that.
 
 use crate::Timestamp;
 use crate::configuration::Configuration;
@@ -15,16 +15,16 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The span in which requests to a cold instance are counted.
+/// Window in which requests to a cold instance are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Requests that one node sends to a cold instance in a window: two, so that half of
-/// an instance's share isn't lost with one slow node.
-const SENT_BY_ONE: usize = 2;
+/// Requests that one node sends to a cold instance per window. With two, one slow node doesn't
+/// cost half of the instance's share.
+const MAX_SENT_PER_NODE: usize = 2;
 
-/// What the operator allows to be sent to a cold instance.
+/// The operator's limit for requests to a cold instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBound {
-    /// Multiple of the rate that the instance bears, over all nodes.
+    /// Multiple of the rate that the instance can handle, over all nodes.
     pub overage: f64,
 }
 
@@ -34,39 +34,39 @@
     }
 }
 
-/// Who may send how much to one cold instance.
+/// How many nodes may send to a cold instance, and how many requests each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Allowance {
     senders: usize,
-    each: usize,
+    per_sender: usize,
 }
 
 impl ColdBound {
     fn allowance(self, rate: f64) -> Allowance {
         let total = (rate * self.overage).max(1.0) as usize;
-        let each = SENT_BY_ONE.min(total);
+        let per_sender = MAX_SENT_PER_NODE.min(total);
         Allowance {
-            senders: total / each,
-            each,
+            senders: total / per_sender,
+            per_sender,
         }
     }
 }
 
-/// Requests that this node has sent to cold instances lately.
+/// Requests that this node recently sent to cold instances.
 #[derive(Clone, Debug, Default)]
 pub struct ColdSends {
     sent: HashMap<InstanceId, Vec<Timestamp>>,
 }
 
 impl ColdSends {
-    /// A request is sent to a cold instance.
-    pub fn note(&mut self, id: &InstanceId, now: Timestamp) {
+    /// Records a request sent to a cold instance.
+    pub fn record(&mut self, id: &InstanceId, now: Timestamp) {
         let sent = self.sent.entry(id.clone()).or_default();
         sent.retain(|at| *at + WINDOW > now);
         sent.push(now);
     }
 
-    /// Forgets what no longer counts.
+    /// Drops requests that are outside of the window.
     pub fn expire(&mut self, now: Timestamp) {
         self.sent
             .retain(|_, sent| sent.iter().any(|at| *at + WINDOW > now));
@@ -82,20 +82,20 @@
 /// Decides whether this node may send to an instance that may be cold.
 #[derive(Clone, Copy)]
 pub struct ColdGate<'a> {
-    /// What the operator allows.
+    /// The operator's limit.
     pub bound: ColdBound,
-    /// Says what cold instances of each service bear.
+    /// Defines the rate that cold instances of each service can handle.
     pub configuration: Option<&'a Configuration>,
-    /// The nodes.
+    /// Registered nodes.
     pub registry: &'a Registry,
-    /// This node.
+    /// The name of this node.
     pub node: &'a NodeName,
-    /// What this node has sent.
+    /// Requests that this node sent to cold instances.
     pub sends: &'a ColdSends,
 }
 
 impl ColdGate<'_> {
-    /// Whether a request may go to the instance now.
+    /// Whether a request may be sent to the instance now.
     pub fn admits(&self, instance: &Instance, now: Timestamp) -> bool {
         if !instance.is_cold(now) {
             return true;
@@ -103,8 +103,11 @@
         let Some(rate) = self.cold_rate(instance) else {
             return true;
         };
-        let Allowance { senders, each } = self.bound.allowance(rate);
-        self.sends.count(&instance.record.id, now) < each && self.is_sender(instance, senders)
+        let Allowance {
+            senders,
+            per_sender,
+        } = self.bound.allowance(rate);
+        self.sends.count(&instance.record.id, now) < per_sender && self.is_sender(instance, senders)
     }
 
     fn cold_rate(&self, instance: &Instance) -> Option<f64> {
@@ -112,8 +115,8 @@
         service.cold_rate
     }
 
-    /// Whether this node is among the first for the instance. Nodes of other zones
-    /// are only where its own has none.
+    /// Whether this node is among the first `senders` nodes for the instance. Nodes of other
+    /// zones qualify only if the instance's own zone has none.
     fn is_sender(&self, instance: &Instance, senders: usize) -> bool {
         let zone = &instance.record.zone;
         let in_zone = || self.registry.iter().filter(|node| node.zone == *zone);
--- a/crates/ledgelead-router/src/requests/common_rejection.rs
+++ b/crates/ledgelead-router/src/requests/common_rejection.rs
@@ -1,37 +1,39 @@
-//! Whether the instances of a service reject for a common cause.
+//! Detects whether the instances of a service reject requests for a common cause.
 //!
-//! An instance that rejects although it has free slots is avoided, unless the others do
-//! the same: then nothing is won by going elsewhere, and no instance has failed.
+//! An instance that rejects although it has free slots is avoided, unless the others do so
+//! too. Then another instance is no better, and none of them has failed.
 
 use crate::Timestamp;
 use crate::identity::{InstanceId, ServiceName};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How long an answer tells how an instance behaves: a node of a large deployment sends
-/// an instance a request each few seconds.
-const HEARD_WITHIN: Duration = Duration::from_secs(4);
-/// Fewest instances that make a cause common: one alone has its own.
-const LEAST_REJECTING: usize = 2;
-/// Share of the instances heard from lately that makes a cause common. Instances that
-/// reject two in five show it in that share of the first answers; grey failures are fewer.
+/// How long a response counts. In a large deployment a node sends an instance one request
+/// every few seconds.
+const RESPONSE_TTL: Duration = Duration::from_secs(4);
+/// Minimum number of rejecting instances for a common cause; a single one has its own cause.
+const MIN_REJECTING: usize = 2;
+/// Minimum share of rejecting instances among those that answered recently for a common cause.
+/// Instances that reject two in five requests show it in that share of the first responses;
+/// gray failures affect fewer instances.
 const COMMON_SHARE: f64 = 0.3;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
+struct LastResponse {
     at: Timestamp,
     rejected: Option<Timestamp>,
 }
 
-/// Instances heard from lately, by service.
+/// Instances that answered recently, by service.
 #[derive(Clone, Debug, Default)]
 pub struct CommonRejections {
-    services: BTreeMap<ServiceName, HashMap<InstanceId, Heard>>,
+    services: BTreeMap<ServiceName, HashMap<InstanceId, LastResponse>>,
 }
 
 impl CommonRejections {
-    /// An instance answered; `rejected` if it turned the request away with free slots.
-    pub fn heard(
+    /// Records a response; `rejected` if the instance rejected the request although it had
+    /// free slots.
+    pub fn record(
         &mut self,
         service: &ServiceName,
         instance: &InstanceId,
@@ -51,19 +53,19 @@
         let Some(instances) = self.services.get(service) else {
             return false;
         };
-        let recent = |at: Timestamp| at + HEARD_WITHIN > now;
+        let recent = |at: Timestamp| at + RESPONSE_TTL > now;
         let heard = instances.values().filter(|heard| recent(heard.at));
         let rejecting = instances
             .values()
             .filter(|heard| heard.rejected.is_some_and(recent));
         let rejecting = rejecting.count();
-        rejecting >= LEAST_REJECTING && rejecting as f64 >= heard.count() as f64 * COMMON_SHARE
+        rejecting >= MIN_REJECTING && rejecting as f64 >= heard.count() as f64 * COMMON_SHARE
     }
 
-    /// Forgets what no longer counts.
+    /// Drops responses that no longer count.
     pub fn expire(&mut self, now: Timestamp) {
         for instances in self.services.values_mut() {
-            instances.retain(|_, heard| heard.at + HEARD_WITHIN > now);
+            instances.retain(|_, heard| heard.at + RESPONSE_TTL > now);
         }
     }
 }
--- a/crates/ledgelead-router/src/requests/digest.rs
+++ b/crates/ledgelead-router/src/requests/digest.rs
@@ -1,32 +1,33 @@
-//! Recognises a request that is sent again.
+//! Recognizes a request that is submitted again.
 //!
-//! Two tries are the same request if method, host, path with query and body are the same,
-//! and their caller: the address that the connection came from, without its port. The
-//! digest stands for the first four. Other headers differ from try to try (the client's
-//! name for it, the time left), or belong to the client's software.
+//! Two submissions are the same request if their method, host, path with query, body and
+//! caller are the same. The caller is the address that the connection came from, without its
+//! port; the digest covers the other four. Other headers differ between submissions (the
+//! client's name for the attempt, the time left), or depend on the client's software.
 
 use ledgelead_http::Request;
 use serde::{Serialize, Serializer};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Bytes of a digest: so many of SHA-256 that nobody can find a request with the digest of
-/// somebody else's (2^128 tries).
+/// Length of a digest in bytes. This much of SHA-256 makes it infeasible to find a request
+/// with the digest of another caller's request (2^128 tries).
 pub const DIGEST_BYTES: usize = 16;
 
-/// Identifies a request over all of its tries, at any node.
+/// Identifies a request over all of its submissions, at any node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest(pub [u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The digest of a request.
+    /// Computes the digest of a request.
     pub fn new(request: &Request) -> RequestDigest {
         let host = request.headers.text("host").unwrap_or_default();
         let host = host.to_lowercase();
         let parts = [&request.method, &host, &request.target];
         let mut hasher = Sha256::new();
         for part in parts {
-            // With its length, so that no two lists of parts are the same bytes.
+            // Each part is preceded by its length, so that different lists of parts never hash
+            // the same bytes.
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
@@ -36,7 +37,7 @@
         RequestDigest(bytes)
     }
 
-    /// The digest that `Display` has written.
+    /// Parses the output of `Display`.
     pub fn parse(text: &str) -> Option<RequestDigest> {
         let is_hex = text.len() == 2 * DIGEST_BYTES && text.bytes().all(|b| b.is_ascii_hexdigit());
         let number = is_hex.then(|| u128::from_str_radix(text, 16).ok())?;
--- a/crates/ledgelead-router/src/requests/idle_limit.rs
+++ b/crates/ledgelead-router/src/requests/idle_limit.rs
@@ -1,90 +1,89 @@
-//! How long a kept connection may rest before it is used again.
+//! Limits how long a kept connection may be idle before it is reused.
 //!
-//! Instances may forget connections that have rested, without notice. What is
-//! sent on such a connection is lost, and a request that must not run twice
-//! with it. Connections also end for other reasons, whether they have rested or
-//! not. So what counts is the share of lost requests among those on rested
-//! connections, and that few are lost on others.
+//! Instances may drop idle connections silently. A request sent on such a connection is lost,
+//! which is fatal for one that must not run twice. Connections also end for other reasons,
+//! whether they were idle or not. A limit is therefore set only if a sufficient share of the
+//! requests on idle connections is lost, and few on others.
 
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Connections that rested for less count as fresh, and are always used.
-const FRESH: Duration = Duration::from_millis(80);
-/// Time in which what was seen loses half of its weight.
-const HALVES_IN: Duration = Duration::from_secs(3);
-/// Lost requests, by weight, that make a limit.
-const LOST_FOR_LIMIT: f64 = 1.8;
-/// Share of the requests on rested connections that are lost, for a limit.
-const LOST_SHARE: f64 = 0.2;
-/// Share of the shortest rest after which a request was lost that is trusted.
-const TRUSTED_SHARE: f64 = 0.6;
-/// How long the limit of another node is followed.
-const TOLD_HOLDS_FOR: Duration = Duration::from_secs(2);
+/// Connections that were idle for less count as fresh, and are always reused.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(80);
+/// Half-life of the counts.
+const HALF_LIFE: Duration = Duration::from_secs(3);
+/// Lost requests, by weight, needed to set a limit.
+const MIN_LOST: f64 = 1.8;
+/// Share of the requests on idle connections that must be lost to set a limit.
+const MIN_LOST_SHARE: f64 = 0.2;
+/// The limit as a share of the shortest idle time after which a request was lost.
+const LIMIT_SHARE: f64 = 0.6;
+/// How long the limit of another node applies.
+const PEER_LIMIT_TTL: Duration = Duration::from_secs(2);
 
-/// What became of requests on kept connections.
+/// Results of requests on kept connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IdleLimit {
     lost: f64,
     answered: f64,
     lost_fresh: f64,
-    shortest: Duration,
+    shortest_idle: Duration,
     at: Timestamp,
-    told: Option<(Duration, Timestamp)>,
+    peer_limit: Option<(Duration, Timestamp)>,
 }
 
 impl IdleLimit {
-    /// A request on a connection that had rested for `rested`, nothing if it
-    /// was new, was answered.
-    pub fn answered(&mut self, rested: Duration, now: Timestamp) {
-        self.fade(now);
-        if rested >= FRESH {
+    /// Records an answered request. `idle` is how long its connection had been idle, zero if
+    /// it was new.
+    pub fn record_answered(&mut self, idle: Duration, now: Timestamp) {
+        self.decay(now);
+        if idle >= MIN_IDLE_TIME {
             self.answered += 1.0;
         }
     }
 
-    /// A request was lost as soon as it was sent.
-    pub fn lost(&mut self, rested: Duration, now: Timestamp) {
-        self.fade(now);
-        if rested < FRESH {
+    /// Records a request that was lost as soon as it was sent.
+    pub fn record_lost(&mut self, idle: Duration, now: Timestamp) {
+        self.decay(now);
+        if idle < MIN_IDLE_TIME {
             self.lost_fresh += 1.0;
             return;
         }
         if self.lost < 0.5 {
-            self.shortest = rested;
+            self.shortest_idle = idle;
         }
-        self.shortest = self.shortest.min(rested);
+        self.shortest_idle = self.shortest_idle.min(idle);
         self.lost += 1.0;
     }
 
-    /// Another node of the zone goes by this limit.
-    pub fn told(&mut self, limit: Duration, now: Timestamp) {
-        self.told = Some((limit.max(FRESH), now + TOLD_HOLDS_FOR));
+    /// Adopts the limit of another node of the zone.
+    pub fn set_peer_limit(&mut self, limit: Duration, now: Timestamp) {
+        self.peer_limit = Some((limit.max(MIN_IDLE_TIME), now + PEER_LIMIT_TTL));
     }
 
-    /// The limit by what this node has seen itself.
+    /// The limit derived from this node's own requests.
     pub fn own(&self, now: Timestamp) -> Option<Duration> {
         let weight = self.weight(now);
-        let enough = self.lost * weight >= LOST_FOR_LIMIT;
-        let often = self.lost >= (self.lost + self.answered) * LOST_SHARE;
-        let by_rest = self.lost_fresh < self.lost / 2.0;
-        let limit = self.shortest.mul_f64(TRUSTED_SHARE).max(FRESH);
-        (enough && often && by_rest).then_some(limit)
+        let enough = self.lost * weight >= MIN_LOST;
+        let often = self.lost >= (self.lost + self.answered) * MIN_LOST_SHARE;
+        let by_idleness = self.lost_fresh < self.lost / 2.0;
+        let limit = self.shortest_idle.mul_f64(LIMIT_SHARE).max(MIN_IDLE_TIME);
+        (enough && often && by_idleness).then_some(limit)
     }
 
-    /// The limit now, if there is one.
+    /// The limit in force, if there is one.
     pub fn current(&self, now: Timestamp) -> Option<Duration> {
-        let told = self.told.filter(|(_, until)| now < *until);
-        let told = told.map(|(limit, _)| limit);
-        self.own(now).into_iter().chain(told).min()
+        let peer_limit = self.peer_limit.filter(|(_, until)| now < *until);
+        let peer_limit = peer_limit.map(|(limit, _)| limit);
+        self.own(now).into_iter().chain(peer_limit).min()
     }
 
     fn weight(&self, now: Timestamp) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        0.5f64.powf(age / HALVES_IN.as_secs_f64())
+        0.5f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 
-    fn fade(&mut self, now: Timestamp) {
+    fn decay(&mut self, now: Timestamp) {
         let weight = self.weight(now);
         self.lost *= weight;
         self.answered *= weight;
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, reviewed, ended.
+//! Sends attempts, aborts those that take too long, and evaluates their results.
 
 use super::ANSWER_MARGIN;
 use super::endings::{attempt_name, owner_fence};
@@ -15,7 +15,7 @@
 use crate::rate_limit::RateNotice;
 use crate::requests::notice::Notice;
 use crate::requests::open_request::{Attempt, Misdirection, OpenRequest};
-use crate::requests::outcome::{AttemptOutcome, tells_failure};
+use crate::requests::outcome::{AttemptOutcome, is_server_failure};
 use crate::requests::rejection_cause::RejectionCause;
 use crate::requests::selection::Selected;
 use crate::requests::statistics::ReportedLoad;
@@ -25,40 +25,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for a connection to an instance to come up.
+/// Timeout for connecting to an instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A kept connection that was idle for longer may be closed by now.
+/// Idle time after which a kept connection may have been closed by the instance.
 const REUSE_IDLE: Duration = Duration::from_secs(7);
-/// The same for requests that can't be sent again after such a close.
-const REUSE_IDLE_ONCE: Duration = Duration::from_secs(3);
-/// How long before the end of its time a request that is not written whole is given up, so
-/// that the client is still there to learn that it has not run.
+/// The same for requests that must not be sent again if the connection turns out to be closed.
+const REUSE_IDLE_NON_IDEMPOTENT: Duration = Duration::from_secs(3);
+/// How long before its deadline a request that is not completely written is given up, so that
+/// the client is still connected to learn that the request has not run.
 pub(super) const WRITE_MARGIN: Duration = Duration::from_millis(10);
-/// How long a new connection is watched before a request that runs at most once is
-/// written. A reset follows the connection by some tenths of a millisecond; what is
-/// written before it may have run for all that this node knows.
-const SETTLE_ONCE: Duration = Duration::from_millis(2);
-/// After this share of the target latency an idempotent request is sent to
-/// another instance, if the first has been silent since.
+/// How long a new connection is observed before a non-idempotent request is written to it. A
+/// reset follows the connection setup within some tenths of a millisecond, and this node can't
+/// rule out that a request written before the reset has run.
+const SETTLE_NON_IDEMPOTENT: Duration = Duration::from_millis(2);
+/// Share of the target latency after which an idempotent request is sent to another instance,
+/// if the first one has not answered anything since.
 const REVIEW_SHARE: f64 = 1.3;
-/// The same for an instance that answers others: mostly it is at work on this one as
-/// well, and what is broken off begins anew elsewhere. Its answer may be lost, though.
+/// The same for an instance that answers other requests: it is usually processing this one
+/// too, and an aborted request starts over elsewhere. Its response may have been lost, though.
 const REVIEW_ANSWERING: f64 = 2.0;
-/// A request lost within this time was lost as it was sent.
+/// A connection lost within this time was lost while the request was being sent.
 const PROMPT_LOSS: Duration = Duration::from_millis(25);
-/// How the logs name an attempt that was broken off for another.
-const ABANDONED: &str = "abandoned";
-/// How the logs name an attempt without an answer at the end of the time.
+/// Logged for an attempt that was aborted in favour of another one.
+const ABORTED_FOR_RETRY: &str = "abandoned";
+/// Logged for an attempt without a response at the request's deadline.
 pub(super) const CUT_AT_TIMEOUT: &str = "cut_at_timeout";
-/// Pause between two reviews of an attempt.
+/// Interval between two reviews of an attempt.
 const REVIEW_PAUSE: Duration = Duration::from_millis(60);
-/// Pause before an owner that rejected a key is asked again.
+/// Pause before a key's owner that rejected a request is tried again.
 const MISDIRECTED_PAUSE: Duration = Duration::from_millis(60);
 
 impl Requests {
-    /// Breaks off an attempt that has been out for too long, if another may
-    /// be made. Returns whether it did.
-    pub(super) fn abandon_attempt(
+    /// Aborts an attempt that has been in flight for too long, if another one can be made.
+    /// Returns whether it did.
+    pub(super) fn abort_slow_attempt(
         &mut self,
         client: ClientId,
         context: &mut RequestContext<'_>,
@@ -71,9 +71,9 @@
             return false;
         };
         let reviews = self.mechanisms.has(Mechanism::Review) && !self.stopping;
-        if attempt.review > context.now || !reviews || !open.is_idempotent() {
-            let next = if attempt.review > context.now && reviews {
-                attempt.review.min(open.due)
+        if attempt.review_at > context.now || !reviews || !open.is_idempotent() {
+            let next = if attempt.review_at > context.now && reviews {
+                attempt.review_at.min(open.due)
             } else {
                 open.due
             };
@@ -81,7 +81,7 @@
             return false;
         }
         let due = open.due;
-        let should = self.should_abandon(open, &attempt, context);
+        let should = self.should_abort(open, &attempt, context);
         if !should || !self.has_alternative(client, context) {
             let next = (context.now + REVIEW_PAUSE).min(due);
             self.wake_at(client, next);
@@ -91,7 +91,7 @@
             open.attempt = None;
             open.may_have_run = true;
             open.timed_out = true;
-            tell_ended(open, &attempt, ABANDONED, context);
+            log_attempt_ended(open, &attempt, ABORTED_FOR_RETRY, context);
         }
         self.end_attempt(&attempt, PermitOutcome::Failed);
         self.statistics.entry(&attempt.instance).failed(context.now);
@@ -101,7 +101,7 @@
         true
     }
 
-    pub(super) fn should_abandon(
+    pub(super) fn should_abort(
         &self,
         open: &OpenRequest,
         attempt: &Attempt,
@@ -115,13 +115,13 @@
             .get(&attempt.instance)
             .and_then(|seen| seen.last_answer())
             .is_some_and(|at| at > attempt.sent);
-        let patience = open.route.target_latency.mul_f64(REVIEW_ANSWERING);
-        if answers_others && attempt.sent + patience > context.now {
+        let silence_limit = open.route.target_latency.mul_f64(REVIEW_ANSWERING);
+        if answers_others && attempt.sent + silence_limit > context.now {
             return false;
         }
         let left = open.due.saturating_sub(context.now);
-        // The owner of a key works on the request, or has lost it: to ask the same one
-        // again breaks off work that is paid for.
+        // The key's owner is either processing the request or has lost it. Sending it to the
+        // same owner again would abort work that is already partly done.
         let another = match open.key {
             Some(key) => context
                 .ownership
@@ -134,8 +134,8 @@
             && self.can_retry(open, context)
     }
 
-    /// Whether another instance has a free slot for a request, so that breaking off its
-    /// attempt gains something. Keyed requests go where the record says.
+    /// Whether another instance has a free slot for a request, so that aborting its attempt is
+    /// of use. Keyed requests go to the owner in the ownership record.
     fn has_alternative(&mut self, client: ClientId, context: &RequestContext<'_>) -> bool {
         let Some(open) = self.open.get(&client) else {
             return false;
@@ -144,12 +144,12 @@
         let is_keyed = open.key.is_some();
         is_keyed
             || self
-                .select_any(client, context)
+                .select_instance(client, context)
                 .is_some_and(|selected| selected.load_factor <= 1.0 && selected.cost <= left)
     }
 
-    /// Whether an idempotent request whose instance failed may be sent again.
-    pub(super) fn may_send_again(&self, client: ClientId, context: &RequestContext<'_>) -> bool {
+    /// Whether an idempotent request may be sent again after its instance failed.
+    pub(super) fn may_retry_failed(&self, client: ClientId, context: &RequestContext<'_>) -> bool {
         self.open.get(&client).is_some_and(|open| {
             open.is_idempotent()
                 && self.mechanisms.has(Mechanism::RepeatFailed)
@@ -171,9 +171,9 @@
         let Some(open) = self.open.get(&client) else {
             return;
         };
-        // Instances that were never reached are no arrivals.
+        // An attempt at an instance that was never reached doesn't make the next one a retry.
         let repeated = !open.tried.is_empty();
-        let reason = open.failure();
+        let reason = open.failure_reason();
         if repeated && !self.acquire_retry(client, selected.expected, context) {
             self.refuse(client, reason, context, out);
             return;
@@ -193,14 +193,14 @@
         };
         let instance = context.directory.get(&selected.id);
         if instance.is_some_and(|instance| instance.is_cold(context.now)) {
-            self.cold_sends.note(&selected.id, context.now);
+            self.cold_sends.record(&selected.id, context.now);
         }
         let exchange = context.exchanges.next_id();
         let limits = self.mechanisms.has(Mechanism::RestLimit);
         let idle_limit = self.idle_limit.current(context.now).filter(|_| limits);
         let options = attempt_options(open, idle_limit, context);
         let review = open.route.target_latency.mul_f64(REVIEW_SHARE);
-        let request = forwarded(open, &selected.id, context);
+        let request = forwarded_request(open, &selected.id, context);
         open.tried.push(selected.id.clone());
         open.attempt = Some(Attempt {
             exchange,
@@ -208,7 +208,7 @@
             repeated,
             sent: context.now,
             load_factor: selected.load_factor,
-            review: context.now + review,
+            review_at: context.now + review,
             expected: selected.expected,
             permit,
         });
@@ -216,7 +216,7 @@
         self.counters.attempts += 1;
         self.by_exchange.insert(exchange, client);
         self.statistics.entry(&selected.id).open += 1;
-        self.changed.insert(selected.id);
+        self.changed_load.insert(selected.id);
         self.wake_at(client, due);
         self.drop_permit(unused, PermitOutcome::NoSample);
         out.push(Action::Exchange {
@@ -235,42 +235,44 @@
         cause: Option<RejectionCause>,
         context: &RequestContext<'_>,
     ) {
-        let tells_causes = self.mechanisms.has(Mechanism::RejectionCause);
+        let uses_rejection_cause = self.mechanisms.has(Mechanism::RejectionCause);
         let Some(open) = self.open.get_mut(&client) else {
             return;
         };
         let assignment = open
             .key
             .and_then(|key| context.ownership.find(&open.service, key));
-        tell_ended(open, attempt, verdict.name(), context);
+        log_attempt_ended(open, attempt, verdict.name(), context);
         match verdict {
             AttemptOutcome::NeverSent { .. } => {
-                // Only this attempt: an earlier one there may have run.
+                // Removes this attempt only: an earlier one at the same instance may have run.
                 open.tried.pop();
                 if attempt.repeated {
                     let rank = self.mechanisms.rank(open);
                     self.budget.refund_for(&open.service, rank);
                 }
                 if open.key.is_none() {
-                    // Another instance is tried at once; this one stays out by
-                    // its failures.
+                    // Another instance is tried at once; the failure statistics keep this one
+                    // from being selected.
                     open.rejected = true;
                 }
                 let again = Some(context.now + MISDIRECTED_PAUSE);
                 open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
             }
             AttemptOutcome::Incomplete { .. } => {
-                // The instance stays tried: it has received a part.
+                // The instance stays in the list of tried ones, since it has received part of
+                // the request.
                 let again = Some(context.now + MISDIRECTED_PAUSE);
                 open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
             }
             AttemptOutcome::Rejected { misdirected, ended } => {
                 open.rejected = true;
                 if ended {
-                    self.ended.push(attempt.instance.clone());
+                    self.ended_instances.push(attempt.instance.clone());
                 }
-                // An owner with room that rejects one of several takes another at once.
-                let declined = tells_causes && cause == Some(RejectionCause::FreeSlots);
+                // An owner that rejects one of several requests although it has free slots
+                // accepts the next one at once.
+                let declined = uses_rejection_cause && cause == Some(RejectionCause::FreeSlots);
                 let pause = match declined && open.tried.len() < 2 {
                     true => Duration::ZERO,
                     false => MISDIRECTED_PAUSE,
@@ -287,7 +289,7 @@
             }
             AttemptOutcome::Failed(response) => {
                 open.may_have_run = true;
-                open.failed_answer = Some(response);
+                open.failure_response = Some(response);
             }
             AttemptOutcome::Relay(_) => {}
         }
@@ -297,8 +299,7 @@
         }
     }
 
-    /// Notes how long an owner was busy with an attempt that it ran, or may
-    /// have run.
+    /// Records how long an owner was busy with an attempt that it ran, or may have run.
     pub(super) fn note_work(
         &mut self,
         client: ClientId,
@@ -317,12 +318,12 @@
         };
         if keyed && ran {
             let took = context.now.saturating_sub(attempt.sent);
-            let work = self.worked.entry(attempt.instance.clone()).or_default();
+            let work = self.owner_work.entry(attempt.instance.clone()).or_default();
             work.note(took, result.is_ok());
         }
     }
 
-    pub(super) fn learn(
+    pub(super) fn record_result(
         &mut self,
         attempt: &Attempt,
         result: &Result<Response, ExchangeFailure>,
@@ -342,22 +343,22 @@
                 cause = rejected.then(|| rejection_cause(notice, load.as_ref(), instance));
                 let counts = self.note_rejection(attempt, cause, context);
                 let seen = self.statistics.entry(&attempt.instance);
-                seen.heard(now);
+                seen.note_response(now);
                 if cause.is_some() && counts {
-                    seen.shed(now);
-                } else if cause.is_none() && tells_failure(response) {
+                    seen.rejected(now);
+                } else if cause.is_none() && is_server_failure(response) {
                     seen.failed(now);
                 }
                 let slots = instance.map_or(1, |instance| instance.record.slots.max(1));
                 if let Some(instance) = instance.filter(|_| response.is_success()) {
                     note_reporting(
-                        &mut self.reporting,
+                        &mut self.load_reporting,
                         &instance.record.service,
                         load.is_some(),
                     );
                 }
-                // What the instance says of itself goes before this node's guess,
-                // which for owners stands for all zones.
+                // The load reported by the instance takes precedence over this node's
+                // estimate, which for owners is extrapolated to all zones.
                 let mut factor = attempt.load_factor;
                 if let Some(load) = load {
                     let open = load.running.saturating_add(load.waiting);
@@ -373,45 +374,45 @@
         cause
     }
 
-    /// A connection that ends as soon as a request is sent on it had perhaps
-    /// been forgotten by the instance.
-    pub(super) fn learn_of_connection(
+    /// Updates the idle limit. If a connection ends right after a request is sent on it, the
+    /// instance may have dropped it silently while it was idle.
+    pub(super) fn record_connection_result(
         &mut self,
         attempt: &Attempt,
         result: &Result<Response, ExchangeFailure>,
-        rested: Duration,
+        idle_for: Duration,
         now: Timestamp,
     ) {
         let prompt = now.saturating_sub(attempt.sent) <= PROMPT_LOSS;
         match result {
-            Ok(_) => self.idle_limit.answered(rested, now),
+            Ok(_) => self.idle_limit.record_answered(idle_for, now),
             Err(ExchangeFailure::Lost | ExchangeFailure::Incomplete { timed_out: false })
                 if prompt =>
             {
-                self.idle_limit.lost(rested, now);
+                self.idle_limit.record_lost(idle_for, now);
             }
             Err(_) => {}
         }
     }
 
-    pub(super) fn end_attempt(&mut self, attempt: &Attempt, how: PermitOutcome) {
+    pub(super) fn end_attempt(&mut self, attempt: &Attempt, outcome: PermitOutcome) {
         self.by_exchange.remove(&attempt.exchange);
         if let Some(permit) = &attempt.permit {
-            self.permits.give_back(permit, how);
+            self.permits.release(permit, outcome);
         }
         let seen = self.statistics.entry(&attempt.instance);
         seen.open = seen.open.saturating_sub(1);
-        self.changed.insert(attempt.instance.clone());
+        self.changed_load.insert(attempt.instance.clone());
     }
 }
 
-/// Whether an instance turned a request away that it could have run.
+/// Whether an instance rejected a request that it could have run.
 fn is_rejection(response: &Response, context: &RequestContext<'_>) -> bool {
     let not_executed = &context.headers.not_executed;
     response.headers.get(not_executed).is_some() && response.status != 421
 }
 
-/// Notes whether the instances of a service report their load.
+/// Records whether the instances of a service report their load.
 fn note_reporting(reporting: &mut BTreeSet<ServiceName>, service: &ServiceName, reports: bool) {
     if !reports {
         reporting.remove(service);
@@ -421,7 +422,7 @@
 }
 
 /// Logs the end of an attempt.
-pub(super) fn tell_ended(
+pub(super) fn log_attempt_ended(
     open: &OpenRequest,
     attempt: &Attempt,
     ended: &'static str,
@@ -450,7 +451,7 @@
     let reuse_idle_below = if open.is_idempotent() {
         REUSE_IDLE
     } else {
-        REUSE_IDLE_ONCE
+        REUSE_IDLE_NON_IDEMPOTENT
     };
     let left = open.due.saturating_sub(context.now);
     let write_timeout = left - WRITE_MARGIN.min(left / 2);
@@ -465,20 +466,24 @@
         reuse_idle_below: idle_limit.map_or(reuse_idle_below, |limit| limit.min(reuse_idle_below)),
         connect_timeout: CONNECT_TIMEOUT.min(write_timeout),
         write_timeout: Some(write_timeout),
-        // Sent again, an idempotent request loses less than by waiting.
+        // Retrying an idempotent request costs less than delaying every one.
         settle: if open.is_idempotent() {
             Duration::ZERO
         } else {
-            SETTLE_ONCE
+            SETTLE_NON_IDEMPOTENT
         },
-        // A little longer than this node waits: the final answer at the end
-        // of the time is given by the request's own timer.
+        // Slightly longer than this node waits: the request's own timer produces the final
+        // response at its deadline.
         timeout: left + ANSWER_MARGIN,
         renewed: false,
     }
 }
 
-fn forwarded(open: &OpenRequest, instance: &InstanceId, context: &RequestContext<'_>) -> Request {
+fn forwarded_request(
+    open: &OpenRequest,
+    instance: &InstanceId,
+    context: &RequestContext<'_>,
+) -> Request {
     let mut request = open.request.clone();
     request.headers.remove_connection_headers();
     let left = open.due.saturating_sub(context.now).as_millis().max(1);
@@ -499,7 +504,7 @@
     let mut numbers = text.split(',').map(|part| part.trim().parse::<u32>());
     let running = numbers.next()?.ok()?;
     let waiting = numbers.next()?.ok()?;
-    // The slots, which the instance has registered, come before.
+    // The number of slots comes before; it is known from the instance's registration.
     let slowness = numbers.nth(1).and_then(Result::ok);
     Some(ReportedLoad {
         running: running.min(MAX_SLOTS),
--- a/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
@@ -1,4 +1,5 @@
-//! What the ends of attempts show of instances that end, and of requests that end them.
+//! Collects evidence from ended attempts about crashed instances and the requests that crash
+//! them.
 
 use super::{RequestContext, Requests};
 use crate::Timestamp;
@@ -9,27 +10,28 @@
 use crate::requests::open_request::{Attempt, OpenRequest};
 use ledgelead_http::Response;
 
-/// Instances that may end under the attempts of one request, in this try and before,
-/// without an answer, until it is not sent again by this node: the next try is the client's.
-const ENDS_BEFORE_NO_REPEAT: usize = 2;
-/// Most bytes of a path that is kept for operators.
+/// Number of instances that may end without a response during attempts of a request, in this
+/// and earlier submissions, before this node stops retrying it. Any further submission is the
+/// client's.
+const MAX_ENDED_INSTANCES: usize = 2;
+/// Maximum length in bytes of the path that is kept for operators.
 const MAX_PATH_BYTES: usize = 96;
 
-/// What was seen since the last call of `take_crash_signs`.
+/// Evidence collected since the last call of `take_crash_signs`.
 #[derive(Debug, Default)]
 pub struct CrashSigns {
     /// Attempts whose connection was lost.
     pub lost: Vec<(InstanceId, Accusation)>,
     /// Instances that refused a connection.
     pub refused: Vec<InstanceId>,
-    /// Instances that answered, and when they were asked.
+    /// Instances that answered, and when the request was sent to them.
     pub answered: Vec<(InstanceId, Timestamp)>,
-    /// Requests that an instance ran to a whole answer.
+    /// Requests that an instance ran to a complete response.
     pub completed: Vec<(RequestDigest, CallerId)>,
 }
 
 impl Requests {
-    /// What was seen since the last call.
+    /// Returns the evidence collected since the last call.
     pub fn take_crash_signs(&mut self) -> CrashSigns {
         std::mem::take(&mut self.crash_signs)
     }
@@ -47,9 +49,9 @@
         let signs = &mut self.crash_signs;
         match result {
             Err(ExchangeFailure::Lost) => {
-                open.lost += 1;
+                open.lost_attempts += 1;
                 let instance = context.directory.get(&attempt.instance);
-                // One that leaves ends as planned.
+                // The end of a leaving instance is planned and no crash.
                 if instance.is_some_and(|instance| instance.leaving_since().is_none()) {
                     let accusation = accusation(open, context.now);
                     signs.lost.push((attempt.instance.clone(), accusation));
@@ -73,32 +75,34 @@
         }
     }
 
-    /// Whether a request is one that crashes instances.
-    pub(super) fn is_held_back(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
+    /// Whether a request is quarantined because it crashes instances.
+    pub(super) fn is_quarantined(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
         let evidence = context.evidence;
         !evidence.is_empty() && evidence.holds_back(&open.digest(), open.caller)
     }
 
-    /// Whether a request that was lost with its instance is sent again by this node.
-    pub(super) fn is_repeat_too_risky(
+    /// Whether a request that was lost with its instance has ended too many instances to be
+    /// sent again by this node.
+    pub(super) fn is_retry_too_risky(
         &self,
         open: &OpenRequest,
         context: &RequestContext<'_>,
     ) -> bool {
-        if open.lost == 0 {
+        if open.lost_attempts == 0 {
             return false;
         }
         let before = match context.evidence.is_empty() {
             true => 0,
             false => context.evidence.ends_of(&open.digest(), open.caller),
         };
-        // What was lost in this try is part of that, once the end is proved.
-        open.lost.max(before) >= ENDS_BEFORE_NO_REPEAT
+        // Instances lost in this submission are counted in `before` as well, once their end is
+        // proved.
+        open.lost_attempts.max(before) >= MAX_ENDED_INSTANCES
     }
 }
 
-/// Whether an instance has run the request to a whole answer. 504 may mean that its time
-/// was over before it began.
+/// Whether an instance has run the request to a complete response. A 504 may mean that the
+/// deadline had passed before the request began.
 fn was_run(response: &Response, context: &RequestContext<'_>) -> bool {
     let headers = &response.headers;
     response.status != 421
--- a/crates/ledgelead-router/src/requests/lifecycle/decide.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/decide.rs
@@ -1,4 +1,4 @@
-//! Send, wait or refuse: the next step of a request without an attempt.
+//! Chooses the next step of a request without an attempt in flight: send, wait or refuse.
 
 use super::{RequestContext, Requests};
 use crate::Timestamp;
@@ -14,24 +14,25 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Share of the time to the target that queue and work may be expected to take, where
-/// digests tell the load. Work spreads by half of its mean, machines are slow for
-/// moments, and a digest is old: more is likely to be late.
+/// Share of the time left until the target latency that queueing and service may be expected
+/// to take when load is known from digests. Service times vary by half of their mean, machines
+/// have slow moments, and a digest is out of date when it is used, so a higher share makes
+/// more responses late.
 const ADMITTED_SHARE: f64 = 0.6;
-/// Share of the drain bound after which a leaving owner gets nothing more,
-/// counted from the earliest time at which it can have begun to leave. The rest
-/// is for datagrams and requests on their way.
+/// Share of the drain bound after which a leaving owner receives no more requests, counted
+/// from the earliest time at which it can have begun to leave. The remainder covers datagrams
+/// and requests in flight.
 const DRAIN_SHARE: f64 = 0.7;
 
-/// Share of the bound of evacuations, counted from when this node knows of one, for
-/// which owners of keys are still used there: their keys move within one or two
-/// seconds. The rest is for the way of an evacuation to this node.
+/// Share of the evacuation bound for which owners of keys in an evacuated zone are still used,
+/// counted from when this node learns of the evacuation. Their keys move within one or two
+/// seconds. The remainder covers the propagation of the evacuation to this node.
 const EVACUATION_SHARE: f64 = 0.5;
 
-/// Most attempts of a request, also at one owner.
+/// Maximum number of attempts for a request, including those at the same owner.
 const MAX_ATTEMPTS: usize = 4;
 
-/// What is done next with a request.
+/// Next step of a request.
 pub(super) enum Step {
     Send(Selected, SocketAddr),
     Wait {
@@ -39,13 +40,13 @@
         reason: Refusal,
     },
     Refuse(Refusal),
-    /// Ask the queue's dispatcher for a permit.
+    /// Request a permit from the queue's dispatcher.
     AskPermit(PermitNeed),
-    /// Wait until it has decided, or until this time.
+    /// Wait for the dispatcher's decision until this time at the latest.
     AwaitPermit(Timestamp),
-    /// Ask a limiter of the instance for a token.
+    /// Request a token from a limiter of the instance.
     AskToken(InstanceId),
-    /// Wait until it has decided, or until this time.
+    /// Wait for the limiter's decision until this time at the latest.
     AwaitToken(Timestamp),
 }
 
@@ -54,19 +55,20 @@
         let Some(open) = self.open.get(&client) else {
             return Step::Refuse(Refusal::NoInstance);
         };
-        if open.exhausted || self.is_repeat_too_risky(open, context) {
-            return Step::Refuse(open.failure());
+        if open.exhausted || self.is_retry_too_risky(open, context) {
+            return Step::Refuse(open.failure_reason());
         }
-        if self.is_held_back(open, context) {
-            return Step::Refuse(open.failure_or(Refusal::Quarantined));
+        if self.is_quarantined(open, context) {
+            return Step::Refuse(open.failure_reason_or(Refusal::Quarantined));
         }
         if !open.tried.is_empty() {
             let exhausted = open.tried.len() >= open.route.max_attempts as usize;
             if exhausted && open.key.is_none() || open.tried.len() >= MAX_ATTEMPTS {
-                return Step::Refuse(open.failure());
+                return Step::Refuse(open.failure_reason());
             }
         }
-        // By a list from before an instance began to leave it would still get work.
+        // The first list of instances may predate an instance's leaving, and a leaving
+        // instance must not get new work.
         if let Some(until) = context.unconfirmed_until {
             return Step::Wait {
                 again: Some(until),
@@ -77,7 +79,7 @@
             return step;
         }
         let Some(key) = open.key else {
-            return self.next_step_any(client, context);
+            return self.next_step_unkeyed(client, context);
         };
         if self.exceeds_admitted(client, key, context) {
             return Step::Refuse(Refusal::KeyOverloaded);
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Whether a request that has just come is among those for its key that its
-    /// owner can't work on.
+    /// Whether a new request belongs to the part of its key's requests that exceeds the
+    /// capacity of the key's owner.
     fn exceeds_admitted(
         &mut self,
         client: ClientId,
@@ -102,7 +104,7 @@
         let Some(open) = self.open.get_mut(&client) else {
             return false;
         };
-        if std::mem::replace(&mut open.passed_admission, true) {
+        if std::mem::replace(&mut open.admission_checked, true) {
             return false;
         }
         let admitted = context.overloads.admitted(&open.service, key, context.now);
@@ -119,10 +121,10 @@
             again: None,
             reason,
         };
-        // Nobody is worth waiting for while no other owner can be written down.
+        // No owner is worth waiting for while a change of ownership can't be stored.
         let wait_for_owner = |reason: Refusal| match context.keys_can_move {
             true => wait(reason),
-            false => Step::Refuse(open.failure_or(reason)),
+            false => Step::Refuse(open.failure_reason_or(reason)),
         };
         let Some(assignment) = context.ownership.find(&open.service, key) else {
             return wait_for_owner(Refusal::NoOwner);
@@ -131,25 +133,25 @@
             return wait_for_owner(Refusal::OwnerLeft);
         };
         let bounded = self.protections.has(Protection::DrainBound);
-        let must_leave = self.drain_bound.mul_f64(DRAIN_SHARE);
+        let drain_cutoff = self.drain_bound.mul_f64(DRAIN_SHARE);
         if owner.ended {
             return wait_for_owner(Refusal::OwnerLeft);
         }
         if owner
             .leaving_since()
-            .is_some_and(|since| since + must_leave <= context.now && bounded)
+            .is_some_and(|since| since + drain_cutoff <= context.now && bounded)
         {
             return wait_for_owner(Refusal::OwnerLeft);
         }
-        let must_be_empty = self.evacuation_bound.mul_f64(EVACUATION_SHARE);
+        let evacuation_cutoff = self.evacuation_bound.mul_f64(EVACUATION_SHARE);
         if owner
             .evacuated_since
-            .is_some_and(|since| since + must_be_empty <= context.now)
+            .is_some_and(|since| since + evacuation_cutoff <= context.now)
         {
             return wait_for_owner(Refusal::OwnerLeft);
         }
-        // The owner said so with another request's rejection. It means all requests of this
-        // node, and sent all the same each would be rejected, up to four times.
+        // The owner asked for the pause when it rejected another request. The pause applies to
+        // all requests of this node; sent anyway, each would be rejected up to four times.
         let paused = self
             .statistics
             .unavailable_for(&assignment.owner, context.now);
@@ -158,9 +160,13 @@
         }
         if let Some(misdirection) = &open.misdirection {
             let same = misdirection.fence == assignment.fence;
-            if same && misdirection.again.is_none_or(|again| again > context.now) {
+            if same
+                && misdirection
+                    .retry_at
+                    .is_none_or(|again| again > context.now)
+            {
                 return Step::Wait {
-                    again: misdirection.again,
+                    again: misdirection.retry_at,
                     reason: Refusal::KeyMoving,
                 };
             }
@@ -178,7 +184,7 @@
         if !selection.cold.admits(owner, context.now) {
             return wait(Refusal::OwnerCold);
         }
-        let selected = selection.expect_owner(owner, left);
+        let selected = selection.estimate_owner(owner, left);
         if let Some(step) = self.permit_step(open, PermitNeed::of_owner(owner), context) {
             return step;
         }
@@ -188,10 +194,10 @@
         self.send_or_wait(open, selected, owner.record.address, context)
     }
 
-    /// What is done with a request that an instance is selected for: it joins the queue
-    /// there only if it is likely to be answered in time, and else waits a little for
-    /// a slot. Where a digest tells the load, others may have taken the slot, so that
-    /// less is admitted, and a late request only takes a free slot.
+    /// Sends a request to the selected instance if it is likely to be answered in time there,
+    /// and otherwise waits a short time for a slot. When load is known from a digest, other
+    /// nodes may have taken the slot since, so fewer requests are admitted, and a request past
+    /// its target only takes a free slot.
     fn send_or_wait(
         &self,
         open: &OpenRequest,
@@ -213,19 +219,20 @@
         }
         Step::Wait {
             again: None,
-            reason: open.failure_or(Refusal::Overloaded),
+            reason: open.failure_reason_or(Refusal::Overloaded),
         }
     }
 
-    /// The best instance for a request without a key.
-    pub(super) fn select_any(
+    /// Selects the best instance for a request without a key.
+    pub(super) fn select_instance(
         &mut self,
         client: ClientId,
         context: &RequestContext<'_>,
     ) -> Option<Selected> {
         let open = self.open.get(&client)?;
         let left = open.time_left(context.now);
-        // A selection borrows all that this node knows, and draws random numbers.
+        // The selection borrows `self` and draws random numbers, so it works on a copy of the
+        // generator.
         let mut rng = self.rng.clone();
         let selection = self.selection(context);
         let selected = selection.select(&open.service, &open.tried, left, &mut rng);
@@ -233,7 +240,11 @@
         selected
     }
 
-    pub(super) fn next_step_any(&mut self, client: ClientId, context: &RequestContext<'_>) -> Step {
+    pub(super) fn next_step_unkeyed(
+        &mut self,
+        client: ClientId,
+        context: &RequestContext<'_>,
+    ) -> Step {
         let open = self.open.get(&client);
         if let Some(step) = open.and_then(|open| self.held_token_step(open, context)) {
             return step;
@@ -241,7 +252,7 @@
         if let Some(step) = self.pool_step(client, context) {
             return step;
         }
-        let selected = self.select_any(client, context);
+        let selected = self.select_instance(client, context);
         let Some(open) = self.open.get(&client) else {
             return Step::Refuse(Refusal::NoInstance);
         };
@@ -251,7 +262,7 @@
             }
             return Step::Wait {
                 again: None,
-                reason: open.failure_or(Refusal::NoInstance),
+                reason: open.failure_reason_or(Refusal::NoInstance),
             };
         };
         match context.directory.get(&selected.id) {
@@ -260,7 +271,7 @@
         }
     }
 
-    /// What selections of this moment rest on.
+    /// Inputs of a selection at this time.
     pub(super) fn selection<'a>(&'a self, context: &'a RequestContext<'_>) -> SelectionContext<'a> {
         SelectionContext {
             now: context.now,
--- a/crates/ledgelead-router/src/requests/lifecycle/endings.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/endings.rs
@@ -1,6 +1,6 @@
-//! How requests wait and end.
+//! Lets requests wait, and produces their final responses.
 
-use super::attempts::{CUT_AT_TIMEOUT, WRITE_MARGIN, tell_ended};
+use super::attempts::{CUT_AT_TIMEOUT, WRITE_MARGIN, log_attempt_ended};
 use super::{RequestContext, Requests};
 use crate::Timestamp;
 use crate::dialect::HeaderNames;
@@ -17,18 +17,19 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Share by which the time at which refused clients may come back is spread, so
-/// that they don't come back together.
-const RETURN_SPREAD: f64 = 0.7;
+/// Maximum random addition to `Retry-After`, as a share of it, so that refused clients don't
+/// return at the same time.
+const RETRY_AFTER_JITTER: f64 = 0.7;
 
-/// When a caller may come back whose request was rejected by instances that have room: the
-/// next try is as likely to be taken at once as later, and a target is a few hundred
-/// milliseconds. Only as long as a caller needs to hear of it and to connect anew.
-const REJECTED_RETURN: Duration = Duration::from_millis(30);
+/// `Retry-After` for a request that was rejected by instances with free slots. The next
+/// attempt is as likely to be accepted at once as later, and a target latency is a few hundred
+/// milliseconds, so this is only the time that a client needs to receive the response and to
+/// connect again.
+const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(30);
 
-/// When the caller of a request that crashes instances may come back. Nothing changes by
-/// itself meanwhile, but an operator may lift the quarantine.
-const QUARANTINE_RETURN: Duration = Duration::from_secs(60);
+/// `Retry-After` for a request that crashes instances. The quarantine doesn't change by itself
+/// meanwhile, but an operator may lift it.
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 impl Requests {
     pub(super) fn wait(
@@ -56,7 +57,7 @@
         let since = *open.waiting_since.get_or_insert(context.now);
         let limit = open.wait_limit();
         if limit <= context.now {
-            let reason = open.failure_or(reason);
+            let reason = open.failure_reason_or(reason);
             self.refuse(client, reason, context, out);
             return;
         }
@@ -66,7 +67,7 @@
         self.wake_at(client, wake);
     }
 
-    /// A request whose body is not read is refused.
+    /// Refuses a request whose body is not read.
     pub fn refuse_unread(
         &mut self,
         client: ClientId,
@@ -110,7 +111,7 @@
         let Some(open) = self.open.get(&client) else {
             return;
         };
-        if let Some(response) = open.failed_answer.clone() {
+        if let Some(response) = open.failure_response.clone() {
             self.counters.relayed += 1;
             self.finish(client, relayed(response), out);
             return;
@@ -140,7 +141,7 @@
         self.finish(client, response, out);
     }
 
-    /// The final answer at the end of a request's time.
+    /// Produces the final response at a request's deadline.
     pub(super) fn expire(
         &mut self,
         client: ClientId,
@@ -151,7 +152,7 @@
             return;
         };
         if let Some(attempt) = open.attempt.take() {
-            tell_ended(open, &attempt, CUT_AT_TIMEOUT, context);
+            log_attempt_ended(open, &attempt, CUT_AT_TIMEOUT, context);
             open.may_have_run = true;
             open.timed_out = true;
             self.end_attempt(&attempt, PermitOutcome::Failed);
@@ -163,8 +164,8 @@
         self.refuse_unsent(client, context, out);
     }
 
-    /// Whether an attempt ended unsent because the time for sending was over: what took too
-    /// long once leaves no time for another connection.
+    /// Whether an attempt ended unsent because the time for sending was over. Then no time is
+    /// left to try another connection.
     pub(super) fn is_unsent_in_time(
         &self,
         client: ClientId,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The final answer where no time is left to send the request.
+    /// Refuses a request for which no time is left to send it.
     pub(super) fn refuse_unsent(
         &mut self,
         client: ClientId,
@@ -192,7 +193,7 @@
             .open
             .get(&client)
             .map_or(Refusal::NotSentInTime, |open| {
-                open.failure_or(Refusal::NotSentInTime)
+                open.failure_reason_or(Refusal::NotSentInTime)
             });
         self.refuse(client, reason, context, out);
     }
@@ -205,7 +206,7 @@
         out.push(Action::Respond { client, response });
     }
 
-    /// When the client of a refused request may come back.
+    /// When the client of a refused request may retry.
     fn retry_after(
         &mut self,
         service: &ServiceName,
@@ -214,7 +215,7 @@
         context: &RequestContext<'_>,
     ) -> Duration {
         if reason == Refusal::Quarantined {
-            return QUARANTINE_RETURN;
+            return QUARANTINE_RETRY_AFTER;
         }
         if let Refusal::BackedOff | Refusal::RateLimited | Refusal::Rejected = reason
             && let Some(left) = self.backoff_of(service, key, context)
@@ -222,7 +223,7 @@
             return left;
         }
         if reason == Refusal::Rejected && self.rejects_with_room(service, context) {
-            return REJECTED_RETURN;
+            return REJECTED_RETRY_AFTER;
         }
         if reason.lacks_room() {
             self.refusals.refused(service, context.now);
@@ -232,7 +233,7 @@
             .and_then(|key| context.overloads.admitted(service, key, context.now));
         let refused = match admitted {
             Some(admitted) => 1.0 - admitted,
-            None => self.turned_away(service, context),
+            None => self.turned_away_share(service, context),
         };
         retry_after(refused)
     }
@@ -245,18 +246,18 @@
         context: &RequestContext<'_>,
     ) -> Response {
         *self.counters.refused.entry(reason.name()).or_default() += 1;
-        let spread = again.mul_f64(self.rng.random_range(0.0..RETURN_SPREAD));
-        refusal(request, reason, again + spread, context.headers)
+        let jitter = again.mul_f64(self.rng.random_range(0.0..RETRY_AFTER_JITTER));
+        refusal(request, reason, again + jitter, context.headers)
     }
 }
 
 impl OpenRequest {
-    /// What to tell the client when no further attempt is made.
-    pub(super) fn failure(&self) -> Refusal {
-        self.failure_or(Refusal::Rejected)
+    /// Reason to give the client if no further attempt is made.
+    pub(super) fn failure_reason(&self) -> Refusal {
+        self.failure_reason_or(Refusal::Rejected)
     }
 
-    pub(super) fn failure_or(&self, not_run: Refusal) -> Refusal {
+    pub(super) fn failure_reason_or(&self, not_run: Refusal) -> Refusal {
         match (self.may_have_run, self.timed_out) {
             (true, true) => Refusal::AnswerLate,
             (true, false) => Refusal::AnswerLost,
@@ -265,7 +266,7 @@
     }
 }
 
-/// How a client names its request.
+/// The client's name for its request.
 pub(super) fn attempt_name<'a>(request: &'a Request, headers: &HeaderNames) -> &'a str {
     request
         .headers
@@ -273,7 +274,7 @@
         .unwrap_or("unnamed")
 }
 
-/// The fencing token under which the key of a request is owned.
+/// Fencing token of the assignment of a request's key.
 pub(super) fn owner_fence(open: &OpenRequest, context: &RequestContext<'_>) -> Option<u64> {
     let key = open.key?;
     Some(context.ownership.find(&open.service, key)?.fence)
--- a/crates/ledgelead-router/src/requests/lifecycle/notices.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/notices.rs
@@ -1,4 +1,5 @@
-//! What instances say of themselves in answers to requests, and what follows for requests.
+//! Processes what instances announce about themselves in responses, and its effect on
+//! requests.
 
 use super::decide::Step;
 use super::{RequestContext, Requests};
@@ -16,7 +17,7 @@
 use std::time::Duration;
 
 impl Requests {
-    /// Takes over what an instance says of itself in an answer.
+    /// Applies what an instance announces about itself in a response.
     pub(super) fn note_notice(
         &mut self,
         instance: &InstanceId,
@@ -28,15 +29,14 @@
         }
         let known = context.directory.get(instance);
         let leaves = notice.leaving && known.is_some_and(|known| known.leaving_since().is_none());
-        let heeds = self.protections.has(Protection::HeededBackoff);
+        let honors_backoff = self.protections.has(Protection::HeededBackoff);
         let earlier = self.statistics.backoff_left(instance, context.now);
         let pauses = notice.backoff.is_some() && earlier.is_none();
-        if let Some(backoff) = notice.backoff.filter(|_| heeds) {
-            self.statistics
-                .asked_for_backoff(instance, backoff, context.now);
+        if let Some(backoff) = notice.backoff.filter(|_| honors_backoff) {
+            self.statistics.note_backoff(instance, backoff, context.now);
         }
         if notice.leaving {
-            self.said_leaving.push(instance.clone());
+            self.announced_leaving.push(instance.clone());
         }
         let counts = &mut self.counters.notices;
         *counts.entry("leaving").or_default() += u64::from(notice.leaving);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes over what an answer says of its instance's rate limit.
+    /// Applies what a response announces about its instance's rate limit.
     pub(super) fn note_rate(&mut self, instance: &InstanceId, notice: RateNotice, now: Timestamp) {
         let limit = notice.limit();
         let kind = match notice {
@@ -65,7 +65,7 @@
         }
         let is_new = match notice {
             RateNotice::Silent | RateNotice::Unreadable => false,
-            // Nearly all answers: nothing has to be looked up.
+            // True of nearly all responses: no lookup is needed.
             RateNotice::Unlimited if self.statistics.limits.is_empty() => false,
             RateNotice::Unlimited | RateNotice::Limited(_) => {
                 let limits = &mut self.statistics.limits;
@@ -82,17 +82,17 @@
         }
     }
 
-    /// What is known of the rate limits that instances name.
+    /// Rate limits announced by instances.
     pub fn limits(&self) -> &KnownLimits {
         &self.statistics.limits
     }
 
-    /// The same, for what other nodes say.
+    /// Like `limits`, for updates received from other nodes.
     pub fn limits_mut(&mut self) -> &mut KnownLimits {
         &mut self.statistics.limits
     }
 
-    /// Forgets the limits of instances that are unknown.
+    /// Drops the rate limits of instances that are no longer known.
     pub(super) fn expire_limits(&mut self, directory: &Directory, now: Timestamp) {
         let limits = &mut self.statistics.limits;
         if limits.is_empty() {
@@ -103,9 +103,9 @@
         limits.expire(|instance| known.contains(&instance), now);
     }
 
-    /// What is done with a request for which every instance has asked for a pause or has no
-    /// token, of which this much is left. It waits if that ends soon; a longer wait would
-    /// cost its caller the time in which it can come back.
+    /// Next step of a request for which every instance has asked for a pause or lacks a token
+    /// for another `left`. The request waits if that ends soon. A longer wait would use up the
+    /// time in which its caller can retry.
     pub(super) fn step_in_backoff(
         &self,
         open: &OpenRequest,
@@ -117,7 +117,7 @@
             true => Refusal::RateLimited,
             false => Refusal::BackedOff,
         };
-        let reason = open.failure_or(not_run);
+        let reason = open.failure_reason_or(not_run);
         match again <= open.wait_limit_from(context.now) {
             true => Step::Wait {
                 again: Some(again),
@@ -146,8 +146,9 @@
         }
     }
 
-    /// How long a request's service takes nothing from this node: until the owner of its
-    /// key does again, or else the first of its instances. None if some would take it now.
+    /// How long a request's service accepts nothing from this node: until the owner of its key
+    /// does again, or else the first of its instances. `None` if an instance accepts requests
+    /// now.
     pub(super) fn backoff_of(
         &self,
         service: &ServiceName,
--- a/crates/ledgelead-router/src/requests/lifecycle/permits.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/permits.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a permit of a dispatcher.
+//! Requests that need a permit from a dispatcher.
 
 use super::attempts::reported_load;
 use super::decide::Step;
@@ -12,9 +12,9 @@
 use crate::requests::answers::Refusal;
 use crate::requests::notice::Notice;
 use crate::requests::open_request::{Attempt, OpenRequest};
-use crate::requests::outcome::tells_failure;
+use crate::requests::outcome::is_server_failure;
 use crate::requests::permits::{
-    HeldPermit, PermitMessage, PermitNeed, PermitRequest, PermitState, caller_hash,
+    PermitHandle, PermitMessage, PermitNeed, PermitRequest, PermitState, caller_hash,
 };
 use crate::requests::split::LARGE_BODY_BYTES;
 use ledgelead_http::Response;
@@ -22,39 +22,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a queued request waits at least for its dispatcher's decision, where its target
-/// has passed: such requests wait for a lull of a few times the work.
-const QUEUED_AT_LEAST: Duration = Duration::from_millis(300);
+/// Minimum time for which a queued request waits for its dispatcher's decision after its
+/// target latency has passed. Such requests wait for an idle slot for a few times the service
+/// time.
+const MIN_QUEUED_TIME: Duration = Duration::from_millis(300);
 
-/// Why a dispatcher doesn't decide on an ask.
+/// Why a dispatcher declines to decide on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Declined {
-    /// It is asked to stop, so that another takes its queues over.
+    /// It is shutting down, so another node takes over its queues.
     Stops,
-    /// It doesn't know the owner or the service yet, or has no room for another queue.
+    /// It doesn't know the owner or the service yet, or has too many queues.
     UnknownQueue,
 }
 
-/// A dispatcher's word on an ask.
+/// A dispatcher's decision on a permit request.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitDecision {
-    /// The number of the ask.
+    /// The number of the permit request.
     pub number: u64,
-    /// Names the queue.
+    /// Identifies the queue.
     pub queue: u64,
-    /// What becomes of it, or why this node doesn't decide.
+    /// The admission, or why the dispatcher declines to decide.
     pub verdict: Result<Admission, Declined>,
-    /// When the caller may come back, if it is refused.
+    /// When the caller may retry, if the request is refused.
     pub retry_after: Duration,
 }
 
 impl Requests {
-    /// Messages to dispatchers since the last call.
+    /// Returns the messages for dispatchers since the last call.
     pub fn take_permit_messages(&mut self) -> Vec<(SocketAddr, PermitMessage)> {
         self.permits.take_outbox()
     }
 
-    /// A dispatcher has decided.
+    /// Handles the decision of a dispatcher.
     pub fn permit_decided(
         &mut self,
         from: SocketAddr,
@@ -67,45 +68,46 @@
         let open = client.and_then(|client| self.open.get_mut(&client));
         let (Some(client), Some(open)) = (client, open) else {
             if let Ok(Admission::Granted(_)) = decision.verdict {
-                let how = PermitOutcome::NoSample;
-                self.permits.give_back_number(from, number, queue, how);
+                let outcome = PermitOutcome::NoSample;
+                self.permits.release_number(from, number, queue, outcome);
             }
             return;
         };
         let target = open.target();
         let asked =
-            |permit: &&mut HeldPermit| permit.dispatcher == from && permit.ask.queue == queue;
+            |permit: &&mut PermitHandle| permit.dispatcher == from && permit.ask.queue == queue;
         let Some(permit) = open.permit.as_mut().filter(asked) else {
             return;
         };
         if decision.verdict != Err(Declined::Stops) {
-            self.permits.heard(from);
+            self.permits.record_reply(from);
         }
         if permit.state == PermitState::Asked {
-            self.permits.replied(permit, context.now);
+            self.permits.record_reply_time(permit, context.now);
         }
         match decision.verdict {
             Ok(Admission::Granted(server)) => permit.state = PermitState::Granted(server),
-            // What overtook the grant on its way was said before it.
+            // A decision that arrives after the grant was sent before it.
             _ if permit.is_granted() => return,
             Ok(Admission::Queued) => {
                 permit.state = PermitState::Queued;
-                // The dispatcher decides before; if it is lost, nothing holds the request.
-                permit.check_at = target.max(context.now + QUEUED_AT_LEAST);
+                // The dispatcher decides earlier; this only keeps a request from waiting for a
+                // lost one.
+                permit.check_at = target.max(context.now + MIN_QUEUED_TIME);
             }
             Ok(Admission::Refused) => {
                 open.permit = None;
-                self.permits.forget(number);
-                if !self.spills(client, context) {
+                self.permits.drop_number(number);
+                if !self.overflows_to_other_zone(client, context) {
                     self.refuse_queued(client, decision.retry_after, context, out);
                     return;
                 }
             }
             Err(declined) => {
                 open.permit = None;
-                self.permits.forget(number);
+                self.permits.drop_number(number);
                 match declined {
-                    Declined::Stops => self.permits.lost(from, context.now),
+                    Declined::Stops => self.permits.mark_lost(from, context.now),
                     Declined::UnknownQueue => open.without_permit = true,
                 }
             }
@@ -122,27 +124,32 @@
     ) {
         if let Some(open) = self.open.get_mut(&client) {
             open.retry_after = Some(retry_after);
-            let reason = open.failure_or(Refusal::QueueTooLong);
+            let reason = open.failure_reason_or(Refusal::QueueTooLong);
             self.refuse(client, reason, context, out);
         }
     }
 
-    /// Whether a request that its zone has no room for asks another zone.
-    fn spills(&mut self, client: ClientId, context: &RequestContext<'_>) -> bool {
+    /// Whether a request that its zone's queue refused is sent to another zone's queue.
+    fn overflows_to_other_zone(&mut self, client: ClientId, context: &RequestContext<'_>) -> bool {
         let Some(open) = self.open.get(&client) else {
             return false;
         };
-        let may = open.key.is_none() && !open.spilled;
-        let spills = may && self.freest_other_zone(&open.service, context).is_some();
-        if let Some(open) = self.open.get_mut(&client).filter(|_| spills) {
-            open.spilled = true;
+        let may = open.key.is_none() && !open.overflowed;
+        let overflows_to_other_zone =
+            may && self.freest_other_zone(&open.service, context).is_some();
+        if let Some(open) = self
+            .open
+            .get_mut(&client)
+            .filter(|_| overflows_to_other_zone)
+        {
+            open.overflowed = true;
         }
-        spills
+        overflows_to_other_zone
     }
 
-    /// What a request without a key does where the instances of a zone have one queue; none
-    /// if it goes by what this node knows. Large bodies do: on their way they would hold a
-    /// slot for longer than the work takes.
+    /// Next step of a request without a key where the instances of a zone share one queue.
+    /// `None` if the request is sent without a permit, by what this node knows. That holds for
+    /// large bodies, whose transfer would hold a slot for longer than the service time.
     pub(super) fn pool_step(
         &mut self,
         client: ClientId,
@@ -163,7 +170,7 @@
         if let Some(permit) = waits.filter(|permit| !permit.is_granted()) {
             return Some(Step::AwaitPermit(permit.check_at));
         }
-        let zone = match open.spilled {
+        let zone = match open.overflowed {
             true => self.freest_other_zone(&open.service, context)?,
             false => self.nearest_zone(&open.service, context)?,
         };
@@ -171,24 +178,26 @@
         Some(Step::AskPermit(need))
     }
 
-    /// Sends a request to the instance that it has a permit for, if that still serves.
+    /// Sends a request to the instance that its permit is for, if that instance still serves.
     fn granted_step(&self, open: &OpenRequest, context: &RequestContext<'_>) -> Option<Step> {
         let permit = open.permit.as_ref().filter(|permit| permit.is_granted())?;
         let mut instances = context.directory.of_service(&open.service);
         let covered = |instance: &&Instance| permit.covers(&instance.record.id);
         let granted = instances.find(covered).filter(|known| known.serves())?;
-        // The dispatcher goes by what instances say to all nodes, this one by what it is told.
+        // The dispatcher knows what instances report to all nodes; this node also knows of
+        // pauses and limits that apply to itself.
         let id = &granted.record.id;
         if self.statistics.unavailable_for(id, context.now).is_some() {
             return None;
         }
         let selected = self
             .selection(context)
-            .expect_one(granted, open.time_left(context.now));
+            .estimate_instance(granted, open.time_left(context.now));
         Some(Step::Send(selected, granted.record.address))
     }
 
-    /// This node's zone, if it has instances of the service; else the one with most room.
+    /// This node's zone if it has instances of the service, and otherwise the zone with the
+    /// most free slots.
     fn nearest_zone(
         &self,
         service: &ServiceName,
@@ -202,7 +211,8 @@
         }
     }
 
-    /// The other zone whose instances have most slots free, by what is known here.
+    /// The zone other than this node's whose instances have the most free slots, as far as
+    /// this node knows.
     fn freest_other_zone(
         &self,
         service: &ServiceName,
@@ -221,7 +231,8 @@
         Some(freest.0.clone())
     }
 
-    /// What a keyed request does before it may be sent; none if it needs no permit.
+    /// Next step of a keyed request before it may be sent; `None` if it needs no permit or has
+    /// one.
     pub(super) fn permit_step(
         &self,
         open: &OpenRequest,
@@ -242,17 +253,17 @@
     }
 
     fn needs_permit(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
-        let asks = open.permit.is_some() || self.permits.are_quick(context.now);
+        let asks = open.permit.is_some() || self.permits.are_replies_fast(context.now);
         asks && !open.without_permit
             && self.mechanisms.has(Mechanism::OwnerQueues)
             && context.routes.is_contended(&open.service)
             && context.shared.follows_digest(context.now)
-            // A late second attempt has no place in the order.
+            // A second attempt past the target latency has no place in the queue's order.
             && open.target() > context.now
     }
 
-    /// Asks for a permit; of the second candidate where the first is silent. Where both are,
-    /// the request goes on without.
+    /// Requests a permit, from the second candidate if the first doesn't respond. If neither
+    /// does, the request proceeds without a permit.
     pub(super) fn ask_permit(
         &mut self,
         client: ClientId,
@@ -267,20 +278,20 @@
         if let Some(mut earlier) = open.permit.take() {
             let is_same = earlier.ask.queue == need.queue && !earlier.is_granted();
             if is_same && earlier.state == PermitState::Asked {
-                if self.permits.repeat(&mut earlier, now) {
+                if self.permits.resend(&mut earlier, now) {
                     let until = earlier.check_at;
                     open.permit = Some(earlier);
                     self.await_permit(client, until, now);
                     return;
                 }
-                self.permits.replied(&earlier, now);
+                self.permits.record_reply_time(&earlier, now);
                 open.without_permit = earlier.give_up_at <= now;
             }
-            // One that was queued for its whole time is past its target; one whose instance
-            // has left meanwhile would get the same again.
+            // A request that was queued for its whole time is past its target, and one whose
+            // granted instance has left would be granted the same instance again.
             open.without_permit |= is_same && earlier.state == PermitState::Queued;
             open.without_permit |= earlier.ask.queue == need.queue && earlier.is_granted();
-            self.permits.give_back(&earlier, PermitOutcome::NoSample);
+            self.permits.release(&earlier, PermitOutcome::NoSample);
         }
         let candidates = Candidates::of_queue(need.queue, &need.zone, context.registry);
         let dispatcher = candidates.and_then(|candidates| {
@@ -290,7 +301,7 @@
         });
         let Some(dispatcher) = dispatcher.filter(|_| !open.without_permit) else {
             open.without_permit = true;
-            self.permits.went_without();
+            self.permits.count_missed();
             self.advance(client, context, out);
             return;
         };
@@ -314,7 +325,8 @@
         self.await_permit(client, until, now);
     }
 
-    /// Waits until a dispatcher decides; changes of owners are looked at meanwhile.
+    /// Waits for a dispatcher's decision. The request is reevaluated meanwhile if owners
+    /// change.
     pub(super) fn await_permit(&mut self, client: ClientId, until: Timestamp, now: Timestamp) {
         let Some(open) = self.open.get_mut(&client) else {
             return;
@@ -327,15 +339,15 @@
         self.wake_at(client, wake);
     }
 
-    /// A request that ends or is sent gives up the wait for a permit.
-    pub(super) fn drop_permit(&mut self, permit: Option<HeldPermit>, how: PermitOutcome) {
+    /// Returns the permit of a request that ends or is sent, or withdraws its permit request.
+    pub(super) fn drop_permit(&mut self, permit: Option<PermitHandle>, outcome: PermitOutcome) {
         if let Some(permit) = permit {
-            self.permits.give_back(&permit, how);
+            self.permits.release(&permit, outcome);
         }
     }
 }
 
-/// What the end of an attempt says of the permit that it was sent under.
+/// How the end of an attempt counts for the permit under which it was sent.
 pub(super) fn returned(
     attempt: &Attempt,
     result: &Result<Response, ExchangeFailure>,
@@ -350,8 +362,9 @@
                     let backoff = notice.backoff;
                     backoff.map_or(PermitOutcome::NoSample, PermitOutcome::BackedOff)
                 }
-                // It answers sooner than work takes, and would seem the fastest of all.
-                false if tells_failure(response) => PermitOutcome::Failed,
+                // A failure is answered faster than a request is served, and would make the
+                // instance seem the fastest.
+                false if is_server_failure(response) => PermitOutcome::Failed,
                 false => PermitOutcome::Answered {
                     took: context.now.saturating_sub(attempt.sent),
                     load: reported_load(response, context).map(|load| InstanceLoad {
--- a/crates/ledgelead-router/src/requests/lifecycle/retries.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/retries.rs
@@ -1,4 +1,4 @@
-//! What a request's repeat wins, and what rejections tell.
+//! Decides which requests are retried, and evaluates rejections.
 
 use super::{RequestContext, Requests};
 use crate::directory::Instance;
@@ -13,17 +13,17 @@
 use crate::requests::statistics::ReportedLoad;
 use std::time::Duration;
 
-/// How the metrics name a repeat of a request that surely had not run.
+/// Metric label of a retry of a request that certainly had not run.
 const SENT_NOT_RUN: &str = "sent_not_run";
-/// The same for one that may have run.
-const SENT_IN_DOUBT: &str = "sent_in_doubt";
-/// A repeat that others were preferred to.
-const KEPT_BACK: &str = "kept_back";
-/// A repeat for which nothing was left.
-const USED_UP: &str = "used_up";
+/// Metric label of a retry of a request that may have run.
+const SENT_MAY_HAVE_RUN: &str = "sent_in_doubt";
+/// Metric label of a retry that was refused in favour of more valuable ones.
+const HELD_BACK: &str = "kept_back";
+/// Metric label of a retry for which the budget was exhausted.
+const EXHAUSTED: &str = "used_up";
 
 impl Requests {
-    /// Whether the budget has a repeat for a request that may have run, or runs.
+    /// Whether the budget allows a retry of a request that may have run, or is running.
     pub(super) fn can_retry(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
         let nodes = context.registry.len();
         let expected = open.route.target_latency / 2;
@@ -41,7 +41,8 @@
             .has_retry_left(&open.service, nodes, context.now)
     }
 
-    /// Draws a repeat for a request, whose next answer is expected in this time.
+    /// Takes a retry from the budget for a request whose next response is expected after
+    /// `expected`.
     pub(super) fn acquire_retry(
         &mut self,
         client: ClientId,
@@ -63,9 +64,9 @@
         };
         let name = match drawn {
             RetryDecision::Granted if facts.not_run => SENT_NOT_RUN,
-            RetryDecision::Granted => SENT_IN_DOUBT,
-            RetryDecision::HeldBack => KEPT_BACK,
-            RetryDecision::Exhausted => USED_UP,
+            RetryDecision::Granted => SENT_MAY_HAVE_RUN,
+            RetryDecision::HeldBack => HELD_BACK,
+            RetryDecision::Exhausted => EXHAUSTED,
         };
         *self.counters.repeats.entry(name).or_default() += 1;
         drawn == RetryDecision::Granted
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Notes an instance's answer, and why it rejected if it did. Returns whether a
-    /// rejection counts as a failure of this instance.
+    /// Records an instance's response, and why it rejected the request if it did. Returns
+    /// whether a rejection counts as a failure of this instance.
     pub(super) fn note_rejection(
         &mut self,
         attempt: &Attempt,
@@ -98,14 +99,15 @@
             return true;
         };
         if cause == Some(RejectionCause::AskedForBackoff) {
-            // It is asked for nothing until then, so that this says nothing of what would
-            // become of another request, and is no failure.
+            // The instance gets no requests until its pause ends. The rejection tells nothing
+            // about how it would treat another request, and is no failure.
             return false;
         }
         let service = &instance.record.service;
         let declined = cause == Some(RejectionCause::FreeSlots);
         let now = context.now;
-        self.common.heard(service, &attempt.instance, declined, now);
+        self.common_rejections
+            .record(service, &attempt.instance, declined, now);
         self.rejections.received(service, now);
         if declined {
             self.rejections.refused(service, now);
@@ -114,26 +116,27 @@
             return true;
         }
         match cause {
-            Some(RejectionCause::FreeSlots) => !self.common.is_common(service, now),
-            // Where a digest tells the load, the instance's own word isn't looked at.
+            Some(RejectionCause::FreeSlots) => !self.common_rejections.is_common(service, now),
+            // While load is known from a digest, the load reported by the instance itself is
+            // not used.
             Some(RejectionCause::Full) => context.shared.follows_digest(now),
             Some(RejectionCause::NoLoadReported | RejectionCause::AskedForBackoff) | None => true,
         }
     }
 
-    /// Whether the instances of a service reject some requests although they have room.
+    /// Whether the instances of a service reject some requests although they have free slots.
     pub(super) fn rejects_with_room(
         &self,
         service: &ServiceName,
         context: &RequestContext<'_>,
     ) -> bool {
-        let tells_causes = self.mechanisms.has(Mechanism::RejectionCause);
-        tells_causes && self.common.is_common(service, context.now)
+        let uses_rejection_cause = self.mechanisms.has(Mechanism::RejectionCause);
+        uses_rejection_cause && self.common_rejections.is_common(service, context.now)
     }
 
-    /// The share of a service's requests that is turned away: by this node, or by its
-    /// instances although they have room.
-    pub(super) fn turned_away(
+    /// The share of a service's requests that is refused by this node, or rejected by its
+    /// instances although they have free slots, whichever is larger.
+    pub(super) fn turned_away_share(
         &mut self,
         service: &ServiceName,
         context: &RequestContext<'_>,
@@ -146,7 +149,7 @@
     }
 }
 
-/// Why an instance rejected a request, by what it says with that, its load and slots.
+/// Determines why an instance rejected a request from its notice, load and slots.
 pub(super) fn rejection_cause(
     notice: Notice,
     load: Option<&ReportedLoad>,
--- a/crates/ledgelead-router/src/requests/lifecycle/targets.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/targets.rs
@@ -1,4 +1,4 @@
-//! Which of its route's services gets a request.
+//! Chooses which service of a route receives a request.
 
 use super::{RequestContext, Requests};
 use crate::configuration::{Configuration, Route, RouteTarget};
@@ -8,7 +8,7 @@
 use rand::RngExt;
 
 impl Requests {
-    /// One of the route's targets, by weight. Which requests make up the share of a target
+    /// Chooses one of the route's targets by weight. Which requests make up a target's share
     /// depends on what they cost there.
     pub(super) fn choose_target(
         &mut self,
@@ -23,26 +23,26 @@
         }
         let split = context
             .configuration
-            .and_then(|configuration| keyed_split(route, configuration));
-        let (Some((keyed, other)), Some(key)) = (split, key) else {
+            .and_then(|configuration| sharded_split(route, configuration));
+        let (Some((sharded, other)), Some(key)) = (split, key) else {
             return self.draw_target(route);
         };
         let request = SplitRequest {
             route: &route.name,
-            keyed: &keyed.service,
-            share: keyed.weight / (keyed.weight + other.weight),
+            sharded: &sharded.service,
+            share: sharded.weight / (sharded.weight + other.weight),
             body_bytes,
-            is_local: owned_in(&self.zone, &keyed.service, key, context),
+            is_local: owned_in(&self.zone, &sharded.service, key, context),
         };
-        let local_keys = || local_keys(&self.zone, &keyed.service, context);
-        let is_keyed = self
+        let local_keys = || local_keys(&self.zone, &sharded.service, context);
+        let goes_to_sharded = self
             .splits
             .draw(&request, local_keys, context.now, &mut self.rng);
-        let target = if is_keyed { keyed } else { other };
+        let target = if goes_to_sharded { sharded } else { other };
         target.service.clone()
     }
 
-    /// One of the route's targets, by weight.
+    /// Chooses one of the route's targets at random, by weight.
     fn draw_target(&mut self, route: &Route) -> ServiceName {
         let total: f64 = route.targets.iter().map(|target| target.weight).sum();
         let mut drawn = if route.targets.len() > 1 && total > 0.0 {
@@ -60,9 +60,9 @@
     }
 }
 
-/// The targets of a route that differ in whether their keys have owners, the one with
-/// owners first. Other splits leave no choice that saves anything.
-fn keyed_split<'a>(
+/// The two targets of a route of which exactly one is a sharded service, that one first. Other
+/// splits offer no choice that saves traffic.
+fn sharded_split<'a>(
     route: &'a Route,
     configuration: &Configuration,
 ) -> Option<(&'a RouteTarget, &'a RouteTarget)> {
