--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -1,5 +1,5 @@
-//! Requests to instances that name rate limits: each asks a limiter for a token before it is
-//! sent, repeats included.
+//! Requests to instances with a rate limit. Each attempt, retries included, needs a token from
+//! a limiter before it is sent.
 
 use super::decide::Step;
 use super::{RequestContext, Requests};
@@ -14,25 +14,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time without a decision after which a limiter is asked again, or the next one: a machine
-/// may stand still for most of it.
+/// Time without a decision after which the limiter is asked again, or the next one. A machine
+/// may stall for most of it.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
-/// How many times a limiter is asked before it counts as silent.
-const ASKS_OF_ONE: usize = 2;
-/// How long a silent limiter isn't asked: about the time in which nodes learn of the loss of
-/// another.
-const SILENT_TTL: Duration = Duration::from_secs(1);
-/// Time after which an instance is tried again none of whose limiters is heard.
-const UNREACHABLE_WAIT: Duration = Duration::from_millis(300);
+/// Number of times a limiter is asked before it counts as unresponsive.
+const MAX_ASKS_PER_LIMITER: usize = 2;
+/// How long an unresponsive limiter isn't asked: about the time that nodes need to learn of
+/// the loss of another node.
+const UNRESPONSIVE_TTL: Duration = Duration::from_secs(1);
+/// Time after which an instance is tried again if none of its limiters responds.
+const NO_LIMITER_PAUSE: Duration = Duration::from_millis(300);
 
 impl Requests {
-    /// Asks for tokens since the last call.
+    /// Returns the token requests since the last call.
     pub fn take_token_requests(&mut self) -> Vec<(SocketAddr, TokenRequest)> {
         std::mem::take(&mut self.tokens.outbox)
     }
 
-    /// What is done first with a request that is about to be sent to this instance, if it
-    /// needs a token and has none.
+    /// The step that obtains a token for a request about to be sent to this instance, if it
+    /// needs one and has none.
     pub(super) fn token_step(&self, client: ClientId, instance: &InstanceId) -> Option<Step> {
         if self.statistics.limits.is_empty() || !self.protections.has(Protection::HeededRateLimit) {
             return None;
@@ -45,7 +45,7 @@
         (!has_token).then(|| Step::AskToken(instance.clone()))
     }
 
-    /// The wait for a token that was asked for, if a limiter may still decide.
+    /// The wait for a requested token, if a limiter may still decide.
     pub(super) fn awaited_token(open: &OpenRequest, now: Timestamp) -> Option<Step> {
         match open.token.as_ref()?.state {
             TokenState::Asked { check_at, .. } if check_at > now => {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Sends a request without a key to the instance that it has a token of, if that still
-    /// serves.
+    /// Sends a request without a key to the instance that its token is for, if that instance
+    /// still serves.
     pub(super) fn held_token_step(
         &self,
         open: &OpenRequest,
@@ -75,12 +75,12 @@
             return None;
         }
         let left = open.time_left(context.now);
-        let selected = self.selection(context).expect_one(instance, left);
+        let selected = self.selection(context).estimate_instance(instance, left);
         Some(Step::Send(selected, instance.record.address))
     }
 
-    /// Asks a limiter of the instance. Where none is heard, the instance counts as without
-    /// tokens for a moment.
+    /// Requests a token from a limiter of the instance. If no limiter responds, the instance
+    /// counts as without tokens for a short time.
     pub(super) fn ask_token(
         &mut self,
         client: ClientId,
@@ -96,7 +96,11 @@
         let earlier = open.token.take();
         let same = earlier.filter(|token| token.instance == *instance);
         let asked = match same.map(|token| token.state) {
-            Some(TokenState::Asked { of, asks, .. }) => Some((of, asks)),
+            Some(TokenState::Asked {
+                limiter,
+                times_asked,
+                ..
+            }) => Some((limiter, times_asked)),
             _ => None,
         };
         let known = context.directory.get(instance);
@@ -104,13 +108,14 @@
         let in_zone = |zone: &ZoneName| self.limiter_to_ask(instance, zone, asked, context);
         let limiter = zone.as_ref().and_then(in_zone);
         let statement = self.statistics.limits.statement(hash);
-        let (Some((limiter, asks)), Some(zone), Some(statement)) = (limiter, zone, statement)
+        let (Some((limiter, times_asked)), Some(zone), Some(statement)) =
+            (limiter, zone, statement)
         else {
-            self.statistics.limits.refused(hash, UNREACHABLE_WAIT, now);
+            self.statistics.limits.refused(hash, NO_LIMITER_PAUSE, now);
             self.advance(client, context, out);
             return;
         };
-        let number = self.tokens.number(client);
+        let number = self.tokens.assign_number(client);
         let check_at = now + REPLY_TIMEOUT;
         let ask = TokenRequest {
             number,
@@ -124,8 +129,8 @@
                 instance: instance.clone(),
                 number,
                 state: TokenState::Asked {
-                    of: limiter,
-                    asks,
+                    limiter,
+                    times_asked,
                     check_at,
                 },
             });
@@ -133,7 +138,7 @@
         self.await_token(client, check_at);
     }
 
-    /// Which limiter is asked next, and how many times it has been then.
+    /// The limiter to ask next, and how often it has been asked then.
     fn limiter_to_ask(
         &mut self,
         instance: &InstanceId,
@@ -146,15 +151,17 @@
             return own.map(|own| (own, 1));
         }
         let candidates = Candidates::of_limit(instance.stable_hash(), zone, context.registry)?;
-        if let Some((of, asks)) = asked {
-            if asks < ASKS_OF_ONE {
-                return Some((of, asks + 1));
+        if let Some((limiter, times_asked)) = asked {
+            if times_asked < MAX_ASKS_PER_LIMITER {
+                return Some((limiter, times_asked + 1));
             }
-            self.tokens.silent.insert(of, context.now + SILENT_TTL);
+            self.tokens
+                .unresponsive
+                .insert(limiter, context.now + UNRESPONSIVE_TTL);
         }
         let is_heard = |candidate: &SocketAddr| {
-            let silent = self.tokens.silent.get(candidate);
-            silent.is_none_or(|until| *until <= context.now)
+            let unresponsive = self.tokens.unresponsive.get(candidate);
+            unresponsive.is_none_or(|until| *until <= context.now)
         };
         let in_order = [Some(candidates.first), candidates.second];
         let limiter = in_order.into_iter().flatten().find(is_heard)?;
@@ -168,7 +175,7 @@
         }
     }
 
-    /// A limiter has decided on an ask.
+    /// Handles the decision of a limiter.
     pub fn token_decided(
         &mut self,
         from: SocketAddr,
@@ -176,7 +183,7 @@
         context: &mut RequestContext<'_>,
         out: &mut Vec<Action>,
     ) {
-        self.tokens.silent.remove(&from);
+        self.tokens.unresponsive.remove(&from);
         let now = context.now;
         match decision.verdict {
             TokenVerdict::Granted => {}
--- a/crates/ledgelead-router/src/requests/mod.rs
+++ b/crates/ledgelead-router/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! The life of a client's request: route, wait, attempts, answer.
+//! The lifecycle of a client's request: routing, waiting, attempts and the response.
 
 mod answers;
 mod budget;
--- a/crates/ledgelead-router/src/requests/node_count.rs
+++ b/crates/ledgelead-router/src/requests/node_count.rs
@@ -1,18 +1,18 @@
-//! The most nodes that were registered within a time.
+//! The largest number of registered nodes within a time window.
 
 use crate::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Counts by the time at which they were seen, the largest first.
+/// Node counts and when they were recorded, the largest first.
 #[derive(Clone, Debug, Default)]
 pub struct NodeCount {
     seen: VecDeque<(Timestamp, usize)>,
 }
 
 impl NodeCount {
-    /// So many nodes are registered now.
-    pub fn saw(&mut self, nodes: usize, within: Duration, now: Timestamp) {
+    /// Records that `nodes` nodes are registered now, and drops counts older than `within`.
+    pub fn record(&mut self, nodes: usize, within: Duration, now: Timestamp) {
         while self.seen.back().is_some_and(|(_, fewer)| *fewer <= nodes) {
             self.seen.pop_back();
         }
@@ -22,8 +22,8 @@
         }
     }
 
-    /// The most within the time, `nodes` with them.
-    pub fn most(&self, nodes: usize) -> usize {
+    /// The largest count within the window, including `nodes`.
+    pub fn largest(&self, nodes: usize) -> usize {
         let most = self.seen.front().map_or(0, |(_, most)| *most);
         most.max(nodes)
     }
--- a/crates/ledgelead-router/src/requests/notice.rs
+++ b/crates/ledgelead-router/src/requests/notice.rs
@@ -1,4 +1,4 @@
-//! What an instance says of itself in its answers.
+//! What instances announce about themselves in responses.
 
 use crate::boundary::{MAX_TIMEOUT, decimal};
 use crate::dialect::HeaderNames;
@@ -6,26 +6,27 @@
 use ledgelead_http::Response;
 use std::time::Duration;
 
-/// The value by which an instance says that it leaves.
+/// Header value by which an instance announces that it leaves.
 const LEAVING: &str = "1";
 
-/// What one answer says of its instance, besides the answer.
+/// Announcements about the instance in one of its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// It is about to leave.
+    /// The instance is about to leave.
     pub leaving: bool,
-    /// Time from the answer on in which it wants no requests of the node that asked.
+    /// How long from the response on the instance wants no requests from the node that asked.
     pub backoff: Option<Duration>,
-    /// Whether it has asked for a pause in a way that can't be read.
+    /// Whether the instance asked for a pause in a format that can't be parsed.
     pub is_unreadable: bool,
 }
 
 impl Notice {
-    /// What an answer to a message that was meant for `meant` says of that instance. What
-    /// can't be read says nothing, and so does what another instance says at its address.
-    pub fn of(meant: &InstanceId, response: &Response, headers: &HeaderNames) -> Notice {
+    /// Extracts the announcements from a response to a message that was intended for `intended`.
+    /// Values that can't be parsed are ignored, and so are those of another instance at the
+    /// same address.
+    pub fn of(intended: &InstanceId, response: &Response, headers: &HeaderNames) -> Notice {
         let answering = response.headers.text(&headers.instance);
-        if answering.is_some_and(|id| id != meant.name()) {
+        if answering.is_some_and(|id| id != intended.name()) {
             return Notice::default();
         }
         let backoff = match response.status {
@@ -40,7 +41,7 @@
     }
 }
 
-/// The pauses that an answer asks for.
+/// The pauses requested by a response.
 #[derive(Clone, Copy, Debug, Default)]
 struct Backoff {
     longest: Option<Duration>,
@@ -48,7 +49,7 @@
 }
 
 impl Backoff {
-    /// Of several headers the longest time counts.
+    /// The longest time counts if there are several headers.
     fn read(response: &Response, headers: &HeaderNames) -> Backoff {
         let mut read = Backoff::default();
         for value in response.headers.all(&headers.retry_after) {
@@ -62,8 +63,8 @@
     }
 }
 
-/// A time in seconds, fractions included. A date, which needs the clock of the instance, a
-/// negative number and other texts are none.
+/// Parses a time in seconds, with an optional fraction. Dates (which would need the instance's
+/// clock), negative numbers and other texts are not accepted.
 fn seconds(value: &[u8]) -> Option<Duration> {
     let time = Duration::try_from_secs_f64(decimal(value)?);
     Some(time.map_or(MAX_TIMEOUT, |time| time.min(MAX_TIMEOUT)))
--- a/crates/ledgelead-router/src/requests/open_request.rs
+++ b/crates/ledgelead-router/src/requests/open_request.rs
@@ -1,4 +1,4 @@
-//! A client's request while it is open.
+//! State of an open client request.
 
 use crate::Timestamp;
 use crate::configuration::{Repeatability, Route};
@@ -8,123 +8,121 @@
 use crate::ownership::record::Assignment;
 use crate::quarantine::CallerId;
 use crate::requests::digest::RequestDigest;
-use crate::requests::permits::HeldPermit;
+use crate::requests::permits::PermitHandle;
 use crate::requests::tokens::Token;
 use ledgelead_http::{Request, Response};
 use std::cell::OnceCell;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Share of the target latency within which a refusal is still cheap for the
-/// client, which can come back in time.
+/// Share of the target latency within which a refusal costs the client little, since it can
+/// still retry in time.
 const EARLY_REFUSAL_SHARE: f64 = 0.22;
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The exchange.
+    /// The exchange of the attempt.
     pub exchange: ExchangeId,
-    /// The instance.
+    /// The instance it was sent to.
     pub instance: InstanceId,
-    /// Whether it has drawn on the retry budget.
+    /// Whether it was taken from the retry budget.
     pub repeated: bool,
     /// When it was sent.
     pub sent: Timestamp,
-    /// Requests for each slot of the instance, this one with them.
+    /// Requests per slot of the instance, including this one.
     pub load_factor: f64,
-    /// When it is reviewed whether to send the request elsewhere.
-    pub review: Timestamp,
-    /// How long the answer was expected to take.
+    /// When to check whether the request should be sent to another instance.
+    pub review_at: Timestamp,
+    /// Expected time until the response.
     pub expected: Duration,
-    /// The permit under which it was sent, where there is a queue.
-    pub permit: Option<HeldPermit>,
+    /// The permit under which it was sent, if the instance has a queue.
+    pub permit: Option<PermitHandle>,
 }
 
-/// Where a keyed request was rejected.
+/// The rejection of a keyed request by an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Misdirection {
-    /// The fencing token of the assignment it was sent by.
+    /// Fencing token of the assignment by which the request was sent.
     pub fence: u64,
-    /// When the same assignment may be tried again; never, if its owner is
-    /// not there any more.
-    pub again: Option<Timestamp>,
+    /// When the same assignment may be tried again; `None` if its owner is gone.
+    pub retry_at: Option<Timestamp>,
 }
 
 impl Misdirection {
-    /// What follows for a key's next attempt from one that `instance` did not
-    /// run. Nothing, if the key has another owner by now.
+    /// The consequence for a key's next attempt if `instance` did not run the previous one.
+    /// `None` if the key has another owner by now.
     pub fn at(
         instance: &InstanceId,
         assignment: Option<&Assignment>,
-        again: Option<Timestamp>,
+        retry_at: Option<Timestamp>,
     ) -> Option<Misdirection> {
         let assignment = assignment.filter(|assignment| assignment.owner == *instance)?;
         Some(Misdirection {
             fence: assignment.fence,
-            again,
+            retry_at,
         })
     }
 }
 
-/// A request.
+/// An open request.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// Attempts at instances whose connection was lost.
-    pub lost: usize,
-    /// Its digest, once that was asked for.
+    /// Number of attempts whose connection to the instance was lost.
+    pub lost_attempts: usize,
+    /// Digest of the request, once it was computed.
     pub digest: OnceCell<RequestDigest>,
-    /// The request.
+    /// The request itself.
     pub request: Request,
-    /// Its route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// The service that gets it.
+    /// The service that handles it.
     pub service: ServiceName,
-    /// Its key, if the service's keys have owners.
+    /// Its key, if the service is sharded.
     pub key: Option<u16>,
     /// When it was received.
     pub received: Timestamp,
-    /// When its final answer is due: the route's time-out, or just before the
-    /// client leaves.
+    /// When the final response is due: at the route's timeout, or just before the client gives
+    /// up.
     pub due: Timestamp,
     /// Instances it was sent to.
     pub tried: Vec<InstanceId>,
-    /// The attempt that is out.
+    /// The attempt in flight.
     pub attempt: Option<Attempt>,
-    /// Whether it has been admitted although its key is overloaded, or its key
-    /// is not.
-    pub passed_admission: bool,
-    /// Since when it waits for an owner or for room.
+    /// Whether the admission check for overloaded keys was already made.
+    pub admission_checked: bool,
+    /// Since when it has been waiting for an owner or a free slot.
     pub waiting_since: Option<Timestamp>,
     /// Whether it must not be sent again, whatever the route allows.
     pub exhausted: bool,
     /// Whether some attempt may have run.
     pub may_have_run: bool,
-    /// Whether some attempt got no answer in time.
+    /// Whether some attempt got no response in time.
     pub timed_out: bool,
     /// Whether some instance rejected it.
     pub rejected: bool,
-    /// The last answer by which an instance said that it failed.
-    pub failed_answer: Option<Response>,
-    /// Where it was misdirected last.
+    /// The last response by which an instance reported a failure.
+    pub failure_response: Option<Response>,
+    /// The last rejection as misdirected.
     pub misdirection: Option<Misdirection>,
-    /// The permit that it has or waits for.
-    pub permit: Option<HeldPermit>,
-    /// Whether it goes on without, since no dispatcher answers.
+    /// The permit that it holds or waits for.
+    pub permit: Option<PermitHandle>,
+    /// Whether it proceeds without a permit, since no dispatcher responds.
     pub without_permit: bool,
-    /// Whether it has waited for one; the wait for an owner is another.
+    /// Whether it has waited for a permit. Waiting for an owner is a separate wait.
     pub awaits_permit: bool,
-    /// Whether the queue of another zone than the nearest was asked.
-    pub spilled: bool,
-    /// When its caller may come back, by the word of a dispatcher.
+    /// Whether a queue in a zone other than the nearest was already asked.
+    pub overflowed: bool,
+    /// When its caller may retry, as decided by a dispatcher.
     pub retry_after: Option<Duration>,
-    /// The token that it has or waits for.
+    /// The token that it holds or waits for.
     pub token: Option<Token>,
 }
 
 impl Mechanisms {
-    /// The rank of a request among those that wait; 0 comes first.
+    /// The rank of a request among waiting ones; 0 comes first.
     pub fn rank(self, open: &OpenRequest) -> u32 {
         if self.has(Mechanism::Priority) {
             open.route.priority
@@ -135,8 +133,8 @@
 }
 
 impl OpenRequest {
-    /// Identifies it over all of its tries. Worked out when it is first asked for, since
-    /// most requests end without.
+    /// Identifies the request over all of its submissions. Computed on first use, since most
+    /// requests end without it.
     pub fn digest(&self) -> RequestDigest {
         let digest = || RequestDigest::new(&self.request);
         *self.digest.get_or_init(digest)
@@ -147,19 +145,18 @@
         self.route.repeatability == Repeatability::Idempotent
     }
 
-    /// Whether it may be sent to this owner by a permit.
+    /// Whether it holds a permit for this owner.
     pub fn has_permit(&self, owner: &InstanceId) -> bool {
         let permit = self.permit.as_ref();
         permit.is_some_and(|permit| permit.covers(owner))
     }
 
-    /// Until when an answer is worth most.
+    /// Until when a response meets the target latency.
     pub fn target(&self) -> Timestamp {
         self.received + self.route.target_latency
     }
 
-    /// Time in which an answer is worth most; once that is over, the time in
-    /// which it is worth anything.
+    /// Time left until the target latency; once that has passed, time left until the deadline.
     pub fn time_left(&self, now: Timestamp) -> Duration {
         let to_target = self.target().saturating_sub(now);
         if to_target.is_zero() {
@@ -169,17 +166,17 @@
         }
     }
 
-    /// Until when it may wait for an owner or for room.
+    /// Until when it may wait for an owner or a free slot.
     pub fn wait_limit(&self) -> Timestamp {
         self.wait_limit_from(self.received)
     }
 
-    /// The same for a request that begins to wait at `begins`, unless it waits already.
+    /// The same for a request that begins to wait at `begins`, unless it is already waiting.
     pub fn wait_limit_from(&self, begins: Timestamp) -> Timestamp {
         let early = self.received + self.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE);
         let since = self.waiting_since.unwrap_or(begins);
-        // A request that comes back from a failed attempt gets the same time
-        // again, since its early refusal is past.
+        // A request that returns from a failed attempt gets the same time again, since its
+        // time for an early refusal has passed.
         let again = since + self.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE);
         early.max(again).min(self.due)
     }
--- a/crates/ledgelead-router/src/requests/outcome.rs
+++ b/crates/ledgelead-router/src/requests/outcome.rs
@@ -1,27 +1,27 @@
-//! Each way an attempt can end, and what it proves.
+//! Classifies the ways an attempt can end, by what they prove.
 //!
-//! | end of the attempt | proves | idempotent | once only |
+//! | end of the attempt | proves | idempotent request | non-idempotent request |
 //! |---|---|---|---|
-//! | no connection came up | not run | sent again | sent again |
-//! | none came up in the time for sending | not run | 503 | 503 |
-//! | last byte never written, no answer begun | not run | sent again | sent again |
+//! | no connection established | not run | retried | retried |
+//! | none established in the time for sending | not run | 503 | 503 |
+//! | last byte never written, no response begun | not run | retried | retried |
 //! | last byte not written in time | not run | 503 | 503 |
-//! | answer with "not executed", or 421 | not run | sent again | sent again |
-//! | other whole answer | run | relayed | relayed |
-//! | answer with a failure of the instance (5xx, not 504) | run | sent again, else relayed | relayed |
-//! | success without a signature | nothing | sent again | 502 |
-//! | connection lost, no whole answer, no answer | nothing | sent again | 502 |
-//! | no answer in time | nothing | sent again | 504 at its time-out |
+//! | response with "not executed", or 421 | not run | retried | retried |
+//! | other complete response | run | relayed | relayed |
+//! | response with a failure of the instance (5xx, not 504) | run | retried, else relayed | relayed |
+//! | success without a signature | nothing | retried | 502 |
+//! | connection lost, incomplete response, no response | nothing | retried | 502 |
+//! | no response in time | nothing | retried | 504 at its timeout |
 //!
-//! A request whose last byte was never written proves this by HTTP's framing: an instance
-//! begins a request once it is whole. The connection is reset, so that what the kernel
-//! holds doesn't arrive later either; the last byte never left this process.
+//! A request whose last byte was never written can't have run because of HTTP's framing: an
+//! instance starts a request once it is complete. The connection is reset, so that data in the
+//! kernel's buffers doesn't arrive later either; the last byte never left this process.
 //!
-//! "Sent again" holds within the attempts of the route, the retry budget, what
-//! the repeat wins beside others while that runs short, and the time that is
-//! left. Without them, a request that is proved not to have run is answered 503,
-//! any other 502 or 504. The owner of a key that rejects with free slots is asked
-//! once more at once, any other one after a pause.
+//! "Retried" is subject to the route's maximum number of attempts, the retry budget, the value
+//! of the retry compared to others while the budget runs short, and the time left. If a retry
+//! isn't possible, a request that is proved not to have run is answered with 503, any other
+//! with 502 or 504. The owner of a key that rejects with free slots is asked once more at
+//! once, any other owner after a pause.
 
 use crate::dialect::HeaderNames;
 use crate::identity::InstanceId;
@@ -31,37 +31,37 @@
 /// What the end of an attempt proves.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The instance's answer goes to the client.
+    /// The response is relayed to the client.
     Relay(Response),
-    /// The instance answered that it failed; its answer goes to the client
-    /// unless the request is sent again.
+    /// The instance reported a failure. Its response is relayed to the client unless the
+    /// request is retried.
     Failed(Response),
     /// The request never reached an instance.
     NeverSent {
         /// The connection was refused at once.
         refused: bool,
     },
-    /// An instance received a part of the request, and never receives the rest.
+    /// An instance received part of the request, and will never receive the rest.
     Incomplete {
-        /// The time for sending it is over.
+        /// The time for sending the request is over.
         timed_out: bool,
     },
     /// An instance received the request and did not run it.
     Rejected {
-        /// It is another instance, or doesn't hold the key.
+        /// The instance is not the one addressed, or doesn't own the key.
         misdirected: bool,
-        /// Another instance has the address: the one meant has ended.
+        /// Another instance uses the address: the one addressed has ended.
         ended: bool,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// No answer came in time.
+        /// No response arrived in time.
         timed_out: bool,
     },
 }
 
 impl AttemptOutcome {
-    /// A name for logs.
+    /// The name in logs.
     pub fn name(&self) -> &'static str {
         match self {
             AttemptOutcome::Relay(_) => "relayed",
@@ -81,14 +81,14 @@
     }
 }
 
-/// Judges the end of an attempt.
+/// Classifies the end of an attempt.
 pub fn classify_outcome(
     result: Result<Response, ExchangeFailure>,
-    meant: &InstanceId,
+    intended: &InstanceId,
     headers: &HeaderNames,
 ) -> AttemptOutcome {
     match result {
-        Ok(response) => classify_response(response, meant, headers),
+        Ok(response) => classify_response(response, intended, headers),
         Err(failure) if failure.proves_not_sent() => AttemptOutcome::NeverSent {
             refused: failure == ExchangeFailure::Refused,
         },
@@ -99,27 +99,27 @@
     }
 }
 
-/// Whether an instance says that it failed. 504 only says that the time is over:
-/// neither is the instance at fault, nor is sending again of use.
-pub fn tells_failure(response: &Response) -> bool {
+/// Whether a response reports a failure of the instance. A 504 only says that the time is
+/// over: it isn't the instance's fault, and a retry would be of no use.
+pub fn is_server_failure(response: &Response) -> bool {
     (500..=599).contains(&response.status) && response.status != 504
 }
 
 fn classify_response(
     response: Response,
-    meant: &InstanceId,
+    intended: &InstanceId,
     headers: &HeaderNames,
 ) -> AttemptOutcome {
     let misdirected = response.status == 421;
     if misdirected || response.headers.get(&headers.not_executed).is_some() {
         let answering = response.headers.text(&headers.instance);
-        let ended = misdirected && answering.is_some_and(|id| id != meant.name());
+        let ended = misdirected && answering.is_some_and(|id| id != intended.name());
         return AttemptOutcome::Rejected { misdirected, ended };
     }
     if response.is_success() && response.headers.get(&headers.signature).is_none() {
         return AttemptOutcome::Unknown { timed_out: false };
     }
-    if tells_failure(&response) && response.headers.get(&headers.signature).is_some() {
+    if is_server_failure(&response) && response.headers.get(&headers.signature).is_some() {
         return AttemptOutcome::Failed(response);
     }
     AttemptOutcome::Relay(response)
--- a/crates/ledgelead-router/src/requests/permits.rs
+++ b/crates/ledgelead-router/src/requests/permits.rs
@@ -1,4 +1,4 @@
-//! Permits that this node's requests ask dispatchers for, and messages about them.
+//! Permits that this node requests from dispatchers, and the messages about them.
 
 use crate::Timestamp;
 use crate::directory::Instance;
@@ -10,80 +10,81 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time after which an ask is repeated: a large body on a narrow link holds a datagram up by
-/// 50 ms, and a machine may stand still for 100 ms.
+/// Time after which a permit request is sent again. A large body on a slow link delays a
+/// datagram by 50 ms, and a machine may stall for 100 ms.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
-/// Most of the time to the target that it waits for before that.
+/// Maximum share of the time left until the target latency that a request waits before that.
 const REPLY_SHARE: f64 = 0.25;
-/// How many times as long a request waits for a dispatcher's first answer.
-const REPLY_PATIENCE: u32 = 2;
-/// Time without an answer after which a dispatcher counts as lost.
+/// How long a request waits for a dispatcher's first reply, as a multiple of the reply
+/// timeout.
+const FIRST_REPLY_TIMEOUTS: u32 = 2;
+/// Time without a reply after which a dispatcher counts as lost.
 const LOST_AFTER: Duration = Duration::from_millis(150);
-/// Mean time to a dispatcher's first answer beyond which requests go without: a slot that is
-/// idle for that long at both ends of a request costs more than the order gains, beside work
-/// of 50 to 200 ms. A narrow link full of large bodies does that.
-const SLOW_REPLY: Duration = Duration::from_millis(20);
-/// Weight of a new sample of that time.
-const REPLY_WEIGHT: f64 = 0.2;
-/// Pause between two asks that find out whether answers are quick again.
+/// Mean time to a dispatcher's first reply above which requests skip permits. A slot that is
+/// idle for that long before and after each request costs more than the ordering gains, at
+/// service times of 50 to 200 ms. A slow link full of large bodies has that effect.
+const MAX_MEAN_REPLY_TIME: Duration = Duration::from_millis(20);
+/// Weight of a new sample in the mean reply time.
+const REPLY_SAMPLE_WEIGHT: f64 = 0.2;
+/// Interval between permit requests that probe whether replies are fast again.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a lost dispatcher is not asked: about the time in which nodes learn of the loss
-/// of another.
-const SILENT_TTL: Duration = Duration::from_secs(1);
+/// How long a lost dispatcher is not asked: about the time that nodes need to learn of the
+/// loss of another node.
+const UNRESPONSIVE_TTL: Duration = Duration::from_secs(1);
 
-/// Where a request stands with a dispatcher.
+/// State of a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitState {
-    /// It has asked, and knows nothing.
+    /// The dispatcher was asked and has not replied.
     Asked,
-    /// It waits in the queue.
+    /// The request waits in the dispatcher's queue.
     Queued,
-    /// It may be sent to the instance with this stable hash.
+    /// The request may be sent to the instance with this stable hash.
     Granted(u64),
 }
 
-/// A permit for a request, or the wait for one.
+/// A permit for a request, or a pending request for one.
 #[derive(Clone, Debug)]
-pub struct HeldPermit {
-    /// Who hands it out.
+pub struct PermitHandle {
+    /// The dispatcher that grants it.
     pub dispatcher: SocketAddr,
-    /// How far it is.
+    /// State of the permit request.
     pub state: PermitState,
-    /// When something is done about it without a further message.
+    /// When to act if no further message arrives.
     pub check_at: Timestamp,
-    /// The ask, with its number and queue; it may be repeated.
+    /// The permit request with its number and queue, which may be sent again.
     pub ask: PermitRequest,
-    /// When it is given up for want of an answer.
+    /// When to give up if there is no reply.
     pub give_up_at: Timestamp,
-    /// When it was asked for.
+    /// When it was first requested.
     pub asked_at: Timestamp,
 }
 
-impl HeldPermit {
-    /// Whether it was handed out.
+impl PermitHandle {
+    /// Whether the permit was granted.
     pub fn is_granted(&self) -> bool {
         matches!(self.state, PermitState::Granted(_))
     }
 
-    /// Whether a request may be sent to this instance by it.
+    /// Whether a request may be sent to this instance under the permit.
     pub fn covers(&self, instance: &InstanceId) -> bool {
         self.state == PermitState::Granted(instance.stable_hash())
     }
 }
 
-/// What a request needs of a dispatcher.
+/// The permit that a request needs.
 #[derive(Clone, Debug)]
 pub struct PermitNeed {
-    /// Names the queue.
+    /// Identifies the queue.
     pub queue: u64,
-    /// What it is for.
+    /// The kind of the queue.
     pub kind: QueueKind,
-    /// Where its instances run.
+    /// The zone of the queue's instances.
     pub zone: ZoneName,
 }
 
 impl PermitNeed {
-    /// A place in the queue of an owner of keys.
+    /// A permit from the queue of an owner of keys.
     pub fn of_owner(owner: &Instance) -> PermitNeed {
         PermitNeed {
             queue: owner.record.id.stable_hash(),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A place in the queue of the instances of a zone that serve a service.
+    /// A permit from the queue of all instances in a zone that serve a service.
     pub fn of_pool(service: &ServiceName, zone: &ZoneName) -> PermitNeed {
         PermitNeed {
             queue: pool_hash(service, zone),
@@ -102,7 +103,7 @@
     }
 }
 
-/// Names the queue of the instances of a zone that serve a service.
+/// Identifies the queue of all instances in a zone that serve a service.
 pub fn pool_hash(service: &ServiceName, zone: &ZoneName) -> u64 {
     service.stable_hash() ^ zone.stable_hash().rotate_left(1)
 }
@@ -110,78 +111,80 @@
 /// A message to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitMessage {
-    /// Asks for a permit.
+    /// Requests a permit.
     Request(PermitRequest),
-    /// Gives one back, or asks for it no more.
+    /// Returns a permit, or withdraws the request for it.
     Return {
-        /// The number of the ask.
+        /// The number of the permit request.
         number: u64,
-        /// Names the queue.
+        /// Identifies the queue.
         queue: u64,
         /// How the request ended.
-        how: PermitOutcome,
+        outcome: PermitOutcome,
     },
 }
 
-/// An ask for a permit.
+/// A request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermitRequest {
-    /// This node's number for it.
+    /// This node's number for the permit request.
     pub number: u64,
-    /// Names the queue.
+    /// Identifies the queue.
     pub queue: u64,
-    /// What it is for.
+    /// The kind of the queue.
     pub kind: QueueKind,
     /// Stable hash of the service's name.
     pub service: u64,
     /// Rank of the request; 0 is the most urgent.
     pub urgency: u32,
-    /// Time until an answer is late.
+    /// Time left until the target latency.
     pub to_target: Duration,
-    /// Time until the request ends in any case.
+    /// Time left until the request's deadline.
     pub left: Duration,
-    /// Hash of what makes the tries of a caller's request the same.
+    /// Hash that is the same for all submissions of a caller's request.
     pub caller: u64,
-    /// Whether its key was lost with its owner, so that it takes longer.
+    /// Whether the key's state was lost with its owner, so that the request takes longer.
     pub is_cold: bool,
-    /// Stable hash of the instance that has failed the request.
+    /// Stable hash of the instance that failed the request.
     pub tried: Option<u64>,
 }
 
-/// Counts for metrics.
+/// Permit counts for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PermitCounters {
-    /// Asked for.
+    /// Permits requested.
     pub asked: u64,
-    /// Requests that had to ask and went on without: no candidate answered or is known, the
-    /// wait ended, or the granted instance left. Slow or declining dispatchers don't count.
+    /// Requests that needed a permit and proceeded without one: no candidate replied or is
+    /// known, the wait ended, or the granted instance left. Slow or declining dispatchers
+    /// don't count.
     pub missed: u64,
 }
 
 /// How long a dispatcher has been silent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Silence {
-    /// The first ask since its last word.
+struct DispatcherSilence {
+    /// The first permit request since its last reply.
     asked_at: Option<Timestamp>,
     /// Until when it isn't asked.
     silent_until: Timestamp,
 }
 
-/// All permits that this node has asked for, by its numbers.
+/// All permits that this node has requested, by number.
 #[derive(Debug, Default)]
 pub struct Permits {
     clients: HashMap<u64, ClientId>,
     last_number: u64,
     outbox: Vec<(SocketAddr, PermitMessage)>,
-    dispatchers: HashMap<SocketAddr, Silence>,
-    /// Mean time to the first answer of a dispatcher.
+    dispatchers: HashMap<SocketAddr, DispatcherSilence>,
+    /// Mean time to a dispatcher's first reply.
     reply_time: Duration,
     next_probe: Timestamp,
     counters: PermitCounters,
 }
 
 impl Permits {
-    /// None yet. Numbers begin at one that earlier lives of the node have not used.
+    /// Creates an empty set. Numbers start at one that earlier incarnations of the node have
+    /// not used.
     pub fn new(first_number: u64) -> Permits {
         Permits {
             last_number: first_number,
@@ -189,50 +192,50 @@
         }
     }
 
-    /// Counts for metrics.
+    /// Permit counts for metrics.
     pub fn counters(&self) -> PermitCounters {
         self.counters
     }
 
-    /// Whether a dispatcher may be asked: it isn't taken for lost. One never asked may.
+    /// Whether a dispatcher may be asked, because it was never asked or doesn't count as lost.
     pub fn may_ask(&self, dispatcher: SocketAddr, now: Timestamp) -> bool {
         let known = self.dispatchers.get(&dispatcher);
         known.is_none_or(|known| known.silent_until <= now)
     }
 
-    /// Asks a dispatcher. `ask` gets its number here.
+    /// Sends a permit request to a dispatcher. The number of `ask` is assigned here.
     pub fn ask(
         &mut self,
         client: ClientId,
         dispatcher: SocketAddr,
         ask: PermitRequest,
         now: Timestamp,
-    ) -> HeldPermit {
+    ) -> PermitHandle {
         self.counters.asked += 1;
         self.next_probe = now + PROBE_INTERVAL;
         self.last_number = self.last_number.wrapping_add(1);
         let number = self.last_number;
         self.clients.insert(number, client);
         let ask = PermitRequest { number, ..ask };
-        let mut permit = HeldPermit {
+        let mut permit = PermitHandle {
             dispatcher,
             state: PermitState::Asked,
             check_at: now,
             ask,
-            give_up_at: now + reply_timeout(&ask) * REPLY_PATIENCE,
+            give_up_at: now + reply_timeout(&ask) * FIRST_REPLY_TIMEOUTS,
             asked_at: now,
         };
         self.send_ask(&mut permit, now);
         permit
     }
 
-    /// Repeats an ask that got no answer, unless its dispatcher counts as lost by now or the
-    /// request can't wait any longer. Returns whether it did.
-    pub fn repeat(&mut self, permit: &mut HeldPermit, now: Timestamp) -> bool {
+    /// Resends a permit request that got no reply, unless its dispatcher counts as lost by now
+    /// or the request can't wait any longer. Returns whether it was resent.
+    pub fn resend(&mut self, permit: &mut PermitHandle, now: Timestamp) -> bool {
         let known = self.dispatchers.entry(permit.dispatcher).or_default();
         let is_lost = known.asked_at.is_some_and(|at| at + LOST_AFTER <= now);
         if is_lost {
-            self.lost(permit.dispatcher, now);
+            self.mark_lost(permit.dispatcher, now);
         }
         let may_wait = permit.give_up_at > now && self.may_ask(permit.dispatcher, now);
         if may_wait {
@@ -241,7 +244,7 @@
         may_wait
     }
 
-    fn send_ask(&mut self, permit: &mut HeldPermit, now: Timestamp) {
+    fn send_ask(&mut self, permit: &mut PermitHandle, now: Timestamp) {
         let known = self.dispatchers.entry(permit.dispatcher).or_default();
         known.asked_at.get_or_insert(now);
         permit.check_at = now + reply_timeout(&permit.ask);
@@ -249,89 +252,94 @@
         self.outbox.push((permit.dispatcher, message));
     }
 
-    /// The client whose request waits for this number.
+    /// The client whose request has this permit number.
     pub fn client(&self, number: u64) -> Option<ClientId> {
         self.clients.get(&number).copied()
     }
 
-    /// Whether permits are worth their way now; where answers are slow, some asks go on to
-    /// find out when they are quick again.
-    pub fn are_quick(&self, now: Timestamp) -> bool {
-        self.reply_time <= SLOW_REPLY || self.next_probe <= now
+    /// Whether replies are fast enough for permits to be useful. While they are slow, some
+    /// permit requests are still sent as probes.
+    pub fn are_replies_fast(&self, now: Timestamp) -> bool {
+        self.reply_time <= MAX_MEAN_REPLY_TIME || self.next_probe <= now
     }
 
-    /// The first answer to an ask has come, or it was given up for want of one.
-    pub fn replied(&mut self, permit: &HeldPermit, now: Timestamp) {
+    /// Records the first reply to a permit request, or that it was given up without one.
+    pub fn record_reply_time(&mut self, permit: &PermitHandle, now: Timestamp) {
         let took = now.saturating_sub(permit.asked_at);
-        let kept = self.reply_time.mul_f64(1.0 - REPLY_WEIGHT);
-        self.reply_time = kept + took.mul_f64(REPLY_WEIGHT);
+        let kept = self.reply_time.mul_f64(1.0 - REPLY_SAMPLE_WEIGHT);
+        self.reply_time = kept + took.mul_f64(REPLY_SAMPLE_WEIGHT);
     }
 
-    /// A dispatcher has answered.
-    pub fn heard(&mut self, dispatcher: SocketAddr) {
+    /// Records that a dispatcher replied.
+    pub fn record_reply(&mut self, dispatcher: SocketAddr) {
         self.dispatchers.remove(&dispatcher);
     }
 
-    /// A dispatcher counts as lost, or doesn't hand out permits.
-    pub fn lost(&mut self, dispatcher: SocketAddr, now: Timestamp) {
-        let lost = Silence {
+    /// Marks a dispatcher as lost, or as not granting permits.
+    pub fn mark_lost(&mut self, dispatcher: SocketAddr, now: Timestamp) {
+        let lost = DispatcherSilence {
             asked_at: None,
-            silent_until: now + SILENT_TTL,
+            silent_until: now + UNRESPONSIVE_TTL,
         };
         self.dispatchers.insert(dispatcher, lost);
     }
 
-    /// A request goes on without a permit.
-    pub fn went_without(&mut self) {
+    /// Counts a request that proceeds without a permit.
+    pub fn count_missed(&mut self) {
         self.counters.missed += 1;
     }
 
-    /// Gives a permit back, or the wait for it up.
-    pub fn give_back(&mut self, permit: &HeldPermit, how: PermitOutcome) {
+    /// Returns a permit, or withdraws the request for it.
+    pub fn release(&mut self, permit: &PermitHandle, outcome: PermitOutcome) {
         let PermitRequest { number, queue, .. } = permit.ask;
         self.clients.remove(&number);
-        self.give_back_number(permit.dispatcher, number, queue, how);
+        self.release_number(permit.dispatcher, number, queue, outcome);
     }
 
-    /// Gives a permit back that no request waits for any more.
-    pub fn give_back_number(
+    /// Returns a permit that no request needs any more.
+    pub fn release_number(
         &mut self,
         dispatcher: SocketAddr,
         number: u64,
         queue: u64,
-        how: PermitOutcome,
+        outcome: PermitOutcome,
     ) {
-        let message = PermitMessage::Return { number, queue, how };
+        let message = PermitMessage::Return {
+            number,
+            queue,
+            outcome,
+        };
         self.outbox.push((dispatcher, message));
     }
 
-    /// A request was refused, so that no permit is to come back.
-    pub fn forget(&mut self, number: u64) {
+    /// Drops the number of a refused request, which has no permit to return.
+    pub fn drop_number(&mut self, number: u64) {
         self.clients.remove(&number);
     }
 
-    /// Messages that are to be sent.
+    /// Returns the messages to be sent.
     pub fn take_outbox(&mut self) -> Vec<(SocketAddr, PermitMessage)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Forgets dispatchers that may be asked again.
+    /// Drops dispatchers that may be asked again.
     pub fn expire(&mut self, now: Timestamp) {
-        // An ask that was given up before says nothing after that time.
-        let is_recent = |at: Timestamp| at + SILENT_TTL > now;
+        // A permit request that was given up says nothing about the dispatcher after that
+        // time.
+        let is_recent = |at: Timestamp| at + UNRESPONSIVE_TTL > now;
         self.dispatchers
             .retain(|_, known| known.asked_at.is_some_and(is_recent) || known.silent_until > now);
     }
 }
 
-/// How long an ask waits for an answer before it is repeated.
+/// How long a permit request waits for a reply before it is sent again.
 fn reply_timeout(ask: &PermitRequest) -> Duration {
     REPLY_TIMEOUT.min(ask.to_target.mul_f64(REPLY_SHARE))
 }
 
-/// Hash of what makes the tries of a caller's request the same: where it comes from, its
-/// key, and what it asks for. Of the body only the length counts, since it may be large and
-/// callers that send another one under the same path and key are few.
+/// Hash that is the same for all submissions of a caller's request: of the caller, the key and
+/// the request target. Of the body only the length counts, since it may be large, and few
+/// callers send different bodies of the same length to the same path and key.
 pub fn caller_hash(caller: u64, key: Option<u16>, request: &Request) -> u64 {
     let key = u64::from(key.unwrap_or(0));
     let seed = caller ^ (key << 48) ^ request.body.len() as u64;
--- a/crates/ledgelead-router/src/requests/refusal_share.rs
+++ b/crates/ledgelead-router/src/requests/refusal_share.rs
@@ -1,21 +1,21 @@
-//! Which share of a service's requests is refused lately, so that callers learn when
-//! to come back: soon where few are refused, late where most would be refused again.
+//! Tracks the share of recently refused requests, which determines when callers should retry:
+//! soon if few are refused, later if most would be refused again.
 
 use crate::Timestamp;
 use crate::identity::ServiceName;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time in which what was seen loses half of its weight: bursts last seconds.
+/// Half-life of the counts; bursts last for seconds.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// When a caller may come back where hardly any request is refused: the work of one
-/// request, after which a slot is free.
-const SOONEST_RETURN: Duration = Duration::from_millis(150);
-/// How much later where all are refused; bursts that a service can't bear last that
-/// long at least.
-const LATEST_RETURN: Duration = Duration::from_millis(1_500);
+/// Retry delay when hardly any request is refused: the service time of one request, after
+/// which a slot is free.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Additional delay when all requests are refused. A burst beyond a service's capacity lasts
+/// at least that long.
+const MAX_EXTRA_RETRY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Which share of the requests for something is refused lately.
+/// Share of recently refused requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RefusalShare {
     received: f64,
@@ -24,28 +24,28 @@
 }
 
 impl RefusalShare {
-    /// A request came.
+    /// Records a request.
     pub fn received(&mut self, now: Timestamp) {
-        self.fade(now);
+        self.decay(now);
         self.received += 1.0;
     }
 
-    /// A request was refused since there was no room.
+    /// Records a request that was refused for lack of capacity.
     pub fn refused(&mut self, now: Timestamp) {
-        self.fade(now);
+        self.decay(now);
         self.refused += 1.0;
     }
 
-    /// The share of requests that are refused, 0 to 1.
+    /// The share of refused requests, 0 to 1.
     pub fn share(&mut self, now: Timestamp) -> f64 {
-        self.fade(now);
+        self.decay(now);
         if self.received <= 0.0 {
             return 0.0;
         }
         (self.refused / self.received).min(1.0)
     }
 
-    fn fade(&mut self, now: Timestamp) {
+    fn decay(&mut self, now: Timestamp) {
         let age = now.saturating_sub(self.at).as_secs_f64();
         let weight = 0.5f64.powf(age / HALF_LIFE.as_secs_f64());
         self.received *= weight;
@@ -61,22 +61,22 @@
 }
 
 impl RefusalShares {
-    /// A request came.
+    /// Records a request.
     pub fn received(&mut self, service: &ServiceName, now: Timestamp) {
         self.of(service).received(now);
     }
 
-    /// A request was refused since there was no room.
+    /// Records a request that was refused for lack of capacity.
     pub fn refused(&mut self, service: &ServiceName, now: Timestamp) {
         self.of(service).refused(now);
     }
 
-    /// The share of requests that are refused, 0 to 1.
+    /// The share of refused requests, 0 to 1.
     pub fn share(&mut self, service: &ServiceName, now: Timestamp) -> f64 {
         self.of(service).share(now)
     }
 
-    /// The same without noting the time.
+    /// Like `share`, without updating the decayed counts.
     pub fn share_at(&self, service: &ServiceName, now: Timestamp) -> f64 {
         let known = self.services.get(service).copied();
         known.map_or(0.0, |mut share| share.share(now))
@@ -87,7 +87,7 @@
     }
 }
 
-/// When a caller may come back, if this share of requests is refused.
+/// When a caller may retry if this share of requests is refused.
 pub fn retry_after(refused_share: f64) -> Duration {
-    SOONEST_RETURN + LATEST_RETURN.mul_f64(refused_share.clamp(0.0, 1.0))
+    MIN_RETRY_DELAY + MAX_EXTRA_RETRY_DELAY.mul_f64(refused_share.clamp(0.0, 1.0))
 }
--- a/crates/ledgelead-router/src/requests/rejection_cause.rs
+++ b/crates/ledgelead-router/src/requests/rejection_cause.rs
@@ -1,22 +1,22 @@
-//! Why an instance rejected a request that it didn't run.
+//! Why an instance rejected a request without running it.
 
 use super::statistics::ReportedLoad;
 
-/// The cause, by the load that the instance told with its rejection.
+/// The cause of a rejection, by the load reported with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
-    /// All of its slots are taken: it takes requests again once one is free.
+    /// All slots are in use; the instance accepts requests again once one is free.
     Full,
-    /// It has free slots, and rejects for another reason.
+    /// The instance has free slots and rejected the request for another reason.
     FreeSlots,
-    /// It told no load.
+    /// The instance reported no load.
     NoLoadReported,
-    /// It wants no requests of this node for a while, and says so.
+    /// The instance asked this node for a pause.
     AskedForBackoff,
 }
 
 impl RejectionCause {
-    /// The cause at an instance with so many slots.
+    /// Determines the cause at an instance with `slots` slots.
     pub fn of(load: Option<&ReportedLoad>, slots: u32) -> RejectionCause {
         match load {
             None => RejectionCause::NoLoadReported,
--- a/crates/ledgelead-router/src/requests/selection.rs
+++ b/crates/ledgelead-router/src/requests/selection.rs
@@ -1,4 +1,4 @@
-//! Which instance of a service gets a request.
+//! Selects the instance of a service for a request.
 
 use super::cold_start::ColdGate;
 use super::statistics::{Statistics, StatisticsTable};
@@ -14,86 +14,89 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Share of the time that is left within which an instance of the own zone
-/// must be expected to answer; else other zones are looked at as well.
-const OWN_ZONE_SHARE: f64 = 0.6;
-/// By how much an instance of another zone must be faster to be preferred.
-const OTHER_ZONE_GAIN: f64 = 0.75;
-/// Largest share of a service's instances that may be passed over.
+/// Share of the time left within which an instance of the own zone must be expected to answer;
+/// otherwise other zones are considered too.
+const OWN_ZONE_TIME_SHARE: f64 = 0.6;
+/// Maximum cost of an instance of another zone, relative to the best one of the own zone, for
+/// it to be preferred.
+const MAX_OTHER_ZONE_COST: f64 = 0.75;
+/// Maximum share of a service's instances that may be ejected.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// What a failure costs, as a multiple of the time that is left: the request is
-/// lost, or begins anew elsewhere.
+/// Cost of a failure as a multiple of the time left: the request is lost, or starts over
+/// elsewhere.
 const FAILURE_COST: f64 = 2.0;
-/// Share of failures that is taken for chance: one failure alone stays below.
-const CHANCE_FAILURES: f64 = 0.35;
-/// Instances that are drawn where no slot is free (Mitzenmacher's power of choices;
-/// more gain little).
+/// Failure share up to which failures are attributed to chance; a single failure stays below
+/// it.
+const MAX_CHANCE_FAILURE_SHARE: f64 = 0.35;
+/// Number of random candidates if no slot is free (Mitzenmacher's power of choices; more gain
+/// little).
 const CHOICES: usize = 4;
-/// Room for each slot with which a zone needs no other: below, requests wait for half
-/// of the work of another on average.
-const ENOUGH_ROOM: f64 = 0.5;
-/// How old a digest is when the next one comes, with the reports that it rests on.
+/// Free slots per slot above which a zone needs no help from others. Below it, requests wait
+/// on average for half of another request's service time.
+const ENOUGH_FREE_SLOTS: f64 = 0.5;
+/// Age of a digest when the next one arrives, including the reports that it is based on.
 const DIGEST_AGE: Duration = Duration::from_millis(150);
-/// Least service time that is reckoned with, so that its inverse stays finite.
-const LEAST_SERVICE_TIME: Duration = Duration::from_millis(1);
-/// How much longer an instance works while it is cold.
+/// Minimum assumed service time, so that its inverse stays finite.
+const MIN_SERVICE_TIME: Duration = Duration::from_millis(1);
+/// Factor by which a cold instance is slower.
 const COLD_FACTOR: f64 = 2.0;
 
-/// What a selection rests on.
+/// Inputs of a selection.
 pub struct SelectionContext<'a> {
-    /// The time.
+    /// The current time.
     pub now: Timestamp,
-    /// All instances.
+    /// Known instances.
     pub directory: &'a Directory,
-    /// What this node has seen of them.
+    /// This node's observations of them.
     pub statistics: &'a StatisticsTable,
-    /// What other nodes of the zone have open.
+    /// Open requests of the other nodes in the zone.
     pub shared: &'a SharedLoad,
     /// This node's zone.
     pub zone: &'a ZoneName,
-    /// How many zones have nodes.
+    /// Number of zones that have nodes.
     pub zones: u32,
-    /// Which cold instances this node may send to.
+    /// Decides which cold instances this node may send to.
     pub cold: ColdGate<'a>,
-    /// Which mechanisms are on.
+    /// Enabled mechanisms.
     pub mechanisms: Mechanisms,
 }
 
-/// An instance and when it is expected to answer.
+/// An instance and its expected response time.
 #[derive(Clone, Debug)]
 pub struct Selected {
     /// The instance.
     pub id: InstanceId,
-    /// Expected time to its answer.
+    /// Expected time to the response.
     pub expected: Duration,
-    /// The expected time, and what a failure would cost.
+    /// The expected time plus the expected cost of a failure.
     pub cost: Duration,
-    /// Requests for each slot, this one with them.
+    /// Requests per slot, including this one.
     pub load_factor: f64,
     /// Slots of the instance.
     slots: f64,
-    /// Requests that are open there, without this one.
+    /// Open requests there, without this one.
     open: f64,
-    /// Expected time of work for one request.
+    /// Expected service time of one request.
     service_time: Duration,
 }
 
 impl Selected {
-    /// Requests that find a free slot there before the next digest: its free slots, and
-    /// those that become free. None if it is unlikely to answer in the time left.
-    fn room(&self, left: Duration) -> f64 {
-        if self.cost > left.mul_f64(OWN_ZONE_SHARE) {
+    /// Number of requests that find a free slot there before the next digest: the free slots,
+    /// and those that become free until then. Zero if the instance is unlikely to answer in
+    /// the time left.
+    fn free_capacity(&self, left: Duration) -> f64 {
+        if self.cost > left.mul_f64(OWN_ZONE_TIME_SHARE) {
             return 0.0;
         }
-        let service_time = self.service_time.max(LEAST_SERVICE_TIME);
+        let service_time = self.service_time.max(MIN_SERVICE_TIME);
         let finished = self.slots * DIGEST_AGE.as_secs_f64() / service_time.as_secs_f64();
         (self.slots + finished - self.open).max(0.0)
     }
 }
 
 impl SelectionContext<'_> {
-    /// The best instance that was not tried yet, if there is any.
-    /// `left` is the time in which an answer is worth most.
+    /// Selects the best instance that was not tried yet, if there is any. `left` is the time
+    /// left in which a response is useful.
     pub fn select(
         &self,
         service: &ServiceName,
@@ -108,48 +111,48 @@
             .collect();
         let usable = self.without_ejected(&serving);
         let typical = self.typical_service_time(&serving, left);
-        let expect = |instance: &Instance| self.expect(instance, typical, 1, left);
+        let estimate = |instance: &Instance| self.estimate(instance, typical, 1, left);
         let untried = usable
             .iter()
             .filter(|instance| !tried.contains(&instance.record.id))
             .filter(|instance| self.cold.admits(instance, self.now));
         let (own, other): (Vec<&Instance>, Vec<&Instance>) =
             untried.partition(|instance| instance.record.zone == *self.zone);
-        let own: Vec<Selected> = own.into_iter().map(expect).collect();
-        if self.draws_by_room() {
-            let other: Vec<Selected> = other.into_iter().map(expect).collect();
-            return self.select_by_room(own, other, left, rng);
+        let own: Vec<Selected> = own.into_iter().map(estimate).collect();
+        if self.selects_by_free_capacity() {
+            let other: Vec<Selected> = other.into_iter().map(estimate).collect();
+            return self.select_by_free_capacity(own, other, left, rng);
         }
         let best_own = best(own, rng);
         let prefers = self.mechanisms.has(Mechanism::ZonePreference);
         let enough = prefers
             && best_own
                 .as_ref()
-                .is_some_and(|selected| selected.cost <= left.mul_f64(OWN_ZONE_SHARE));
+                .is_some_and(|selected| selected.cost <= left.mul_f64(OWN_ZONE_TIME_SHARE));
         if enough {
             return best_own;
         }
-        let best_other = best(other.into_iter().map(expect), rng);
+        let best_other = best(other.into_iter().map(estimate), rng);
         match (best_own, best_other) {
             (Some(own), Some(other)) => {
-                let gain = if prefers { OTHER_ZONE_GAIN } else { 1.0 };
-                let better = other.cost <= own.cost.mul_f64(gain);
+                let max_cost = if prefers { MAX_OTHER_ZONE_COST } else { 1.0 };
+                let better = other.cost <= own.cost.mul_f64(max_cost);
                 Some(if better { other } else { own })
             }
             (own, other) => own.or(other),
         }
     }
 
-    /// Whether nodes choose by chance among instances with room. Where many nodes go by
-    /// the same digest, all would take the instance that it shows as the best one.
-    fn draws_by_room(&self) -> bool {
+    /// Whether instances with free capacity are selected at random. When many nodes rely on
+    /// the same digest, all of them would otherwise pick the instance that looks best in it.
+    fn selects_by_free_capacity(&self) -> bool {
         self.mechanisms.has(Mechanism::FreeSlots) && self.shared.follows_digest(self.now)
     }
 
-    /// An instance with room until the next digest: of the own zone, and of others the
-    /// less room it has. Without any room, the best of a few that are drawn
-    /// from all zones.
-    fn select_by_room(
+    /// Selects an instance with free capacity until the next digest from the own zone, and
+    /// from other zones the less capacity the own zone has. If none has any, selects the best
+    /// of a few random candidates from all zones.
+    fn select_by_free_capacity(
         &self,
         own: Vec<Selected>,
         other: Vec<Selected>,
@@ -157,38 +160,38 @@
         rng: &mut Pcg64Mcg,
     ) -> Option<Selected> {
         let preference = match self.mechanisms.has(Mechanism::ZonePreference) {
-            true => weight_of_others(&own, &other, left),
+            true => other_zone_weight(&own, &other, left),
             false => 1.0,
         };
-        let weighted = |weight: f64| move |selected: &Selected| selected.room(left) * weight;
+        let weighted =
+            |weight: f64| move |selected: &Selected| selected.free_capacity(left) * weight;
         let own_weights = own.iter().map(weighted(1.0));
         let weights: Vec<f64> = own_weights
             .chain(other.iter().map(weighted(preference)))
             .collect();
         let all: Vec<Selected> = own.into_iter().chain(other).collect();
-        draw_by_room(&all, &weights, rng).or_else(|| {
+        draw_by_weight(&all, &weights, rng).or_else(|| {
             let drawn = (0..CHOICES).filter_map(|_| all.choose(rng).cloned());
             let drawn: Vec<Selected> = drawn.collect();
             best(drawn, rng)
         })
     }
 
-    /// What the owner of a key is expected to need for one more request. All zones
-    /// send to it; those whose open requests are not known count like the others.
-    pub fn expect_owner(&self, owner: &Instance, left: Duration) -> Selected {
+    /// Estimates one more request at the owner of a key. All zones send to an owner; zones
+    /// whose open requests are unknown are assumed to be like the others.
+    pub fn estimate_owner(&self, owner: &Instance, left: Duration) -> Selected {
         let typical = self.typical_service_time(&[owner], left);
         let known = self.shared.zones(self.now).max(1);
-        self.expect(owner, typical, self.zones.div_ceil(known).max(1), left)
+        self.estimate(owner, typical, self.zones.div_ceil(known).max(1), left)
     }
 
-    /// What an instance is expected to need for one more request, by what the senders of
-    /// this zone have open there.
-    pub fn expect_one(&self, instance: &Instance, left: Duration) -> Selected {
+    /// Estimates one more request at an instance from the open requests of this zone's nodes.
+    pub fn estimate_instance(&self, instance: &Instance, left: Duration) -> Selected {
         let typical = self.typical_service_time(&[instance], left);
-        self.expect(instance, typical, 1, left)
+        self.estimate(instance, typical, 1, left)
     }
 
-    fn expect(
+    fn estimate(
         &self,
         instance: &Instance,
         typical: Duration,
@@ -198,17 +201,17 @@
         let id = &instance.record.id;
         let statistics = self.statistics.get(id);
         let own = statistics.map_or(0, |statistics| statistics.open);
-        let told = if self.mechanisms.has(Mechanism::SharedLoad) {
+        let others = if self.mechanisms.has(Mechanism::SharedLoad) {
             self.shared.open_at(id.stable_hash(), self.now)
         } else {
             0
         };
         let reported = statistics
             .and_then(|statistics| statistics.reported_open(self.now))
-            // A digest is younger.
+            // A digest is more recent.
             .filter(|_| !self.shared.follows_digest(self.now));
         let open = own
-            .saturating_add(told)
+            .saturating_add(others)
             .saturating_mul(senders)
             .max(reported.unwrap_or(0));
         let slots = f64::from(instance.record.slots.max(1));
@@ -226,7 +229,7 @@
         let expected = service_time.mul_f64(load_factor.max(1.0));
         let failures = statistics
             .map(|statistics| statistics.failure_share(self.now))
-            .filter(|share| *share > CHANCE_FAILURES)
+            .filter(|share| *share > MAX_CHANCE_FAILURE_SHARE)
             .filter(|_| self.mechanisms.has(Mechanism::FailureShare))
             .unwrap_or(0.0);
         Selected {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// The time of work for one request at an instance that works as usual.
+    /// The usual service time of an instance.
     fn service_time(&self, id: &InstanceId) -> Option<Duration> {
         let shared = || self.shared.service_time(id.stable_hash(), self.now);
         let own = || self.statistics.get(id)?.service_time(self.now);
@@ -248,8 +251,7 @@
         shares.then(shared).flatten().or_else(own)
     }
 
-    /// How much longer than usual an instance takes for its work now, as far as that
-    /// is known.
+    /// The factor by which an instance is currently slower than usual, as far as it is known.
     fn slowness(&self, id: &InstanceId) -> f64 {
         if !self.mechanisms.has(Mechanism::Slowness) {
             return 1.0;
@@ -260,7 +262,7 @@
         percent.map_or(1.0, |percent| f64::from(percent) / 100.0)
     }
 
-    /// The mean service time of the instances that are known.
+    /// The mean service time of the instances for which it is known.
     fn typical_service_time(&self, instances: &[&Instance], left: Duration) -> Duration {
         let known: Vec<Duration> = instances
             .iter()
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Whether an instance takes no requests of this node now.
+    /// Whether an instance currently accepts no requests from this node.
     fn is_unavailable(&self, instance: &Instance) -> bool {
         let id = &instance.record.id;
         self.statistics.unavailable_for(id, self.now).is_some()
@@ -297,23 +299,30 @@
     }
 }
 
-/// How much instances of other zones count beside those of the own: nothing as long as
-/// the own zone has room, since bytes between zones are dear; fully once it has none.
-fn weight_of_others(own: &[Selected], other: &[Selected], left: Duration) -> f64 {
-    let room_a_slot = |zone: &[Selected]| {
-        let room: f64 = zone.iter().map(|selected| selected.room(left)).sum();
+/// Weight of instances in other zones relative to the own zone: zero as long as the own zone
+/// has free capacity, since traffic between zones is expensive, and one once it has none.
+fn other_zone_weight(own: &[Selected], other: &[Selected], left: Duration) -> f64 {
+    let free_capacity_per_slot = |zone: &[Selected]| {
+        let free_capacity: f64 = zone
+            .iter()
+            .map(|selected| selected.free_capacity(left))
+            .sum();
         let slots: f64 = zone.iter().map(|selected| selected.slots).sum();
-        room / slots.max(1.0)
+        free_capacity / slots.max(1.0)
     };
-    let own = room_a_slot(own);
-    if own >= ENOUGH_ROOM || room_a_slot(other) <= own {
+    let own = free_capacity_per_slot(own);
+    if own >= ENOUGH_FREE_SLOTS || free_capacity_per_slot(other) <= own {
         return 0.0;
     }
-    1.0 - own / ENOUGH_ROOM
+    1.0 - own / ENOUGH_FREE_SLOTS
 }
 
-/// The better one of two instances that are drawn by their weights, if any has one.
-fn draw_by_room(candidates: &[Selected], weights: &[f64], rng: &mut Pcg64Mcg) -> Option<Selected> {
+/// The better of two instances drawn by weight, if any has a weight.
+fn draw_by_weight(
+    candidates: &[Selected],
+    weights: &[f64],
+    rng: &mut Pcg64Mcg,
+) -> Option<Selected> {
     let places = WeightedIndex::new(weights).ok()?;
     let first = &candidates[places.sample(rng)];
     let second = &candidates[places.sample(rng)];
@@ -325,8 +334,7 @@
     Some(better.clone())
 }
 
-/// The one with the lowest cost; one of them at random where
-/// several are equal.
+/// The instance with the lowest cost, chosen at random among equal ones.
 fn best(candidates: impl IntoIterator<Item = Selected>, rng: &mut Pcg64Mcg) -> Option<Selected> {
     let mut chosen: Option<Selected> = None;
     let mut equal = 1u32;
--- a/crates/ledgelead-router/src/requests/tokens.rs
+++ b/crates/ledgelead-router/src/requests/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens for requests to instances that name rate limits, and messages about them.
+//! Tokens for requests to instances with a rate limit, and the messages about them.
 
 use crate::Timestamp;
 use crate::identity::{InstanceId, ZoneName};
@@ -7,91 +7,92 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A request's token, or its wait for one.
+/// A request's token, or its pending request for one.
 #[derive(Clone, Debug)]
 pub struct Token {
-    /// The instance that it may be sent to.
+    /// The instance that the request may be sent to.
     pub instance: InstanceId,
-    /// This node's number for the ask.
+    /// This node's number for the token request.
     pub number: u64,
-    /// How far it is.
+    /// State of the token request.
     pub state: TokenState,
 }
 
-/// Where a request stands with a limiter.
+/// State of a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenState {
-    /// It has asked.
+    /// A limiter was asked and has not decided.
     Asked {
-        /// Whom.
-        of: SocketAddr,
-        /// How many times, this one included.
-        asks: usize,
-        /// When something is done about it without a decision.
+        /// The limiter.
+        limiter: SocketAddr,
+        /// How often it was asked, including this time.
+        times_asked: usize,
+        /// When to act if there is no decision.
         check_at: Timestamp,
     },
-    /// It may be sent.
+    /// The request may be sent.
     Held,
 }
 
-/// An ask for a token.
+/// A request for a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenRequest {
-    /// This node's number for it.
+    /// This node's number for the token request.
     pub number: u64,
     /// Stable hash of the instance's id.
     pub instance: u64,
     /// The zone of the instance.
     pub zone: ZoneName,
-    /// What the asking node knows of the instance's limit.
+    /// What the requesting node knows of the instance's limit.
     pub statement: LimitStatement,
 }
 
-/// A limiter's decision on an ask.
+/// A limiter's decision on a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenDecision {
-    /// The number of the ask.
+    /// The number of the token request.
     pub number: u64,
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// What becomes of it.
+    /// The decision.
     pub verdict: TokenVerdict,
 }
 
-/// Asks without a decision.
+/// Token requests without a decision.
 #[derive(Debug, Default)]
-pub(super) struct TokenAsks {
+pub(super) struct TokenRequests {
     clients: HashMap<u64, ClientId>,
     last_number: u64,
     pub(super) outbox: Vec<(SocketAddr, TokenRequest)>,
-    /// Limiters that didn't answer, until when they aren't asked.
-    pub(super) silent: HashMap<SocketAddr, Timestamp>,
+    /// Limiters that didn't reply, and until when they aren't asked.
+    pub(super) unresponsive: HashMap<SocketAddr, Timestamp>,
 }
 
-impl TokenAsks {
-    /// None yet. Numbers begin at one that earlier lives of the node have not used.
-    pub(super) fn new(first_number: u64) -> TokenAsks {
-        TokenAsks {
+impl TokenRequests {
+    /// Creates an empty set. Numbers start at one that earlier incarnations of the node have
+    /// not used.
+    pub(super) fn new(first_number: u64) -> TokenRequests {
+        TokenRequests {
             last_number: first_number,
-            ..TokenAsks::default()
+            ..TokenRequests::default()
         }
     }
 
-    /// A number for an ask of this client's request.
-    pub(super) fn number(&mut self, client: ClientId) -> u64 {
+    /// Assigns a number to a token request for this client's request.
+    pub(super) fn assign_number(&mut self, client: ClientId) -> u64 {
         self.last_number = self.last_number.wrapping_add(1);
         self.clients.insert(self.last_number, client);
         self.last_number
     }
 
-    /// Whose request asked under a number.
+    /// Removes a number and returns the client whose request used it.
     pub(super) fn take_client(&mut self, number: u64) -> Option<ClientId> {
         self.clients.remove(&number)
     }
 
-    /// Forgets asks whose requests have ended, and limiters that may be asked again.
+    /// Drops token requests whose requests have ended, and limiters that may be asked again.
     pub(super) fn expire(&mut self, is_open: impl Fn(&ClientId) -> bool, now: Timestamp) {
         self.clients.retain(|_, client| is_open(client));
-        self.silent.retain(|_, until| *until > now);
+        self.unresponsive.retain(|_, until| *until > now);
     }
 }
--- a/crates/ledgelead-router/tests/cold_start.rs
+++ b/crates/ledgelead-router/tests/cold_start.rs
@@ -105,7 +105,7 @@
     for now in (0..2_980).step_by(20).map(ms) {
         for sender in senders.iter_mut() {
             if sender.gate(&configuration).admits(instance, now) {
-                sender.sends.note(&instance.record.id, now);
+                sender.sends.record(&instance.record.id, now);
                 sent.push(now);
             }
         }
--- a/crates/ledgelead-router/tests/dispatch/queue.rs
+++ b/crates/ledgelead-router/tests/dispatch/queue.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use ledgelead_router::dispatch::{
     Admission, AdmissionRequest, DispatchRequest, Dispatcher, InstanceLoad, PermitId,
-    PermitOutcome, PermitQueue, QueueKind, Refused, RefusedCallers, Server,
+    PermitOutcome, PermitQueue, QueueKind, RefusedCaller, RefusedCallers, Server,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -94,7 +94,7 @@
         );
     }
     expect_that!(queue.ask(ask(3, 1, 400), ms(0)), eq(Admission::Queued));
-    expect_that!(queue.out(), eq(3));
+    expect_that!(queue.outstanding(), eq(3));
     queue.returned(requester(0), answered(WORK), ms(90));
     expect_that!(
         queue.advance(ms(90)),
@@ -195,8 +195,8 @@
     let mut out: Vec<u64> = (1_000..1_003).collect();
     let mut end_one = |queue: &mut PermitQueue, running, waiting| {
         let load = Some(InstanceLoad { running, waiting });
-        let how = PermitOutcome::Answered { took: WORK, load };
-        queue.returned(requester(out.remove(0)), how, ms(1));
+        let outcome = PermitOutcome::Answered { took: WORK, load };
+        queue.returned(requester(out.remove(0)), outcome, ms(1));
         out.extend(queue.advance(ms(1)).iter().map(|(next, _)| next.number));
         out.len()
     };
@@ -237,7 +237,7 @@
         queue.ask(ask(1_000, 1, 900), ms(1)),
         eq(Admission::Granted(OWNER))
     );
-    expect_that!(queue.out(), eq(3));
+    expect_that!(queue.outstanding(), eq(3));
 }
 
 #[gtest]
@@ -255,14 +255,14 @@
         queue.returned(requester(1_000), PermitOutcome::NoSample, ms(1_001)),
         eq(false)
     );
-    expect_that!(queue.out(), eq(1));
+    expect_that!(queue.outstanding(), eq(1));
 }
 
 #[gtest]
 fn a_permit_that_is_lost_says_nothing_of_the_work() {
     let mut queue = full_queue();
     queue.advance(ms(1_000));
-    expect_that!(queue.out(), eq(0));
+    expect_that!(queue.outstanding(), eq(0));
     expect_that!(queue.service_time(), eq(WORK));
 }
 
@@ -294,12 +294,12 @@
         let Admission::Granted(to) = queue.ask(ask(number, 1, 400), ms(at)) else {
             panic!("no permit");
         };
-        let how = if to == 1 {
+        let outcome = if to == 1 {
             PermitOutcome::Failed
         } else {
             answered(WORK)
         };
-        queue.returned(requester(number), how, ms(at));
+        queue.returned(requester(number), outcome, ms(at));
         to
     };
     let first: Vec<u64> = (0..10).map(|number| fails(number, number)).collect();
@@ -318,12 +318,12 @@
             panic!("no permit");
         };
         sent += u64::from(to == 1);
-        let how = match (to == 1, sent % 2) {
+        let outcome = match (to == 1, sent % 2) {
             (true, 0) => PermitOutcome::Failed,
             (true, _) => answered(ms(5)),
             _ => answered(WORK),
         };
-        queue.returned(requester(number), how, at);
+        queue.returned(requester(number), outcome, at);
     }
     expect_that!(sent, le(20));
 }
@@ -331,18 +331,18 @@
 #[gtest]
 fn a_refusal_explains_one_later_try_until_the_caller_gives_up() {
     let mut callers = RefusedCallers::default();
-    let refused = Refused {
+    let refused = RefusedCaller {
         not_before: ms(100),
         target: ms(300),
         until: ms(2_000),
     };
-    callers.note(7, refused);
+    callers.record(7, refused);
     expect_that!(callers.take(8, ms(0)), none());
     expect_that!(callers.take(7, ms(1_999)), some(eq(refused)));
     expect_that!(callers.take(7, ms(1_999)), none());
-    callers.note(7, refused);
+    callers.record(7, refused);
     expect_that!(callers.take(7, ms(2_000)), none());
-    callers.note(7, refused);
+    callers.record(7, refused);
     callers.expire(ms(2_000));
     expect_that!(callers.take(7, ms(0)), none());
 }
@@ -471,8 +471,8 @@
                 }
                 Message::Return { position, ran } if !out.is_empty() => {
                     let ended = out.remove(position % out.len());
-                    let how = if ran { answered(WORK) } else { PermitOutcome::NoSample };
-                    queue.returned(requester(ended), how, now);
+                    let outcome = if ran { answered(WORK) } else { PermitOutcome::NoSample };
+                    queue.returned(requester(ended), outcome, now);
                 }
                 Message::Lost { position } if !out.is_empty() => {
                     out.remove(position % out.len());
@@ -494,7 +494,7 @@
                     out.push(decided.number);
                 }
             }
-            prop_assert!(queue.out() <= SLOTS + 1);
+            prop_assert!(queue.outstanding() <= SLOTS + 1);
             prop_assert_eq!(queue.waiting(), waiting.len());
             if let Some((target, _)) = waiting.first() {
                 prop_assert!(*target > now, "waits for too long");
--- a/crates/ledgelead-router/tests/rejections.rs
+++ b/crates/ledgelead-router/tests/rejections.rs
@@ -34,8 +34,8 @@
     let mut common = CommonRejections::default();
     for number in 0..10 {
         let instance = InstanceId::from(format!("i-{number}").as_str());
-        common.heard(&service, &instance, number < rejecting, ms(0));
-        common.heard(&service, &instance, false, ms(1));
+        common.record(&service, &instance, number < rejecting, ms(0));
+        common.record(&service, &instance, false, ms(1));
     }
     common.is_common(&service, after)
 }
@@ -53,9 +53,9 @@
 fn one_instance_alone_is_no_common_cause() {
     let service = ServiceName::from("s");
     let mut common = CommonRejections::default();
-    common.heard(&service, &InstanceId::from("i"), true, ms(0));
+    common.record(&service, &InstanceId::from("i"), true, ms(0));
     expect_that!(common.is_common(&service, ms(1)), eq(false));
-    common.heard(&service, &InstanceId::from("j"), true, ms(0));
+    common.record(&service, &InstanceId::from("j"), true, ms(0));
     expect_that!(common.is_common(&service, ms(1)), eq(true));
     expect_that!(common.is_common(&ServiceName::from("t"), ms(1)), eq(false));
     common.expire(ms(4_000));
--- a/crates/ledgelead-router/tests/repeats/bound.rs
+++ b/crates/ledgelead-router/tests/repeats/bound.rs
@@ -180,7 +180,7 @@
         let Some(life) = self.places[node].life.as_mut() else {
             return;
         };
-        life.budget.requested(&service(), now);
+        life.budget.record_request(&service(), now);
         let number = life.number;
         self.wish(phase, node, number, 0, now);
     }
--- a/crates/ledgelead-router/tests/repeats/replay.rs
+++ b/crates/ledgelead-router/tests/repeats/replay.rs
@@ -181,7 +181,7 @@
     fn try_at(&mut self, asked: Asked, now: Timestamp) {
         self.arrivals.requests.push(now);
         if let Some(node) = self.nodes[asked.node].as_mut() {
-            node.budget.requested(&service(), now);
+            node.budget.record_request(&service(), now);
         }
         self.attempt(asked, now);
     }
--- a/crates/ledgelead-router/tests/repeats/value.rs
+++ b/crates/ledgelead-router/tests/repeats/value.rs
@@ -54,9 +54,9 @@
         ..lost(0)
     };
     for less in [lost(1), rejected(0), late, unlikely] {
-        expect_that!(less.gain(), lt(lost(0).gain()));
+        expect_that!(less.value(), lt(lost(0).value()));
     }
-    expect_that!(lost(u32::MAX).gain(), ge(0.0));
+    expect_that!(lost(u32::MAX).value(), ge(0.0));
 }
 
 #[gtest]
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -123,7 +123,7 @@
     for _ in 0..nodes {
         let mut budget = RetryBudget::new(bounds);
         for request in 0..100 {
-            budget.requested(&service, ms(request * 50));
+            budget.record_request(&service, ms(request * 50));
         }
         while budget.try_acquire(&service, nodes, ms(5_000)) {
             drawn += 1.0;
@@ -302,7 +302,7 @@
     expect_that!(at("a"), none());
     let held = Misdirection {
         fence: 14,
-        again: Some(ms(60)),
+        retry_at: Some(ms(60)),
     };
     expect_that!(at("b"), some(eq(&held)));
     let unowned = Misdirection::at(&InstanceId::from("a"), None, None);
@@ -389,13 +389,13 @@
 #[gtest]
 fn connections_that_rested_too_long_are_not_used_for_some_time() {
     let mut limit = IdleLimit::default();
-    limit.lost(ms(900), ms(1_000));
+    limit.record_lost(ms(900), ms(1_000));
     expect_that!(limit.current(ms(1_000)), none());
-    limit.lost(ms(500), ms(1_100));
+    limit.record_lost(ms(500), ms(1_100));
     expect_that!(limit.current(ms(1_100)), some(eq(ms(300))));
     expect_that!(limit.own(ms(9_000)), none());
     // What another node says holds for a while, and is not passed on.
-    limit.told(ms(200), ms(9_000));
+    limit.set_peer_limit(ms(200), ms(9_000));
     expect_that!(limit.current(ms(9_500)), some(eq(ms(200))));
     expect_that!(limit.own(ms(9_500)), none());
     expect_that!(limit.current(ms(12_000)), none());
@@ -406,15 +406,15 @@
     // Instances that are full end connections whether they rested or not.
     let mut full = IdleLimit::default();
     for at in 0..10 {
-        full.lost(ms(500), ms(at));
-        full.lost(ms(0), ms(at));
+        full.record_lost(ms(500), ms(at));
+        full.record_lost(ms(0), ms(at));
     }
     expect_that!(full.current(ms(20)), none());
     // Most requests on rested connections are answered.
     let mut rare = IdleLimit::default();
     for at in 0..10 {
-        rare.lost(ms(500), ms(at));
-        (0..9).for_each(|_| rare.answered(ms(500), ms(at)));
+        rare.record_lost(ms(500), ms(at));
+        (0..9).for_each(|_| rare.record_answered(ms(500), ms(at)));
     }
     expect_that!(rare.current(ms(20)), none());
 }
--- a/crates/ledgelead-router/tests/split.rs
+++ b/crates/ledgelead-router/tests/split.rs
@@ -27,7 +27,7 @@
 /// What some requests of a fleet came to.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    keyed: usize,
+    sharded: usize,
     bytes_between_zones: usize,
 }
 
@@ -74,7 +74,7 @@
         size: impl Fn(&mut Pcg64Mcg) -> usize,
         draws_evenly: bool,
     ) -> Outcome {
-        let keyed = ServiceName::from("records");
+        let sharded = ServiceName::from("records");
         let mut outcome = Outcome::default();
         for _ in 0..requests {
             let from = Fleet::zone(&mut self.rng, &self.traffic);
@@ -88,7 +88,7 @@
             let (_, splits, rng) = &mut self.nodes[chosen];
             let request = SplitRequest {
                 route: "uploads",
-                keyed: &keyed,
+                sharded: &sharded,
                 share,
                 body_bytes,
                 is_local: Some(from == owner),
@@ -97,7 +97,7 @@
                 true => rng.random_range(0.0..1.0) < share,
                 false => splits.draw(&request, || local, Duration::ZERO, rng),
             };
-            outcome.keyed += usize::from(is_keyed);
+            outcome.sharded += usize::from(is_keyed);
             if is_keyed && from != owner {
                 outcome.bytes_between_zones += body_bytes;
             }
@@ -115,7 +115,7 @@
 }
 
 fn share_of(outcome: Outcome, requests: usize) -> f64 {
-    outcome.keyed as f64 / requests as f64
+    outcome.sharded as f64 / requests as f64
 }
 
 proptest! {
@@ -202,14 +202,14 @@
 
 #[gtest]
 fn every_kind_of_request_reaches_both_services() {
-    let keyed = ServiceName::from("records");
+    let sharded = ServiceName::from("records");
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for is_local in [true, false] {
         for share in [0.1, 0.9] {
             let mut splits = Splits::default();
             let request = SplitRequest {
                 route: "uploads",
-                keyed: &keyed,
+                sharded: &sharded,
                 share,
                 body_bytes: UPLOAD_BYTES,
                 is_local: Some(is_local),
