--- a/crates/ledgelead-runtime/src/explain.rs
+++ b/crates/ledgelead-runtime/src/explain.rs
@@ -165,7 +165,7 @@
 
 impl Explanation {
     /// Whether any log knows the request.
-    pub fn is_known(&self) -> bool {
+    pub fn has_events(&self) -> bool {
         !self.own.is_empty()
     }
 }
--- a/crates/ledgelead-runtime/tests/explain.rs
+++ b/crates/ledgelead-runtime/tests/explain.rs
@@ -27,7 +27,7 @@
         Box::new(Cursor::new(COORDINATOR)),
     ];
     let explanation = explain(request, logs).unwrap();
-    (explanation.is_known(), explanation.to_string())
+    (explanation.has_events(), explanation.to_string())
 }
 
 #[gtest]
