--- a/crates/ledgelead-runtime/src/clock.rs
+++ b/crates/ledgelead-runtime/src/clock.rs
@@ -1,26 +1,26 @@
-//! The clock of a process, counted from its start.
+//! The process's clock, and detection of machine suspensions.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::{Duration, Instant};
 
-/// Which clock of the machine is read. Neither is ever set.
+/// Which of the kernel's clocks is read. Neither can be set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClockSource {
-    /// It stands still while the machine is suspended.
+    /// `CLOCK_MONOTONIC`, which stops while the machine is suspended.
     Monotonic,
-    /// It goes on while the machine is suspended.
+    /// `CLOCK_BOOTTIME`, which counts the time of suspensions too.
     Boottime,
 }
 
 impl ClockSource {
-    /// The time on this clock.
+    /// Reads the clock.
     fn read(self) -> Duration {
         let clock = match self {
             ClockSource::Monotonic => ClockId::Monotonic,
             ClockSource::Boottime => ClockId::Boottime,
         };
         let time = clock_gettime(clock);
-        // Both count from the start of the machine, so neither part is negative.
+        // Both clocks count from the start of the machine, so neither part is negative.
         let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
         let nanos = u32::try_from(time.tv_nsec).unwrap_or(0);
         Duration::new(seconds, nanos)
@@ -35,8 +35,9 @@
 }
 
 impl ProcessClock {
-    /// The clock by which processes go. A process that was suspended has to know, else it
-    /// takes its authority and leases for younger than they are, and keys get two owners.
+    /// The clock that nodes use. It must count suspensions: otherwise a node that was
+    /// suspended takes its authority and leases for younger than they are, and keys get two
+    /// owners.
     pub const SOURCE: ClockSource = ClockSource::Boottime;
 
     /// A clock that starts now.
@@ -44,7 +45,7 @@
         ProcessClock::of(ProcessClock::SOURCE)
     }
 
-    /// The same by another clock of the machine.
+    /// A clock that starts now and reads this source.
     pub fn of(source: ClockSource) -> ProcessClock {
         ProcessClock {
             source,
@@ -58,36 +59,38 @@
     }
 }
 
-/// Least difference of the two clocks that counts as a suspension: a process may lose its
-/// processor between the readings.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(200);
+/// Smaller differences between the two clocks don't count as a suspension, because the
+/// process may be preempted between the two readings.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// Notices that the steady clock stood still.
+/// Detects suspensions of the machine by comparing the monotonic clock, which stops
+/// meanwhile, with the process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
-    steady_origin: Instant,
-    /// By how much the process's clock is ahead.
-    ahead: Duration,
+    monotonic_origin: Instant,
+    /// By how much the process's clock is ahead of the monotonic clock since its origin.
+    offset: Duration,
 }
 
 impl SuspensionDetector {
-    /// From a reading of both clocks.
-    pub fn new(steady: Instant, time: Duration) -> SuspensionDetector {
+    /// Starts from a reading of both clocks.
+    pub fn new(monotonic: Instant, time: Duration) -> SuspensionDetector {
         SuspensionDetector {
-            steady_origin: steady,
-            ahead: time,
+            monotonic_origin: monotonic,
+            offset: time,
         }
     }
 
-    /// For how long the machine was suspended since the last reading.
-    pub fn passed(&mut self, steady: Instant, time: Duration) -> Duration {
-        let ran = steady.saturating_duration_since(self.steady_origin);
-        let ahead = time.saturating_sub(ran);
-        let more = ahead.saturating_sub(self.ahead);
-        if more < LEAST_SUSPENSION {
+    /// How long the machine was suspended since the last suspension that was reported here;
+    /// zero if less than 200 ms.
+    pub fn detect(&mut self, monotonic: Instant, time: Duration) -> Duration {
+        let running = monotonic.saturating_duration_since(self.monotonic_origin);
+        let offset = time.saturating_sub(running);
+        let suspended = offset.saturating_sub(self.offset);
+        if suspended < MIN_SUSPENSION {
             return Duration::ZERO;
         }
-        self.ahead = ahead;
-        more
+        self.offset = offset;
+        suspended
     }
 }
--- a/crates/ledgelead-runtime/src/endpoint.rs
+++ b/crates/ledgelead-runtime/src/endpoint.rs
@@ -1,33 +1,33 @@
-//! Where a process listens.
+//! The addresses and paths that a process serves.
 
 use std::net::SocketAddr;
 
-/// Who calls a listener.
+/// The kind of a listener, by who connects to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// Clients with requests for services.
     Clients,
-    /// Whoever asks whether the node is ready, or for its figures.
+    /// Readiness probes and metrics scrapers.
     Status,
-    /// Other nodes that ask for whole lists.
+    /// Other nodes that request whole lists.
     Peers,
 }
 
 /// Paths of the status endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusPaths {
-    /// Answers 200 while the node is ready, 503 otherwise.
+    /// Readiness probe: 200 while the node is ready, 503 otherwise.
     pub readiness: String,
-    /// Answers figures in the Prometheus text format.
+    /// Metrics in the Prometheus text format.
     pub metrics: String,
 }
 
 /// Addresses to listen on.
 #[derive(Clone, Debug)]
 pub struct ListenAddresses {
-    /// For clients.
+    /// For requests of clients.
     pub clients: SocketAddr,
-    /// For questions about the node.
+    /// For readiness probes and metrics.
     pub status: Vec<SocketAddr>,
     /// For datagrams and connections of other nodes.
     pub peers: SocketAddr,
--- a/crates/ledgelead-runtime/src/event_loop.rs
+++ b/crates/ledgelead-runtime/src/event_loop.rs
@@ -1,11 +1,11 @@
-//! The event loop of a thread: actors and the sockets that wake them.
+//! The event loop of a thread: actors, and the sockets whose readiness wakes them.
 
 use stakker::Stakker;
 use stakker_mio::MioPoll;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Longest wait when nothing happens.
+/// Longest wait of one poll.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 
 /// Runs actors and polls their sockets until an actor shuts the thread down.
--- a/crates/ledgelead-runtime/src/explain.rs
+++ b/crates/ledgelead-runtime/src/explain.rs
@@ -1,30 +1,29 @@
-//! The life of one request, from the logs of several nodes.
+//! Explains the handling of one request from the logs of several nodes.
 //!
-//! Clocks of machines may differ by seconds, so lines of different nodes are
-//! never put into one order by their times. What the request's own node did
-//! comes first, in the order of its log; then, node by node, what the others
-//! told of the instances and of the keys that it depended on.
+//! Clocks of machines may differ by seconds, so lines of different nodes are never sorted
+//! by their times. Events of the request come first, in the order of the logs. Then follow,
+//! node by node, events about the instances and keys that the request depended on.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::io::BufRead;
 
-/// A line of a log.
+/// One event of a log.
 #[derive(Clone, Debug)]
-struct Line {
+struct LogLine {
     node: String,
     time: f64,
     topic: String,
     event: Value,
 }
 
-impl Line {
-    /// Lines that are no events are none of ours.
-    fn parse(text: &str) -> Option<Line> {
-        // A bench may put its own words before the object.
+impl LogLine {
+    /// Parses an event; `None` for any other line.
+    fn parse(text: &str) -> Option<LogLine> {
+        // A test harness may write a prefix before the JSON object.
         let object: Value = serde_json::from_str(&text[text.find('{')?..]).ok()?;
-        Some(Line {
+        Some(LogLine {
             node: object.get("node")?.as_str()?.to_owned(),
             time: object.get("time")?.as_f64()?,
             topic: object.get("topic")?.as_str()?.to_owned(),
@@ -45,20 +44,20 @@
     }
 }
 
-/// What a request depended on.
+/// The node that handled a request, and what the request depended on.
 #[derive(Debug, Default)]
-struct Subject {
+struct RequestContext {
     /// The request's own node.
     node: String,
     services: BTreeSet<String>,
     instances: BTreeSet<String>,
     key: Option<u64>,
-    /// The same for all tries of the request.
+    /// Digest of the request, which all its attempts share.
     digest: Option<String>,
 }
 
-impl Subject {
-    fn of(lines: &[Line]) -> Subject {
+impl RequestContext {
+    fn of(lines: &[LogLine]) -> RequestContext {
         let texts = |field: &str| {
             lines
                 .iter()
@@ -66,7 +65,7 @@
                 .map(str::to_owned)
                 .collect()
         };
-        Subject {
+        RequestContext {
             node: lines
                 .first()
                 .map_or(String::new(), |line| line.node.clone()),
@@ -80,91 +79,95 @@
         }
     }
 
-    fn concerns(&self, line: &Line) -> bool {
-        let named = ["instance", "owner", "from", "to"]
+    /// Whether a line about something else helps to explain the request.
+    fn is_relevant(&self, line: &LogLine) -> bool {
+        let names_instance = ["instance", "owner", "from", "to"]
             .into_iter()
             .filter_map(|field| line.text(field))
             .any(|name| self.instances.contains(name));
         match line.topic.as_str() {
-            // Who held it back, and whose end it is suspected of.
-            "quarantine" => named || self.is_same_request(line),
+            // Which node quarantined the request, and which instances ended under it.
+            "quarantine" => names_instance || self.is_same_request(line),
             "request" => self.is_same_request(line),
-            "instances" => named && line.node == self.node,
-            "ownership" if line.text("event") == Some("order_failed") => named,
+            "instances" => names_instance && line.node == self.node,
+            "ownership" if line.text("event") == Some("order_failed") => names_instance,
             "ownership" if line.event.get("first").is_some() => self.holds_key(line),
             "ownership" => true,
-            // What other nodes believed of these did not decide the request.
+            // Other nodes' state of these had no influence on the request.
             "store" | "configuration" | "node" | "logs" => line.node == self.node,
             _ => false,
         }
     }
 
-    /// Whether a line is about a try of the same request.
-    fn is_same_request(&self, line: &Line) -> bool {
+    /// Whether a line is about an attempt of the same request.
+    fn is_same_request(&self, line: &LogLine) -> bool {
         self.digest.is_some() && line.text("digest") == self.digest.as_deref()
     }
 
-    fn holds_key(&self, line: &Line) -> bool {
+    /// Whether the key range of a line contains the request's key, in one of its services.
+    fn holds_key(&self, line: &LogLine) -> bool {
         let (Some(first), Some(last), Some(key)) =
             (line.number("first"), line.number("last"), self.key)
         else {
             return false;
         };
-        let same = line
+        let is_same_service = line
             .text("service")
             .is_some_and(|service| self.services.contains(service));
-        same && (first..=last).contains(&key)
+        is_same_service && (first..=last).contains(&key)
     }
 }
 
-/// The life of a request.
+/// What the logs contain about a request.
 #[derive(Debug)]
 pub struct Explanation {
     request: String,
-    own: Vec<Line>,
-    others: Vec<Line>,
+    /// Events of the request.
+    own: Vec<LogLine>,
+    /// Events about what the request depended on, sorted by node.
+    related: Vec<LogLine>,
 }
 
-/// How many seconds around the request other lines are shown, by their node's
-/// clock. Wide, since clocks differ.
-const AROUND_SECONDS: f64 = 15.0;
+/// Related lines are shown if their time, by their node's clock, is within this many seconds
+/// of the request's events. The window is wide because clocks differ.
+const WINDOW_SECONDS: f64 = 15.0;
 
-/// Collects what logs tell of a request.
+/// Collects the events of a request, and those that help to explain it.
 ///
 /// # Errors
-/// When a log can't be read.
+/// If a log can't be read.
 pub fn explain(request: &str, logs: Vec<Box<dyn BufRead>>) -> std::io::Result<Explanation> {
     let mut lines = Vec::new();
     for log in logs {
         for text in log.lines() {
-            lines.extend(Line::parse(&text?));
+            lines.extend(LogLine::parse(&text?));
         }
     }
-    let own: Vec<Line> = lines
+    let own: Vec<LogLine> = lines
         .iter()
         .filter(|line| line.is_of(request))
         .cloned()
         .collect();
-    let subject = Subject::of(&own);
+    let context = RequestContext::of(&own);
     let times = || own.iter().map(|line| line.time);
-    let from = times().fold(f64::INFINITY, f64::min) - AROUND_SECONDS;
-    let until = times().fold(f64::NEG_INFINITY, f64::max) + AROUND_SECONDS;
-    let mut others: Vec<Line> = lines
+    let from = times().fold(f64::INFINITY, f64::min) - WINDOW_SECONDS;
+    let until = times().fold(f64::NEG_INFINITY, f64::max) + WINDOW_SECONDS;
+    let mut related: Vec<LogLine> = lines
         .into_iter()
-        .filter(|line| !line.is_of(request) && subject.concerns(line))
+        .filter(|line| !line.is_of(request) && context.is_relevant(line))
         .filter(|line| from <= line.time && line.time <= until)
         .collect();
-    // Stable: the order of one node's log is kept.
-    others.sort_by(|left, right| left.node.cmp(&right.node));
+    // The sort is stable, so lines of one node keep the order of its log.
+    related.sort_by(|left, right| left.node.cmp(&right.node));
     Ok(Explanation {
         request: request.to_owned(),
         own,
-        others,
+        related,
     })
 }
 
 impl Explanation {
-    /// Whether any log knows the request.
+    /// Whether the logs contain events of the request.
     pub fn has_events(&self) -> bool {
         !self.own.is_empty()
     }
@@ -180,7 +183,7 @@
             write_line(formatter, line, first.time)?;
         }
         let mut node = None;
-        for line in &self.others {
+        for line in &self.related {
             if node != Some(&line.node) {
                 writeln!(formatter, "{} tells, by its own clock", line.node)?;
                 node = Some(&line.node);
@@ -191,14 +194,14 @@
     }
 }
 
-fn write_line(formatter: &mut fmt::Formatter<'_>, line: &Line, origin: f64) -> fmt::Result {
+fn write_line(formatter: &mut fmt::Formatter<'_>, line: &LogLine, origin: f64) -> fmt::Result {
     let name = line.text("event").unwrap_or("unnamed");
     write!(formatter, "  {:+9.3} s  {name}", line.time - origin)?;
     if let Value::Object(fields) = &line.event {
         for (field, value) in fields {
-            let shown = field != "event" && field != "request" && !value.is_null();
+            let is_shown = field != "event" && field != "request" && !value.is_null();
             match value {
-                _ if !shown => {}
+                _ if !is_shown => {}
                 Value::String(text) => write!(formatter, " {field}={text}")?,
                 other => write!(formatter, " {field}={other}")?,
             }
--- a/crates/ledgelead-runtime/src/inbound.rs
+++ b/crates/ledgelead-runtime/src/inbound.rs
@@ -1,7 +1,7 @@
-//! Connections of clients.
+//! Inbound connections: requests of clients, of status probes and of other nodes.
 
 use crate::endpoint::Endpoint;
-use crate::memory::{CHECKED_BYTES, MemoryBudget};
+use crate::memory::{MIN_CHECKED_BYTES, MemoryBudget};
 use crate::outbound::ConnectionKey;
 use crate::stream::Stream;
 use ledgelead_http::{
@@ -16,27 +16,27 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// How long a connection that this side has ended waits for the other side's
-/// end: to close it earlier could cut off the last answer.
-const LINGER: Duration = Duration::from_secs(1);
-/// Time in which a client that takes nothing of its answer loses it where memory is short.
-/// A retransmission over a lossy link takes a part of that.
-const STALLED: Duration = Duration::from_secs(1);
+/// How long a connection stays open after this side has shut down its direction, to wait for
+/// the client's close. Closing earlier could cut off the last answer.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// If memory is short, a client that has accepted no byte of its answer for this long is
+/// disconnected. Retransmissions over a lossy link take only a part of this time.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What happened on a client's connection.
+/// An event on an inbound connection.
 #[derive(Debug)]
 pub(crate) enum ClientEvent {
-    /// A request came.
+    /// A whole request arrived.
     Request {
         client: ClientId,
         endpoint: Endpoint,
         source: IpAddr,
         request: Request,
     },
-    /// A request came whose body is not read, since there is no memory for it.
-    Unread { client: ClientId, request: Request },
-    /// The client closed while its request was open.
-    Left { client: ClientId },
+    /// A request arrived whose body is not read, because there is no memory for it.
+    RequestWithoutBody { client: ClientId, request: Request },
+    /// The client disconnected while its request was open.
+    Disconnected { client: ClientId },
 }
 
 struct Connection {
@@ -46,24 +46,25 @@
     source: IpAddr,
     stream: Stream,
     reader: RequestReader,
+    /// The request that is not answered yet.
     open: Option<ClientId>,
     /// Length of the body of the open request, which is kept until it is answered.
-    open_bytes: usize,
-    /// Whether a body of known length was let in: its memory is counted since, so that it
-    /// isn't refused for what came later.
+    open_body_bytes: usize,
+    /// Whether the body that is being read was admitted. Its whole length is known and counts
+    /// as buffered from then on, so it isn't refused because of bytes that arrive later.
     is_admitted: bool,
-    /// When bytes of an answer were taken last, or the answer began.
-    wrote_at: Instant,
+    /// When bytes of an answer were written last, or when the answer began.
+    last_write: Instant,
     to_head_request: bool,
     close_after_answer: bool,
-    /// When this side ended the connection.
-    ended: Option<Instant>,
-    /// Since when nothing is asked, or when the current request began.
-    since: Instant,
+    /// When this side shut down its direction of the connection.
+    shut_down_at: Option<Instant>,
+    /// When the current request began, or when the connection became idle.
+    state_since: Instant,
     receiving: bool,
 }
 
-/// All connections of clients.
+/// All inbound connections.
 #[derive(Default)]
 pub(crate) struct Inbound {
     connections: Slab<Connection>,
@@ -72,21 +73,21 @@
     last_client: u64,
     limits: ClientLimits,
     stopping: bool,
-    dropped: u64,
+    dropped_clients: u64,
 }
 
 impl Inbound {
-    /// From now on these bounds hold.
+    /// Replaces the limits of requests and connections.
     pub(crate) fn set_limits(&mut self, limits: ClientLimits) {
         self.limits = limits;
     }
 
-    /// From now on each answer ends its connection.
+    /// Makes each further answer close its connection.
     pub(crate) fn begin_stopping(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether some request is being received or answered.
+    /// Whether a request of a client is being received or answered.
     pub(crate) fn is_busy(&self) -> bool {
         self.connections.iter().any(|(_, connection)| {
             let client = connection.endpoint == Endpoint::Clients;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A connection was accepted.
+    /// Adds an accepted connection.
     pub(crate) fn accepted(
         &mut self,
         stream: MioSource<TcpStream>,
@@ -120,18 +121,18 @@
             stream: Stream::new(stream),
             reader: RequestReader::default(),
             open: None,
-            open_bytes: 0,
+            open_body_bytes: 0,
             is_admitted: false,
-            wrote_at: now,
+            last_write: now,
             to_head_request: false,
             close_after_answer: false,
-            ended: None,
-            since: now,
+            shut_down_at: None,
+            state_since: now,
             receiving: false,
         });
     }
 
-    /// A socket is ready.
+    /// Handles the readiness of a connection's socket.
     pub(crate) fn ready(
         &mut self,
         key: ConnectionKey,
@@ -149,14 +150,16 @@
     }
 
     /// Bytes of memory that requests of clients and answers to them take.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn buffered_bytes(&self) -> usize {
         let connections = self.connections.iter();
-        connections.map(|(_, connection)| connection.held()).sum()
+        connections
+            .map(|(_, connection)| connection.buffered_bytes())
+            .sum()
     }
 
-    /// Clients whose answer was given up, since they didn't read it.
-    pub(crate) fn dropped(&self) -> u64 {
-        self.dropped
+    /// Number of clients that were disconnected because they did not read their answer.
+    pub(crate) fn dropped_clients(&self) -> u64 {
+        self.dropped_clients
     }
 
     /// Answers a request.
@@ -178,59 +181,60 @@
         let to_head = connection.to_head_request;
         write_response(response, close, to_head, connection.stream.output());
         connection.open = None;
-        connection.open_bytes = 0;
+        connection.open_body_bytes = 0;
         connection.close_after_answer = close;
-        connection.since = now;
-        connection.wrote_at = now;
+        connection.state_since = now;
+        connection.last_write = now;
         self.progress(index, now, budget, events);
-        if response.body.len() >= CHECKED_BYTES {
-            self.relieve(Duration::ZERO, Some(index), now, budget);
+        if response.body.len() >= MIN_CHECKED_BYTES {
+            self.drop_stalled_clients(Duration::ZERO, Some(index), now, budget);
         }
     }
 
-    /// Closes connections of clients that have taken nothing of their answers for some
-    /// time, the slowest first, until what is held is within the bound; but for one that was
-    /// just answered. Answers that fit their own share are never given up for bodies.
-    fn relieve(
+    /// While the buffers exceed the memory budget, disconnects clients that have accepted no
+    /// byte of their answers for `min_stall`, the longest stalled first. The connection that
+    /// was just answered is exempt. Answers within the share that is reserved for answers
+    /// are never dropped to make room for bodies.
+    fn drop_stalled_clients(
         &mut self,
-        stalled: Duration,
+        min_stall: Duration,
         answered: Option<usize>,
         now: Instant,
         budget: MemoryBudget<'_>,
     ) {
-        let mut excess = budget.excess(|| self.held());
+        let mut excess = budget.excess(|| self.buffered_bytes());
         if excess == 0 {
             return;
         }
         let unsent = self.connections.iter();
         let unsent: usize = unsent
-            .map(|(_, connection)| connection.stream.unsent())
+            .map(|(_, connection)| connection.stream.unsent_bytes())
             .sum();
         excess = excess.min(unsent.saturating_sub(budget.response_reserve()));
-        let mut slow: Vec<(Instant, usize)> = self
+        let mut stalled: Vec<(Instant, usize)> = self
             .connections
             .iter()
             .filter(|(index, _)| Some(*index) != answered)
-            .filter(|(_, connection)| connection.is_stalled(stalled, now))
-            .map(|(index, connection)| (connection.wrote_at, index))
+            .filter(|(_, connection)| connection.is_stalled(min_stall, now))
+            .map(|(index, connection)| (connection.last_write, index))
             .collect();
-        slow.sort_unstable();
-        for (_, index) in slow {
+        stalled.sort_unstable();
+        for (_, index) in stalled {
             if excess == 0 {
                 return;
             }
             let connection = self.connections.remove(index);
             connection.stream.reset_on_close();
-            excess = excess.saturating_sub(connection.held());
-            self.dropped += 1;
-            log::warn!(target: "runtime", "memory is short: {} doesn't read its answer", connection.source);
+            excess = excess.saturating_sub(connection.buffered_bytes());
+            self.dropped_clients += 1;
+            log::warn!(target: "runtime", "memory limit reached: disconnected {}, which does not read its answer", connection.source);
         }
     }
 
-    /// Ends the connections of clients that ask nothing now. A request that
-    /// crosses the end was never read, which its client can tell.
-    pub(crate) fn end_unused(&mut self) {
-        let unused: Vec<usize> = self
+    /// Closes the connections of clients without an open request. If a request arrives at the
+    /// same time, the client gets no answer and can tell that it was not read.
+    pub(crate) fn close_idle(&mut self) {
+        let idle: Vec<usize> = self
             .connections
             .iter()
             .filter(|(_, connection)| {
@@ -238,26 +242,27 @@
                     && connection.open.is_none()
                     && !connection.receiving
                     && connection.stream.is_flushed()
-                    && connection.ended.is_none()
+                    && connection.shut_down_at.is_none()
             })
             .map(|(index, _)| index)
             .collect();
-        for index in unused {
+        for index in idle {
             self.connections.remove(index);
         }
     }
 
-    /// Closes what has been idle, or incomplete, for too long.
+    /// Closes connections that were idle, or sent no whole request, for too long, and drops
+    /// stalled clients if memory is short.
     pub(crate) fn sweep(&mut self, now: Instant, budget: MemoryBudget<'_>) {
-        self.relieve(STALLED, None, now, budget);
+        self.drop_stalled_clients(WRITE_STALL_TIMEOUT, None, now, budget);
         let limits = self.limits;
-        let over: Vec<usize> = self
+        let timed_out: Vec<usize> = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.is_overdue(limits, now))
+            .filter(|(_, connection)| connection.has_timed_out(limits, now))
             .map(|(index, _)| index)
             .collect();
-        for index in over {
+        for index in timed_out {
             self.connections.remove(index);
         }
     }
@@ -274,8 +279,8 @@
         };
         connection.stream.fill();
         connection.flush(now);
-        if self.sends_too_far_ahead(index, budget) {
-            self.cut_off(index, events);
+        if self.pipelines_too_much(index, budget) {
+            self.reset_pipelining_client(index, events);
             return;
         }
         let Some(connection) = self.connections.get_mut(index) else {
@@ -285,31 +290,32 @@
             self.remove(index, events);
             return;
         }
-        if connection.ended.is_some() {
+        if connection.shut_down_at.is_some() {
             connection.stream.input.clear();
         } else if connection.open.is_none() && connection.close_after_answer {
-            connection.end_once_flushed(now);
+            connection.shut_down_once_flushed(now);
         } else if connection.open.is_none() {
             self.read_request(index, now, budget, events);
         }
     }
 
-    /// Whether a client fills the memory with what is to follow its open request.
-    fn sends_too_far_ahead(&self, index: usize, budget: MemoryBudget<'_>) -> bool {
+    /// Whether a client has sent more than one largest request beyond its open request while
+    /// memory is short.
+    fn pipelines_too_much(&self, index: usize, budget: MemoryBudget<'_>) -> bool {
         let Some(connection) = self.connections.get(index) else {
             return false;
         };
         let limits = self.limits;
         let longest = limits.max_head_bytes.saturating_add(limits.max_body_bytes);
         let is_ahead = connection.open.is_some() && connection.stream.input.len() > longest;
-        is_ahead && budget.excess(|| self.held()) > 0
+        is_ahead && budget.excess(|| self.buffered_bytes()) > 0
     }
 
-    fn cut_off(&mut self, index: usize, events: &mut Vec<ClientEvent>) {
+    fn reset_pipelining_client(&mut self, index: usize, events: &mut Vec<ClientEvent>) {
         if let Some(connection) = self.connections.get(index) {
             connection.stream.reset_on_close();
             let source = connection.source;
-            log::warn!(target: "runtime", "memory is short: {source} sends ahead of its answer");
+            log::warn!(target: "runtime", "memory limit reached: disconnected {source}, which sends ahead of its answer");
         }
         self.remove(index, events);
     }
@@ -318,7 +324,7 @@
         let connection = self.connections.remove(index);
         if let Some(client) = connection.open {
             self.by_client.remove(&client);
-            events.push(ClientEvent::Left { client });
+            events.push(ClientEvent::Disconnected { client });
         }
     }
 
@@ -348,13 +354,13 @@
             RequestProgress::Idle => {}
             RequestProgress::Partial | RequestProgress::ExpectsContinue => {
                 connection.begin_receiving(now);
-                if self.lacks_memory(index, budget) {
+                if self.must_refuse_body(index, budget) {
                     self.discard_body(index, events);
                     return;
                 }
                 self.admit_body(index);
                 if progress == RequestProgress::ExpectsContinue {
-                    self.invite_body(index);
+                    self.send_continue(index);
                 }
             }
             RequestProgress::Complete(request) => {
@@ -363,21 +369,24 @@
         }
     }
 
-    /// Whether a body that is being read, or was just read, doesn't fit.
-    fn lacks_memory(&self, index: usize, budget: MemoryBudget<'_>) -> bool {
+    /// Whether the body that is being read, or was just read, exceeds the memory budget.
+    fn must_refuse_body(&self, index: usize, budget: MemoryBudget<'_>) -> bool {
         let Some(connection) = self.connections.get(index) else {
             return false;
         };
         if connection.is_admitted {
             return false;
         }
-        let body = connection.reader.reserved_bytes() + connection.open_bytes;
+        let body = connection.reader.reserved_bytes() + connection.open_body_bytes;
         let is_client = connection.endpoint == Endpoint::Clients;
-        let is_checked = is_client && body >= CHECKED_BYTES;
-        is_checked && !budget.admits(|| self.held()) && !budget.is_empty(|| self.held() - body)
+        let is_checked = is_client && body >= MIN_CHECKED_BYTES;
+        is_checked
+            && !budget.admits(|| self.buffered_bytes())
+            && !budget.is_nearly_empty(|| self.buffered_bytes() - body)
     }
 
-    /// From now on the body that is being read isn't refused, if all of it is counted.
+    /// Admits the body that is being read if its length is known, so that all of it counts as
+    /// buffered already. A body of unknown length is checked again as it grows.
     fn admit_body(&mut self, index: usize) {
         if let Some(connection) = self.connections.get_mut(index) {
             let reader = &connection.reader;
@@ -385,8 +394,8 @@
         }
     }
 
-    /// The client is told to send the body that it holds back.
-    fn invite_body(&mut self, index: usize) {
+    /// Answers `Expect: 100-continue`.
+    fn send_continue(&mut self, index: usize) {
         if let Some(connection) = self.connections.get_mut(index) {
             let output = connection.stream.output();
             output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -394,13 +403,13 @@
         }
     }
 
-    /// What has come of a body is dropped, and the rest is not read.
+    /// Discards the part of a body that has arrived, and refuses its request.
     fn discard_body(&mut self, index: usize, events: &mut Vec<ClientEvent>) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
         if let Some(request) = connection.reader.discard_body() {
-            self.refuse_unread(index, request, events);
+            self.refuse_body(index, request, events);
         }
     }
 
@@ -414,10 +423,10 @@
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
-        connection.open_bytes = request.body.len();
-        if self.lacks_memory(index, budget) {
+        connection.open_body_bytes = request.body.len();
+        if self.must_refuse_body(index, budget) {
             request.body = Vec::new();
-            self.refuse_unread(index, request, events);
+            self.refuse_body(index, request, events);
             return;
         }
         let Some((client, connection)) = self.open_request(index, &request) else {
@@ -432,15 +441,16 @@
         });
     }
 
-    /// The connection ends after the answer, since bytes of the body may follow.
-    fn refuse_unread(&mut self, index: usize, request: Request, events: &mut Vec<ClientEvent>) {
+    /// Reports a request without its body. The connection closes after the answer, since
+    /// bytes of the body may follow.
+    fn refuse_body(&mut self, index: usize, request: Request, events: &mut Vec<ClientEvent>) {
         let Some((client, connection)) = self.open_request(index, &request) else {
             return;
         };
-        connection.open_bytes = 0;
+        connection.open_body_bytes = 0;
         connection.close_after_answer = true;
         connection.stream.input = Vec::new();
-        events.push(ClientEvent::Unread { client, request });
+        events.push(ClientEvent::RequestWithoutBody { client, request });
     }
 
     fn open_request(
@@ -461,28 +471,29 @@
 }
 
 impl Connection {
-    fn held(&self) -> usize {
-        self.stream.held() + self.reader.reserved_bytes() + self.open_bytes
+    fn buffered_bytes(&self) -> usize {
+        self.stream.buffered_bytes() + self.reader.reserved_bytes() + self.open_body_bytes
     }
 
     fn flush(&mut self, now: Instant) {
-        let before = self.stream.unsent();
+        let before = self.stream.unsent_bytes();
         self.stream.flush();
-        if self.stream.unsent() < before {
-            self.wrote_at = now;
+        if self.stream.unsent_bytes() < before {
+            self.last_write = now;
         }
     }
 
-    /// Whether an answer is not written whole, and nothing of it was taken for this time.
+    /// Whether an answer is not completely written, and no byte of it was written for this
+    /// time.
     fn is_stalled(&self, time: Duration, now: Instant) -> bool {
         let is_unsent = self.open.is_none() && !self.stream.is_flushed();
-        is_unsent && now.duration_since(self.wrote_at) >= time
+        is_unsent && now.duration_since(self.last_write) >= time
     }
 
     fn begin_receiving(&mut self, now: Instant) {
         if !self.receiving {
             self.receiving = true;
-            self.since = now;
+            self.state_since = now;
         }
     }
 
@@ -492,22 +503,22 @@
         self.stream.flush();
         self.receiving = false;
         self.close_after_answer = true;
-        self.end_once_flushed(now);
+        self.shut_down_once_flushed(now);
     }
 
-    fn end_once_flushed(&mut self, now: Instant) {
+    fn shut_down_once_flushed(&mut self, now: Instant) {
         if self.stream.is_flushed() {
             self.stream.shut_down_output();
             self.stream.input.clear();
-            self.ended = Some(now);
+            self.shut_down_at = Some(now);
         }
     }
 
-    fn is_overdue(&self, limits: ClientLimits, now: Instant) -> bool {
-        if let Some(ended) = self.ended {
-            return now.duration_since(ended) >= LINGER;
+    fn has_timed_out(&self, limits: ClientLimits, now: Instant) -> bool {
+        if let Some(shut_down_at) = self.shut_down_at {
+            return now.duration_since(shut_down_at) >= CLOSE_TIMEOUT;
         }
-        let age = now.duration_since(self.since);
+        let age = now.duration_since(self.state_since);
         if self.open.is_some() {
             return false;
         }
--- a/crates/ledgelead-runtime/src/lib.rs
+++ b/crates/ledgelead-runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs a router node on real sockets: one thread, one event loop.
 //!
-//! `stakker` holds the one actor and its timer, `stakker_mio` wakes it for
-//! sockets. The actor moves bytes and times; all decisions are the node's.
+//! `stakker` runs a single actor and its timer, and `stakker_mio` wakes it when sockets are
+//! ready. The actor only moves bytes and reads clocks; the node makes all decisions.
 
 pub mod clock;
 mod endpoint;
--- a/crates/ledgelead-runtime/src/logging.rs
+++ b/crates/ledgelead-runtime/src/logging.rs
@@ -1,8 +1,8 @@
-//! Logs as JSON lines that never hold the process up.
+//! Non-blocking logs in JSON lines.
 //!
-//! Lines go through a bounded queue to a thread that writes them. When the
-//! reader of the output is slow, the queue fills and lines are dropped; how
-//! many is counted, and told in a line of its own as soon as there is room.
+//! Lines go through a bounded queue to a thread that writes them. If the reader of the
+//! output is slow, the queue fills up and further lines are dropped. Their number is logged
+//! as a line of its own as soon as the writer continues.
 
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::{Map, json};
@@ -13,29 +13,29 @@
 use std::thread;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines that wait to be written at most.
+/// Capacity of the queue of lines.
 const QUEUE_LINES: usize = 2_048;
-/// Stack of the writing thread, in bytes.
-const WRITER_STACK: usize = 64 * 1024;
+/// Stack size of the writer thread.
+const WRITER_STACK_BYTES: usize = 64 * 1024;
 
-/// Lines that were dropped since the start of the process.
+/// Lines dropped since the start of the process.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines were dropped since the start of the process.
+/// Number of lines dropped since the start of the process.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Sends log records to standard output, one JSON object a line: `time` in
-/// seconds since the epoch, `level`, `node`, `topic`, and `event` or `message`.
+/// Writes log records to standard output, each as a JSON object on one line: `time` in
+/// seconds since the Unix epoch, `level`, `node`, `topic`, and `event` or `message`.
 ///
 /// # Errors
-/// When the process logs already.
+/// If the process already has a logger.
 pub fn start(level: log::LevelFilter, node: String) -> Result<(), log::SetLoggerError> {
     let queue = match LineQueue::new(io::stdout(), QUEUE_LINES) {
         Ok(queue) => Some(queue),
         Err(error) => {
-            eprintln!("no thread for logs, so there are none: {error}");
+            eprintln!("failed to start the log writer, nothing will be logged: {error}");
             None
         }
     };
@@ -43,14 +43,14 @@
         .level(level)
         .chain(fern::Output::call(move |record| {
             if let Some(queue) = &queue {
-                queue.push(line(record, &node));
+                queue.push(json_line(record, &node));
                 DROPPED.store(queue.dropped(), Ordering::Relaxed);
             }
         }))
         .apply()
 }
 
-/// Collects the fields of a record.
+/// Collects the key-value pairs of a record.
 #[derive(Default)]
 struct Fields(Map<String, serde_json::Value>);
 
@@ -62,12 +62,12 @@
     }
 }
 
-fn line(record: &log::Record<'_>, node: &str) -> String {
+fn json_line(record: &log::Record<'_>, node: &str) -> String {
     let time = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0.0, |since| since.as_secs_f64());
     let mut fields = Fields::default();
-    // A field that can't be written is left out.
+    // The visit ends at a value that can't be serialized; the fields before it are kept.
     let _ = record.key_values().visit(&mut fields);
     let mut object = fields.0;
     object.insert("time".to_owned(), json!(time));
@@ -81,7 +81,7 @@
     serde_json::Value::Object(object).to_string()
 }
 
-/// Lines on their way to a writer that may be slow.
+/// A bounded queue of lines for a writer that may be slow.
 #[derive(Clone, Debug)]
 pub struct LineQueue {
     lines: SyncSender<String>,
@@ -89,22 +89,22 @@
 }
 
 impl LineQueue {
-    /// A queue of at most `capacity` lines, and the thread that writes them.
+    /// Creates a queue for at most `capacity` lines and starts the thread that writes them.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// If the thread can't be started.
     pub fn new(output: impl Write + Send + 'static, capacity: usize) -> io::Result<LineQueue> {
-        let (lines, waiting) = sync_channel(capacity);
+        let (lines, queued) = sync_channel(capacity);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
+        let writer_dropped = dropped.clone();
         thread::Builder::new()
             .name("logs".to_owned())
-            .stack_size(WRITER_STACK)
-            .spawn(move || write_lines(output, &waiting, &counted))?;
+            .stack_size(WRITER_STACK_BYTES)
+            .spawn(move || write_lines(output, &queued, &writer_dropped))?;
         Ok(LineQueue { lines, dropped })
     }
 
-    /// Adds a line, or drops it when the queue is full. Never waits.
+    /// Adds a line, or drops it if the queue is full. Never blocks.
     pub fn push(&self, line: String) {
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
             self.lines.try_send(line)
@@ -113,26 +113,26 @@
         }
     }
 
-    /// How many lines were dropped so far.
+    /// Number of lines dropped so far.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
-fn write_lines(mut output: impl Write, waiting: &Receiver<String>, dropped: &AtomicU64) {
-    let mut told = 0;
-    while let Ok(line) = waiting.recv() {
-        let lost = dropped.load(Ordering::Relaxed);
-        if lost > told {
+fn write_lines(mut output: impl Write, queued: &Receiver<String>, dropped: &AtomicU64) {
+    let mut reported = 0;
+    while let Ok(line) = queued.recv() {
+        let total = dropped.load(Ordering::Relaxed);
+        if total > reported {
             let gap = json!({
                 "level": "WARN",
                 "topic": "logs",
-                "event": { "event": "lines_dropped", "count": lost - told },
+                "event": { "event": "lines_dropped", "count": total - reported },
             });
             if writeln!(output, "{gap}").is_err() {
                 return;
             }
-            told = lost;
+            reported = total;
         }
         if writeln!(output, "{line}").is_err() {
             return;
--- a/crates/ledgelead-runtime/src/memory.rs
+++ b/crates/ledgelead-runtime/src/memory.rs
@@ -1,34 +1,35 @@
-//! What the process may hold for others: bodies of clients, and answers that are not
+//! Memory limits for buffered messages: request bodies of clients, and answers that are not
 //! written yet.
 
 use crate::outbound::Outbound;
 
-/// Share of the process's memory that bodies and answers may take. The rest is for what the
-/// node knows, and for copies while a request passes from one buffer to the next.
-const HELD_SHARE: f64 = 0.5;
-/// Share up to which bodies are let in: what lies between is left to answers, which slow
-/// uploads must not crowd out.
+/// Share of the process's memory that buffered bodies and answers may take. The rest is for
+/// the node's state, and for copies while a request moves from one buffer to the next.
+const BUFFERED_SHARE: f64 = 0.5;
+/// Share of the process's memory up to which further bodies are admitted. The difference to
+/// [`BUFFERED_SHARE`] is reserved for answers, so that slow uploads can't displace them.
 const ADMITTED_SHARE: f64 = 0.375;
-/// Shortest body, in bytes, that is refused for lack of memory: below it, the refusal itself
+/// Shorter bodies, in bytes, are never refused for lack of memory, since the refusal itself
 /// takes as much.
-pub(crate) const CHECKED_BYTES: usize = 4_096;
-/// What is held at most, in bytes, where a body is let in that takes more than its share: a
-/// machine with little memory would refuse the largest ones for ever.
-const EMPTY_BYTES: usize = 1 << 20;
-/// Largest buffer, in bytes, that a connection keeps while it is idle. Above it, many kept
-/// connections would hold the largest message of each.
-pub(crate) const KEPT_BUFFER_BYTES: usize = 16_384;
+pub(crate) const MIN_CHECKED_BYTES: usize = 4_096;
+/// While no more than this is buffered, in bytes, a body of any length is admitted.
+/// Otherwise a machine with little memory would always refuse the largest bodies.
+const NEARLY_EMPTY_BYTES: usize = 1 << 20;
+/// Largest buffer, in bytes, that an idle connection keeps. Without a limit, each of many
+/// idle connections would keep a buffer for its largest message.
+pub(crate) const IDLE_BUFFER_BYTES: usize = 16_384;
 
-/// Figures of what is held.
+/// Metrics of the message buffers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BufferStats {
-    /// Bytes that are held now.
+    /// Bytes buffered now.
     pub(crate) bytes: usize,
-    /// Clients whose answer was given up, since they didn't read it.
+    /// Clients that were disconnected because they did not read their answer while memory
+    /// was short.
     pub(crate) dropped: u64,
 }
 
-/// The memory of the process, and what connections to instances take of it.
+/// The process's memory limit, and the connections to instances, whose buffers count too.
 #[derive(Clone, Copy)]
 pub(crate) struct MemoryBudget<'a> {
     limit: Option<usize>,
@@ -36,31 +37,31 @@
 }
 
 impl<'a> MemoryBudget<'a> {
-    /// The budget of a process that may use so many bytes; without a limit all fits.
+    /// The budget of a process with this memory limit in bytes; `None` for unlimited.
     pub(crate) fn new(limit: Option<usize>, outbound: &'a Outbound) -> MemoryBudget<'a> {
         MemoryBudget { limit, outbound }
     }
 
-    /// By how much what is held exceeds the bound, with `inbound` bytes for clients.
+    /// Bytes buffered above [`BUFFERED_SHARE`], with `inbound` bytes for clients.
     pub(crate) fn excess(self, inbound: impl FnOnce() -> usize) -> usize {
-        self.excess_over(HELD_SHARE, inbound)
+        self.excess_over(BUFFERED_SHARE, inbound)
     }
 
-    /// Whether bodies are let in that are part of `inbound` bytes for clients.
+    /// Whether a body is admitted. `inbound` are the bytes for clients, including the body.
     pub(crate) fn admits(self, inbound: impl FnOnce() -> usize) -> bool {
         self.excess_over(ADMITTED_SHARE, inbound) == 0
     }
 
-    /// What is left to answers beside bodies, in bytes.
+    /// Bytes that are reserved for answers.
     pub(crate) fn response_reserve(self) -> usize {
         let limit = self.limit.unwrap_or(0);
-        (limit as f64 * (HELD_SHARE - ADMITTED_SHARE)) as usize
+        (limit as f64 * (BUFFERED_SHARE - ADMITTED_SHARE)) as usize
     }
 
-    /// Whether so little else is held, `inbound` bytes of it for clients, that a body is let
-    /// in whatever its length.
-    pub(crate) fn is_empty(self, inbound: impl FnOnce() -> usize) -> bool {
-        inbound() + self.outbound.held() <= EMPTY_BYTES
+    /// Whether so little is buffered that a body of any length is admitted. `inbound` are the
+    /// bytes for clients, without the body.
+    pub(crate) fn is_nearly_empty(self, inbound: impl FnOnce() -> usize) -> bool {
+        inbound() + self.outbound.buffered_bytes() <= NEARLY_EMPTY_BYTES
     }
 
     fn excess_over(self, share: f64, inbound: impl FnOnce() -> usize) -> usize {
@@ -68,6 +69,6 @@
             return 0;
         };
         let bound = (limit as f64 * share) as usize;
-        (inbound() + self.outbound.held()).saturating_sub(bound)
+        (inbound() + self.outbound.buffered_bytes()).saturating_sub(bound)
     }
 }
--- a/crates/ledgelead-runtime/src/metrics.rs
+++ b/crates/ledgelead-runtime/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The node's figures in the Prometheus text format.
+//! The node's metrics in the Prometheus text format.
 
 use crate::memory::BufferStats;
 use ledgelead_router::node::NodeStatus;
@@ -50,8 +50,8 @@
     other_zone: &'static str,
 }
 
-/// Writes the figures.
-pub(crate) fn render(status: &NodeStatus, held: BufferStats) -> String {
+/// Encodes all metrics.
+pub(crate) fn render(status: &NodeStatus, buffers: BufferStats) -> String {
     let mut registry = Registry::with_prefix("ledgelead");
     gauge(
         &mut registry,
@@ -161,31 +161,31 @@
         "Whole lists that were sent to other nodes",
         status.transfers.sent,
     );
-    if let Some(done) = status.coordinator {
-        counter(&mut registry, "grants", "Grants answered", done.grants);
+    if let Some(counts) = status.coordinator {
+        counter(&mut registry, "grants", "Grants answered", counts.grants);
         counter(
             &mut registry,
             "grants_unanswered",
             "Grants without an answer",
-            done.grants_unanswered,
+            counts.grants_unanswered,
         );
         counter(
             &mut registry,
             "releases",
             "Releases answered",
-            done.releases,
+            counts.releases,
         );
         counter(
             &mut registry,
             "lease_lapses",
             "Leases waited out",
-            done.lapses,
+            counts.lapses,
         );
         counter(
             &mut registry,
             "moves",
             "Ranges that changed their owner",
-            done.moves,
+            counts.moves,
         );
     }
     let refused = Family::<ReasonLabel, Counter>::default();
@@ -205,7 +205,7 @@
     register_permits(&mut registry, status);
     register_rate_limits(&mut registry, status);
     register_zone_traffic(&mut registry, &status.zone_traffic);
-    register_held(&mut registry, held);
+    register_buffers(&mut registry, buffers);
     let mut text = String::new();
     // Writing to a string can't fail.
     let _ = encode(&mut text, &registry);
@@ -352,18 +352,18 @@
     );
 }
 
-fn register_held(registry: &mut Registry, held: BufferStats) {
+fn register_buffers(registry: &mut Registry, buffers: BufferStats) {
     gauge(
         registry,
         "held_bytes",
         "Memory of requests and answers in buffers, to and from clients and instances",
-        held.bytes as u64,
+        buffers.bytes as u64,
     );
     counter(
         registry,
         "slow_clients_dropped",
         "Clients that did not read their answer while memory was short",
-        held.dropped,
+        buffers.dropped,
     );
 }
 
@@ -403,12 +403,12 @@
     let bytes = Family::<ZoneLabel, Counter>::default();
     for (direction, counts) in [("sent", &traffic.sent), ("received", &traffic.received)] {
         for (purpose, count) in counts {
-            let places = [
+            let counts_by_zone = [
                 ("false", count.own),
                 ("true", count.other),
                 ("unknown", count.unknown),
             ];
-            for (other_zone, count) in places {
+            for (other_zone, count) in counts_by_zone {
                 let label = ZoneLabel {
                     direction,
                     purpose,
--- a/crates/ledgelead-runtime/src/outbound.rs
+++ b/crates/ledgelead-runtime/src/outbound.rs
@@ -1,4 +1,5 @@
-//! Exchanges with instances and with the store over kept connections.
+//! Outbound connections: exchanges with instances and with the store, and the idle
+//! connections that later exchanges reuse.
 
 use crate::stream::{Stream, StreamEnd};
 use ledgelead_http::{Request, Response, ResponseProgress, ResponseReader, write_request};
@@ -13,16 +14,16 @@
 
 /// Longest body of an answer, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Idle connections that are kept for one address.
+/// Idle connections kept for one address.
 const MAX_IDLE_PER_ADDRESS: usize = 12;
-/// After this time an idle connection is closed.
-const MAX_IDLE: Duration = Duration::from_secs(9);
-/// How much earlier than the other side says an idle connection is given up.
+/// An idle connection is closed after this time.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(9);
+/// How long before the peer's `Keep-Alive` timeout an idle connection is no longer used.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_500);
-/// Surplus answers that are passed over in one exchange.
-const MAX_SURPLUS: u32 = 3;
+/// Unsolicited answers that one exchange skips.
+const MAX_UNSOLICITED_ANSWERS: u32 = 3;
 
-/// Names one use of a place in the table of connections.
+/// Identifies a connection by its slot in the table and the use of the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionKey {
     pub(crate) index: usize,
@@ -31,23 +32,25 @@
 
 struct Running {
     exchange: ExchangeId,
-    /// Whether it ends once its connection is up.
+    /// Whether it ends once its connection is established.
     is_probe: bool,
     method: String,
     reader: ResponseReader,
     match_header: Option<(Box<str>, Box<[u8]>)>,
-    surplus: u32,
-    /// How long its connection had rested before it; nothing on a new one.
-    rested: Duration,
-    /// When the request is written, if the connection is watched before.
+    /// Unsolicited answers skipped so far.
+    unsolicited: u32,
+    /// How long the connection was idle before the exchange; zero for a new connection.
+    idle_for: Duration,
+    /// When the request is written, if that is delayed on a new connection.
     write_at: Option<Instant>,
-    settle: Duration,
+    /// Delay between the connection's establishment and the first write.
+    settle_time: Duration,
     connect_by: Instant,
     /// When the whole request must be written, if that is bounded.
     write_by: Option<Instant>,
     answer_by: Instant,
-    /// The time that each part of the answer begins anew.
-    renewed_by: Option<Duration>,
+    /// If set, each part of the answer that arrives moves `answer_by` to this much later.
+    idle_timeout: Option<Duration>,
 }
 
 struct Connection {
@@ -60,17 +63,17 @@
     keep_until: Option<Instant>,
 }
 
-/// A request that waits for its connection to be registered.
+/// An exchange to begin on an idle or a new connection.
 pub(crate) struct NewExchange {
     pub(crate) exchange: ExchangeId,
     pub(crate) address: SocketAddr,
-    /// None for a probe, which ends once its connection is up.
+    /// `None` for a probe, which ends once its connection is established.
     pub(crate) request: Option<Request>,
     pub(crate) options: ExchangeOptions,
 }
 
 impl NewExchange {
-    /// Opens a connection, and sends nothing on it.
+    /// An exchange that opens a connection and sends nothing on it.
     pub(crate) fn probe(exchange: ExchangeId, address: SocketAddr, timeout: Duration) -> Self {
         NewExchange {
             exchange,
@@ -100,9 +103,8 @@
 }
 
 impl Outbound {
-    /// Begins an exchange on a kept connection, if there is one; gives it back
-    /// otherwise.
-    pub(crate) fn start_on_kept(
+    /// Begins an exchange on an idle connection. Returns the exchange if there is none.
+    pub(crate) fn start_on_idle(
         &mut self,
         new: Box<NewExchange>,
         now: Instant,
@@ -144,14 +146,14 @@
         self.begin(index, new, now);
     }
 
-    /// Breaks off an exchange by closing its connection.
+    /// Aborts an exchange by closing its connection.
     pub(crate) fn cancel(&mut self, exchange: ExchangeId) {
         if let Some(index) = self.by_exchange.remove(&exchange) {
             self.drop_connection(index);
         }
     }
 
-    /// A socket is ready.
+    /// Handles the readiness of a connection's socket.
     pub(crate) fn ready(&mut self, key: ConnectionKey, now: Instant, inputs: &mut Vec<Input>) {
         let current = self
             .connections
@@ -163,10 +165,10 @@
     }
 
     /// Bytes of memory that requests to instances and their answers take.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn buffered_bytes(&self) -> usize {
         self.connections
             .iter()
-            .map(|(_, connection)| connection.held())
+            .map(|(_, connection)| connection.buffered_bytes())
             .sum()
     }
 
@@ -175,7 +177,7 @@
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Ends exchanges whose time is over.
+    /// Fails exchanges whose time limit has passed, and writes requests whose delay is over.
     pub(crate) fn expire(&mut self, now: Instant, inputs: &mut Vec<Input>) {
         while let Some((at, key)) = self.deadlines.first().copied() {
             if at > now {
@@ -191,21 +193,24 @@
             if connection.generation != key.generation {
                 continue;
             }
-            if connection.connected && running.answer_by > now && !connection.is_unsent(now) {
+            if connection.connected
+                && running.answer_by > now
+                && !connection.has_write_timed_out(now)
+            {
                 self.deadlines.insert((running.answer_by, key));
                 if running.write_at == Some(at) {
                     self.progress(key.index, now, inputs);
                 }
                 continue;
             }
-            let failure = connection.time_out_failure();
+            let failure = connection.timeout_failure();
             self.fail(key.index, failure, inputs);
         }
     }
 
-    /// The machine was suspended: idle connections are older than the steady clock says,
-    /// and the other side may have closed them.
-    pub(crate) fn rested_longer(&mut self, by: Duration) {
+    /// Adds the time of a suspension to the age of idle connections. The monotonic clock does
+    /// not count it, but the peer may have closed them meanwhile.
+    pub(crate) fn add_suspension(&mut self, by: Duration) {
         let earlier = |at: Instant| at.checked_sub(by).unwrap_or(at);
         for (_, connection) in &mut self.connections {
             connection.idle_since = earlier(connection.idle_since);
@@ -214,12 +219,12 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub(crate) fn close_idle(&mut self, now: Instant) {
+    pub(crate) fn close_expired_idle(&mut self, now: Instant) {
         let stale: Vec<usize> = self
             .connections
             .iter()
             .filter(|(_, connection)| {
-                connection.running.is_none() && !connection.is_fresh(MAX_IDLE, now)
+                connection.running.is_none() && !connection.is_reusable(MAX_IDLE_TIME, now)
             })
             .map(|(index, _)| index)
             .collect();
@@ -231,12 +236,12 @@
     fn take_idle(&mut self, address: SocketAddr, below: Duration, now: Instant) -> Option<usize> {
         loop {
             let index = *self.idle.get(&address)?.last()?;
-            let usable = self.connections.get(index)?.is_fresh(below, now);
+            let usable = self.connections.get(index)?.is_reusable(below, now);
             if usable {
                 self.idle.get_mut(&address)?.pop();
                 return Some(index);
             }
-            // Older ones are behind it and no fresher.
+            // The last one became idle most recently, so the others are too old as well.
             let stale = self.idle.remove(&address)?;
             for index in stale {
                 self.drop_connection(index);
@@ -272,18 +277,18 @@
             reader: ResponseReader::new(&method, MAX_BODY_BYTES),
             method,
             match_header: new.options.match_header,
-            surplus: 0,
-            rested: if connection.connected {
+            unsolicited: 0,
+            idle_for: if connection.connected {
                 now.duration_since(connection.idle_since)
             } else {
                 Duration::ZERO
             },
             write_at: None,
-            settle: new.options.settle,
+            settle_time: new.options.settle,
             connect_by,
             write_by,
             answer_by,
-            renewed_by: new.options.renewed.then_some(new.options.timeout),
+            idle_timeout: new.options.renewed.then_some(new.options.timeout),
         });
         self.by_exchange.insert(new.exchange, index);
         self.deadlines.insert((first_deadline, key));
@@ -292,7 +297,7 @@
         }
     }
 
-    /// Moves bytes, and the exchange with them.
+    /// Reads and writes what the connection allows, and advances its exchange.
     fn progress(&mut self, index: usize, now: Instant, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
@@ -301,7 +306,7 @@
             match connection.stream.check_connected() {
                 Ok(true) => {
                     connection.connected = true;
-                    self.watch_new(index, now);
+                    self.delay_first_write(index, now);
                 }
                 Ok(false) => return,
                 Err(failure) => {
@@ -318,22 +323,22 @@
             return;
         };
         connection.stream.fill();
-        let unsent = connection.running.is_some() && !connection.stream.wrote_any();
+        let unsent = connection.running.is_some() && !connection.stream.has_written();
         if unsent && connection.stream.end().is_some() {
-            // Nothing was written, and never will be.
+            // No byte of the request was written, and none will be.
             self.fail(index, ExchangeFailure::NotConnected, inputs);
             return;
         }
-        if connection.is_watched(now) {
+        if connection.is_write_delayed(now) {
             return;
         }
         connection.stream.flush();
-        // The answer may have come while the request was written.
+        // The answer may have arrived while the request was written.
         connection.stream.fill();
         if connection.running.is_some() {
             self.read_answer(index, now, inputs);
         } else if connection.stream.end().is_some() || !connection.stream.input.is_empty() {
-            // Bytes that nobody asked for belong to no request.
+            // Bytes on an idle connection belong to no request.
             self.drop_connection(index);
         }
     }
@@ -342,23 +347,23 @@
         let running = self
             .connections
             .get(index)
-            .and_then(|known| known.running.as_ref());
+            .and_then(|connection| connection.running.as_ref());
         running.is_some_and(|running| running.is_probe)
     }
 
-    /// A new connection has come up: it is watched for a moment, if its request must
-    /// not be written in vain.
-    fn watch_new(&mut self, index: usize, now: Instant) {
+    /// Delays the first write on a new connection by the exchange's settle time, if it has
+    /// one. A reset within that time proves that the request was not sent.
+    fn delay_first_write(&mut self, index: usize, now: Instant) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
         let Some(running) = connection.running.as_mut() else {
             return;
         };
-        if running.settle.is_zero() {
+        if running.settle_time.is_zero() {
             return;
         }
-        let write_at = now + running.settle;
+        let write_at = now + running.settle_time;
         running.write_at = Some(write_at);
         let key = ConnectionKey {
             index,
@@ -375,16 +380,16 @@
             let Some(running) = connection.running.as_mut() else {
                 return;
             };
-            if connection.stream.take_read_any()
-                && let Some(time) = running.renewed_by
+            if connection.stream.take_has_read()
+                && let Some(time) = running.idle_timeout
             {
-                // The earlier limit in the table finds the new one.
+                // The earlier limit stays in `deadlines`; `expire` replaces it by the new one.
                 running.answer_by = now + time;
             }
             match running.reader.read(&mut connection.stream.input) {
                 Ok(ResponseProgress::Complete { response, reusable }) => {
                     if !running.is_answered_by(&response) {
-                        if running.pass_over() {
+                        if running.skip_answer() {
                             continue;
                         }
                         self.fail(index, ExchangeFailure::Malformed, inputs);
@@ -403,7 +408,8 @@
         self.check_end(index, now, inputs);
     }
 
-    /// The other side may have closed, which can end the answer or cut it off.
+    /// Handles a close by the peer, which completes an answer without length and truncates
+    /// any other.
     fn check_end(&mut self, index: usize, now: Instant, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
@@ -417,20 +423,20 @@
                 Ok(response) if running.is_answered_by(&response) => {
                     self.complete(index, response, false, now, inputs);
                 }
-                _ => self.fail_lost(index, inputs),
+                _ => self.fail_disconnected(index, inputs),
             },
-            Some(StreamEnd::Reset) => self.fail_lost(index, inputs),
+            Some(StreamEnd::Reset) => self.fail_disconnected(index, inputs),
         }
     }
 
-    /// The connection ended without an answer: proof that nothing ran only if
-    /// the last byte of the request was not written.
-    fn fail_lost(&mut self, index: usize, inputs: &mut Vec<Input>) {
+    /// Fails an exchange whose connection ended without an answer. That proves that the
+    /// request was not run only if its last byte was not written.
+    fn fail_disconnected(&mut self, index: usize, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get(index) else {
             return;
         };
         let stream = &connection.stream;
-        let failure = match (stream.wrote_any(), stream.is_incomplete()) {
+        let failure = match (stream.has_written(), stream.is_incomplete()) {
             (false, _) => ExchangeFailure::NotConnected,
             (true, true) => ExchangeFailure::Incomplete { timed_out: false },
             (true, false) => ExchangeFailure::Lost,
@@ -456,12 +462,12 @@
         let clean = connection.stream.input.is_empty()
             && connection.stream.is_flushed()
             && connection.stream.end().is_none()
-            && running.surplus == 0;
+            && running.unsolicited == 0;
         let key = ConnectionKey {
             index,
             generation: connection.generation,
         };
-        self.forget_deadlines(key, &running);
+        self.remove_deadlines(key, &running);
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
@@ -481,7 +487,7 @@
         inputs.push(Input::Exchanged {
             exchange: running.exchange,
             result: Ok(response),
-            rested: running.rested,
+            rested: running.idle_for,
         });
     }
 
@@ -499,12 +505,12 @@
         }
         self.drop_connection(index);
         if let Some(running) = running {
-            self.forget_deadlines(key, &running);
+            self.remove_deadlines(key, &running);
             self.by_exchange.remove(&running.exchange);
             inputs.push(Input::Exchanged {
                 exchange: running.exchange,
                 result: Err(failure),
-                rested: running.rested,
+                rested: running.idle_for,
             });
         }
     }
@@ -520,17 +526,17 @@
             }
         }
         if let Some(running) = connection.running {
-            // Broken off: what the kernel still holds must not arrive later.
+            // The exchange is aborted: bytes in the kernel's buffer must not arrive later.
             connection.stream.reset_on_close();
             let key = ConnectionKey {
                 index,
                 generation: connection.generation,
             };
-            self.forget_deadlines(key, &running);
+            self.remove_deadlines(key, &running);
         }
     }
 
-    fn forget_deadlines(&mut self, key: ConnectionKey, running: &Running) {
+    fn remove_deadlines(&mut self, key: ConnectionKey, running: &Running) {
         let writing = running.write_at.into_iter().chain(running.write_by);
         for at in writing.chain([running.answer_by, running.connect_by]) {
             self.deadlines.remove(&(at, key));
@@ -539,31 +545,31 @@
 }
 
 impl Connection {
-    fn held(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         let running = self.running.as_ref();
         let reader = running.map_or(0, |running| running.reader.reserved_bytes());
-        self.stream.held() + reader
+        self.stream.buffered_bytes() + reader
     }
 
-    /// Whether nothing may be written yet.
-    fn is_watched(&self, now: Instant) -> bool {
+    /// Whether the request must not be written yet.
+    fn is_write_delayed(&self, now: Instant) -> bool {
         let running = self.running.as_ref();
         running
             .and_then(|running| running.write_at)
             .is_some_and(|write_at| now < write_at)
     }
 
-    /// Whether the time for writing is over and the request is not whole at the receiver.
-    fn is_unsent(&self, now: Instant) -> bool {
+    /// Whether the time limit for writing has passed before the whole request was written.
+    fn has_write_timed_out(&self, now: Instant) -> bool {
         let running = self.running.as_ref();
-        let is_over = running
+        let is_past = running
             .and_then(|running| running.write_by)
             .is_some_and(|write_by| write_by <= now);
-        is_over && self.stream.is_incomplete()
+        is_past && self.stream.is_incomplete()
     }
 
-    /// What it proves that the time is over.
-    fn time_out_failure(&self) -> ExchangeFailure {
+    /// The failure of an exchange that has timed out, by how far its request was written.
+    fn timeout_failure(&self) -> ExchangeFailure {
         if !self.connected {
             ExchangeFailure::NotConnected
         } else if self.stream.is_incomplete() {
@@ -573,9 +579,10 @@
         }
     }
 
-    fn is_fresh(&self, below: Duration, now: Instant) -> bool {
-        let kept = self.keep_until.is_none_or(|until| now < until);
-        kept && now.duration_since(self.idle_since) < below
+    /// Whether the connection was idle for less than `below` and the peer keeps it open.
+    fn is_reusable(&self, below: Duration, now: Instant) -> bool {
+        let is_kept = self.keep_until.is_none_or(|until| now < until);
+        is_kept && now.duration_since(self.idle_since) < below
     }
 }
 
@@ -587,15 +594,17 @@
         }
     }
 
-    /// Makes ready for the next answer; false if there were too many.
-    fn pass_over(&mut self) -> bool {
-        self.surplus += 1;
+    /// Skips an unsolicited answer and prepares for the next one. False if there were too
+    /// many.
+    fn skip_answer(&mut self) -> bool {
+        self.unsolicited += 1;
         self.reader = ResponseReader::new(&self.method, MAX_BODY_BYTES);
-        self.surplus <= MAX_SURPLUS
+        self.unsolicited <= MAX_UNSOLICITED_ANSWERS
     }
 }
 
-/// How long the other side keeps an idle connection, less a margin.
+/// How long the peer keeps an idle connection open according to its `Keep-Alive` header, less
+/// a margin.
 fn keep_alive(response: &Response) -> Option<Duration> {
     let value = response.headers.text("keep-alive")?;
     let seconds = value
--- a/crates/ledgelead-runtime/src/process.rs
+++ b/crates/ledgelead-runtime/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: sockets, signals and the event loop.
+//! Runs a node as a process: binds sockets, handles signals, and runs the event loop.
 
 use crate::clock::ProcessClock;
 use crate::endpoint::ListenAddresses;
@@ -18,32 +18,31 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Instant;
 
-/// Events taken from the poller at once.
+/// Capacity of the poller's event buffer.
 const POLL_EVENTS: usize = 256;
-/// Priority of the waker, which is not used.
+/// Priority of the poller's waker, which is not used.
 const WAKER_PRIORITY: u32 = 0;
 
-/// Where settings come from while the process runs.
+/// Source of changed settings while the process runs.
 pub trait SettingsSource {
     /// The settings, if they have changed since the last call and are valid.
     fn changed(&mut self) -> Option<NodeSettings>;
 }
 
-/// What a running process is asked to do.
+/// Flags that control a running process.
 #[derive(Clone, Debug, Default)]
 pub struct Control {
-    /// Stop in good order.
+    /// Set to stop the process gracefully.
     pub stop: Arc<AtomicBool>,
-    /// Read the settings again.
+    /// Set to reload the settings.
     pub reload: Arc<AtomicBool>,
 }
 
 impl Control {
-    /// A control that follows the process's signals: SIGTERM stops, SIGHUP
-    /// reads the settings again.
+    /// Flags that signals set: SIGTERM stops the process, SIGHUP reloads the settings.
     ///
     /// # Errors
-    /// When a signal can't be registered.
+    /// If a signal handler can't be registered.
     pub fn by_signals() -> io::Result<Control> {
         let control = Control::default();
         signal_hook::flag::register(SIGTERM, control.stop.clone())?;
@@ -52,19 +51,19 @@
     }
 }
 
-/// Addresses that were bound.
+/// The addresses that the process is bound to.
 #[derive(Clone, Debug)]
 pub struct BoundAddresses {
-    /// For clients.
+    /// For requests of clients.
     pub clients: SocketAddr,
-    /// For questions about the node, in the order of the settings.
+    /// For readiness probes and metrics, in the order of the settings.
     pub status: Vec<SocketAddr>,
 }
 
-/// Why a process could not run.
+/// Why a process failed.
 #[derive(Debug)]
 pub enum RunError {
-    /// An address can't be listened on.
+    /// Binding a listener failed.
     Listen {
         /// The address.
         address: SocketAddr,
@@ -94,11 +93,11 @@
     }
 }
 
-/// Runs a node until it is asked to stop. `started` is told the addresses
-/// once they are bound.
+/// Runs a node until it is asked to stop. Calls `started` with the addresses once they are
+/// bound.
 ///
 /// # Errors
-/// When an address can't be listened on, or the event loop fails.
+/// If a listener can't be bound, or the event loop fails.
 pub fn run(
     settings: NodeSettings,
     listen: ListenAddresses,
@@ -107,8 +106,8 @@
     control: Control,
     started: impl FnOnce(BoundAddresses),
 ) -> Result<(), RunError> {
-    let sockets = bind(&listen)?;
-    started(sockets.bound()?);
+    let sockets = bind_sockets(&listen)?;
+    started(sockets.addresses()?);
     let clock = ProcessClock::start();
     let mut stakker = Stakker::new(Instant::now());
     let poll = MioPoll::new(
@@ -132,7 +131,7 @@
 }
 
 impl Sockets {
-    fn bound(&self) -> io::Result<BoundAddresses> {
+    fn addresses(&self) -> io::Result<BoundAddresses> {
         let status: io::Result<Vec<SocketAddr>> =
             self.status.iter().map(TcpListener::local_addr).collect();
         Ok(BoundAddresses {
@@ -142,24 +141,24 @@
     }
 }
 
-fn bind(listen: &ListenAddresses) -> Result<Sockets, RunError> {
+fn bind_sockets(listen: &ListenAddresses) -> Result<Sockets, RunError> {
     let status: Result<Vec<TcpListener>, RunError> = listen
         .status
         .iter()
-        .map(|address| listener(*address))
+        .map(|address| bind_listener(*address))
         .collect();
     let peers = UdpSocket::bind(listen.peers).map_err(|source| RunError::Listen {
         address: listen.peers,
         source,
     })?;
     Ok(Sockets {
-        clients: listener(listen.clients)?,
+        clients: bind_listener(listen.clients)?,
         status: status?,
-        transfers: listener(listen.peers)?,
+        transfers: bind_listener(listen.peers)?,
         peers,
     })
 }
 
-fn listener(address: SocketAddr) -> Result<TcpListener, RunError> {
+fn bind_listener(address: SocketAddr) -> Result<TcpListener, RunError> {
     TcpListener::bind(address).map_err(|source| RunError::Listen { address, source })
 }
--- a/crates/ledgelead-runtime/src/reactor.rs
+++ b/crates/ledgelead-runtime/src/reactor.rs
@@ -1,4 +1,4 @@
-//! The actor: sockets on one side, the node on the other.
+//! The actor that connects the sockets and the node.
 
 use crate::clock::{ProcessClock, SuspensionDetector};
 use crate::endpoint::{Endpoint, StatusPaths};
@@ -23,20 +23,20 @@
 
 /// Priority of all sockets in the poller.
 const POLL_PRIORITY: u32 = 0;
-/// Pause between two sweeps of idle connections.
+/// Time between two sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause between two looks at the settings file.
+/// Time between two checks whether the settings have changed.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a stopping node goes on to take connections, so that whoever
-/// hands them out can notice that it is not ready. What was taken by then has
-/// the rest of the grace for its answer.
-const STOP_LINGER: Duration = Duration::from_millis(2_600);
-/// How long before the end of the grace a stopping node ends in any case.
+/// How long a stopping node goes on accepting connections, so that the load balancer can
+/// notice that it is not ready. Requests accepted in this time have the rest of the stop
+/// grace for their answers.
+const STOP_ACCEPT_TIME: Duration = Duration::from_millis(2_600);
+/// How long before the end of the stop grace a stopping process ends in any case.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 /// Longest datagram that is read, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// Bound sockets.
+/// The sockets that the process is bound to.
 pub(crate) struct Sockets {
     pub(crate) clients: std::net::TcpListener,
     pub(crate) status: Vec<std::net::TcpListener>,
@@ -44,7 +44,7 @@
     pub(crate) peers: std::net::UdpSocket,
 }
 
-/// What the actor starts with.
+/// What the reactor is created from.
 pub(crate) struct ReactorSetup {
     pub(crate) node: Node,
     pub(crate) sockets: Sockets,
@@ -55,10 +55,11 @@
     pub(crate) clock: ProcessClock,
 }
 
-/// The actor.
+/// The actor that runs the node: it passes events of sockets and timers to the node and
+/// carries out the node's actions.
 pub(crate) struct Reactor {
     node: Node,
-    /// The node's time. Timers and sockets go by the steady clock.
+    /// The node's clock. Timers and connections use the monotonic clock.
     clock: ProcessClock,
     suspension: SuspensionDetector,
     listeners: Vec<Option<(Endpoint, MioSource<TcpListener>)>>,
@@ -69,7 +70,8 @@
     control: Control,
     settings: Box<dyn SettingsSource>,
     stop_grace: Duration,
-    stopped_at: Option<Instant>,
+    /// When the process was asked to stop.
+    stop_requested_at: Option<Instant>,
     inputs: VecDeque<Input>,
     timer: MinTimerKey,
     next_sweep: Instant,
@@ -82,7 +84,7 @@
         let mut reactor = match Reactor::register(cx, setup, now) {
             Ok(reactor) => reactor,
             Err(error) => {
-                log::error!(target: "runtime", "sockets can't be polled: {error}");
+                log::error!(target: "runtime", "failed to register sockets with the poller: {error}");
                 cx.shutdown(StopCause::Stopped);
                 return None;
             }
@@ -126,7 +128,7 @@
             control: setup.control,
             settings: setup.settings,
             stop_grace: setup.stop_grace,
-            stopped_at: None,
+            stop_requested_at: None,
             inputs: VecDeque::new(),
             timer: MinTimerKey::default(),
             next_sweep: now + SWEEP_INTERVAL,
@@ -144,9 +146,9 @@
                 Ok(accepted) => accepted,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) => {
-                    // Also when descriptors run out: the rest waits in the
-                    // queue for the next event.
-                    log::warn!(target: "runtime", "a connection was not accepted: {error}");
+                    // For example if no file descriptors are left: further connections wait
+                    // in the listener's queue until its next event.
+                    log::warn!(target: "runtime", "failed to accept a connection: {error}");
                     break;
                 }
             };
@@ -156,7 +158,9 @@
             let interest = Interest::READABLE | Interest::WRITABLE;
             match poll.add(stream, interest, POLL_PRIORITY, ready) {
                 Ok(source) => self.inbound.accepted(source, from.ip(), *endpoint, now),
-                Err(error) => log::warn!(target: "runtime", "a connection is not polled: {error}"),
+                Err(error) => {
+                    log::warn!(target: "runtime", "failed to register a connection with the poller: {error}")
+                }
             }
         }
     }
@@ -187,7 +191,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
-                    log::debug!(target: "runtime", "no datagram received: {error}");
+                    log::debug!(target: "runtime", "failed to receive a datagram: {error}");
                     break;
                 }
             }
@@ -202,18 +206,18 @@
         self.inputs.extend(inputs);
         if self.next_sweep <= now {
             self.next_sweep = now + SWEEP_INTERVAL;
-            self.outbound.close_idle(now);
+            self.outbound.close_expired_idle(now);
             let budget = MemoryBudget::new(self.node.memory_limit(), &self.outbound);
             self.inbound.sweep(now, budget);
         }
-        self.look_at_settings(now);
+        self.check_settings(now);
         self.pump(cx);
         self.end_if_stopped(cx);
     }
 
-    fn look_at_settings(&mut self, now: Instant) {
-        let asked = self.control.reload.swap(false, Ordering::Relaxed);
-        if !asked && self.next_settings > now {
+    fn check_settings(&mut self, now: Instant) {
+        let reload = self.control.reload.swap(false, Ordering::Relaxed);
+        if !reload && self.next_settings > now {
             return;
         }
         self.next_settings = now + SETTINGS_INTERVAL;
@@ -223,48 +227,48 @@
         }
     }
 
-    fn look_at_signals(&mut self, now: Instant) {
-        if self.stopped_at.is_none() && self.control.stop.load(Ordering::Relaxed) {
-            self.stopped_at = Some(now);
+    fn check_stop(&mut self, now: Instant) {
+        if self.stop_requested_at.is_none() && self.control.stop.load(Ordering::Relaxed) {
+            self.stop_requested_at = Some(now);
             self.inbound.begin_stopping();
-            // Before what is due: a review would still break work off.
+            // Ahead of a due `Input::Deadline`, at which the node could still abort a slow
+            // attempt to send its request elsewhere.
             self.inputs.push_front(Input::Stop);
         }
     }
 
     fn end_if_stopped(&mut self, cx: CX![]) {
-        let Some(stopped_at) = self.stopped_at else {
+        let Some(stop_requested_at) = self.stop_requested_at else {
             return;
         };
-        let elapsed = cx.now().duration_since(stopped_at);
-        if elapsed >= STOP_LINGER {
+        let elapsed = cx.now().duration_since(stop_requested_at);
+        if elapsed >= STOP_ACCEPT_TIME {
             self.stop_accepting();
         }
-        let idle = self.node.has_finished() && !self.inbound.is_busy();
-        let over = elapsed + STOP_MARGIN >= self.stop_grace;
-        if (idle && elapsed >= STOP_LINGER.min(self.stop_grace)) || over {
-            log::info!(target: "runtime", "ends");
+        let is_idle = self.node.has_finished() && !self.inbound.is_busy();
+        let grace_ends = elapsed + STOP_MARGIN >= self.stop_grace;
+        if (is_idle && elapsed >= STOP_ACCEPT_TIME.min(self.stop_grace)) || grace_ends {
+            log::info!(target: "runtime", "stopped");
             cx.shutdown(StopCause::Stopped);
         }
     }
 
-    /// Takes no more connections of clients, and no more requests on those
-    /// that are idle.
+    /// Stops accepting connections of clients, and closes idle ones.
     fn stop_accepting(&mut self) {
         for listener in &mut self.listeners {
             listener.take_if(|(endpoint, _)| *endpoint == Endpoint::Clients);
         }
-        self.inbound.end_unused();
+        self.inbound.close_idle();
     }
 
     fn take_events(&mut self, now: Instant, events: Vec<ClientEvent>) {
         let mut queue = VecDeque::from(events);
         while let Some(event) = queue.pop_front() {
             match event {
-                ClientEvent::Unread { client, request } => {
+                ClientEvent::RequestWithoutBody { client, request } => {
                     self.inputs.push_back(Input::Unread { client, request });
                 }
-                ClientEvent::Left { client } => {
+                ClientEvent::Disconnected { client } => {
                     self.inputs.push_back(Input::ClientLeft { client });
                 }
                 ClientEvent::Request {
@@ -311,11 +315,11 @@
             let status = if self.node.is_ready() { 200 } else { 503 };
             Response::new(status, Vec::new())
         } else if path == self.paths.metrics {
-            let held = BufferStats {
-                bytes: self.inbound.held() + self.outbound.held(),
-                dropped: self.inbound.dropped(),
+            let buffers = BufferStats {
+                bytes: self.inbound.buffered_bytes() + self.outbound.buffered_bytes(),
+                dropped: self.inbound.dropped_clients(),
             };
-            Response::new(200, metrics::render(&self.node.status(), held))
+            Response::new(200, metrics::render(&self.node.status(), buffers))
         } else {
             Response::new(404, Vec::new())
         };
@@ -323,23 +327,23 @@
         self.inbound.respond(client, &response, now, budget, events);
     }
 
-    /// Passes inputs to the node and carries out its actions, until nothing
-    /// is left, then sets the timer.
+    /// Passes inputs to the node and carries out its actions until no input is left, then
+    /// sets the timer.
     fn pump(&mut self, cx: CX![]) {
         let now = cx.now();
         let time = self.clock.now();
-        let suspended = self.suspension.passed(Instant::now(), time);
+        let suspended = self.suspension.detect(Instant::now(), time);
         if !suspended.is_zero() {
-            log::info!(target: "runtime", "was suspended for {} ms", suspended.as_millis());
-            self.outbound.rested_longer(suspended);
+            log::info!(target: "runtime", "the machine was suspended for {} ms", suspended.as_millis());
+            self.outbound.add_suspension(suspended);
         }
-        // What is due comes before what waited: after a suspension an authority may be
-        // over that the input would still be decided by.
+        // Due deadlines come before queued inputs. After a suspension an authority may have
+        // expired, and the inputs must not be decided under it.
         if self.node.next_deadline() <= time {
             self.inputs.push_front(Input::Deadline);
         }
-        // Before anything is decided: a node that stops breaks nothing off.
-        self.look_at_signals(now);
+        // Before any decision, since a stopping node doesn't abort slow attempts.
+        self.check_stop(now);
         let mut actions = Vec::new();
         while let Some(input) = self.inputs.pop_front() {
             self.node.step(input, time, &mut actions);
@@ -352,12 +356,12 @@
     }
 
     fn set_timer(&mut self, cx: CX![]) {
-        // A timer that was set before a suspension fires late by what was left of it: at
-        // most the pause between two reports of a node (0.2 s).
-        let left = self.node.next_deadline().saturating_sub(self.clock.now());
-        let node = Instant::now() + left;
+        // The timer doesn't advance during a suspension. One that was set before fires late
+        // by its remaining time, at most the interval of a node's reports (0.2 s).
+        let remaining = self.node.next_deadline().saturating_sub(self.clock.now());
+        let node_deadline = Instant::now() + remaining;
         let next = [
-            Some(node),
+            Some(node_deadline),
             self.outbound.next_deadline(),
             Some(self.next_sweep),
         ]
@@ -399,7 +403,7 @@
             Action::Cancel { exchange } => self.outbound.cancel(exchange),
             Action::Datagram { address, datagram } => {
                 if let Err(error) = self.peers.send_to(&datagram.bytes, address) {
-                    // Datagrams may be lost: a full buffer loses this one.
+                    // Datagrams may be lost, also because the send buffer is full.
                     log::debug!(target: "peers", "{} to {address}: {error}", datagram.kind);
                 }
             }
@@ -408,7 +412,7 @@
 
     fn start_exchange(&mut self, cx: CX![], new: NewExchange, now: Instant) {
         let mut inputs = Vec::new();
-        let started = self.outbound.start_on_kept(Box::new(new), now, &mut inputs);
+        let started = self.outbound.start_on_idle(Box::new(new), now, &mut inputs);
         self.inputs.extend(inputs);
         if let Err(new) = started {
             self.connect(cx, *new, now);
@@ -423,13 +427,13 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         let poll = cx.anymap_get::<MioPoll>();
         let source = TcpStream::connect(new.address).and_then(|stream| {
-            transport::bound_repeats(&stream)?;
+            transport::limit_retransmission(&stream)?;
             poll.add(stream, interest, POLL_PRIORITY, ready)
         });
         match source {
             Ok(source) => self.outbound.start_on_new(source, new, now),
             Err(error) => {
-                log::warn!(target: "runtime", "no connection to {}: {error}", new.address);
+                log::warn!(target: "runtime", "failed to connect to {}: {error}", new.address);
                 self.inputs.push_back(Input::Exchanged {
                     exchange,
                     result: Err(connect_failure(&error)),
--- a/crates/ledgelead-runtime/src/stream.rs
+++ b/crates/ledgelead-runtime/src/stream.rs
@@ -1,6 +1,6 @@
-//! A connection's bytes in both directions, without waiting.
+//! A non-blocking connection with buffers for both directions.
 
-use crate::memory::KEPT_BUFFER_BYTES;
+use crate::memory::IDLE_BUFFER_BYTES;
 use crate::transport;
 use ledgelead_router::io::ExchangeFailure;
 use stakker_mio::MioSource;
@@ -8,19 +8,19 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// Bytes read at once.
+/// Bytes that one call reads at most.
 const READ_BYTES: usize = 16_384;
 
-/// How the other side ended its direction.
+/// How the peer ended its direction of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamEnd {
-    /// In good order.
+    /// By a regular close.
     Closed,
     /// By a reset or another error.
     Reset,
 }
 
-/// What an error proves with which a connection did not come up.
+/// The failure that an error while connecting proves.
 pub(crate) fn connect_failure(error: &io::Error) -> ExchangeFailure {
     match error.kind() {
         ErrorKind::ConnectionRefused => ExchangeFailure::Refused,
@@ -34,9 +34,10 @@
     /// Bytes that were received and not consumed.
     pub(crate) input: Vec<u8>,
     output: Vec<u8>,
+    /// Bytes of `output` that are written already.
     written: usize,
-    wrote_any: bool,
-    read_any: bool,
+    has_written: bool,
+    has_read: bool,
     /// Whether a byte was read since the current message began.
     is_answered: bool,
     end: Option<StreamEnd>,
@@ -49,21 +50,21 @@
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
-            wrote_any: false,
-            read_any: false,
+            has_written: false,
+            has_read: false,
             is_answered: false,
             end: None,
         }
     }
 
-    /// Whether the connection has come up. An error means that it never will.
+    /// Whether the connection is established. An error means that it never will be.
     pub(crate) fn check_connected(&self) -> Result<bool, ExchangeFailure> {
         if let Ok(Some(error)) | Err(error) = self.source.take_error() {
             return Err(connect_failure(&error));
         }
         match self.source.peer_addr() {
             Ok(_) => {
-                // Small messages must not wait for acknowledgements.
+                // Otherwise small messages would wait for acknowledgements (Nagle's algorithm).
                 let _ = self.source.set_nodelay(true);
                 Ok(true)
             }
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Reads all that is there.
+    /// Reads all available bytes into the input buffer.
     pub(crate) fn fill(&mut self) {
         let mut buffer = [0u8; READ_BYTES];
         while self.end.is_none() {
@@ -80,7 +81,7 @@
                 Ok(0) => self.end = Some(StreamEnd::Closed),
                 Ok(count) => {
                     self.input.extend_from_slice(&buffer[..count]);
-                    self.read_any = true;
+                    self.has_read = true;
                     self.is_answered = true;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
@@ -91,17 +92,17 @@
     }
 
     /// Whether bytes were read since the last call.
-    pub(crate) fn take_read_any(&mut self) -> bool {
-        std::mem::take(&mut self.read_any)
+    pub(crate) fn take_has_read(&mut self) -> bool {
+        std::mem::take(&mut self.has_read)
     }
 
-    /// Writes what the connection takes.
+    /// Writes as much of the output buffer as the connection accepts.
     pub(crate) fn flush(&mut self) {
         while self.written < self.output.len() {
             match self.source.write(&self.output[self.written..]) {
                 Ok(count) => {
                     self.written += count;
-                    self.wrote_any |= count > 0;
+                    self.has_written |= count > 0;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -112,67 +113,67 @@
             }
         }
         self.output.clear();
-        self.output.shrink_to(KEPT_BUFFER_BYTES);
+        self.output.shrink_to(IDLE_BUFFER_BYTES);
         self.written = 0;
     }
 
-    /// Bytes in the buffers. Idle connections, which keep small empty ones, hold nothing.
-    pub(crate) fn held(&self) -> usize {
+    /// Bytes in both buffers. The small empty buffers of an idle connection don't count.
+    pub(crate) fn buffered_bytes(&self) -> usize {
         self.input.len() + self.output.len()
     }
 
     /// Bytes that are not written yet.
-    pub(crate) fn unsent(&self) -> usize {
+    pub(crate) fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Gives back what a large message has taken, once its bytes are consumed.
+    /// Frees the memory of a large message once its bytes are consumed.
     pub(crate) fn shrink_input(&mut self) {
-        self.input.shrink_to(KEPT_BUFFER_BYTES);
+        self.input.shrink_to(IDLE_BUFFER_BYTES);
     }
 
-    /// Where bytes to be sent are appended.
+    /// The buffer to which bytes to be sent are appended.
     pub(crate) fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Whether all was written.
+    /// Whether the whole output buffer was written.
     pub(crate) fn is_flushed(&self) -> bool {
         self.output.is_empty()
     }
 
-    /// From now on `wrote_any` and `is_incomplete` are about a new message.
+    /// Begins a new message, which `has_written` and `is_incomplete` refer to from now on.
     pub(crate) fn begin_message(&mut self) {
-        self.wrote_any = false;
+        self.has_written = false;
         self.is_answered = false;
     }
 
-    /// Whether the current message can't have been acted on: its last byte is still here,
-    /// and the other side has sent nothing since it began. What the kernel holds doesn't
-    /// count, since it may arrive later.
+    /// Whether the peer can't have acted on the current message: its last byte is still in
+    /// the output buffer, and the peer has sent nothing since the message began. Bytes that
+    /// the kernel has accepted count as sent, since they may still arrive.
     pub(crate) fn is_incomplete(&self) -> bool {
         !self.is_flushed() && !self.is_answered
     }
 
     /// Whether a byte of the current message was written.
-    pub(crate) fn wrote_any(&self) -> bool {
-        self.wrote_any
+    pub(crate) fn has_written(&self) -> bool {
+        self.has_written
     }
 
-    /// How the other side ended, if it did.
+    /// How the peer ended its direction, if it did.
     pub(crate) fn end(&self) -> Option<StreamEnd> {
         self.end
     }
 
-    /// The close that follows takes back what has not arrived.
+    /// Makes the following close reset the connection, which discards undelivered bytes.
     pub(crate) fn reset_on_close(&self) {
         if let Err(error) = transport::reset_on_close(&self.source) {
-            // The connection has ended already, and with it what it held.
-            log::debug!(target: "runtime", "a connection is not reset: {error}");
+            // The connection has ended already, and its undelivered bytes with it.
+            log::debug!(target: "runtime", "failed to set a connection to reset on close: {error}");
         }
     }
 
-    /// Ends this side's direction.
+    /// Shuts down the sending direction.
     pub(crate) fn shut_down_output(&mut self) {
         let _ = self.source.shutdown(Shutdown::Write);
     }
--- a/crates/ledgelead-runtime/src/transport.rs
+++ b/crates/ledgelead-runtime/src/transport.rs
@@ -1,7 +1,8 @@
-//! What the kernel does with bytes that this process has written.
+//! Socket options that bound how long the kernel goes on delivering written bytes.
 //!
-//! A close leaves them with the kernel, which repeats them until they are acknowledged: an
-//! order that was given up would still arrive once a cut ends, seconds later.
+//! After a normal close the kernel retransmits written bytes until they are acknowledged.
+//! An order to an instance that was aborted would still arrive seconds later, once a
+//! network partition ends.
 
 use ledgelead_router::settings::ORDER_TRANSIT;
 use rustix::net::sockopt::{set_socket_linger, set_tcp_user_timeout};
@@ -9,15 +10,15 @@
 use std::io;
 use std::time::Duration;
 
-/// Whether the connection of an exchange that is broken off is reset, so that the kernel
-/// drops what has not arrived.
+/// Whether the connection of an aborted exchange is reset, so that the kernel discards the
+/// bytes that have not been delivered.
 pub const RESET_ABORTED_EXCHANGES: bool = true;
-/// How long the kernel goes on to repeat bytes that nobody acknowledges, also once the
-/// process has ended, when nobody resets.
+/// How long the kernel retransmits bytes that are not acknowledged. It holds after the
+/// process has ended too, when nothing resets the connection.
 pub const TCP_USER_TIMEOUT: Option<Duration> = Some(ORDER_TRANSIT);
 
-/// Bounds how long the kernel repeats what is written on a connection.
-pub(crate) fn bound_repeats(stream: &TcpStream) -> io::Result<()> {
+/// Limits how long the kernel retransmits bytes on a connection.
+pub(crate) fn limit_retransmission(stream: &TcpStream) -> io::Result<()> {
     let Some(timeout) = TCP_USER_TIMEOUT else {
         return Ok(());
     };
@@ -25,7 +26,7 @@
     Ok(set_tcp_user_timeout(stream, millis)?)
 }
 
-/// Makes the close that follows a reset.
+/// Makes the following close reset the connection.
 pub(crate) fn reset_on_close(stream: &TcpStream) -> io::Result<()> {
     if RESET_ABORTED_EXCHANGES {
         set_socket_linger(stream, Some(Duration::ZERO))?;
--- a/crates/ledgelead-runtime/tests/clock.rs
+++ b/crates/ledgelead-runtime/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process, and how it notices that the machine was suspended.
+//! The process's clock, and detection of machine suspensions.
 
 use googletest::prelude::*;
 use ledgelead_runtime::clock::{ClockSource, ProcessClock, SuspensionDetector};
@@ -9,7 +9,7 @@
 }
 
 #[gtest]
-fn processes_go_by_a_clock_that_counts_suspensions() {
+fn the_process_clock_counts_suspensions() {
     expect_that!(ProcessClock::SOURCE, eq(ClockSource::Boottime));
     let clock = ProcessClock::start();
     let first = clock.now();
@@ -17,17 +17,17 @@
 }
 
 #[gtest]
-fn a_steady_clock_that_stands_still_shows_a_suspension_once() {
+fn each_suspension_is_reported_once() {
     let origin = Instant::now();
-    let mut suspension = SuspensionDetector::new(origin, ms(3));
-    let mut passed = |steady, time| suspension.passed(origin + ms(steady), ms(time));
-    expect_that!(passed(1_000, 1_003), eq(Duration::ZERO));
-    expect_that!(passed(1_100, 6_103), eq(ms(5_000)));
-    expect_that!(passed(1_200, 6_203), eq(Duration::ZERO));
+    let mut detector = SuspensionDetector::new(origin, ms(3));
+    let mut detect = |monotonic, time| detector.detect(origin + ms(monotonic), ms(time));
+    expect_that!(detect(1_000, 1_003), eq(Duration::ZERO));
+    expect_that!(detect(1_100, 6_103), eq(ms(5_000)));
+    expect_that!(detect(1_200, 6_203), eq(Duration::ZERO));
     expect_that!(
-        passed(1_300, 6_403),
+        detect(1_300, 6_403),
         eq(Duration::ZERO),
-        "lost its processor"
+        "preempted between the readings"
     );
-    expect_that!(passed(1_400, 7_703), eq(ms(1_300)));
+    expect_that!(detect(1_400, 7_703), eq(ms(1_300)));
 }
--- a/crates/ledgelead-runtime/tests/explain.rs
+++ b/crates/ledgelead-runtime/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to what its node and others believed.
+//! Explaining a request from the logs of its node and of others.
 
 use googletest::prelude::*;
 use ledgelead_runtime::explain::explain;
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn a_request_is_told_with_all_that_it_depended_on() {
+fn the_explanation_contains_events_of_the_request_and_of_what_it_depended_on() {
     let expected = "\
 request r1 at b
      +0.000 s  attempt_ended ended=misdirected fence=4 instance=i-1 key=7 ownership=90 sent_after_ms=0 service=s took_ms=12
@@ -42,20 +42,20 @@
 b tells, by its own clock
      -0.500 s  instance_drains instance=i-1
 ";
-    let (known, text) = explained("r1");
-    expect_that!(known, eq(true));
+    let (has_events, text) = explained("r1");
+    expect_that!(has_events, eq(true));
     expect_eq!(text, expected);
 }
 
 #[gtest]
-fn an_unknown_request_is_said_to_be_unknown() {
-    let (known, text) = explained("r9");
-    expect_that!(known, eq(false));
+fn a_request_that_no_log_contains_is_reported_as_unknown() {
+    let (has_events, text) = explained("r9");
+    expect_that!(has_events, eq(false));
     expect_that!(text, eq("r9: no log knows it\n"));
 }
 
 #[gtest]
-fn other_tries_of_a_request_are_told_and_who_holds_it_back() {
+fn the_explanation_contains_other_attempts_of_the_request_and_its_quarantine() {
     let own = r#"
 {"event":{"event":"answered","request":"r3","digest":"0a","service":"s","status":503,"reason":"quarantined"},"level":"INFO","node":"b","time":100.0,"topic":"request"}
 "#;
--- a/crates/ledgelead-runtime/tests/inbound.rs
+++ b/crates/ledgelead-runtime/tests/inbound.rs
@@ -1,5 +1,5 @@
-//! What clients' connections may hold: uploads beyond it are refused, and clients that
-//! don't read lose their answers.
+//! The memory limit of inbound connections: uploads beyond it are refused, and clients that
+//! don't read their answers are disconnected.
 
 use super::{ClientEvent, Inbound};
 use crate::endpoint::Endpoint;
@@ -17,15 +17,17 @@
 use std::net::{IpAddr, Ipv4Addr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Memory of a small machine, in bytes. Half of it may be held, most of that by bodies.
-const MEMORY: usize = 120_000_000;
-const HELD: usize = MEMORY / 2;
-const ADMITTED: usize = HELD / 4 * 3;
-const UPLOAD: usize = 1_000_000;
-/// Far more than the kernel takes for a client that doesn't read.
-const ANSWER: usize = 12_000_000;
-/// What is allocated beside the bodies: buffers of connections, which grow by doubling.
-const SLACK: usize = 1_000_000;
+/// Memory of a small machine, in bytes.
+const MEMORY_BYTES: usize = 120_000_000;
+/// Bytes that may be buffered in all.
+const BUFFERED_BYTES: usize = MEMORY_BYTES / 2;
+/// Bytes buffered up to which bodies are admitted.
+const ADMITTED_BYTES: usize = BUFFERED_BYTES / 4 * 3;
+const UPLOAD_BYTES: usize = 1_000_000;
+/// Far more than the kernel buffers for a client that doesn't read.
+const ANSWER_BYTES: usize = 12_000_000;
+/// Allowance for memory beside the bodies: buffers of connections, which grow by doubling.
+const SLACK_BYTES: usize = 1_000_000;
 
 struct Fixture {
     inbound: Inbound,
@@ -34,11 +36,11 @@
     listener: TcpListener,
     now: Instant,
     poll: MioPoll,
-    // Makes actors' forwards, which the poller keeps.
+    // Owns the actor context that the poller's callbacks refer to.
     _stakker: Stakker,
 }
 
-/// A client and the other end of its connection.
+/// A client, and the key of its connection at the node.
 struct Client {
     stream: std::net::TcpStream,
     key: ConnectionKey,
@@ -65,7 +67,7 @@
     fn connect(&mut self) -> Client {
         let address = self.listener.local_addr().expect("an address");
         let stream = std::net::TcpStream::connect(address).expect("a connection");
-        // What the client's kernel takes isn't held by the node.
+        // Keeps the client's kernel from receiving a large part of an unread answer.
         set_socket_recv_buffer_size(&stream, 4_096).expect("a socket");
         let (accepted, _) = self.listener.accept().expect("the connection");
         accepted.set_nonblocking(true).expect("a socket");
@@ -80,7 +82,7 @@
         Client { stream, key }
     }
 
-    /// Reads what is there on a client's connection.
+    /// Lets the node read what is available on a client's connection.
     fn ready(&mut self, client: &Client) -> Vec<ClientEvent> {
         let mut events = Vec::new();
         let budget = MemoryBudget::new(self.limit, &self.outbound);
@@ -89,13 +91,13 @@
         events
     }
 
-    /// A client sends bytes, and the node reads until something comes of it.
+    /// Sends bytes from a client while the node reads them.
     fn send(&mut self, client: &mut Client, bytes: &[u8]) -> Vec<ClientEvent> {
         client.stream.set_nonblocking(true).expect("a socket");
         let mut events = Vec::new();
         let mut sent = 0;
         while sent < bytes.len() {
-            // A full buffer is emptied by the node.
+            // If the kernel's buffer is full, the node's reads make room.
             sent += client.stream.write(&bytes[sent..]).unwrap_or(0);
             events.extend(self.ready(client));
         }
@@ -117,14 +119,14 @@
         self.inbound.sweep(self.now, budget);
     }
 
-    /// A client asks for something, and doesn't read the answer.
-    fn ask_and_not_read(&mut self, answer: &Response) -> Client {
+    /// Sends a request from a new client that doesn't read the answer.
+    fn request_without_reading(&mut self, answer: &Response) -> Client {
         let mut client = self.connect();
         let events = self.send(&mut client, b"GET /large HTTP/1.1\r\nHost: h\r\n\r\n");
-        let [ClientEvent::Request { client: asked, .. }] = events[..] else {
+        let [ClientEvent::Request { client: id, .. }] = events[..] else {
             panic!("{events:?}");
         };
-        self.respond(asked, answer);
+        self.respond(id, answer);
         client
     }
 }
@@ -133,7 +135,7 @@
     format!("POST /upload HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n").into_bytes()
 }
 
-/// Reads until the other side ends the connection.
+/// Reads until the node closes the connection.
 fn read_to_end(client: &mut Client) -> String {
     let mut text = String::new();
     client.stream.read_to_string(&mut text).expect("an end");
@@ -141,31 +143,34 @@
 }
 
 #[gtest]
-fn uploads_beyond_what_may_be_held_are_refused_before_they_are_read() {
-    let mut fixture = Fixture::new(Some(MEMORY));
+fn uploads_beyond_the_memory_limit_are_refused_before_they_are_read() {
+    let mut fixture = Fixture::new(Some(MEMORY_BYTES));
     let mut admitted = Vec::new();
     let mut refused = Vec::new();
     for _ in 0..200 {
         let mut client = fixture.connect();
-        let mut start = head(UPLOAD);
+        let mut start = head(UPLOAD_BYTES);
         start.resize(start.len() + 1_000, b'x');
         let events = fixture.send(&mut client, &start);
         match &events[..] {
             [] => admitted.push(client),
             [
-                ClientEvent::Unread {
-                    client: asked,
+                ClientEvent::RequestWithoutBody {
+                    client: id,
                     request,
                 },
             ] => {
                 expect_that!(request.body, is_empty());
                 expect_that!(request.path(), eq("/upload"));
-                fixture.respond(*asked, &Response::new(503, "no_memory"));
+                fixture.respond(*id, &Response::new(503, "no_memory"));
                 refused.push(client);
             }
             other => panic!("{other:?}"),
         }
-        expect_that!(fixture.inbound.held(), le(ADMITTED + UPLOAD));
+        expect_that!(
+            fixture.inbound.buffered_bytes(),
+            le(ADMITTED_BYTES + UPLOAD_BYTES)
+        );
     }
     expect_that!(admitted.len(), all![ge(42), le(45)]);
     for client in &mut refused {
@@ -173,12 +178,12 @@
         expect_that!(text, starts_with("HTTP/1.1 503"));
         expect_that!(text, contains_substring("Connection: close"));
     }
-    // Those that were let in go on, and make budget as they end.
+    // Admitted uploads continue, and make room for others when they end.
     let mut first = admitted.remove(0);
-    let events = fixture.send(&mut first, &vec![b'x'; UPLOAD - 1_000]);
+    let events = fixture.send(&mut first, &vec![b'x'; UPLOAD_BYTES - 1_000]);
     let [
         ClientEvent::Request {
-            client: asked,
+            client: id,
             ref request,
             ..
         },
@@ -186,16 +191,16 @@
     else {
         panic!("{events:?}");
     };
-    expect_that!(request.body.len(), eq(UPLOAD));
-    fixture.respond(asked, &Response::new(200, ""));
+    expect_that!(request.body.len(), eq(UPLOAD_BYTES));
+    fixture.respond(id, &Response::new(200, ""));
     drop(admitted.remove(0));
     let mut next = fixture.connect();
     fixture.sweep();
-    expect_that!(fixture.inbound.held(), le(ADMITTED));
-    expect_that!(fixture.send(&mut next, &head(UPLOAD)).len(), eq(0));
+    expect_that!(fixture.inbound.buffered_bytes(), le(ADMITTED_BYTES));
+    expect_that!(fixture.send(&mut next, &head(UPLOAD_BYTES)).len(), eq(0));
 }
 
-/// More clients than fit begin to upload a body of this length each.
+/// 70 clients, more than are admitted, each begin to upload a body of this length.
 fn begin_uploads(fixture: &mut Fixture, length: usize) -> Vec<Client> {
     let begin = |_| {
         let mut client = fixture.connect();
@@ -206,9 +211,9 @@
 }
 
 #[gtest]
-fn a_request_without_a_body_is_taken_while_uploads_are_refused() {
-    let mut fixture = Fixture::new(Some(MEMORY));
-    let _clients = begin_uploads(&mut fixture, UPLOAD);
+fn requests_with_no_or_a_small_body_are_accepted_while_uploads_are_refused() {
+    let mut fixture = Fixture::new(Some(MEMORY_BYTES));
+    let _clients = begin_uploads(&mut fixture, UPLOAD_BYTES);
     let mut other = fixture.connect();
     let events = fixture.send(&mut other, b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
     expect_that!(
@@ -225,10 +230,10 @@
     );
 }
 
-/// The length of a body in chunks shows as it comes.
+/// The length of a chunked body is not known before it has arrived.
 #[gtest]
-fn an_upload_in_chunks_is_refused_once_memory_is_short() {
-    let mut fixture = Fixture::new(Some(MEMORY));
+fn a_chunked_upload_is_refused_once_memory_is_short() {
+    let mut fixture = Fixture::new(Some(MEMORY_BYTES));
     let mut chunked = fixture.connect();
     let start = b"POST /upload HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
     expect_that!(fixture.send(&mut chunked, start).len(), eq(0));
@@ -236,44 +241,48 @@
     chunk.resize(chunk.len() + 0x2000, b'x');
     chunk.extend_from_slice(b"\r\n");
     expect_that!(fixture.send(&mut chunked, &chunk).len(), eq(0));
-    // Smaller ones fill what large ones leave.
-    let _clients = [UPLOAD, UPLOAD / 10].map(|length| begin_uploads(&mut fixture, length));
+    // The smaller uploads fill the room that the large ones leave.
+    let _clients =
+        [UPLOAD_BYTES, UPLOAD_BYTES / 10].map(|length| begin_uploads(&mut fixture, length));
     let mut events = Vec::new();
     let mut chunks = 0;
     while events.is_empty() && chunks < 20 {
         events = fixture.send(&mut chunked, &chunk);
         chunks += 1;
     }
-    expect_that!(matches!(events[..], [ClientEvent::Unread { .. }]), eq(true));
+    expect_that!(
+        matches!(events[..], [ClientEvent::RequestWithoutBody { .. }]),
+        eq(true)
+    );
 }
 
 #[gtest]
-fn a_client_is_not_told_to_send_what_does_not_fit() {
-    let mut fixture = Fixture::new(Some(MEMORY));
-    let _clients = begin_uploads(&mut fixture, UPLOAD);
-    let mut polite = fixture.connect();
+fn a_client_that_expects_100_continue_is_refused_before_it_sends_the_body() {
+    let mut fixture = Fixture::new(Some(MEMORY_BYTES));
+    let _clients = begin_uploads(&mut fixture, UPLOAD_BYTES);
+    let mut client = fixture.connect();
     let request =
         b"POST /upload HTTP/1.1\r\nContent-Length: 1000000\r\nExpect: 100-continue\r\n\r\n";
-    let events = fixture.send(&mut polite, request);
-    let [ClientEvent::Unread { client: asked, .. }] = events[..] else {
+    let events = fixture.send(&mut client, request);
+    let [ClientEvent::RequestWithoutBody { client: id, .. }] = events[..] else {
         panic!("{events:?}");
     };
-    fixture.respond(asked, &Response::new(503, ""));
-    expect_that!(read_to_end(&mut polite), starts_with("HTTP/1.1 503"));
+    fixture.respond(id, &Response::new(503, ""));
+    expect_that!(read_to_end(&mut client), starts_with("HTTP/1.1 503"));
 }
 
 #[gtest]
-fn clients_that_do_not_read_lose_their_answers_and_others_get_theirs() {
-    let mut fixture = Fixture::new(Some(MEMORY));
-    let answer = Response::new(200, vec![b'x'; ANSWER]);
-    let mut slow = Vec::new();
+fn clients_that_do_not_read_are_disconnected_and_others_get_their_answers() {
+    let mut fixture = Fixture::new(Some(MEMORY_BYTES));
+    let answer = Response::new(200, vec![b'x'; ANSWER_BYTES]);
+    let mut slow_clients = Vec::new();
     for _ in 0..200 {
-        slow.push(fixture.ask_and_not_read(&answer));
-        expect_that!(fixture.inbound.held(), le(HELD));
+        slow_clients.push(fixture.request_without_reading(&answer));
+        expect_that!(fixture.inbound.buffered_bytes(), le(BUFFERED_BYTES));
         fixture.now += Duration::from_millis(1);
     }
-    expect_that!(fixture.inbound.dropped(), gt(150));
-    let mut other = fixture.ask_and_not_read(&Response::new(200, "small"));
+    expect_that!(fixture.inbound.dropped_clients(), gt(150));
+    let mut other = fixture.request_without_reading(&Response::new(200, "small"));
     other
         .stream
         .shutdown(std::net::Shutdown::Write)
@@ -282,16 +291,17 @@
     expect_that!(read_to_end(&mut other), ends_with("small"));
 }
 
-/// An answer of usual length, which its client has not read yet, has budget beside them.
+/// Answers of usual length that their clients have not read yet fit the share of memory that
+/// is reserved for answers.
 #[gtest]
-fn slow_uploads_take_no_answers_from_others() {
-    let mut fixture = Fixture::new(Some(MEMORY));
+fn slow_uploads_do_not_cause_answers_to_be_dropped() {
+    let mut fixture = Fixture::new(Some(MEMORY_BYTES));
     let mut uploads = Vec::new();
-    for length in [UPLOAD, UPLOAD / 10, UPLOAD / 100] {
+    for length in [UPLOAD_BYTES, UPLOAD_BYTES / 10, UPLOAD_BYTES / 100] {
         for _ in 0..70 {
             let mut client = fixture.connect();
             for event in fixture.send(&mut client, &head(length)) {
-                let ClientEvent::Unread { client, .. } = event else {
+                let ClientEvent::RequestWithoutBody { client, .. } = event else {
                     panic!("{event:?}");
                 };
                 fixture.respond(client, &Response::new(503, ""));
@@ -299,34 +309,41 @@
             uploads.push(client);
         }
     }
-    expect_that!(fixture.inbound.held(), gt(ADMITTED - UPLOAD / 10));
-    let answer = Response::new(200, vec![b'x'; ANSWER]);
-    let _reading = fixture.ask_and_not_read(&answer);
+    expect_that!(
+        fixture.inbound.buffered_bytes(),
+        gt(ADMITTED_BYTES - UPLOAD_BYTES / 10)
+    );
+    let answer = Response::new(200, vec![b'x'; ANSWER_BYTES]);
+    let _reading = fixture.request_without_reading(&answer);
     for _ in 0..20 {
-        fixture.ask_and_not_read(&Response::new(200, vec![b'x'; 10_000]));
+        fixture.request_without_reading(&Response::new(200, vec![b'x'; 10_000]));
     }
-    expect_that!(fixture.inbound.dropped(), eq(0));
+    expect_that!(fixture.inbound.dropped_clients(), eq(0));
 }
 
-/// Within the bound, a slow client is only slow.
 #[gtest]
 fn a_client_that_does_not_read_keeps_its_answer_while_there_is_memory() {
-    let answer = Response::new(200, vec![b'x'; ANSWER]);
-    for limit in [None, Some(MEMORY)] {
+    let answer = Response::new(200, vec![b'x'; ANSWER_BYTES]);
+    for limit in [None, Some(MEMORY_BYTES)] {
         let mut fixture = Fixture::new(limit);
-        let clients: Vec<Client> = (0..3).map(|_| fixture.ask_and_not_read(&answer)).collect();
+        let clients: Vec<Client> = (0..3)
+            .map(|_| fixture.request_without_reading(&answer))
+            .collect();
         fixture.now += Duration::from_secs(3);
         fixture.sweep();
-        expect_that!(fixture.inbound.dropped(), eq(0));
-        expect_that!(fixture.inbound.held(), ge(ANSWER * clients.len()));
+        expect_that!(fixture.inbound.dropped_clients(), eq(0));
+        expect_that!(
+            fixture.inbound.buffered_bytes(),
+            ge(ANSWER_BYTES * clients.len())
+        );
     }
 }
 
-/// What is sent ahead while a request is open waits in the node's memory.
+/// Bytes that a client sends while its request is open are buffered by the node.
 #[gtest]
-fn a_client_that_sends_without_end_ahead_of_its_answer_is_cut_off() {
-    let ahead = vec![b'x'; 2 * HELD];
-    for (limit, is_cut) in [(Some(MEMORY), true), (None, false)] {
+fn a_client_that_sends_too_far_ahead_is_disconnected_if_memory_is_short() {
+    let ahead = vec![b'x'; 2 * BUFFERED_BYTES];
+    for (limit, is_limited) in [(Some(MEMORY_BYTES), true), (None, false)] {
         let mut fixture = Fixture::new(limit);
         let mut client = fixture.connect();
         let events = fixture.send(&mut client, b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -341,31 +358,31 @@
             sent += client.stream.write(&ahead[sent..]).unwrap_or(0);
             events = fixture.ready(&client);
         }
-        let left = matches!(events[..], [ClientEvent::Left { .. }]);
-        expect_that!(left, eq(is_cut));
-        if is_cut {
-            expect_that!(fixture.inbound.held(), lt(SLACK));
+        let disconnected = matches!(events[..], [ClientEvent::Disconnected { .. }]);
+        expect_that!(disconnected, eq(is_limited));
+        if is_limited {
+            expect_that!(fixture.inbound.buffered_bytes(), lt(SLACK_BYTES));
         }
     }
 }
 
-/// A large message leaves no large buffer behind.
+/// Idle connections must not keep the buffers of their large messages.
 #[gtest]
-fn an_idle_connection_gives_back_its_memory() {
-    let mut fixture = Fixture::new(Some(MEMORY));
+fn an_idle_connection_frees_its_large_buffers() {
+    let mut fixture = Fixture::new(Some(MEMORY_BYTES));
     let mut client = fixture.connect();
-    let mut upload = head(UPLOAD);
-    upload.resize(upload.len() + UPLOAD, b'x');
+    let mut upload = head(UPLOAD_BYTES);
+    upload.resize(upload.len() + UPLOAD_BYTES, b'x');
     let events = fixture.send(&mut client, &upload);
-    let [ClientEvent::Request { client: asked, .. }] = events[..] else {
+    let [ClientEvent::Request { client: id, .. }] = events[..] else {
         panic!("{events:?}");
     };
-    expect_that!(fixture.inbound.held(), ge(UPLOAD));
-    fixture.respond(asked, &Response::new(200, vec![b'x'; 100_000]));
+    expect_that!(fixture.inbound.buffered_bytes(), ge(UPLOAD_BYTES));
+    fixture.respond(id, &Response::new(200, vec![b'x'; 100_000]));
     let mut read = vec![0; 50_000];
     for _ in 0..2 {
         client.stream.read_exact(&mut read).expect("the answer");
         fixture.ready(&client);
     }
-    expect_that!(fixture.inbound.held(), le(SLACK / 10));
+    expect_that!(fixture.inbound.buffered_bytes(), le(SLACK_BYTES / 10));
 }
--- a/crates/ledgelead-runtime/tests/logging.rs
+++ b/crates/ledgelead-runtime/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Logs while nobody reads them.
+//! Logging while the output accepts no lines.
 
 use googletest::prelude::*;
 use ledgelead_runtime::logging::LineQueue;
@@ -7,23 +7,23 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// Nothing here takes long; a fault must not hang the tests.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Limit for one line, so that a failure doesn't hang the test.
+const LINE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An output that takes a line only when it is let.
-struct Stalled {
-    lets: Receiver<()>,
-    taken: Sender<String>,
+/// An output that blocks on each line until it receives a permission for it.
+struct StalledOutput {
+    permissions: Receiver<()>,
+    written: Sender<String>,
     line: Vec<u8>,
 }
 
-impl Write for Stalled {
+impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if self.line.ends_with(b"\n") {
-            self.lets.recv().map_err(io::Error::other)?;
+            self.permissions.recv().map_err(io::Error::other)?;
             let line = String::from_utf8(std::mem::take(&mut self.line)).unwrap();
-            self.taken.send(line.trim_end().to_owned()).unwrap();
+            self.written.send(line.trim_end().to_owned()).unwrap();
         }
         Ok(bytes.len())
     }
@@ -34,17 +34,17 @@
 }
 
 #[gtest]
-fn a_stalled_reader_costs_lines_and_they_are_told() {
-    let (allow, lets) = channel();
-    let (taken, lines) = channel();
-    let output = Stalled {
-        lets,
-        taken,
+fn a_stalled_output_drops_lines_and_their_number_is_logged() {
+    let (allow, permissions) = channel();
+    let (written, lines) = channel();
+    let output = StalledOutput {
+        permissions,
+        written,
         line: Vec::new(),
     };
     let queue = LineQueue::new(output, 10).unwrap();
-    // One more is in the hands of the writer. None of these waits: if one
-    // did, nobody would ever let the writer go on.
+    // None of these calls may block: the output gets its permissions only afterwards. The
+    // queue holds 10 lines, and the writer thread may have taken one more.
     for number in 0..1_000 {
         queue.push(format!("line {number}"));
     }
@@ -54,8 +54,8 @@
     for _ in 0..1_000 {
         allow.send(()).unwrap();
     }
-    let take = || lines.recv_timeout(PATIENCE).expect("a line");
-    // All that were not dropped; then there is budget.
+    let take = || lines.recv_timeout(LINE_TIMEOUT).expect("a line");
+    // Takes all lines that were not dropped. Then the queue has room for another.
     let mut seen: Vec<String> = (0..1_000 - dropped).map(|_| take()).collect();
     queue.push("the last".to_owned());
     while seen.last().is_none_or(|line| line != "the last") {
@@ -67,12 +67,12 @@
         .collect();
     expect_that!(written[0], eq("line 0"));
     expect_that!(written.len() as u64, eq(1_000 - dropped));
-    // How many notes there are depends on when the writer looked.
-    let told: u64 = seen
+    // The number of `lines_dropped` events depends on the timing of the writer.
+    let reported: u64 = seen
         .iter()
         .filter_map(|line| serde_json::from_str::<Value>(line).ok())
         .filter(|line| line["event"]["event"] == "lines_dropped")
         .filter_map(|line| line["event"]["count"].as_u64())
         .sum();
-    expect_that!(told, eq(dropped));
+    expect_that!(reported, eq(dropped));
 }
--- a/crates/ledgelead-runtime/tests/outbound.rs
+++ b/crates/ledgelead-runtime/tests/outbound.rs
@@ -1,4 +1,5 @@
-//! When a request is written, and what the end of its connection proves.
+//! When a request is written, and what the failure of its connection proves about whether it
+//! was run.
 
 use super::{NewExchange, Outbound};
 use googletest::prelude::*;
@@ -12,16 +13,16 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Far longer than any test takes.
-const SETTLE: Duration = Duration::from_secs(600);
+/// Settle time and time limits of the exchanges: far longer than any test takes.
+const SETTLE_TIME: Duration = Duration::from_secs(600);
 
-/// An exchange on a new connection, and the other end of it.
+/// An exchange on a new connection, and the instance's end of the connection.
 struct Fixture {
     outbound: Outbound,
     key: super::ConnectionKey,
     peer: std::net::TcpStream,
     start: Instant,
-    // Keeps the poller that the connection is registered with.
+    // The connection is registered with this poller.
     _poll: MioPoll,
 }
 
@@ -29,16 +30,16 @@
     ExchangeOptions {
         match_header: None,
         reuse_idle_below: Duration::ZERO,
-        connect_timeout: SETTLE * 2,
+        connect_timeout: SETTLE_TIME * 2,
         write_timeout: None,
-        settle: SETTLE,
-        timeout: SETTLE * 2,
+        settle: SETTLE_TIME,
+        timeout: SETTLE_TIME * 2,
         renewed: false,
     }
 }
 
-/// The request is written as soon as the connection is up.
-fn unsettled() -> ExchangeOptions {
+/// Options by which the request is written as soon as the connection is established.
+fn without_settle_time() -> ExchangeOptions {
     ExchangeOptions {
         settle: Duration::ZERO,
         ..options()
@@ -79,7 +80,7 @@
 }
 
 #[gtest]
-fn a_connection_that_ends_before_the_request_is_written_proves_that_it_never_ran() {
+fn a_connection_that_closes_before_the_request_is_written_proves_that_it_was_not_sent() {
     let Fixture {
         mut outbound,
         key,
@@ -104,11 +105,11 @@
 }
 
 #[gtest]
-fn a_request_is_written_once_its_new_connection_was_watched() {
+fn a_request_on_a_new_connection_is_written_after_the_settle_time() {
     let mut fixture = fixture();
     let mut inputs = Vec::new();
-    // Until the connection is up, its limit is the first deadline.
-    while fixture.outbound.next_deadline() != Some(fixture.start + SETTLE) {
+    // Before the connection is established, its time limit is the next deadline.
+    while fixture.outbound.next_deadline() != Some(fixture.start + SETTLE_TIME) {
         fixture
             .outbound
             .ready(fixture.key, fixture.start, &mut inputs);
@@ -117,61 +118,65 @@
     let mut buffer = [0; 64];
     let early = fixture.peer.read(&mut buffer).map_err(|error| error.kind());
     expect_that!(early, err(eq(ErrorKind::WouldBlock)));
-    fixture.outbound.expire(fixture.start + SETTLE, &mut inputs);
+    fixture
+        .outbound
+        .expire(fixture.start + SETTLE_TIME, &mut inputs);
     fixture.peer.set_nonblocking(false).expect("a socket");
     let count = fixture.peer.read(&mut buffer).expect("bytes");
     expect_that!(buffer[..count].starts_with(b"POST /once"), eq(true));
     expect_that!(inputs, is_empty());
 }
 
-/// Breaks the exchange off once its request is written, and returns what the other side
-/// reads after that.
-fn read_after_break_off(
+/// Aborts the exchange once its request is written, and returns what the instance reads after
+/// that.
+fn read_after_abort(
     fixture: &mut Fixture,
-    break_off: impl Fn(&mut Outbound, Instant),
+    abort: impl Fn(&mut Outbound, Instant),
 ) -> std::io::Result<usize> {
     let mut inputs = Vec::new();
-    while fixture.outbound.next_deadline() != Some(fixture.start + SETTLE) {
+    while fixture.outbound.next_deadline() != Some(fixture.start + SETTLE_TIME) {
         fixture
             .outbound
             .ready(fixture.key, fixture.start, &mut inputs);
     }
-    fixture.outbound.expire(fixture.start + SETTLE, &mut inputs);
+    fixture
+        .outbound
+        .expire(fixture.start + SETTLE_TIME, &mut inputs);
     let mut buffer = [0; 1_024];
     let count = fixture.peer.read(&mut buffer).expect("the request");
     expect_that!(count, gt(0));
-    break_off(&mut fixture.outbound, fixture.start);
+    abort(&mut fixture.outbound, fixture.start);
     fixture.peer.read(&mut buffer)
 }
 
 #[gtest]
-fn an_exchange_that_is_broken_off_takes_back_what_has_not_arrived() {
+fn the_connection_of_an_aborted_exchange_is_reset() {
     let is_reset = err(predicate(|error: &std::io::Error| {
         error.kind() == ErrorKind::ConnectionReset
     }));
-    let cancelled = read_after_break_off(&mut fixture(), |outbound, _| {
+    let cancelled = read_after_abort(&mut fixture(), |outbound, _| {
         outbound.cancel(ExchangeId(1));
     });
     expect_that!(cancelled, is_reset);
     let is_reset = err(predicate(|error: &std::io::Error| {
         error.kind() == ErrorKind::ConnectionReset
     }));
-    let timed_out = read_after_break_off(&mut fixture(), |outbound, start| {
-        outbound.expire(start + SETTLE * 2, &mut Vec::new());
+    let timed_out = read_after_abort(&mut fixture(), |outbound, start| {
+        outbound.expire(start + SETTLE_TIME * 2, &mut Vec::new());
     });
     expect_that!(timed_out, is_reset);
 }
 
-/// Far more than the kernel takes for a connection that nobody reads from.
-const LARGE_BODY: usize = 32 << 20;
+/// Far more than the kernel buffers for a connection whose peer doesn't read.
+const LARGE_BODY_BYTES: usize = 32 << 20;
 
-/// An exchange with a large body that was written as far as the kernel took it.
-fn half_written(write_timeout: Option<Duration>) -> Fixture {
+/// An exchange with a large body of which the kernel accepted only a part.
+fn partly_written(write_timeout: Option<Duration>) -> Fixture {
     let mut fixture = fixture_with(
-        vec![b'x'; LARGE_BODY],
+        vec![b'x'; LARGE_BODY_BYTES],
         ExchangeOptions {
             write_timeout,
-            ..unsettled()
+            ..without_settle_time()
         },
     );
     let mut inputs = Vec::new();
@@ -186,14 +191,14 @@
     fixture
 }
 
-/// How the exchange ends by what is done to it.
-fn end_of(
+/// Repeats `step` until the exchange has failed, and returns the failure.
+fn fail_by(
     fixture: &mut Fixture,
-    mut cause: impl FnMut(&mut Fixture, &mut Vec<Input>),
+    mut step: impl FnMut(&mut Fixture, &mut Vec<Input>),
 ) -> ExchangeFailure {
     let mut inputs = Vec::new();
     while inputs.is_empty() {
-        cause(fixture, &mut inputs);
+        step(fixture, &mut inputs);
     }
     match inputs.remove(0) {
         Input::Exchanged {
@@ -208,7 +213,8 @@
     fixture.outbound.ready(fixture.key, fixture.start, inputs);
 }
 
-/// Polls until the instance has received the first bytes of the request. Returns what came.
+/// Polls until the instance has received the first bytes of the request. Returns the inputs
+/// for the node.
 fn poll_until_request_arrives(fixture: &mut Fixture) -> Vec<Input> {
     let mut inputs = Vec::new();
     let mut buffer = [0; 1];
@@ -219,19 +225,20 @@
     inputs
 }
 
-/// The other side closes with bytes unread, which resets the connection.
-fn replace_peer(fixture: &mut Fixture) -> std::net::TcpStream {
-    let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = other.local_addr().expect("an address");
-    let stand_in = std::net::TcpStream::connect(address).expect("a connection");
-    std::mem::replace(&mut fixture.peer, stand_in)
+/// Takes the instance's end of the connection out of the fixture. To drop it while bytes are
+/// unread resets the connection.
+fn take_peer(fixture: &mut Fixture) -> std::net::TcpStream {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
+    let placeholder = std::net::TcpStream::connect(address).expect("a connection");
+    std::mem::replace(&mut fixture.peer, placeholder)
 }
 
 #[gtest]
-fn a_reset_before_the_last_byte_was_written_proves_that_the_request_never_ran() {
-    let mut fixture = half_written(None);
-    drop(replace_peer(&mut fixture));
-    let failure = end_of(&mut fixture, poll);
+fn a_reset_before_the_last_byte_was_written_proves_that_the_request_was_not_run() {
+    let mut fixture = partly_written(None);
+    drop(take_peer(&mut fixture));
+    let failure = fail_by(&mut fixture, poll);
     expect_that!(
         failure,
         eq(ExchangeFailure::Incomplete { timed_out: false })
@@ -241,13 +248,13 @@
 }
 
 #[gtest]
-fn a_close_of_the_other_side_before_the_last_byte_proves_the_same() {
-    let mut fixture = half_written(None);
+fn a_close_before_the_last_byte_was_written_proves_that_the_request_was_not_run() {
+    let mut fixture = partly_written(None);
     fixture
         .peer
         .shutdown(std::net::Shutdown::Write)
         .expect("a connection");
-    let failure = end_of(&mut fixture, poll);
+    let failure = fail_by(&mut fixture, poll);
     expect_that!(
         failure,
         eq(ExchangeFailure::Incomplete { timed_out: false })
@@ -256,41 +263,41 @@
 
 #[gtest]
 fn a_reset_after_the_last_byte_proves_nothing() {
-    let mut fixture = fixture_with(Vec::new(), unsettled());
+    let mut fixture = fixture_with(Vec::new(), without_settle_time());
     poll_until_request_arrives(&mut fixture);
-    drop(replace_peer(&mut fixture));
-    expect_that!(end_of(&mut fixture, poll), eq(ExchangeFailure::Lost));
+    drop(take_peer(&mut fixture));
+    expect_that!(fail_by(&mut fixture, poll), eq(ExchangeFailure::Lost));
 }
 
-/// An instance that answers before it has the whole request may have done something.
+/// An instance that answers before it has the whole request may have run it.
 #[gtest]
 fn a_reset_after_an_answer_began_proves_nothing() {
-    let mut fixture = half_written(None);
+    let mut fixture = partly_written(None);
     fixture.peer.set_nonblocking(false).expect("a socket");
     fixture
         .peer
         .write_all(b"HTTP/1.1 200 OK\r\n")
         .expect("a connection");
-    // Loopback delivers in order: the bytes are there before the end.
+    // Loopback delivers in order: the bytes arrive before the close.
     fixture
         .peer
         .shutdown(std::net::Shutdown::Write)
         .expect("a connection");
-    expect_that!(end_of(&mut fixture, poll), eq(ExchangeFailure::Lost));
+    expect_that!(fail_by(&mut fixture, poll), eq(ExchangeFailure::Lost));
 }
 
 #[gtest]
-fn an_instance_that_reads_nothing_until_the_time_for_writing_is_over_never_runs_the_request() {
-    let mut fixture = half_written(Some(SETTLE));
-    let at = fixture.start + SETTLE;
+fn a_request_that_is_not_written_within_its_time_limit_is_never_run() {
+    let mut fixture = partly_written(Some(SETTLE_TIME));
+    let at = fixture.start + SETTLE_TIME;
     expect_that!(fixture.outbound.next_deadline(), some(eq(at)));
-    let failure = end_of(&mut fixture, |fixture, inputs| {
+    let failure = fail_by(&mut fixture, |fixture, inputs| {
         fixture.outbound.expire(at, inputs);
-        assert!(!inputs.is_empty(), "the exchange goes on");
+        assert!(!inputs.is_empty(), "the exchange did not fail");
     });
     expect_that!(failure, eq(ExchangeFailure::Incomplete { timed_out: true }));
     expect_that!(fixture.outbound.next_deadline(), none());
-    // Nothing of it is left to arrive: what comes is the reset.
+    // The rest of the request never arrives: the instance reads a reset before it.
     let mut rest = Vec::new();
     fixture.peer.set_nonblocking(false).expect("a socket");
     let end = fixture.peer.read_to_end(&mut rest);
@@ -298,7 +305,7 @@
         end.map_err(|error| error.kind()),
         err(eq(ErrorKind::ConnectionReset))
     );
-    expect_that!(rest.len(), lt(LARGE_BODY));
+    expect_that!(rest.len(), lt(LARGE_BODY_BYTES));
 }
 
 #[gtest]
@@ -306,16 +313,18 @@
     let mut fixture = fixture_with(
         Vec::new(),
         ExchangeOptions {
-            write_timeout: Some(SETTLE),
-            ..unsettled()
+            write_timeout: Some(SETTLE_TIME),
+            ..without_settle_time()
         },
     );
     let mut inputs = poll_until_request_arrives(&mut fixture);
-    fixture.outbound.expire(fixture.start + SETTLE, &mut inputs);
+    fixture
+        .outbound
+        .expire(fixture.start + SETTLE_TIME, &mut inputs);
     expect_that!(inputs, is_empty());
     fixture
         .outbound
-        .expire(fixture.start + SETTLE * 2, &mut inputs);
+        .expire(fixture.start + SETTLE_TIME * 2, &mut inputs);
     let timed_out = matches!(
         inputs[0],
         Input::Exchanged {
@@ -326,10 +335,9 @@
     expect_that!(timed_out, eq(true));
 }
 
-/// A kept connection that the other side has closed meanwhile.
 #[gtest]
-fn a_kept_connection_that_is_found_closed_proves_that_nothing_was_sent() {
-    let mut fixture = fixture_with(Vec::new(), unsettled());
+fn an_idle_connection_that_the_peer_has_closed_proves_that_nothing_was_sent() {
+    let mut fixture = fixture_with(Vec::new(), without_settle_time());
     let mut inputs = poll_until_request_arrives(&mut fixture);
     let mut request = [0; 4_096];
     let count = fixture.peer.read(&mut request).expect("the request");
@@ -352,13 +360,13 @@
         address,
         request: Some(Request::new("POST", "/once", Vec::new())),
         options: ExchangeOptions {
-            reuse_idle_below: SETTLE,
-            ..unsettled()
+            reuse_idle_below: SETTLE_TIME,
+            ..without_settle_time()
         },
     };
     let started = fixture
         .outbound
-        .start_on_kept(Box::new(again), fixture.start, &mut inputs);
+        .start_on_idle(Box::new(again), fixture.start, &mut inputs);
     expect_that!(started.is_ok(), eq(true));
     let not_sent = matches!(
         inputs.first(),
