--- a/crates/ledgelead-http/src/framing.rs
+++ b/crates/ledgelead-http/src/framing.rs
@@ -1,16 +1,16 @@
-//! Where a body ends: by length, by chunks, or with its connection.
+//! Body framing: by `Content-Length`, in chunks, or until the connection closes.
 
 use crate::message::Headers;
 
-/// Longest line that may hold a chunk's size or a trailer, in bytes.
+/// Longest line of a chunk size or a trailer, in bytes.
 const MAX_LINE_BYTES: usize = 4_096;
 
-/// Why a body can't be delimited.
+/// Why the end of a body can't be determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
-    /// Lengths that contradict each other, or length and chunks together.
+    /// Contradictory lengths, or both a length and a transfer coding.
     Ambiguous,
-    /// A length that is no number.
+    /// A length that is not a number.
     BadLength,
     /// A transfer coding other than `chunked`.
     UnknownCoding,
@@ -20,7 +20,7 @@
     TooLong,
 }
 
-/// What `Content-Length` and `Transfer-Encoding` say.
+/// The framing that `Content-Length` and `Transfer-Encoding` declare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeclaredFraming {
     Length(u64),
@@ -62,8 +62,8 @@
     text.parse().map_err(|_| FramingError::BadLength)
 }
 
-/// Longest body, in bytes, whose memory is taken as it begins. The length is a claim of the
-/// sender, and most bodies are shorter.
+/// Longest body, in bytes, whose memory is allocated at its beginning. The declared length is
+/// not trusted beyond this, and most bodies are shorter.
 const MAX_PREALLOCATED_BYTES: u64 = 1 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     Done,
 }
 
-/// Takes a body out of the bytes of a connection.
+/// Reads one body from the bytes of a connection.
 #[derive(Debug)]
 pub struct BodyReader {
     state: State,
@@ -86,7 +86,7 @@
 }
 
 impl BodyReader {
-    /// A body of this many bytes.
+    /// A body with this length in bytes.
     pub fn length(length: u64, max_bytes: usize) -> Result<BodyReader, FramingError> {
         if length > max_bytes as u64 {
             return Err(FramingError::TooLong);
@@ -94,12 +94,12 @@
         Ok(BodyReader::new(State::Length(length), max_bytes))
     }
 
-    /// A body in chunks.
+    /// A body in the chunked transfer coding.
     pub fn chunked(max_bytes: usize) -> BodyReader {
         BodyReader::new(State::ChunkSize, max_bytes)
     }
 
-    /// A body that ends with its connection.
+    /// A body that ends when the connection closes.
     pub fn until_close(max_bytes: usize) -> BodyReader {
         BodyReader::new(State::UntilClose, max_bytes)
     }
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Takes what belongs to the body from the front of `input`. True once the
-    /// body is whole.
+    /// Consumes bytes of the body from the front of `input`. Returns true once the body is
+    /// complete.
     ///
     /// # Errors
-    /// When a chunk is malformed or the body grows too long.
+    /// If a chunk is malformed or the body is longer than allowed.
     pub fn read(&mut self, input: &mut Vec<u8>) -> Result<bool, FramingError> {
         let mut consumed = 0;
         while self.step(input, &mut consumed)? {}
@@ -124,7 +124,7 @@
         Ok(matches!(self.state, State::Length(0) | State::Done))
     }
 
-    /// The connection was closed by its sender: whether the body is whole.
+    /// Whether the body is complete if the sender closes the connection now.
     pub fn is_complete_at_close(&self) -> bool {
         matches!(
             self.state,
@@ -132,7 +132,7 @@
         )
     }
 
-    /// Bytes of memory that the body takes by now, or will take if its length is known.
+    /// Bytes of memory that the body takes now, or will take if its length is known.
     pub fn reserved_bytes(&self) -> usize {
         let left = match self.state {
             State::Length(left) => usize::try_from(left).unwrap_or(usize::MAX),
@@ -142,7 +142,7 @@
         self.body.capacity().max(whole)
     }
 
-    /// Whether the length of the body shows only as it comes.
+    /// Whether the length of the body is not known before its end.
     pub fn has_unknown_length(&self) -> bool {
         !matches!(self.state, State::Length(_))
     }
@@ -152,7 +152,7 @@
         self.body
     }
 
-    /// One step; whether another may follow.
+    /// Makes one step. Returns whether another step may make progress.
     fn step(&mut self, input: &[u8], consumed: &mut usize) -> Result<bool, FramingError> {
         let rest = &input[*consumed..];
         match self.state {
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Takes the memory of a body of known length at once: growing by doubling would take
-    /// up to twice as much.
+    /// Allocates the memory of a body of known length at once. A buffer that grows by doubling
+    /// would take up to twice as much.
     fn preallocate(&mut self, left: u64) {
         if self.body.is_empty() && left <= MAX_PREALLOCATED_BYTES {
             let left = usize::try_from(left).unwrap_or_default();
@@ -234,7 +234,7 @@
         Ok(true)
     }
 
-    /// Trailers are read and dropped.
+    /// Reads and discards one trailer.
     fn trailer(&mut self, rest: &[u8], consumed: &mut usize) -> Result<bool, FramingError> {
         let Some(line) = rest.windows(2).position(|pair| pair == b"\r\n") else {
             if rest.len() > MAX_LINE_BYTES {
--- a/crates/ledgelead-http/src/lib.rs
+++ b/crates/ledgelead-http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 without sockets: messages, and readers that are fed bytes.
+//! HTTP/1.1 without I/O: messages, and incremental readers that parse bytes as they arrive.
 //!
-//! The readers see what libraries with a thread a connection hide: bytes left
-//! over behind a message, answers that end with their connection, and answers
-//! that come before the request was sent. `httparse` parses heads and chunk
-//! sizes; framing is decided here.
+//! The readers expose what libraries with a thread per connection hide: bytes left over
+//! after a message, responses that end when the connection closes, and responses that arrive
+//! before the request was sent. `httparse` parses heads and chunk sizes; this crate
+//! implements the framing.
 
 mod framing;
 mod message;
@@ -19,5 +19,5 @@
 pub use size::{request_bytes, response_bytes};
 pub use write::{reason_phrase, write_request, write_response};
 
-/// Most headers of one message.
+/// Maximum number of headers of one message.
 pub const MAX_HEADERS: usize = 128;
--- a/crates/ledgelead-http/src/message.rs
+++ b/crates/ledgelead-http/src/message.rs
@@ -1,11 +1,11 @@
-//! Requests and responses with their whole bodies.
+//! Requests and responses with their complete bodies.
 
 /// One header as it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
     /// The name, in the sender's case.
     pub name: String,
-    /// The value without surrounding blanks.
+    /// The value without surrounding whitespace.
     pub value: Vec<u8>,
 }
 
@@ -13,8 +13,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<Header>);
 
-/// Headers that concern one connection and are never forwarded (RFC 9110,
-/// section 7.6.1), with those that frame the body, which are written anew.
+/// Headers that apply to one connection and are never forwarded (RFC 9110, section 7.6.1),
+/// and those that frame the body, which are generated for each connection.
 const CONNECTION_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -29,12 +29,12 @@
 ];
 
 impl Headers {
-    /// None.
+    /// An empty list.
     pub fn new() -> Headers {
         Headers::default()
     }
 
-    /// Copies what the parser found.
+    /// Copies the headers that the parser found.
     pub(crate) fn from_parsed(parsed: &[httparse::Header<'_>]) -> Headers {
         let copy = |header: &httparse::Header<'_>| Header {
             name: header.name.to_owned(),
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Replaces all headers of this name by one.
+    /// Replaces all headers of this name with one.
     pub fn set(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.remove(name);
         self.push(name, value);
@@ -63,7 +63,7 @@
             .retain(|header| !header.name.eq_ignore_ascii_case(name));
     }
 
-    /// The first header of this name.
+    /// The value of the first header of this name.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let named = |header: &&Header| header.name.eq_ignore_ascii_case(name);
         self.0
@@ -72,12 +72,12 @@
             .map(|header| header.value.as_slice())
     }
 
-    /// The first header of this name as text, if it is text.
+    /// The value of the first header of this name, if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok().map(str::trim)
     }
 
-    /// The first header of this name as a number.
+    /// The value of the first header of this name, if it parses as a number.
     pub fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.text(name)?.parse().ok()
     }
@@ -90,7 +90,7 @@
             .map(|header| header.value.as_slice())
     }
 
-    /// Whether a list header holds this token, whatever its case.
+    /// Whether a comma-separated header contains this token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| {
             value
@@ -99,8 +99,8 @@
         })
     }
 
-    /// Removes what concerns one connection only: the standard headers, and
-    /// those that `Connection` names.
+    /// Removes the headers that apply to one connection only: the standard ones, and those
+    /// that `Connection` names.
     pub fn remove_connection_headers(&mut self) {
         let named: Vec<String> = self
             .all("connection")
@@ -119,7 +119,7 @@
     }
 }
 
-/// A request that arrived whole.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// The method, as sent.
@@ -151,7 +151,7 @@
     }
 }
 
-/// A response that arrived whole.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Whether the status is a success.
+    /// Whether the status is in the range 200 to 299.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
--- a/crates/ledgelead-http/src/request_reader.rs
+++ b/crates/ledgelead-http/src/request_reader.rs
@@ -1,10 +1,10 @@
-//! Reads requests from the bytes of a client's connection.
+//! Incremental reader of requests from a client's connection.
 
 use crate::MAX_HEADERS;
 use crate::framing::{BodyReader, DeclaredFraming, FramingError};
 use crate::message::{Headers, Request};
 
-/// What a client may send.
+/// Size limits of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
     /// Longest head, in bytes.
@@ -13,10 +13,10 @@
     pub max_body_bytes: usize,
 }
 
-/// Why a request is refused before it is whole.
+/// Why a request is refused before it is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// Not HTTP/1.1, or framed in a way that could be read twice.
+    /// Not HTTP/1.1, or with invalid or ambiguous framing.
     Malformed,
     /// The head is longer than allowed.
     HeadTooLong,
@@ -25,7 +25,7 @@
 }
 
 impl RequestError {
-    /// The status that tells the client.
+    /// The status of the response to the client.
     pub fn status(self) -> u16 {
         match self {
             RequestError::Malformed => 400,
@@ -44,16 +44,16 @@
     }
 }
 
-/// How far a request has come.
+/// How much of a request has arrived.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RequestProgress {
-    /// Nothing of a request is there.
+    /// No byte of a request.
     Idle,
-    /// A part of a request is there.
+    /// A part of a request.
     Partial,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// The head of a request whose client waits for `100 Continue` before it sends the body.
     ExpectsContinue,
-    /// A whole request.
+    /// A complete request.
     Complete(Request),
 }
 
@@ -63,17 +63,18 @@
     continue_pending: bool,
 }
 
-/// The reader of one connection.
+/// Reads the requests of one connection.
 #[derive(Default)]
 pub struct RequestReader {
     head: Option<Head>,
 }
 
 impl RequestReader {
-    /// Takes the next request from the front of `input`. Bytes behind it stay.
+    /// Consumes bytes of the next request from the front of `input`. Bytes after the request
+    /// are left there.
     ///
     /// # Errors
-    /// When the bytes can't become a request; the connection must be closed.
+    /// If the bytes can't become a valid request. The connection must be closed.
     pub fn read(
         &mut self,
         input: &mut Vec<u8>,
@@ -94,16 +95,16 @@
             request.body = head.body.into_body();
             return Ok(RequestProgress::Complete(request));
         }
-        let expects = std::mem::take(&mut head.continue_pending);
+        let expects_continue = std::mem::take(&mut head.continue_pending);
         self.head = Some(head);
-        Ok(if expects {
+        Ok(if expects_continue {
             RequestProgress::ExpectsContinue
         } else {
             RequestProgress::Partial
         })
     }
 
-    /// Bytes of memory that the body which is being read takes, or will take if its length
+    /// Bytes of memory that the body that is being read takes now, or will take if its length
     /// is known.
     pub fn reserved_bytes(&self) -> usize {
         self.head
@@ -111,13 +112,13 @@
             .map_or(0, |head| head.body.reserved_bytes())
     }
 
-    /// Whether the length of the body that is being read shows only as it comes.
+    /// Whether the length of the body that is being read is not known before its end.
     pub fn has_unknown_length(&self) -> bool {
         let head = self.head.as_ref();
         head.is_some_and(|head| head.body.has_unknown_length())
     }
 
-    /// Gives up the body that is being read; the request has none.
+    /// Stops reading the current body, and returns its request without a body.
     pub fn discard_body(&mut self) -> Option<Request> {
         Some(self.head.take()?.request)
     }
--- a/crates/ledgelead-http/src/response_reader.rs
+++ b/crates/ledgelead-http/src/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads responses from the bytes of a server's connection.
+//! Incremental reader of a response from a server's connection.
 
 use crate::MAX_HEADERS;
 use crate::framing::{BodyReader, DeclaredFraming, FramingError};
@@ -7,14 +7,14 @@
 /// Longest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 65_536;
 
-/// Why bytes are no response.
+/// Why bytes are not a valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseError {
     /// Not an HTTP/1.1 response.
     Malformed,
     /// Longer than allowed.
     TooLong,
-    /// The connection ended inside the response.
+    /// The connection closed in the middle of the response.
     Truncated,
 }
 
@@ -27,16 +27,16 @@
     }
 }
 
-/// How far a response has come.
+/// How much of a response has arrived.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ResponseProgress {
-    /// Not whole yet.
+    /// No byte, or a part of the response.
     Partial,
-    /// A whole response.
+    /// The complete response.
     Complete {
         /// The response.
         response: Response,
-        /// Whether its connection may carry another request.
+        /// Whether the connection can be used for another request.
         reusable: bool,
     },
 }
@@ -47,7 +47,7 @@
     reusable: bool,
 }
 
-/// The reader of one response.
+/// Reads one response.
 pub struct ResponseReader {
     head: Option<Head>,
     to_head_request: bool,
@@ -64,10 +64,11 @@
         }
     }
 
-    /// Takes the response from the front of `input`. Bytes behind it stay.
+    /// Consumes bytes of the response from the front of `input`. Bytes after the response are
+    /// left there.
     ///
     /// # Errors
-    /// When the bytes are no response.
+    /// If the bytes are not a valid response.
     pub fn read(&mut self, input: &mut Vec<u8>) -> Result<ResponseProgress, ResponseError> {
         while self.head.is_none() {
             match self.parse_head(input)? {
@@ -76,21 +77,22 @@
                 None => return Ok(ResponseProgress::Partial),
             }
         }
-        let whole = match &mut self.head {
+        let is_complete = match &mut self.head {
             Some(head) => head.body.read(input)?,
             None => false,
         };
-        Ok(if whole {
+        Ok(if is_complete {
             self.complete()
         } else {
             ResponseProgress::Partial
         })
     }
 
-    /// The server closed the connection in good order.
+    /// Returns the response after a regular close by the server. A response without framing
+    /// ends there.
     ///
     /// # Errors
-    /// When the response is not whole.
+    /// If the response is incomplete.
     pub fn finish_at_close(&mut self) -> Result<Response, ResponseError> {
         match &self.head {
             Some(head) if head.body.is_complete_at_close() => match self.complete() {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Bytes of memory that the body takes by now, or will take if its length is known.
+    /// Bytes of memory that the body takes now, or will take if its length is known.
     pub fn reserved_bytes(&self) -> usize {
         self.head
             .as_ref()
@@ -150,7 +152,8 @@
         }))
     }
 
-    /// The reader of the body, and whether the body ends by itself.
+    /// The reader of the body, and whether the body's end is known without a close of the
+    /// connection.
     fn body_reader(
         &self,
         status: u16,
--- a/crates/ledgelead-http/src/size.rs
+++ b/crates/ledgelead-http/src/size.rs
@@ -1,8 +1,8 @@
-//! Lengths of messages on the wire, without encoding them.
+//! Encoded lengths of messages, computed without encoding them.
 
 use crate::{Headers, Request, Response, reason_phrase};
 
-/// Bytes that `write_request` appends.
+/// Length of the request as `write_request` encodes it, in bytes.
 pub fn request_bytes(request: &Request) -> usize {
     let line = request.method.len() + " ".len() + request.target.len() + " HTTP/1.1\r\n".len();
     let needs_length =
@@ -14,8 +14,8 @@
     line + headers_bytes(&request.headers) + framing + "\r\n".len() + request.body.len()
 }
 
-/// Bytes of an answer that frames its body by its length, with the standard phrase of its
-/// status. An answer that was received otherwise differs by some bytes.
+/// Length, in bytes, of a response that has a `Content-Length` and the standard reason phrase
+/// of its status. A response that was received in another form differs by some bytes.
 pub fn response_bytes(response: &Response) -> usize {
     let line = "HTTP/1.1 200 \r\n".len() + reason_phrase(response.status).len();
     let body = match response.status {
--- a/crates/ledgelead-http/src/write.rs
+++ b/crates/ledgelead-http/src/write.rs
@@ -1,8 +1,8 @@
-//! Writes messages with lengths of their bodies.
+//! Encodes messages, with `Content-Length` as framing.
 
 use crate::message::{Headers, Request, Response};
 
-/// Appends a request. Its headers must not frame the body.
+/// Appends a request to `output`. Its headers must not contain framing headers.
 pub fn write_request(request: &Request, output: &mut Vec<u8>) {
     output.extend_from_slice(request.method.as_bytes());
     output.push(b' ');
@@ -18,7 +18,7 @@
     output.extend_from_slice(&request.body);
 }
 
-/// Appends a response. Its headers must not frame the body.
+/// Appends a response to `output`. Its headers must not contain framing headers.
 pub fn write_response(
     response: &Response,
     close: bool,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The standard phrase of a status.
+/// The standard reason phrase of a status, or `Status` if it isn't known here.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/ledgelead-http/tests/codec.rs
+++ b/crates/ledgelead-http/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Messages cut into arbitrary pieces, left-over bytes, ambiguous framing.
+//! Messages that arrive in arbitrary pieces, left-over bytes, and ambiguous framing.
 
 use googletest::prelude::*;
 use ledgelead_http::{
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn a_request_framed_twice_is_refused() {
+fn a_request_with_ambiguous_or_invalid_framing_is_refused() {
     let both =
         b"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     expect_that!(read_request(both), err(eq(&RequestError::Malformed)));
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn what_exceeds_the_limits_is_refused_with_its_status() {
+fn a_request_over_a_size_limit_is_refused_with_the_matching_status() {
     let mut long_head = b"GET / HTTP/1.1\r\nA: ".to_vec();
     long_head.resize(2_000, b'a');
     let error = read_request(&long_head).unwrap_err();
@@ -47,14 +47,14 @@
     let mut input = bytes.to_vec();
     let progress = RequestReader::default().read(&mut input, LIMITS).unwrap();
     let RequestProgress::Complete(request) = progress else {
-        panic!("not whole");
+        panic!("not complete");
     };
     expect_that!(request.body, eq(b"abcde"));
     expect_that!(input, eq(b"GET"));
 }
 
 #[gtest]
-fn an_answer_cut_short_is_not_whole() {
+fn a_truncated_response_is_an_error() {
     let mut reader = ResponseReader::new("GET", 100);
     let mut input = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc".to_vec();
     expect_that!(reader.read(&mut input), ok(eq(&ResponseProgress::Partial)));
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn an_answer_without_length_ends_with_its_connection() {
+fn a_response_without_framing_ends_when_the_connection_closes() {
     let mut reader = ResponseReader::new("GET", 100);
     let mut input = b"HTTP/1.1 200 OK\r\n\r\nabc".to_vec();
     expect_that!(reader.read(&mut input), ok(eq(&ResponseProgress::Partial)));
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn a_surplus_answer_stays_in_the_buffer() {
+fn bytes_after_a_response_stay_in_the_buffer() {
     let mut input = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\n".to_vec();
     let progress = ResponseReader::new("GET", 100).read(&mut input).unwrap();
     expect_that!(
@@ -82,13 +82,13 @@
 }
 
 #[gtest]
-fn bytes_that_are_no_answer_are_an_error() {
+fn bytes_that_are_not_a_response_are_an_error() {
     expect_that!(read_response(b"garbage\r\n\r\n"), err(anything()));
 }
 
 proptest! {
     #[test]
-    fn requests_survive_any_cut(body in proptest::collection::vec(any::<u8>(), 0..300), cut in 1..40usize) {
+    fn requests_are_read_whole_from_pieces_of_any_size(body in proptest::collection::vec(any::<u8>(), 0..300), piece_bytes in 1..40usize) {
         let mut request = Request::new("POST", "/a/b?c=d", body);
         request.headers.push("X-Name", "value");
         let mut bytes = Vec::new();
@@ -96,33 +96,33 @@
         let mut reader = RequestReader::default();
         let mut input = Vec::new();
         let mut complete = None;
-        for piece in bytes.chunks(cut) {
+        for piece in bytes.chunks(piece_bytes) {
             input.extend_from_slice(piece);
             if let RequestProgress::Complete(read) = reader.read(&mut input, LIMITS).unwrap() {
                 complete = Some(read);
             }
         }
-        let read = complete.expect("a whole request");
+        let read = complete.expect("a complete request");
         prop_assert_eq!(&read.body, &request.body);
         prop_assert_eq!(read.path(), "/a/b");
         prop_assert_eq!(read.headers.text("x-name"), Some("value"));
     }
 
     #[test]
-    fn responses_survive_any_cut(body in proptest::collection::vec(any::<u8>(), 0..300), cut in 1..40usize) {
+    fn responses_are_read_whole_from_pieces_of_any_size(body in proptest::collection::vec(any::<u8>(), 0..300), piece_bytes in 1..40usize) {
         let response = Response::new(200, body);
         let mut bytes = Vec::new();
         write_response(&response, false, false, &mut bytes);
         let mut reader = ResponseReader::new("GET", 4_096);
         let mut input = Vec::new();
         let mut complete = None;
-        for piece in bytes.chunks(cut) {
+        for piece in bytes.chunks(piece_bytes) {
             input.extend_from_slice(piece);
             if let ResponseProgress::Complete { response, .. } = reader.read(&mut input).unwrap() {
                 complete = Some(response);
             }
         }
-        prop_assert_eq!(complete.expect("a whole response").body, response.body);
+        prop_assert_eq!(complete.expect("a complete response").body, response.body);
     }
 
     #[test]
@@ -133,7 +133,7 @@
 }
 
 #[gtest]
-fn lengths_are_known_without_encoding() {
+fn computed_lengths_equal_those_of_encoded_messages() {
     for method in ["GET", "POST", "DELETE"] {
         for body in [0, 1, 9, 10, 60_000] {
             let mut request = Request::new(method, "/a/b?c", vec![0; body]);
