--- a/crates/ledgelead-configuration/src/changes.rs
+++ b/crates/ledgelead-configuration/src/changes.rs
@@ -54,7 +54,7 @@
     let excess = configuration
         .applied_commands
         .len()
-        .saturating_sub(REMEMBERED_COMMANDS);
+        .saturating_sub(MAX_APPLIED_COMMANDS);
     configuration.applied_commands.drain(..excess);
 }
 
--- a/crates/ledgelead-configuration/src/placement.rs
+++ b/crates/ledgelead-configuration/src/placement.rs
@@ -47,7 +47,7 @@
         .filter(|node| !chosen.contains(node))
         .min_by_key(|node| {
             let voters = by_zone.get(&node.zone).copied().unwrap_or(0);
-            (voters, group.weight_of(node.member.node))
+            (voters, group.replica_weight(node.member.node))
         })
         .copied()
 }
--- a/crates/ledgelead-configuration/tests/changes.rs
+++ b/crates/ledgelead-configuration/tests/changes.rs
@@ -82,10 +82,10 @@
 #[gtest]
 fn remembered_commands_are_bounded_and_the_latest_stay() {
     let mut changed = configuration();
-    for number in 0..REMEMBERED_COMMANDS + 10 {
+    for number in 0..MAX_APPLIED_COMMANDS + 10 {
         changed = apply_changes(&changed, &[], &format!("c{number}")).expect("valid");
     }
-    expect_that!(changed.applied_commands.len(), eq(REMEMBERED_COMMANDS));
+    expect_that!(changed.applied_commands.len(), eq(MAX_APPLIED_COMMANDS));
     expect_that!(changed.version_of_command("c9"), none());
     expect_that!(
         changed.version_of_command("c73"),
--- a/crates/ledgelead-lab/src/checker/configuration.rs
+++ b/crates/ledgelead-lab/src/checker/configuration.rs
@@ -2,7 +2,7 @@
 //! never undone.
 
 use super::violation::{Violation, Violations};
-use ledgelead_types::configuration::{Configuration, REMEMBERED_COMMANDS};
+use ledgelead_types::configuration::{Configuration, MAX_APPLIED_COMMANDS};
 use ledgelead_types::{ConfigurationVersion, NodeId, Span, Time};
 use std::collections::BTreeMap;
 
@@ -82,7 +82,7 @@
     /// The platform stored a version.
     pub fn written(&mut self, now: Time, stored: &Configuration, violations: &mut Violations) {
         self.writes.insert(stored.version, now);
-        if stored.applied_commands.len() >= REMEMBERED_COMMANDS {
+        if stored.applied_commands.len() >= MAX_APPLIED_COMMANDS {
             return;
         }
         for (command, version) in &self.accepted {
--- a/crates/ledgelead-ownership/src/leader/leases.rs
+++ b/crates/ledgelead-ownership/src/leader/leases.rs
@@ -3,7 +3,7 @@
 
 use crate::session::SessionNews;
 use crate::state::GroupState;
-use ledgelead_types::timing::{LEASE, stretched};
+use ledgelead_types::timing::{LEASE, lengthened_for_drift};
 use ledgelead_types::*;
 use std::collections::BTreeMap;
 
@@ -61,7 +61,7 @@
             };
             let over = grantor.closed.is_some_and(|closed| applied >= closed);
             if over && grantor.ends.is_none() {
-                grantor.ends = Some(now + stretched(LEASE));
+                grantor.ends = Some(now + lengthened_for_drift(LEASE));
             }
         }
     }
@@ -80,7 +80,7 @@
             return;
         };
         if news.lapsed_at.is_some() && applied >= grantor.since {
-            grantor.ends = Some(now + stretched(news.lease_left));
+            grantor.ends = Some(now + lengthened_for_drift(news.lease_left));
         }
     }
 
@@ -98,7 +98,7 @@
             return true;
         };
         grantors.iter().all(|(member, grantor)| {
-            let by_authority = authority_given(*member) + stretched(LEASE);
+            let by_authority = authority_given(*member) + lengthened_for_drift(LEASE);
             let ends = grantor.ends.unwrap_or(by_authority);
             now >= ends
         })
--- a/crates/ledgelead-ownership/src/leader/members.rs
+++ b/crates/ledgelead-ownership/src/leader/members.rs
@@ -165,7 +165,7 @@
     /// short don't all take the same node.
     fn candidate(&self, turn: &Turn) -> Option<Member> {
         let chosen = self.free_nodes(turn).min_by_key(|node| {
-            let weight = turn.group.weight_of(node.member.node);
+            let weight = turn.group.replica_weight(node.member.node);
             (self.zones[&node.zone], weight)
         });
         chosen.map(|node| node.member)
--- a/crates/ledgelead-ownership/src/leader/mod.rs
+++ b/crates/ledgelead-ownership/src/leader/mod.rs
@@ -26,7 +26,7 @@
 use ledgelead_types::assigner::AssignerChoice;
 use ledgelead_types::configuration::{Configuration, Partitioning, ServiceConfiguration};
 use ledgelead_types::dispatch::LiveNode;
-use ledgelead_types::timing::{LEASE, stretched};
+use ledgelead_types::timing::{LEASE, lengthened_for_drift};
 use ledgelead_types::*;
 use records::RecordKeeper;
 use std::collections::{BTreeMap, BTreeSet};
@@ -131,7 +131,7 @@
         lease_wait: bool,
         assigner: AssignerChoice,
     ) -> Leader {
-        let former_ends = former_authority_ends.max(now) + stretched(LEASE);
+        let former_ends = former_authority_ends.max(now) + lengthened_for_drift(LEASE);
         Leader {
             term,
             since: now,
--- a/crates/ledgelead-ownership/src/leader/recovery.rs
+++ b/crates/ledgelead-ownership/src/leader/recovery.rs
@@ -3,7 +3,7 @@
 
 use super::{Leader, Turn};
 use crate::command::{GroupCommand, ServerClaim};
-use ledgelead_types::timing::{LEASE, PROMISE, stretched};
+use ledgelead_types::timing::{LEADER_LEASE, LEASE, lengthened_for_drift};
 use ledgelead_types::*;
 
 impl Leader {
@@ -15,7 +15,8 @@
         if turn.configuration.is_none() {
             return;
         }
-        let heard_all = self.since + stretched(PROMISE) + stretched(LEASE);
+        let heard_all =
+            self.since + lengthened_for_drift(LEADER_LEASE) + lengthened_for_drift(LEASE);
         if turn.now < heard_all && self.lease_wait {
             self.waiting = true;
             return;
--- a/crates/ledgelead-ownership/src/session/mod.rs
+++ b/crates/ledgelead-ownership/src/session/mod.rs
@@ -4,9 +4,9 @@
 //! Two bounds are kept, both on this node's clock (`docs/design/leases.md`):
 //! - `usable_until` is early: the lease runs from a stamp that the server took
 //!   after we sent the call which brought it, so it lasts at least until
-//!   `sent + shortened(LEASE)` when the server took the renewal.
+//!   `sent + shortened_for_drift(LEASE)` when the server took the renewal.
 //! - `granted_until` is late: the stamp was taken before we received it, so no
-//!   renewal that echoes it lasts beyond `received + stretched(LEASE)`, whether
+//!   renewal that echoes it lasts beyond `received + lengthened_for_drift(LEASE)`, whether
 //!   or not the renewal was answered.
 
 mod renewing;
@@ -16,7 +16,7 @@
 use ledgelead_types::dispatch::SliceClaim;
 use ledgelead_types::routes::ServerStatus;
 use ledgelead_types::server::*;
-use ledgelead_types::timing::{LEASE, RENEW_INTERVAL, shortened, stretched};
+use ledgelead_types::timing::{LEASE, RENEW_INTERVAL, lengthened_for_drift, shortened_for_drift};
 use ledgelead_types::*;
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
@@ -138,7 +138,7 @@
             run: None,
             stamp: None,
             last_contact: None,
-            granted_until: now + stretched(LEASE),
+            granted_until: now + lengthened_for_drift(LEASE),
             usable_until: None,
             lapsed_at: None,
             granting: false,
@@ -254,7 +254,7 @@
         if !self.lease_wait {
             return heard + IMPATIENCE;
         }
-        self.granted_until.max(heard + stretched(LEASE))
+        self.granted_until.max(heard + lengthened_for_drift(LEASE))
     }
 
     fn probes_failed(&self, now: Time) -> bool {
--- a/crates/ledgelead-ownership/src/session/renewing.rs
+++ b/crates/ledgelead-ownership/src/session/renewing.rs
@@ -29,7 +29,9 @@
         self.granting = grantable;
         let echoed = self.stamp.filter(|_| grantable);
         if let Some(stamp) = echoed {
-            self.granted_until = self.granted_until.max(stamp.received + stretched(LEASE));
+            self.granted_until = self
+                .granted_until
+                .max(stamp.received + lengthened_for_drift(LEASE));
             self.set_sent = Some(server.set_changed);
         }
         let call = Call {
--- a/crates/ledgelead-ownership/src/session/replying.rs
+++ b/crates/ledgelead-ownership/src/session/replying.rs
@@ -94,7 +94,7 @@
             return;
         };
         if stamped_run == run && self.lapsed_at.is_none() && self.partitioned {
-            let until = stamp.sent + shortened(LEASE);
+            let until = stamp.sent + shortened_for_drift(LEASE);
             self.usable_until = self.usable_until.max(Some(until));
         }
     }
--- a/crates/ledgelead-ownership/tests/dispatcher.rs
+++ b/crates/ledgelead-ownership/tests/dispatcher.rs
@@ -5,7 +5,7 @@
 use ledgelead_ownership::dispatcher::*;
 use ledgelead_ownership::session::GrantAuthority;
 use ledgelead_ownership::state::*;
-use ledgelead_types::timing::{PROMISE, RENEW_INTERVAL};
+use ledgelead_types::timing::{LEADER_LEASE, RENEW_INTERVAL};
 use ledgelead_types::*;
 use std::collections::BTreeSet;
 
@@ -51,7 +51,7 @@
     let state = state();
     let group = GroupId::default();
     let mut dispatcher = Dispatcher::new(group, Member::default(), true, true, START);
-    let ends = Some(START + PROMISE);
+    let ends = Some(START + LEADER_LEASE);
     let all: BTreeSet<ServerId> = (0..SERVERS).map(ServerId).collect();
     expect_that!(visited(&mut dispatcher, START, &state, ends), eq(&all));
     expect_that!(visited(&mut dispatcher, START, &state, ends), is_empty());
@@ -65,9 +65,9 @@
     expect_that!(dispatcher.next_wakeup(None), le(due));
     expect_that!(visited(&mut dispatcher, due, &state, ends), eq(&all));
 
-    let ending = START + PROMISE - Span::from_millis(50);
+    let ending = START + LEADER_LEASE - Span::from_millis(50);
     expect_that!(visited(&mut dispatcher, ending, &state, ends), eq(&all));
-    let later = Some(ending + PROMISE);
+    let later = Some(ending + LEADER_LEASE);
     expect_that!(visited(&mut dispatcher, ending, &state, None), is_empty());
     expect_that!(visited(&mut dispatcher, ending, &state, later), eq(&all));
 
--- a/crates/ledgelead-replication/src/authority.rs
+++ b/crates/ledgelead-replication/src/authority.rs
@@ -2,7 +2,7 @@
 //! (`docs/design/overview.md`, "Authority, leases, fencing" 1 and 2).
 //!
 //! Invariant: at any instant of true time, authority is held under one term at
-//! most. A leader's authority ends [`PROMISE`] after it sent a message that a
+//! most. A leader's authority ends [`LEADER_LEASE`] after it sent a message that a
 //! majority of voters has taken. Each of these promised, from its receipt and
 //! stretched for drift, to vote for nobody else; every later majority contains
 //! one of them.
@@ -10,7 +10,7 @@
 use crate::leader_state::LeaderState;
 use crate::message::Delegation;
 use crate::replica::{Replica, State};
-use ledgelead_types::timing::{PROMISE, shortened};
+use ledgelead_types::timing::{LEADER_LEASE, shortened_for_drift};
 use ledgelead_types::{Member, Term, Time};
 
 /// The right to act for a group until a time on the holder's clock.
@@ -79,7 +79,7 @@
             leader.progress.get(&member)?.taken
         };
         let taken_by_quorum = self.log.membership().reached_by_quorum(taken).flatten();
-        let until = taken_by_quorum.map_or(Time::ZERO, |sent| sent + PROMISE);
+        let until = taken_by_quorum.map_or(Time::ZERO, |sent| sent + LEADER_LEASE);
         until.max(leader.authority_until)
     }
 
@@ -101,7 +101,7 @@
         }
         let progress = leader.progress.get(&member)?;
         let known = progress.stamp?;
-        let until = leader.authority_until.min(progress.taken? + PROMISE);
+        let until = leader.authority_until.min(progress.taken? + LEADER_LEASE);
         if until <= self.now {
             return None;
         }
@@ -109,7 +109,7 @@
         *given = until.max(*given);
         Some(Delegation {
             stamp: known.stamp,
-            span: shortened(until.since(known.received)),
+            span: shortened_for_drift(until.since(known.received)),
         })
     }
 }
--- a/crates/ledgelead-replication/src/election.rs
+++ b/crates/ledgelead-replication/src/election.rs
@@ -8,7 +8,9 @@
 use crate::message::*;
 use crate::progress::Progress;
 use crate::replica::{Replica, State};
-use ledgelead_types::timing::{ELECTION_JITTER, HEARTBEAT_INTERVAL, PROMISE, stretched};
+use ledgelead_types::timing::{
+    ELECTION_JITTER, HEARTBEAT_INTERVAL, LEADER_LEASE, lengthened_for_drift,
+};
 use ledgelead_types::{Member, Span, Term, Time};
 use std::collections::BTreeSet;
 
@@ -112,7 +114,7 @@
     }
 
     fn poll_again_after(&mut self, wait: Span) {
-        let wait = stretched(wait.min(PROMISE));
+        let wait = lengthened_for_drift(wait.min(LEADER_LEASE));
         let again = self.now + wait + self.jitter(POLL_AGAIN_JITTER);
         self.election_at = self.election_at.min(again);
     }
@@ -214,7 +216,7 @@
     fn become_leader(&mut self, transfer: bool) {
         self.former_authority_ends = self.now;
         if transfer {
-            self.former_authority_ends = self.now + stretched(PROMISE);
+            self.former_authority_ends = self.now + lengthened_for_drift(LEADER_LEASE);
         }
         self.leader = Some(self.identity);
         self.given.clear();
--- a/crates/ledgelead-replication/src/following.rs
+++ b/crates/ledgelead-replication/src/following.rs
@@ -4,7 +4,7 @@
 use crate::message::*;
 use crate::ready::InstalledState;
 use crate::replica::{Replica, State};
-use ledgelead_types::timing::{ELECTION_JITTER, PROMISE, stretched};
+use ledgelead_types::timing::{ELECTION_JITTER, LEADER_LEASE, lengthened_for_drift};
 use ledgelead_types::{Member, Revision, Term, Time};
 
 impl Replica {
@@ -57,7 +57,9 @@
         if term > self.term || !followed {
             self.become_follower(term, Some(from));
         }
-        self.promise_until = self.promise_until.max(self.now + stretched(PROMISE));
+        self.promise_until = self
+            .promise_until
+            .max(self.now + lengthened_for_drift(LEADER_LEASE));
         self.election_at = self.promise_until + self.jitter(ELECTION_JITTER);
         true
     }
@@ -69,7 +71,7 @@
             return;
         }
         let until = delegation.stamp + delegation.span;
-        let until = until.min(self.now + PROMISE);
+        let until = until.min(self.now + LEADER_LEASE);
         self.delegated_until = self.delegated_until.max(until);
     }
 
--- a/crates/ledgelead-replication/src/leading.rs
+++ b/crates/ledgelead-replication/src/leading.rs
@@ -5,7 +5,7 @@
 use crate::progress::Feed;
 use crate::replica::{Replica, State};
 use ledgelead_types::protections::Protection;
-use ledgelead_types::timing::{HEARTBEAT_INTERVAL, PROMISE};
+use ledgelead_types::timing::{HEARTBEAT_INTERVAL, LEADER_LEASE};
 use ledgelead_types::{Bytes, List, Member, Revision, Term, Time};
 
 /// Most entries in one append.
@@ -94,7 +94,7 @@
 
     /// When a leader that hears from no quorum leads no more.
     pub(crate) fn leadership_ends(&self, leader: &LeaderState) -> Time {
-        leader.authority_until.max(leader.elected + PROMISE)
+        leader.authority_until.max(leader.elected + LEADER_LEASE)
     }
 
     pub(crate) fn handle_append_reply(&mut self, from: Member, term: Term, reply: AppendReply) {
--- a/crates/ledgelead-replication/src/membership_change.rs
+++ b/crates/ledgelead-replication/src/membership_change.rs
@@ -5,7 +5,7 @@
 use crate::message::{Body, Payload};
 use crate::progress::{Feed, Progress};
 use crate::replica::{Replica, State};
-use ledgelead_types::timing::PROMISE;
+use ledgelead_types::timing::LEADER_LEASE;
 use ledgelead_types::{Member, Revision, Time};
 
 /// Entries that a learner may lack and still be promoted; appends on their
@@ -93,7 +93,7 @@
         };
         let heard = progress
             .last_contact
-            .is_some_and(|heard| self.now.since(heard) <= PROMISE);
+            .is_some_and(|heard| self.now.since(heard) <= LEADER_LEASE);
         let near = progress.matched.0 + CAUGHT_UP_ENTRIES >= self.log.last_revision().0;
         if heard && near && progress.feed == Feed::Replicate {
             return Ok(());
@@ -114,7 +114,7 @@
 
     /// Hands leadership to another voter once it holds the whole log. New
     /// proposals are refused meanwhile; the attempt is given up after
-    /// [`PROMISE`].
+    /// [`LEADER_LEASE`].
     pub fn transfer_leadership(&mut self, now: Time, to: Member) -> Result<(), TransferError> {
         self.observe(now);
         let is_voter = self.log.membership().is_voter(to);
@@ -130,7 +130,7 @@
         }
         leader.transfer = Some(Transfer {
             to,
-            until: self.now + PROMISE,
+            until: self.now + LEADER_LEASE,
             told: false,
         });
         self.tell_successor();
--- a/crates/ledgelead-replication/tests/replication/elections.rs
+++ b/crates/ledgelead-replication/tests/replication/elections.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use ledgelead_replication::*;
 use ledgelead_types::protections::{Protection, Protections};
-use ledgelead_types::timing::{PROMISE, stretched};
+use ledgelead_types::timing::{LEADER_LEASE, lengthened_for_drift};
 use ledgelead_types::{NodeId, Span};
 
 const MILLIS: u64 = 1_000;
@@ -158,7 +158,10 @@
     expect_that!(took, some(anything()));
     let ends = simulation.processes[&new].replica.former_authority_ends();
     let left = simulation.on(new, |_, now| ends.since(now));
-    expect_that!(left, gt(stretched(PROMISE).less(Span::from_millis(30))));
+    expect_that!(
+        left,
+        gt(lengthened_for_drift(LEADER_LEASE).less(Span::from_millis(30)))
+    );
     expect_that!(simulation.checker.violation, none());
 }
 
@@ -168,7 +171,7 @@
 fn leader_without_quorum_steps_down() {
     let (mut simulation, leader) = group(3, 8);
     isolate(&mut simulation, leader);
-    simulation.run_for(PROMISE.0 + 5 * MILLIS);
+    simulation.run_for(LEADER_LEASE.0 + 5 * MILLIS);
     let replica = &simulation.processes[&leader].replica;
     expect_that!(replica.role(), not(eq(Role::Leader)));
 
@@ -256,7 +259,7 @@
             one.authority_given(member(node.0, 1)).since(now)
         });
         expect_that!(held, some(le(given)));
-        expect_that!(given, le(PROMISE));
+        expect_that!(given, le(LEADER_LEASE));
     }
 }
 
--- a/crates/ledgelead-replication/tests/replication/single.rs
+++ b/crates/ledgelead-replication/tests/replication/single.rs
@@ -4,7 +4,9 @@
 use googletest::prelude::*;
 use ledgelead_replication::*;
 use ledgelead_types::protections::Protections;
-use ledgelead_types::timing::{ELECTION_JITTER, HEARTBEAT_INTERVAL, PROMISE, stretched};
+use ledgelead_types::timing::{
+    ELECTION_JITTER, HEARTBEAT_INTERVAL, LEADER_LEASE, lengthened_for_drift,
+};
 use ledgelead_types::{Bytes, Epoch, GroupId, List, Member, Revision, Span, Term, Time};
 
 const START: Time = Time(1_000_000);
@@ -79,7 +81,7 @@
     let mut replica = replica();
     replica.step(START, member(2, 1), append(1, (0, 0), 0));
     replica.take_ready();
-    let ends = START + stretched(PROMISE);
+    let ends = START + lengthened_for_drift(LEADER_LEASE);
     replica.step(Time(ends.0 - 1), member(3, 1), vote(7));
     expect_that!(replica.term(), eq(Term(1)));
     expect_that!(replica.take_ready().messages, is_empty());
@@ -220,7 +222,7 @@
 fn elected() -> (Replica, Time) {
     let mut replica = replica();
     replica.step(START, member(2, 1), append(1, (0, 0), 0));
-    let now = START + stretched(PROMISE) + ELECTION_JITTER;
+    let now = START + lengthened_for_drift(LEADER_LEASE) + ELECTION_JITTER;
     replica.tick(now);
     let poll = PollReply {
         for_term: Term(2),
@@ -269,7 +271,7 @@
             }
         }
     }
-    let ends = elected + PROMISE;
+    let ends = elected + LEADER_LEASE;
     expect_that!(latest_given, all!(gt(elected), le(ends)));
     expect_that!(replica.authority_given(member(2, 1)), eq(ends));
     expect_that!(replica.authority_given(member(3, 1)), gt(ends));
@@ -297,6 +299,6 @@
         expect_that!(replica.leader_is_ready(), eq(committed > 0));
     }
     let until = replica.authority(now).map(|held| held.until);
-    expect_that!(until, some(eq(now + PROMISE)));
-    expect_that!(replica.authority(now + PROMISE), none());
+    expect_that!(until, some(eq(now + LEADER_LEASE)));
+    expect_that!(replica.authority(now + LEADER_LEASE), none());
 }
--- a/crates/ledgelead-request/src/gateway/finish.rs
+++ b/crates/ledgelead-request/src/gateway/finish.rs
@@ -171,9 +171,9 @@
     }
 
     /// What a caller is told of a request that may have run. With
-    /// [`Protection::HonestNotRun`] off, for the checker's own proof, a lie.
+    /// [`Protection::AccurateNotRun`] off, for the checker's own proof, a lie.
     pub(super) fn honest_or_not(&self, reason: UnknownReason) -> Outcome {
-        if self.protections.has(Protection::HonestNotRun) {
+        if self.protections.has(Protection::AccurateNotRun) {
             Outcome::Unknown(reason)
         } else {
             Outcome::NotRun(NotRunReason::NoServer)
--- a/crates/ledgelead-request/tests/promises.rs
+++ b/crates/ledgelead-request/tests/promises.rs
@@ -189,7 +189,7 @@
     expect_that!(retried.ran_twice, gt(0));
     let crossed = sabotaged(Protection::AnswerMatch);
     expect_that!(crossed.wrong_answer, gt(0));
-    let dishonest = sabotaged(Protection::HonestNotRun);
+    let dishonest = sabotaged(Protection::AccurateNotRun);
     expect_that!(dishonest.ran_after_not_run, gt(0));
     let forgotten = sabotaged(Protection::IdempotencyRecord);
     expect_that!(forgotten.ran_twice_under_a_key, gt(0));
--- a/crates/ledgelead-types/src/configuration.rs
+++ b/crates/ledgelead-types/src/configuration.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How many command identifiers a configuration remembers.
-pub const REMEMBERED_COMMANDS: usize = 64;
+pub const MAX_APPLIED_COMMANDS: usize = 64;
 
 /// How a service's keys become positions.
 #[derive(
--- a/crates/ledgelead-types/src/identity.rs
+++ b/crates/ledgelead-types/src/identity.rs
@@ -106,7 +106,7 @@
     /// hashing (Thaler and Ravishankar, 1998): the nodes of lowest weight are
     /// taken, so that each group has an order of nodes of its own and no node
     /// comes first for all groups.
-    pub fn weight_of(self, node: NodeId) -> u64 {
+    pub fn replica_weight(self, node: NodeId) -> u64 {
         let mut bytes = [0_u8; 10];
         bytes[..4].copy_from_slice(&self.service.0.to_le_bytes());
         bytes[4..6].copy_from_slice(&self.part.to_le_bytes());
--- a/crates/ledgelead-types/src/protections.rs
+++ b/crates/ledgelead-types/src/protections.rs
@@ -21,7 +21,7 @@
     /// An answer is handed only to the request whose attempt it belongs to.
     AnswerMatch,
     /// A lost connection is told as unknown, not as not run.
-    HonestNotRun,
+    AccurateNotRun,
     /// A draining server gets no new work.
     DrainStopsWork,
     /// A stop waits for what is in flight.
@@ -43,7 +43,7 @@
             Protection::QuorumAcknowledgement,
         ),
         ("cross-answers", Protection::AnswerMatch),
-        ("claim-not-run", Protection::HonestNotRun),
+        ("claim-not-run", Protection::AccurateNotRun),
         ("send-while-draining", Protection::DrainStopsWork),
         ("stop-at-once", Protection::StopWaitsForInFlight),
         ("forget-idempotency", Protection::IdempotencyRecord),
--- a/crates/ledgelead-types/src/timing.rs
+++ b/crates/ledgelead-types/src/timing.rs
@@ -8,7 +8,7 @@
 
 /// How long a replica promises, from the receipt of a heartbeat, to vote for
 /// no other leader. The leader counts the same span from when it sent it.
-pub const PROMISE: Span = Span::from_millis(240);
+pub const LEADER_LEASE: Span = Span::from_millis(240);
 
 /// Upper bound of the random delay before a replica stands for election once
 /// its promise has run out.
@@ -26,12 +26,12 @@
 pub const CLOCK_DRIFT_PPM: u64 = 10_000;
 
 /// How long another process's clock may take, by ours, to pass `span`.
-pub fn stretched(span: Span) -> Span {
+pub fn lengthened_for_drift(span: Span) -> Span {
     Span(span.0 + span.0 * CLOCK_DRIFT_PPM / 1_000_000)
 }
 
 /// How long a process may rely, by its own clock, on `span` counted by
 /// another process that stretches its waits.
-pub fn shortened(span: Span) -> Span {
+pub fn shortened_for_drift(span: Span) -> Span {
     Span(span.0 - span.0 * CLOCK_DRIFT_PPM / 1_000_000)
 }
