--- a/crates/ledgelead-types/src/administration.rs
+++ b/crates/ledgelead-types/src/administration.rs
@@ -1,5 +1,5 @@
-//! Commands of operators, checked and typed. The language that people write
-//! is `ledgelead-query`'s.
+//! Parsed and validated commands of operators. `ledgelead-query` defines the language in
+//! which operators write them.
 
 use crate::codec::{List, Text};
 use crate::configuration::*;
@@ -7,12 +7,13 @@
 use crate::keyspace::{Position, PositionRange};
 use nanoserde::{DeBin, SerBin};
 
-/// A command with what makes it safe to race and to repeat.
+/// A command, with the identifier and version that make it safe to repeat it and to issue it
+/// concurrently with others.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct AdministrationCommand {
-    /// Chosen by the operator; a repeat under it takes effect once.
+    /// Chosen by the operator. A command that is repeated under it takes effect once.
     pub id: Text,
-    /// Operator who asks, for logs and checks of scope.
+    /// Operator who issued the command, for logs and authorization.
     pub operator: Text,
     /// The configuration version that the operator relies on, if any.
     pub if_version: Option<ConfigurationVersion>,
@@ -23,9 +24,9 @@
 /// What a command does.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum AdministrationAction {
-    /// Changes the configuration, all parts or none, in the platform's store.
+    /// Changes the configuration in the platform's store. Either all changes apply or none.
     Configure(List<ConfigurationChange>),
-    /// Is decided by a group; works while the platform is down.
+    /// Performs an operation that a group decides. It works while the platform is down.
     Operate {
         /// The group concerned.
         group: GroupId,
@@ -39,7 +40,7 @@
 pub enum ConfigurationChange {
     /// Creates a zone.
     CreateZone(ZoneConfiguration),
-    /// Removes a zone that nothing refers to.
+    /// Removes a zone that is not referenced.
     RemoveZone(ZoneId),
     /// Creates a service.
     CreateService(ServiceConfiguration),
@@ -55,7 +56,7 @@
     CreateTier(TierConfiguration),
     /// Replaces a tier's settings.
     AlterTier(TierConfiguration),
-    /// Removes a tier that no caller has bought.
+    /// Removes a tier that no caller is subscribed to.
     RemoveTier(TierId),
     /// Creates or replaces a caller.
     PutCaller(CallerConfiguration),
@@ -70,11 +71,11 @@
 /// An operation that a group decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum GroupOperation {
-    /// Hands the server's slices over and gives it no new work.
+    /// Moves the server's slices to others and gives the server no new work.
     Drain(ServerId),
-    /// Takes a drain back.
+    /// Cancels a drain.
     Activate(ServerId),
-    /// Ends the server's part in the group for good.
+    /// Removes the server from the group permanently.
     Retire(ServerId),
     /// Moves the slice that holds a position to a server.
     MoveSlice {
@@ -83,12 +84,12 @@
         /// The new owner.
         to: ServerId,
     },
-    /// Splits the slice so that it has a bound at this position.
+    /// Splits a slice at this position.
     SplitSlice {
         /// First position of the new slice.
         at: Position,
     },
-    /// Isolates one position in a slice of its own.
+    /// Isolates a range of positions in a slice of its own.
     Isolate {
         /// The positions to isolate.
         range: PositionRange,
@@ -98,22 +99,22 @@
 /// How a command ended.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum CommandResult {
-    /// In force in the store, from this version on.
+    /// The change is in the store, from this version on.
     Configured {
         /// The version that contains the effect.
         version: ConfigurationVersion,
-        /// Whether it was a repeat of a command accepted earlier.
+        /// Whether the command had been accepted earlier under the same identifier.
         repeated: bool,
     },
-    /// Decided by the group's quorum.
+    /// The group's quorum has decided the operation.
     Operated {
-        /// Whether it was a repeat of a command accepted earlier.
+        /// Whether the command had been accepted earlier under the same identifier.
         repeated: bool,
     },
     /// Nothing was changed.
     Rejected(CommandRejection),
-    /// It may or may not have taken effect; asking again under the same
-    /// command identifier tells.
+    /// The command may or may not have taken effect. Issuing it again under the same
+    /// identifier shows which.
     Unknown,
 }
 
@@ -122,17 +123,17 @@
 pub enum CommandRejection {
     /// The configuration has another version than the operator relies on.
     VersionMismatch {
-        /// The present version.
+        /// The current version.
         present: ConfigurationVersion,
     },
-    /// Another command won a race for the same version several times.
+    /// Concurrent commands changed the configuration first, several times in a row.
     Contention,
     /// The platform can't be reached.
     PlatformUnavailable,
     /// The group has no leader at present.
     NoLeader,
-    /// The operator lacks the role or the team.
+    /// The operator lacks the required role, or isn't in the service's team.
     Forbidden,
-    /// What the command names does not exist, or the result would be invalid.
+    /// The command refers to something that does not exist, or its result would be invalid.
     Invalid(List<Text>),
 }
--- a/crates/ledgelead-types/src/assigner.rs
+++ b/crates/ledgelead-types/src/assigner.rs
@@ -1,24 +1,24 @@
-//! Which algorithm a leader assigns slices with. Experiments compare the
-//! planner with baselines; no setting of a node can change it.
+//! The algorithm with which a leader assigns slices to servers. Simulations compare the
+//! planner with baselines. No setting of a node selects it.
 
 /// An algorithm that assigns slices to servers (`docs/design/assignment.md`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AssignerChoice {
-    /// The planner, which weighs imbalance against churn.
+    /// The planner, which balances load against the cost of moving slices.
     #[default]
     Planner,
     /// Static hashing.
     StaticHash,
     /// Consistent hashing with bounded loads.
     BoundedLoads,
-    /// Greedy moves at any churn.
+    /// Greedy moves, however much changes owner.
     Greedy,
     /// Greedy moves while the imbalance is above the service's target.
     GreedyAboveTarget,
 }
 
 impl AssignerChoice {
-    /// All, the planner first.
+    /// All algorithms, the planner first.
     pub const ALL: [AssignerChoice; 5] = [
         AssignerChoice::Planner,
         AssignerChoice::StaticHash,
@@ -27,7 +27,7 @@
         AssignerChoice::GreedyAboveTarget,
     ];
 
-    /// Stable name in reports.
+    /// Stable name, used in reports.
     pub fn name(self) -> &'static str {
         match self {
             AssignerChoice::Planner => "planner",
--- a/crates/ledgelead-types/src/codec.rs
+++ b/crates/ledgelead-types/src/codec.rs
@@ -1,21 +1,21 @@
-//! Collections that decode safely from hostile bytes.
+//! Binary encoding of messages, with collections that decode untrusted bytes safely.
 //!
-//! `nanoserde` 0.2.1 trusts a vector's declared length before the bytes are
-//! there: eight hostile bytes make it ask for an impossible allocation and the
-//! process aborts. Messages therefore hold [`List`], [`Bytes`] and [`Text`],
-//! which check the declared length against the bytes that remain, and are
-//! decoded through [`decode`], which also refuses trailing bytes.
+//! `nanoserde` 0.2.1 allocates a vector by its declared length before it has read the
+//! elements. Eight malicious bytes cause an impossible allocation, which aborts the process.
+//! Messages therefore contain [`List`], [`Bytes`] and [`Text`], which check the declared
+//! length against the remaining bytes, and are decoded through [`decode`], which also rejects
+//! trailing bytes.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use serde::{Deserialize, Serialize};
 use std::ops::{Deref, DerefMut};
 
-/// Why bytes were not a message.
+/// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The bytes end early, or hold a value outside its type.
+    /// The bytes end early, or contain a value that is invalid for its type.
     Malformed,
-    /// Bytes are left over behind the message.
+    /// Bytes are left over after the message.
     TrailingBytes,
 }
 
@@ -23,7 +23,7 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             DecodeError::Malformed => formatter.write_str("malformed message"),
-            DecodeError::TrailingBytes => formatter.write_str("bytes behind the message"),
+            DecodeError::TrailingBytes => formatter.write_str("trailing bytes after the message"),
         }
     }
 }
@@ -45,7 +45,7 @@
     SerBin::serialize_bin(value)
 }
 
-/// Reads a length of four bytes and checks that as many bytes remain.
+/// Reads a length of four bytes and checks that at least as many bytes remain.
 fn read_length(offset: &mut usize, bytes: &[u8]) -> Result<usize, DeBinErr> {
     let length = u32::de_bin(offset, bytes)? as usize;
     let remaining = bytes.len() - *offset;
@@ -60,8 +60,8 @@
     length.ser_bin(output);
 }
 
-/// A vector whose declared length is checked: every element takes at least
-/// one byte, so a length above the remaining bytes is refused.
+/// A vector whose declared length is checked when it is decoded. Every element takes at least
+/// one byte, so a length above the number of remaining bytes is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct List<T>(pub Vec<T>);
@@ -136,7 +136,7 @@
     }
 }
 
-/// A byte string whose declared length is checked.
+/// A byte string whose declared length is checked when it is decoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Bytes(pub Vec<u8>);
 
@@ -156,7 +156,7 @@
     }
 }
 
-/// A UTF-8 string whose declared length is checked.
+/// A UTF-8 string whose declared length is checked when it is decoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Text(pub String);
--- a/crates/ledgelead-types/src/configuration.rs
+++ b/crates/ledgelead-types/src/configuration.rs
@@ -1,31 +1,31 @@
-//! The configuration: one versioned object in the platform's store that every
-//! node receives whole and holds read-only.
+//! The configuration: one versioned object in the platform's store, of which every node has
+//! a complete read-only copy.
 //!
-//! It is changed by compare-and-swap; `applied_commands` remembers the latest
-//! command identifiers, so that an answer lost after its effect is recognised
-//! when the command is sent again. The same model is JSON in the store
-//! (`serde`) and binary between nodes (`nanoserde`).
+//! It is changed by compare-and-swap. `applied_commands` contains the identifiers of the
+//! latest commands. If the answer to a command is lost after the command took effect, its
+//! identifier is found there when it is sent again. The same model is encoded as JSON in the
+//! store (`serde`) and in binary between nodes (`nanoserde`).
 
 use crate::codec::{List, Text};
 use crate::identity::*;
 use nanoserde::{DeBin, SerBin};
 use serde::{Deserialize, Serialize};
 
-/// How many command identifiers a configuration remembers.
+/// Number of command identifiers that a configuration keeps.
 pub const MAX_APPLIED_COMMANDS: usize = 64;
 
-/// How a service's keys become positions.
+/// How a service's keys are mapped to positions.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, SerBin, DeBin, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Partitioning {
-    /// Keys are owned; their position is a hash.
+    /// Each key has an owner. Its position is a hash of the key.
     #[default]
     Hash,
-    /// Keys are owned; their position is their own first bytes.
+    /// Each key has an owner. Its position is the first bytes of the key.
     Ordered,
-    /// Keys are not owned: any server of the service takes any request.
+    /// Keys have no owner: any server of the service accepts any request.
     None,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Configuration {
-    /// Version in the platform's store; 0 before the first.
+    /// Version in the platform's store; 0 before the first version.
     pub version: ConfigurationVersion,
     /// Zones of the deployment.
     pub zones: List<ZoneConfiguration>,
@@ -43,14 +43,14 @@
     pub servers: List<ServerConfiguration>,
     /// Priority tiers.
     pub tiers: List<TierConfiguration>,
-    /// Callers and the tier that each has bought.
+    /// Callers and the tier that each is subscribed to.
     pub callers: List<CallerConfiguration>,
-    /// Operators and what each may do.
+    /// Operators and their permissions.
     pub operators: List<OperatorConfiguration>,
     /// The latest accepted command identifiers, oldest first.
     pub applied_commands: List<AppliedCommand>,
-    /// Highest service identifier that was ever given out. A new service must
-    /// have a higher one, so an identifier is never used again.
+    /// Highest service identifier that was ever assigned. A new service must have a higher
+    /// one, so an identifier is never reused.
     pub highest_service: ServiceId,
 }
 
@@ -71,14 +71,14 @@
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfiguration {
-    /// Identifier, never used again after removal.
+    /// Identifier, never reused after removal.
     pub id: ServiceId,
     /// Name, as callers and operators write it.
     pub name: Text,
-    /// Team that may administer it; empty for everybody with the role.
+    /// Team that may administer the service; empty for every operator with the role.
     #[serde(default)]
     pub team: Text,
-    /// How keys become positions.
+    /// How keys are mapped to positions.
     #[serde(default)]
     pub partitioning: Partitioning,
     /// Number of groups that the service's position space is divided into.
@@ -90,10 +90,10 @@
     /// Slices that a group starts with for each of its servers.
     #[serde(default = "eight")]
     pub slices_per_server: u16,
-    /// The price of moving keys against uneven load.
+    /// Trade-off between even load and moving keys.
     #[serde(default)]
     pub balance: BalanceConfiguration,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that sets none, in milliseconds.
     #[serde(default = "default_deadline")]
     pub default_deadline_ms: u32,
 }
@@ -114,17 +114,18 @@
     2_000
 }
 
-/// What a service's operator lets balance cost.
+/// How much movement of keys a service accepts for even load.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BalanceConfiguration {
-    /// Busiest server's load over the mean above which slices are moved.
+    /// Slices are moved while the load of the busiest server divided by the mean load is above
+    /// this.
     pub target_imbalance: f64,
-    /// Imbalance that moving one percent of the position space must shed to
-    /// be worth it. 0 moves freely, 1 hardly ever.
+    /// Least reduction of the imbalance for each percent of the position space that moves.
+    /// With 0 slices move freely, with 1 hardly ever.
     pub churn_price: f64,
-    /// Most of the position space, in percent, that may change owner a minute
-    /// while its owner lives.
+    /// Maximum percentage of the position space that may change owner per minute while its
+    /// owner is live.
     pub max_churn_percent_per_minute: f64,
 }
 
@@ -146,13 +147,13 @@
     pub id: ServerId,
     /// Name, as operators write it.
     pub name: Text,
-    /// Service that it serves.
+    /// Service that it belongs to.
     pub service: ServiceId,
     /// Zone that it runs in.
     pub zone: ZoneId,
     /// `IP:port` of its HTTP interface.
     pub address: Text,
-    /// Requests that it executes at once.
+    /// Requests that it executes concurrently.
     pub slots: u16,
     /// Connections that it accepts.
     pub max_connections: u16,
@@ -166,14 +167,14 @@
     pub id: TierId,
     /// Name, as operators write it.
     pub name: Text,
-    /// Share of contested capacity relative to the other tiers' weights.
+    /// Share of scarce capacity, relative to the weights of the other tiers.
     pub weight: u32,
-    /// Least share of a server's capacity, in percent, when there is work.
+    /// Minimum share of a server's capacity, in percent, while the tier has requests.
     #[serde(default)]
     pub guaranteed_percent: u8,
 }
 
-/// A caller's credential and what it has bought.
+/// A caller's credential, tier and limits.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerConfiguration {
@@ -184,12 +185,12 @@
     /// SHA-256 of the credential, in hexadecimal. The credential itself is
     /// never stored.
     pub credential_sha256: Text,
-    /// Tier that it has bought.
+    /// Tier that it is subscribed to.
     pub tier: TierId,
-    /// Requests a second at most on each node; 0 for no limit.
+    /// Maximum requests per second at each node; 0 for no limit.
     #[serde(default)]
     pub max_requests_per_second: u32,
-    /// Requests at once at most on each node; 0 for no limit.
+    /// Maximum concurrent requests at each node; 0 for no limit.
     #[serde(default)]
     pub max_concurrent: u32,
 }
@@ -211,12 +212,12 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorRole {
-    /// Query only.
+    /// May query.
     #[default]
     Read,
-    /// Query, drain, retire, move.
+    /// May query, drain and retire servers, and move slices.
     Operate,
-    /// Everything, of every team when the team list is empty.
+    /// May do everything; for all teams if the list of teams is empty.
     Administer,
 }
 
@@ -235,7 +236,7 @@
     pub teams: List<Text>,
 }
 
-/// A command that some version of the configuration accepted.
+/// A command whose effect the configuration contains.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AppliedCommand {
@@ -261,8 +262,8 @@
         self.servers.iter().find(|server| server.id == id)
     }
 
-    /// The servers of a group: those of its service whose identifier falls to
-    /// the group's part.
+    /// The servers of a group: those of its service whose identifier, modulo the number of
+    /// groups, is the group's part.
     pub fn servers_of(&self, group: GroupId) -> impl Iterator<Item = &ServerConfiguration> {
         let parts = self
             .service(group.service)
@@ -273,7 +274,7 @@
         })
     }
 
-    /// Every group that the configured services call for.
+    /// All groups of the configured services.
     pub fn groups(&self) -> impl Iterator<Item = GroupId> {
         self.services.iter().flat_map(|service| {
             let id = service.id;
@@ -288,7 +289,7 @@
             .find(|caller| &*caller.credential_sha256 == credential_sha256)
     }
 
-    /// The version in which a command took effect, while it is remembered.
+    /// The version in which a command took effect, if its identifier is still kept.
     pub fn version_of_command(&self, command: &str) -> Option<ConfigurationVersion> {
         self.applied_commands
             .iter()
--- a/crates/ledgelead-types/src/event.rs
+++ b/crates/ledgelead-types/src/event.rs
@@ -1,5 +1,5 @@
-//! Events worth a log line or a metric, emitted by the decisions. The node
-//! writes each as one JSON line under [`Event::name`].
+//! Events that the state machines emit for logs and metrics. The node logs each as one JSON
+//! line under its [`Event::name`].
 
 use crate::PositionRange;
 use crate::identity::*;
@@ -7,7 +7,7 @@
 use crate::time::Span;
 use crate::token::{Epoch, FencingToken, Term};
 
-/// Something that happened.
+/// An event for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A replica became leader of its group.
@@ -19,7 +19,7 @@
         /// Its term.
         term: Term,
     },
-    /// A leader stopped being one.
+    /// A replica is no longer leader of its group.
     LeaderSteppedDown {
         /// The group.
         group: GroupId,
@@ -37,7 +37,7 @@
     MembershipChanged {
         /// The group.
         group: GroupId,
-        /// Voters from now on.
+        /// The new set of voters.
         members: Vec<Member>,
     },
     /// A slice has a new owner.
@@ -46,13 +46,13 @@
         group: GroupId,
         /// Positions of the slice.
         range: PositionRange,
-        /// The owner before.
+        /// The previous owner.
         from: Option<ServerId>,
-        /// The owner from now on.
+        /// The new owner.
         to: Option<ServerId>,
         /// Token of the assignment.
         token: FencingToken,
-        /// Whether the owner before was lost, rather than relieved.
+        /// Whether the previous owner was lost, rather than replaced while live.
         after_loss: bool,
     },
     /// A slice whose owner was lost has an owner again.
@@ -61,11 +61,11 @@
         group: GroupId,
         /// Positions of the slice.
         range: PositionRange,
-        /// Time since the leader first heard that the lost owner was silent,
-        /// or since this leader's election, if that was later.
+        /// Time since the leader first learned that the lost owner did not answer, or since
+        /// this leader's election if that was later.
         unavailable: Span,
     },
-    /// A server's lease ran out without a renewal.
+    /// A server's lease expired without a renewal.
     LeaseLapsed {
         /// The group.
         group: GroupId,
@@ -76,20 +76,20 @@
     ServerStatusChanged {
         /// The server.
         server: ServerId,
-        /// Status from now on.
+        /// The new status.
         status: crate::routes::ServerStatus,
     },
-    /// A newer configuration is in force on this node.
+    /// This node uses a newer configuration.
     ConfigurationApplied {
         /// Its version.
         version: ConfigurationVersion,
     },
-    /// The object in the platform's store is not a valid configuration; the
-    /// one held before stays in force.
+    /// The object in the platform's store is not a valid configuration. The node keeps using
+    /// the previous one.
     ConfigurationRefused {
         /// Version of the object.
         version: u64,
-        /// What is wrong with it, each with its place.
+        /// Validation errors, each with its location.
         findings: Vec<String>,
     },
     /// The platform's store stopped or started answering.
@@ -97,7 +97,7 @@
         /// Whether it answers.
         reachable: bool,
     },
-    /// A node joined, or was found lost.
+    /// A node joined, or was detected as lost.
     NodeStatusChanged {
         /// The node.
         node: NodeId,
@@ -108,18 +108,18 @@
     RequestFinished {
         /// The request.
         request: RequestId,
-        /// The service, when known.
+        /// The service, if known.
         service: Option<ServiceId>,
         /// Tier of its caller.
         tier: TierId,
         /// Its outcome.
         outcome: Outcome,
-        /// Attempts at servers.
+        /// Number of attempts at servers.
         attempts: u8,
         /// Time since its arrival.
         latency: Span,
     },
-    /// A request is sent again.
+    /// A request is retried.
     RequestRetried {
         /// The request.
         request: RequestId,
@@ -129,7 +129,7 @@
 }
 
 impl Event {
-    /// Stable name of the event, as logs show it.
+    /// Stable name of the event in logs.
     pub fn name(&self) -> &'static str {
         match self {
             Event::LeaderElected { .. } => "leader-elected",
--- a/crates/ledgelead-types/src/identity.rs
+++ b/crates/ledgelead-types/src/identity.rs
@@ -1,8 +1,7 @@
-//! Identifiers. All are small integers on the wire; names live in the
-//! configuration.
+//! Identifiers. All are small integers on the wire. The configuration maps them to names.
 //!
-//! The derive macros of `nanoserde` can't read a type that a macro passes on,
-//! so the binary form of the single-number identifiers is written out.
+//! The derive macros of `nanoserde` can't parse a type that comes from a macro parameter, so
+//! the `identifier` macro implements the binary encoding itself.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use std::fmt;
@@ -39,13 +38,13 @@
 }
 
 identifier!(
-    /// A machine of the system. The number stays when the process restarts.
+    /// A machine that runs a node. The number stays the same when the process restarts.
     NodeId(u32), "node-"
 );
 identifier!(
-    /// One run of a node's process, drawn at random at its start. A process
-    /// that restarts has forgotten its votes and must not vote under its old
-    /// identity, so every vote is bound to an incarnation.
+    /// One run of a node's process; a random number chosen at its start. A restarted process
+    /// has lost its votes and must not vote under its old identity, so every vote is bound
+    /// to an incarnation.
     Incarnation(u64), "run-"
 );
 identifier!(
@@ -53,7 +52,7 @@
     ZoneId(u16), "zone-"
 );
 identifier!(
-    /// A service: a set of interchangeable or key-dividing servers.
+    /// A service: a set of servers that are interchangeable or each own a part of the keys.
     ServiceId(u32), "service-"
 );
 identifier!(
@@ -61,20 +60,20 @@
     ServerId(u32), "server-"
 );
 identifier!(
-    /// A priority tier that callers buy. Lower numbers are not better; the
-    /// configuration gives each tier its weight.
+    /// A priority tier that callers subscribe to. The order of the numbers has no meaning: the
+    /// configuration defines the weight of each tier.
     TierId(u8), "tier-"
 );
 identifier!(
-    /// The holder of a caller credential.
+    /// A caller, identified by its credential.
     CallerId(u32), "caller-"
 );
 identifier!(
-    /// A request, unique within one run of the node that accepted it.
+    /// A request, unique within one incarnation of the node that accepted it.
     RequestId(u64), "request-"
 );
 identifier!(
-    /// A version of the configuration, counted by the platform's store.
+    /// A version of the configuration, assigned by the platform's store.
     ConfigurationVersion(u64), "v"
 );
 identifier!(
@@ -82,17 +81,17 @@
     IdempotencyKey(u64), "once-"
 );
 
-/// One replica of a group: a node in one run of its process.
+/// One replica of a group: a node in one incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Member {
-    /// The machine.
+    /// The node.
     pub node: NodeId,
-    /// The run of its process.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A replica set that decides the ownership of one part of a service's
-/// position space and the servers that serve this part.
+/// A replica set that decides the ownership of one part of a service's position space, and
+/// manages the servers of this part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct GroupId {
     /// The service.
@@ -102,10 +101,9 @@
 }
 
 impl GroupId {
-    /// How little a node is wanted as a replica of the group, by rendezvous
-    /// hashing (Thaler and Ravishankar, 1998): the nodes of lowest weight are
-    /// taken, so that each group has an order of nodes of its own and no node
-    /// comes first for all groups.
+    /// Weight of a node for the choice of the group's replicas, by rendezvous hashing (Thaler
+    /// and Ravishankar, 1998). Nodes with the lowest weights are preferred. Each group thus
+    /// orders the nodes differently, and no node comes first for all groups.
     pub fn replica_weight(self, node: NodeId) -> u64 {
         let mut bytes = [0_u8; 10];
         bytes[..4].copy_from_slice(&self.service.0.to_le_bytes());
--- a/crates/ledgelead-types/src/keyspace.rs
+++ b/crates/ledgelead-types/src/keyspace.rs
@@ -1,22 +1,22 @@
 //! Positions of keys and ranges of positions.
 //!
-//! A key's position is a fixed 64-bit hash of it, or its own first eight
-//! bytes where an operator chose ordered ranges. A slice is a range of
-//! positions; nothing in the system grows with the number of keys.
+//! A key's position is a fixed 64-bit hash of it, or its first eight bytes in a service with
+//! ordered partitioning. A slice is a range of positions. No state grows with the number of
+//! keys.
 
 use crate::configuration::Partitioning;
 use nanoserde::{DeBin, SerBin};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of leading key bytes that an ordered position keeps.
+/// Number of leading bytes of a key that form an ordered position.
 const ORDERED_PREFIX_BYTES: usize = 8;
 
-/// The place of a key in its service's position space.
+/// The location of a key in its service's position space.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Position(pub u64);
 
 impl Position {
-    /// The position of `key` in a service partitioned as given.
+    /// The position of `key` in a service with this partitioning.
     pub fn of(key: &[u8], partitioning: Partitioning) -> Position {
         match partitioning {
             Partitioning::Ordered => Position::ordered(key),
@@ -32,7 +32,7 @@
     }
 }
 
-/// A range of positions, both ends included.
+/// An inclusive range of positions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct PositionRange {
     /// First position.
@@ -42,7 +42,7 @@
 }
 
 impl PositionRange {
-    /// The whole space.
+    /// The whole position space.
     pub const ALL: PositionRange = PositionRange {
         first: Position(0),
         last: Position(u64::MAX),
@@ -58,12 +58,12 @@
         self.first <= other.first && other.last <= self.last
     }
 
-    /// Whether the two ranges share a position.
+    /// Whether the two ranges have a position in common.
     pub fn overlaps(&self, other: &PositionRange) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// Share of the whole space, from 0 to 1.
+    /// Fraction of the whole position space, from 0 to 1.
     pub fn share(&self) -> f64 {
         ((self.last.0 - self.first.0) as f64 + 1.0) / (u64::MAX as f64 + 1.0)
     }
@@ -71,7 +71,7 @@
     /// Part `index` of `count` equal parts of this range.
     ///
     /// # Panics
-    /// When `count` is zero or `index` is not below it.
+    /// If `count` is zero or `index` is not below it.
     pub fn part(&self, index: u64, count: u64) -> PositionRange {
         assert!(index < count, "part {index} of {count}");
         let width = u128::from(self.last.0 - self.first.0) + 1;
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Splits the range so that `at` is the first position of the second
-    /// half; `None` when one half would be empty.
+    /// Splits the range so that `at` is the first position of the second part. `None` if a
+    /// part would be empty.
     pub fn split_at(&self, at: Position) -> Option<(PositionRange, PositionRange)> {
         if at <= self.first || at > self.last {
             return None;
--- a/crates/ledgelead-types/src/lib.rs
+++ b/crates/ledgelead-types/src/lib.rs
@@ -1,10 +1,9 @@
-//! Vocabulary shared by every crate: identifiers, time, key positions, fencing
-//! tokens, the configuration model, routes, outcomes and the messages between
-//! a node and a server.
+//! Types shared by all crates: identifiers, time, key positions, fencing tokens, the
+//! configuration model, routes, outcomes, and the messages between a node and a server.
 //!
-//! Nothing here decides anything. The crates that decide are pure state
-//! machines; each takes [`time::Time`] and typed inputs and returns typed
-//! outputs (`docs/design/overview.md`).
+//! This crate contains no decision logic. The crates that do are pure state machines, which
+//! take a [`time::Time`] and typed inputs and return typed outputs
+//! (`docs/design/overview.md`).
 
 pub mod administration;
 pub mod assigner;
--- a/crates/ledgelead-types/src/outcome.rs
+++ b/crates/ledgelead-types/src/outcome.rs
@@ -1,13 +1,13 @@
-//! What a caller is told about a request, and the evidence for it.
+//! The outcome of a request as reported to its caller, and the evidence for it.
 
 use nanoserde::{DeBin, SerBin};
 use std::fmt;
 
-/// The three outcomes of a request. There is no fourth: a request that a node
-/// accepted ends in exactly one of them.
+/// The outcome of a request. Every request that a node accepts ends in exactly one of these
+/// three.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub enum Outcome {
-    /// A server's whole answer was handed to the caller.
+    /// The complete answer of a server was delivered to the caller.
     Answered,
     /// No server started the request, and none will.
     NotRun(NotRunReason),
@@ -15,8 +15,8 @@
     Unknown(UnknownReason),
 }
 
-/// Why a request was not run. Each reason rests on evidence: the request was
-/// never written to a server, or the server itself said it did not start it.
+/// Why a request was not run. There is evidence for each reason: the request was never
+/// written to a server, or the server itself stated that it did not start it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum NotRunReason {
     /// No service of this name.
@@ -25,19 +25,19 @@
     Unauthorized,
     /// The request is malformed: a header is missing, contradictory or too large.
     BadRequest,
-    /// The caller is above its rate or concurrency.
+    /// The caller exceeds its rate or concurrency limit.
     LimitExceeded,
-    /// The queue is full of work of higher claim.
+    /// The queue is full of requests with higher priority.
     Overloaded,
-    /// It can't finish by its deadline.
+    /// The request can't finish by its deadline.
     DeadlineTooClose,
     /// The key has no owner at present, or no server of the service is usable.
     NoServer,
-    /// The caller left before it was sent to a server.
+    /// The caller disconnected before the request was sent to a server.
     CallerGone,
     /// The node is stopping.
     Stopping,
-    /// A request with this idempotency key is being run.
+    /// A request with the same idempotency key is running.
     DuplicateInProgress,
 }
 
@@ -46,21 +46,21 @@
 pub enum UnknownReason {
     /// The connection failed after the first byte was written.
     ConnectionLost,
-    /// The deadline passed after it was sent.
+    /// The deadline passed after the request was sent.
     DeadlinePassed,
-    /// The answer was cut, malformed or too large.
+    /// The answer was truncated, malformed or too large.
     BadAnswer,
-    /// An earlier request with this idempotency key ended as unknown.
+    /// The outcome of an earlier request with the same idempotency key is unknown.
     EarlierAttemptUnknown,
-    /// An earlier request with this idempotency key was run and answered; this
-    /// node does not hold the answer.
+    /// An earlier request with the same idempotency key was run and answered, but this node
+    /// does not have the answer.
     AnswerNotHeld,
-    /// The caller left after it was sent.
+    /// The caller disconnected after the request was sent.
     CallerGone,
 }
 
 impl NotRunReason {
-    /// Every reason, for metrics and documentation.
+    /// All reasons, for metrics and documentation.
     pub const ALL: [NotRunReason; 10] = [
         NotRunReason::UnknownService,
         NotRunReason::Unauthorized,
@@ -74,7 +74,7 @@
         NotRunReason::DuplicateInProgress,
     ];
 
-    /// Stable name, as headers, logs and metrics show it.
+    /// Stable name, used in headers, logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             NotRunReason::UnknownService => "unknown-service",
@@ -92,7 +92,7 @@
 }
 
 impl UnknownReason {
-    /// Stable name, as headers, logs and metrics show it.
+    /// Stable name, used in headers, logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             UnknownReason::ConnectionLost => "connection-lost",
--- a/crates/ledgelead-types/src/platform.rs
+++ b/crates/ledgelead-types/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's object API, as typed calls. The HTTP form is in
-//! `docs/platform-interface.md`.
+//! The platform's object API as typed calls. `docs/platform-interface.md` describes its HTTP
+//! form.
 
 use crate::codec::{Bytes, List, Text};
 use crate::identity::{NodeId, ZoneId};
@@ -13,7 +13,7 @@
     Text(format!("group-{}.{}", group.service.0, group.part))
 }
 
-/// Version of an object; 0 stands for an object that does not exist.
+/// Version of an object; 0 for an object that does not exist.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct ObjectVersion(pub u64);
 
@@ -25,11 +25,11 @@
         /// Name of the object.
         name: Text,
     },
-    /// Waits until the object is newer than `after`, for a bounded time.
+    /// Waits for a bounded time until the object is newer than `after`.
     Watch {
         /// Name of the object.
         name: Text,
-        /// Version that the caller holds.
+        /// Version that the caller has.
         after: ObjectVersion,
     },
     /// Replaces an object if it still has the expected version.
@@ -41,12 +41,12 @@
         /// New content.
         value: Bytes,
     },
-    /// Reads the lagging list of machines.
+    /// Reads the list of machines, which may be outdated.
     ListMachines,
 }
 
-/// A machine as the platform lists it. The list lags: a machine listed as
-/// live may be gone. A machine listed as gone is off for certain.
+/// A machine in the platform's list. The list may be outdated: a machine listed as live may be
+/// gone. A machine listed as gone is certainly off.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct MachineEntry {
     /// The machine.
@@ -55,18 +55,18 @@
     pub zone: ZoneId,
     /// `IP:port` for messages between nodes.
     pub address: Text,
-    /// What the platform believes.
+    /// Its state according to the platform.
     pub state: MachineState,
 }
 
-/// What the platform believes of a machine.
+/// State of a machine according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum MachineState {
     /// Running, as far as the platform knows.
     Live,
-    /// Announced to leave.
+    /// Announced that it will leave.
     Leaving,
-    /// Switched off for certain.
+    /// Certainly switched off.
     Gone,
 }
 
@@ -80,7 +80,7 @@
         /// Its content.
         value: Bytes,
     },
-    /// There is no such object.
+    /// The object does not exist.
     NotFound,
     /// A watch ended without a newer version.
     Unchanged,
@@ -91,7 +91,7 @@
     },
     /// The object has another version than expected; nothing was changed.
     Conflict {
-        /// The present version.
+        /// The current version.
         version: ObjectVersion,
     },
     /// The list of machines.
@@ -101,8 +101,8 @@
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum PlatformError {
-    /// The call was not sent, or the platform said that it did nothing.
+    /// The call was not sent, or the platform stated that it changed nothing.
     Unavailable,
-    /// The call may have taken effect; its answer was lost.
+    /// The call may have taken effect, but its answer was lost.
     AnswerLost,
 }
--- a/crates/ledgelead-types/src/protections.rs
+++ b/crates/ledgelead-types/src/protections.rs
@@ -1,37 +1,37 @@
-//! Switches that turn one protection off, for the checker's own proof: with a
-//! protection off the checker must find violations (`--sabotage`). All are on
-//! by default and no setting of a node can change them.
+//! Switches that disable one protection to validate the checker (`--sabotage`): with a
+//! protection disabled, the checker must find violations. All protections are enabled by
+//! default, and no setting of a node can change that.
 
-/// One protection that can be switched off in a simulation.
+/// A protection that a simulation can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Protection {
-    /// Wait for a silent server's lease before its slices go elsewhere.
+    /// The slices of a server that does not answer are reassigned only after its lease has
+    /// expired.
     LeaseWait,
     /// Servers refuse lower tokens and expired leases.
     TokenCheck,
-    /// A request that may not be repeated is sent again only on evidence
-    /// that it was not run.
+    /// A request that is not repeatable is retried only with evidence that it was not run.
     UnknownNotRetried,
-    /// A node refuses an older configuration than it has.
+    /// A node refuses a configuration that is older than its own.
     ConfigurationOrder,
     /// A restarted replica does not vote under its old identity.
     IncarnationCheck,
-    /// Assignments are acknowledged only when a quorum holds them.
+    /// Assignments are acknowledged only after a quorum has stored them.
     QuorumAcknowledgement,
-    /// An answer is handed only to the request whose attempt it belongs to.
+    /// An answer is delivered only to the request whose attempt it belongs to.
     AnswerMatch,
-    /// A lost connection is told as unknown, not as not run.
+    /// A request whose connection was lost is reported as unknown, not as not run.
     AccurateNotRun,
     /// A draining server gets no new work.
     DrainStopsWork,
-    /// A stop waits for what is in flight.
+    /// A stopping node waits for the requests in flight.
     StopWaitsForInFlight,
-    /// A repeat under an idempotency key is not run again.
+    /// A repeated request with the same idempotency key is not run again.
     IdempotencyRecord,
 }
 
 impl Protection {
-    /// Every protection with the name of the sabotage that switches it off.
+    /// All protections, each with the name of the sabotage that disables it.
     pub const SABOTAGES: [(&'static str, Protection); 11] = [
         ("skip-lease-wait", Protection::LeaseWait),
         ("accept-old-token", Protection::TokenCheck),
@@ -50,22 +50,22 @@
     ];
 }
 
-/// Which protections are on.
+/// The set of enabled protections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Protections {
-    switched_off: Option<Protection>,
+    disabled: Option<Protection>,
 }
 
 impl Protections {
-    /// All protections but one.
+    /// All protections except one.
     pub fn without(protection: Protection) -> Protections {
         Protections {
-            switched_off: Some(protection),
+            disabled: Some(protection),
         }
     }
 
-    /// Whether a protection is on.
+    /// Whether a protection is enabled.
     pub fn has(&self, protection: Protection) -> bool {
-        self.switched_off != Some(protection)
+        self.disabled != Some(protection)
     }
 }
--- a/crates/ledgelead-types/src/routes.rs
+++ b/crates/ledgelead-types/src/routes.rs
@@ -1,7 +1,6 @@
-//! What a gateway needs to know of a group: who owns each slice, and which
-//! node dispatches each server. A group's leader publishes its routes with
-//! every change; they are disseminated to all nodes and a node refuses an
-//! older version than it holds.
+//! Routes: the owner of each slice of a group, and the node that dispatches for each server.
+//! A group's leader publishes new routes with every change. They are disseminated to all
+//! nodes, and a node refuses a version older than its own.
 
 use crate::codec::{List, Text};
 use crate::identity::*;
@@ -9,7 +8,7 @@
 use crate::token::FencingToken;
 use nanoserde::{DeBin, SerBin};
 
-/// A group's replica set as the platform's store records it.
+/// A group's replica set as recorded in the platform's store.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct GroupRecord {
     /// The group.
@@ -18,8 +17,8 @@
     pub epoch: crate::token::Epoch,
     /// Voters at the start of the epoch.
     pub members: List<Member>,
-    /// Group state to start from (an encoded snapshot of the group's state
-    /// machine); empty for a new group.
+    /// Initial state of the group: an encoded snapshot of its state machine; empty for a new
+    /// group.
     pub snapshot: crate::codec::Bytes,
 }
 
@@ -34,8 +33,8 @@
     pub leader: Member,
     /// Voters of the group.
     pub members: List<Member>,
-    /// Slices in the order of their positions, without gaps or overlaps;
-    /// empty for a service that is not divided by key.
+    /// Slices sorted by position, without gaps or overlaps; empty for a service that is not
+    /// partitioned by key.
     pub slices: List<SliceRoute>,
     /// Servers of the group.
     pub servers: List<ServerRoute>,
@@ -46,23 +45,23 @@
 pub struct SliceRoute {
     /// Positions of the slice.
     pub range: PositionRange,
-    /// Owner; `None` while the slice waits for one.
+    /// Owner; `None` while the slice has none.
     pub owner: Option<ServerId>,
-    /// Token under which the owner holds the slice. Requests carry it.
+    /// Token of the owner's assignment, which requests carry.
     pub token: FencingToken,
 }
 
-/// Whether a server takes new work.
+/// Whether a server accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum ServerStatus {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Active,
-    /// Gives up its slices and takes no new unkeyed work.
+    /// Hands its slices over and accepts no new requests without a key.
     Draining,
-    /// Has left for good; finishes nothing more.
+    /// Permanently removed; runs no more requests.
     Retired,
-    /// Silent for longer than its lease; owns nothing.
+    /// Has not answered for longer than its lease; owns no slices.
     Lost,
 }
 
@@ -75,18 +74,18 @@
     pub zone: ZoneId,
     /// `IP:port`.
     pub address: Text,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub status: ServerStatus,
-    /// Node that hands out its slots and renews its lease.
+    /// Node that allocates its slots and renews its lease.
     pub dispatcher: NodeId,
-    /// Requests that it executes at once.
+    /// Requests that it executes concurrently.
     pub slots: u16,
     /// Connections that it accepts, shared by all nodes.
     pub max_connections: u16,
 }
 
 impl GroupRoutes {
-    /// The slice that holds a position.
+    /// The slice that contains a position.
     pub fn slice_at(&self, position: Position) -> Option<&SliceRoute> {
         let index = self
             .slices
--- a/crates/ledgelead-types/src/time.rs
+++ b/crates/ledgelead-types/src/time.rs
@@ -1,9 +1,9 @@
 //! Monotonic time of one process, in microseconds.
 //!
-//! Every decision takes the present [`Time`] as an argument, so that one seed
-//! and one schedule give one run, in a simulation as in production. Times of
-//! different processes are never compared: between processes only [`Span`]s
-//! and echoed stamps travel (`docs/design/leases.md`).
+//! Every decision takes the current [`Time`] as an argument, so that the same seed and
+//! schedule reproduce the same run, in simulations as in production. Times of different
+//! processes are never compared: processes exchange only [`Span`]s and echoed stamps
+//! (`docs/design/leases.md`).
 
 use nanoserde::{DeBin, SerBin};
 use std::ops::{Add, Sub};
@@ -13,36 +13,36 @@
 /// Microseconds in one second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A point on the monotonic clock of one process.
+/// A point in time on the monotonic clock of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Time(pub u64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Span(pub u64);
 
 impl Time {
-    /// The start of the process's clock.
+    /// The origin of the process's clock.
     pub const ZERO: Time = Time(0);
 
-    /// Time since `earlier`, or zero when `earlier` is later than `self`.
+    /// Time since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point `span` before this one, not before the clock's start.
+    /// The point in time `span` before this one, at the earliest the clock's origin.
     pub fn before(self, span: Span) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
 
-    /// Seconds since the clock's start.
+    /// Seconds since the clock's origin.
     pub fn as_seconds(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The empty span.
     pub const ZERO: Span = Span(0);
 
     /// A span of whole microseconds.
@@ -65,27 +65,27 @@
         self.0
     }
 
-    /// The span in milliseconds, with its fraction.
+    /// The span in milliseconds, including the fraction.
     pub fn as_millis(self) -> f64 {
         self.0 as f64 / MICROS_PER_MILLI as f64
     }
 
-    /// The span in seconds, with its fraction.
+    /// The span in seconds, including the fraction.
     pub fn as_seconds(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// This span less `other`, or zero.
+    /// This span minus `other`, at least zero.
     pub fn less(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
 
-    /// This span times a factor that is not negative.
+    /// This span multiplied by a non-negative factor.
     pub fn times(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor) as u64)
     }
 
-    /// The span for the standard library's blocking calls.
+    /// The span as a duration of the standard library, for blocking calls.
     pub fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
--- a/crates/ledgelead-types/src/token.rs
+++ b/crates/ledgelead-types/src/token.rs
@@ -1,11 +1,11 @@
-//! Fencing tokens: the order in which grants and requests supersede each
-//! other at a server.
+//! Fencing tokens, which define the order in which grants and requests supersede each other at
+//! a server.
 
 use nanoserde::{DeBin, SerBin};
 use std::fmt;
 
-/// Generation of a group's replica set. It grows by compare-and-swap in the
-/// platform's store, when a group is formed or rebuilt after a lost quorum.
+/// Generation of a group's replica set. It is incremented by compare-and-swap in the
+/// platform's store when a group is formed, or rebuilt after it lost its quorum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Epoch(pub u64);
 
@@ -13,13 +13,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Term(pub u64);
 
-/// Position in a group's log: the entry that made a decision.
+/// Position in a group's log, of the entry with a decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Revision(pub u64);
 
-/// Orders grants and requests. A server keeps the highest token it saw and
-/// refuses lower ones, so a leader or an owner that was replaced while it was
-/// paused can change nothing when it returns.
+/// Orders grants and requests. A server keeps the highest token that it has seen and refuses
+/// lower ones. A leader or an owner that was replaced while it was paused therefore has no
+/// effect when it resumes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct FencingToken {
     /// Generation of the replica set; compared first.
@@ -41,7 +41,7 @@
 }
 
 impl FencingToken {
-    /// Reads the form that [`fmt::Display`] writes: `epoch.term.revision`.
+    /// Parses the format of [`fmt::Display`], `epoch.term.revision`.
     pub fn parse(text: &str) -> Option<FencingToken> {
         let mut parts = text.split('.').map(|part| part.parse::<u64>().ok());
         let token = FencingToken {
--- a/crates/ledgelead-types/src/view.rs
+++ b/crates/ledgelead-types/src/view.rs
@@ -1,4 +1,4 @@
-//! What one node knows of the deployment, for queries, status and metrics.
+//! A node's view of the deployment, for queries, status and metrics.
 
 use crate::codec::List;
 use crate::configuration::Configuration;
@@ -9,43 +9,42 @@
 use crate::token::{Epoch, Term};
 use nanoserde::{DeBin, SerBin};
 
-/// Everything that a node can tell an operator.
+/// The state that a node reports to operators.
 #[derive(Clone, Debug, Default)]
 pub struct NodeView {
-    /// The node that answers.
+    /// The node that reports.
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneId,
-    /// The configuration in force here.
+    /// The configuration that the node uses.
     pub configuration: Configuration,
-    /// Whether the platform answered lately; `None` when this node does not
-    /// read it.
+    /// Whether the platform answered recently; `None` if this node does not read it.
     pub platform_reachable: Option<bool>,
-    /// Nodes as the membership sees them.
+    /// Nodes according to the membership protocol.
     pub nodes: Vec<NodeStatusView>,
     /// Groups with their routes.
     pub groups: Vec<GroupView>,
-    /// Servers whose dispatcher this node is, with their load, and servers of
-    /// other dispatchers as last heard.
+    /// Load of the servers that this node dispatches for, and the last reported load of the
+    /// servers of other dispatchers.
     pub servers: Vec<ServerLoadView>,
-    /// Requests accepted here and not yet ended.
+    /// Requests accepted by this node that have not ended.
     pub requests_in_flight: u32,
-    /// Nodes that were asked for their part of the view and did not answer in
-    /// time; what they know is missing above.
+    /// Nodes that were asked for their part of the view and did not answer in time. Their
+    /// part is missing.
     pub silent_nodes: Vec<NodeId>,
 }
 
-/// What a node knows that others don't: the groups that it leads and the
-/// servers whose dispatcher it is.
+/// State that only this node has: load of the groups that it leads and of the servers that it
+/// dispatches for.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct LoadView {
     /// Groups that the node leads.
     pub groups: List<GroupLoadView>,
-    /// Servers whose dispatcher the node is.
+    /// Servers that the node dispatches for.
     pub servers: List<ServerLoadView>,
 }
 
-/// Load of a group as its leader sees it.
+/// Load of a group as measured by its leader.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct GroupLoadView {
     /// The group.
@@ -54,46 +53,46 @@
     pub term: Term,
     /// Age of the snapshot in the platform's store.
     pub snapshot_lag: Option<Span>,
-    /// Load of each slice in requests a second, in the order of the routes.
+    /// Load of each slice in requests per second, in the order of the routes.
     pub slice_loads: List<f64>,
-    /// Busiest server's load over the mean.
+    /// Load of the busiest server divided by the mean load.
     pub imbalance: Option<f64>,
 }
 
-/// A node as the membership sees it.
+/// A node according to the membership protocol.
 #[derive(Clone, Debug, Default)]
 pub struct NodeStatusView {
     /// The node.
     pub node: NodeId,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: ZoneId,
     /// `IP:port` for messages between nodes.
     pub address: String,
-    /// Whether it is thought to be live.
+    /// Whether it is considered live.
     pub live: bool,
-    /// Configuration version in force there, as last heard.
+    /// The configuration version that it uses, as last reported.
     pub configuration: ConfigurationVersion,
 }
 
-/// A group as this node sees it.
+/// A group from the point of view of this node.
 #[derive(Clone, Debug, Default)]
 pub struct GroupView {
-    /// Its routes as last published.
+    /// Its latest routes.
     pub routes: GroupRoutes,
     /// Generation of its replica set.
     pub epoch: Epoch,
-    /// Term, when this node is a replica.
+    /// Term, if this node is a replica.
     pub term: Option<Term>,
     /// Whether this node leads it.
     pub leads: bool,
-    /// Age of the snapshot in the platform's store, when this node leads.
+    /// Age of the snapshot in the platform's store, if this node leads.
     pub snapshot_lag: Option<Span>,
-    /// Load of each slice in requests a second, in the order of the routes'
-    /// slices, when this node leads or has heard.
+    /// Load of each slice in requests per second, in the order of the slices in the routes, if
+    /// this node leads or has received it.
     pub slice_loads: Vec<f64>,
-    /// Busiest server's load over the mean, when this node leads.
+    /// Load of the busiest server divided by the mean load, if this node leads.
     pub imbalance: Option<f64>,
 }
 
@@ -102,14 +101,14 @@
 pub struct ServerLoadView {
     /// The server.
     pub server: ServerId,
-    /// Requests a second, as its dispatcher counts them.
+    /// Requests per second, as measured by its dispatcher.
     pub requests_per_second: f64,
-    /// Slots in use, as its dispatcher counts them.
+    /// Slots in use, as counted by its dispatcher.
     pub slots_in_use: u16,
     /// Requests queued for it at its dispatcher.
     pub queued: u32,
-    /// What the server says itself.
+    /// The load that the server reports itself.
     pub report: LoadReport,
-    /// Time left of its lease; `None` without one.
+    /// Remaining time of its lease; `None` without a lease.
     pub lease_left: Option<Span>,
 }
