--- a/crates/ledgelead-types/src/outcome.rs
+++ b/crates/ledgelead-types/src/outcome.rs
@@ -27,7 +27,7 @@
     BadRequest,
     /// The caller exceeds its rate or concurrency limit.
     LimitExceeded,
-    /// The queue is full of requests with higher priority.
+    /// The queue is full, and the request may not displace any that are queued.
     Overloaded,
     /// The request can't finish by its deadline.
     DeadlineTooClose,
