--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -11,9 +11,8 @@
 use ledgelead_router::ownership::record::Assignment;
 use ledgelead_router::peers::{DigestEntry, OpenRequests, Registry, SharedLoad};
 use ledgelead_router::requests::{
-    AttemptOutcome, BudgetBounds, ColdBound, ColdGate, ColdSends, IdleConnectionLimit,
-    Misdirection, Notice, RetryBudget, Selected, SelectionContext, StatisticsTable,
-    classify_outcome,
+    AttemptOutcome, BudgetBounds, ColdBound, ColdGate, ColdSends, IdleLimit, Misdirection, Notice,
+    RetryBudget, Selected, SelectionContext, StatisticsTable, classify_outcome,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -395,7 +394,7 @@
 
 #[gtest]
 fn connections_that_rested_too_long_are_not_used_for_some_time() {
-    let mut limit = IdleConnectionLimit::default();
+    let mut limit = IdleLimit::default();
     limit.record_lost(ms(900), ms(1_000));
     expect_that!(limit.current(ms(1_000)), none());
     limit.record_lost(ms(500), ms(1_100));
@@ -411,14 +410,14 @@
 #[gtest]
 fn connections_that_end_for_other_reasons_make_no_limit() {
     // Instances that are full end connections whether they rested or not.
-    let mut full = IdleConnectionLimit::default();
+    let mut full = IdleLimit::default();
     for at in 0..10 {
         full.record_lost(ms(500), ms(at));
         full.record_lost(ms(0), ms(at));
     }
     expect_that!(full.current(ms(20)), none());
     // Most requests on rested connections are answered.
-    let mut rare = IdleConnectionLimit::default();
+    let mut rare = IdleLimit::default();
     for at in 0..10 {
         rare.record_lost(ms(500), ms(at));
         (0..9).for_each(|_| rare.record_answered(ms(500), ms(at)));
