--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -311,10 +311,10 @@
         Event::Campaigns { epoch: next.epoch }.emit();
         self.coordination.taking_over = true;
         self.coordination.election.tried(now);
-        self.start_call(Purpose::TakeOver(next), call, now, out);
+        self.start_call(Purpose::Takeover(next), call, now, out);
     }
 
-    pub(super) fn take_over_answered(
+    pub(super) fn takeover_answered(
         &mut self,
         record: OwnershipRecord,
         answer: Result<StoreAnswer, ExchangeFailure>,
@@ -330,7 +330,7 @@
                 let version = RecordVersion::confirmed(object.revision);
                 self.ownership_changed(record, version, started, now, out);
                 if self.coordinator().is_some() {
-                    self.announce_take_over(base.unwrap_or(0), &before, out);
+                    self.announce_takeover(base.unwrap_or(0), &before, out);
                     self.messaging.send_heartbeat_soon();
                 }
             }
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -7,7 +7,7 @@
 use super::open_requests::OpenRequestSchedule;
 use super::quarantine::EvidenceMessage;
 use super::rate_limits::{decode_token_request, decode_token_verdict, limiter_probed};
-use super::relay::{RelayState, TakeOver};
+use super::relay::{RelayState, Takeover};
 use crate::Timestamp;
 use crate::dialect::ObjectKind;
 use crate::dispatch::PermitId;
@@ -222,7 +222,7 @@
             log::warn!(target: "peers", "datagram from {from}: values out of bounds");
             return;
         }
-        self.succession.heard(from);
+        self.limiter_failover.heard(from);
         self.handle_message(from, message, now, out);
     }
 
@@ -271,14 +271,14 @@
                     node: NodeName::from(node.0.as_str()),
                     incarnation,
                 };
-                let take_over = TakeOver {
+                let takeover = Takeover {
                     base,
                     revision,
                     coordinator,
                     first_fence,
                     digest,
                 };
-                self.take_over_announced(take_over, now, out);
+                self.takeover_announced(takeover, now, out);
             }
             PeerMessage::OwnershipChanged { span, changes } => {
                 self.ownership_announced(span, changes, now, out);
@@ -322,7 +322,7 @@
                 self.digest_received(from, zones, &entries, now, out);
             }
             PeerMessage::ZoneSums { sums } => self.shared.record_zone_sums(from, &sums, now),
-            PeerMessage::PermitAsk(ask) => self.permit_requested(from, &ask, now, out),
+            PeerMessage::PermitAsk(request) => self.permit_requested(from, &request, now, out),
             PeerMessage::PermitDecision {
                 number,
                 queue,
@@ -345,9 +345,9 @@
                 took_ms,
                 load,
             } => {
-                let asker = PermitId { node: from, number };
+                let requester = PermitId { node: from, number };
                 let outcome = decode_permit_outcome(reason, took_ms, load);
-                self.permit_returned(queue, asker, outcome, now, out);
+                self.permit_returned(queue, requester, outcome, now, out);
             }
             PeerMessage::Evidence {
                 wants_reply,
@@ -370,8 +370,8 @@
                 zone,
                 limit,
             } => {
-                let ask = decode_token_request(number, &zone, &limit, now);
-                self.token_requested(from, &ask, now, out);
+                let request = decode_token_request(number, &zone, &limit, now);
+                self.token_requested(from, &request, now, out);
             }
             PeerMessage::TokenDecision {
                 number,
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -82,7 +82,7 @@
     load_hub: LoadHub,
     dispatcher: Dispatcher,
     limiter: Limiter,
-    succession: LimiterFailover,
+    limiter_failover: LimiterFailover,
     overloads: Overloads,
     evacuations: Evacuations,
     quarantine: Quarantine,
@@ -120,7 +120,7 @@
             load_hub: LoadHub::new(now),
             dispatcher: Dispatcher::default(),
             limiter: Limiter::default(),
-            succession: LimiterFailover::default(),
+            limiter_failover: LimiterFailover::default(),
             overloads: Overloads::default(),
             evacuations: Evacuations::default(),
             quarantine: Quarantine::default(),
@@ -314,7 +314,7 @@
             self.transfer_server.expire(now);
             self.dispatcher.expire(now);
             self.limiter.expire(now);
-            self.succession.expire(now);
+            self.limiter_failover.expire(now);
             self.cold_keys.expire(now);
         }
     }
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
     pub(super) evidence: Evidence,
-    suspects: LostAttempts,
+    lost_attempts: LostAttempts,
     recent: RecentAnswers,
     unconfirmed_answers: UnconfirmedAnswers,
     probes: HashMap<ExchangeId, InstanceId>,
@@ -70,7 +70,7 @@
 
     /// Whether any instance is suspected to have ended.
     pub(super) fn has_suspects(&self) -> bool {
-        !self.suspects.is_empty()
+        !self.lost_attempts.is_empty()
     }
 
     /// Quarantined requests with their paths.
@@ -117,7 +117,7 @@
         for (instance, lost_attempt) in signs.lost {
             if self
                 .quarantine
-                .suspects
+                .lost_attempts
                 .record(&instance, lost_attempt, now)
             {
                 self.probe(instance, out);
@@ -143,7 +143,7 @@
 
     /// Whether an answer to a request sent at this time would be relevant evidence.
     fn is_answer_relevant(&self, instance: &InstanceId, sent_at: Timestamp) -> bool {
-        self.quarantine.suspects.contains(instance) || self.disproves_end(instance, sent_at)
+        self.quarantine.lost_attempts.contains(instance) || self.disproves_end(instance, sent_at)
     }
 
     /// Whether an answer to a request sent at this time disproves the reported end of an
@@ -157,7 +157,7 @@
 
     /// An instance has answered a request sent at this time, and so is alive.
     fn instance_is_alive(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
-        self.quarantine.suspects.answered(instance, sent_at);
+        self.quarantine.lost_attempts.answered(instance, sent_at);
         if self.disproves_end(instance, sent_at) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
@@ -223,7 +223,7 @@
 
     /// An instance has ended: the requests lost there are recorded as possible causes.
     fn instance_ended(&mut self, instance: &InstanceId, now: Timestamp) {
-        let lost_attempts = self.quarantine.suspects.take_ended(instance);
+        let lost_attempts = self.quarantine.lost_attempts.take_ended(instance);
         if lost_attempts.is_empty() {
             return;
         }
@@ -257,7 +257,7 @@
 
     /// Checks the directory entries of suspected instances for proof that they have ended.
     fn check_suspects(&mut self, now: Timestamp) {
-        self.quarantine.suspects.expire(now);
+        self.quarantine.lost_attempts.expire(now);
         let has_ended = |instance: &&InstanceId| {
             let known = self.directory.get(instance);
             // An instance that announced that it is leaving ends as planned.
@@ -265,7 +265,7 @@
                 known.ended || known.is_gone() && !self.directory.has_announced_leaving(known)
             })
         };
-        let suspects = self.quarantine.suspects.instances();
+        let suspects = self.quarantine.lost_attempts.instances();
         let ended: Vec<InstanceId> = suspects.filter(has_ended).cloned().collect();
         for instance in ended {
             self.instance_ended(&instance, now);
@@ -293,7 +293,7 @@
 
     /// Removes expired evidence.
     pub(super) fn expire_quarantine(&mut self, now: Timestamp) {
-        self.quarantine.suspects.expire(now);
+        self.quarantine.lost_attempts.expire(now);
         self.quarantine.evidence.expire(now);
         let evidence = &self.quarantine.evidence;
         self.quarantine
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -117,7 +117,7 @@
     }
 
     /// This node's role among an instance's limiters, by its own view of the nodes. Two nodes
-    /// act as the first limiter at the same time only as long as their views differ.
+    /// act as the primary limiter at the same time only as long as their views differ.
     fn limiter_role(
         &mut self,
         token_request: &TokenRequest,
@@ -136,12 +136,14 @@
         if candidates.second != Some(own) {
             return None;
         }
-        let standing = self.succession.asked_in_place_of(candidates.first, now);
-        if standing.is_probed {
+        let failover = self
+            .limiter_failover
+            .asked_in_place_of(candidates.first, now);
+        if failover.is_probed {
             let probe = PeerMessage::LimiterProbe { is_reply: false };
             send(candidates.first, &[encode(&probe)], out);
         }
-        Some(match standing.is_lost {
+        Some(match failover.is_lost {
             true => LimiterRole::Primary,
             false => LimiterRole::Secondary,
         })
--- a/crates/ledgelead-router/src/node/relay/mod.rs
+++ b/crates/ledgelead-router/src/node/relay/mod.rs
@@ -14,10 +14,10 @@
 
 pub(super) use entries::{changed_assignment, listed_node, registration};
 pub(super) use objects::differences;
-pub(super) use ownership::TakeOver;
+pub(super) use ownership::Takeover;
 
 use gaps::Gap;
-use ownership::AnnouncedTakeOver;
+use ownership::AnnouncedTakeover;
 use snapshot_requests::SnapshotRequests;
 
 use super::Node;
@@ -56,7 +56,7 @@
     nodes: ChangeLog<ObjectEvent>,
     ownership: ChangeLog<Assignment>,
     /// The takeover of this node, if it has taken the coordinator role.
-    take_over: Option<AnnouncedTakeOver>,
+    takeover: Option<AnnouncedTakeover>,
     /// The latest versions, the oldest first.
     configurations: VecDeque<Configuration>,
     /// The datagrams that update a node from an earlier version to the latest one, by that
@@ -83,7 +83,7 @@
             instances: ChangeLog::new(CHANGE_LOG_LENGTH),
             nodes: ChangeLog::new(CHANGE_LOG_LENGTH),
             ownership: ChangeLog::new(OWNERSHIP_LOG_LENGTH),
-            take_over: None,
+            takeover: None,
             configurations: VecDeque::new(),
             configuration_datagrams: HashMap::new(),
             instances_revision: 0,
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -21,7 +21,7 @@
 
 /// The announcement of a node that has taken the coordinator role.
 #[derive(Debug)]
-pub(in crate::node) struct TakeOver {
+pub(in crate::node) struct Takeover {
     /// Revision of the record before the takeover.
     pub(in crate::node) base: u64,
     /// Revision of the record after the takeover.
@@ -35,7 +35,7 @@
 
 /// A takeover announced by this node.
 #[derive(Debug)]
-pub(super) struct AnnouncedTakeOver {
+pub(super) struct AnnouncedTakeover {
     /// Revision of the record before the takeover.
     base: u64,
     /// Revision of the record after the takeover.
@@ -50,10 +50,10 @@
             let changes = self.ownership.since(since, MAX_ASSIGNMENTS);
             changes.map(|changes| datagrams(&changes))
         };
-        match &self.take_over {
-            Some(take_over) if take_over.base == since => {
-                let mut all = vec![take_over.datagram.clone()];
-                all.extend(later(take_over.revision).unwrap_or_default());
+        match &self.takeover {
+            Some(takeover) if takeover.base == since => {
+                let mut all = vec![takeover.datagram.clone()];
+                all.extend(later(takeover.revision).unwrap_or_default());
                 Some(all)
             }
             _ => later(since),
@@ -137,7 +137,7 @@
     }
 
     /// Announces that this node has taken the coordinator role.
-    pub(in crate::node) fn announce_take_over(
+    pub(in crate::node) fn announce_takeover(
         &mut self,
         base: u64,
         before: &OwnershipRecord,
@@ -155,7 +155,7 @@
             digest: self.ownership.record().digest(),
         });
         self.send_to_all(std::slice::from_ref(&took_over), out);
-        self.messaging.relay.take_over = Some(AnnouncedTakeOver {
+        self.messaging.relay.takeover = Some(AnnouncedTakeover {
             base,
             revision,
             datagram: took_over,
@@ -165,9 +165,9 @@
     /// Another node has taken the coordinator role. The new record is derived from the
     /// preceding one. If this node's record doesn't lead to the announced digest, the store is
     /// asked as soon as a heartbeat names the new revision.
-    pub(in crate::node) fn take_over_announced(
+    pub(in crate::node) fn takeover_announced(
         &mut self,
-        take_over: TakeOver,
+        takeover: Takeover,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
@@ -176,24 +176,24 @@
             return;
         }
         let mut before = self.ownership.record().clone();
-        before.next_fence = take_over.first_fence;
+        before.next_fence = takeover.first_fence;
         let record = before.taken_over_by(
-            &take_over.coordinator,
-            era_of(take_over.revision),
+            &takeover.coordinator,
+            era_of(takeover.revision),
             self.settings.protections,
         );
-        let same_digest = record.digest() == take_over.digest;
+        let same_digest = record.digest() == takeover.digest;
         let known = self.ownership.revision().unwrap_or(0);
         if same_digest
             && self
                 .ownership
-                .supersede(take_over.base, take_over.revision, record)
+                .supersede(takeover.base, takeover.revision, record)
         {
             let record = self.ownership.record();
             self.coordination.election.observed(record, now);
             self.reconsider_waiting(now, out);
-        } else if known < take_over.revision {
-            let base = take_over.base;
+        } else if known < takeover.revision {
+            let base = takeover.base;
             let not_followed = Event::TakeOverNotFollowed {
                 base,
                 known,
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -49,8 +49,8 @@
                 let (request, record) = *evidence;
                 self.evidence_stored(request, record, answer, now);
             }
-            Purpose::TakeOver(record) => {
-                self.take_over_answered(record, answer, pending.started, now, out)
+            Purpose::Takeover(record) => {
+                self.takeover_answered(record, answer, pending.started, now, out)
             }
             Purpose::Update => self.update_answered(answer, pending.started, now, out),
             Purpose::Resign => {
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -46,7 +46,7 @@
     /// Watch or list objects of a kind.
     Watch(ObjectKind),
     /// Take over the coordinator role.
-    TakeOver(OwnershipRecord),
+    Takeover(OwnershipRecord),
     /// Write the coordinator's next version of the record.
     Update,
     /// Give up the coordinator role.
@@ -85,7 +85,7 @@
                 ObjectKind::Evacuations => "watch_evacuations",
                 ObjectKind::Quarantine => "watch_quarantine",
             },
-            (Purpose::TakeOver(_), _) => "take_over",
+            (Purpose::Takeover(_), _) => "take_over",
             (Purpose::Update, _) => "update_ownership",
             (Purpose::Resign, _) => "resign",
             (Purpose::Register, _) => "register",
--- a/crates/ledgelead-router/tests/node/fixture.rs
+++ b/crates/ledgelead-router/tests/node/fixture.rs
@@ -48,7 +48,7 @@
 pub struct StoreCopy {
     revision: u64,
     objects: Objects,
-    gone: Vec<(ObjectKind, Object)>,
+    removed: Vec<(ObjectKind, Object)>,
 }
 
 /// The simulated store. Each object has a revision of its own.
@@ -57,7 +57,7 @@
     pub revision: u64,
     pub objects: Objects,
     /// Removed objects with the revision of their removal.
-    gone: Vec<(ObjectKind, Object)>,
+    removed: Vec<(ObjectKind, Object)>,
     /// Whether all calls are refused.
     pub refuses_calls: bool,
     /// Whether answers are held back until `Fixture::deliver_answers`.
@@ -91,7 +91,7 @@
         StoreCopy {
             revision: self.revision,
             objects: self.objects.clone(),
-            gone: self.gone.clone(),
+            removed: self.removed.clone(),
         }
     }
 
@@ -99,7 +99,7 @@
     pub fn restore(&mut self, copy: StoreCopy, era: u64) {
         self.revision = copy.revision;
         self.objects = copy.objects;
-        self.gone = copy.gone;
+        self.removed = copy.removed;
         self.era = Some(era.to_string());
     }
 
@@ -134,7 +134,7 @@
         let object = self.objects.remove(&(kind, name.to_owned()));
         let revision = self.revision;
         let object = object.expect("it is there");
-        self.gone.push((kind, Object { revision, ..object }));
+        self.removed.push((kind, Object { revision, ..object }));
     }
 
     /// Removes all objects of a kind.
@@ -144,7 +144,7 @@
             self.revision += 1;
             let object = self.objects.remove(&name).expect("it is there");
             let revision = self.revision;
-            self.gone.push((kind, Object { revision, ..object }));
+            self.removed.push((kind, Object { revision, ..object }));
         }
     }
 
@@ -289,10 +289,10 @@
     }
 
     fn changes(&self, kind: ObjectKind, since: u64) -> Vec<ObjectEvent> {
-        let of_kind = self.gone.iter().filter(|(of, _)| *of == kind);
-        let gone = of_kind.map(|(_, object)| (object.clone(), true));
+        let of_kind = self.removed.iter().filter(|(of, _)| *of == kind);
+        let removed = of_kind.map(|(_, object)| (object.clone(), true));
         let present = self.of_kind(kind).into_iter().map(|object| (object, false));
-        let all = gone.chain(present);
+        let all = removed.chain(present);
         all.filter(|(object, _)| object.revision > since)
             .map(|(object, gone)| ObjectEvent { object, gone })
             .collect()
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -429,7 +429,7 @@
 #[gtest]
 fn decision_after_the_grant_is_ignored() {
     let mut fixture = node(contended());
-    // The owner is not available at the moment, so that the permit is kept.
+    // The owner is not available at the moment, so that the permit is held.
     fixture.request(KEYED, Some(KEY));
     decide(&mut fixture, PermitVerdict::Granted, 1);
     decide(&mut fixture, PermitVerdict::Refused, 1);
--- a/crates/ledgelead-router/tests/node/rate_limits.rs
+++ b/crates/ledgelead-router/tests/node/rate_limits.rs
@@ -323,7 +323,7 @@
 
 /// Number of tokens that the node grants within 10 s to another one that asks for `instance`
 /// every 100 ms, after 15 s of the same.
-fn granted_tokens(fixture: &mut Fixture, instance: u64, first_replies: bool) -> usize {
+fn granted_tokens(fixture: &mut Fixture, instance: u64, primary_replies: bool) -> usize {
     for step in 0..250 {
         if step == 150 {
             fixture.datagrams.clear();
@@ -338,7 +338,7 @@
             },
         };
         fixture.receive(node_address(2), &token_request);
-        if first_replies && step % 10 == 0 {
+        if primary_replies && step % 10 == 0 {
             let reply = PeerMessage::LimiterProbe { is_reply: true };
             fixture.receive(node_address(1), &reply);
         }
@@ -353,8 +353,8 @@
 }
 
 #[gtest]
-fn second_limiter_grants_a_share_until_the_first_is_lost() {
-    // Finds an instance whose first limiter is node 1, so that this node is the second.
+fn secondary_limiter_grants_a_share_until_the_primary_is_lost() {
+    // Finds an instance whose primary limiter is node 1, so that this node is the secondary one.
     let in_fleet_of_two = || {
         let mut store = owned_store(configuration(1));
         store.remove(ObjectKind::Nodes, "node-002");
@@ -368,10 +368,10 @@
         fixture.sent("limiter_probe") > 0
     };
     let instance = (1..100).find(is_probed).expect("such an instance");
-    let with_first = granted_tokens(&mut in_fleet_of_two(), instance, true);
-    expect_that!(with_first, all!(ge(10), le(14)));
-    let without_first = granted_tokens(&mut in_fleet_of_two(), instance, false);
-    expect_that!(without_first, all!(ge(38), le(44)));
+    let with_primary = granted_tokens(&mut in_fleet_of_two(), instance, true);
+    expect_that!(with_primary, all!(ge(10), le(14)));
+    let without_primary = granted_tokens(&mut in_fleet_of_two(), instance, false);
+    expect_that!(without_primary, all!(ge(38), le(44)));
 }
 
 #[gtest]
