--- a/crates/ledgelead-router/src/node/gossip.rs
+++ b/crates/ledgelead-router/src/node/gossip.rs
@@ -211,7 +211,7 @@
             }
         };
         self.count_received(from, message.kind(), bytes.len());
-        if !message.is_within_bounds() {
+        if !message.is_valid() {
             log::warn!(target: "peers", "datagram from {from}: numbers out of bounds");
             return;
         }
--- a/crates/ledgelead-router/src/ownership/cold_keys.rs
+++ b/crates/ledgelead-router/src/ownership/cold_keys.rs
@@ -1,8 +1,8 @@
-//! Keys whose owner got them without the state of the owner before.
+//! Keys whose owner received them without the state of the previous owner.
 //!
-//! The load it answers: a zone is cut off at a peak, and its keys go to the owners that are
-//! left. Requests for them take a few times the usual work until their state is loaded, so
-//! that they would hold up all others of their new owners.
+//! When a zone is cut off at peak load, its keys move to the remaining owners. Until these
+//! have loaded the state, requests for the keys take several times the usual work and would
+//! delay all other requests of the new owners.
 
 use super::record::{Assignment, OwnershipRecord};
 use crate::Timestamp;
@@ -11,8 +11,8 @@
 use crate::identity::{InstanceId, ServiceName};
 use std::time::Duration;
 
-/// How long requests for such keys take longer: instances load the state of keys that are
-/// asked for within some seconds.
+/// How long such requests take longer: instances load the state of requested keys within some
+/// seconds.
 const WARMUP: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
@@ -22,15 +22,15 @@
     until: Timestamp,
 }
 
-/// All such keys, as far as this node knows.
+/// All cold keys that this node knows of.
 #[derive(Clone, Debug, Default)]
 pub struct ColdKeys {
     ranges: Vec<ColdRange>,
 }
 
 impl ColdKeys {
-    /// The record has changed. An owner that serves or drains hands its keys over; one that
-    /// is gone or unknown was lost with what it held.
+    /// Updates the cold keys after a change of the record. An owner that serves or drains
+    /// hands its keys over; the state of one that is gone or unknown is lost.
     pub fn record_changed(
         &mut self,
         before: &OwnershipRecord,
@@ -52,20 +52,20 @@
         }
     }
 
-    /// Whether a request for a key takes longer now.
+    /// Whether requests for a key currently take longer.
     pub fn contains(&self, service: &ServiceName, key: u16, now: Timestamp) -> bool {
         self.ranges
             .iter()
             .any(|cold| cold.range.contains(key) && cold.until > now && cold.service == *service)
     }
 
-    /// Forgets keys that are warm by now.
+    /// Removes keys that are warm by now.
     pub fn expire(&mut self, now: Timestamp) {
         self.ranges.retain(|cold| cold.until > now);
     }
 }
 
-/// The keys of an assignment, if another owner had some of them and was lost.
+/// The keys of an assignment, if a lost owner had some of them before.
 fn lost_part(
     before: &OwnershipRecord,
     change: &Assignment,
--- a/crates/ledgelead-router/src/ownership/coordinator/mod.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/mod.rs
@@ -28,17 +28,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pause between two plans.
+/// Interval between two plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Numbers exchanges.
+/// Allocates exchange ids.
 #[derive(Debug, Default)]
 pub struct ExchangeIds {
     last: u64,
 }
 
 impl ExchangeIds {
-    /// The next number.
+    /// The next exchange id.
     pub fn next_id(&mut self) -> ExchangeId {
         self.last += 1;
         ExchangeId(self.last)
@@ -48,17 +48,17 @@
 /// An order to be sent.
 #[derive(Clone, Debug)]
 pub struct OutgoingOrder {
-    /// The exchange that carries it.
+    /// The exchange that sends it.
     pub exchange: ExchangeId,
     /// The receiver.
     pub instance: InstanceId,
-    /// Where it is reached.
+    /// The receiver's address.
     pub address: SocketAddr,
     /// The order.
     pub order: Order,
 }
 
-/// What the coordinator wants done.
+/// The result of a step of the coordinator.
 #[derive(Debug, Default)]
 pub struct Commands {
     /// Orders to instances.
@@ -67,7 +67,7 @@
     pub write: Option<OwnershipRecord>,
 }
 
-/// What the coordinator decides with.
+/// The inputs of a decision.
 pub struct Context<'a> {
     /// The time.
     pub now: Timestamp,
@@ -75,86 +75,84 @@
     pub directory: &'a Directory,
     /// The configuration.
     pub configuration: &'a Configuration,
-    /// Rate limits that instances name.
+    /// Rate limits that instances have announced.
     pub limits: &'a KnownLimits,
-    /// Whether the store serves this node, so that a next owner can be written
-    /// down soon.
+    /// Whether the store serves this node, so that a next owner can be recorded soon.
     pub store_serves: bool,
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub mechanisms: Mechanisms,
-    /// Numbers exchanges.
+    /// Allocates exchange ids.
     pub exchanges: &'a mut ExchangeIds,
 }
 
-/// The coordinator.
+/// Assigns keys to instances, and grants, renews and releases them.
 pub struct Coordinator {
     record: OwnershipRecord,
     next_fence: u64,
-    /// A range keeps its place; what is split off it is added at the end.
+    /// A shard keeps its index; shards that are split off are appended.
     shards: Vec<Shard>,
-    /// Places of the ranges whose orders are out.
+    /// Shards with an unanswered order, by exchange.
     orders_out: HashMap<ExchangeId, usize>,
-    /// Changes of the directory by which owners were looked at last, and when they are next
-    /// in any case.
+    /// Change counter of the directory at the last review of all owners, and when the next
+    /// review is due without a change.
     owners_reviewed: Option<u64>,
     next_owner_review: Timestamp,
     loads: BTreeMap<ServiceName, KeyLoad>,
     work: CapacityEstimator,
-    /// The same over several seconds, for services whose owners are contended.
+    /// The same over several seconds, for services with contended instances.
     long_window_loads: BTreeMap<ServiceName, KeyLoad>,
     long_window_work: CapacityEstimator,
     writing: Option<OwnershipRecord>,
     writing_since: Option<Timestamp>,
-    /// When the record may be written again.
+    /// Earliest time of the next write of the record.
     next_write: Timestamp,
     earlier: EarlierAuthority,
-    /// Until when keys may be held by instances that the record doesn't name.
+    /// Until when instances that the record does not name may hold keys.
     unknown_holds_until: Timestamp,
     next_plan: Timestamp,
-    /// When ranges for which no instance had room are looked at again.
+    /// When ranges for which no instance had spare capacity are tried again.
     next_placement: Timestamp,
     unreachable: UnreachableOwners,
-    /// Keys that are asked for more often than their owners can work.
+    /// Keys with more requests than their owners can process.
     overloads: Vec<OverloadedKey>,
     registration_windows: BTreeMap<ServiceName, RegistrationWindow>,
     protections: Protections,
     counters: OwnershipCounters,
 }
 
-/// Until when coordinators before this one may give orders.
+/// Until when earlier coordinators may send orders.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAuthority {
-    /// The one that this coordinator follows. Proof that it has ended makes
-    /// this void.
+    /// The direct predecessor. Ends early if the predecessor is proved to have ended.
     pub predecessor: Timestamp,
-    /// Those before it, as the predecessor wrote it down.
+    /// Coordinators before the predecessor, as recorded by the predecessor.
     pub others: Timestamp,
 }
 
 impl EarlierAuthority {
-    /// When the last of them is over.
+    /// When the last of them ends.
     pub fn end(&self) -> Timestamp {
         self.predecessor.max(self.others)
     }
 }
 
-/// What the coordinator has done, for metrics.
+/// Counters for metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnershipCounters {
-    /// Grants answered.
+    /// Answered grants.
     pub grants: u64,
-    /// Grants without an answer.
+    /// Unanswered grants.
     pub grants_unanswered: u64,
-    /// Releases answered.
+    /// Answered releases.
     pub releases: u64,
-    /// Ranges whose lease was waited out.
+    /// Ranges whose lease expired.
     pub lapses: u64,
     /// Ranges that changed their owner.
     pub moves: u64,
 }
 
 impl Coordinator {
-    /// A coordinator named by this version of the record.
+    /// A coordinator that this version of the record names.
     pub fn new(
         record: OwnershipRecord,
         earlier: EarlierAuthority,
@@ -199,9 +197,9 @@
         }
     }
 
-    /// Until this time any key may be held by an instance that the record doesn't name, since
-    /// versions that followed on it were lost: nobody is granted any. Then they go to the
-    /// owners that it names, or to others where those are gone.
+    /// Grants no keys before this time, since versions of the record were lost and any key may
+    /// be held by an instance that the record does not name. After that, keys go to the
+    /// recorded owners, or to others if those are gone.
     pub fn with_unknown_holds(mut self, until: Timestamp) -> Coordinator {
         self.unknown_holds_until = until;
         for shard in &mut self.shards {
@@ -210,7 +208,7 @@
         self
     }
 
-    /// Whether keys may be held by instances that the record doesn't name.
+    /// Whether instances that the record does not name may hold keys.
     fn has_unknown_holds(&self, now: Timestamp) -> bool {
         now < self.unknown_holds_until
     }
@@ -220,23 +218,22 @@
         self.record.epoch
     }
 
-    /// What has been done.
+    /// Counters for metrics.
     pub fn counters(&self) -> OwnershipCounters {
         self.counters
     }
 
-    /// Keys that are asked for more often than their owners can work, by the last
-    /// plan.
+    /// Keys with more requests than their owners can process, by the last plan.
     pub fn overloads(&self) -> &[OverloadedKey] {
         &self.overloads
     }
 
-    /// The version that is being written, if one is.
+    /// The version that is being written, if any.
     pub fn pending_write(&self) -> Option<&OwnershipRecord> {
         self.writing.as_ref()
     }
 
-    /// The predecessor has ended for certain.
+    /// The predecessor is proved to have ended.
     pub fn predecessor_ended(&mut self, now: Timestamp) {
         if self.earlier.predecessor <= now || self.has_unknown_holds(now) {
             return;
@@ -248,12 +245,12 @@
         }
     }
 
-    /// How long coordinators before this one may go on to give orders.
+    /// How long earlier coordinators may still send orders.
     pub fn earlier_authority(&self, now: Timestamp) -> Duration {
         self.earlier.end().saturating_sub(now)
     }
 
-    /// Requests were seen for these keys.
+    /// Counts requests for these keys.
     pub fn record_load(&mut self, service: &ServiceName, keys: &[u16], now: Timestamp) {
         let load = self
             .loads
@@ -269,14 +266,14 @@
         }
     }
 
-    /// An owner did this work for one node's requests.
+    /// Adds a node's report about an owner.
     pub fn record_work(&mut self, instance: u64, work: WorkSample) {
         self.work.record(instance, work);
         self.long_window_work.record(instance, work);
     }
 
-    /// Decides what is due. Orders must be sent at once or not at all: the
-    /// caller has checked the coordinator's authority for this very moment.
+    /// Decides what is due. Orders must be sent at once or not at all: the caller has checked
+    /// that the coordinator may send orders at this moment.
     pub fn step(&mut self, context: &mut Context<'_>) -> Commands {
         let mut commands = Commands::default();
         if !self.has_unknown_holds(context.now) {
@@ -290,7 +287,7 @@
         commands
     }
 
-    /// When `step` has something to do next.
+    /// When `step` has to be called next.
     pub fn next_step(&self) -> Timestamp {
         let of_shard = |shard: &Shard| match &shard.state {
             State::Held if shard.lease.order.is_some() => None,
@@ -299,9 +296,9 @@
             State::Releasing { order: None, .. } if shard.lease.order.is_some() => None,
             State::Releasing {
                 order: None,
-                next_try,
+                next_attempt,
                 ..
-            } if shard.lease.fenced => Some(*next_try),
+            } if shard.lease.fenced => Some(*next_attempt),
             State::Releasing { order: None, .. } if shard.lease.is_given_up() => {
                 Some(shard.lease.possible_until)
             }
--- a/crates/ledgelead-router/src/ownership/coordinator/orders.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to instances, and their ends.
+//! Orders to instances, and their outcomes.
 
 use super::placement::eligible_instances;
 use super::shard::RELEASE_RETRY;
@@ -11,34 +11,35 @@
 use crate::settings::{MAX_RENEWAL_INTERVAL, RENEWAL_INTERVAL};
 use std::time::Duration;
 
-/// Most orders that are out at once. A coordinator that takes over grants all ranges anew;
-/// sent together, thousands of grants would wait for the processor beyond the time that one
-/// has for its answer.
+/// Maximum number of unanswered orders. After a takeover the coordinator grants all ranges
+/// again; thousands of grants sent at once would wait for the processor beyond the timeout of
+/// a single grant.
 const MAX_ORDERS_OUT: usize = 256;
-/// Pause between two reviews of all owners where nothing has changed: what depends on the
-/// time alone, such as the end of a start-up, may be seen so late.
+/// Interval between two reviews of all owners without a change of the directory. Conditions
+/// that depend on time alone, such as the end of a warm-up, are noticed with this delay.
 const OWNER_REVIEW_INTERVAL: Duration = Duration::from_millis(200);
-/// Renewals a second up to which each range is renewed at the shortest interval. Each is an
-/// exchange with an instance, and a coordinator may have a part of a core.
+/// Renewals per second up to which every range is renewed at the shortest interval. Each
+/// renewal is an exchange with an instance, and the coordinator may have only a part of a
+/// core.
 const RENEWALS_PER_S: u32 = 1_000;
 
 impl Coordinator {
-    /// Releases what has to move, or waits out its lease.
+    /// Releases shards that have to move, or waits until their lease expires.
     ///
-    /// A release goes out only when no grant of this range is on its way, and
-    /// after the owner has answered a grant of this epoch: otherwise a grant
-    /// of this or of an earlier coordinator could take the keys once more.
+    /// A release is sent only when no grant of this range is in transit, and after the owner
+    /// has answered a grant of this epoch. Otherwise a grant of this or of an earlier
+    /// coordinator could arrive after the release and take the keys again.
     pub(super) fn release(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
-        for (place, shard) in self.shards.iter_mut().enumerate() {
+        for (index, shard) in self.shards.iter_mut().enumerate() {
             let State::Releasing {
                 target,
                 order,
-                next_try,
+                next_attempt,
             } = &mut shard.state
             else {
                 continue;
             };
-            if shard.lease.is_over(self.protections, context.now) {
+            if shard.lease.has_expired(self.protections, context.now) {
                 self.counters.lapses += 1;
                 shard.state = State::Free {
                     target: target.take(),
@@ -47,12 +48,12 @@
                 continue;
             }
             let reachable = shard.lease.fenced && shard.lease.order.is_none();
-            if order.is_some() || *next_try > context.now || !reachable {
+            if order.is_some() || *next_attempt > context.now || !reachable {
                 continue;
             }
             if !context.store_serves {
-                // The next owner could not be written down.
-                *next_try = context.now + RELEASE_RETRY;
+                // The next owner could not be recorded.
+                *next_attempt = context.now + RELEASE_RETRY;
                 continue;
             }
             let Some(instance) = shard
@@ -60,14 +61,14 @@
                 .as_ref()
                 .and_then(|id| context.directory.addressee(id))
             else {
-                *next_try = shard.lease.possible_until;
+                *next_attempt = shard.lease.possible_until;
                 continue;
             };
             let exchange = context.exchanges.next_id();
             *order = Some(exchange);
-            self.orders_out.insert(exchange, place);
-            // The token of the next owner, or a lower one: grants of this
-            // range that are still on their way are refused from now on.
+            self.orders_out.insert(exchange, index);
+            // The token of the next owner, or a lower one. It makes the instance reject grants
+            // of this range that are still in transit.
             let fence = self.next_fence;
             commands.orders.push(OutgoingOrder {
                 exchange,
@@ -81,11 +82,11 @@
         }
     }
 
-    /// Grants and renews what is due, what has been due longest first. A range that is to be
-    /// released is granted on only until its owner has answered this coordinator once.
+    /// Sends due grants and renewals, longest overdue first. A range that is to be released is
+    /// granted only until its owner has answered this coordinator once.
     pub(super) fn grant(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
-        for place in self.due_grants(context.now) {
-            let shard = &mut self.shards[place];
+        for index in self.due_grants(context.now) {
+            let shard = &mut self.shards[index];
             let instance = shard
                 .owner
                 .as_ref()
@@ -96,7 +97,7 @@
             };
             let exchange = context.exchanges.next_id();
             shard.lease.granting(exchange);
-            self.orders_out.insert(exchange, place);
+            self.orders_out.insert(exchange, index);
             commands.orders.push(OutgoingOrder {
                 exchange,
                 instance: instance.record.id.clone(),
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Places of the ranges whose grants are due, as many as may be out.
+    /// Indices of shards whose grants are due, limited to `MAX_ORDERS_OUT` unanswered orders.
     fn due_grants(&self, now: Timestamp) -> Vec<usize> {
         let is_due = |shard: &Shard| {
             let wanted = match &shard.state {
@@ -122,26 +123,26 @@
             };
             wanted && shard.lease.order.is_none() && shard.lease.next_grant <= now
         };
-        let places = 0..self.shards.len();
-        let mut due: Vec<usize> = places
-            .filter(|place| is_due(&self.shards[*place]))
+        let indices = 0..self.shards.len();
+        let mut due: Vec<usize> = indices
+            .filter(|index| is_due(&self.shards[*index]))
             .collect();
         let room = MAX_ORDERS_OUT.saturating_sub(self.orders_out.len());
         if due.len() > room {
-            due.sort_by_key(|place| self.shards[*place].lease.next_grant);
+            due.sort_by_key(|index| self.shards[*index].lease.next_grant);
             due.truncate(room);
         }
         due
     }
 
-    /// Time between two grants of a range: longer where there are many.
+    /// Interval between two grants of a range; longer if there are many ranges.
     fn renewal_interval(&self) -> Duration {
         let ranges = u32::try_from(self.shards.len()).unwrap_or(u32::MAX);
         let interval = Duration::from_secs(1).saturating_mul(ranges) / RENEWALS_PER_S;
         interval.clamp(RENEWAL_INTERVAL, MAX_RENEWAL_INTERVAL)
     }
 
-    /// An order ended.
+    /// Handles the outcome of an order.
     pub fn order_ended(
         &mut self,
         exchange: ExchangeId,
@@ -149,8 +150,8 @@
         now: Timestamp,
     ) {
         let interval = self.renewal_interval();
-        let place = self.orders_out.remove(&exchange);
-        let Some(shard) = place.and_then(|place| self.shards.get_mut(place)) else {
+        let index = self.orders_out.remove(&exchange);
+        let Some(shard) = index.and_then(|index| self.shards.get_mut(index)) else {
             return;
         };
         if shard.lease.order == Some(exchange) {
@@ -160,9 +161,9 @@
         }
     }
 
-    /// Keys of owners that leave, are gone, or fell silent have to move. All owners are looked
-    /// at when something has changed in the directory, and now and then; with thousands of
-    /// them that takes milliseconds.
+    /// Releases the keys of owners that leave, are gone or have become unresponsive. All
+    /// owners are reviewed after a change of the directory and at intervals; with thousands of
+    /// owners a review takes milliseconds.
     pub(super) fn replace_lost_owners(&mut self, context: &Context<'_>) {
         let changes = context.directory.changes();
         let is_due = self.next_owner_review <= context.now;
@@ -175,12 +176,12 @@
             let Some(owner) = &shard.owner else {
                 continue;
             };
-            if !reviews_all && !shard.lease.is_silent() {
+            if !reviews_all && !shard.lease.is_unresponsive() {
                 continue;
             }
             if let Some(later) = context.directory.later_life(owner) {
                 if shard.has_order_out() {
-                    // To be looked at again as soon as that has ended.
+                    // Review again as soon as that order has ended.
                     self.owners_reviewed = None;
                 }
                 let later = later.serves().then(|| later.record.id.clone());
@@ -194,24 +195,24 @@
                 Some(instance) => !instance.serves() || must_warm_up(context, instance),
                 None => context.directory.is_settled(context.now),
             };
-            let over = shard.lease.is_over(self.protections, context.now);
-            let lapsed = shard.lease.is_silent() && over;
+            let is_expired = shard.lease.has_expired(self.protections, context.now);
+            let lapsed = shard.lease.is_unresponsive() && is_expired;
             if lapsed {
-                self.unreachable.note(owner, context.now);
+                self.unreachable.record(owner, context.now);
             }
             if matches!(shard.state, State::Held) && (leaving || lapsed) {
                 shard.state = State::Releasing {
                     target: None,
                     order: None,
-                    next_try: context.now,
+                    next_attempt: context.now,
                 };
             }
         }
     }
 }
 
-/// Whether an owner has become cold again and can't bear the requests for its keys,
-/// while others could.
+/// Whether an owner is cold again and cannot process the requests for its keys, while there
+/// are warm instances.
 fn must_warm_up(context: &Context<'_>, instance: &Instance) -> bool {
     let service = &instance.record.service;
     let is_bounded = || {
--- a/crates/ledgelead-router/src/ownership/coordinator/overload.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/overload.rs
@@ -1,4 +1,4 @@
-//! Which keys are asked for more often than their owners can work.
+//! Finds keys with more requests than their owners can process.
 
 use super::Coordinator;
 use crate::identity::ServiceName;
@@ -6,21 +6,22 @@
 use crate::ownership::planner::Candidate;
 use crate::requests::OverloadedKey;
 
-/// Utilisation of an owner by one key from which part of its requests is
-/// refused: by chance, counts of a second reach 1.3 at a capacity of 12 a second.
-const OVERLOAD: f64 = 1.5;
-/// InstanceShare of the owner's capacity that is admitted. Somewhat more than all of it,
-/// so that its slots never wait for the next request.
-const ADMITTED: f64 = 1.1;
-/// InstanceShare of the owner's capacity that such a key gets at least, whatever the
-/// owner's other keys are asked for: those move away.
-const LEAST_LEFT: f64 = 0.3;
-/// Most keys that are announced, those that exceed their owners the most.
+/// Utilisation of an owner by a single key above which part of that key's requests are
+/// refused. At a capacity of 12 a second, random deviation alone makes counts of one second
+/// reach 1.3.
+const OVERLOAD_UTILISATION: f64 = 1.5;
+/// Share of the owner's capacity that is admitted. Slightly above 1, so that its slots never
+/// wait for the next request.
+const ADMITTED_SHARE: f64 = 1.1;
+/// Least share of the owner's capacity that such a key gets, however many requests the owner's
+/// other keys receive: those move away.
+const MIN_SHARE: f64 = 0.3;
+/// Maximum number of announced keys; the ones with the largest excess are kept.
 const MAX_KEYS: usize = 16;
 
 impl Coordinator {
-    /// The overloaded keys of a service: each asks more of its owner than that
-    /// can work on, so that moving its neighbours away wouldn't help.
+    /// The overloaded keys of a service. Each exceeds its owner's capacity by itself, so that
+    /// moving neighbouring keys away would not help.
     pub(super) fn overloaded(
         &self,
         service: &ServiceName,
@@ -39,8 +40,8 @@
     }
 }
 
-/// The key that overloads an owner by itself, if there is one, with its rate
-/// over the capacity that the owner's other keys leave.
+/// The key that overloads an owner by itself, if any, with the ratio of its rate to the
+/// capacity that the owner's other keys leave.
 fn overloaded_key(
     service: &ServiceName,
     owner: &Candidate,
@@ -48,20 +49,20 @@
 ) -> Option<(f64, OverloadedKey)> {
     let rates = owner.ranges.iter().map(|range| load.rate(*range));
     let total: f64 = rates.sum();
-    if total <= owner.capacity * OVERLOAD {
+    if total <= owner.capacity * OVERLOAD_UTILISATION {
         return None;
     }
     let hottest = owner.ranges.iter().map(|range| load.hottest(*range));
     let (key, rate) = hottest.max_by(|(_, left), (_, right)| left.total_cmp(right))?;
-    if rate <= owner.capacity * OVERLOAD {
+    if rate <= owner.capacity * OVERLOAD_UTILISATION {
         return None;
     }
-    let left = (owner.capacity - (total - rate)).max(owner.capacity * LEAST_LEFT);
+    let left = (owner.capacity - (total - rate)).max(owner.capacity * MIN_SHARE);
     let excess = rate / left;
     let key = OverloadedKey {
         service: service.stable_hash(),
         key,
-        admitted_permille: (ADMITTED / excess * 1_000.0).min(1_000.0) as u16,
+        admitted_permille: (ADMITTED_SHARE / excess * 1_000.0).min(1_000.0) as u16,
     };
     Some((excess, key))
 }
--- a/crates/ledgelead-router/src/ownership/coordinator/placement.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/placement.rs
@@ -1,4 +1,4 @@
-//! Who should own what: first owners, moves, the next owner of free keys.
+//! Decides who owns what: initial owners, moves, and next owners of free ranges.
 
 use super::PLAN_INTERVAL;
 use super::shard::{Shard, State};
@@ -17,50 +17,50 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Time without a further instance after which a service's keys get their
-/// first owners, so that not all keys go to the first that registers.
-const FIRST_OWNERS_SETTLED: Duration = Duration::from_millis(1_500);
-/// The most that first owners are waited for.
-const FIRST_OWNERS_MAX_WAIT: Duration = Duration::from_secs(5);
-/// How much longer they are waited for with each that has registered: the store takes some
-/// thousands of registrations a second, those of other services among them.
-const WAIT_A_FIRST_OWNER: Duration = Duration::from_millis(1);
-/// The least that they are waited for once clients ask for keys.
-const FIRST_OWNERS_MIN_WAIT: Duration = Duration::from_millis(500);
-/// Service time assumed of an instance before one was seen.
+/// Time without a new registration after which a service's keys get their initial owners, so
+/// that they do not all go to the instance that registers first.
+const REGISTRATION_SETTLED: Duration = Duration::from_millis(1_500);
+/// Longest wait for initial owners.
+const REGISTRATION_MAX_WAIT: Duration = Duration::from_secs(5);
+/// Additional wait per registered instance: the store accepts some thousands of registrations
+/// a second, including those of other services.
+const REGISTRATION_WAIT_PER_INSTANCE: Duration = Duration::from_millis(1);
+/// Least wait for initial owners once clients send requests for keys.
+const REGISTRATION_MIN_WAIT: Duration = Duration::from_millis(500);
+/// Assumed service time of an instance without samples.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(100);
 
-/// Requests a second that are reckoned with at least, where an instance takes none.
-const LEAST_CAPACITY: f64 = 0.25;
+/// Least capacity, in requests a second, that is assumed for an instance that accepts none.
+const MIN_CAPACITY: f64 = 0.25;
 
-/// What an instance has of a service's keys.
+/// An instance's share of a service's keys.
 #[derive(Clone, Debug, Default)]
 struct InstanceShare {
-    /// Ranges that it holds and that are not on the move.
+    /// Ranges that it holds and that are not being moved.
     ranges: Vec<KeyRange>,
-    /// Requests a second for ranges that are on their way to it.
+    /// Requests a second for ranges that are being moved to it.
     incoming: f64,
-    /// Keys that it owns or that are on their way to it.
+    /// Number of keys that it owns or that are being moved to it.
     keys: u32,
-    /// Whether it has not answered some grant lately.
-    is_silent: bool,
+    /// Whether it has not answered recent grants for some range.
+    is_unresponsive: bool,
 }
 
-/// The first owners of a service's keys as they register.
+/// Registrations of a service's instances before its keys have initial owners.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RegistrationWindow {
-    began: Timestamp,
+    opened_at: Timestamp,
     count: usize,
-    grew: Timestamp,
+    grew_at: Timestamp,
 }
 
 impl RegistrationWindow {
     pub(super) fn is_over(&self, demand: bool, now: Timestamp) -> bool {
-        let waited = now.saturating_sub(self.began);
-        let settled = now >= self.grew + FIRST_OWNERS_SETTLED;
-        let wanted = demand && waited >= FIRST_OWNERS_MIN_WAIT;
+        let waited = now.saturating_sub(self.opened_at);
+        let settled = now >= self.grew_at + REGISTRATION_SETTLED;
+        let wanted = demand && waited >= REGISTRATION_MIN_WAIT;
         let count = u32::try_from(self.count).unwrap_or(u32::MAX);
-        let longest = FIRST_OWNERS_MAX_WAIT + WAIT_A_FIRST_OWNER.saturating_mul(count);
+        let longest = REGISTRATION_MAX_WAIT + REGISTRATION_WAIT_PER_INSTANCE.saturating_mul(count);
         self.count > 0 && (settled || wanted || waited >= longest)
     }
 }
@@ -75,8 +75,8 @@
         self.long_window_work.decay(context.now);
         self.follow_contended(context);
         self.overloads.clear();
-        // A range that is released while the record can't be written is
-        // served by nobody until it can.
+        // A range that is released while the record cannot be written stays without an owner
+        // until it can.
         let moves = context.mechanisms.has(Mechanism::KeyMoves);
         let may_move = moves && context.store_serves && !self.writes_slowly(context.now);
         let services: Vec<ServiceName> = self.loads.keys().cloned().collect();
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Keeps long_window counts for contended services: there the load comes so near to the
-    /// capacity that owners of unequal speed have to be filled evenly.
+    /// Keeps counts over several seconds for contended services: their load comes so close to
+    /// capacity that owners of unequal speed must be filled evenly.
     fn follow_contended(&mut self, context: &Context<'_>) {
         let contended = match context.mechanisms.has(Mechanism::LongWindowBalance) {
             true => {
@@ -156,7 +156,7 @@
         self.candidates_by(context, service, &self.work, self.loads.get(service))
     }
 
-    /// The instances that can own keys of a service, by these counts of work and load.
+    /// The instances that can own keys of a service, by the given counts of work and load.
     fn candidates_by(
         &self,
         context: &Context<'_>,
@@ -184,7 +184,7 @@
                 let assumed = || typical.unwrap_or_else(|| default_capacity(instance));
                 let share = shares.remove(&instance.record.id).unwrap_or_default();
                 let is_unreachable = self.unreachable.contains(&instance.record.id, context.now);
-                let accepts_keys = !share.is_silent && !is_unreachable;
+                let accepts_keys = !share.is_unresponsive && !is_unreachable;
                 Candidate {
                     id: instance.record.id.clone(),
                     capacity: capacity.unwrap_or_else(assumed),
@@ -197,7 +197,7 @@
             .collect()
     }
 
-    /// What each instance has of a service's keys, in one pass over all ranges.
+    /// Each instance's share of a service's keys, in one pass over all shards.
     fn shares(
         &self,
         service: &ServiceName,
@@ -208,7 +208,7 @@
         for shard in self.shards.iter().filter(of_service) {
             if let Some(owner) = &shard.owner {
                 let share = shares.entry(owner.clone()).or_default();
-                share.is_silent |= shard.lease.is_silent();
+                share.is_unresponsive |= shard.lease.is_unresponsive();
                 if matches!(shard.state, State::Held) && shard.lease.fenced {
                     share.ranges.push(shard.range);
                     share.keys += shard.range.len();
@@ -260,13 +260,13 @@
             state: State::Releasing {
                 target: Some(planned.to.clone()),
                 order: None,
-                next_try: now,
+                next_attempt: now,
             },
             ..whole
         };
     }
 
-    /// Ranges without an owner for the services of the configuration.
+    /// Adds shards without an owner for new services of the configuration.
     pub(super) fn cover_services(&mut self, context: &Context<'_>) {
         for service in context.configuration.sharded_services() {
             let covered = self.shards.iter().any(|shard| shard.service == *service);
@@ -280,13 +280,13 @@
                 self.registration_windows
                     .entry(service.clone())
                     .or_insert(RegistrationWindow {
-                        began: context.now,
+                        opened_at: context.now,
                         count: 0,
-                        grew: context.now,
+                        grew_at: context.now,
                     });
             if owners.len() > window.count {
                 window.count = owners.len();
-                window.grew = context.now;
+                window.grew_at = context.now;
             }
             let demand = self.loads.contains_key(service);
             if !window.is_over(demand, context.now) {
@@ -309,8 +309,8 @@
     }
 }
 
-/// The same with no more capacity than the rate limits that they name. What is refused for
-/// one is none of the work that they can do, so other decisions go without.
+/// Caps the capacity of candidates at the rate limits that they have announced. Requests
+/// refused because of a limit are no work for the instance, so other decisions ignore limits.
 pub(super) fn capped_by_rate_limits(
     context: &Context<'_>,
     mut candidates: Vec<Candidate>,
@@ -320,14 +320,14 @@
     }
     for candidate in &mut candidates {
         if let Some(limit) = context.limits.limit(candidate.id.stable_hash()) {
-            let most = limit.per_s().max(LEAST_CAPACITY);
+            let most = limit.per_s().max(MIN_CAPACITY);
             candidate.capacity = candidate.capacity.min(most);
         }
     }
     candidates
 }
 
-/// The instances of a service that keys can be given to.
+/// The instances of a service that can be given keys.
 pub(super) fn eligible_instances<'a>(
     context: &'a Context<'_>,
     service: &'a ServiceName,
@@ -338,13 +338,13 @@
         .filter(|instance| instance.serves())
 }
 
-/// Whether keys of a service can be given to this instance.
+/// Whether this instance can be given keys of a service.
 pub(super) fn is_eligible(context: &Context<'_>, service: &ServiceName, id: &InstanceId) -> bool {
     let instance = context.directory.get(id);
     instance.is_some_and(|instance| instance.serves() && instance.record.service == *service)
 }
 
-/// All keys in ranges of about equal length.
+/// Splits the key space into ranges of about equal length.
 pub(super) fn equal_ranges(count: usize) -> Vec<KeyRange> {
     let all = KeyRange::ALL.len() as usize;
     (0..count)
@@ -361,7 +361,7 @@
     (!values.is_empty()).then(|| sum / values.len() as f64)
 }
 
-/// The capacity of an instance before any was seen.
+/// The assumed capacity of an instance without samples.
 fn default_capacity(instance: &Instance) -> f64 {
     f64::from(instance.record.slots.max(1)) / DEFAULT_SERVICE_TIME.as_secs_f64()
 }
--- a/crates/ledgelead-router/src/ownership/coordinator/shard.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/shard.rs
@@ -1,4 +1,4 @@
-//! A range of keys and where it stands.
+//! A range of keys and the state of its ownership.
 
 use super::OwnershipCounters;
 use crate::Timestamp;
@@ -9,25 +9,25 @@
 use crate::ownership::record::Assignment;
 use std::time::Duration;
 
-/// Pause before a release without an answer is repeated.
+/// Delay before an unanswered release is repeated.
 pub(super) const RELEASE_RETRY: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Debug)]
 pub(super) enum State {
     /// The owner holds the keys, or is being granted them.
     Held,
-    /// The owner gives the keys back.
+    /// The owner is asked to give the keys back.
     Releasing {
         target: Option<InstanceId>,
         order: Option<ExchangeId>,
-        next_try: Timestamp,
+        next_attempt: Timestamp,
     },
-    /// Nobody holds the keys.
+    /// No instance holds the keys.
     Free {
         target: Option<InstanceId>,
         handover: Option<String>,
     },
-    /// The record is being written with the next owner.
+    /// The next owner is being written to the record.
     Assigning {
         owner: InstanceId,
         fence: u64,
@@ -35,7 +35,7 @@
     },
 }
 
-/// A range of keys and where it stands.
+/// A range of keys and the state of its ownership.
 #[derive(Clone, Debug)]
 pub(super) struct Shard {
     pub(super) service: ServiceName,
@@ -59,7 +59,7 @@
         self.lease.order.is_some() || self.release_order().is_some()
     }
 
-    /// The owner that a move leads to, if that is decided.
+    /// The owner after the current move, if decided.
     pub(super) fn next_owner(&self) -> Option<&InstanceId> {
         match &self.state {
             State::Held => (!self.lease.fenced)
@@ -84,10 +84,10 @@
         })
     }
 
-    /// The owner has started again under its name. The later life may have taken any
-    /// grant that was meant for the earlier one, also one that was answered; so the
-    /// lease goes on, except towards the later life itself: it gets the keys under a
-    /// higher token at once, and refuses the others once it has that.
+    /// The owner has restarted under its name. The later incarnation may have received any
+    /// grant that was meant for the earlier one, including answered ones. So the lease stays
+    /// in effect, except for the later incarnation itself: it can get the keys with a higher
+    /// token at once, and then rejects the earlier grants.
     pub(super) fn hand_to_later_incarnation(&mut self, later: Option<InstanceId>, now: Timestamp) {
         if self.has_order_out() {
             return;
@@ -103,20 +103,20 @@
                 self.state = State::Releasing {
                     target: None,
                     order: None,
-                    next_try: now,
+                    next_attempt: now,
                 };
             }
             _ => {}
         }
     }
 
-    /// Nobody is granted the keys before this time, whoever holds them.
+    /// Grants the keys to nobody before this time, whoever holds them.
     pub(super) fn wait_out(&mut self, until: Timestamp) {
         self.lease = Lease::given_up(until);
         self.state = State::Releasing {
             target: self.owner.clone(),
             order: None,
-            next_try: until,
+            next_attempt: until,
         };
     }
 
@@ -132,14 +132,14 @@
         if !self.owner.as_ref().is_some_and(is_earlier_life) {
             return fresh;
         }
-        // What was sent to the earlier life may have reached this one.
+        // Orders to the earlier incarnation may have reached this one.
         Lease {
             possible_until: self.lease.possible_until.max(now),
             ..fresh
         }
     }
 
-    /// A grant ended. One that was answered is renewed after a while.
+    /// Handles the outcome of a grant. An answered one is renewed after `renewed_after`.
     pub(super) fn grant_ended(
         &mut self,
         result: Result<OrderAnswer, ExchangeFailure>,
@@ -153,8 +153,8 @@
                 self.lease.granted(renewed_after, now);
             }
             Ok(OrderAnswer::Fenced) => {
-                // Never repeated under this token: the range gets a higher
-                // one, if this node is still the coordinator.
+                // Never repeated with this token: the range gets a higher one, if this node is
+                // still the coordinator.
                 self.lease.unanswered(false, now);
                 self.state = State::Free {
                     target: self.owner.clone(),
@@ -186,7 +186,7 @@
         let State::Releasing {
             target,
             order,
-            next_try,
+            next_attempt,
         } = &mut self.state
         else {
             return;
@@ -196,7 +196,7 @@
             Ok(OrderAnswer::Done { handover }) => handover,
             Ok(OrderAnswer::OtherInstance) => None,
             Ok(OrderAnswer::Fenced | OrderAnswer::Refused) | Err(_) => {
-                *next_try = now + RELEASE_RETRY;
+                *next_attempt = now + RELEASE_RETRY;
                 return;
             }
         };
--- a/crates/ledgelead-router/src/ownership/coordinator/writes.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/writes.rs
@@ -1,4 +1,4 @@
-//! Versions of the record.
+//! Writes of the ownership record.
 
 use super::placement::{capped_by_rate_limits, is_eligible};
 use super::shard::{Shard, State};
@@ -12,57 +12,59 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Pause between two writes of the record for each of its ranges. The record is written
-/// whole, at some 110 bytes a range, and encoding, sending and storing it takes this share of
-/// the coordinator, its link and the store: 4 MB a second whatever its size.
-const WRITE_PAUSE_A_RANGE: Duration = Duration::from_micros(25);
-/// A write that takes longer tells that the store is slow or lost.
+/// Minimum interval between two writes of the record, per range in it. The record is written
+/// as a whole, at some 110 bytes a range. Encoding, sending and storing it is thereby limited
+/// to 4 MB a second for the coordinator, its link and the store, whatever the size of the
+/// record.
+const WRITE_INTERVAL_PER_RANGE: Duration = Duration::from_micros(25);
+/// A write that takes longer shows that the store is slow or unavailable.
 const SLOW_WRITE: Duration = Duration::from_millis(150);
 
-/// A free range whose next owners are decided.
+/// A free range with its chosen next owners.
 struct DecidedRange {
-    /// Its place among the shards.
+    /// The index of the shard.
     index: usize,
     parts: Vec<RangePlacement>,
-    /// What nobody has room for.
+    /// Parts for which no instance has spare capacity.
     rest: Vec<KeyRange>,
     handover: Option<String>,
 }
 
 impl Coordinator {
-    /// Puts all free ranges under their next owners, in one write.
+    /// Writes the next owners of all free ranges, in one version of the record.
     pub(super) fn begin_write(&mut self, context: &Context<'_>) -> Option<OwnershipRecord> {
         if self.writing.is_some() || context.now < self.next_write {
             return None;
         }
-        let places = self.next_placement <= context.now;
+        let may_place = self.next_placement <= context.now;
         let mut placements: BTreeMap<ServiceName, NextOwners> = BTreeMap::new();
-        let mut given = Vec::new();
+        let mut decided = Vec::new();
         for index in 0..self.shards.len() {
             let State::Free { target, handover } = &self.shards[index].state else {
                 continue;
             };
             let handover = handover.clone();
             let service = self.shards[index].service.clone();
-            let wished = target
+            let preferred = target
                 .clone()
                 .filter(|id| is_eligible(context, &service, id));
-            let over = self.shards[index]
+            let is_expired = self.shards[index]
                 .lease
-                .is_over(self.protections, context.now);
-            if wished.is_none() && !over {
-                // Refused by an owner that left since: it may hold the keys.
+                .has_expired(self.protections, context.now);
+            if preferred.is_none() && !is_expired {
+                // The range was fenced by an owner that has left since and may still hold the
+                // keys.
                 self.shards[index].state = State::Releasing {
                     target: None,
                     order: None,
-                    next_try: context.now,
+                    next_attempt: context.now,
                 };
                 continue;
             }
             let range = self.shards[index].range;
-            let parts = match wished {
+            let parts = match preferred {
                 Some(owner) => vec![RangePlacement { range, owner }],
-                None if !places => continue,
+                None if !may_place => continue,
                 None => {
                     let load = self.loads.get(&service);
                     let next_owners = placements.entry(service.clone()).or_insert_with(|| {
@@ -82,15 +84,15 @@
             if parts.is_empty() {
                 continue;
             }
-            given.push(DecidedRange {
+            decided.push(DecidedRange {
                 index,
                 parts,
                 rest,
                 handover,
             });
         }
-        let changed = !given.is_empty();
-        for range in given {
+        let changed = !decided.is_empty();
+        for range in decided {
             self.divide(range);
         }
         if !changed {
@@ -98,27 +100,27 @@
         }
         let record = self.projected_record(context.now);
         let ranges = u32::try_from(record.assignments.len()).unwrap_or(u32::MAX);
-        self.next_write = context.now + WRITE_PAUSE_A_RANGE.saturating_mul(ranges);
+        self.next_write = context.now + WRITE_INTERVAL_PER_RANGE.saturating_mul(ranges);
         self.writing = Some(record);
         self.writing_since = Some(context.now);
         self.writing.clone()
     }
 
-    /// When free ranges may be written under their next owners, if there are some.
+    /// When next owners of free ranges can be written, if there are any.
     pub(super) fn next_possible_write(&self) -> Option<Timestamp> {
         let is_free = |shard: &Shard| matches!(shard.state, State::Free { .. });
         let waits = self.writing.is_none() && self.shards.iter().any(is_free);
         waits.then_some(self.next_write.max(self.next_placement))
     }
 
-    /// Puts the parts of a free range under their next owners; the rest stays free.
-    fn divide(&mut self, given: DecidedRange) {
+    /// Splits a free range among its next owners; the rest stays free.
+    fn divide(&mut self, decided: DecidedRange) {
         let DecidedRange {
             index,
             parts,
             rest,
             handover,
-        } = given;
+        } = decided;
         let whole = self.shards[index].clone();
         let mut divided = Vec::new();
         for part in parts {
@@ -144,7 +146,7 @@
         self.shards.extend(divided);
     }
 
-    /// The record as it stands once all writes that are decided are done.
+    /// The record after all pending assignments.
     pub(super) fn projected_record(&self, now: Timestamp) -> OwnershipRecord {
         let mut assignments: Vec<Assignment> =
             self.shards.iter().filter_map(Shard::projected).collect();
@@ -170,7 +172,7 @@
         record
     }
 
-    /// Whether a write has been out for longer than writes take.
+    /// Whether the current write takes longer than usual.
     pub(super) fn writes_slowly(&self, now: Timestamp) -> bool {
         self.writing_since
             .is_some_and(|since| since + SLOW_WRITE <= now)
@@ -182,7 +184,7 @@
             return;
         };
         self.writing_since = None;
-        // A next owner may have begun to leave meanwhile.
+        // A next owner may have begun to leave since.
         self.owners_reviewed = None;
         self.record = record;
         for shard in &mut self.shards {
@@ -211,7 +213,7 @@
     }
 }
 
-/// Whether the second assignment only continues the first.
+/// Whether the second assignment directly continues the first.
 fn continues(first: &Assignment, second: &Assignment) -> bool {
     first.service == second.service
         && first.owner == second.owner
--- a/crates/ledgelead-router/src/ownership/election.rs
+++ b/crates/ledgelead-router/src/ownership/election.rs
@@ -1,7 +1,7 @@
-//! When a node takes the coordinator's place.
+//! When a node tries to become the coordinator.
 //!
-//! Only a conditional write to the record makes a coordinator, so the rules
-//! here decide how fast and how often that is tried, not who is safe.
+//! Only a conditional write to the record makes a node the coordinator. The rules here only
+//! affect how soon and how often that is attempted, not safety.
 
 use super::record::OwnershipRecord;
 use crate::Timestamp;
@@ -10,16 +10,16 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Silence of the coordinator after which the first node tries to follow it.
+/// Time without a heartbeat after which the node with rank 0 tries to take over.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How much longer each further node waits.
+/// Additional delay per rank.
 const RANK_DELAY: Duration = Duration::from_millis(120);
-/// The most that a read of the record before a try is waited for.
+/// Longest wait for a read of the record before an attempt.
 const CONFIRM_PAUSE: Duration = Duration::from_millis(700);
-/// The most that a node waits for those before it.
+/// Upper bound for the delay by rank.
 const MAX_RANK_DELAY: Duration = Duration::from_millis(1_500);
 
-/// What a node has heard of the coordinator.
+/// When the coordinator was last heard, and when to try next.
 #[derive(Debug, Default)]
 pub struct Election {
     last_heard: Timestamp,
@@ -29,7 +29,8 @@
 }
 
 impl Election {
-    /// The coordinator of this epoch was heard, and the store serves it.
+    /// A heartbeat of the coordinator of this epoch arrived, and the store serves that
+    /// coordinator.
     pub fn heard(&mut self, epoch: u64, now: Timestamp) {
         if epoch >= self.epoch {
             self.epoch = epoch;
@@ -37,14 +38,14 @@
         }
     }
 
-    /// The nodes were listed for the first time: from now on each knows its rank
-    /// and leaves those before it their time.
+    /// The nodes were listed for the first time: from now on each node knows its rank and
+    /// gives lower ranks time to act first.
     pub fn nodes_listed(&mut self, now: Timestamp) {
         self.last_heard = self.last_heard.max(now);
     }
 
-    /// A version of the record with a new coordinator is known; it gets its
-    /// time to be heard.
+    /// A version of the record with a new coordinator is known; that coordinator gets time for
+    /// its first heartbeat.
     pub fn observed(&mut self, record: &OwnershipRecord, now: Timestamp) {
         if record.epoch > self.epoch {
             self.epoch = record.epoch;
@@ -52,10 +53,10 @@
         }
     }
 
-    /// When this node should try, unless it hears from the coordinator before.
-    /// `served_since` is when the store began to serve this node: after an outage
-    /// in which the coordinator was lost, those that come first get their time
-    /// too, else whichever node notices first would coordinate.
+    /// When this node should try, unless it hears from the coordinator before. `served_since`
+    /// is when the store began to serve this node: after an outage in which the coordinator
+    /// was lost, the delay by rank counts from there. Otherwise any node that notices the
+    /// recovery first would become the coordinator.
     pub fn due(&self, record: &OwnershipRecord, rank: usize, served_since: Timestamp) -> Timestamp {
         let delay = RANK_DELAY
             .saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX))
@@ -70,7 +71,7 @@
         (begin + delay).max(self.next_try)
     }
 
-    /// The record has to be read before a try.
+    /// The record has to be read before an attempt.
     pub fn tried_unconfirmed(&mut self, now: Timestamp) {
         self.confirming = true;
         self.next_try = now + CONFIRM_PAUSE;
@@ -84,22 +85,22 @@
         }
     }
 
-    /// When a node should try whose own earlier life is the coordinator that the
-    /// record names: at once, since nobody else knows as early that it has ended.
+    /// When to try if the record names an earlier incarnation of this node as coordinator: at
+    /// once, since no other node knows as early that it has ended.
     pub fn due_after_own_restart(&self) -> Timestamp {
         self.next_try
     }
 
-    /// A try was made; the next one waits.
+    /// An attempt was made; the next one has to wait.
     pub fn tried(&mut self, now: Timestamp) {
         self.next_try = now + ELECTION_TIMEOUT;
     }
 }
 
-/// The place of a node among those that may follow. Those with the largest
-/// share of a processor come first, since the coordinator's work grows with the
-/// deployment; among equal ones, the nodes in their order, counted from behind
-/// the coordinator, so that not the same node follows each time.
+/// The rank of a node among the candidates. Nodes with the largest share of a processor come
+/// first, since the coordinator's work grows with the deployment. Nodes with equal shares are
+/// ordered by name, starting after the current coordinator, so that the role does not always
+/// go to the same node.
 pub fn rank<'a>(
     this: &'a NodeName,
     coordinator: Option<&'a NodeIdentity>,
--- a/crates/ledgelead-router/src/ownership/lease.rs
+++ b/crates/ledgelead-router/src/ownership/lease.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of one assignment's grant at its owner.
+//! The coordinator's knowledge of one assignment's grant at its owner.
 
 use crate::Timestamp;
 use crate::io::ExchangeId;
@@ -6,41 +6,40 @@
 use crate::settings::{ORDER_TRANSIT, longest_hold};
 use std::time::Duration;
 
-/// Pause before a grant without an answer is repeated. The same grant again
-/// is a renewal, and an answer to it proves that the owner has this token.
+/// Delay before an unanswered grant is repeated. Repeating the same grant acts as a renewal,
+/// and an answer to it proves that the owner has this token.
 const REPEAT_AFTER_FAILURE: Duration = Duration::from_millis(250);
-/// Grants without an answer in a row after which the owner counts as silent.
-const SILENT_AFTER: u32 = 2;
-/// Grants without an answer in a row after which the owner is not granted its keys
-/// any more: each may have arrived and would hold them for longer. Where half of
-/// all answers are lost, one grant in 64 meets that.
+/// Consecutive unanswered grants after which the owner counts as unresponsive.
+const UNRESPONSIVE_AFTER: u32 = 2;
+/// Consecutive unanswered grants after which the owner gets no further grants for its keys:
+/// each one may have arrived and would extend the hold. If half of all answers are lost, one
+/// grant in 64 reaches this limit.
 const GIVEN_UP_AFTER: u32 = 6;
 
 /// The state of a grant.
 ///
-/// Invariant: the owner can't hold the keys by an order of this coordinator,
-/// or of an earlier one, after `possible_until`, but for orders that the
-/// platform itself carries out late. It only moves forward while grants are
-/// sent, and ends early only by a release that was answered.
+/// Invariant: the owner cannot hold the keys by an order of this or an earlier coordinator
+/// after `possible_until`, except by orders that the platform itself executes late. It only
+/// moves forward while grants are sent, and moves back only by an answered release.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    /// The end of the longest hold that any order sent can have begun.
+    /// The latest end of a hold that any sent order can have started.
     pub possible_until: Timestamp,
-    /// Whether the owner answered a grant under this token, so that orders
-    /// under lower ones are refused there.
+    /// Whether the owner has answered a grant with this token, so that it rejects orders with
+    /// lower ones.
     pub fenced: bool,
-    /// The order that is out.
+    /// The order that has no answer yet.
     pub order: Option<ExchangeId>,
     /// When the next grant is due.
     pub next_grant: Timestamp,
-    /// Grants without an answer since the last answer.
+    /// Consecutive unanswered grants.
     pub failures: u32,
-    /// State handed over by the last owner, until the first answer.
+    /// State from the previous owner; kept until the first answered grant.
     pub handover: Option<String>,
 }
 
 impl Lease {
-    /// A lease of an assignment that nobody can hold yet.
+    /// A lease of an assignment that no instance can hold yet.
     pub fn fresh(now: Timestamp, handover: Option<String>) -> Lease {
         Lease {
             possible_until: now,
@@ -52,8 +51,8 @@
         }
     }
 
-    /// A lease of an assignment that an earlier coordinator may have granted
-    /// until `authority_end`. It may have been killed with grants on their way.
+    /// A lease of an assignment that an earlier coordinator may have granted until
+    /// `authority_end`. That coordinator may have been killed with grants in transit.
     pub fn inherited(now: Timestamp, authority_end: Timestamp) -> Lease {
         Lease {
             possible_until: authority_end + ORDER_TRANSIT + longest_hold(),
@@ -61,7 +60,7 @@
         }
     }
 
-    /// A lease that is waited out: its owner is granted nothing more.
+    /// A lease that is left to expire: its owner gets no further grants.
     pub fn given_up(possible_until: Timestamp) -> Lease {
         Lease {
             possible_until,
@@ -70,14 +69,14 @@
         }
     }
 
-    /// A grant is sent. Until its end is known the lease is not over; whether
-    /// it moves the end is told by `granted` or `unanswered`.
+    /// A grant is sent. The lease does not expire until the outcome is known; `granted` or
+    /// `unanswered` then set the new end.
     pub fn granting(&mut self, order: ExchangeId) {
         self.order = Some(order);
     }
 
-    /// A grant was answered, which is renewed after a while: the earlier coordinator can't
-    /// renew any more.
+    /// A grant was answered; it is renewed after `renewed_after`. From now on an earlier
+    /// coordinator cannot renew its grants.
     pub fn granted(&mut self, renewed_after: Duration, now: Timestamp) {
         self.order = None;
         self.fenced = true;
@@ -87,7 +86,7 @@
         self.possible_until = now + longest_hold();
     }
 
-    /// A grant got no answer; it may have arrived until now.
+    /// A grant got no answer; it may have arrived at any time until now.
     pub fn unanswered(&mut self, sent: bool, now: Timestamp) {
         self.order = None;
         self.failures += 1;
@@ -97,18 +96,18 @@
         }
     }
 
-    /// Whether the owner can't hold the keys any more.
-    pub fn is_over(&self, protections: Protections, now: Timestamp) -> bool {
-        let waits = protections.has(Protection::LeaseWait) || !self.is_silent();
+    /// Whether the owner can no longer hold the keys.
+    pub fn has_expired(&self, protections: Protections, now: Timestamp) -> bool {
+        let waits = protections.has(Protection::LeaseWait) || !self.is_unresponsive();
         (self.possible_until <= now && self.order.is_none()) || !waits
     }
 
-    /// Whether the owner has not answered lately.
-    pub fn is_silent(&self) -> bool {
-        self.failures >= SILENT_AFTER
+    /// Whether the owner has not answered recent grants.
+    pub fn is_unresponsive(&self) -> bool {
+        self.failures >= UNRESPONSIVE_AFTER
     }
 
-    /// Whether the owner is granted the keys no more, so that the lease ends.
+    /// Whether the owner gets no further grants, so that the lease expires.
     pub fn is_given_up(&self) -> bool {
         self.failures >= GIVEN_UP_AFTER
     }
--- a/crates/ledgelead-router/src/ownership/mod.rs
+++ b/crates/ledgelead-router/src/ownership/mod.rs
@@ -1,9 +1,9 @@
 //! Which instance owns which keys.
 //!
-//! One record in the store says it. A range of keys changes its owner only by
-//! a conditional write to that record; a coordinator, named in the record
-//! under an epoch, alone gives orders to instances. See
-//! `docs/design/platform.md` for the inequality that keeps owners single.
+//! A single record in the store assigns ranges of keys to owners. A range changes its owner
+//! only by a conditional write to that record. Only the coordinator, which the record names
+//! together with an epoch, sends orders to instances. See `docs/design/platform.md` for the
+//! inequality that guarantees a single owner per key.
 
 pub mod cold_keys;
 pub mod coordinator;
--- a/crates/ledgelead-router/src/ownership/next_owner.rs
+++ b/crates/ledgelead-router/src/ownership/next_owner.rs
@@ -1,44 +1,44 @@
-//! Next owners for ranges that nobody holds.
+//! Chooses next owners for ranges that no instance holds.
 
 use super::load::KeyLoad;
 use super::planner::Candidate;
 use crate::dialect::KeyRange;
 use crate::identity::InstanceId;
 
-/// Utilisation up to which an instance is given ranges. Somewhat above all that it
-/// can work on, since rates and capacities are estimates; beyond, one range more
-/// would take the time of those that it serves.
+/// Utilisation up to which an instance is given ranges. It is above 1 because rates and
+/// capacities are estimates; beyond it, a further range would take time from the ranges that
+/// the instance already serves.
 const MAX_PLACED_UTILISATION: f64 = 1.2;
-/// The same as a multiple of the mean utilisation, where that is higher: what all
-/// instances together can't bear is shared by them, not left to nobody.
+/// The same as a multiple of the mean utilisation, where that is higher: load that exceeds the
+/// capacity of all instances is shared among them instead of staying without an owner.
 const MAX_PLACED_IMBALANCE: f64 = 1.5;
-/// Least part of an instance's capacity that a part of a range is cut off for.
+/// Least share of an instance's capacity for which a range is split.
 const MIN_SPARE_SHARE: f64 = 0.05;
 
-/// An instance that ranges can be given to.
+/// An instance that can be given ranges.
 #[derive(Clone, Debug)]
 struct EligibleInstance {
     id: InstanceId,
     capacity: f64,
-    /// Requests a second for all keys that it has or is to get.
+    /// Requests a second for all keys that it has or is about to get.
     rate: f64,
     keys: u32,
 }
 
 impl EligibleInstance {
     fn utilisation_with(&self, rate: f64) -> f64 {
-        // Without any known load, keys count.
+        // Without any known load, the number of keys decides.
         let tie = f64::from(self.keys) * 1e-9;
         (self.rate + rate) / self.capacity + tie
     }
 
-    /// Requests a second that it can take up to a utilisation.
+    /// Requests a second that it can still take up to a utilisation.
     fn spare_capacity(&self, utilisation: f64) -> f64 {
         utilisation * self.capacity - self.rate
     }
 }
 
-/// A part of a free range, and who gets it.
+/// A part of a free range, and its next owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RangePlacement {
     /// The keys.
@@ -47,17 +47,17 @@
     pub owner: InstanceId,
 }
 
-/// The instances of a service that can be given free ranges at one moment.
+/// The instances of a service that can currently be given free ranges.
 #[derive(Clone)]
 pub struct NextOwners<'a> {
     instances: Vec<EligibleInstance>,
     load: Option<&'a KeyLoad>,
-    /// Up to which utilisation they are given ranges.
+    /// Utilisation up to which instances are given ranges.
     max_utilisation: f64,
 }
 
 impl<'a> NextOwners<'a> {
-    /// Those that take keys, or all where none does. Without a `load` none is known.
+    /// Instances that accept keys, or all if none does. `load` is none while no load is known.
     pub fn new(candidates: Vec<Candidate>, load: Option<&'a KeyLoad>) -> NextOwners<'a> {
         let any_accepts = candidates.iter().any(|candidate| candidate.accepts_keys);
         let rate = |range: &KeyRange| load.map_or(0.0, |load| load.rate(*range));
@@ -81,10 +81,9 @@
         }
     }
 
-    /// Gives a free range to the instances that are least utilised, in parts where it
-    /// is more than one of them can bear. What is left over stays free until there is
-    /// room. A single key that is too much for any instance goes to the one that is
-    /// least utilised.
+    /// Assigns a free range to the least utilised instances, in parts if it exceeds the spare
+    /// capacity of one. The remainder stays free until there is spare capacity. A single key
+    /// that exceeds the spare capacity of every instance goes to the least utilised one.
     pub fn assign(&mut self, range: KeyRange) -> Vec<RangePlacement> {
         let mut parts = Vec::new();
         let mut left = Some(range);
@@ -111,15 +110,15 @@
         self.load.map_or(0.0, |load| load.rate(range))
     }
 
-    /// The one that is least utilised with this many requests a second more.
+    /// The instance with the least utilisation after adding this many requests a second.
     fn least_utilised(&self, rate: f64) -> Option<usize> {
-        let utilisation = |place: &usize| self.instances[*place].utilisation_with(rate);
-        let places = 0..self.instances.len();
-        places.min_by(|left, right| utilisation(left).total_cmp(&utilisation(right)))
+        let utilisation = |index: &usize| self.instances[*index].utilisation_with(rate);
+        let indices = 0..self.instances.len();
+        indices.min_by(|left, right| utilisation(left).total_cmp(&utilisation(right)))
     }
 
-    /// The front of a range that carries no more than `room`, one key at least, and
-    /// the rest.
+    /// Splits a range into a prefix that receives no more than `room` requests a second, but
+    /// has at least one key, and the rest.
     fn front(&self, range: KeyRange, room: f64) -> (KeyRange, Option<KeyRange>) {
         let single = KeyRange {
             last: range.first,
@@ -131,9 +130,9 @@
         (front, range.without(front).pop())
     }
 
-    fn give(&mut self, place: usize, range: KeyRange) -> RangePlacement {
+    fn give(&mut self, index: usize, range: KeyRange) -> RangePlacement {
         let rate = self.rate(range);
-        let instance = &mut self.instances[place];
+        let instance = &mut self.instances[index];
         instance.rate += rate;
         instance.keys += range.len();
         RangePlacement {
--- a/crates/ledgelead-router/src/ownership/planner.rs
+++ b/crates/ledgelead-router/src/ownership/planner.rs
@@ -1,33 +1,33 @@
-//! Which keys should move to even out the load.
+//! Plans which keys move to balance the load.
 //!
-//! Moves cost little compared with an instance whose queue grows, so a part of
-//! the busiest instance's keys moves as soon as the instance nears its
-//! capacity and another is well below it. Below that, nothing moves.
+//! A move costs little compared to an instance with a growing queue. So a part of the busiest
+//! instance's keys moves as soon as that instance approaches its capacity and another is well
+//! below its own. Otherwise nothing moves.
 
 use super::load::KeyLoad;
 use crate::dialect::KeyRange;
 use crate::identity::InstanceId;
 
-/// Utilisation above which keys are moved away.
+/// Least utilisation at which keys are moved away.
 const BUSY_UTILISATION: f64 = 0.5;
-/// By how much the busiest has to stand above the mean.
-const IMBALANCE: f64 = 1.25;
-/// The same by counts of several seconds, which tell lasting differences from chance: near
-/// capacity, a tenth too much is what waits.
-const LONG_WINDOW_IMBALANCE: f64 = 1.08;
-/// Seconds of requests that a rate rests on: few requests may be many by
-/// chance.
-const COUNTED_SECONDS: f64 = 1.8;
-/// The same for long_window counts.
+/// Least ratio of an instance's utilisation to the mean at which keys are moved away.
+const MIN_IMBALANCE: f64 = 1.25;
+/// The same for counts over several seconds, which separate lasting differences from random
+/// ones. Near capacity, a tenth too much load is enough to build up a queue.
+const LONG_WINDOW_MIN_IMBALANCE: f64 = 1.08;
+/// Seconds of requests that a rate covers; a rate from few requests has a large random
+/// deviation.
+const WINDOW_SECONDS: f64 = 1.8;
+/// The same for counts over several seconds.
 const LONG_WINDOW_SECONDS: f64 = 9.8;
-/// Up to which an instance is filled at once, where the mean is lower.
+/// Utilisation up to which a target is filled at once, if the mean is lower.
 const FILLED_UTILISATION: f64 = 0.7;
-/// Smallest part of an instance's capacity worth a move.
-const SMALLEST_MOVE: f64 = 0.1;
-/// Share of the source's utilisation that the busier of the two may have after
-/// a move, for the move to be worth it.
-const WORTHWHILE: f64 = 0.9;
-/// Most moves planned at once.
+/// Least share of the target's capacity that is worth a move.
+const MIN_MOVE_SHARE: f64 = 0.1;
+/// A move must reduce the higher utilisation of source and target to at most this share of the
+/// source's utilisation before the move.
+const MAX_REMAINING_UTILISATION: f64 = 0.9;
+/// Maximum number of moves per plan.
 const MAX_MOVES: usize = 16;
 
 /// An instance that can own keys.
@@ -35,35 +35,36 @@
 pub struct Candidate {
     /// The instance.
     pub id: InstanceId,
-    /// Requests a second that it can work on.
+    /// Requests a second that it can process.
     pub capacity: f64,
-    /// Its ranges that are not on the move.
+    /// Its ranges that are not being moved.
     pub ranges: Vec<KeyRange>,
     /// Whether keys may move to it.
     pub accepts_keys: bool,
-    /// Requests a second of keys on their way to it.
+    /// Requests a second for keys that are being moved to it.
     pub incoming: f64,
-    /// Keys that it owns or that are on their way to it.
+    /// Number of keys that it owns or that are being moved to it.
     pub keys: u32,
 }
 
-/// How moves are planned.
+/// Parameters of a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanSettings {
-    /// Whether an owner counts as busy only beyond the chance in its counts.
+    /// Whether the random deviation of the counts is subtracted before an owner counts as
+    /// busy.
     pub noise_margin: bool,
-    /// By how much an owner has to stand above the mean.
-    pub imbalance: f64,
-    /// Seconds of requests that rates rest on.
-    pub counted_seconds: f64,
+    /// Least ratio of an owner's utilisation to the mean.
+    pub min_imbalance: f64,
+    /// Seconds of requests that the rates cover.
+    pub window_seconds: f64,
 }
 
 impl PlanSettings {
-    /// For counts that stand for several seconds.
+    /// For counts that cover several seconds.
     pub fn long_window() -> PlanSettings {
         PlanSettings {
-            imbalance: LONG_WINDOW_IMBALANCE,
-            counted_seconds: LONG_WINDOW_SECONDS,
+            min_imbalance: LONG_WINDOW_MIN_IMBALANCE,
+            window_seconds: LONG_WINDOW_SECONDS,
             ..PlanSettings::default()
         }
     }
@@ -73,8 +74,8 @@
     fn default() -> PlanSettings {
         PlanSettings {
             noise_margin: true,
-            imbalance: IMBALANCE,
-            counted_seconds: COUNTED_SECONDS,
+            min_imbalance: MIN_IMBALANCE,
+            window_seconds: WINDOW_SECONDS,
         }
     }
 }
@@ -82,11 +83,11 @@
 /// A range that should change its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedMove {
-    /// The owner.
+    /// The current owner.
     pub from: InstanceId,
     /// The next owner.
     pub to: InstanceId,
-    /// The keys, a part of one of the owner's ranges.
+    /// The keys; a part of one of the owner's ranges.
     pub range: KeyRange,
 }
 
@@ -100,25 +101,25 @@
         self.utilisation_with(0.0)
     }
 
-    /// The utilisation that is there even if chance has raised the rate by its
-    /// standard deviation, counts being Poisson.
-    fn certain_utilisation(&self, counted_seconds: f64) -> f64 {
-        let deviation = (self.rate.max(0.0) / counted_seconds).sqrt();
+    /// The utilisation less the standard deviation of the rate, with Poisson-distributed
+    /// counts.
+    fn utilisation_lower_bound(&self, window_seconds: f64) -> f64 {
+        let deviation = (self.rate.max(0.0) / window_seconds).sqrt();
         self.utilisation_with(-deviation)
     }
 
-    /// The utilisation with this many requests a second more, or less.
+    /// The utilisation after a change by this many requests a second.
     fn utilisation_with(&self, change: f64) -> f64 {
         (self.rate + self.candidate.incoming + change) / self.candidate.capacity
     }
 
-    /// Requests a second that it can take before it counts as filled.
+    /// Requests a second that it can take up to `FILLED_UTILISATION`.
     fn free_capacity(&self) -> f64 {
         (FILLED_UTILISATION - self.utilisation()) * self.candidate.capacity
     }
 }
 
-/// The moves that are worth their price now.
+/// All moves that are currently worthwhile.
 pub fn plan(
     candidates: Vec<Candidate>,
     load: &KeyLoad,
@@ -141,7 +142,7 @@
     moves
 }
 
-/// The next move from the busiest instance that has a part to give.
+/// The next move, from the busiest instance that has a suitable part.
 fn next_move(
     instances: &mut [InstanceState],
     load: &KeyLoad,
@@ -167,11 +168,11 @@
         .filter(|index| {
             let instance = &instances[*index];
             let busy = if settings.noise_margin {
-                instance.certain_utilisation(settings.counted_seconds)
+                instance.utilisation_lower_bound(settings.window_seconds)
             } else {
                 instance.utilisation()
             };
-            busy > BUSY_UTILISATION.max(mean * settings.imbalance)
+            busy > BUSY_UTILISATION.max(mean * settings.min_imbalance)
         })
         .collect();
     sources.sort_by(|left, right| {
@@ -197,9 +198,8 @@
     })
 }
 
-/// Requests a second that should go from one instance to the other, if that
-/// is worth a move: no more than evens out the two, and no more than fills the
-/// other up to a moderate load.
+/// Requests a second that should move from `source` to `target`, if that is worth a move: at
+/// most what evens out the two, and at most what fills the target to a moderate load.
 fn amount_to_move(source: &InstanceState, target: &InstanceState, mean: f64) -> Option<f64> {
     let capacity = target.candidate.capacity;
     let high = source.utilisation();
@@ -208,34 +208,34 @@
     let even = (high - low) / 2.0 * capacity;
     let filled = (mean.max(FILLED_UTILISATION) - low) * capacity;
     let amount = excess.min(even).min(filled);
-    (amount >= SMALLEST_MOVE * capacity).then_some(amount)
+    (amount >= MIN_MOVE_SHARE * capacity).then_some(amount)
 }
 
-/// A part of a range and what it carries.
+/// A part of a range and its request rate.
 #[derive(Clone, Copy, Debug)]
 struct Part {
-    /// The place of the range among its owner's.
+    /// The index of the range among its owner's ranges.
     position: usize,
     range: KeyRange,
     rate: f64,
 }
 
-/// The part of one of the source's ranges after whose move the busier of the
-/// two is least busy, if that is worth it; of equal ones the one with the
-/// fewest keys.
+/// The part of one of the source's ranges whose move leaves the lowest maximum of both
+/// utilisations, if that is a worthwhile reduction; among equal ones the part with the fewest
+/// keys.
 fn best_part(
     source: &InstanceState,
     target: &InstanceState,
     amount: f64,
     load: &KeyLoad,
 ) -> Option<Part> {
-    let busier = |part: &Part| {
+    let max_utilisation = |part: &Part| {
         let left = source.utilisation_with(-part.rate);
         left.max(target.utilisation_with(part.rate))
     };
-    let enough = source.utilisation() * WORTHWHILE;
-    let least = SMALLEST_MOVE * target.candidate.capacity;
-    let fits = |part: &Part| part.rate >= least && busier(part) <= enough;
+    let enough = source.utilisation() * MAX_REMAINING_UTILISATION;
+    let least = MIN_MOVE_SHARE * target.candidate.capacity;
+    let fits = |part: &Part| part.rate >= least && max_utilisation(part) <= enough;
     source
         .candidate
         .ranges
@@ -244,12 +244,12 @@
         .flat_map(|(position, range)| parts_of(position, *range, amount, load))
         .filter(fits)
         .min_by(|left, right| {
-            let by_load = busier(left).total_cmp(&busier(right));
+            let by_load = max_utilisation(left).total_cmp(&max_utilisation(right));
             by_load.then(left.range.len().cmp(&right.range.len()))
         })
 }
 
-/// The whole range, and parts at both of its ends that carry about `amount`.
+/// The whole range, and prefixes and suffixes of it that receive about `amount`.
 fn parts_of(position: usize, range: KeyRange, amount: f64, load: &KeyLoad) -> Vec<Part> {
     let mut parts = vec![(range, load.rate(range))];
     parts.extend(load.cuts(range, amount, true));
--- a/crates/ledgelead-router/src/ownership/record.rs
+++ b/crates/ledgelead-router/src/ownership/record.rs
@@ -1,4 +1,4 @@
-//! The durable record of ownership.
+//! The ownership record that is kept in the store.
 
 use crate::dialect::KeyRange;
 use crate::identity::{InstanceId, NodeIdentity, ServiceName};
@@ -19,12 +19,12 @@
     pub last: u16,
     /// The owner.
     pub owner: InstanceId,
-    /// The fencing token of the owner's grant.
+    /// The fencing token of the grant to the owner.
     pub fence: u64,
 }
 
 impl Assignment {
-    /// What is left of this assignment beside another one.
+    /// The parts of this assignment that do not overlap `other`.
     fn without(self, other: &Assignment) -> Vec<Assignment> {
         if self.service != other.service {
             return vec![self];
@@ -47,34 +47,35 @@
     }
 }
 
-/// Who coordinates, and who owns what.
+/// The coordinator and the owners of all keys.
 ///
-/// Invariant: no coordinator before the one named here gives orders for longer
-/// than `earlier_authority_ms` after this version was written, whichever it
-/// was; so a successor knows how long grants of any of them may go on.
+/// Invariant: no coordinator before the one named here sends orders for longer than
+/// `earlier_authority_ms` after this version was written. This bounds for a successor how long
+/// grants of any earlier coordinator can remain in effect.
 ///
-/// Invariant: the assignments of a service don't overlap, and `next_fence` is
-/// above every fencing token that was ever granted. Both hold in every version
-/// of the record, so that a coordinator that knows nothing else can go on.
+/// Invariant: the assignments of a service do not overlap, and `next_fence` is above every
+/// fencing token that was ever granted. Both hold in every version of the record, so a
+/// coordinator can continue from the record alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnershipRecord {
-    /// Rises with each change of the coordinator.
+    /// Increases with each change of the coordinator.
     pub epoch: u64,
-    /// The coordinator; none after it resigned.
+    /// The coordinator; none after it has resigned.
     pub coordinator: Option<NodeIdentity>,
-    /// How long, in milliseconds from the write of this version, coordinators
-    /// before this one may go on to give orders.
+    /// How long earlier coordinators may still send orders, in milliseconds from the write of
+    /// this version.
     #[serde(default)]
     pub earlier_authority_ms: u64,
-    /// The era of the store in which this version was written. In a later era it is part of a
-    /// copy: versions that followed on it may be lost, and owners with them.
+    /// The era of the store in which this version was written. If the store is in a later era,
+    /// this version comes from a restored backup: later versions, and the owners they named,
+    /// may be lost.
     #[serde(default)]
     pub era: u64,
-    /// How long, in milliseconds from the write of this version, keys may be held by instances
-    /// that no version of this era names.
+    /// How long instances that no version of this era names may still hold keys, in
+    /// milliseconds from the write of this version.
     #[serde(default)]
     pub unknown_holds_ms: u64,
-    /// The next fencing token to be used.
+    /// The next unused fencing token.
     pub next_fence: u64,
     /// All assignments, by service and first key.
     pub assignments: Vec<Assignment>,
@@ -82,9 +83,9 @@
 
 impl OwnershipRecord {
     /// The record under a new coordinator, in an era of the store. Every assignment gets a new
-    /// fencing token, so that orders of the coordinator before are refused by each
-    /// instance that the new one has reached. Epochs and tokens of an era are above all of
-    /// earlier ones, also of those that were lost.
+    /// fencing token, so that each instance that the new coordinator has reached rejects
+    /// orders of the previous one. Epochs and tokens of an era are above all those of earlier
+    /// eras, including ones that were lost.
     pub fn taken_over_by(
         &self,
         coordinator: &NodeIdentity,
@@ -107,33 +108,32 @@
         record
     }
 
-    /// How long keys may be held by instances that no version of this era names.
+    /// How long instances that no version of this era names may still hold keys.
     pub fn unknown_holds(&self) -> Duration {
         Duration::from_millis(self.unknown_holds_ms)
     }
 
-    /// Sets how long that may be.
+    /// Sets how long instances that no version of this era names may still hold keys.
     pub fn set_unknown_holds(&mut self, left: Duration) {
         self.unknown_holds_ms = rounded_up_millis(left);
     }
 
-    /// Whether this version knows of more moves of keys than another one.
+    /// Whether this version includes more changes of ownership than `other`.
     pub fn is_later_than(&self, other: &OwnershipRecord) -> bool {
         (self.epoch, self.next_fence) > (other.epoch, other.next_fence)
     }
 
-    /// How long coordinators before this one may go on to give orders.
+    /// How long earlier coordinators may still send orders.
     pub fn earlier_authority(&self) -> Duration {
         Duration::from_millis(self.earlier_authority_ms)
     }
 
-    /// Sets how long coordinators before this one may go on to give orders.
+    /// Sets how long earlier coordinators may still send orders.
     pub fn set_earlier_authority(&mut self, left: Duration) {
         self.earlier_authority_ms = rounded_up_millis(left);
     }
 
-    /// A number that two records share that have the same epoch and the same
-    /// assignments.
+    /// A hash of the epoch and the assignments; equal for records that agree on both.
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
         hasher.update(&self.epoch.to_le_bytes());
@@ -147,7 +147,7 @@
         hasher.digest()
     }
 
-    /// The assignments of this record that `before` does not hold.
+    /// The assignments of this record that differ from those of `before`.
     pub fn changes_since(&self, before: &OwnershipRecord) -> Vec<Assignment> {
         self.assignments
             .iter()
@@ -156,8 +156,8 @@
             .collect()
     }
 
-    /// The assignment of the same service that begins at the same key. The
-    /// assignments are in their order.
+    /// The assignment of the same service that begins at the same key. Requires sorted
+    /// assignments.
     fn find_first(&self, other: &Assignment) -> Option<&Assignment> {
         let place = self.assignments.binary_search_by(|assignment| {
             (&assignment.service, assignment.first).cmp(&(&other.service, other.first))
@@ -165,8 +165,8 @@
         place.ok().map(|place| &self.assignments[place])
     }
 
-    /// Lays assignments over this record, one after the other: what they overlap gives way.
-    /// The assignments of the record are in their order.
+    /// Applies assignments in order, each replacing what it overlaps. Requires sorted
+    /// assignments.
     pub fn apply_changes(&mut self, changes: Vec<Assignment>) {
         for change in changes {
             let before =
@@ -184,22 +184,22 @@
         }
     }
 
-    /// Puts the assignments into their order.
+    /// Sorts the assignments by service and first key.
     pub fn sort(&mut self) {
         self.assignments
             .sort_by(|left, right| (&left.service, left.first).cmp(&(&right.service, right.first)));
     }
 
-    /// The assignment that holds a key.
+    /// The assignment that contains a key.
     pub fn find(&self, service: &ServiceName, key: u16) -> Option<&Assignment> {
         self.assignments
             .iter()
             .find(|assignment| assignment.service == *service && assignment.range().contains(key))
     }
 
-    /// Whether no two assignments overlap and all tokens are below the next.
+    /// Whether no two assignments overlap and all tokens are below `next_fence`.
     pub fn is_consistent(&self) -> bool {
-        // By place, since each read of a record of thousands of ranges is checked.
+        // Sorted first: this check runs on each read, and records hold thousands of ranges.
         let mut sorted: Vec<&Assignment> = self.assignments.iter().collect();
         sorted
             .sort_by(|left, right| (&left.service, left.first).cmp(&(&right.service, right.first)));
@@ -213,7 +213,7 @@
     }
 }
 
-/// Rounded up, so that nobody is taken for silent too early.
+/// Rounded up, so that no deadline ends too early.
 fn rounded_up_millis(time: Duration) -> u64 {
     let whole = time.as_nanos().div_ceil(1_000_000);
     u64::try_from(whole).unwrap_or(u64::MAX)
--- a/crates/ledgelead-router/src/ownership/view.rs
+++ b/crates/ledgelead-router/src/ownership/view.rs
@@ -1,21 +1,21 @@
-//! What this node knows of the record, and the owners of keys by it.
+//! This node's copy of the ownership record, and the lookup of owners in it.
 
 use super::record::{Assignment, OwnershipRecord};
 use crate::identity::ServiceName;
 use crate::store::era_of;
 
-/// Which version of the record a call of the store has told.
+/// The version of the record that a call to the store returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordVersion {
     /// The store's revision.
     pub revision: u64,
-    /// Whether it was the newest version as the call began. A list that may be
-    /// stale doesn't say.
+    /// Whether it was the newest version when the call began. False after a list that may be
+    /// stale.
     pub is_confirmed: bool,
 }
 
 impl RecordVersion {
-    /// A version that was the newest one.
+    /// A version that is known to have been the newest.
     pub fn confirmed(revision: u64) -> RecordVersion {
         RecordVersion {
             revision,
@@ -29,15 +29,15 @@
 pub struct OwnershipView {
     record: OwnershipRecord,
     revision: Option<u64>,
-    /// The revision by which the record was written. A store that came back from a copy holds
-    /// another version at `revision`.
+    /// The revision at which the record was written. After a restore from a backup, the store
+    /// holds another version at `revision`.
     written_revision: Option<u64>,
-    /// Whether the store itself told this version.
+    /// Whether the store itself returned this version.
     confirmed: bool,
 }
 
 impl OwnershipView {
-    /// Whether a version is newer than what is known, or confirms it.
+    /// Whether a version is newer than the known one, or confirms it.
     pub fn is_update(&self, version: RecordVersion) -> bool {
         let RecordVersion {
             revision,
@@ -47,8 +47,8 @@
         newer || self.revision == Some(revision) && is_confirmed && !self.confirmed
     }
 
-    /// Takes over a version, unless a newer one is known.
-    /// Returns whether it was newer, or confirms what was known.
+    /// Replaces the known version unless that is newer. Returns whether the given version was
+    /// newer, or confirmed the known one.
     pub fn update(&mut self, record: OwnershipRecord, version: RecordVersion) -> bool {
         if !self.is_update(version) {
             return false;
@@ -65,10 +65,9 @@
         true
     }
 
-    /// Takes over what the coordinator says it has written, if it follows
-    /// on the version that is known. Requests are routed by it; nothing is
-    /// written on its base before the store has confirmed it.
-    /// Returns whether it did.
+    /// Applies changes that the coordinator says it has written, if they follow directly on
+    /// the known version. Requests are routed by the result, but no write is based on it
+    /// before the store has confirmed it. Returns whether the changes were applied.
     pub fn apply_changes(&mut self, base: u64, revision: u64, changes: Vec<Assignment>) -> bool {
         if self.revision != Some(base) || revision <= base {
             return false;
@@ -80,11 +79,11 @@
         true
     }
 
-    /// Takes over a version that another node says it has written on the base
-    /// of the one that is known; like `overlay`, it is not confirmed.
-    /// Returns whether it did.
+    /// Replaces the known version by one that another node says it has written on top of it.
+    /// Like `apply_changes`, this leaves the version unconfirmed. Returns whether it was
+    /// replaced.
     pub fn supersede(&mut self, base: u64, revision: u64, record: OwnershipRecord) -> bool {
-        // The first version of all follows on none.
+        // The very first version has no predecessor.
         if self.revision.unwrap_or(0) != base || revision <= base {
             return false;
         }
@@ -95,27 +94,27 @@
         true
     }
 
-    /// Since it came back from a copy, the store holds an earlier version at this revision, or
-    /// none. What is known stays, for requests to be routed by it and for a coordinator to
-    /// write it again.
+    /// After a restore from a backup, the store holds an earlier version at this revision, or
+    /// none. The known record is kept: requests are routed by it, and a coordinator can write
+    /// it again.
     pub fn rewind_revision(&mut self, revision: Option<u64>, is_confirmed: bool) {
         self.revision = revision;
         self.confirmed = is_confirmed;
     }
 
-    /// The revision by which the record that is known was written.
+    /// The revision at which the known record was written.
     pub fn written_revision(&self) -> Option<u64> {
         self.written_revision
     }
 
-    /// Whether versions that followed on this one may be lost: it was written in an earlier
-    /// era than the one in which the store holds it.
+    /// Whether later versions may be lost: the record was written in an earlier era than the
+    /// one in which the store holds it.
     pub fn is_from_earlier_era(&self) -> bool {
         self.revision
             .is_none_or(|revision| self.record.era < era_of(revision))
     }
 
-    /// Whether the store itself told this version.
+    /// Whether the store itself returned this version.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed
     }
@@ -130,7 +129,7 @@
         self.revision
     }
 
-    /// The assignment that holds a key.
+    /// The assignment that contains a key.
     pub fn find(&self, service: &ServiceName, key: u16) -> Option<&Assignment> {
         let after = self.record.assignments.partition_point(|assignment| {
             (&assignment.service, assignment.first) <= (service, key)
--- a/crates/ledgelead-router/src/ownership/work.rs
+++ b/crates/ledgelead-router/src/ownership/work.rs
@@ -1,40 +1,39 @@
-//! How many requests a second each owner can work on, as all nodes together
-//! have seen it.
+//! Estimates how many requests a second each owner can process, from the reports of all nodes.
 //!
-//! One node sees few of an owner's answers, and not how many requests of other
-//! nodes stood in the queue before its own. Together, the nodes know how long
-//! the owner was busy: by Little's law, the time that its requests spent there
-//! in a second is how many were there on average.
+//! A single node sees few of an owner's answers, and does not see how many requests of other
+//! nodes were queued before its own. Together, the nodes know how long the owner was busy: by
+//! Little's law, the time that its requests spent there per second equals the average number
+//! of requests in the owner.
 
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time between two decays.
+/// Interval between two decay steps.
 pub const DECAY_INTERVAL: Duration = Duration::from_millis(200);
-/// What is left of a count after one decay; a count stands for two seconds.
+/// Factor by which a decay step scales a count; counts cover about two seconds.
 const DECAY: f64 = 0.9;
-/// The same for counts that stand for six seconds: machines that are slow for moments count
-/// by how often they are.
+/// The same for counts that cover about six seconds, so that machines with short slow phases
+/// are rated by how frequent those phases are.
 const LONG_WINDOW_DECAY: f64 = 0.97;
-/// Answers from which a capacity can be told.
-const LEAST_ANSWERS: f64 = 4.0;
-/// How long a capacity is believed without new answers; an owner that was slow
-/// gets another chance then.
-const BELIEVED_FOR: Duration = Duration::from_secs(8);
+/// Least number of answers from which a capacity is estimated.
+const MIN_ANSWERS: f64 = 4.0;
+/// How long a capacity estimate is used without new answers. Then an owner that was slow is
+/// tried again.
+const CAPACITY_TTL: Duration = Duration::from_secs(8);
 
-/// What an instance did for one node's requests in some time.
+/// What an instance did for the requests of one node in some interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkSample {
-    /// Requests that it answered.
+    /// Number of answered requests.
     pub answered: u32,
-    /// Time that requests spent there.
+    /// Total time that requests spent at the instance.
     pub busy: Duration,
 }
 
 impl WorkSample {
-    /// An attempt ended there.
+    /// Adds an attempt that has ended at the instance.
     pub fn note(&mut self, took: Duration, answered: bool) {
         self.answered += u32::from(answered);
         self.busy += took;
@@ -42,98 +41,98 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Counted {
+struct OwnerCounts {
     answered: f64,
     busy_seconds: f64,
-    pace: Option<Pace>,
+    throughput: Option<Throughput>,
 }
 
-/// What an owner did in a second.
+/// Throughput and concurrency of an owner.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
-    /// Requests that it answered.
+struct Throughput {
+    /// Answered requests per second.
     rate: f64,
-    /// Requests that were there on average.
-    present: f64,
+    /// Average number of requests at the owner.
+    concurrency: f64,
     at: Timestamp,
 }
 
-/// WorkSample of all owners.
+/// Capacity estimates of all owners.
 #[derive(Debug)]
 pub struct CapacityEstimator {
     /// By the stable hash of the instance's id.
-    owners: HashMap<u64, Counted>,
-    /// The seconds that the counts stand for.
+    owners: HashMap<u64, OwnerCounts>,
+    /// Seconds that the counts cover.
     seconds: f64,
-    /// What is left of a count after one decay.
-    kept: f64,
+    /// Factor by which a decay step scales a count.
+    decay_factor: f64,
     next_decay: Timestamp,
 }
 
 impl CapacityEstimator {
-    /// Nothing seen yet; counts stand for two seconds.
+    /// No samples yet; counts cover two seconds.
     pub fn new(now: Timestamp) -> CapacityEstimator {
-        CapacityEstimator::keeping(DECAY, now)
+        CapacityEstimator::with_decay(DECAY, now)
     }
 
-    /// Nothing seen yet; counts stand for six seconds.
+    /// No samples yet; counts cover six seconds.
     pub fn long_window(now: Timestamp) -> CapacityEstimator {
-        CapacityEstimator::keeping(LONG_WINDOW_DECAY, now)
+        CapacityEstimator::with_decay(LONG_WINDOW_DECAY, now)
     }
 
-    fn keeping(kept: f64, now: Timestamp) -> CapacityEstimator {
+    fn with_decay(decay_factor: f64, now: Timestamp) -> CapacityEstimator {
         CapacityEstimator {
             owners: HashMap::new(),
             seconds: 0.0,
-            kept,
+            decay_factor,
             next_decay: now + DECAY_INTERVAL,
         }
     }
 
-    /// A node tells what an owner did.
+    /// Adds a node's report about an owner.
     pub fn record(&mut self, instance: u64, work: WorkSample) {
-        let counted = self.owners.entry(instance).or_default();
-        counted.answered += f64::from(work.answered);
-        counted.busy_seconds += work.busy.as_secs_f64();
+        let counts = self.owners.entry(instance).or_default();
+        counts.answered += f64::from(work.answered);
+        counts.busy_seconds += work.busy.as_secs_f64();
     }
 
-    /// Lets older work count less. Owners that are long silent are forgotten.
+    /// Scales down older samples, and removes owners without recent ones.
     pub fn decay(&mut self, now: Timestamp) {
         while self.next_decay <= now {
             self.next_decay += DECAY_INTERVAL;
             self.seconds += DECAY_INTERVAL.as_secs_f64();
-            for counted in self.owners.values_mut() {
-                counted.note_pace(self.seconds, now);
-                counted.answered *= self.kept;
-                counted.busy_seconds *= self.kept;
+            for counts in self.owners.values_mut() {
+                counts.update_throughput(self.seconds, now);
+                counts.answered *= self.decay_factor;
+                counts.busy_seconds *= self.decay_factor;
             }
-            self.seconds *= self.kept;
+            self.seconds *= self.decay_factor;
         }
-        self.owners.retain(|_, counted| {
-            let believed = counted
-                .pace
-                .is_some_and(|pace| pace.at + BELIEVED_FOR > now);
-            believed || counted.answered > 0.1
+        self.owners.retain(|_, counts| {
+            let is_current = counts
+                .throughput
+                .is_some_and(|throughput| throughput.at + CAPACITY_TTL > now);
+            is_current || counts.answered > 0.1
         });
     }
 
-    /// Requests a second that an owner with `slots` slots can work on; the last
-    /// figure for a while if there is nothing new.
+    /// Requests a second that an owner with `slots` slots can process. Without new samples the
+    /// last estimate is returned for a while.
     pub fn capacity(&self, id: &InstanceId, slots: u32, now: Timestamp) -> Option<f64> {
-        let pace = self.owners.get(&id.stable_hash())?.pace?;
+        let throughput = self.owners.get(&id.stable_hash())?.throughput?;
         let slots = f64::from(slots.max(1));
-        // With every slot taken, what it answers is all that it can.
-        let capacity = pace.rate * slots / pace.present.min(slots);
-        (pace.at + BELIEVED_FOR > now).then_some(capacity)
+        // With all slots in use, the rate of answers is the capacity.
+        let capacity = throughput.rate * slots / throughput.concurrency.min(slots);
+        (throughput.at + CAPACITY_TTL > now).then_some(capacity)
     }
 }
 
-impl Counted {
-    fn note_pace(&mut self, seconds: f64, at: Timestamp) {
-        if self.answered >= LEAST_ANSWERS && self.busy_seconds > 0.0 {
-            self.pace = Some(Pace {
+impl OwnerCounts {
+    fn update_throughput(&mut self, seconds: f64, at: Timestamp) {
+        if self.answered >= MIN_ANSWERS && self.busy_seconds > 0.0 {
+            self.throughput = Some(Throughput {
                 rate: self.answered / seconds,
-                present: self.busy_seconds / seconds,
+                concurrency: self.busy_seconds / seconds,
                 at,
             });
         }
--- a/crates/ledgelead-router/src/peers/change_list.rs
+++ b/crates/ledgelead-router/src/peers/change_list.rs
@@ -1,15 +1,15 @@
-//! Lists of changes that arrive in parts.
+//! Lists of changes that arrive in several datagrams.
 //!
-//! A part alone is never applied: between two parts of one list, newer changes
-//! may come from elsewhere, and the second part would undo them.
+//! A part is never applied by itself: between two parts of one list, newer changes may arrive
+//! from elsewhere, and the second part would revert them.
 
 use super::message::ChangeSpan;
 
-/// Most parts of one list; a longer one is left to the store.
+/// Maximum number of parts of one list; longer lists are read from the store.
 pub const MAX_PARTS: u8 = 48;
 
 /// All changes of one kind between two revisions of the store. Only a complete
-/// `Assembly` makes one.
+/// `ChangeListAssembler` creates one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeList<T> {
     base: u64,
@@ -23,13 +23,12 @@
         self.base
     }
 
-    /// The revision of the last of them.
+    /// The revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the list goes on from what is known up to `known`, and tells
-    /// something new.
+    /// Whether the list connects to the `known` revision and contains later changes.
     pub fn follows(&self, known: u64) -> bool {
         self.base <= known && known < self.revision
     }
@@ -57,8 +56,8 @@
 }
 
 impl<T> ChangeListAssembler<T> {
-    /// Takes a part. Returns the list once all of its parts are there. Parts
-    /// of an older list than the one being collected are dropped.
+    /// Adds a part. Returns the list once all of its parts have arrived. Parts of an older
+    /// list than the one being collected are dropped.
     pub fn add(&mut self, span: ChangeSpan, changes: Vec<T>) -> Option<ChangeList<T>> {
         if !is_valid(span) {
             return None;
--- a/crates/ledgelead-router/src/peers/change_log.rs
+++ b/crates/ledgelead-router/src/peers/change_log.rs
@@ -1,20 +1,19 @@
-//! The newest changes of one kind, kept by a coordinator for nodes that have
-//! missed some.
+//! The most recent changes of one kind, kept by a coordinator for nodes that missed some.
 
 use std::collections::VecDeque;
 
 /// Changes between two revisions of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes<T> {
-    /// The revision after which they begin.
+    /// The revision after which the changes begin.
     pub base: u64,
-    /// The revision of the last of them.
+    /// The revision of the last change.
     pub revision: u64,
-    /// The changes in their order.
+    /// The changes, in order.
     pub items: Vec<T>,
 }
 
-/// Lists of changes, the oldest first; each continues where the one before ends.
+/// Lists of changes, oldest first; each one continues where the previous one ends.
 #[derive(Debug)]
 pub struct ChangeLog<T> {
     kept: VecDeque<Changes<T>>,
@@ -30,7 +29,7 @@
         }
     }
 
-    /// Adds a list. If it doesn't continue the log, the log begins with it.
+    /// Adds a list. If it does not connect to the log, the log is cleared first.
     pub fn push(&mut self, changes: Changes<T>) {
         let continues = self
             .kept
@@ -45,8 +44,9 @@
         }
     }
 
-    /// All changes after a revision, if the log reaches back to it and holds some, but no
-    /// more than `most`: hundreds of nodes may ask for what no datagrams could carry.
+    /// All changes after a revision. None if the log does not reach back that far, has no
+    /// later changes, or has more than `most`: hundreds of nodes may request more changes than
+    /// datagrams can carry.
     pub fn since(&self, revision: u64, most: usize) -> Option<Changes<T>> {
         let first = self.kept.front()?;
         let last = self.kept.back()?;
--- a/crates/ledgelead-router/src/peers/configuration.rs
+++ b/crates/ledgelead-router/src/peers/configuration.rs
@@ -1,5 +1,4 @@
-//! Versions of the configuration as nodes send them to each other: what one
-//! version changes of another.
+//! Configuration versions as nodes exchange them: the difference between two versions.
 
 use crate::configuration::{
     ClientLimits, Configuration, Repeatability, Route, RouteTarget, Service,
@@ -13,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A share of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct TargetEntry {
     /// The service.
@@ -33,15 +32,15 @@
     pub prefix: Text,
     /// The services.
     pub targets: List<TargetEntry>,
-    /// Whether its requests may run more than once.
+    /// Whether its requests may be executed more than once.
     pub idempotent: bool,
-    /// The longest a request is held, in milliseconds.
+    /// The longest time for which a request is held, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is worth most, in microseconds.
+    /// The latency target, in microseconds: an answer is worth most within this time.
     pub target_latency_us: u64,
-    /// The largest number of instances one request may be sent to.
+    /// The largest number of instances to which one request may be sent.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
 }
 
@@ -52,57 +51,54 @@
     pub name: Text,
     /// Whether its instances own its keys exclusively.
     pub sharded: bool,
-    /// Connections that one instance accepts from all callers.
+    /// Connections that one instance accepts from all clients together.
     pub max_connections: u32,
-    /// Requests a second that an instance bears while it is cold; 0 if that is not
-    /// bounded.
+    /// Requests a second that an instance can process while it is cold; 0 if not limited.
     pub cold_rate: f64,
 }
 
-/// Bounds on what clients send.
+/// Limits for client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct LimitsEntry {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: u64,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Time within which a head must arrive, in milliseconds.
+    /// Time within which a request head must arrive, in milliseconds.
     pub head_timeout_ms: u64,
-    /// How long a connection may stay idle, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// One entry that a version changes.
+/// A changed entry of the configuration.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum ConfigurationChange {
-    /// A route is new or changed.
+    /// A new or changed route.
     Route(RouteEntry),
     /// The route of this name is removed.
     RouteRemoved(Text),
-    /// A service is new or changed.
+    /// A new or changed service.
     Service(ServiceEntry),
     /// The service of this name is removed.
     ServiceRemoved(Text),
 }
 
-/// What one version of the configuration changes of another.
+/// The difference between two versions of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationDelta {
-    /// The version that is changed; 0 stands for none, so that the delta is a
-    /// whole configuration.
+    /// The version to which the changes apply; 0 if the delta is a complete configuration.
     pub base: u64,
-    /// The version that results.
+    /// The resulting version.
     pub version: u64,
-    /// Its limits.
+    /// The limits of the resulting version.
     pub limits: LimitsEntry,
-    /// Its changed entries.
+    /// The changed entries.
     pub changes: Vec<ConfigurationChange>,
 }
 
 impl ConfigurationDelta {
-    /// What `next` changes of `earlier`, or of no configuration at all. None
-    /// where names of routes or services stand twice, so that they don't tell
-    /// which entry is changed.
+    /// The changes from `earlier`, or from an empty configuration, to `next`. None if a route
+    /// or service name occurs twice, since names would not identify the changed entry.
     pub fn between(
         earlier: Option<&Configuration>,
         next: &Configuration,
@@ -111,7 +107,7 @@
         if !unique {
             return None;
         }
-        // By name, since configurations of thousands of routes are compared.
+        // Looked up by name: configurations have thousands of routes.
         let mut former_routes = earlier.map(routes_by_name).unwrap_or_default();
         let mut former_services = earlier.map(services_by_name).unwrap_or_default();
         let mut changes = Vec::new();
@@ -139,14 +135,14 @@
         })
     }
 
-    /// The version that results from `earlier`; none if the delta is one of
-    /// another version, or holds a route without a target.
+    /// Applies the changes to `earlier`. None if they belong to another version, or if a route
+    /// has no target.
     pub fn apply_to(self, earlier: Option<&Configuration>) -> Option<Configuration> {
-        let is_sound = |change: &ConfigurationChange| match change {
+        let is_valid = |change: &ConfigurationChange| match change {
             ConfigurationChange::Route(route) => !route.targets.is_empty(),
             _ => true,
         };
-        if !self.changes.iter().all(is_sound) {
+        if !self.changes.iter().all(is_valid) {
             return None;
         }
         let mut next = match earlier {
--- a/crates/ledgelead-router/src/peers/evidence.rs
+++ b/crates/ledgelead-router/src/peers/evidence.rs
@@ -1,4 +1,4 @@
-//! Facts about requests under which instances ended, as nodes send them to each other.
+//! Wire format of the evidence about requests during which instances ended.
 
 use crate::Timestamp;
 use crate::quarantine::{CallerId, Entry, InstanceEnd};
@@ -9,50 +9,51 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Most bytes of facts in one datagram, so that it fits the shortest usual MTU.
-const MAX_FACT_BYTES: usize = 1_100;
-/// Most ends of one request that are sent: three lead to a quarantine.
+/// Maximum size of the evidence in one datagram, in bytes, so that it fits the shortest usual
+/// MTU.
+const MAX_EVIDENCE_BYTES: usize = 1_100;
+/// Maximum number of instance ends that are sent per request; three lead to a quarantine.
 const MAX_ENDS: usize = 24;
 
-/// An instance has ended under a caller's request.
+/// An instance that ended while it processed a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct EndEntry {
     /// The caller.
     pub caller: u64,
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// How long ago, in milliseconds.
+    /// Age of the event, in milliseconds.
     pub age_ms: u32,
-    /// Whether it counts whatever else ended at that moment.
+    /// Whether it counts no matter which other instances ended at the same time.
     pub settled: bool,
 }
 
-/// Something that holds for a caller, or an instance.
+/// A fact about a caller or an instance, with its age.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct AgedEntry {
     /// The caller, or the stable hash of the instance's id.
     pub subject: u64,
-    /// How long ago it began to hold, in milliseconds.
+    /// How long ago the fact became known, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What is known of one request.
+/// The evidence about one request.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct RequestEntry {
-    /// Its digest, in two halves.
+    /// Its digest, as two halves.
     pub digest: [u64; 2],
     /// Its path, for operators.
     pub path: Text,
-    /// Instances that ended.
+    /// Instances that ended while processing it.
     pub ends: List<EndEntry>,
     /// Callers whose requests were answered by an instance.
     pub cleared: List<AgedEntry>,
-    /// Callers whose requests are held back.
+    /// Callers whose requests are quarantined.
     pub quarantined: List<AgedEntry>,
 }
 
 impl RequestEntry {
-    /// What is known, as of now.
+    /// Encodes the evidence, with ages relative to `now`.
     pub fn new(request: &RequestDigest, entry: &Entry, now: Timestamp) -> RequestEntry {
         let end = |end: &InstanceEnd| EndEntry {
             caller: end.caller.0,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The request, and what is known of it, at the receiver.
+    /// Decodes the request's digest and the evidence about it.
     pub fn received(&self, now: Timestamp) -> (RequestDigest, Entry) {
         let [high, low] = self.digest;
         let number = (u128::from(high) << 64) | u128::from(low);
@@ -90,13 +91,13 @@
     }
 }
 
-/// Splits entries so that each part fits a datagram; none if there are none.
+/// Splits entries into parts that each fit a datagram.
 pub fn evidence_parts(entries: Vec<RequestEntry>) -> Vec<List<RequestEntry>> {
     let mut parts: Vec<List<RequestEntry>> = Vec::new();
     let mut bytes = usize::MAX;
     for entry in entries {
         let length = codec::encode(&entry).len();
-        if bytes.saturating_add(length) > MAX_FACT_BYTES {
+        if bytes.saturating_add(length) > MAX_EVIDENCE_BYTES {
             parts.push(List(Vec::new()));
             bytes = 0;
         }
@@ -108,7 +109,7 @@
     parts
 }
 
-/// Instances that live after all, with ages.
+/// Encodes instances that are alive although they were reported as ended.
 pub fn aged_instances<'a>(
     alive: impl Iterator<Item = (&'a u64, &'a Timestamp)>,
     now: Timestamp,
@@ -120,12 +121,12 @@
     alive.map(aged).collect()
 }
 
-/// When something began to hold, by the receiver's clock.
+/// The time that lies `age_ms` before `now`.
 pub fn time_from_age(age_ms: u32, now: Timestamp) -> Timestamp {
     now.saturating_sub(Duration::from_millis(u64::from(age_ms)))
 }
 
-/// How long ago something began to hold, in milliseconds or the most that fits.
+/// Milliseconds from `at` to `now`, saturating.
 pub fn age_ms(at: Timestamp, now: Timestamp) -> u32 {
     u32::try_from(whole_millis(now.saturating_sub(at))).unwrap_or(u32::MAX)
 }
--- a/crates/ledgelead-router/src/peers/instance_table.rs
+++ b/crates/ledgelead-router/src/peers/instance_table.rs
@@ -1,4 +1,4 @@
-//! All instances in few bytes: names of services and zones stand once.
+//! Compact encoding of all instances: each service and zone name is encoded once.
 
 use super::message::PeerAddress;
 use crate::directory::InstanceRecord;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Instances by the places of their services and zones.
+/// Instances that refer to services and zones by index.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct InstanceTable {
     services: List<Text>,
@@ -34,37 +34,40 @@
 /// Where an instance is reached.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 enum AddressEntry {
-    /// Over IPv4.
-    Short(PeerAddress),
-    /// Otherwise, as text.
-    Long(Text),
+    /// An IPv4 address.
+    V4(PeerAddress),
+    /// Any other address, as text.
+    Text(Text),
 }
 
 impl AddressEntry {
     fn new(address: SocketAddr) -> AddressEntry {
         match PeerAddress::new(address) {
-            Some(short) => AddressEntry::Short(short),
-            None => AddressEntry::Long(Text(address.to_string())),
+            Some(short) => AddressEntry::V4(short),
+            None => AddressEntry::Text(Text(address.to_string())),
         }
     }
 
     fn socket(&self) -> Option<SocketAddr> {
         match self {
-            AddressEntry::Short(short) => Some(short.socket()),
-            AddressEntry::Long(text) => text.0.parse().ok(),
+            AddressEntry::V4(short) => Some(short.socket()),
+            AddressEntry::Text(text) => text.0.parse().ok(),
         }
     }
 }
 
 impl InstanceTable {
-    /// The table of these instances. One whose service or zone is the 65,537th is left out.
+    /// Encodes instances. Those whose service or zone would be the 65,537th name are left out.
     pub fn new<'a>(records: impl Iterator<Item = &'a InstanceRecord>) -> InstanceTable {
         let mut services = Names::default();
         let mut zones = Names::default();
         let mut rows = Vec::new();
         for record in records {
-            let places = (services.place(&record.service), zones.place(&record.zone));
-            let (Some(service), Some(zone)) = places else {
+            let indices = (
+                services.index_of(&record.service),
+                zones.index_of(&record.zone),
+            );
+            let (Some(service), Some(zone)) = indices else {
                 continue;
             };
             rows.push(InstanceRow {
@@ -84,7 +87,7 @@
         }
     }
 
-    /// The instances of the table that lie within bounds.
+    /// The decoded instances that pass validation.
     pub fn into_records(self) -> Vec<InstanceRecord> {
         let services: Vec<ServiceName> = self
             .services
@@ -113,30 +116,30 @@
     }
 }
 
-/// Names in the order in which they came.
+/// Distinct names in order of first use.
 struct Names<T> {
-    places: HashMap<T, u16>,
+    indices: HashMap<T, u16>,
     names: Vec<T>,
 }
 
 impl<T> Default for Names<T> {
     fn default() -> Names<T> {
         Names {
-            places: HashMap::new(),
+            indices: HashMap::new(),
             names: Vec::new(),
         }
     }
 }
 
 impl<T: Clone + Eq + Hash> Names<T> {
-    fn place(&mut self, name: &T) -> Option<u16> {
-        if let Some(place) = self.places.get(name) {
-            return Some(*place);
+    fn index_of(&mut self, name: &T) -> Option<u16> {
+        if let Some(index_of) = self.indices.get(name) {
+            return Some(*index_of);
         }
-        let place = u16::try_from(self.names.len()).ok()?;
-        self.places.insert(name.clone(), place);
+        let index_of = u16::try_from(self.names.len()).ok()?;
+        self.indices.insert(name.clone(), index_of);
         self.names.push(name.clone());
-        Some(place)
+        Some(index_of)
     }
 
     fn texts(&self, text: impl Fn(&T) -> &str) -> List<Text> {
--- a/crates/ledgelead-router/src/peers/message.rs
+++ b/crates/ledgelead-router/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other.
+//! Messages between nodes.
 
 use super::configuration::{ConfigurationChange, LimitsEntry};
 use super::evidence::{AgedEntry, RequestEntry};
@@ -11,48 +11,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest datagram that is read, in bytes: what fits an Ethernet frame, with a
-/// message of 1,400 bytes that another node passes on.
+/// Maximum size of a received datagram, in bytes: an Ethernet frame holds a forwarded message
+/// of 1,400 bytes with this.
 const MAX_BYTES: usize = 1_440;
 
-/// Requests for keys that a node has seen since its last report.
+/// Keys of the requests that a node has received since its last report.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct KeyReport {
     /// Stable hash of the service's name.
     pub service: u64,
-    /// One entry a request.
+    /// One key per request.
     pub keys: List<u16>,
 }
 
-/// What an owner did for a node's requests since its last report.
+/// What an owner did for a node's requests since the node's last report.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct WorkReport {
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// Requests that it answered.
+    /// Number of answered requests.
     pub answered: u16,
-    /// Time that requests spent there, in milliseconds.
+    /// Total time that requests spent at the owner, in milliseconds.
     pub busy_ms: u32,
 }
 
-/// Requests of one node that are open at one instance, and what those that it has
-/// answered since the last message show of its speed.
+/// Number of one node's open requests at one instance, and the instance's speed as measured by
+/// the requests answered since the last message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct OpenRequests {
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// How many.
+    /// Number of open requests.
     pub count: u16,
-    /// Requests that it answered.
+    /// Number of answered requests.
     pub answered: u8,
-    /// Time of work for them, in milliseconds.
+    /// Total processing time of the answered requests, in milliseconds.
     pub busy_ms: u32,
-    /// How long work takes there now, in percent of the usual time; 0 if unknown.
+    /// Current processing time, in percent of the usual time; 0 if unknown.
     pub slowness: u16,
 }
 
 impl OpenRequests {
-    /// What it shows of the instance's speed.
+    /// The measured speed of the instance.
     pub fn speed(&self) -> SpeedSample {
         SpeedSample {
             answered: u32::from(self.answered),
@@ -62,29 +62,29 @@
     }
 }
 
-/// Requests that a zone's nodes have open at one instance.
+/// Number of a zone's open requests at one instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct ZoneSum {
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// How many.
+    /// Number of open requests.
     pub open: u16,
 }
 
-/// What a hub knows of one instance.
+/// What a load hub knows of one instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct DigestEntry {
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// Requests that are open there.
+    /// Number of open requests.
     pub open: u16,
-    /// Time of work for one request, in milliseconds; 0 if unknown.
+    /// Processing time of one request, in milliseconds; 0 if unknown.
     pub service_ms: u16,
-    /// How long work takes there now, in percent of the usual time; 0 if unknown.
+    /// Current processing time, in percent of the usual time; 0 if unknown.
     pub slowness: u16,
 }
 
-/// A range of keys that has changed its owner.
+/// A range of keys with a new owner.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ChangedAssignment {
     /// Stable hash of the service's name.
@@ -99,18 +99,17 @@
     pub fence: u64,
 }
 
-/// Which of the store's changes a datagram tells, together with other parts of
-/// the same list. An object stands in one part only, so that parts may arrive
-/// in any order.
+/// Identifies one part of a list of changes from the store. Each object occurs in one part
+/// only, so that parts may arrive in any order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ChangeSpan {
     /// The store's revision after which the changes begin.
     pub base: u64,
-    /// The revision of the last of them.
+    /// The revision of the last change.
     pub revision: u64,
-    /// The number of this part, from 0.
+    /// The index of this part, from 0.
     pub part: u8,
-    /// How many parts there are.
+    /// The number of parts.
     pub parts: u8,
 }
 
@@ -121,100 +120,103 @@
     }
 }
 
-/// What a node asks a dispatcher.
+/// A node's request for a permit from a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct PermitAskEntry {
-    /// The node's number for its request.
+    /// The number that the node gave the request.
     pub number: u64,
-    /// Names the queue.
+    /// Identifies the queue.
     pub queue: u64,
-    /// Whether it is the queue of the instances of the receiver's zone, not of an owner.
+    /// Whether the queue is shared by the instances of the receiver's zone, instead of
+    /// belonging to one owner.
     pub is_pool: bool,
     /// Stable hash of the service's name.
     pub service: u64,
-    /// Rank of the request; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub urgency: u8,
-    /// Milliseconds until an answer is late.
+    /// Milliseconds until the request's latency target is missed.
     pub to_target_ms: u16,
-    /// Milliseconds until the request ends in any case.
+    /// Milliseconds until the request times out.
     pub remaining_ms: u16,
-    /// Hash of what makes the tries of a caller's request the same.
+    /// Hash by which repeated attempts of a caller's request are recognised.
     pub caller: u64,
-    /// Whether its key was lost with its owner, so that it takes longer.
+    /// Whether the state of its key was lost with the previous owner, so that the request
+    /// takes longer.
     pub is_cold: bool,
-    /// Stable hash of the instance that has failed the request; 0 if none has.
+    /// Stable hash of the instance at which the request has failed; 0 if none.
     pub failed_instance: u64,
 }
 
-/// What a dispatcher decides on an ask.
+/// A dispatcher's decision about a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum PermitVerdict {
     /// The request may be sent.
     Granted,
-    /// It waits.
+    /// The request is queued.
     Queued,
-    /// It can't be in time.
+    /// The request cannot be answered in time.
     Refused,
-    /// The node stops, and hands out no permits any more.
+    /// The node is shutting down and grants no permits any more.
     ShuttingDown,
-    /// The node doesn't know the queue.
+    /// The receiver does not know the queue.
     UnknownQueue,
 }
 
-/// A rate limit that an instance names.
+/// The rate limit that an instance has announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct RateLimitEntry {
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// The limit in thousandths of a request a second; none if it names none any more.
+    /// The limit in thousandths of a request a second; none if the instance has withdrawn it.
     pub millis_per_s: Option<u32>,
-    /// How long ago the instance said so, in milliseconds.
+    /// How long ago the instance announced this, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a limiter decides on an ask for a token.
+/// A limiter's decision about a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum TokenVerdictEntry {
     /// One request may be sent.
     Granted,
-    /// There is none now.
+    /// No token is available now.
     Refused,
-    /// The instance names no limit any more.
+    /// The instance has withdrawn its limit.
     Unlimited,
 }
 
-/// How a request ended whose permit comes back.
+/// Why a permit is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum PermitReturnReason {
     /// The instance answered.
     Answered,
-    /// It says nothing of the instance: not run, never sent, or its caller left.
+    /// Says nothing about the instance: not executed, never sent, or the caller disconnected.
     NoSample,
-    /// It counts as a failure of the instance: broken off, its answer lost, or one that says so.
+    /// Counts as a failure of the instance: cancelled, answer lost, or an answer that reports
+    /// a failure.
     Failed,
-    /// The instance turned it away, and wants no requests of this node for a time.
+    /// The instance rejected the request and asked this node for a pause.
     BackedOff,
 }
 
-/// What a coordinator passes on from the store.
+/// Kinds of objects whose changes a coordinator forwards from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum RelayedKind {
     /// Instances.
     Instances,
     /// Registrations of nodes.
     Nodes,
-    /// The record of ownership.
+    /// The ownership record.
     Ownership,
-    /// The configuration; its revisions are its versions.
+    /// The configuration; versions serve as its revisions.
     Configuration,
 }
 
 /// An instance whose entry has changed.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ChangedInstance {
-    /// This life of the instance; its name alone if its entry is gone.
+    /// The id of this incarnation; only the instance's name if its entry was deleted.
     pub id: Text,
-    /// What it registered; nothing if its entry is gone.
+    /// What the instance registered; none if its entry was deleted.
     pub entry: Option<InstanceEntry>,
 }
 
@@ -223,15 +225,15 @@
 pub struct InstanceEntry {
     /// Its service.
     pub service: Text,
-    /// Where it is reached, as text.
+    /// Where it can be reached, as text.
     pub address: Text,
     /// Its zone.
     pub zone: Text,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// How much longer it stays slow, in milliseconds.
+    /// Remaining warm-up time, in milliseconds.
     pub warmup_left_ms: u32,
 }
 
@@ -240,26 +242,26 @@
 pub struct ChangedNode {
     /// The node.
     pub node: Text,
-    /// What it registered; nothing if its registration is gone.
+    /// What it registered; none if its registration was deleted.
     pub entry: Option<NodeEntry>,
 }
 
 /// What a node registered.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct NodeEntry {
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its zone.
     pub zone: Text,
-    /// Where other nodes reach it, as text.
+    /// Where other nodes can reach it, as text.
     pub address: Text,
-    /// What it may use of a core, in thousandths.
+    /// Its CPU limit, in thousandths of a core.
     pub millicores: u32,
     /// The store's revision of the registration.
     pub revision: u64,
 }
 
-/// Where a node is reached by others, over IPv4.
+/// The IPv4 address of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct PeerAddress {
     /// The address as a number.
@@ -269,7 +271,7 @@
 }
 
 impl PeerAddress {
-    /// The address on the wire; none for one that is not IPv4.
+    /// Encodes an address; none unless it is IPv4.
     pub fn new(address: SocketAddr) -> Option<PeerAddress> {
         match address {
             SocketAddr::V4(address) => Some(PeerAddress {
@@ -280,237 +282,237 @@
         }
     }
 
-    /// The address of the socket.
+    /// The decoded address.
     pub fn socket(self) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::from(self.ip), self.port))
     }
 }
 
-/// What the coordinator says each heartbeat.
+/// State that the coordinator announces in each heartbeat.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct Heartbeat {
-    /// Its epoch.
+    /// The coordinator's epoch.
     pub epoch: u64,
     /// When it was sent, in milliseconds of the coordinator's own clock.
     pub sent_ms: u64,
     /// Whether the store serves it.
     pub store_serves: bool,
-    /// The store's revision of the newest record.
+    /// The store's revision of the newest ownership record.
     pub record_revision: u64,
-    /// The version of the configuration that it has in force.
+    /// The version of its current configuration.
     pub configuration_version: u64,
-    /// The store's revision by which it last read a change of who may get work.
+    /// The store's revision of the last change of the instances that it has read.
     pub instances_revision: u64,
-    /// The store's revision by which it last read a change of the nodes.
+    /// The store's revision of the last change of the nodes that it has read.
     pub nodes_revision: u64,
-    /// How long ago the store told it of instances, or how long ago its configuration was
-    /// the store's, the longer of both, in milliseconds.
+    /// Age of its view of the instances or of its configuration, whichever is older, in
+    /// milliseconds.
     pub age_ms: u16,
-    /// How long ago its view of the instances was the store's, in milliseconds.
+    /// Age of its view of the instances, in milliseconds.
     pub instances_age_ms: u16,
-    /// For how long the store has served all of its calls, in milliseconds; the
-    /// most that fits if longer.
+    /// How long the store has served all of its calls, in milliseconds, saturating.
     pub served_for_ms: u16,
-    /// Keys that are asked for more often than their owners can work.
+    /// Keys with more requests than their owners can process.
     pub overloads: List<OverloadedKey>,
-    /// Zones that the operator has emptied.
+    /// Zones that the operator has evacuated.
     pub evacuations: EvacuationsEntry,
-    /// Checksum of what it knows of requests that crash instances.
+    /// Checksum of its evidence about requests that crash instances.
     pub evidence_checksum: u64,
 }
 
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum PeerMessage {
-    /// The coordinator lives.
+    /// The coordinator is alive.
     CoordinatorHeartbeat(Heartbeat),
-    /// A message of the coordinator to all nodes of a zone. One node of the zone
-    /// gets it and passes it on, since bytes between zones are dear.
+    /// A message of the coordinator to all nodes of a zone. One node of the zone receives it
+    /// and forwards it to the others, since traffic between zones is expensive.
     Forwarded {
-        /// Where the coordinator is reached.
+        /// The coordinator's address.
         origin: PeerAddress,
-        /// Whether the receiver is to pass it on.
+        /// Whether the receiver has to forward it to its zone.
         to_zone: bool,
         /// The encoded message.
         message: Bytes,
     },
-    /// The store told the coordinator of changed instances.
+    /// Changed instances, as read from the store by the coordinator.
     InstancesChanged {
-        /// Which changes.
+        /// Identifies the changes.
         span: ChangeSpan,
-        /// How much longer entries that are gone may come back, in milliseconds:
-        /// the store was away.
+        /// How much longer deleted entries may reappear, in milliseconds, because the store
+        /// was unavailable.
         unconfirmed_ms: u16,
-        /// The instances as they are after the last change.
+        /// The instances after the last change.
         changes: List<ChangedInstance>,
     },
-    /// The store told the coordinator of changed registrations of nodes.
+    /// Changed node registrations, as read from the store by the coordinator.
     NodesChanged {
-        /// Which changes.
+        /// Identifies the changes.
         span: ChangeSpan,
-        /// The nodes as they are after the last change.
+        /// The nodes after the last change.
         changes: List<ChangedNode>,
     },
-    /// A version of the configuration, as what it changes of an earlier one.
+    /// A version of the configuration, as the difference from an earlier one.
     ConfigurationChanged {
         /// From which version to which.
         span: ChangeSpan,
         /// The limits of the new version.
         limits: LimitsEntry,
-        /// The entries that the new version changes.
+        /// The changed entries.
         changes: List<ConfigurationChange>,
     },
     /// The sender has missed changes; sent to the coordinator.
     ResyncRequest {
-        /// Changes of what.
+        /// The kind of the missed changes.
         kind: RelayedKind,
-        /// The revision up to which the sender knows all of them.
+        /// The last revision before the missed changes.
         since: u64,
     },
-    /// A node has taken the coordinator's place: each assignment has a new
-    /// token, counted from the first in the order of the record.
+    /// A node has become the coordinator. Each assignment has a new token, numbered in the
+    /// order of the record.
     CoordinatorTookOver {
-        /// The revision before.
+        /// The revision of the record before the takeover.
         base: u64,
-        /// The revision now.
+        /// The revision of the record after the takeover.
         revision: u64,
-        /// The coordinator.
+        /// The new coordinator.
         node: Text,
-        /// Its life.
+        /// Its incarnation.
         incarnation: u64,
         /// The token of the first assignment.
         first_fence: u64,
-        /// Digest of the record as it is now.
+        /// Digest of the record after the takeover.
         digest: u64,
     },
-    /// The record has been written anew by the coordinator.
+    /// The coordinator has written a new version of the ownership record.
     OwnershipChanged {
-        /// Which changes.
+        /// Identifies the changes.
         span: ChangeSpan,
-        /// Assignments that are new.
+        /// New assignments.
         changes: List<ChangedAssignment>,
     },
-    /// The coordinator has left its place; the record says so as well.
+    /// The coordinator has resigned, as the ownership record states too.
     CoordinatorResigned {
-        /// Its epoch.
+        /// The resigned coordinator's epoch.
         epoch: u64,
     },
-    /// Keys asked for; sent to the coordinator.
+    /// Keys of received requests; sent to the coordinator.
     LoadReport {
-        /// The version of the configuration that the sender has in force.
+        /// The version of the sender's current configuration.
         configuration_version: u64,
-        /// The store's revision by which the sender knows the nodes; 0 before
-        /// it has listed them.
+        /// The store's revision of the nodes that the sender knows; 0 before it has listed
+        /// them.
         nodes_revision: u64,
-        /// By service.
+        /// Requested keys, by service.
         reports: List<KeyReport>,
-        /// By owner.
+        /// Work done, by owner.
         work: List<WorkReport>,
     },
-    /// Open requests by instance; sent within a zone.
+    /// Number of open requests by instance; sent within a zone.
     OpenRequestCounts {
-        /// The sender's life; counts of an earlier one are void.
+        /// The sender's incarnation; counts of an earlier one are discarded.
         incarnation: u64,
-        /// How long the sender lets kept connections rest, in milliseconds; 0
-        /// without a limit.
+        /// How long the sender keeps idle connections, in milliseconds; 0 without a limit.
         rest_limit_ms: u16,
-        /// Those that changed.
+        /// The changed counts.
         changes: List<OpenRequests>,
     },
-    /// The load of instances as a zone's hub knows it; sent to the zone's nodes.
+    /// The load of the instances as known to a zone's load hub; sent to the nodes of the zone.
     LoadDigest {
-        /// Of how many zones the requests are counted.
+        /// The number of zones whose requests are included.
         zones: u8,
-        /// How long kept connections may rest, in milliseconds; 0 without a limit.
+        /// How long idle connections may be kept, in milliseconds; 0 without a limit.
         rest_limit_ms: u16,
-        /// Those that changed, and now and then all.
+        /// The changed entries; at intervals all of them.
         entries: List<DigestEntry>,
     },
-    /// Open requests of a zone's nodes; sent to the hubs of other zones.
+    /// Number of open requests of a zone's nodes; sent to the load hubs of other zones.
     ZoneSums {
-        /// Those that changed, and now and then all that are open.
+        /// The changed sums; at intervals all sums above 0.
         sums: List<ZoneSum>,
     },
     /// Asks the dispatcher of a queue for a permit.
     PermitAsk(PermitAskEntry),
-    /// A dispatcher's answer to such an ask.
+    /// A dispatcher's answer to a `PermitAsk`.
     PermitDecision {
-        /// The number of the ask.
+        /// The number of the `PermitAsk`.
         number: u64,
-        /// Names the queue.
+        /// Identifies the queue.
         queue: u64,
-        /// What becomes of it.
+        /// The decision.
         verdict: PermitVerdict,
-        /// Stable hash of the instance that it may be sent to, if it is granted.
+        /// Stable hash of the instance to which the request may be sent, if granted.
         server: u64,
-        /// When the caller may come back, in milliseconds, if it is refused.
+        /// When the caller may try again, in milliseconds, if refused.
         return_ms: u16,
     },
-    /// A permit comes back, or a request waits for it no longer.
+    /// Returns a permit, or withdraws a queued request.
     PermitReturn {
-        /// The number of the ask.
+        /// The number of the `PermitAsk`.
         number: u64,
-        /// Names the queue.
+        /// Identifies the queue.
         queue: u64,
         /// How the request ended.
         reason: PermitReturnReason,
-        /// Time from the request to its answer in milliseconds, if there was one; for which
-        /// the instance wants no requests, if it says so.
+        /// Time from the request to its answer, in milliseconds, if it was answered; the
+        /// requested pause, if the instance asked for one.
         took_ms: u16,
-        /// Requests that ran and waited at the instance then, by its own word.
+        /// Numbers of running and of waiting requests that the instance reported in its
+        /// answer.
         load: Option<(u8, u8)>,
     },
-    /// Facts about requests under which instances ended.
+    /// Evidence about requests during which instances ended.
     Evidence {
-        /// Whether the receiver is to send what it knows.
+        /// Whether the receiver should reply with its own evidence.
         wants_reply: bool,
-        /// Instances that were said to have ended and live.
+        /// Instances that are alive although they were reported as ended.
         alive: List<AgedEntry>,
-        /// What is known of requests.
+        /// The evidence, by request.
         requests: List<RequestEntry>,
     },
-    /// Instances that have said in answers that they leave, and whose entries don't say so
-    /// yet; sent to the coordinator, and by it to all nodes.
+    /// Instances that have announced in answers that they are leaving, while their entries do
+    /// not say so yet. Sent to the coordinator, which sends them to all nodes.
     LeavingInstances {
-        /// The instances, and how long ago each said so first.
+        /// The instances, and how long ago each first announced it.
         instances: List<AgedEntry>,
     },
-    /// Rate limits that instances name, or have ceased to; sent to the coordinator, and by it
-    /// to all nodes.
+    /// Rate limits that instances have announced or withdrawn. Sent to the coordinator, which
+    /// sends them to all nodes.
     RateLimits {
         /// The limits.
         limits: List<RateLimitEntry>,
     },
     /// Asks a limiter of an instance for a token.
     TokenAsk {
-        /// The sender's number for it.
+        /// The number that the sender gave this message.
         number: u64,
         /// The zone of the instance.
         zone: Text,
-        /// What the sender knows of the limit.
+        /// The limit that the sender knows.
         limit: RateLimitEntry,
     },
-    /// A limiter's answer to such an ask.
+    /// A limiter's answer to a `TokenAsk`.
     TokenDecision {
-        /// The number of the ask.
+        /// The number of the `TokenAsk`.
         number: u64,
         /// Stable hash of the instance's id.
         instance: u64,
-        /// What becomes of it.
+        /// The decision.
         verdict: TokenVerdictEntry,
-        /// Time for which there is no token for the sender, in milliseconds, if it is refused.
+        /// How long the sender gets no token, in milliseconds, if refused.
         wait_ms: u16,
     },
-    /// Asks a limiter whether it lives; sent by the one that is asked in its place.
+    /// Checks whether the primary limiter is alive; sent by the secondary one that is asked in
+    /// its place.
     LimiterProbe {
-        /// Whether this is the answer.
+        /// Whether this is the reply.
         is_reply: bool,
     },
-    /// All instances; sent to a node that lacks changes which no log reaches back to.
+    /// All instances; sent to a node that misses changes which are no longer in the log.
     InstancesListed {
         /// From revision 0 to that of the last change.
         span: ChangeSpan,
-        /// How much longer entries that are gone may come back, in milliseconds.
+        /// How much longer deleted entries may reappear, in milliseconds.
         unconfirmed_ms: u16,
         /// The instances.
         instances: List<ChangedInstance>,
@@ -518,7 +520,7 @@
 }
 
 impl PeerMessage {
-    /// The name of the message's kind in metrics.
+    /// The name of the message kind in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             PeerMessage::CoordinatorHeartbeat(_) => "heartbeat",
@@ -548,13 +550,12 @@
     }
 }
 
-/// An encoded message. Clones share the bytes, since most messages have many
-/// receivers.
+/// An encoded message. Clones share the bytes, since most messages have many receivers.
 #[derive(Clone, Debug)]
 pub struct Datagram {
     /// The kind of the message, for metrics.
     pub kind: &'static str,
-    /// The message on the wire.
+    /// The encoded message.
     pub bytes: Arc<[u8]>,
 }
 
@@ -569,7 +570,8 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// When the bytes are no message.
+///
+/// Returns an error if the bytes are not a valid message.
 pub fn decode(bytes: &[u8]) -> Result<PeerMessage, DecodeError> {
     if bytes.len() > MAX_BYTES {
         return Err(DecodeError::Malformed);
--- a/crates/ledgelead-router/src/peers/message_validation.rs
+++ b/crates/ledgelead-router/src/peers/message_validation.rs
@@ -1,14 +1,14 @@
-//! Messages that no node sends: with numbers that would block a revision for good, or
-//! with ranges of keys that are none.
+//! Rejects messages that no node sends: revisions so large that no later one could follow, and
+//! invalid key ranges.
 
 use super::message::{ChangeSpan, ChangedAssignment, ChangedNode, PeerMessage};
 use crate::validation::MAX_REVISION;
 
 impl PeerMessage {
-    /// Whether its numbers can be what a node counted up to.
-    pub fn is_within_bounds(&self) -> bool {
+    /// Whether all numbers and ranges of the message are valid.
+    pub fn is_valid(&self) -> bool {
         match self {
-            PeerMessage::CoordinatorHeartbeat(heartbeat) => are_counted(&[
+            PeerMessage::CoordinatorHeartbeat(heartbeat) => are_valid_revisions(&[
                 heartbeat.epoch,
                 heartbeat.record_revision,
                 heartbeat.configuration_version,
@@ -18,26 +18,26 @@
             ]),
             PeerMessage::InstancesChanged { span, .. }
             | PeerMessage::InstancesListed { span, .. }
-            | PeerMessage::ConfigurationChanged { span, .. } => is_counted(*span),
+            | PeerMessage::ConfigurationChanged { span, .. } => is_valid_span(*span),
             PeerMessage::NodesChanged { span, changes } => {
-                is_counted(*span) && changes.iter().all(is_registered)
+                is_valid_span(*span) && changes.iter().all(is_valid_node)
             }
             PeerMessage::OwnershipChanged { span, changes } => {
-                is_counted(*span) && changes.iter().all(is_range)
+                is_valid_span(*span) && changes.iter().all(is_valid_range)
             }
             PeerMessage::CoordinatorTookOver {
                 base,
                 revision,
                 first_fence,
                 ..
-            } => are_counted(&[*base, *revision, *first_fence]),
-            PeerMessage::CoordinatorResigned { epoch } => are_counted(&[*epoch]),
+            } => are_valid_revisions(&[*base, *revision, *first_fence]),
+            PeerMessage::CoordinatorResigned { epoch } => are_valid_revisions(&[*epoch]),
             PeerMessage::LoadReport {
                 configuration_version,
                 nodes_revision,
                 ..
-            } => are_counted(&[*configuration_version, *nodes_revision]),
-            PeerMessage::ResyncRequest { since, .. } => are_counted(&[*since]),
+            } => are_valid_revisions(&[*configuration_version, *nodes_revision]),
+            PeerMessage::ResyncRequest { since, .. } => are_valid_revisions(&[*since]),
             PeerMessage::Forwarded { .. }
             | PeerMessage::OpenRequestCounts { .. }
             | PeerMessage::LoadDigest { .. }
@@ -55,19 +55,19 @@
     }
 }
 
-fn are_counted(numbers: &[u64]) -> bool {
+fn are_valid_revisions(numbers: &[u64]) -> bool {
     numbers.iter().all(|number| *number <= MAX_REVISION)
 }
 
-fn is_counted(span: ChangeSpan) -> bool {
-    are_counted(&[span.base, span.revision])
+fn is_valid_span(span: ChangeSpan) -> bool {
+    are_valid_revisions(&[span.base, span.revision])
 }
 
-fn is_registered(change: &ChangedNode) -> bool {
+fn is_valid_node(change: &ChangedNode) -> bool {
     let entry = change.entry.as_ref();
-    entry.is_none_or(|entry| are_counted(&[entry.revision]))
+    entry.is_none_or(|entry| are_valid_revisions(&[entry.revision]))
 }
 
-fn is_range(change: &ChangedAssignment) -> bool {
-    change.first <= change.last && are_counted(&[change.fence])
+fn is_valid_range(change: &ChangedAssignment) -> bool {
+    change.first <= change.last && are_valid_revisions(&[change.fence])
 }
--- a/crates/ledgelead-router/src/peers/mod.rs
+++ b/crates/ledgelead-router/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! The other nodes: who they are, and what nodes tell each other.
+//! The other nodes: their registrations, and the messages between nodes.
 //!
-//! Datagrams only hasten what the store or an answer would show later: any of
-//! them may be lost, late or doubled without harm.
+//! Datagrams only speed up what the store or an answer would show later. Any of them may be
+//! lost, delayed or duplicated without harm.
 
 mod change_list;
 mod change_log;
--- a/crates/ledgelead-router/src/peers/registry.rs
+++ b/crates/ledgelead-router/src/peers/registry.rs
@@ -1,28 +1,28 @@
-//! The nodes that registered themselves in the store.
+//! The nodes that are registered in the store.
 
 use crate::identity::{NodeIdentity, NodeName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// What a node registers.
+/// A node's registration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// This life of the node.
+    /// The node and its incarnation.
     pub identity: NodeIdentity,
     /// Its zone.
     pub zone: ZoneName,
-    /// Where other nodes reach it.
+    /// Where other nodes can reach it.
     pub address: SocketAddr,
-    /// What it may use of a core, in thousandths.
+    /// Its CPU limit, in thousandths of a core.
     #[serde(default)]
     pub millicores: u32,
 }
 
-/// A registration as the store holds it.
+/// A registration with its revision in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// What the node registered.
+    /// The registration.
     pub record: NodeRecord,
     /// The store's revision of this registration.
     pub revision: u64,
@@ -32,14 +32,14 @@
 #[derive(Debug, Default)]
 pub struct Registry {
     nodes: BTreeMap<NodeName, Registration>,
-    /// How many nodes are in each zone; each request asks how many zones there are.
+    /// Number of nodes per zone; each request needs the number of zones.
     zones: BTreeMap<ZoneName, usize>,
-    /// The zones of nodes by address; each datagram asks for one.
+    /// Zone by node address; looked up for each datagram.
     by_address: HashMap<SocketAddr, ZoneName>,
 }
 
 impl Registry {
-    /// Takes over a whole list.
+    /// Replaces all registrations.
     pub fn replace_all(&mut self, registrations: Vec<Registration>) {
         *self = Registry::default();
         for registration in registrations {
@@ -47,8 +47,7 @@
         }
     }
 
-    /// A registration was made or changed. An older one than is known changes
-    /// nothing.
+    /// Adds or replaces a registration, unless the known one is newer.
     pub fn upsert(&mut self, registration: Registration) {
         let node = registration.record.identity.node.clone();
         let known = self.nodes.get(&node).map(|known| known.revision);
@@ -57,10 +56,10 @@
         }
     }
 
-    /// A registration is gone.
+    /// Removes a registration.
     pub fn remove(&mut self, node: &NodeName) {
         if let Some(known) = self.nodes.remove(node) {
-            self.forget(&known.record);
+            self.unindex(&known.record);
         }
     }
 
@@ -68,14 +67,14 @@
         let record = registration.record.clone();
         let node = record.identity.node.clone();
         if let Some(known) = self.nodes.insert(node, registration) {
-            self.forget(&known.record);
+            self.unindex(&known.record);
         }
         *self.zones.entry(record.zone.clone()).or_default() += 1;
         self.by_address.insert(record.address, record.zone);
     }
 
-    /// A registration doesn't count any more.
-    fn forget(&mut self, record: &NodeRecord) {
+    /// Removes a registration from the indexes.
+    fn unindex(&mut self, record: &NodeRecord) {
         self.by_address.remove(&record.address);
         if let Some(nodes) = self.zones.get_mut(&record.zone) {
             *nodes -= 1;
@@ -85,7 +84,7 @@
         }
     }
 
-    /// One node.
+    /// The registration of a node, without its revision.
     pub fn get(&self, node: &NodeName) -> Option<&NodeRecord> {
         Some(&self.nodes.get(node)?.record)
     }
@@ -95,22 +94,22 @@
         self.nodes.get(node)
     }
 
-    /// All nodes in the order of their names.
+    /// All nodes, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &NodeRecord> + Clone {
         self.nodes.values().map(|known| &known.record)
     }
 
-    /// All registrations in the order of the nodes' names.
+    /// All registrations, in the order of the nodes' names.
     pub fn registrations(&self) -> impl Iterator<Item = &Registration> {
         self.nodes.values()
     }
 
-    /// How many there are.
+    /// The number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// How many zones they are in.
+    /// The number of zones.
     pub fn zones(&self) -> u32 {
         u32::try_from(self.zones.len()).unwrap_or(u32::MAX)
     }
@@ -120,21 +119,22 @@
         self.by_address.get(&address)
     }
 
-    /// Whether there are none.
+    /// Whether no node is registered.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Whether a later life of a node is registered, so that this one has ended.
+    /// Whether a later incarnation of a node is registered, which proves that this one has
+    /// ended.
     ///
-    /// This life was registered before the store's revision `registered_by`, for
-    /// example that of a record which names it as coordinator. A registration
-    /// of another life from before that may be an earlier one, and proves
+    /// This incarnation was registered before the store's revision `registered_by`, for
+    /// example the revision of a record that names it as coordinator. A registration of
+    /// another incarnation from before that revision may be an earlier one, and proves
     /// nothing.
     pub fn has_ended(&self, identity: &NodeIdentity, registered_by: u64) -> bool {
         self.nodes.get(&identity.node).is_some_and(|known| {
-            let other_life = known.record.identity.incarnation != identity.incarnation;
-            other_life && known.revision > registered_by
+            let is_other_incarnation = known.record.identity.incarnation != identity.incarnation;
+            is_other_incarnation && known.revision > registered_by
         })
     }
 }
--- a/crates/ledgelead-router/src/peers/shared_load.rs
+++ b/crates/ledgelead-router/src/peers/shared_load.rs
@@ -1,8 +1,9 @@
-//! Instances' load, as nodes tell each other: open requests, speed, slowness now.
+//! The load of instances as nodes report it to each other: open requests, speed and current
+//! slowness.
 //!
-//! In a small zone each node sends its counts to each other one. In a larger one
-//! they go to one node, the zone's hub, which sends back a digest of all (see
-//! `node::load_hub`); hubs also exchange the sums of their zones.
+//! In a small zone each node sends its counts to every other node. In a larger one they go to
+//! one node, the zone's load hub, which returns a digest of all counts (see `node::load_hub`).
+//! Load hubs also exchange the sums of their zones.
 
 use super::message::{DigestEntry, OpenRequests, ZoneSum};
 use crate::Timestamp;
@@ -11,20 +12,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a count is used without being sent again: twice the pause between two
-/// announcements of all counts.
+/// How long a count is used without an update: twice the interval between announcements of all
+/// counts.
 const COUNT_TTL: Duration = Duration::from_millis(1_500);
-/// How long a digest goes before counts that came otherwise: some digests may be lost.
+/// How long a digest takes precedence over other counts: some digests may be lost.
 const DIGEST_TTL: Duration = Duration::from_millis(700);
-/// How long the slowness of an instance is used. It changes every 400 ms or so.
+/// How long the slowness of an instance is used. It changes about every 400 ms.
 const SLOWNESS_TTL: Duration = Duration::from_millis(300);
-/// How long a service time is used without a new sample; an instance that was slow
-/// gets another chance then.
+/// How long a service time is used without a new sample. Then an instance that was slow is
+/// tried again.
 const SERVICE_TIME_TTL: Duration = Duration::from_secs(8);
-/// Weight that the earlier service time keeps for each new sample.
-const KEPT_WEIGHT: f64 = 0.9;
-/// Longest work for one request that is believed, in milliseconds: an hour. What others
-/// tell is multiplied by queues, and must stay a time.
+/// Weight of the previous service time for each new sample.
+const PREVIOUS_WEIGHT: f64 = 0.9;
+/// Upper bound for a reported service time, in milliseconds: one hour. The value is multiplied
+/// by queue lengths and must not overflow a duration.
 const MAX_SERVICE_MS: f64 = 3_600_000.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -43,14 +44,14 @@
     }
 }
 
-/// What is known of one instance.
+/// The known load of one instance.
 #[derive(Clone, Debug, Default)]
 struct InstanceLoad {
-    /// By the nodes of this zone, each by itself.
+    /// Counts of the nodes of this zone.
     nodes: Vec<(SocketAddr, Count)>,
-    /// By the hubs of other zones.
+    /// Sums of other zones, by load hub.
     zones: Vec<(SocketAddr, Count)>,
-    /// By this zone's hub, without what this node has open.
+    /// The count of this zone's load hub, without this node's own requests.
     digest: Option<Count>,
     service_ms: Option<(f64, Timestamp)>,
     slowness: Option<(u16, Timestamp)>,
@@ -80,9 +81,12 @@
         if sample.answered > 0 {
             let mean = sample.busy.as_secs_f64() * 1_000.0 / f64::from(sample.answered);
             let mean = mean.min(MAX_SERVICE_MS);
-            let kept = KEPT_WEIGHT.powi(sample.answered.min(64) as i32);
+            let previous_weight = PREVIOUS_WEIGHT.powi(sample.answered.min(64) as i32);
             let earlier = self.service_time(now).unwrap_or(mean);
-            self.service_ms = Some((earlier * kept + mean * (1.0 - kept), now));
+            self.service_ms = Some((
+                earlier * previous_weight + mean * (1.0 - previous_weight),
+                now,
+            ));
         }
         if let Some(slowness) = sample.slowness {
             self.slowness = Some((slowness, now));
@@ -90,14 +94,14 @@
     }
 }
 
-/// How fast an instance was for one node's requests.
+/// Speed of an instance, measured by one node's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SpeedSample {
-    /// Requests that it answered.
+    /// Number of answered requests.
     pub answered: u32,
-    /// Time of work for them, without waiting, on a machine as usual.
+    /// Total processing time without queueing, at the instance's usual speed.
     pub busy: Duration,
-    /// How long work takes now, in percent of the usual time.
+    /// Current processing time, in percent of the usual time.
     pub slowness: Option<u16>,
 }
 
@@ -108,21 +112,21 @@
     zones: u8,
 }
 
-/// What the other nodes have open, and how fast instances are.
+/// Open requests of the other nodes, and the speed of instances.
 #[derive(Debug, Default)]
 pub struct SharedLoad {
-    /// The life of each node.
+    /// The known incarnation of each node.
     incarnations: HashMap<SocketAddr, u64>,
     instances: HashMap<u64, InstanceLoad>,
     digest: Option<DigestSource>,
-    /// The hubs of other zones, and when each was heard.
+    /// Load hubs of other zones, and when each last sent a message.
     other_hubs: HashMap<SocketAddr, Timestamp>,
-    /// Instances of which something has changed since the last digest.
+    /// Instances that changed since the last digest.
     changed: BTreeSet<u64>,
 }
 
 impl SharedLoad {
-    /// A node of this zone has sent its counts.
+    /// Records the counts that a node of this zone has sent.
     pub fn record_node_counts(
         &mut self,
         from: SocketAddr,
@@ -143,15 +147,15 @@
         }
     }
 
-    /// This node's own requests have shown how fast an instance is.
+    /// Records the speed of an instance, measured by this node's own requests.
     pub fn record_speed(&mut self, instance: u64, sample: SpeedSample, now: Timestamp) {
         let load = self.instances.entry(instance).or_default();
         load.learn(sample, now);
         self.changed.insert(instance);
     }
 
-    /// The zone's hub has sent a digest. `own` says how many requests this node has
-    /// reported for an instance: the others have the rest.
+    /// Records a digest of the zone's load hub. `own` returns how many requests this node has
+    /// reported for an instance; the remaining ones belong to other nodes.
     pub fn record_digest(
         &mut self,
         from: SocketAddr,
@@ -184,7 +188,7 @@
         }
     }
 
-    /// The hub of another zone has sent the sums of its zone.
+    /// Records the sums that the load hub of another zone has sent.
     pub fn record_zone_sums(&mut self, from: SocketAddr, sums: &[ZoneSum], now: Timestamp) {
         self.other_hubs.insert(from, now);
         for sum in sums {
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Requests that other nodes have open at an instance.
+    /// Number of open requests of other nodes at an instance.
     pub fn open_at(&self, instance: u64, now: Timestamp) -> u32 {
         let Some(load) = self.instances.get(&instance) else {
             return 0;
@@ -206,7 +210,7 @@
         u32::from(total(0, load.nodes.iter().chain(&load.zones), now))
     }
 
-    /// Of how many zones the open requests are known.
+    /// Number of zones whose open requests are known.
     pub fn zones(&self, now: Timestamp) -> u32 {
         match self.digest {
             Some(digest) if self.follows_digest(now) => u32::from(digest.zones),
@@ -214,31 +218,31 @@
         }
     }
 
-    /// The time of work for one request at an instance that works as usual.
+    /// The processing time of one request at an instance that runs at its usual speed.
     pub fn service_time(&self, instance: u64, now: Timestamp) -> Option<Duration> {
         let time = self.instances.get(&instance)?.service_time(now)?;
         Some(validation::millis(time, MAX_TIMEOUT))
     }
 
-    /// How long work takes at an instance now, in percent of the usual time.
+    /// The current processing time at an instance, in percent of the usual time.
     pub fn slowness(&self, instance: u64, now: Timestamp) -> Option<u16> {
         self.instances.get(&instance)?.slowness(now)
     }
 
-    /// When the last digest of a hub came.
+    /// When the last digest of a load hub arrived.
     pub fn last_digest_from(&self, hub: SocketAddr) -> Option<Timestamp> {
         let digest = self.digest.filter(|digest| digest.from == hub)?;
         Some(digest.at)
     }
 
-    /// Whether a node has sent the sums of its zone lately.
+    /// Whether a node has recently sent the sums of its zone.
     pub fn has_recent_sums_from(&self, hub: SocketAddr, now: Timestamp) -> bool {
         let at = self.other_hubs.get(&hub);
         at.is_some_and(|at| *at + COUNT_TTL > now)
     }
 
-    /// For a hub's digest: what has changed since the last call, or all that is known.
-    /// `own` says how many requests this node has open at an instance.
+    /// Creates a load hub's digest: the changes since the last call, or all entries. `own`
+    /// returns how many requests this node has open at an instance.
     pub fn take_digest(
         &mut self,
         complete: bool,
@@ -254,7 +258,7 @@
         instances.into_iter().filter_map(entry).collect()
     }
 
-    /// For the hubs of other zones: what this zone has open, by instance.
+    /// This zone's open requests by instance, for the load hubs of other zones.
     pub fn sums(&self, own: impl Fn(u64) -> u32, now: Timestamp) -> Vec<ZoneSum> {
         let sum = |(instance, load): (&u64, &InstanceLoad)| ZoneSum {
             instance: *instance,
@@ -275,13 +279,13 @@
         })
     }
 
-    /// Forgets what is no longer used.
+    /// Removes entries that are no longer used.
     pub fn expire(&mut self, now: Timestamp) {
         self.other_hubs.retain(|_, at| *at + COUNT_TTL > now);
         self.instances.retain(|_, load| !load.is_empty(now));
     }
 
-    /// Whether a hub's digests tell what other nodes have open.
+    /// Whether the digests of a load hub are current, so that they are used.
     pub fn follows_digest(&self, now: Timestamp) -> bool {
         self.digest
             .is_some_and(|digest| digest.at + DIGEST_TTL > now)
@@ -294,7 +298,7 @@
     }
 }
 
-/// This node's count and those of others.
+/// The sum of this node's count and those of others.
 fn total<'a>(
     own: u32,
     others: impl Iterator<Item = &'a (SocketAddr, Count)>,
@@ -305,7 +309,7 @@
     u16::try_from(own.saturating_add(others)).unwrap_or(u16::MAX)
 }
 
-/// Replaces the count of one sender; none if it has nothing open.
+/// Replaces the count of one sender; removes it if the sender has nothing open.
 fn set(counts: &mut Vec<(SocketAddr, Count)>, from: SocketAddr, count: Count) {
     counts.retain(|(sender, _)| *sender != from);
     if count.count > 0 {
--- a/crates/ledgelead-router/src/peers/traffic.rs
+++ b/crates/ledgelead-router/src/peers/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of datagrams between nodes, by kind, for metrics.
+//! Counts of datagrams between nodes by message kind, for metrics.
 
 use super::message::Datagram;
 use std::collections::BTreeMap;
@@ -6,9 +6,9 @@
 /// Datagrams of one kind in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// How many.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes, without the headers of UDP and IP.
+    /// Their size in bytes, without UDP and IP headers.
     pub bytes: u64,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// What a node has exchanged with other nodes since its start.
+/// Datagrams that a node has exchanged with other nodes since its start.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTraffic {
     /// Sent, by kind of message.
@@ -29,13 +29,13 @@
 }
 
 impl PeerTraffic {
-    /// A datagram was sent to one node.
+    /// Counts a sent datagram.
     pub fn sent(&mut self, datagram: &Datagram) {
         let count = self.sent.entry(datagram.kind).or_default();
         count.add(datagram.bytes.len());
     }
 
-    /// A datagram of this kind came.
+    /// Counts a received datagram.
     pub fn received(&mut self, kind: &'static str, bytes: usize) {
         self.received.entry(kind).or_default().add(bytes);
     }
--- a/crates/ledgelead-router/src/peers/transfer.rs
+++ b/crates/ledgelead-router/src/peers/transfer.rs
@@ -1,6 +1,6 @@
-//! Whole lists of objects that one node sends another over a connection.
+//! Transfers of complete lists of objects between two nodes over a connection.
 //!
-//! Datagrams carry changes; what has no bound on its length comes this way.
+//! Datagrams carry changes; lists of unbounded length are transferred this way.
 
 use super::configuration::{ConfigurationChange, ConfigurationDelta, LimitsEntry};
 use super::instance_table::InstanceTable;
@@ -8,7 +8,7 @@
 use ledgelead_types::codec::{List, Text};
 use nanoserde::{DeBin, SerBin};
 
-/// Asks another node for all objects of a kind.
+/// Requests all objects of a kind from another node.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct TransferRequest {
     /// The kind.
@@ -17,9 +17,9 @@
     pub known_revision: u64,
     /// The sender's zone.
     pub zone: Text,
-    /// Where others can ask the sender, once it has the objects.
+    /// Where other nodes can request the objects from the sender once it has them.
     pub address: PeerAddress,
-    /// What the sender's link carries, in bytes a second.
+    /// Bandwidth of the sender's link, in bytes a second.
     pub link_bytes_per_s: u64,
 }
 
@@ -28,22 +28,22 @@
 pub enum TransferAnswer {
     /// The objects.
     State(TransferredState),
-    /// The receiver has none that are newer, or no room on its link.
+    /// The receiver has no newer objects, or no free bandwidth.
     Redirect {
-        /// Nodes that were sent the objects lately.
+        /// Nodes that were recently sent the objects.
         nodes: List<PeerAddress>,
     },
 }
 
-/// All objects of a kind as a node knows them.
+/// All objects of a kind, as known to a node.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct TransferredState {
-    /// The revision up to which they are known.
+    /// The revision up to which the objects are known.
     pub revision: u64,
-    /// How long ago the sender knew all that the store had acknowledged, in milliseconds;
-    /// nothing if it can't tell.
+    /// How long ago the sender knew everything that the store had acknowledged, in
+    /// milliseconds; none if it cannot tell.
     pub age_ms: Option<u32>,
-    /// How much longer entries that are missing may come back, in milliseconds.
+    /// How much longer missing entries may reappear, in milliseconds.
     pub unconfirmed_ms: u16,
     /// The objects.
     pub objects: TransferredObjects,
@@ -56,24 +56,24 @@
     Instances(InstanceTable),
     /// Registrations of nodes.
     Nodes(List<ChangedNode>),
-    /// The record of ownership.
+    /// The ownership record.
     Ownership(RecordEntry),
     /// The configuration.
     Configuration(FullConfiguration),
 }
 
-/// The record of ownership.
+/// The ownership record.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct RecordEntry {
     /// Its epoch.
     pub epoch: u64,
-    /// The coordinator and its life; none after it resigned.
+    /// The coordinator and its incarnation; none after it has resigned.
     pub coordinator: Option<CoordinatorEntry>,
-    /// How long earlier coordinators may go on to give orders, in milliseconds.
+    /// How long earlier coordinators may still send orders, in milliseconds.
     pub earlier_authority_ms: u64,
-    /// The era of the store in which it was written.
+    /// The era of the store in which the record was written.
     pub era: u64,
-    /// How long keys may be held by instances that no version of this era names, in
+    /// How long instances that no version of this era names may still hold keys, in
     /// milliseconds.
     pub unknown_holds_ms: u64,
     /// The next fencing token.
@@ -82,12 +82,12 @@
     pub assignments: List<ChangedAssignment>,
 }
 
-/// Who coordinates.
+/// The coordinator of the ownership record.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct CoordinatorEntry {
     /// The node.
     pub node: Text,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl FullConfiguration {
-    /// This configuration as what it changes of none.
+    /// This configuration as the difference from an empty one.
     pub fn into_delta(self, version: u64) -> ConfigurationDelta {
         ConfigurationDelta {
             base: 0,
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -283,19 +283,22 @@
 fn a_lease_is_over_only_when_no_grant_can_be_held_or_arrive() {
     let mut lease = Lease::fresh(ms(0), None);
     lease.granting(ExchangeId(1));
-    expect_that!(lease.is_over(ALL_ON(), ms(1)), eq(false));
+    expect_that!(lease.has_expired(ALL_ON(), ms(1)), eq(false));
     lease.granted(RENEWAL_INTERVAL, ms(10));
     expect_that!(
-        lease.is_over(ALL_ON(), ms(10) + longest_hold() - ms(1)),
+        lease.has_expired(ALL_ON(), ms(10) + longest_hold() - ms(1)),
         eq(false)
     );
-    expect_that!(lease.is_over(ALL_ON(), ms(10) + longest_hold()), eq(true));
+    expect_that!(
+        lease.has_expired(ALL_ON(), ms(10) + longest_hold()),
+        eq(true)
+    );
     lease.granting(ExchangeId(2));
-    expect_that!(lease.is_over(ALL_ON(), ms(9_000)), eq(false));
+    expect_that!(lease.has_expired(ALL_ON(), ms(9_000)), eq(false));
     lease.unanswered(true, ms(9_000));
-    expect_that!(lease.is_over(ALL_ON(), ms(9_001)), eq(false));
+    expect_that!(lease.has_expired(ALL_ON(), ms(9_001)), eq(false));
     expect_that!(
-        lease.is_over(ALL_ON(), ms(9_000) + longest_hold()),
+        lease.has_expired(ALL_ON(), ms(9_000) + longest_hold()),
         eq(true)
     );
 }
@@ -309,7 +312,7 @@
         lease.granting(ExchangeId(attempt));
         lease.unanswered(false, ms(250 * attempt));
     }
-    expect_that!(lease.is_over(ALL_ON(), longest_hold()), eq(true));
+    expect_that!(lease.has_expired(ALL_ON(), longest_hold()), eq(true));
 }
 
 #[gtest]
@@ -317,8 +320,8 @@
     let lease = Lease::inherited(ms(5), ms(10_000));
     // Its last grant may still have been on its way as it was killed.
     let end = ms(10_000) + ORDER_TRANSIT + longest_hold();
-    expect_that!(lease.is_over(ALL_ON(), end - ms(1)), eq(false));
-    expect_that!(lease.is_over(ALL_ON(), end), eq(true));
+    expect_that!(lease.has_expired(ALL_ON(), end - ms(1)), eq(false));
+    expect_that!(lease.has_expired(ALL_ON(), end), eq(true));
 }
 
 fn node_record(name: &str, millicores: u32) -> NodeRecord {
