--- a/crates/ledgelead-router/src/configuration.rs
+++ b/crates/ledgelead-router/src/configuration.rs
@@ -1,14 +1,14 @@
-//! Routes, services and limits as the operator set them.
+//! The operator's routes, services and limits.
 
 use crate::identity::ServiceName;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatability {
-    /// It may.
+    /// It may be executed several times.
     Idempotent,
     /// At most once.
     Once,
@@ -23,7 +23,7 @@
     pub weight: f64,
 }
 
-/// Where requests of a host under a path go, and what they may cost.
+/// A route: which services handle requests for a host and path prefix, and their limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The route's name.
@@ -34,42 +34,41 @@
     pub prefix: String,
     /// The services, at least one.
     pub targets: Vec<RouteTarget>,
-    /// Whether its requests may run more than once.
+    /// Whether its requests may be executed more than once.
     pub repeatability: Repeatability,
-    /// The longest a request is held.
+    /// The longest time for which a request is held.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The latency target: an answer is worth most within this time.
     pub target_latency: Duration,
-    /// The largest number of instances one request may be sent to.
+    /// The largest number of instances to which one request may be sent.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
 }
 
-/// What the operator says of a service.
+/// The configuration of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
     /// Whether its instances own its keys exclusively.
     pub sharded: bool,
-    /// Connections that one instance accepts from all callers.
+    /// Connections that one instance accepts from all clients together.
     pub max_connections: u32,
-    /// Requests a second that an instance bears while it is cold, if that is
-    /// bounded.
+    /// Requests a second that an instance can process while it is cold; none if not limited.
     pub cold_rate: Option<f64>,
 }
 
-/// Bounds on what clients send.
+/// Limits for client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time within which a head must arrive.
+    /// Time within which a request head must arrive.
     pub head_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
@@ -84,27 +83,26 @@
     }
 }
 
-/// One version of the configuration, whole.
+/// A complete version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
     /// All services.
     pub services: Vec<Service>,
-    /// Bounds on what clients send.
+    /// Limits for client requests.
     pub limits: ClientLimits,
 }
 
 impl Configuration {
-    /// What the operator says of a service.
+    /// The configuration of a service.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// The services for whose instances requests of different urgency or target latency
-    /// compete.
+    /// Services whose instances receive requests with different priorities or latency targets.
     pub fn contended_services(&self) -> BTreeSet<ServiceName> {
         let mut kinds: BTreeMap<&ServiceName, BTreeSet<(u32, Duration)>> = BTreeMap::new();
         for route in &self.routes {
@@ -117,7 +115,7 @@
         contended.map(|(service, _)| service.clone()).collect()
     }
 
-    /// The services whose keys have owners.
+    /// Services whose keys are owned by instances.
     pub fn sharded_services(&self) -> impl Iterator<Item = &ServiceName> {
         self.services
             .iter()
@@ -126,7 +124,7 @@
     }
 }
 
-/// Finds the route of a request.
+/// Looks up the route of a request.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, Vec<Arc<Route>>>,
@@ -134,7 +132,7 @@
 }
 
 impl RouteTable {
-    /// The table of a configuration.
+    /// Builds the table for a configuration.
     pub fn new(configuration: &Configuration) -> RouteTable {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -152,19 +150,18 @@
         }
     }
 
-    /// Whether they compete for those of any service.
+    /// Whether any service is contended.
     pub fn has_contended(&self) -> bool {
         !self.contended.is_empty()
     }
 
-    /// Whether requests of different urgency or target latency compete for the instances of
-    /// the service.
+    /// Whether the instances of the service receive requests with different priorities or
+    /// latency targets.
     pub fn is_contended(&self, service: &ServiceName) -> bool {
         self.contended.contains(service)
     }
 
-    /// Among the routes of the host, the one with the longest prefix that
-    /// begins the path.
+    /// The route of the host with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = match self.by_host.get(name) {
--- a/crates/ledgelead-router/src/dialect.rs
+++ b/crates/ledgelead-router/src/dialect.rs
@@ -1,5 +1,5 @@
-//! What a platform adapter translates: objects of the store, orders to
-//! instances, and names of headers. It decides nothing.
+//! The interface to a platform adapter, which translates store objects, orders to instances
+//! and header names. An adapter makes no decisions.
 
 use crate::configuration::Configuration;
 use crate::directory::InstanceRecord;
@@ -10,25 +10,25 @@
 use ledgelead_http::{Request, Response};
 use std::time::Duration;
 
-/// The kinds of objects a node reads or writes in the store.
+/// The kinds of store objects that a node reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObjectKind {
-    /// The operator's configuration, one object.
+    /// The operator's configuration; a single object.
     Configuration,
-    /// Instances, registered by themselves.
+    /// Registrations of instances, written by the instances.
     Instances,
-    /// Who owns which keys, one object.
+    /// The ownership record; a single object.
     Ownership,
-    /// The nodes, registered by themselves.
+    /// Registrations of nodes, written by the nodes.
     Nodes,
-    /// Zones that the operator has emptied, one object each.
+    /// Evacuated zones; one object each.
     Evacuations,
-    /// Requests that crash instances, one object each.
+    /// Quarantined requests and their evidence; one object each.
     Quarantine,
 }
 
 impl ObjectKind {
-    /// Every kind, in the order of its declaration.
+    /// All kinds, in the order of declaration.
     pub const ALL: [ObjectKind; 6] = [
         ObjectKind::Configuration,
         ObjectKind::Instances,
@@ -38,7 +38,7 @@
         ObjectKind::Quarantine,
     ];
 
-    /// The kind's name in metrics and findings.
+    /// The kind's name in metrics and error messages.
     pub fn label(self) -> &'static str {
         match self {
             ObjectKind::Configuration => "configuration",
@@ -50,63 +50,63 @@
         }
     }
 
-    /// Whether there is only one object of this kind.
+    /// Whether there is only a single object of this kind.
     pub fn is_single(self) -> bool {
         matches!(self, ObjectKind::Configuration | ObjectKind::Ownership)
     }
 }
 
-/// What an object holds.
+/// The decoded content of an object.
 #[derive(Clone, Debug)]
 pub enum ObjectContent {
     /// The operator's configuration.
     Configuration(Configuration),
-    /// A registered instance.
+    /// An instance's registration.
     Instance(InstanceRecord),
-    /// Who owns which keys.
+    /// The ownership record.
     Ownership(OwnershipRecord),
-    /// A registered node.
+    /// A node's registration.
     Node(NodeRecord),
-    /// A zone that the operator has emptied.
+    /// A zone that the operator has evacuated.
     Evacuation(ZoneName),
-    /// A request that crashes instances.
+    /// The evidence about a request that crashes instances.
     Quarantine(QuarantineRecord),
 }
 
 /// An object of the store.
 #[derive(Clone, Debug)]
 pub struct Object {
-    /// Its name within its kind; empty where that can't be read.
+    /// Its name within its kind; empty if it cannot be read.
     pub name: String,
     /// The store's revision of its last change.
     pub revision: u64,
-    /// What it holds, within the bounds of [`crate::boundary`]; a finding with its place
-    /// where that can't be read.
+    /// Its content, checked by [`crate::validation`]; an error message that names the location
+    /// if it cannot be read.
     pub content: Result<ObjectContent, String>,
 }
 
 /// A change of an object.
 #[derive(Clone, Debug)]
 pub struct ObjectEvent {
-    /// The object after the change, or as it was last.
+    /// The object after the change, or its last state if it was deleted.
     pub object: Object,
-    /// Whether it is gone.
+    /// Whether it was deleted.
     pub gone: bool,
 }
 
-/// What a node may write.
+/// Content that a node writes.
 #[derive(Clone, Debug)]
 pub enum WrittenContent {
-    /// Who owns which keys.
+    /// The ownership record.
     Ownership(OwnershipRecord),
     /// This node's registration.
     Node(NodeRecord),
-    /// A request that crashes instances.
+    /// The evidence about a request that crashes instances.
     Quarantine(QuarantineRecord),
 }
 
 impl WrittenContent {
-    /// The kind of object that holds this.
+    /// The kind of the object.
     pub fn kind(&self) -> ObjectKind {
         match self {
             WrittenContent::Ownership(_) => ObjectKind::Ownership,
@@ -119,36 +119,36 @@
 /// A call to the store.
 #[derive(Clone, Debug)]
 pub enum StoreCall {
-    /// All objects of a kind, page by page.
+    /// Lists all objects of a kind, page by page.
     List {
         /// The kind.
         kind: ObjectKind,
-        /// The last name of the page before.
+        /// The last name of the previous page.
         after: Option<String>,
-        /// Whether a state from some seconds ago will do, which is cheaper.
+        /// Whether the list may be some seconds old, which is cheaper.
         stale: bool,
     },
-    /// Changes after a revision, as soon as there are some.
+    /// Waits for changes after a revision.
     Watch {
         /// The kind.
         kind: ObjectKind,
         /// The revision.
         revision: u64,
-        /// How long to wait for a change.
+        /// How long the store may wait for a change.
         wait: Duration,
     },
-    /// Make an object, unless there is one of this name.
+    /// Creates an object, unless one of this name exists.
     Create {
         /// Its name.
         name: String,
         /// What it holds.
         content: WrittenContent,
     },
-    /// Replace an object, under the condition that its revision is this one.
+    /// Replaces an object if it has this revision.
     Replace {
         /// Its name.
         name: String,
-        /// The revision, or none for any.
+        /// The expected revision; none to skip the condition.
         revision: Option<u64>,
         /// What it holds.
         content: WrittenContent,
@@ -162,33 +162,33 @@
     Objects {
         /// The objects.
         objects: Vec<Object>,
-        /// Whether more follow.
+        /// Whether there are further pages.
         more: bool,
         /// The store's revision.
         revision: u64,
     },
     /// Changes.
     Events {
-        /// The changes in order.
+        /// The changes, in order.
         events: Vec<ObjectEvent>,
         /// The revision to continue from.
         revision: u64,
     },
     /// The object as written.
     Written(Object),
-    /// The condition did not hold; nothing was done.
+    /// The condition was not met; nothing was written.
     Conflict,
     /// There is no such object.
     Missing,
-    /// The changes after the revision are forgotten.
+    /// The changes after the revision are no longer available.
     HistoryLost,
-    /// Nothing was done: too many calls, or the store can't serve now.
+    /// Nothing was done: too many calls, or the store is temporarily unavailable.
     Refused,
-    /// The answer can't be read.
+    /// The answer cannot be parsed.
     Unreadable(String),
 }
 
-/// A range of keys, both ends inside.
+/// An inclusive range of keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyRange {
     /// The first key.
@@ -204,7 +204,7 @@
         last: u16::MAX,
     };
 
-    /// Whether the key lies inside.
+    /// Whether the range contains the key.
     pub fn contains(self, key: u16) -> bool {
         self.first <= key && key <= self.last
     }
@@ -214,7 +214,7 @@
         u32::from(self.last) - u32::from(self.first) + 1
     }
 
-    /// What is left of the range without what it shares with another.
+    /// The parts of the range that do not overlap `part`.
     pub fn without(self, part: KeyRange) -> Vec<KeyRange> {
         if self.last < part.first || part.last < self.first {
             return vec![self];
@@ -235,7 +235,7 @@
         left
     }
 
-    /// Never: a range has at least one key.
+    /// Always false: a range has at least one key.
     pub fn is_empty(self) -> bool {
         false
     }
@@ -250,12 +250,12 @@
         range: KeyRange,
         /// The fencing token.
         fence: u64,
-        /// For how long, from its arrival.
+        /// How long to hold them, counted from the arrival of the order.
         hold: Duration,
-        /// State handed over by the last holder.
+        /// State handed over by the previous owner.
         handover: Option<String>,
     },
-    /// Give these keys back once the work on them has ended.
+    /// Give these keys back after the current requests for them have ended.
     Release {
         /// The keys.
         range: KeyRange,
@@ -267,14 +267,14 @@
 /// An instance's answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// Done; a release may bring state for the next holder.
+    /// Done. The answer to a release may contain state for the next owner.
     Done {
-        /// State for the next holder.
+        /// State for the next owner.
         handover: Option<String>,
     },
     /// The instance has seen a higher fencing token.
     Fenced,
-    /// Another instance has the address.
+    /// Another instance listens on the address.
     OtherInstance,
     /// Refused for another reason.
     Refused,
@@ -283,29 +283,29 @@
 /// Names of headers between clients, nodes and instances.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Names one try of a client.
+    /// Identifies one attempt of a client.
     pub attempt_id: String,
-    /// Milliseconds that the caller waits.
+    /// Milliseconds for which the caller waits.
     pub deadline: String,
-    /// Proves that an answer is an instance's.
+    /// Proves that an answer comes from an instance.
     pub signature: String,
-    /// The instance a request is meant for.
+    /// The instance for which a request is meant.
     pub target_instance: String,
-    /// Running requests, waiting requests and slots of an instance.
+    /// Numbers of running requests, waiting requests and slots of an instance.
     pub load: String,
-    /// The instance did not run the request.
+    /// The instance did not execute the request.
     pub not_executed: String,
     /// The instance that answers.
     pub instance: String,
     /// The key of a request.
     pub key: String,
-    /// When a client, or a node, may come back, in seconds.
+    /// When a client or a node may try again, in seconds.
     pub retry_after: String,
     /// The instance that answers is about to leave.
     pub leaving: String,
-    /// Requests a second that the instance that answers takes from all nodes together.
+    /// Requests a second that the answering instance accepts from all nodes together.
     pub rate_limit: String,
-    /// The era of the store: it rises each time the store comes back from a copy.
+    /// The era of the store, which increases with each restore from a backup.
     pub store_era: String,
 }
 
@@ -313,13 +313,13 @@
 pub trait Dialect {
     /// Names of headers.
     fn headers(&self) -> &HeaderNames;
-    /// The request that carries a call to the store.
+    /// Encodes a call to the store.
     fn store_request(&self, call: &StoreCall) -> Request;
-    /// What the store's answer to the call means. Each object is read by itself: one that
-    /// can't be read takes no other with it.
+    /// Decodes the store's answer to the call. Each object is decoded by itself, so that an
+    /// unreadable one does not affect the others.
     fn store_answer(&self, call: &StoreCall, response: &Response) -> StoreAnswer;
-    /// The request that carries an order to an instance.
+    /// Encodes an order to an instance.
     fn order_request(&self, instance: &InstanceId, order: &Order) -> Request;
-    /// What an instance's answer to an order means.
+    /// Decodes an instance's answer to an order.
     fn order_answer(&self, instance: &InstanceId, response: &Response) -> OrderAnswer;
 }
--- a/crates/ledgelead-router/src/evacuation.rs
+++ b/crates/ledgelead-router/src/evacuation.rs
@@ -1,12 +1,12 @@
-//! Zones that the operator has emptied: until that is taken back, their instances
-//! get nothing more.
+//! Zones that the operator has evacuated: their instances get no requests until the operator
+//! ends the evacuation.
 
 use crate::identity::ZoneName;
 use ledgelead_types::codec::List;
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeSet;
 
-/// The evacuated zones by one revision of the store.
+/// The evacuated zones at one revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     revision: u64,
@@ -14,17 +14,17 @@
     zones: BTreeSet<u64>,
 }
 
-/// The same in a coordinator's heartbeat.
+/// The evacuated zones in a coordinator's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct EvacuationsEntry {
-    /// The store's revision by which the zones are known; 0 if they are not.
+    /// The store's revision of the zones; 0 if unknown.
     pub revision: u64,
     /// Stable hashes of the zones' names.
     pub zones: List<u64>,
 }
 
 impl Evacuations {
-    /// The store's revision by which the zones are known; 0 before they are.
+    /// The store's revision of the zones; 0 while unknown.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -34,13 +34,13 @@
         &self.zones
     }
 
-    /// The store has listed all evacuated zones. Returns whether this is news.
+    /// Applies a complete list from the store. Returns whether the zones have changed.
     pub fn listed(&mut self, zones: &[ZoneName], revision: u64) -> bool {
         let zones = zones.iter().map(ZoneName::stable_hash).collect();
         self.replace(zones, revision)
     }
 
-    /// The store tells of one zone.
+    /// Applies a change of one zone. Returns whether the zones have changed.
     pub fn changed(&mut self, zone: &ZoneName, evacuated: bool, revision: u64) -> bool {
         let mut zones = self.zones.clone();
         if evacuated {
@@ -51,13 +51,13 @@
         self.replace(zones, revision)
     }
 
-    /// A coordinator tells of all evacuated zones.
+    /// Applies the zones in a coordinator's heartbeat. Returns whether they have changed.
     pub fn heard(&mut self, entry: &EvacuationsEntry) -> bool {
         let zones = entry.zones.0.iter().copied().collect();
         self.replace(zones, entry.revision)
     }
 
-    /// For a heartbeat.
+    /// The encoded zones for a heartbeat.
     pub fn entry(&self) -> EvacuationsEntry {
         EvacuationsEntry {
             revision: self.revision,
@@ -65,14 +65,14 @@
         }
     }
 
-    /// What is known never goes back to an earlier revision.
+    /// Ignores lists of earlier revisions.
     fn replace(&mut self, zones: BTreeSet<u64>, revision: u64) -> bool {
         if revision < self.revision {
             return false;
         }
         self.revision = revision;
-        let is_news = self.zones != zones;
+        let is_changed = self.zones != zones;
         self.zones = zones;
-        is_news
+        is_changed
     }
 }
--- a/crates/ledgelead-router/src/events.rs
+++ b/crates/ledgelead-router/src/events.rs
@@ -1,4 +1,4 @@
-//! What a node tells of its decisions and beliefs, one log record each.
+//! Log events about a node's decisions and state, one log record each.
 //!
 //! `docs/operations/logs.md` is the schema for readers of the logs.
 
@@ -13,12 +13,11 @@
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
-    /// An attempt at an instance ended otherwise than with an answer that was
-    /// passed on.
+    /// An attempt at an instance ended without an answer that was relayed to the client.
     AttemptEnded {
-        /// The client's name for its request.
+        /// The client's id of its request.
         request: &'a str,
-        /// The same for all tries of the request, at all nodes.
+        /// Identical for all attempts of the request at all nodes.
         digest: RequestDigest,
         /// The service.
         service: &'a ServiceName,
@@ -30,18 +29,18 @@
         sent_after_ms: u64,
         /// Milliseconds that the attempt took.
         took_ms: u64,
-        /// How it ended; the names of `Verdict`.
+        /// The outcome; one of the names of `Verdict`.
         ended: &'static str,
-        /// The token under which this node believes the key to be owned.
+        /// The fencing token of the key's owner, as known to this node.
         fence: Option<u64>,
-        /// The store's revision of the ownership that this node goes by.
+        /// The store's revision of the ownership record that this node uses.
         ownership: Option<u64>,
     },
-    /// The router answered a request by itself.
+    /// The router answered a request itself.
     Answered {
-        /// The client's name for its request.
+        /// The client's id of its request.
         request: &'a str,
-        /// The same for all tries of the request, at all nodes.
+        /// Identical for all attempts of the request at all nodes.
         digest: RequestDigest,
         /// The service.
         service: &'a ServiceName,
@@ -49,35 +48,35 @@
         key: Option<u16>,
         /// The status.
         status: u16,
-        /// The reason; the names of `Refusal`.
+        /// The reason; one of the names of `Refusal`.
         reason: &'static str,
-        /// Milliseconds since the request came.
+        /// Milliseconds since the request arrived.
         after_ms: u64,
-        /// Instances that it was sent to.
+        /// Number of instances to which it was sent.
         attempts: usize,
-        /// The token under which this node believes the key to be owned.
+        /// The fencing token of the key's owner, as known to this node.
         fence: Option<u64>,
-        /// The store's revision of the ownership that this node goes by.
+        /// The store's revision of the ownership record that this node uses.
         ownership: Option<u64>,
-        /// The version of the configuration in force.
+        /// The version of the current configuration.
         configuration: u64,
     },
-    /// A request that belongs to no service was answered by the router.
+    /// The router answered a request that matches no route.
     Unrouted {
-        /// The client's name for its request.
+        /// The client's id of its request.
         request: &'a str,
-        /// The host that it names.
+        /// The requested host.
         host: &'a str,
         /// Its path.
         path: &'a str,
         /// The status.
         status: u16,
-        /// The reason; the names of `Refusal`.
+        /// The reason; one of the names of `Refusal`.
         reason: &'static str,
-        /// The version of the configuration in force; 0 without one.
+        /// The version of the current configuration; 0 if there is none.
         configuration: u64,
     },
-    /// A version of the configuration came into force.
+    /// A version of the configuration took effect.
     ConfigurationInForce {
         /// The version.
         version: u64,
@@ -88,111 +87,111 @@
         instance: &'a InstanceId,
         /// Its service.
         service: &'a ServiceName,
-        /// Where it is reached.
+        /// The instance's address.
         address: SocketAddr,
     },
-    /// An instance says that it is leaving.
+    /// An instance has registered that it is leaving.
     InstanceDrains {
         /// The instance.
         instance: &'a InstanceId,
     },
-    /// An instance says in an answer that it leaves, or asks for a pause, and has not done
-    /// so before.
+    /// An instance's answer announced for the first time that it is leaving, or asked for a
+    /// pause.
     InstanceNotice {
         /// The instance.
         instance: &'a InstanceId,
         /// Whether it is about to leave.
         leaving: bool,
-        /// Milliseconds in which it wants no requests of this node.
+        /// Milliseconds for which it wants no requests from this node.
         backoff_ms: Option<u64>,
     },
-    /// An instance names another rate limit than before, or none any more.
+    /// An instance announced a different rate limit, or withdrew its limit.
     RateLimitNotice {
         /// The instance.
         instance: &'a InstanceId,
-        /// Requests a second that it takes from all nodes together.
+        /// Requests a second that it accepts from all nodes together.
         rate_limit: Option<f64>,
     },
-    /// An instance's entry is gone.
+    /// An instance's entry was deleted.
     InstanceGone {
         /// The instance.
         instance: &'a InstanceId,
     },
-    /// Other zones than before are evacuated.
+    /// The set of evacuated zones has changed.
     Evacuated {
-        /// How many are.
+        /// Number of evacuated zones.
         zones: usize,
     },
-    /// A call of the store failed, the first after one that was served.
+    /// A call to the store failed, after the previous one was served.
     StoreFails {
-        /// What became of the call.
+        /// The outcome of the call.
         cause: &'a str,
     },
-    /// A call of the store was served again.
+    /// A call to the store was served, after the previous one failed.
     StoreServes,
-    /// The store has come back from a copy.
+    /// The store was restored from a backup.
     StoreEra {
-        /// Its era from now on.
+        /// Its new era.
         era: u64,
     },
-    /// An object of the store can't be read.
+    /// An object of the store cannot be read.
     ObjectUnreadable {
         /// Its name, or its kind.
         object: &'a str,
-        /// What is wrong, with its place.
+        /// The error and its location.
         finding: &'a str,
     },
-    /// This node wants the coordinator's place.
+    /// This node tries to become the coordinator.
     Campaigns {
         /// The epoch that would begin.
         epoch: u64,
     },
-    /// This node has taken the coordinator's place.
+    /// This node has become the coordinator.
     Coordinates {
         /// Its epoch.
         epoch: u64,
-        /// Whether the coordinator before is known to have ended.
+        /// Whether the previous coordinator is known to have ended.
         predecessor_ended: bool,
     },
-    /// This node has lost or left the coordinator's place.
+    /// This node is no longer the coordinator.
     CoordinatesNoMore {
-        /// The epoch that this node knows now.
+        /// The latest epoch that this node knows.
         epoch: u64,
     },
     /// This node suspends its watches and follows a coordinator's view of the store.
     FollowsCoordinator {
         /// The coordinator's epoch.
         epoch: u64,
-        /// Where its heartbeats come from.
+        /// The address that sends its heartbeats.
         from: SocketAddr,
     },
-    /// No view of a coordinator is recent enough: this node's watches go on.
+    /// No coordinator's view is recent enough, so this node resumes its watches.
     FollowsNobody,
-    /// A coordinator's take-over doesn't follow on the record that this node knows.
+    /// A coordinator's takeover does not follow on this node's version of the record.
     TakeOverNotFollowed {
-        /// The revision of the record before, by the coordinator.
+        /// The revision before the takeover, as sent by the coordinator.
         base: u64,
         /// The revision that this node knows.
         known: u64,
-        /// Whether the record that would result has the coordinator's digest.
+        /// Whether the resulting record would have the coordinator's digest.
         same_digest: bool,
     },
-    /// This node asks the store for changes that were announced and never came.
+    /// This node requests announced changes from the store because they have not arrived.
     ChangesMissing {
-        /// Changes of what.
+        /// The kind of objects.
         kind: &'static str,
-        /// The newest revision, or version, that was announced.
+        /// The latest announced revision or version.
         announced: u64,
-        /// The one that this node knows.
+        /// The revision or version that this node knows.
         known: u64,
-        /// For how long it has lacked them, in milliseconds.
+        /// How long the changes have been missing, in milliseconds.
         missing_ms: u64,
     },
     /// Another node has sent all objects of a kind.
     StateReceived {
         /// The kind.
         kind: &'static str,
-        /// The revision, or version, up to which they are known.
+        /// The revision or version of the objects.
         revision: u64,
         /// The node that sent them.
         from: SocketAddr,
@@ -210,20 +209,20 @@
         /// The next owner.
         to: &'a InstanceId,
     },
-    /// A version of the record was not written; it is tried again.
+    /// Writing a version of the record failed; it is retried.
     RecordNotWritten {
-        /// How many ranges it has: the store may refuse one that is too large.
+        /// Number of ranges: the store may refuse a record that is too large.
         ranges: usize,
-        /// What became of the call.
+        /// The outcome of the call.
         cause: &'a str,
     },
-    /// A version of the record was not written, since the store holds another one than the
-    /// one that it follows on.
+    /// A version of the record was not written because the store holds a different version
+    /// than the expected one.
     RecordConflict {
-        /// The revision that it follows on.
+        /// The expected revision.
         revision: Option<u64>,
     },
-    /// A write of the record has given keys to an owner.
+    /// A written version of the record assigned keys to an owner.
     KeysOwned {
         /// The service.
         service: &'a ServiceName,
@@ -236,11 +235,11 @@
         /// The token.
         fence: u64,
     },
-    /// An instance didn't carry out an order, as far as the coordinator knows.
+    /// As far as the coordinator knows, an instance did not execute an order.
     OrderFailed {
         /// The instance.
         instance: &'a InstanceId,
-        /// A grant or a release.
+        /// The kind of the order: grant or release.
         order: &'static str,
         /// The first key.
         first: u16,
@@ -248,31 +247,31 @@
         last: u16,
         /// The token.
         fence: u64,
-        /// The instance's answer, or how the connection ended: an order without an
-        /// answer in time is broken off by a reset.
+        /// The instance's answer, or how the connection ended: an order without an answer in
+        /// time is aborted by a connection reset.
         answer: &'a str,
     },
-    /// An instance has ended, and requests that were in flight there are suspected.
+    /// An instance has ended; requests that were in flight there are suspected.
     InstanceEnded {
         /// The instance.
         instance: &'a InstanceId,
-        /// How many requests of this node.
+        /// Number of this node's requests that were in flight there.
         requests: usize,
     },
-    /// An instance that some node took for ended has answered.
+    /// An instance that was reported as ended has answered.
     EndDisproved {
         /// The instance.
         instance: &'a InstanceId,
     },
-    /// A request is held back from now on: instances have ended under it.
+    /// A request is quarantined from now on because instances have ended during it.
     Quarantined {
         /// The request.
         digest: RequestDigest,
         /// Its path.
         path: &'a str,
-        /// Whether it is held back whoever sends it.
+        /// Whether it is quarantined for all callers.
         all_callers: bool,
-        /// Ends of instances under it, counted by caller.
+        /// Number of instances that ended during it, counted per caller.
         ended: usize,
     },
     /// An operator has lifted a quarantine.
@@ -280,9 +279,9 @@
         /// The request.
         digest: RequestDigest,
     },
-    /// The node was asked to stop.
+    /// The node was asked to shut down.
     Stops {
-        /// Requests that are open.
+        /// Number of open requests.
         open: usize,
         /// Bytes exchanged since the start.
         zone_bytes: &'a ZoneTraffic,
--- a/crates/ledgelead-router/src/failures.rs
+++ b/crates/ledgelead-router/src/failures.rs
@@ -1,33 +1,33 @@
-//! How often an instance has failed lately, and whether it is passed over for that.
+//! Tracks the recent failures of an instance, and its ejection.
 
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Time in which a share of failures without new outcomes halves, so that the
-/// instance gets another chance.
-const HALVE_IN: Duration = Duration::from_secs(3);
-/// How often an ejection's length doubles at most; the longest holds long before.
+/// Half-life of the failure share without new outcomes, so that the instance is tried again.
+const FAILURE_SHARE_HALF_LIFE: Duration = Duration::from_secs(3);
+/// Limit for the doubling of an ejection's duration; the maximum duration is reached long
+/// before.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// What failures lead to.
+/// Parameters for failures and ejections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailureRules {
-    /// Weight of a new outcome in the share of failures.
+    /// Weight of a new outcome in the failure share.
     pub(crate) outcome_weight: f64,
-    /// Failures in a row after which an instance is ejected.
+    /// Consecutive failures after which an instance is ejected.
     pub(crate) eject_after: u32,
-    /// The first ejection's length; it doubles.
+    /// Duration of the first ejection; it doubles with each further one.
     pub(crate) first_ejection: Duration,
-    /// The longest ejection.
+    /// Maximum duration of an ejection.
     pub(crate) longest_ejection: Duration,
 }
 
-/// Failures of one instance.
+/// Recent failures of one instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Failures {
-    in_a_row: u32,
+    consecutive: u32,
     share: f64,
-    noted_at: Timestamp,
+    updated_at: Timestamp,
     ejections: u32,
     ejected_until: Timestamp,
 }
@@ -36,42 +36,43 @@
     /// A request was answered.
     pub(crate) fn answered(&mut self, rules: &FailureRules, now: Timestamp) {
         self.note(0.0, rules, now);
-        self.in_a_row = 0;
+        self.consecutive = 0;
         self.ejections = 0;
     }
 
     /// A request failed.
     pub(crate) fn failed(&mut self, rules: &FailureRules, now: Timestamp) {
         self.rejected(rules, now);
-        self.in_a_row += 1;
-        if self.in_a_row >= rules.eject_after {
+        self.consecutive += 1;
+        if self.consecutive >= rules.eject_after {
             let doubled = 1 << self.ejections.min(MAX_DOUBLINGS);
             let length = rules.first_ejection.saturating_mul(doubled);
             self.ejected_until = now + length.min(rules.longest_ejection);
             self.ejections += 1;
-            // One more failure ejects it again.
-            self.in_a_row = rules.eject_after - 1;
+            // A single further failure ejects it again.
+            self.consecutive = rules.eject_after - 1;
         }
     }
 
-    /// A request was turned away: that counts in the share, and ejects nobody.
+    /// A request was rejected. This counts in the failure share, but never leads to an
+    /// ejection.
     pub(crate) fn rejected(&mut self, rules: &FailureRules, now: Timestamp) {
         self.note(1.0, rules, now);
     }
 
-    /// The share of lately sent requests that failed, 0 to 1.
+    /// The share of recent requests that failed, 0 to 1.
     pub(crate) fn share(&self, now: Timestamp) -> f64 {
-        let age = now.saturating_sub(self.noted_at);
-        let halvings = age.as_secs_f64() / HALVE_IN.as_secs_f64();
+        let age = now.saturating_sub(self.updated_at);
+        let halvings = age.as_secs_f64() / FAILURE_SHARE_HALF_LIFE.as_secs_f64();
         self.share * 0.5f64.powf(halvings)
     }
 
-    /// Whether the instance is passed over for now.
+    /// Whether the instance currently gets no requests.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until > now
     }
 
-    /// Until when it is passed over.
+    /// When the ejection ends.
     pub(crate) fn ejected_until(&self) -> Timestamp {
         self.ejected_until
     }
@@ -79,6 +80,6 @@
     fn note(&mut self, failed: f64, rules: &FailureRules, now: Timestamp) {
         let earlier = self.share(now);
         self.share = earlier + (failed - earlier) * rules.outcome_weight;
-        self.noted_at = now;
+        self.updated_at = now;
     }
 }
--- a/crates/ledgelead-router/src/identity.rs
+++ b/crates/ledgelead-router/src/identity.rs
@@ -19,7 +19,7 @@
                 &self.0
             }
 
-            /// A hash that all nodes agree on.
+            /// A hash that is identical on all nodes.
             pub fn stable_hash(&self) -> u64 {
                 xxhash_rust::xxh3::xxh3_64(self.0.as_bytes())
             }
@@ -48,29 +48,29 @@
     ZoneName
 );
 text_identity!(
-    /// The name of a node, the same over restarts.
+    /// The name of a node, which stays the same when the node restarts.
     NodeName
 );
 
-/// Stands between the name and the start of a life in its text.
+/// Separates the name and the start time in the text of an id.
 const START_MARK: char = '#';
 
-/// The name of one life of an instance; a restart has another.
+/// Identifies one incarnation of an instance; a restart creates another.
 ///
-/// An instance may start again under the name that it had; where it tells when it
-/// was started, that tells its lives apart. Otherwise its name alone does.
+/// An instance may restart under the same name. If it announces its start time, that
+/// distinguishes its incarnations. Otherwise only the name does.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub struct InstanceId {
-    /// The name, then the start behind a mark where it is known.
+    /// The name, followed by the separator and the start time if known.
     text: Arc<str>,
-    /// Bytes of the text that are the name.
+    /// Length of the name within the text, in bytes.
     name_len: usize,
     born: Option<u64>,
 }
 
 impl InstanceId {
-    /// The life that an instance began at `born`, in Unix milliseconds.
+    /// The incarnation of an instance that was started at `born`, in Unix milliseconds.
     pub fn with_start_time(name: &str, born: u64) -> InstanceId {
         InstanceId {
             text: Arc::from(format!("{name}{START_MARK}{born}")),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The life whose text this is.
+    /// Parses the text of an id.
     pub fn parse(text: &str) -> InstanceId {
         let Some((name, born)) = split_start(text) else {
             return InstanceId::from(text);
@@ -91,39 +91,39 @@
         }
     }
 
-    /// What the instance calls itself, the same over its lives.
+    /// The instance's own name, which all of its incarnations share.
     pub fn name(&self) -> &str {
         &self.text[..self.name_len]
     }
 
-    /// When this life began, in Unix milliseconds by the clock of its machine.
+    /// When this incarnation was started, in Unix milliseconds by the clock of its machine.
     pub fn start_ms(&self) -> Option<u64> {
         self.born
     }
 
-    /// The text of the whole life, which `parse` reads.
+    /// The text of the id, for `parse`.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// Whether both are lives of one instance, or the same life.
+    /// Whether both are the same instance, in any incarnation.
     pub fn shares_name(&self, other: &InstanceId) -> bool {
         self.name() == other.name()
     }
 
-    /// A hash of the life that all nodes agree on.
+    /// A hash of the id that is identical on all nodes.
     pub fn stable_hash(&self) -> u64 {
         xxhash_rust::xxh3::xxh3_64(self.text.as_bytes())
     }
 }
 
-/// The name and the start in the text of an id that has more than the name.
+/// The name and the start time in the text of an id, if it is more than a plain name.
 fn split_start(text: &str) -> Option<(&str, Option<u64>)> {
     let unmarked = text.trim_end_matches(START_MARK);
     let (name, start) = unmarked.rsplit_once(START_MARK)?;
     let born: u64 = start.parse().ok()?;
-    // One text for each id: no leading zeros, and a second mark only behind a name that
-    // reads like a life.
+    // Each id has exactly one text: no leading zeros, and a second separator only after a name
+    // that looks like an id with a start time.
     if born.to_string() != start {
         return None;
     }
@@ -134,10 +134,10 @@
 }
 
 impl From<&str> for InstanceId {
-    /// An instance that doesn't tell when it was started. Takes a name, not a text of an id:
-    /// those are read by `parse`.
+    /// An instance without a known start time. Takes the name of an instance; the text of an
+    /// id is read by `parse`.
     fn from(name: &str) -> Self {
-        // A name that reads like a life ends with a mark of its own.
+        // A name that looks like an id with a start time gets a separator at its end.
         let text = match split_start(name) {
             None => Arc::from(name),
             Some(_) => Arc::from(format!("{name}{START_MARK}")),
@@ -151,7 +151,7 @@
 }
 
 impl From<String> for InstanceId {
-    /// For serde: takes a text, as `parse` does.
+    /// For serde: takes the text of an id, like `parse`.
     fn from(text: String) -> Self {
         InstanceId::parse(&text)
     }
@@ -195,11 +195,11 @@
     }
 }
 
-/// One life of a node.
+/// One incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeIdentity {
     /// The node.
     pub node: NodeName,
-    /// Drawn at random at each start.
+    /// A random number that is drawn at each start.
     pub incarnation: u64,
 }
--- a/crates/ledgelead-router/src/io.rs
+++ b/crates/ledgelead-router/src/io.rs
@@ -1,41 +1,42 @@
-//! What goes into a node and what comes out of it.
+//! Inputs and outputs of a node.
 
 use crate::peers::Datagram;
 use ledgelead_http::{Request, Response};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// A request of a client, while it is open.
+/// Identifies an open request of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// An exchange with an instance or with the store.
+/// Identifies an exchange with an instance, the store or another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub u64);
 
-/// Why an exchange got no whole answer, and what that proves.
+/// Why an exchange got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeFailure {
-    /// No connection came up; nothing was sent.
+    /// The connection was not established; nothing was sent.
     NotConnected,
-    /// The connection was refused at once: nobody listens there. Nothing was sent.
+    /// The connection was refused: no process listens on the address. Nothing was sent.
     Refused,
-    /// The exchange ended before the last byte of the request was written, and before
-    /// any byte of an answer came. The receiver has no whole request and never will.
+    /// The exchange ended before the last byte of the request was written and before any byte
+    /// of an answer arrived. The receiver has no complete request and never will.
     Incomplete {
-        /// The time for writing the request was over.
+        /// Whether the time for writing the request had expired.
         timed_out: bool,
     },
-    /// The connection was lost after the whole request was sent, or the answer had begun.
+    /// The connection was lost after the complete request was sent, or after the start of an
+    /// answer.
     Lost,
-    /// No whole answer came in time; the request was sent.
+    /// No complete answer arrived in time; the request was sent.
     TimedOut,
-    /// What came was no answer.
+    /// The received bytes are not a valid answer.
     Malformed,
 }
 
 impl ExchangeFailure {
-    /// Whether it is proved that the receiver never saw the request.
+    /// Whether the receiver certainly never received any part of the request.
     pub fn proves_not_sent(self) -> bool {
         matches!(
             self,
@@ -43,58 +44,58 @@
         )
     }
 
-    /// Whether it is proved that the receiver never runs the request. Nobody begins a
-    /// request that is not whole.
+    /// Whether the receiver certainly never executes the request. No receiver starts on an
+    /// incomplete request.
     pub fn proves_not_run(self) -> bool {
         self.proves_not_sent() || matches!(self, ExchangeFailure::Incomplete { .. })
     }
 }
 
-/// How an exchange is carried out.
+/// Parameters of an exchange.
 #[derive(Clone, Debug)]
 pub struct ExchangeOptions {
-    /// Answers that carry another value in this header are not the answer.
+    /// A header and its expected value; answers with another value are rejected.
     pub match_header: Option<(Box<str>, Box<[u8]>)>,
-    /// A kept connection may be used if it was idle for less than this.
+    /// A pooled connection may be reused if it was idle for less than this.
     pub reuse_idle_below: Duration,
-    /// Time for a new connection to come up.
+    /// Timeout for a new connection.
     pub connect_timeout: Duration,
-    /// How long a new connection is watched before the first byte is written: an
-    /// instance that takes no more connections resets them at once.
+    /// How long a new connection is observed before the first byte is written: an instance
+    /// that accepts no more connections resets them at once.
     pub observe_before_write: Duration,
-    /// Time in which the whole request must be written, if that is bounded apart from the
-    /// exchange. What is not written by then has proved that it never ran.
+    /// Timeout for writing the complete request, if separate from the one of the exchange. A
+    /// request that is not completely written by then is proved not to have been executed.
     pub write_timeout: Option<Duration>,
-    /// Time for the whole exchange; if `renewed`, time without any progress.
+    /// Timeout for the exchange; with `timeout_restarts`, the time without progress.
     pub timeout: Duration,
-    /// Whether each part of the answer that arrives begins the time anew. A
-    /// long answer over a slow link then ends, instead of being begun again.
+    /// Whether the timeout restarts with each received part of the answer, so that a long
+    /// answer over a slow link completes instead of being requested again.
     pub timeout_restarts: bool,
 }
 
-/// What happened outside.
+/// An event that a node has to handle.
 #[derive(Debug)]
 pub enum Input {
     /// A client sent a request.
     Request {
-        /// Names the request until it is answered or its client left.
+        /// Identifies the request until it is answered or its client disconnects.
         client: ClientId,
-        /// Where its connection comes from.
+        /// The address from which the client connected.
         source: IpAddr,
         /// The request.
         request: Request,
     },
-    /// A client sent a request whose body is not read, since this process has no memory
+    /// A client sent a request whose body is not read, since the process has no free memory
     /// for it.
     RequestWithoutBody {
-        /// Names the request until it is answered.
+        /// Identifies the request until it is answered.
         client: ClientId,
         /// The request without its body.
         request: Request,
     },
-    /// Another node asks for objects that this node knows.
+    /// Another node requests objects that this node knows.
     PeerRequest {
-        /// Names the request until it is answered.
+        /// Identifies the request until it is answered.
         client: ClientId,
         /// The request.
         request: Request,
@@ -108,9 +109,9 @@
     ExchangeEnded {
         /// The exchange.
         exchange: ExchangeId,
-        /// Its end.
+        /// The answer, or why there is none.
         result: Result<Response, ExchangeFailure>,
-        /// How long its connection had rested before; nothing if it was new.
+        /// How long the connection had been idle before; zero if it was new.
         idle_for: Duration,
     },
     /// Another node sent a datagram.
@@ -120,23 +121,23 @@
         /// Its bytes.
         bytes: Vec<u8>,
     },
-    /// The deadline that the node asked for has come.
+    /// The time that the node asked to be called at has been reached.
     Deadline,
-    /// The process was asked to stop.
+    /// The process was asked to shut down.
     Stop,
 }
 
-/// What a node wants done.
+/// An action that a node requests.
 #[derive(Debug)]
 pub enum Action {
-    /// Answer a client.
+    /// Answers a client.
     Respond {
         /// The request.
         client: ClientId,
         /// The answer.
         response: Response,
     },
-    /// Begin an exchange.
+    /// Starts an exchange.
     Exchange {
         /// The exchange.
         exchange: ExchangeId,
@@ -144,25 +145,25 @@
         address: SocketAddr,
         /// The request.
         request: Request,
-        /// How it is carried out.
+        /// The parameters of the exchange.
         options: ExchangeOptions,
     },
-    /// Open a connection, to see whether somebody listens. The exchange ends with an
-    /// empty answer once it is up.
+    /// Opens a connection to find out whether a process listens on the address. The exchange
+    /// ends with an empty answer once the connection is established.
     Probe {
         /// The exchange.
         exchange: ExchangeId,
         /// The receiver.
         address: SocketAddr,
-        /// Time for the connection to come up.
+        /// Timeout for the connection.
         timeout: Duration,
     },
-    /// Break off an exchange; nothing more is told of it.
+    /// Cancels an exchange; no end of it is reported.
     Cancel {
         /// The exchange.
         exchange: ExchangeId,
     },
-    /// Send a datagram to another node.
+    /// Sends a datagram to another node.
     Datagram {
         /// The receiver.
         address: SocketAddr,
--- a/crates/ledgelead-router/src/lib.rs
+++ b/crates/ledgelead-router/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a router whose only durable state lies in a shared store.
+//! The decision logic of a router that keeps its durable state in a shared store.
 //!
-//! Everything here is stepped: inputs and the time go in, actions come out.
-//! There are no sockets, threads, clocks or global randomness. How a store,
-//! its objects and the instances are spoken to is a [`dialect::Dialect`].
+//! All code here is deterministic and driven step by step: inputs and the current time go in,
+//! actions come out. It uses no sockets, threads, clocks or global randomness. A
+//! [`dialect::Dialect`] translates between the router and a store, its objects and the
+//! instances.
 
 pub mod configuration;
 pub mod dialect;
@@ -27,15 +28,15 @@
 pub mod validation;
 pub mod zone_traffic;
 
-/// A time on the process's monotonic clock, counted from its start.
+/// A time on the process's monotonic clock, counted from the start of the process.
 pub type Timestamp = std::time::Duration;
 
-/// Whole milliseconds, or the most that fits.
+/// Whole milliseconds, saturating.
 fn whole_millis(duration: std::time::Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Whole milliseconds in a datagram's short form, or the most that fits.
+/// Whole milliseconds as a 16-bit number of a datagram, saturating.
 fn short_millis(duration: std::time::Duration) -> u16 {
     u16::try_from(duration.as_millis()).unwrap_or(u16::MAX)
 }
--- a/crates/ledgelead-router/src/mechanisms.rs
+++ b/crates/ledgelead-router/src/mechanisms.rs
@@ -1,61 +1,63 @@
-//! Switches that turn one mechanism of the decisions off, to measure what it is
-//! worth. None of them is needed for safety; all are on by default.
+//! Switches that disable a single mechanism, to measure its benefit. No mechanism is needed
+//! for safety; all are enabled by default.
 
 /// One mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Instances of the own zone come first.
+    /// Instances of the node's own zone are preferred.
     ZonePreference,
-    /// Where a digest tells the load, instances are drawn by the room that they have.
+    /// Where a digest reports the load, instances are chosen at random, weighted by their free
+    /// slots.
     FreeSlots,
-    /// An idempotent request whose instance is silent is sent to another.
+    /// An idempotent request is sent to another instance if its instance does not respond.
     SlowAttemptRetry,
-    /// An idempotent request whose instance failed is sent to another.
+    /// An idempotent request is sent to another instance if its instance failed.
     RepeatFailed,
-    /// An instance that fails several times in a row is passed over.
+    /// An instance is not used for a while after several consecutive failures.
     Ejection,
-    /// An instance's share of failures counts against it.
+    /// An instance with a higher share of failures is chosen less often.
     FailureShare,
     /// An instance that has just started is expected to be slow.
     ColdFactor,
-    /// Nodes of a zone tell each other their open requests.
+    /// Nodes of a zone exchange their numbers of open requests.
     SharedLoad,
-    /// In large zones they do so by way of one of them.
+    /// In large zones, one node collects and distributes these numbers.
     LoadDigest,
-    /// The speed of instances comes from all nodes' answers.
+    /// The speed of instances is estimated from the answers to all nodes.
     SharedSpeed,
-    /// How long work takes at an instance right now counts.
+    /// The current processing time of an instance is taken into account.
     Slowness,
-    /// What can't be answered in time is refused before it is sent.
+    /// Requests that cannot be answered in time are refused before they are sent.
     EarlyRefusal,
-    /// What a key is asked for beyond its owner's capacity is refused at once.
+    /// Requests for a key beyond the capacity of its owner are refused at once.
     OverloadedKeys,
-    /// Requests that compete for instances wait in one queue an owner, or a zone.
+    /// Requests that compete for instances wait in one queue per owner, or per zone.
     OwnerQueues,
-    /// Requests that wait are looked at in the order of their priority.
+    /// Waiting requests are handled in the order of their priority.
     Priority,
-    /// Kept connections rest for less time where instances forget them.
+    /// Idle connections are kept for less time if instances drop them.
     IdleConnectionLimit,
     /// Keys move from busy owners to others.
     KeyMoves,
-    /// Keys of contended services are spread by lasting differences between owners.
+    /// Keys of contended services are balanced by lasting differences between owners.
     LongWindowBalance,
-    /// Capacities of owners come from all nodes' answers.
+    /// Capacities of owners are estimated from the answers to all nodes.
     SharedCapacity,
-    /// Owners count as busy only beyond the chance in their counts.
+    /// Owners count as busy only if the load exceeds the random deviation of the counts.
     NoiseMargin,
-    /// Nodes that hear a coordinator let their own watches rest.
+    /// Nodes that follow a coordinator suspend their own watches.
     PausedWatches,
-    /// Large requests of a split go to owners of keys in the own zone first.
+    /// On routes split between a service with owned keys and another one, large requests go
+    /// to the former first if the key's owner is in the node's own zone.
     SplitLocality,
-    /// Repeats that win most come first as the retry budget runs short.
+    /// When the retry budget runs short, retries with the highest benefit are sent first.
     RepeatValue,
-    /// Instances that reject with free slots are told from full ones.
+    /// Rejections by instances with free slots are distinguished from rejections by full ones.
     RejectionCause,
 }
 
 impl Mechanism {
-    /// Every mechanism, under the name by which it is switched off.
+    /// All mechanisms, with the names by which they are disabled.
     pub const ALL: [(&'static str, Mechanism); 24] = [
         ("zone-preference", Mechanism::ZonePreference),
         ("free-slots", Mechanism::FreeSlots),
@@ -90,21 +92,21 @@
     }
 }
 
-/// Which mechanisms are on.
+/// The set of enabled mechanisms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
     off: Option<Mechanism>,
 }
 
 impl Mechanisms {
-    /// All but one.
+    /// All mechanisms but one.
     pub fn without(mechanism: Mechanism) -> Mechanisms {
         Mechanisms {
             off: Some(mechanism),
         }
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     pub fn has(self, mechanism: Mechanism) -> bool {
         self.off != Some(mechanism)
     }
--- a/crates/ledgelead-router/src/protections.rs
+++ b/crates/ledgelead-router/src/protections.rs
@@ -1,58 +1,58 @@
-//! Switches that turn one protection off, for the proof of the checkers in
-//! simulations. All are on by default, and no setting of a process changes
-//! them.
+//! Switches that disable a single protection, to prove that the checkers of simulations detect
+//! its absence. All are enabled by default, and no setting of a process changes them.
 
 /// One protection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protection {
-    /// Keys of a silent owner are given away only after its lease.
+    /// Keys of an unresponsive owner are reassigned only after its lease has expired.
     LeaseWait,
-    /// A coordinator raises all fencing tokens as it takes its place.
+    /// A coordinator increases all fencing tokens when it takes over.
     TakeoverFence,
-    /// A coordinator without word from the store stops giving orders.
+    /// A coordinator that the store does not confirm stops sending orders.
     BoundedAuthority,
-    /// A request that may run once is sent again only on proof that it has
-    /// not run.
+    /// A request that must not be executed twice is sent again only if it is proved not to
+    /// have been executed.
     RetryOnlyIfNotRun,
-    /// A request that may have run is not told as refused.
+    /// A request that may have been executed is never reported as refused.
     AccurateRefusal,
-    /// A leaving owner gets nothing more after its time.
+    /// A leaving owner gets no new requests after the drain time.
     DrainBound,
-    /// The word of a coordinator counts for nothing once a later epoch is known.
+    /// Messages of a coordinator are ignored once a later epoch is known.
     IgnoreOlderEpochs,
-    /// Nodes broadcast under which requests instances ended.
+    /// Nodes broadcast the requests during which instances ended.
     SharedEvidence,
-    /// What is known of such requests is kept in the store.
+    /// The evidence about such requests is kept in the store.
     PersistedEvidence,
-    /// A request that an instance answers is no such request.
+    /// A request that an instance has answered is not suspected of crashing instances.
     AnswerClearsSuspicion,
-    /// An object that can't be read takes no other of the store's answer with it.
+    /// An unreadable object does not affect the other objects in the store's answer.
     IsolateUnreadable,
-    /// An instance whose entry can't be read gets nothing more.
+    /// An instance with an unreadable entry gets no requests.
     ExcludeUnreadable,
-    /// A later life of an instance is not taken for the earlier one.
+    /// A later incarnation of an instance is distinguished from the earlier one.
     DistinctIncarnations,
-    /// Work goes by a first list that may be stale only once it is confirmed.
+    /// A first list that may be stale is used for work only after it is confirmed.
     ConfirmedView,
-    /// An instance leaves as soon as some answer of it says so.
+    /// An instance counts as leaving as soon as one of its answers says so.
     HonorLeaving,
-    /// An instance that has asked a node for a pause gets nothing from it until its end.
+    /// An instance that has asked a node for a pause gets no requests from it until the pause
+    /// ends.
     HonorBackoff,
-    /// An instance gets no more requests than the rate limit that it names allows.
+    /// An instance gets no more requests than its announced rate limit allows.
     HonorRateLimit,
-    /// Such a limit binds all nodes together, not each of them.
+    /// A rate limit applies to all nodes together, not to each node.
     SharedRateLimit,
-    /// What was taken from the store in an era counts for nothing in a later one, unless it
-    /// is proved there.
+    /// State that was read in an earlier era of the store is not used in a later one unless
+    /// that confirms it.
     EraIsolation,
-    /// Epochs and fencing tokens of an era are above all of earlier ones.
+    /// Epochs and fencing tokens of an era are above all those of earlier eras.
     EraTokens,
-    /// A request is recognised by all that makes it the same, not by its path alone.
+    /// A repeated request is recognised by its full identity, not by its path alone.
     FullRequestIdentity,
 }
 
 impl Protection {
-    /// Every protection, under the name of the sabotage that turns it off.
+    /// All protections, with the names of the sabotages that disable them.
     pub const SABOTAGES: [(&'static str, Protection); 21] = [
         ("skip-lease-wait", Protection::LeaseWait),
         ("keep-fences", Protection::TakeoverFence),
@@ -78,21 +78,21 @@
     ];
 }
 
-/// Which protections are on.
+/// The set of enabled protections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Protections {
     off: Option<Protection>,
 }
 
 impl Protections {
-    /// All but one.
+    /// All protections but one.
     pub fn without(protection: Protection) -> Protections {
         Protections {
             off: Some(protection),
         }
     }
 
-    /// Whether a protection is on.
+    /// Whether a protection is enabled.
     pub fn has(self, protection: Protection) -> bool {
         self.off != Some(protection)
     }
--- a/crates/ledgelead-router/src/quarantine/entry.rs
+++ b/crates/ledgelead-router/src/quarantine/entry.rs
@@ -1,80 +1,83 @@
-//! What is known of one request.
+//! The evidence about one request.
 
 use crate::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Instances that end under a request before it is quarantined. With fewer, a harmless
-/// request that is unlucky twice would be held back.
+/// Number of instances that end during a request before it is quarantined. With fewer, a
+/// harmless request that meets two unrelated failures would be quarantined.
 pub(super) const ENDS_TO_QUARANTINE: usize = 3;
-/// The same for a request of several callers: so many of them, and ends under each one's
-/// alone. Together they are more, since who else sends that is harmless until shown.
-const SUSPECT_CALLERS: usize = 2;
-const ENDS_ALONE: usize = 2;
-/// How long a whole answer speaks for a request: what ends meanwhile ends for another
-/// reason, since a request of this kind ends each instance that begins to run it.
-pub(super) const ACQUITTED_FOR: Duration = Duration::from_secs(60);
-
-/// A stable hash of the address that a request comes from.
+/// The same for a request of several callers: the number of such callers, and the number of
+/// instances that must have ended during the requests of each one alone. Together these are
+/// more ends, because other callers of a request count as harmless until the contrary is
+/// shown.
+const MIN_SUSPECT_CALLERS: usize = 2;
+const MIN_ENDS_ALONE: usize = 2;
+/// How long a complete answer clears a request. Instances that end meanwhile do so for another
+/// reason, since a crashing request ends every instance that begins to process it.
+pub(super) const CLEARED_FOR: Duration = Duration::from_secs(60);
+
+/// A stable hash of the address from which a request comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
 impl CallerId {
     /// All callers.
     pub const ALL: CallerId = CallerId(0);
-    /// Some caller other than those whose requests are suspected.
+    /// Any caller other than those whose requests are suspected.
     pub const SOME_OTHER: CallerId = CallerId(1);
 
-    /// The caller at this address.
+    /// The caller with this address.
     pub fn new(source: IpAddr) -> CallerId {
         let hash = xxhash_rust::xxh3::xxh3_64(source.to_string().as_bytes());
         CallerId(hash.max(2))
     }
 }
 
-/// An instance has ended while a caller's request was in flight there.
+/// An instance that ended while it processed a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceEnd {
     /// The caller.
     pub caller: CallerId,
     /// Stable hash of the instance's id.
     pub instance: u64,
-    /// When.
+    /// When it ended.
     pub at: Timestamp,
-    /// Whether it counts whatever else ended at that moment: it was judged before.
+    /// Whether it counts no matter which other instances ended at the same time, since that
+    /// was checked before.
     pub settled: bool,
 }
 
-/// What is known of one request, over all of its callers.
+/// The evidence about one request, for all of its callers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
     /// Its path, for operators.
     pub path: String,
-    /// Instances that ended.
+    /// Instances that ended while processing it.
     pub ends: Vec<InstanceEnd>,
-    /// Callers whose requests were answered by an instance, and when last.
+    /// Callers with an answered request, and when the last one was answered.
     pub cleared: BTreeMap<CallerId, Timestamp>,
-    /// Callers whose requests are held back, and since when.
+    /// Callers whose requests are quarantined, and since when.
     pub quarantined: BTreeMap<CallerId, Timestamp>,
 }
 
 impl Entry {
-    /// Takes over what another node knows. Returns whether something is news.
+    /// Merges the evidence of another node. Returns whether something was new.
     pub(super) fn merge(&mut self, other: &Entry) -> bool {
-        let mut is_news = false;
+        let mut is_new = false;
         if self.path.is_empty() {
             self.path.clone_from(&other.path);
         }
         for end in &other.ends {
-            is_news |= self.add(*end);
+            is_new |= self.add(*end);
         }
-        is_news |= merge_latest(&mut self.cleared, &other.cleared);
-        is_news |= merge_latest(&mut self.quarantined, &other.quarantined);
-        is_news
+        is_new |= merge_latest(&mut self.cleared, &other.cleared);
+        is_new |= merge_latest(&mut self.quarantined, &other.quarantined);
+        is_new
     }
 
-    /// An instance has ended. Returns whether that is news.
+    /// Adds the end of an instance. Returns whether it was new.
     pub(super) fn add(&mut self, end: InstanceEnd) -> bool {
         let same =
             |known: &&mut InstanceEnd| (known.caller, known.instance) == (end.caller, end.instance);
@@ -90,17 +93,17 @@
         }
     }
 
-    /// An instance lives that was said to have ended. Without that end the request may
-    /// not be one that crashes instances.
-    pub(super) fn drop_end(&mut self, instance: u64, now: Timestamp) {
+    /// Removes the end of an instance that turned out to be alive. The remaining evidence may
+    /// no longer justify a quarantine.
+    pub(super) fn remove_end(&mut self, instance: u64, now: Timestamp) {
         let before = self.ends.len();
         self.ends.retain(|end| end.instance != instance);
         if self.ends.len() < before && !self.quarantined.is_empty() {
             let held = std::mem::take(&mut self.quarantined);
-            let judged = self.judge();
+            let callers = self.callers_to_quarantine();
             let still = held
                 .into_iter()
-                .filter(|(caller, _)| judged.contains(caller));
+                .filter(|(caller, _)| callers.contains(caller));
             self.quarantined = still.collect();
             if self.quarantined.is_empty() {
                 self.cleared.insert(CallerId::ALL, now);
@@ -108,43 +111,44 @@
         }
     }
 
-    /// Whether what happened at a time counts for nothing, by an answer.
-    pub(super) fn is_void(&self, caller: CallerId, at: Timestamp) -> bool {
+    /// Whether an event at this time is void because of an answer or a lifted quarantine.
+    pub(super) fn is_voided(&self, caller: CallerId, at: Timestamp) -> bool {
         let answered = self.cleared.get(&caller);
         let lifted = self.cleared.get(&CallerId::ALL);
-        answered.is_some_and(|answered| at <= *answered + ACQUITTED_FOR)
+        answered.is_some_and(|answered| at <= *answered + CLEARED_FOR)
             || lifted.is_some_and(|lifted| at <= *lifted)
     }
 
-    /// Whether a caller's request is held back.
+    /// Whether a caller's request is quarantined.
     pub fn is_quarantined_for(&self, caller: CallerId) -> bool {
         let held = |by: CallerId| {
             let since = self.quarantined.get(&by);
-            since.is_some_and(|since| !self.is_void(caller, *since))
+            since.is_some_and(|since| !self.is_voided(caller, *since))
         };
         held(caller) || held(CallerId::ALL)
     }
 
-    /// Whether some caller's request is held back.
+    /// Whether any caller's request is quarantined.
     pub fn is_quarantined(&self) -> bool {
-        let held = |(caller, since): (&CallerId, &Timestamp)| !self.is_void(*caller, *since);
+        let held = |(caller, since): (&CallerId, &Timestamp)| !self.is_voided(*caller, *since);
         self.quarantined.iter().any(held)
     }
 
-    /// Instances that ended under a caller's request.
+    /// Number of instances that ended during a caller's request.
     pub fn ends_of(&self, caller: CallerId) -> usize {
-        let of_caller = |end: &&InstanceEnd| end.caller == caller && !self.is_void(caller, end.at);
+        let of_caller =
+            |end: &&InstanceEnd| end.caller == caller && !self.is_voided(caller, end.at);
         let ends = self.ends.iter().filter(of_caller);
         ends.map(|end| end.instance)
             .collect::<BTreeSet<u64>>()
             .len()
     }
 
-    /// Whose requests are to be held back by the ends that count: a caller's, if enough
-    /// instances ended under them; everybody's, if several instances ended under those of
-    /// each of several callers alone, and none was ever answered.
-    pub(super) fn judge(&self) -> Vec<CallerId> {
-        let counts = |end: &&InstanceEnd| end.settled && !self.is_void(end.caller, end.at);
+    /// The callers to quarantine by the ends that count. A single caller, if enough instances
+    /// ended during that caller's requests; all callers, if several instances ended during the
+    /// requests of each of several callers alone, and no request was ever answered.
+    pub(super) fn callers_to_quarantine(&self) -> Vec<CallerId> {
+        let counts = |end: &&InstanceEnd| end.settled && !self.is_voided(end.caller, end.at);
         let mut by_caller: BTreeMap<CallerId, BTreeSet<u64>> = BTreeMap::new();
         for end in self.ends.iter().filter(counts) {
             by_caller
@@ -154,19 +158,19 @@
         }
         let is_enough =
             |(_, instances): &(&CallerId, &BTreeSet<u64>)| instances.len() >= ENDS_TO_QUARANTINE;
-        let mut judged: Vec<CallerId> = by_caller
+        let mut callers: Vec<CallerId> = by_caller
             .iter()
             .filter(is_enough)
             .map(|(caller, _)| *caller)
             .collect();
-        if self.cleared.is_empty() && is_everybodys(&by_caller) {
-            judged.push(CallerId::ALL);
+        if self.cleared.is_empty() && affects_all_callers(&by_caller) {
+            callers.push(CallerId::ALL);
         }
-        judged.retain(|caller| !self.is_quarantined_for(*caller));
-        judged
+        callers.retain(|caller| !self.is_quarantined_for(*caller));
+        callers
     }
 
-    /// When something was last learned.
+    /// The time of the latest evidence.
     pub(super) fn newest(&self) -> Timestamp {
         let ends = self.ends.iter().map(|end| &end.at);
         let others = self.cleared.values().chain(self.quarantined.values());
@@ -174,31 +178,33 @@
     }
 }
 
-/// Whether instances ended under the requests of several callers, `ENDS_ALONE` of them or
-/// more under each one's alone. Where they were there together, one may be harmless.
-fn is_everybodys(by_caller: &BTreeMap<CallerId, BTreeSet<u64>>) -> bool {
+/// Whether instances ended during the requests of several callers, with at least `MIN_ENDS_ALONE`
+/// of them during each one's requests alone. Of callers with requests at the same ended
+/// instance, one may be harmless.
+fn affects_all_callers(by_caller: &BTreeMap<CallerId, BTreeSet<u64>>) -> bool {
     let is_alone_at = |instance: &&u64| {
         let there = by_caller.values().filter(|ends| ends.contains(*instance));
         there.count() == 1
     };
-    let is_suspect = |ends: &&BTreeSet<u64>| ends.iter().filter(is_alone_at).count() >= ENDS_ALONE;
-    by_caller.values().filter(is_suspect).count() >= SUSPECT_CALLERS
+    let is_suspect =
+        |ends: &&BTreeSet<u64>| ends.iter().filter(is_alone_at).count() >= MIN_ENDS_ALONE;
+    by_caller.values().filter(is_suspect).count() >= MIN_SUSPECT_CALLERS
 }
 
-/// Keeps the later time of each caller. Returns whether a caller is new, or known for much
-/// later: an age on the wire is exact to some milliseconds only.
+/// Keeps the later time for each caller. Returns whether a caller is new, or its time much
+/// later: ages in messages are accurate only to some milliseconds.
 fn merge_latest(
     known: &mut BTreeMap<CallerId, Timestamp>,
     other: &BTreeMap<CallerId, Timestamp>,
 ) -> bool {
     const SAME: Duration = Duration::from_secs(1);
-    let mut is_news = false;
+    let mut is_new = false;
     for (caller, at) in other {
         let earlier = known.get(caller).copied();
         if earlier.is_none_or(|earlier| earlier + SAME < *at) {
             known.insert(*caller, *at);
-            is_news = true;
+            is_new = true;
         }
     }
-    is_news
+    is_new
 }
--- a/crates/ledgelead-router/src/quarantine/lost_attempts.rs
+++ b/crates/ledgelead-router/src/quarantine/lost_attempts.rs
@@ -7,15 +7,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long an end may take to show: an entry goes 4.5 s after its last heartbeat, and
-/// the news of that takes some time.
-const PENDING_FOR: Duration = Duration::from_secs(8);
-/// Pause between two probes of an instance.
+/// How long to wait for proof of an end: an entry expires 4.5 s after its last heartbeat, and
+/// nodes learn of that with some delay.
+const PROOF_TIMEOUT: Duration = Duration::from_secs(8);
+/// Minimum interval between two probes of an instance.
 const PROBE_PAUSE: Duration = Duration::from_millis(300);
-/// Most requests that wait for one instance.
-const MAX_ACCUSED: usize = 32;
+/// Maximum number of pending attempts per instance.
+const MAX_PENDING: usize = 32;
 
-/// A request that was in flight at an instance as the connection was lost.
+/// A request that was in flight at an instance when the connection was lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostAttempt {
     /// The request.
@@ -30,35 +30,35 @@
 
 #[derive(Debug, Default)]
 struct Pending {
-    accused: Vec<LostAttempt>,
+    attempts: Vec<LostAttempt>,
     next_probe: Timestamp,
 }
 
-/// What waits for proof.
+/// Lost attempts by instance, while it is unknown whether the instance ended.
 #[derive(Debug, Default)]
 pub struct LostAttempts(BTreeMap<InstanceId, Pending>);
 
 impl LostAttempts {
-    /// Whether nothing waits.
+    /// Whether no attempt is pending.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The instances in question.
+    /// Instances with pending attempts.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceId> {
         self.0.keys()
     }
 
-    /// Whether an instance is in question.
+    /// Whether an instance has pending attempts.
     pub fn contains(&self, instance: &InstanceId) -> bool {
         self.0.contains_key(instance)
     }
 
-    /// An attempt was lost. Returns whether the instance is to be probed now.
-    pub fn record(&mut self, instance: &InstanceId, accused: LostAttempt, now: Timestamp) -> bool {
+    /// Adds a lost attempt. Returns whether the instance should be probed now.
+    pub fn record(&mut self, instance: &InstanceId, attempt: LostAttempt, now: Timestamp) -> bool {
         let pending = self.0.entry(instance.clone()).or_default();
-        if pending.accused.len() < MAX_ACCUSED {
-            pending.accused.push(accused);
+        if pending.attempts.len() < MAX_PENDING {
+            pending.attempts.push(attempt);
         }
         let probes = pending.next_probe <= now;
         if probes {
@@ -67,33 +67,33 @@
         probes
     }
 
-    /// The instance has ended. Returns what was in flight there.
+    /// The instance has ended. Removes and returns its pending attempts.
     pub fn take_ended(&mut self, instance: &InstanceId) -> Vec<LostAttempt> {
         let pending = self.0.remove(instance);
-        pending.map_or(Vec::new(), |pending| pending.accused)
+        pending.map_or(Vec::new(), |pending| pending.attempts)
     }
 
-    /// The instance has answered a request that was sent at this time: what was lost
-    /// before was an answer.
+    /// The instance has answered a request that was sent at this time. Attempts lost before
+    /// that time lost only their answer, so they are removed.
     pub fn answered(&mut self, instance: &InstanceId, sent: Timestamp) {
         if self.0.is_empty() {
             return;
         }
         if let Some(pending) = self.0.get_mut(instance) {
-            pending.accused.retain(|accused| accused.at > sent);
-            if pending.accused.is_empty() {
+            pending.attempts.retain(|attempt| attempt.at > sent);
+            if pending.attempts.is_empty() {
                 self.0.remove(instance);
             }
         }
     }
 
-    /// Forgets what no proof came for.
+    /// Removes attempts for which no proof has arrived in time.
     pub fn expire(&mut self, now: Timestamp) {
         for pending in self.0.values_mut() {
             pending
-                .accused
-                .retain(|accused| accused.at + PENDING_FOR > now);
+                .attempts
+                .retain(|attempt| attempt.at + PROOF_TIMEOUT > now);
         }
-        self.0.retain(|_, pending| !pending.accused.is_empty());
+        self.0.retain(|_, pending| !pending.attempts.is_empty());
     }
 }
--- a/crates/ledgelead-router/src/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/quarantine/mod.rs
@@ -1,10 +1,11 @@
-//! Requests that crash the instances which run them, recognised over tries and nodes.
+//! Detects requests that crash the instances which process them, across attempts and nodes.
 //!
-//! A node that loses an attempt suspects what was in flight there ([`lost_attempts`]), until
-//! the instance is shown to have ended, or to live. What is shown becomes [`evidence`]: a
-//! set of facts that only grows, shared by all nodes, so that order, repeats and losses of
-//! messages, former coordinators and two coordinators at once undo nothing. A request under
-//! which three instances have ended, and which no instance ever answered, is quarantined.
+//! When a node loses an attempt, it suspects the requests that were in flight at the instance
+//! ([`lost_attempts`]) until the instance is shown to have ended or to be alive. The findings
+//! become [`evidence`]: a grow-only set that all nodes share. It stays correct if messages are
+//! reordered, repeated or lost, and with earlier or several coordinators. A request is
+//! quarantined after three instances have ended during it, if no instance has ever answered
+//! it.
 
 mod answers;
 mod entry;
--- a/crates/ledgelead-router/src/quarantine/record.rs
+++ b/crates/ledgelead-router/src/quarantine/record.rs
@@ -1,24 +1,25 @@
-//! What the store keeps of a request that crashes instances, over the loss of all nodes.
+//! The part of the evidence that is kept in the store and survives the loss of all nodes.
 
 use super::entry::{CallerId, Entry, InstanceEnd};
 use crate::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// What is kept of one request. Numbers stand as text, since they use all of their 64 bits.
+/// The stored evidence about one request. Numbers are stored as text since they use all of
+/// their 64 bits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRecord {
     /// Its path.
     pub path: String,
-    /// Caller and instance of each end that counts.
+    /// The caller and the instance of each end that counts.
     pub ends: Vec<(String, String)>,
-    /// Callers whose requests are held back; "0" stands for all.
+    /// Callers whose requests are quarantined; "0" stands for all.
     pub quarantined: Vec<String>,
 }
 
 impl QuarantineRecord {
-    /// What counts of an entry.
+    /// Converts the evidence that counts.
     pub fn new(entry: &Entry) -> QuarantineRecord {
-        let counts = |end: &&InstanceEnd| !entry.is_void(end.caller, end.at);
+        let counts = |end: &&InstanceEnd| !entry.is_voided(end.caller, end.at);
         let end = |end: &InstanceEnd| (hex(end.caller.0), hex(end.instance));
         let quarantined = entry.quarantined.keys();
         let held = quarantined.filter(|caller| entry.is_quarantined_for(**caller));
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The entry of a node that reads it now.
+    /// Converts the record to evidence, with `now` as the time of all events.
     pub fn entry(&self, now: Timestamp) -> Entry {
         let end = |(caller, instance): &(String, String)| {
             Some(InstanceEnd {
--- a/crates/ledgelead-router/src/quarantine/unconfirmed_answers.rs
+++ b/crates/ledgelead-router/src/quarantine/unconfirmed_answers.rs
@@ -1,47 +1,47 @@
-//! Answers that wait until it is known which life of an instance gave them.
+//! Answers that wait until it is known which incarnation of an instance gave them.
 
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time within which a life that answers has written its entry (a heartbeat, 0.9 to
+/// Time within which an incarnation that answers has written its entry (a heartbeat, 0.9 to
 /// 1.3 s), and nodes have read it.
 const NEW_INCARNATION_KNOWN_WITHIN: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
 struct Answer {
-    asked: Timestamp,
+    sent_at: Timestamp,
     due: Timestamp,
 }
 
-/// Answers under the ids of instances that are in question. A later life answers under
-/// the id of the earlier one, and shows nothing of that.
+/// Answers under the ids of instances that are suspected to have ended. A later incarnation
+/// answers under the id of the earlier one as well, and proves nothing about that.
 #[derive(Debug, Default)]
 pub struct UnconfirmedAnswers(BTreeMap<InstanceId, Answer>);
 
 impl UnconfirmedAnswers {
-    /// What was asked of a life at this time was answered under its id. The first
-    /// answer counts, so that later ones don't put it off.
-    pub fn answered(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
+    /// Records an answer under an instance's id to something sent at `sent_at`. Only the first
+    /// answer counts, so that later ones do not extend the wait.
+    pub fn answered(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
         let due = now + NEW_INCARNATION_KNOWN_WITHIN;
-        let answer = Answer { asked, due };
+        let answer = Answer { sent_at, due };
         self.0.entry(instance.clone()).or_insert(answer);
     }
 
-    /// Answers of lives that would be known for later ones by now, and when they were
-    /// asked for.
+    /// Returns and removes the answers for which a later incarnation would be known by now,
+    /// with the time at which the answered message was sent.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<(InstanceId, Timestamp)> {
         let is_due = |answer: &Answer| answer.due <= now;
         let due = self.0.iter().filter(|(_, answer)| is_due(answer));
         let taken = due
-            .map(|(instance, answer)| (instance.clone(), answer.asked))
+            .map(|(instance, answer)| (instance.clone(), answer.sent_at))
             .collect();
         self.0.retain(|_, answer| !is_due(answer));
         taken
     }
 
-    /// When the next one is due.
+    /// When the next answer is due.
     pub fn next_due(&self) -> Option<Timestamp> {
         self.0.values().map(|answer| answer.due).min()
     }
--- a/crates/ledgelead-router/src/rate_limit/failover.rs
+++ b/crates/ledgelead-router/src/rate_limit/failover.rs
@@ -1,75 +1,78 @@
-//! When the second limiter takes the place of the first.
+//! When the secondary limiter replaces the primary one.
 //!
-//! Registrations of nodes outlast the nodes, so that a first limiter may be lost for good. Its
-//! instances would get a part of their limits for as long as they name one.
+//! Registrations of nodes outlive the nodes, so the primary limiter may be lost for good.
+//! Without a replacement, its instances would get only a part of their limits for as long as
+//! they announce one.
 
 use crate::Timestamp;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Silence after which the first limiter counts as lost: longer than a restart or a pause.
+/// Time without a message after which the primary limiter counts as lost: longer than a
+/// restart or a pause.
 const LOST_AFTER: Duration = Duration::from_secs(10);
-/// Pause between two probes of it.
+/// Interval between two probes of the primary limiter.
 const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Time without an ask in its place after which its silence begins anew: nobody misses it.
+/// Time without a request in place of the primary limiter after which its silence is measured
+/// new_entry, since no node needed it.
 const UNASKED_TTL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
-struct Unheard {
+struct SilentLimiter {
     since: Timestamp,
     asked_at: Timestamp,
     next_probe: Timestamp,
 }
 
-/// What follows for a node that is asked in place of another.
+/// The state of a primary limiter for the node that is asked in its place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailoverStatus {
-    /// Whether the other counts as lost.
+    /// Whether the primary limiter counts as lost.
     pub is_lost: bool,
-    /// Whether it is probed now.
+    /// Whether the primary limiter should be probed now.
     pub is_probed: bool,
 }
 
-/// First limiters in whose place this node is asked.
+/// Primary limiters in whose place this node is asked.
 #[derive(Clone, Debug, Default)]
 pub struct LimiterFailover {
-    unheard: HashMap<SocketAddr, Unheard>,
+    silent: HashMap<SocketAddr, SilentLimiter>,
 }
 
 impl LimiterFailover {
-    /// This node is asked in place of another one.
-    pub fn asked_in_place_of(&mut self, first: SocketAddr, now: Timestamp) -> FailoverStatus {
-        let anew = Unheard {
+    /// This node is asked for a token in place of the primary limiter `primary`.
+    pub fn asked_in_place_of(&mut self, primary: SocketAddr, now: Timestamp) -> FailoverStatus {
+        let new_entry = SilentLimiter {
             since: now,
             asked_at: now,
             next_probe: now,
         };
-        let unheard = self.unheard.entry(first).or_insert(anew);
-        if unheard.asked_at + UNASKED_TTL <= now {
-            *unheard = anew;
+        let silent = self.silent.entry(primary).or_insert(new_entry);
+        if silent.asked_at + UNASKED_TTL <= now {
+            *silent = new_entry;
         }
-        unheard.asked_at = now;
-        let is_probed = unheard.next_probe <= now;
+        silent.asked_at = now;
+        let is_probed = silent.next_probe <= now;
         if is_probed {
-            unheard.next_probe = now + PROBE_PAUSE;
+            silent.next_probe = now + PROBE_PAUSE;
         }
         FailoverStatus {
-            is_lost: unheard.since + LOST_AFTER <= now,
+            is_lost: silent.since + LOST_AFTER <= now,
             is_probed,
         }
     }
 
-    /// A node has sent something.
+    /// A message of a node has arrived.
     pub fn heard(&mut self, node: SocketAddr) {
-        if !self.unheard.is_empty() {
-            self.unheard.remove(&node);
+        if !self.silent.is_empty() {
+            self.silent.remove(&node);
         }
     }
 
-    /// Forgets whom nobody asks for.
+    /// Removes limiters in whose place this node is no longer asked.
     pub fn expire(&mut self, now: Timestamp) {
-        let is_missed = |unheard: &Unheard| unheard.asked_at + UNASKED_TTL > now;
-        self.unheard.retain(|_, unheard| is_missed(unheard));
+        let is_needed = |silent: &SilentLimiter| silent.asked_at + UNASKED_TTL > now;
+        self.silent.retain(|_, silent| is_needed(silent));
     }
 }
--- a/crates/ledgelead-router/src/rate_limit/known.rs
+++ b/crates/ledgelead-router/src/rate_limit/known.rs
@@ -1,21 +1,21 @@
-//! Which instances name rate limits, as far as this node knows.
+//! The rate limits of instances that this node knows.
 
 use super::notice::RateLimit;
 use crate::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long the end of a limit is remembered, so that older statements don't bring it back.
-const ENDED_TTL: Duration = Duration::from_secs(30);
-/// How long the end of a limit is announced to other nodes.
-const ENDED_ANNOUNCED: Duration = Duration::from_secs(5);
+/// How long a withdrawn limit is remembered, so that older messages do not restore it.
+const WITHDRAWN_TTL: Duration = Duration::from_secs(30);
+/// How long the withdrawal of a limit is announced to other nodes.
+const WITHDRAWAL_ANNOUNCED_FOR: Duration = Duration::from_secs(5);
 
-/// What is known of one instance's limit.
+/// An instance's announcement of a limit, or of its withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitStatement {
-    /// The limit; none if the instance names none any more.
+    /// The limit; none if the instance has withdrawn it.
     pub limit: Option<RateLimit>,
-    /// When the instance said so.
+    /// When the instance announced this.
     pub at: Timestamp,
 }
 
@@ -23,8 +23,8 @@
 struct KnownLimit {
     statement: LimitStatement,
     /// Until when there is no token for this node's requests.
-    empty_until: Timestamp,
-    /// Whether the coordinator lacks what an answer has told this node.
+    no_token_until: Timestamp,
+    /// Whether the coordinator does not know yet what an answer told this node.
     is_unreported: bool,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl KnownLimits {
-    /// An answer to this node says what holds. Returns whether that is new.
+    /// Records the limit in an answer to this node. Returns whether it has changed.
     pub fn record_from_answer(
         &mut self,
         instance: u64,
@@ -53,7 +53,7 @@
         is_new
     }
 
-    /// Another node says what holds; of two statements the later one counts.
+    /// Records a limit that another node has sent; the later of two statements is kept.
     pub fn record_from_peer(&mut self, instance: u64, statement: LimitStatement) {
         let known = self.known.get(&instance);
         let is_older = known.is_some_and(|known| known.statement.at > statement.at);
@@ -62,68 +62,68 @@
         }
     }
 
-    /// The coordinator knows of a limit: it need not be reported, if it is the same.
+    /// The coordinator knows of a limit, so it need not be reported if it is the same.
     pub fn mark_reported(&mut self, instance: u64, limit: Option<RateLimit>) {
         if let Some(known) = self.known.get_mut(&instance) {
             known.is_unreported &= known.statement.limit != limit;
         }
     }
 
-    /// What holds for an instance, if it names a limit or has lately ceased to.
+    /// The last statement of an instance, if it has a limit or had one recently.
     pub fn statement(&self, instance: u64) -> Option<LimitStatement> {
         Some(self.known.get(&instance)?.statement)
     }
 
-    /// The limit that an instance names.
+    /// The current limit of an instance.
     pub fn limit(&self, instance: u64) -> Option<RateLimit> {
         self.statement(instance)?.limit
     }
 
-    /// There is no token for this node for so long.
+    /// No token is available for this node for this time.
     pub fn mark_refused(&mut self, instance: u64, wait: Duration, now: Timestamp) {
         if let Some(known) = self.known.get_mut(&instance) {
-            known.empty_until = known.empty_until.max(now + wait);
+            known.no_token_until = known.no_token_until.max(now + wait);
         }
     }
 
-    /// For how much longer there is no token for this node.
+    /// Remaining time without a token for this node.
     pub fn token_wait(&self, instance: u64, now: Timestamp) -> Option<Duration> {
         let known = self.known.get(&instance)?;
         known.statement.limit?;
-        let left = known.empty_until.saturating_sub(now);
+        let left = known.no_token_until.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Whether nothing is known, as is usual.
+    /// Whether no limit is known, which is the usual case.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// How many instances something is known of.
+    /// Number of instances with a known statement.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// What the coordinator lacks.
+    /// Statements that the coordinator does not know yet.
     pub fn unreported(&self) -> impl Iterator<Item = (u64, LimitStatement)> {
         let unreported = self.known.iter().filter(|(_, known)| known.is_unreported);
         unreported.map(|(instance, known)| (*instance, known.statement))
     }
 
-    /// What all nodes are to know: limits that hold, and those that ended lately.
+    /// Statements for all nodes: current limits, and recent withdrawals.
     pub fn to_announce(&self, now: Timestamp) -> impl Iterator<Item = (u64, LimitStatement)> {
         let counts = move |known: &KnownLimit| {
-            known.statement.limit.is_some() || known.statement.at + ENDED_ANNOUNCED > now
+            known.statement.limit.is_some() || known.statement.at + WITHDRAWAL_ANNOUNCED_FOR > now
         };
         let current = self.known.iter().filter(move |(_, known)| counts(known));
         current.map(|(instance, known)| (*instance, known.statement))
     }
 
-    /// Forgets instances that `exists` doesn't know, and limits that ended long ago.
+    /// Removes instances that do not exist any more, and limits that were withdrawn long ago.
     pub fn expire(&mut self, exists: impl Fn(u64) -> bool, now: Timestamp) {
         self.known.retain(|instance, known| {
-            let has_ended = known.statement.limit.is_none();
-            exists(*instance) && !(has_ended && known.statement.at + ENDED_TTL <= now)
+            let is_withdrawn = known.statement.limit.is_none();
+            exists(*instance) && !(is_withdrawn && known.statement.at + WITHDRAWN_TTL <= now)
         });
     }
 
@@ -133,13 +133,13 @@
                 limit: None,
                 at: statement.at,
             },
-            empty_until: Timestamp::ZERO,
+            no_token_until: Timestamp::ZERO,
             is_unreported: false,
         });
         let is_new = known.statement.limit != statement.limit;
         if is_new {
-            // The wait was reckoned by the earlier limit.
-            known.empty_until = Timestamp::ZERO;
+            // The wait was computed from the previous limit.
+            known.no_token_until = Timestamp::ZERO;
         }
         known.statement = statement;
         is_new
--- a/crates/ledgelead-router/src/rate_limit/mod.rs
+++ b/crates/ledgelead-router/src/rate_limit/mod.rs
@@ -1,4 +1,4 @@
-//! Rate limits that instances name, each of which binds all nodes together.
+//! Rate limits that instances announce; each one applies to all nodes together.
 
 mod failover;
 mod known;
--- a/crates/ledgelead-router/src/rate_limit/notice.rs
+++ b/crates/ledgelead-router/src/rate_limit/notice.rs
@@ -1,11 +1,11 @@
-//! What an answer says of the rate at which its instance takes requests.
+//! The rate limit in an instance's answer.
 
 use crate::dialect::HeaderNames;
 use crate::identity::InstanceId;
 use crate::validation::decimal;
 use ledgelead_http::Response;
 
-/// Status of an answer that may come from another instance, which doesn't name itself.
+/// Status of an answer that may come from another instance that sends no id.
 const MISDIRECTED: u16 = 421;
 
 /// A rate of requests.
@@ -21,7 +21,7 @@
         f64::from(self.millis_per_s) / 1_000.0
     }
 
-    /// Reads requests a second as a plain decimal number.
+    /// Parses requests a second from a plain decimal number.
     fn read(value: &[u8]) -> Option<RateLimit> {
         let millis = (decimal(value)? * 1_000.0).round();
         // The cast saturates.
@@ -30,25 +30,25 @@
     }
 }
 
-/// What an answer says of a rate limit.
+/// The statement of an answer about a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateNotice {
-    /// Nothing: the answer may be another instance's.
+    /// None: the answer may come from another instance.
     NotStated,
-    /// A limit that can't be read.
+    /// A limit that cannot be parsed.
     Unreadable,
-    /// No limit holds.
+    /// The instance has no limit.
     Unlimited,
-    /// So much is taken from all nodes together.
+    /// The instance accepts this rate from all nodes together.
     Limited(RateLimit),
 }
 
 impl RateNotice {
-    /// What an answer to a request that was meant for `meant` says of that instance. Of
-    /// several headers the lowest limit counts.
-    pub fn of(meant: &InstanceId, response: &Response, headers: &HeaderNames) -> RateNotice {
+    /// The statement of an answer to a request for the instance `target`. If there are several
+    /// headers, the lowest limit counts.
+    pub fn of(target: &InstanceId, response: &Response, headers: &HeaderNames) -> RateNotice {
         let answering = response.headers.text(&headers.instance);
-        if answering.is_some_and(|id| id != meant.name()) || response.status == MISDIRECTED {
+        if answering.is_some_and(|id| id != target.name()) || response.status == MISDIRECTED {
             return RateNotice::NotStated;
         }
         let mut notice = RateNotice::Unlimited;
@@ -63,7 +63,7 @@
         notice
     }
 
-    /// The limit, if the answer names one.
+    /// The limit, if the answer contains one.
     pub fn limit(self) -> Option<RateLimit> {
         match self {
             RateNotice::Limited(limit) => Some(limit),
--- a/crates/ledgelead-router/src/rendezvous.rs
+++ b/crates/ledgelead-router/src/rendezvous.rs
@@ -1,14 +1,15 @@
-//! Rendezvous hashing: nodes agree on which of them serve something without a message, and a
-//! node that comes or goes changes that for few things.
+//! Rendezvous hashing: nodes agree without messages on which of them are responsible for an
+//! item. When a node joins or leaves, responsibility changes for few items only.
 
 use crate::identity::NodeName;
 
-/// The weight of a node for the thing with this hash; the heaviest nodes serve it.
-pub(crate) fn weight(node: &NodeName, thing: u64) -> u64 {
-    spread(node.stable_hash() ^ thing)
+/// The weight of a node for the item with this hash. The nodes with the highest weights are
+/// responsible for the item.
+pub(crate) fn weight(node: &NodeName, item: u64) -> u64 {
+    spread(node.stable_hash() ^ item)
 }
 
-/// Spreads a hash over all bits (the finaliser of SplitMix64).
+/// Mixes all bits of a hash (the finaliser of SplitMix64).
 fn spread(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/ledgelead-router/src/settings.rs
+++ b/crates/ledgelead-router/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start, and the times its promises rest on.
+//! The settings of a node, and the times that its guarantees depend on.
 
 use crate::identity::{NodeIdentity, ZoneName};
 use crate::mechanisms::Mechanisms;
@@ -10,71 +10,72 @@
 /// The settings of one node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// This life of the node.
+    /// This node and its incarnation.
     pub identity: NodeIdentity,
     /// Its zone.
     pub zone: ZoneName,
-    /// Where other nodes reach it.
+    /// Where other nodes can reach it.
     pub peer_address: SocketAddr,
-    /// The store.
+    /// The address of the store.
     pub store_address: SocketAddr,
-    /// What this node may use of a core, in thousandths.
+    /// The CPU limit of this node, in thousandths of a core.
     pub millicores: u32,
-    /// What all nodes together may retry.
+    /// The retry budget of all nodes together.
     pub retry_budget: BudgetBounds,
-    /// Time in which a leaving instance must get no more new work.
+    /// Time after which a leaving instance must not get new requests.
     pub drain_bound: Duration,
-    /// Time in which an acknowledged configuration must be in force.
+    /// Time within which an acknowledged configuration must take effect.
     pub configuration_bound: Duration,
-    /// Time in which an evacuated zone must get nothing more. None where zones are
-    /// never evacuated, so that nothing is asked of the store.
+    /// Time after which an evacuated zone must not get requests. None if zones are never
+    /// evacuated, so that the store is not queried for evacuations.
     pub evacuation_bound: Option<Duration>,
-    /// What may be sent to a cold instance, over all nodes.
+    /// Limit for requests to a cold instance, over all nodes.
     pub cold_bound: ColdBound,
-    /// Time from the request to stop until the process is killed.
+    /// Time from the request to shut down until the process is killed.
     pub stop_grace: Duration,
-    /// Memory that the process may use, in bytes. None where it is not bounded.
+    /// Memory limit of the process, in bytes; none if not limited.
     pub memory_limit: Option<usize>,
-    /// What this node's link carries in each direction, in bytes a second.
+    /// Bandwidth of this node's link in each direction, in bytes a second.
     pub link_bytes_per_s: u64,
-    /// Seed of the node's random decisions.
+    /// Seed for random decisions of the node.
     pub seed: u64,
-    /// All on, but in simulations that prove their checker.
+    /// All enabled, except in simulations that test their checker.
     pub protections: Protections,
-    /// All on, but where the worth of one is measured.
+    /// All enabled, except when the benefit of one is measured.
     pub mechanisms: Mechanisms,
 }
 
-/// What a link is taken to carry where nothing says so, in bytes a second: a gigabit.
+/// Assumed bandwidth of a link without a setting, in bytes a second: one gigabit.
 pub const DEFAULT_LINK_BYTES_PER_S: u64 = 125_000_000;
 
-/// How long an instance holds keys after a grant arrived.
+/// How long an instance holds keys after the arrival of a grant.
 pub const HOLD: Duration = Duration::from_millis(4_000);
-/// Time between renewals of a grant.
+/// Interval between renewals of a grant.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same where there are so many grants that each is renewed less often. A lost renewal is
-/// given up after 0.6 s and repeated after 0.25 s: the hold still bears two in a row.
+/// The longest interval between renewals, used if there are too many grants to renew each more
+/// often. A lost renewal is given up after 0.6 s and repeated after 0.25 s, so a hold survives
+/// two lost renewals in a row.
 pub const MAX_RENEWAL_INTERVAL: Duration = Duration::from_millis(2_000);
-/// How long a coordinator may give orders after the start of the last call in
-/// which the store confirmed it.
+/// How long a coordinator may send orders, counted from the start of the last call in which
+/// the store confirmed it.
 pub const COORDINATOR_AUTHORITY: Duration = Duration::from_secs(10);
-/// Allowance for transit and for waking up, added to the end of a hold.
+/// Allowance for transit and scheduling delays, added to the end of a hold.
 pub const LEASE_SLACK: Duration = Duration::from_millis(300);
 
-/// How long an order may be on its way once its sender can't take it back: the sender was
-/// killed, and its kernel repeats what nobody has acknowledged. The runtime bounds that for
-/// each connection. Longer than a grant is waited for (0.6 s), so that what a living node
-/// gives up is reset before.
+/// How long an order may be in transit after its sender can no longer cancel it: the sender
+/// was killed, and its kernel retransmits unacknowledged data. The runtime limits this time
+/// for each connection. It is longer than the timeout of a grant (0.6 s), so that a running
+/// node resets the connection of an order that it gives up before.
 pub const ORDER_TRANSIT: Duration = Duration::from_millis(1_000);
 
-/// The longest that an instance can hold keys by orders of a coordinator of which nothing is
-/// known any more.
+/// The longest time for which an instance can hold keys by orders of an unknown earlier
+/// coordinator.
 pub fn longest_unknown_hold() -> Duration {
     COORDINATOR_AUTHORITY + ORDER_TRANSIT + longest_hold()
 }
 
-/// The longest that an instance can hold keys after a grant reached it: its
-/// clock may be 2% slow.
+/// The longest time for which an instance can hold keys after a grant has arrived. Its clock
+/// may run 2% slow.
 pub fn longest_hold() -> Duration {
     HOLD + HOLD / 50 + LEASE_SLACK
 }
--- a/crates/ledgelead-router/src/store/era.rs
+++ b/crates/ledgelead-router/src/store/era.rs
@@ -1,14 +1,15 @@
-//! Revisions of a store that may come back from a copy.
+//! Revisions of a store that can be restored from a backup.
 //!
-//! Such a store gives its revisions out again, and raises its era. What it says is only
-//! comparable within an era. So a node numbers all that it takes from the store by both: the
-//! era stands in the high bits, and each revision of an era is above all of earlier ones.
+//! After a restore the store assigns the same revisions again and increases its era, so
+//! revisions are comparable only within an era. A node therefore combines both in one number:
+//! the era is stored in the high bits, and every revision of an era is above all revisions of
+//! earlier ones.
 
 use crate::dialect::{Object, ObjectEvent, StoreAnswer, StoreCall};
 
-/// Bits of a revision that hold the store's own number.
+/// Number of low bits that hold the store's own revision.
 const REVISION_BITS: u32 = 40;
-/// Largest era that leaves revisions within those that are exact as numbers of JSON.
+/// Largest era whose revisions are still exact as JSON numbers.
 pub const MAX_ERA: u64 = (1 << 13) - 1;
 
 /// The era of a revision, an epoch or a fencing token.
@@ -21,33 +22,33 @@
     era << REVISION_BITS
 }
 
-/// The store's own number of a revision.
-fn own_number(revision: u64) -> u64 {
+/// The store's own part of a revision.
+fn store_revision(revision: u64) -> u64 {
     revision & (first_in_era(1) - 1)
 }
 
-/// A call as the store understands it.
+/// Converts the revisions of a call to the store's own.
 pub fn with_store_revisions(call: &StoreCall) -> StoreCall {
     let mut call = call.clone();
     match &mut call {
-        StoreCall::Watch { revision, .. } => *revision = own_number(*revision),
+        StoreCall::Watch { revision, .. } => *revision = store_revision(*revision),
         StoreCall::Replace {
             revision: Some(revision),
             ..
-        } => *revision = own_number(*revision),
+        } => *revision = store_revision(*revision),
         StoreCall::List { .. } | StoreCall::Create { .. } | StoreCall::Replace { .. } => {}
     }
     call
 }
 
-/// An answer of the store in an era; a finding where its numbers are out of bounds.
+/// Adds the era to the revisions of an answer; an error if one is out of bounds.
 pub fn with_era(era: u64, answer: StoreAnswer) -> Result<StoreAnswer, String> {
     let number = |revision: u64| match era_of(revision) {
         0 if era <= MAX_ERA => Ok(first_in_era(era) | revision),
-        _ => Err(format!("revision {revision} in era {era}")),
+        _ => Err(format!("revision {revision} in era {era} is out of bounds")),
     };
-    // An object out of bounds spoils itself alone.
-    let numbered = |object: Object| match number(object.revision) {
+    // An object with an invalid revision is marked unreadable; the other objects are kept.
+    let with_era_revision = |object: Object| match number(object.revision) {
         Ok(revision) => Object { revision, ..object },
         Err(finding) => Object {
             revision: first_in_era(era.min(MAX_ERA)),
@@ -61,7 +62,7 @@
             more,
             revision,
         } => StoreAnswer::Objects {
-            objects: objects.into_iter().map(numbered).collect(),
+            objects: objects.into_iter().map(with_era_revision).collect(),
             more,
             revision: number(revision)?,
         },
@@ -69,7 +70,7 @@
             events: events
                 .into_iter()
                 .map(|event| ObjectEvent {
-                    object: numbered(event.object),
+                    object: with_era_revision(event.object),
                     ..event
                 })
                 .collect(),
@@ -77,7 +78,7 @@
         },
         StoreAnswer::Written(object) => {
             number(object.revision)?;
-            StoreAnswer::Written(numbered(object))
+            StoreAnswer::Written(with_era_revision(object))
         }
         other => other,
     })
--- a/crates/ledgelead-router/src/store/mod.rs
+++ b/crates/ledgelead-router/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! Calls to the store: watches that keep this node's picture of it up to date,
-//! and conditional writes.
+//! Calls to the store: watches that keep this node's view of it up to date, and conditional
+//! writes.
 
 mod era;
 mod health;
--- a/crates/ledgelead-router/src/store/watcher.rs
+++ b/crates/ledgelead-router/src/store/watcher.rs
@@ -1,38 +1,37 @@
-//! One watch: list, then wait for changes, over and over.
+//! Watches one kind of objects: lists them, then repeatedly waits for changes.
 //!
-//! A history that is forgotten, a watch that is cut, refusals and lost answers
-//! are ordinary: they lead back to a list or to the next call after a pause.
+//! A compacted history, an interrupted watch, refusals and lost answers are expected. They
+//! lead to a new list, or to the next call after a pause.
 
 use crate::Timestamp;
 use crate::dialect::{Object, ObjectEvent, ObjectKind, StoreAnswer, StoreCall};
 use std::time::Duration;
 
-/// Pause between a node's first list and its first watch: if there is a
-/// coordinator, its heartbeat has come by then, and the watch is suspended.
+/// Pause between a node's first list and its first watch. If there is a coordinator, its
+/// heartbeat arrives in this time and the watch is suspended.
 const FIRST_WATCH_PAUSE: Duration = Duration::from_millis(1_200);
-/// How long the store may wait for a change that another node has seen there
-/// already, and after a failed call, whose successor only has to show that the
-/// store serves.
-const PROMPT_WAIT: Duration = Duration::from_millis(50);
-/// How long the store may wait for a change in a call that has to confirm a first list:
+/// How long the store may wait for a change that another node has already seen there; also
+/// after a failed call, when the next one only has to show that the store serves.
+const SHORT_WAIT: Duration = Duration::from_millis(50);
+/// How long the store may wait for a change in a call that confirms a first list, while
 /// requests wait for its answer.
 const CONFIRMING_WAIT: Duration = Duration::from_millis(1);
-/// Pause between an answer and a call for what another node has seen; many
-/// changes in a row are told by few calls.
+/// Minimum interval between an answer and a call to catch up with changes that another node
+/// has seen, so that a few calls cover many changes in a row.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(400);
 
-/// How often a watch calls.
+/// Intervals and wait times of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatcherPace {
-    /// Pause between an answer with changes and the next call.
+    /// Pause after an answer with changes.
     pub after_events: Duration,
-    /// Pause between an answer without changes and the next call.
+    /// Pause after an answer without changes.
     pub after_nothing: Duration,
-    /// How long the store may wait for a change.
+    /// How long the store may wait for a change before it answers.
     pub wait: Duration,
 }
 
-/// Pauses between calls that fail; each is twice the one before.
+/// Pauses after failed calls, doubled with each failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
     /// The first pause.
@@ -50,30 +49,30 @@
     }
 }
 
-/// What a watch has learned.
+/// The result of an answer for the caller.
 #[derive(Debug)]
 pub enum WatchChange {
-    /// All objects of the kind.
+    /// A complete list of the objects of the kind.
     All(Vec<Object>),
-    /// Changes since.
+    /// Changes since the last answer.
     Events(Vec<ObjectEvent>),
-    /// Nothing new.
+    /// No changes.
     Unchanged,
 }
 
 #[derive(Debug)]
 enum Position {
-    /// A list is due, with the pages that are already there.
+    /// Reading a list; holds the pages that have arrived.
     Listing {
         pages: Vec<Object>,
         after: Option<String>,
         revision: Option<u64>,
     },
-    /// Changes after this revision are awaited.
+    /// Waiting for changes after this revision.
     Watching { revision: u64 },
 }
 
-/// One watch.
+/// The watch of one kind of objects.
 #[derive(Debug)]
 pub struct Watcher {
     kind: ObjectKind,
@@ -84,30 +83,31 @@
     failures: u32,
     backoff: Backoff,
     last_answer: Option<Timestamp>,
-    /// When the call that is out was made, and how long the store may wait.
+    /// Start of the call in flight, and how long the store may wait.
     call: Option<(Timestamp, Duration)>,
-    /// When the first page of the present list was asked for.
+    /// When the first page of the current list was requested.
     list_began: Timestamp,
     as_of: Option<Timestamp>,
-    /// Whether changes are told by another node, so that the store isn't asked.
+    /// Whether another node reports the changes, so that the store is not called.
     paused: bool,
-    /// Whether the store is asked once although the watch is paused.
+    /// Whether a single call is due although the watch is paused.
     catch_up_requested: bool,
-    /// Whether the next call is to tell at once how things are.
-    prompt: bool,
-    /// Whether requests wait for the next answer, since the first list may be stale.
+    /// Whether the next call uses a short wait.
+    uses_short_wait: bool,
+    /// Whether the next call has to confirm a first list that may be stale, while requests
+    /// wait.
     confirming: bool,
-    /// When the first watch is due that no request waits for.
+    /// Earliest time of the first watch, unless requests wait for it.
     first_watch: Timestamp,
-    /// Whether no list is complete yet.
+    /// Whether no list has been completed yet.
     is_first: bool,
     /// Whether the first list may be some seconds old.
     first_may_be_stale: bool,
     /// Whether the list that is being read may be some seconds old.
     reads_stale: bool,
-    /// Whether the call that is out was made of another node.
+    /// Whether the call in flight goes to another node.
     is_call_to_peer: bool,
-    /// Whether a list took more than one page.
+    /// Whether any list had more than one page.
     is_paged: bool,
 }
 
@@ -128,7 +128,7 @@
             as_of: None,
             paused: false,
             catch_up_requested: false,
-            prompt: false,
+            uses_short_wait: false,
             confirming: false,
             first_watch: Timestamp::ZERO,
             is_first: true,
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Whether the first list, if it isn't complete, may be some seconds old. One that is
-    /// being read and may be, though it must not, begins again.
+    /// Sets whether the first list may be some seconds old, unless it is complete. A stale
+    /// list that is being read, but no longer allowed, is started again.
     pub fn set_first_may_be_stale(&mut self, may_be: bool) {
         self.first_may_be_stale = may_be;
         let is_read = matches!(self.position, Position::Listing { .. });
@@ -149,32 +149,32 @@
         }
     }
 
-    /// Whether a list took more than one page.
+    /// Whether any list had more than one page.
     pub fn is_paged(&self) -> bool {
         self.is_paged
     }
 
-    /// Whether the first list goes on after some pages, and may be some seconds old.
+    /// Whether a first list with several pages is being read and may be some seconds old.
     pub fn is_paging_stale(&self) -> bool {
         self.is_paged && self.is_first && self.reads_stale
     }
 
-    /// Whether a list is complete.
+    /// Whether a list has been completed.
     pub fn has_listed(&self) -> bool {
         !self.is_first
     }
 
-    /// The kind that is watched.
+    /// The watched kind.
     pub fn kind(&self) -> ObjectKind {
         self.kind
     }
 
-    /// The pace.
+    /// The intervals and wait times.
     pub fn pace(&self) -> WatcherPace {
         self.pace
     }
 
-    /// Changes the pace; a call that is out keeps the old one.
+    /// Changes the intervals and wait times; a call in flight keeps the old ones.
     pub fn set_pace(&mut self, pace: WatcherPace) {
         self.pace = pace;
     }
@@ -184,21 +184,19 @@
         self.backoff = backoff;
     }
 
-    /// The next call is due now, if none is out.
+    /// Makes the next call due now, unless one is in flight.
     pub fn call_now(&mut self, now: Timestamp) {
         self.next_call = self.next_call.min(now);
     }
 
-    /// The next call is due now, if none is out, and is not to wait for long for
-    /// a change.
+    /// Makes the next call due now, unless one is in flight, and limits its wait for a change.
     pub fn call_now_with_short_wait(&mut self, now: Timestamp) {
-        self.prompt = true;
+        self.uses_short_wait = true;
         self.call_now(now);
     }
 
-    /// Asks the store at once for what has changed since a first list that may be stale.
-    /// Returns when that was asked: a watch that is out is answered as soon as there is a
-    /// change.
+    /// Requests the changes since a first list that may be stale. Returns when they were
+    /// requested; a watch in flight counts, as it is answered as soon as there is a change.
     pub fn confirm(&mut self, now: Timestamp) -> Timestamp {
         match self.call {
             Some((began, _)) if self.in_flight => began,
@@ -210,12 +208,12 @@
         }
     }
 
-    /// The next call is not due before this time, if none is out.
+    /// Delays the next call until this time, unless one is in flight.
     pub fn defer(&mut self, until: Timestamp) {
         self.next_call = self.next_call.max(until);
     }
 
-    /// The revision that is watched from, once the list is complete.
+    /// The last known revision, once a list has been completed.
     pub fn revision(&self) -> Option<u64> {
         match self.position {
             Position::Watching { revision } => Some(revision),
@@ -223,7 +221,7 @@
         }
     }
 
-    /// A paused watch asks only when it is catch_up_requested or told to list once more.
+    /// While paused, calls are made only for a list or after `request_catch_up`.
     pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
         self.catch_up_requested &= paused;
@@ -234,44 +232,43 @@
         self.paused
     }
 
-    /// A paused watch asks the store once for what it has missed, until the
-    /// store has answered.
+    /// Requests one call while the watch is paused, to read missed changes.
     pub fn request_catch_up(&mut self, now: Timestamp) {
-        let rested = self.rests();
+        let was_idle = self.is_idle();
         let already = self.catch_up_requested;
         self.catch_up_requested = self.paused;
         if self.failures > 0 || already {
             return;
         }
         match self.last_answer {
-            Some(last) if rested => self.next_call = now.max(last + CATCH_UP_PAUSE),
+            Some(last) if was_idle => self.next_call = now.max(last + CATCH_UP_PAUSE),
             _ => self.call_now(now),
         }
     }
 
-    /// Another node has told all changes up to this revision.
+    /// Another node has reported all changes up to this revision.
     pub fn advance(&mut self, told: u64) {
         if let Position::Watching { revision } = &mut self.position {
             *revision = (*revision).max(told);
         }
     }
 
-    /// Lists once more, as soon as no call is out.
+    /// Starts a new list as soon as no call is in flight.
     pub fn refresh(&mut self, now: Timestamp) {
         self.position = Position::start();
         self.next_call = now;
     }
 
-    /// The call that is due is made of another node.
+    /// The due call is made to another node instead of the store.
     pub fn mark_call_to_peer(&mut self) {
         self.is_call_to_peer = true;
     }
 
-    /// Another node has sent the whole list, with all changes up to a revision.
+    /// Another node has sent the complete list, including all changes up to a revision.
     pub fn listed_by_peer(&mut self, revision: u64, now: Timestamp) {
         let was_asked = std::mem::take(&mut self.is_call_to_peer);
         if self.in_flight && !was_asked && matches!(self.position, Position::Listing { .. }) {
-            // The store's own list is on its way.
+            // The store's own list is in flight.
             return;
         }
         self.position = Position::Watching { revision };
@@ -285,7 +282,7 @@
         }
     }
 
-    /// The list that another node was asked for has not come; the next call begins anew.
+    /// The list requested from another node has not arrived; the next call starts a new one.
     pub fn restart_list(&mut self, at: Timestamp) {
         if std::mem::take(&mut self.is_call_to_peer) {
             self.in_flight = false;
@@ -294,42 +291,42 @@
         }
     }
 
-    fn rests(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let is_asked = self.catch_up_requested || self.confirming;
         self.paused && !is_asked && matches!(self.position, Position::Watching { .. })
     }
 
-    /// When the store last told the state of this kind.
+    /// When the store last answered a call for this kind.
     pub fn last_answer(&self) -> Option<Timestamp> {
         self.last_answer
     }
 
-    /// All that the store acknowledged before this time has been told by its
-    /// own answers. Unknown after a list that may be stale.
+    /// The store's own answers cover everything that it acknowledged before this time. None
+    /// after a list that may be stale.
     pub fn as_of(&self) -> Option<Timestamp> {
         self.as_of
     }
 
-    /// When the next call is due, if none is out.
+    /// When the next call is due; none while one is in flight or the watch is paused.
     pub fn next_call(&self) -> Option<Timestamp> {
-        (!self.in_flight && !self.rests()).then_some(self.next_call)
+        (!self.in_flight && !self.is_idle()).then_some(self.next_call)
     }
 
-    /// The next call, if it is due. The caller makes it.
+    /// The next call, if it is due. The caller sends it.
     pub fn take_call(&mut self, now: Timestamp) -> Option<StoreCall> {
-        if self.in_flight || self.rests() || self.next_call > now {
+        if self.in_flight || self.is_idle() || self.next_call > now {
             return None;
         }
         self.in_flight = true;
         if self.paused && self.kind.is_single() {
-            // A list tells one object at once, also where the changes since
-            // this node's last call are forgotten.
+            // A list returns the single object at once, even if the changes since this node's
+            // last call are compacted.
             self.position = Position::start();
         }
         let wait = if self.confirming {
             CONFIRMING_WAIT
-        } else if self.paused || self.failures > 0 || self.prompt {
-            PROMPT_WAIT
+        } else if self.paused || self.failures > 0 || self.uses_short_wait {
+            SHORT_WAIT
         } else {
             self.pace.wait
         };
@@ -354,14 +351,14 @@
         })
     }
 
-    /// Whether the list that is due may be stale. The changes since are read by
-    /// the watch that follows, or relayed by the coordinator; what has to be
-    /// exact (a campaign) is read again.
+    /// Whether the due list may be stale. Later changes are read by the watch that follows, or
+    /// relayed by the coordinator; anything that must be exact (before a campaign) is read
+    /// again.
     fn lists_stale(&self) -> bool {
         self.is_first && self.first_may_be_stale
     }
 
-    /// The call that is out was broken off; the next is due at once.
+    /// The call in flight was cancelled; the next one is due at once.
     pub fn interrupt(&mut self, now: Timestamp) {
         self.in_flight = false;
         self.next_call = now;
@@ -414,11 +411,11 @@
         else {
             return WatchChange::Unchanged;
         };
-        // Changes between two pages are told by the watch, so it continues
-        // from the revision of the oldest page.
+        // The watch reports changes between two pages, so it continues from the revision of
+        // the oldest page.
         let start = first.map_or(revision, |first| first.min(revision));
         *first = Some(start);
-        // A name that can't be read is no place to continue from.
+        // An object without a readable name cannot be used as the start of the next page.
         let named = |object: &&Object| !object.name.is_empty();
         let last = objects.iter().rfind(named).map(|object| &object.name);
         let is_stuck = !objects.is_empty() && (last.is_none() || last == after.as_ref());
@@ -431,7 +428,8 @@
         let all = std::mem::take(pages);
         self.position = Position::Watching { revision: start };
         if more && !self.is_first {
-            // A page without a new name ends the list. What it didn't get to is not gone.
+            // A page without a new name ends the list. Objects that were not reached are not
+            // removed.
             let event = |object| ObjectEvent {
                 object,
                 gone: false,
@@ -454,12 +452,12 @@
             return WatchChange::Unchanged;
         };
         self.as_of = self.call.map(|(began, wait)| {
-            // Without a change the store has waited to the end.
+            // Without a change the store has waited for the full time.
             let waited = events.is_empty() && began + wait <= now;
             if waited { began + wait } else { began }
         });
         if revision < *known {
-            // Another node has told later changes meanwhile, and all before them.
+            // Another node has reported later changes in the meantime, and all before them.
             return WatchChange::Unchanged;
         }
         *known = revision;
@@ -469,7 +467,7 @@
         };
         self.next_call = now + pause;
         if confirms {
-            // A coordinator may be heard by then, as after any first list.
+            // A heartbeat of a coordinator may arrive by then, as after any first list.
             self.next_call = self.next_call.max(self.first_watch);
         }
         match events.is_empty() {
@@ -482,7 +480,7 @@
         self.in_flight = false;
         self.failures = 0;
         self.catch_up_requested = false;
-        self.prompt = false;
+        self.uses_short_wait = false;
         self.confirming = false;
         self.last_answer = Some(now);
         self.next_call = now;
--- a/crates/ledgelead-router/src/validation.rs
+++ b/crates/ledgelead-router/src/validation.rs
@@ -1,8 +1,9 @@
-//! What may come in from outside: names, numbers and records within bounds.
+//! Validation of names, numbers and records from outside the process.
 //!
-//! Any writer may change the store's objects, and any process may send a datagram or a
-//! header. What lies outside these bounds would overflow a sum, block a revision for good
-//! or fill a datagram, so it is refused where it enters, and nothing else with it.
+//! Any writer can change the store's objects, and any process can send a datagram or a header.
+//! Values outside these bounds could overflow a sum, make every later revision look old, or
+//! exceed the size of a datagram. So they are rejected on arrival, without affecting other
+//! data.
 
 use crate::configuration::{Configuration, Route, Service};
 use crate::dialect::{Object, ObjectContent, ObjectKind};
@@ -15,52 +16,52 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Longest name of an object, service or zone, in bytes. An entry with three of them fits
-/// one datagram.
+/// Maximum length of the name of an object, service or zone, in bytes. An entry with three
+/// such names fits one datagram.
 pub const MAX_NAME_BYTES: usize = 255;
-/// Most requests that an instance works on at once, as many as a datagram's count holds.
+/// Maximum number of slots of an instance; limited by the size of a count in a datagram.
 pub const MAX_SLOTS: u32 = u16::MAX as u32;
-/// Longest time for which an instance is taken for cold after its start.
+/// Maximum warm-up time of an instance after its start.
 pub const MAX_WARMUP: Duration = Duration::from_secs(3_600);
-/// Longest time-out, latency or pause that is asked for; no caller waits as long.
+/// Maximum timeout, latency or pause; no caller waits as long.
 pub const MAX_TIMEOUT: Duration = Duration::from_secs(86_400);
-/// Largest revision, version, epoch or fencing token. Up to here JSON's numbers are exact,
-/// and one that is counted up by a writer of our own never gets there.
+/// Largest revision, version, epoch or fencing token. JSON numbers are exact up to here, and a
+/// number that nodes only increment never reaches it.
 pub const MAX_REVISION: u64 = 1 << 53;
-/// Largest weight of a target, and largest rate a second; their sums stay exact.
+/// Largest weight of a target, and largest rate a second; sums of these stay exact.
 pub const MAX_WEIGHT: f64 = 1e9;
-/// Longest path that is kept of a request, in bytes, so that a datagram holds it.
+/// Maximum stored length of a request's path, in bytes, so that it fits a datagram.
 const MAX_PATH_BYTES: usize = 512;
-/// Longest finding, in bytes; it may quote what another writer wrote.
-const MAX_FINDING_BYTES: usize = 200;
+/// Maximum length of an error message, in bytes; it may quote text from other writers.
+const MAX_ERROR_BYTES: usize = 200;
 
-/// Puts a finding in the place of content that lies out of bounds.
+/// Replaces invalid content by an error message.
 pub fn check(kind: ObjectKind, object: &mut Object) {
     let checked = match &object.content {
         Ok(content) => check_content(kind, &object.name, content),
-        Err(finding) => Err(finding.clone()),
+        Err(error) => Err(error.clone()),
     };
-    if let Err(finding) = checked {
-        object.content = Err(truncated(&finding));
+    if let Err(error) = checked {
+        object.content = Err(truncated(&error));
     }
 }
 
-/// The start of a text that another process wrote, for the log.
+/// The start of a text from another process, for the log.
 pub fn truncated(text: &str) -> String {
-    let mut end = text.len().min(MAX_FINDING_BYTES);
+    let mut end = text.len().min(MAX_ERROR_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
     text[..end].to_owned()
 }
 
-/// A time of this many milliseconds, at most `max`; nothing for one below nothing.
+/// A time of this many milliseconds, from zero to `max`.
 pub fn millis(ms: f64, max: Duration) -> Duration {
     let seconds = ms.max(0.0) / 1_000.0;
     Duration::try_from_secs_f64(seconds).map_or(max, |time| time.min(max))
 }
 
-/// Whether a text can name an object, also within a header.
+/// Whether a text is a valid object name, which can also be sent in a header.
 pub fn is_name(name: &str) -> bool {
     let is_visible = |c: char| !c.is_control() && c != char::REPLACEMENT_CHARACTER;
     !name.is_empty()
@@ -69,10 +70,11 @@
         && name.chars().all(is_visible)
 }
 
-/// Checks what an instance registered.
+/// Checks an instance's registration.
 ///
 /// # Errors
-/// Names the field that is out of bounds.
+///
+/// Returns an error that names the invalid field.
 pub fn instance(record: &InstanceRecord) -> Result<(), String> {
     name("id", record.id.as_str())?;
     name("service", record.service.as_str())?;
@@ -80,36 +82,38 @@
     address(record.address)?;
     match record.slots {
         1..=MAX_SLOTS => Ok(()),
-        slots => Err(format!("slots: {slots} of 1 to {MAX_SLOTS}")),
+        slots => Err(format!("slots: {slots} is not in 1 to {MAX_SLOTS}")),
     }
 }
 
-/// Checks a node's registration under a name.
+/// Checks a node's registration under an object name.
 ///
 /// # Errors
-/// Names the field that is out of bounds.
+///
+/// Returns an error that names the invalid field.
 pub fn node(object: &str, record: &NodeRecord) -> Result<(), String> {
     if record.identity.node.as_str() != object {
-        // Else it would stand in the place of the node that it names.
-        return Err("identity: the object has another name".to_owned());
+        // Otherwise it would replace the registration of the node that it names.
+        return Err("identity: differs from the object's name".to_owned());
     }
     name("node", object)?;
     name("zone", record.zone.as_str())?;
     address(record.address)
 }
 
-/// Checks the record of ownership under a name.
+/// Checks the ownership record under an object name.
 ///
 /// # Errors
-/// Names what is out of bounds, or breaks the record's invariant.
+///
+/// Returns an error that names the invalid field or the violated invariant.
 pub fn ownership(object: &str, record: &OwnershipRecord) -> Result<(), String> {
     if object != OWNERSHIP_NAME {
-        return Err(format!("the record's name is `{OWNERSHIP_NAME}`"));
+        return Err(format!("the object's name is not `{OWNERSHIP_NAME}`"));
     }
     revision("epoch", record.epoch)?;
     revision("next_fence", record.next_fence)?;
     if record.earlier_authority() > MAX_TIMEOUT {
-        return Err("earlier_authority_ms: too long".to_owned());
+        return Err("earlier_authority_ms: exceeds the maximum time".to_owned());
     }
     for assignment in &record.assignments {
         name("service", assignment.service.as_str())?;
@@ -117,14 +121,15 @@
     }
     match record.is_consistent() {
         true => Ok(()),
-        false => Err("assignments: overlap, are empty or have tokens of the future".to_owned()),
+        false => Err("assignments: overlap, are empty or have tokens above next_fence".to_owned()),
     }
 }
 
 /// Checks a version of the configuration.
 ///
 /// # Errors
-/// Names the entry that is out of bounds.
+///
+/// Returns an error that names the invalid entry.
 pub fn configuration(configuration: &Configuration) -> Result<(), String> {
     revision("generation", configuration.version)?;
     configuration
@@ -137,7 +142,8 @@
 /// Checks a revision, version, epoch or fencing token.
 ///
 /// # Errors
-/// Names the field if the number is too large.
+///
+/// Returns an error that names the field if the number is too large.
 pub fn revision(field: &str, number: u64) -> Result<(), String> {
     match number {
         0..=MAX_REVISION => Ok(()),
@@ -155,34 +161,40 @@
         ObjectContent::Evacuation(_) => Ok(()),
         ObjectContent::Quarantine(record) => quarantine(object, record),
     }
-    .map_err(|finding| format!("{}: {finding}", kind.label()))
+    .map_err(|error| format!("{}: {error}", kind.label()))
 }
 
 fn quarantine(object: &str, record: &QuarantineRecord) -> Result<(), String> {
     if RequestDigest::parse(object).is_none() {
-        return Err("the name is no digest".to_owned());
+        return Err("the name is not a request digest".to_owned());
     }
     match record.path.len() {
         0..=MAX_PATH_BYTES => Ok(()),
-        bytes => Err(format!("path: {bytes} bytes")),
+        bytes => Err(format!("path: {bytes} bytes exceed {MAX_PATH_BYTES}")),
     }
 }
 
 fn route(route: &Route) -> Result<(), String> {
     let is_weight = |weight: f64| (0.0..=MAX_WEIGHT).contains(&weight);
-    let unsound = route
+    let invalid = route
         .targets
         .iter()
         .find(|target| !is_weight(target.weight));
-    if let Some(target) = unsound {
-        return Err(format!("route {}: weight {}", route.name, target.weight));
+    if let Some(target) = invalid {
+        return Err(format!(
+            "route {}: weight {} is out of range",
+            route.name, target.weight
+        ));
     }
     if route.targets.is_empty() {
-        return Err(format!("route {}: no target", route.name));
+        return Err(format!("route {}: has no target", route.name));
     }
     match route.timeout.max(route.target_latency) <= MAX_TIMEOUT {
         true => Ok(()),
-        false => Err(format!("route {}: too long a time-out", route.name)),
+        false => Err(format!(
+            "route {}: timeout or latency target exceeds the maximum",
+            route.name
+        )),
     }
 }
 
@@ -190,14 +202,17 @@
     let is_rate = |rate: f64| (0.0..=MAX_WEIGHT).contains(&rate);
     match service.cold_rate.is_none_or(is_rate) {
         true => Ok(()),
-        false => Err(format!("service {}: rate out of range", service.name)),
+        false => Err(format!(
+            "service {}: cold rate is out of range",
+            service.name
+        )),
     }
 }
 
 fn name(field: &str, text: &str) -> Result<(), String> {
     match is_name(text) {
         true => Ok(()),
-        false => Err(format!("{field}: no name")),
+        false => Err(format!("{field}: not a valid name")),
     }
 }
 
@@ -205,12 +220,14 @@
     let is_broadcast = address.ip() == IpAddr::from([255, 255, 255, 255]);
     let ip = address.ip();
     match address.port() == 0 || ip.is_unspecified() || ip.is_multicast() || is_broadcast {
-        true => Err(format!("address: {address} can't be reached")),
+        true => Err(format!(
+            "address: {address} is not a unicast address with a port"
+        )),
         false => Ok(()),
     }
 }
 
-/// A number in plain decimal digits, without sign or exponent.
+/// Parses plain decimal digits, without sign or exponent.
 pub fn decimal(value: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(value).ok()?.trim();
     let is_plain = |c: char| c.is_ascii_digit() || c == '.';
--- a/crates/ledgelead-router/src/zone_traffic.rs
+++ b/crates/ledgelead-router/src/zone_traffic.rs
@@ -1,40 +1,40 @@
 //! Bytes that a node exchanges with its own zone and with others, by purpose.
 //!
-//! Datagrams count without the headers of UDP and IP. Exchanges count the encoded request
-//! as it is begun, whether or not all of it is written, and the whole answer, whose framing
-//! is taken for a length; broken-off exchanges have no answer.
+//! Datagrams are counted without UDP and IP headers. An exchange is counted with its encoded
+//! request, even if that is not completely written, and with its whole answer, which is
+//! assumed to be framed by a length. Aborted exchanges count without an answer.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Calls of the store.
+/// Calls to the store.
 pub const STORE: &str = "store";
 /// Orders of a coordinator to instances.
 pub const ORDERS: &str = "orders";
-/// Whole lists between nodes.
+/// Transfers of complete lists between nodes.
 pub const TRANSFERS: &str = "transfers";
-/// Clients' requests at instances, and their answers.
+/// Client requests relayed to instances, and their answers.
 pub const REQUESTS: &str = "requests";
 
-/// Where the other side is.
+/// The zone of the other side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneRelation {
     /// In this node's zone.
     Own,
     /// In another zone.
     Other,
-    /// Its zone isn't known: the store, or a node that isn't registered.
+    /// The zone is unknown: the store, or a node that is not registered.
     Unknown,
 }
 
 /// Bytes for one purpose in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneBytes {
-    /// With this node's zone.
+    /// Exchanged with this node's zone.
     pub own: u64,
-    /// With other zones.
+    /// Exchanged with other zones.
     pub other: u64,
-    /// With who knows where.
+    /// Exchanged with unknown zones.
     pub unknown: u64,
 }
 
@@ -49,8 +49,8 @@
     }
 }
 
-/// What a node has exchanged since its start. A purpose is the kind of a datagram or one
-/// of the names above.
+/// Bytes that a node has exchanged since its start. A purpose is the kind of a datagram or one
+/// of the constants above.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneTraffic {
     /// Sent, by purpose.
@@ -60,12 +60,12 @@
 }
 
 impl ZoneTraffic {
-    /// Bytes were sent.
+    /// Counts sent bytes.
     pub fn sent(&mut self, purpose: &'static str, place: ZoneRelation, bytes: usize) {
         self.sent.entry(purpose).or_default().add(place, bytes);
     }
 
-    /// Bytes came.
+    /// Counts received bytes.
     pub fn received(&mut self, purpose: &'static str, place: ZoneRelation, bytes: usize) {
         self.received.entry(purpose).or_default().add(place, bytes);
     }
