--- a/crates/ledgelead-router/tests/dispatch/load.rs
+++ b/crates/ledgelead-router/tests/dispatch/load.rs
@@ -1,7 +1,7 @@
-//! Callers and an owner in virtual time, with and without a dispatcher.
+//! Simulates callers and one owner in virtual time, with and without a dispatcher.
 //!
-//! The owner has slots and a short queue of its own; callers ask at a rate that is drawn, and
-//! some of them repeat at once. No network: a message takes no time.
+//! The owner has slots and a short queue of its own. Callers arrive at random at a given rate,
+//! and some of them retry at once. There is no network: messages take no time.
 
 use ledgelead_router::dispatch::{
     Admission, DispatchRequest, Dispatcher, PermitId, PermitOutcome, QueueKind, Server,
@@ -15,18 +15,18 @@
 
 /// Slots of the owner.
 pub const SLOTS: usize = 2;
-/// Places in its own queue.
-const PLACES: usize = 8;
-/// Mean work of a request.
-pub const WORK: Duration = Duration::from_millis(76);
-/// How long a machine is slow for a moment.
-const PHASE: Duration = Duration::from_millis(400);
-/// Tries of a caller beyond the first.
+/// Capacity of the owner's own queue.
+const QUEUE_CAPACITY: usize = 8;
+/// Mean service time of a request.
+pub const SERVICE_TIME: Duration = Duration::from_millis(76);
+/// Duration of a slow moment of a machine.
+const SLOW_MOMENT: Duration = Duration::from_millis(400);
+/// Retries of a caller.
 const RETRIES: u32 = 2;
 
-/// Requests a second that the owner can work on.
+/// Requests per second that the owner can handle.
 pub fn capacity(slow_share: f64) -> f64 {
-    SLOTS as f64 / WORK.as_secs_f64() / (1.0 + 2.0 * slow_share)
+    SLOTS as f64 / SERVICE_TIME.as_secs_f64() / (1.0 + 2.0 * slow_share)
 }
 
 /// A kind of requests.
@@ -34,43 +34,43 @@
 pub struct Kind {
     /// Rank; 0 is the most urgent.
     pub urgency: u8,
-    /// Time to its target.
+    /// Target latency.
     pub target: Duration,
     /// Its share of all requests.
     pub share: f64,
 }
 
-/// What is asked.
+/// The simulated load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Requests a second as a multiple of the owner's capacity, by time.
+    /// Requests per second over time, as a multiple of the owner's capacity.
     pub factor: fn(Duration) -> f64,
-    /// Share of callers that come back at once, whatever they are told.
+    /// Share of callers that retry at once, whatever they are told.
     pub impatient: f64,
-    /// For how long.
+    /// Duration of the load.
     pub length: Duration,
-    /// The kinds.
+    /// The kinds of requests.
     pub kinds: Vec<Kind>,
-    /// Whether a dispatcher hands out permits.
+    /// Whether a dispatcher grants permits.
     pub permits: bool,
-    /// Share of the time in which the owner's machine takes three times as long, for 400 ms
-    /// each.
+    /// Share of the time in which the owner's machine is three times slower, for 400 ms at a
+    /// time.
     pub slow_share: f64,
 }
 
-/// What became of the requests of a kind in a second.
+/// Results of the requests of one kind in one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     /// Callers.
     pub asked: u32,
-    /// Answered by their first target.
+    /// Answered within the target of their first submission.
     pub in_time: u32,
     /// Answered later.
     pub late: u32,
 }
 
 impl Outcome {
-    /// The sum of both.
+    /// The sum of two results.
     pub fn and(self, other: Outcome) -> Outcome {
         Outcome {
             asked: self.asked + other.asked,
@@ -79,12 +79,12 @@
         }
     }
 
-    /// The share that is answered in time.
+    /// The share of callers answered in time.
     pub fn share_in_time(self) -> f64 {
         f64::from(self.in_time) / f64::from(self.asked.max(1))
     }
 
-    /// The share of the answers that are late.
+    /// The share of responses that are late.
     pub fn share_late(self) -> f64 {
         f64::from(self.late) / f64::from((self.in_time + self.late).max(1))
     }
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Caller {
     kind: usize,
-    began: Duration,
+    first_submitted: Duration,
     tries: u32,
     impatient: bool,
 }
@@ -106,7 +106,7 @@
     Due,
 }
 
-/// One run.
+/// One simulation run.
 pub struct Run {
     load: Load,
     rng: Pcg64Mcg,
@@ -119,15 +119,15 @@
     queue: VecDeque<u64>,
     dispatcher: Dispatcher,
     slow_until: Duration,
-    next_phase: Duration,
-    /// By second in which the caller came first, and kind.
+    next_moment: Duration,
+    /// Results by kind and by the second in which the caller first arrived.
     pub outcomes: Vec<Vec<Outcome>>,
     sent: HashMap<u64, Duration>,
 }
 
 impl Run {
-    /// Plays a load.
-    pub fn play(load: Load, seed: u64) -> Run {
+    /// Runs a simulation.
+    pub fn simulate(load: Load, seed: u64) -> Run {
         let seconds = load.length.as_secs() as usize + 1;
         let kinds = load.kinds.len();
         let mut run = Run {
@@ -142,19 +142,19 @@
             queue: VecDeque::new(),
             dispatcher: Dispatcher::default(),
             slow_until: Duration::ZERO,
-            next_phase: Duration::ZERO,
+            next_moment: Duration::ZERO,
             outcomes: vec![vec![Outcome::default(); kinds]; seconds],
             sent: HashMap::new(),
         };
         run.schedule(Duration::ZERO, Event::Arrival);
         while let Some(Reverse((at, _, event))) = run.events.pop() {
             run.now = at;
-            run.happen(event);
+            run.handle_event(event);
         }
         run
     }
 
-    /// What became of the callers of all kinds that came between two seconds.
+    /// Results of all kinds for callers that arrived between two seconds.
     pub fn total(&self, from: usize, to: usize) -> Outcome {
         let seconds = self.outcomes[from..to].iter().flatten();
         seconds.fold(Outcome::default(), |sum, one| sum.and(*one))
@@ -171,14 +171,14 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrive(),
-            Event::Try(caller) => self.attempt(caller),
-            Event::Done(caller) => self.done(caller),
+            Event::Try(caller) => self.submit(caller),
+            Event::Done(caller) => self.finish_service(caller),
             Event::Due => {
                 let decided = self.dispatcher.deadline(self.now);
-                self.take(
+                self.apply_decisions(
                     decided
                         .iter()
                         .map(|one| (one.requester.number, one.verdict, one.retry_after))
@@ -188,7 +188,7 @@
         }
         if let Some(at) = self.dispatcher.next_deadline() {
             self.schedule(at.max(self.now), Event::Due);
-            // One such event is enough; those of earlier deadlines do nothing.
+            // One such event is enough; those for earlier deadlines have no effect.
         }
     }
 
@@ -214,28 +214,32 @@
         self.last_caller += 1;
         let caller = Caller {
             kind,
-            began: self.now,
+            first_submitted: self.now,
             tries: 0,
             impatient: self.rng.random_bool(self.load.impatient),
         };
         self.callers.insert(self.last_caller, caller);
         self.outcome(self.last_caller).asked += 1;
-        self.attempt(self.last_caller);
+        self.submit(self.last_caller);
     }
 
     fn outcome(&mut self, caller: u64) -> &mut Outcome {
-        let Caller { kind, began, .. } = self.callers[&caller];
-        &mut self.outcomes[began.as_secs() as usize][kind]
+        let Caller {
+            kind,
+            first_submitted,
+            ..
+        } = self.callers[&caller];
+        &mut self.outcomes[first_submitted.as_secs() as usize][kind]
     }
 
-    fn attempt(&mut self, caller: u64) {
+    fn submit(&mut self, caller: u64) {
         let Caller { kind, tries, .. } = self.callers[&caller];
         let kind = self.load.kinds[kind];
         if !self.load.permits {
-            self.reach(caller);
+            self.reach_owner(caller);
             return;
         }
-        let ask = DispatchRequest {
+        let request = DispatchRequest {
             queue: 1,
             kind: QueueKind::Owner,
             requester: PermitId {
@@ -253,13 +257,13 @@
             id: 1,
             slots: SLOTS,
             is_cold: false,
-            service_time: Some(WORK),
+            service_time: Some(SERVICE_TIME),
         };
         let decided = self
             .dispatcher
-            .ask(&ask, || [owner], self.now)
+            .ask(&request, || [owner], self.now)
             .expect("one owner");
-        self.take(
+        self.apply_decisions(
             decided
                 .iter()
                 .map(|one| (one.requester.number, one.verdict, one.retry_after))
@@ -267,11 +271,11 @@
         );
     }
 
-    fn take(&mut self, decided: Vec<(u64, Admission, Duration)>) {
+    fn apply_decisions(&mut self, decided: Vec<(u64, Admission, Duration)>) {
         for (number, verdict, retry_after) in decided {
             let caller = number / 10;
             match verdict {
-                Admission::Granted(_) => self.reach(caller),
+                Admission::Granted(_) => self.reach_owner(caller),
                 Admission::Queued => {}
                 Admission::Refused => self.refused(caller, retry_after),
             }
@@ -279,20 +283,20 @@
     }
 
     /// A request reaches the owner.
-    fn reach(&mut self, caller: u64) {
+    fn reach_owner(&mut self, caller: u64) {
         self.sent.insert(caller, self.now);
         if self.running < SLOTS {
-            self.begin(caller);
-        } else if self.queue.len() < PLACES {
+            self.start_service(caller);
+        } else if self.queue.len() < QUEUE_CAPACITY {
             self.queue.push_back(caller);
         } else {
             self.refused(caller, Duration::from_millis(150));
         }
     }
 
-    fn begin(&mut self, caller: u64) {
+    fn start_service(&mut self, caller: u64) {
         self.running += 1;
-        // Work spreads by a third, and one request in thirty takes much longer.
+        // Service times vary by a third, and one request in thirty takes much longer.
         let mut factor = self.rng.random_range(0.5..1.4);
         if self.rng.random_bool(0.03) {
             factor *= 3.0;
@@ -300,29 +304,32 @@
         if self.is_slow() {
             factor *= 3.0;
         }
-        self.schedule(self.now + WORK.mul_f64(factor), Event::Done(caller));
+        self.schedule(self.now + SERVICE_TIME.mul_f64(factor), Event::Done(caller));
     }
 
-    /// Whether the machine is slow for the moment.
+    /// Whether the machine is currently slow.
     fn is_slow(&mut self) -> bool {
-        if self.now >= self.next_phase {
-            self.next_phase = self.now + PHASE;
+        if self.now >= self.next_moment {
+            self.next_moment = self.now + SLOW_MOMENT;
             if self.rng.random_bool(self.load.slow_share) {
-                self.slow_until = self.next_phase;
+                self.slow_until = self.next_moment;
             }
         }
         self.now < self.slow_until
     }
 
-    fn done(&mut self, caller: u64) {
+    fn finish_service(&mut self, caller: u64) {
         self.running -= 1;
         if let Some(next) = self.queue.pop_front() {
-            self.begin(next);
+            self.start_service(next);
         }
         let Caller {
-            kind, began, tries, ..
+            kind,
+            first_submitted,
+            tries,
+            ..
         } = self.callers[&caller];
-        let in_time = self.now <= began + self.load.kinds[kind].target;
+        let in_time = self.now <= first_submitted + self.load.kinds[kind].target;
         let outcome = self.outcome(caller);
         outcome.in_time += u32::from(in_time);
         outcome.late += u32::from(!in_time);
@@ -338,7 +345,7 @@
                 PermitOutcome::Answered { took, load: None },
                 self.now,
             );
-            self.take(
+            self.apply_decisions(
                 decided
                     .iter()
                     .map(|one| (one.requester.number, one.verdict, one.retry_after))
@@ -355,7 +362,7 @@
         known.tries += 1;
         let pause = match known.impatient {
             true => Duration::from_millis(2),
-            // As it is told, up to a third of the time that it has left.
+            // Waits as told, up to a third of its time left.
             false => retry_after.min(Duration::from_millis(800)),
         };
         self.schedule(self.now + pause, Event::Try(caller));
--- a/crates/ledgelead-router/tests/dispatch/main.rs
+++ b/crates/ledgelead-router/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Queues of owners: who waits, who is refused, and what peaks do.
+//! Tests of owner queues: which requests wait or are refused, and behavior under load peaks.
 
 mod load;
 mod queue;
--- a/crates/ledgelead-router/tests/dispatch/queue.rs
+++ b/crates/ledgelead-router/tests/dispatch/queue.rs
@@ -1,4 +1,4 @@
-//! One queue: order, shares, time, repeated and lost messages.
+//! Tests of a single queue: order, shares, timing, resent and lost messages.
 
 use googletest::prelude::*;
 use ledgelead_router::dispatch::{
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 const SLOTS: usize = 2;
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -40,7 +40,7 @@
     }
 }
 
-/// The owner.
+/// The stable hash of the owner's id.
 const OWNER: u64 = 9;
 
 fn server(id: u64) -> Server {
@@ -48,7 +48,7 @@
         id,
         slots: SLOTS,
         is_cold: false,
-        service_time: Some(WORK),
+        service_time: Some(SERVICE_TIME),
     }
 }
 
@@ -58,7 +58,7 @@
     queue
 }
 
-/// A queue of which all permits are out, to the numbers from 1_000 on.
+/// A queue whose permits are all outstanding, granted to the numbers from 1_000 on.
 fn full_queue() -> PermitQueue {
     let mut queue = queue();
     for number in 0..3 {
@@ -68,24 +68,25 @@
     queue
 }
 
-/// Lets so many requests of an owner end one after the other; returns who goes next.
+/// Completes this many requests of an owner one after the other; returns which requests are
+/// granted permits.
 fn grants(queue: &mut PermitQueue, count: usize) -> Vec<u64> {
-    let mut out: Vec<u64> = (1_000..1_003).collect();
+    let mut outstanding: Vec<u64> = (1_000..1_003).collect();
     let mut granted = Vec::new();
     for _ in 0..count {
-        let ended = requester(out.remove(0));
-        queue.returned(ended, answered(WORK), ms(1));
+        let ended = requester(outstanding.remove(0));
+        queue.returned(ended, answered(SERVICE_TIME), ms(1));
         for (next, verdict) in queue.advance(ms(1)) {
             assert_eq!(verdict, Admission::Granted(OWNER));
             granted.push(next.number);
-            out.push(next.number);
+            outstanding.push(next.number);
         }
     }
     granted
 }
 
 #[gtest]
-fn as_many_go_at_once_as_have_slots_and_one_more() {
+fn owner_queue_grants_one_permit_more_than_slots() {
     let mut queue = queue();
     for number in 0..3 {
         expect_that!(
@@ -95,7 +96,7 @@
     }
     expect_that!(queue.ask(ask(3, 1, 400), ms(0)), eq(Admission::Queued));
     expect_that!(queue.outstanding(), eq(3));
-    queue.returned(requester(0), answered(WORK), ms(90));
+    queue.returned(requester(0), answered(SERVICE_TIME), ms(90));
     expect_that!(
         queue.advance(ms(90)),
         elements_are![eq(&(requester(3), Admission::Granted(OWNER)))]
@@ -103,7 +104,7 @@
 }
 
 #[gtest]
-fn the_most_urgent_goes_first_and_then_whose_time_ends_first() {
+fn most_urgent_goes_first_then_nearest_target() {
     let mut queue = full_queue();
     queue.ask(ask(1, 1, 2_000), ms(0));
     queue.ask(ask(2, 1, 1_500), ms(0));
@@ -112,7 +113,7 @@
 }
 
 #[gtest]
-fn a_less_urgent_kind_gets_a_sixth_of_the_owner_at_least() {
+fn less_urgent_requests_get_at_least_a_sixth_of_the_permits() {
     let mut queue = full_queue();
     for number in 0..40 {
         queue.ask(ask(number, 0, 60_000), ms(0));
@@ -121,20 +122,21 @@
     let granted = grants(&mut queue, 36);
     let less_urgent = granted.iter().filter(|number| **number >= 100).count();
     expect_that!(less_urgent, eq(6));
-    // Not in a row, but spread.
+    // Spread out rather than in a row.
     expect_that!(granted[..6].iter().any(|number| *number >= 100), eq(true));
 }
 
 #[gtest]
-fn who_can_not_be_in_time_is_refused_at_once() {
+fn request_that_cannot_meet_its_target_is_refused_at_once() {
     let mut queue = full_queue();
-    // Three are out at two slots: this one would take 1.5 + 0.5 times the work.
+    // Three are outstanding at two slots: this one would take 1.5 + 0.5 times the service
+    // time.
     expect_that!(queue.ask(ask(1, 1, 200), ms(0)), eq(Admission::Refused));
     expect_that!(queue.ask(ask(2, 1, 300), ms(0)), eq(Admission::Queued));
 }
 
 #[gtest]
-fn a_late_request_only_takes_an_idle_slot() {
+fn late_request_only_gets_an_idle_slot() {
     let mut queue = queue();
     expect_that!(
         queue.ask(ask(1, 1, 0), ms(0)),
@@ -147,13 +149,13 @@
     expect_that!(queue.ask(ask(3, 1, 10), ms(0)), eq(Admission::Refused));
     expect_that!(queue.ask(ask(4, 1, 0), ms(0)), eq(Admission::Queued));
     expect_that!(queue.ask(ask(5, 1, 900), ms(0)), eq(Admission::Queued));
-    queue.returned(requester(1), answered(WORK), ms(50));
+    queue.returned(requester(1), answered(SERVICE_TIME), ms(50));
     let granted = queue.advance(ms(50));
     expect_that!(
         granted,
         elements_are![eq(&(requester(5), Admission::Granted(OWNER)))]
     );
-    // It waits for a lull, not until its caller gives up.
+    // It waits for an idle slot only for a limited time, not until its caller gives up.
     let refused = queue.advance(ms(210));
     expect_that!(
         refused,
@@ -162,7 +164,7 @@
 }
 
 #[gtest]
-fn who_waited_in_vain_is_told_so_while_it_can_still_come_back() {
+fn waiting_request_is_refused_while_its_caller_can_still_retry() {
     let mut queue = full_queue();
     queue.ask(ask(1, 1, 300), ms(0));
     let at = queue.next_deadline().expect("a deadline");
@@ -175,7 +177,7 @@
 }
 
 #[gtest]
-fn callers_that_come_back_too_early_go_behind_all_others() {
+fn callers_that_retry_too_early_go_last() {
     let mut queue = full_queue();
     let early = AdmissionRequest {
         is_early: true,
@@ -187,18 +189,21 @@
 }
 
 #[gtest]
-fn more_are_sent_ahead_where_slots_are_idle_and_fewer_where_requests_wait() {
+fn extra_permits_grow_with_idle_slots_and_shrink_with_waiting_requests() {
     let mut queue = full_queue();
     for number in 0..20 {
         queue.ask(ask(number, 0, 60_000), ms(0));
     }
-    let mut out: Vec<u64> = (1_000..1_003).collect();
+    let mut outstanding: Vec<u64> = (1_000..1_003).collect();
     let mut end_one = |queue: &mut PermitQueue, running, waiting| {
         let load = Some(InstanceLoad { running, waiting });
-        let outcome = PermitOutcome::Answered { took: WORK, load };
-        queue.returned(requester(out.remove(0)), outcome, ms(1));
-        out.extend(queue.advance(ms(1)).iter().map(|(next, _)| next.number));
-        out.len()
+        let outcome = PermitOutcome::Answered {
+            took: SERVICE_TIME,
+            load,
+        };
+        queue.returned(requester(outstanding.remove(0)), outcome, ms(1));
+        outstanding.extend(queue.advance(ms(1)).iter().map(|(next, _)| next.number));
+        outstanding.len()
     };
     let idle: Vec<usize> = (0..8).map(|_| end_one(&mut queue, 1, 0)).collect();
     expect_that!(idle.last(), some(eq(&4)));
@@ -207,7 +212,7 @@
 }
 
 #[gtest]
-fn requests_for_keys_that_were_lost_hold_up_nobody() {
+fn requests_for_lost_keys_do_not_delay_others() {
     let mut queue = queue();
     let cold = |number| AdmissionRequest {
         is_cold: true,
@@ -215,20 +220,20 @@
     };
     expect_that!(queue.ask(cold(1), ms(0)), eq(Admission::Granted(OWNER)));
     expect_that!(queue.ask(cold(2), ms(0)), eq(Admission::Granted(OWNER)));
-    // They get slots that are free, and none ahead of them.
+    // They get free slots, and none beyond the slots.
     expect_that!(queue.ask(cold(3), ms(0)), eq(Admission::Queued));
     expect_that!(queue.ask(ask(4, 2, 900), ms(0)), eq(Admission::Queued));
     expect_that!(
         queue.advance(ms(0)),
         elements_are![eq(&(requester(4), Admission::Granted(OWNER)))]
     );
-    // What they take says nothing of the work of others.
+    // Their service time doesn't count for other requests.
     queue.returned(requester(1), answered(ms(390)), ms(390));
-    expect_that!(queue.service_time(), eq(WORK));
+    expect_that!(queue.service_time(), eq(SERVICE_TIME));
 }
 
 #[gtest]
-fn a_repeated_ask_takes_no_second_place() {
+fn resent_permit_request_is_not_queued_twice() {
     let mut queue = full_queue();
     expect_that!(queue.ask(ask(1, 1, 900), ms(0)), eq(Admission::Queued));
     expect_that!(queue.ask(ask(1, 1, 900), ms(1)), eq(Admission::Queued));
@@ -241,16 +246,16 @@
 }
 
 #[gtest]
-fn a_permit_that_does_not_come_back_is_handed_out_again() {
+fn permit_that_is_not_returned_is_granted_again() {
     let mut queue = full_queue();
     queue.ask(ask(1, 1, 2_000), ms(0));
-    // The caller's node is lost with its permits.
+    // The node that holds the permits is lost.
     expect_that!(queue.advance(ms(999)), is_empty());
     expect_that!(
         queue.advance(ms(1_000)),
         elements_are![eq(&(requester(1), Admission::Granted(OWNER)))]
     );
-    // Its late return takes nothing away.
+    // Returning it late has no effect.
     expect_that!(
         queue.returned(requester(1_000), PermitOutcome::NoSample, ms(1_001)),
         eq(false)
@@ -259,15 +264,15 @@
 }
 
 #[gtest]
-fn a_permit_that_is_lost_says_nothing_of_the_work() {
+fn lost_permit_does_not_change_the_service_time() {
     let mut queue = full_queue();
     queue.advance(ms(1_000));
     expect_that!(queue.outstanding(), eq(0));
-    expect_that!(queue.service_time(), eq(WORK));
+    expect_that!(queue.service_time(), eq(SERVICE_TIME));
 }
 
 #[gtest]
-fn an_urgent_request_takes_the_place_ahead_that_a_late_one_waits_beside() {
+fn urgent_request_gets_the_extra_permit_that_a_late_one_may_not_use() {
     let mut dispatcher = Dispatcher::default();
     let late = DispatchRequest {
         to_target: ms(0),
@@ -287,7 +292,7 @@
 }
 
 #[gtest]
-fn an_instance_of_a_pool_that_gives_no_answers_is_ejected() {
+fn pool_instance_that_does_not_answer_is_ejected() {
     let mut queue = PermitQueue::of_pool(ms(0));
     queue.replace_servers([server(1), server(2), server(3)]);
     let mut fails = |number: u64, at: u64| {
@@ -297,7 +302,7 @@
         let outcome = if to == 1 {
             PermitOutcome::Failed
         } else {
-            answered(WORK)
+            answered(SERVICE_TIME)
         };
         queue.returned(requester(number), outcome, ms(at));
         to
@@ -308,7 +313,7 @@
 }
 
 #[gtest]
-fn an_instance_of_a_pool_that_fails_a_part_is_avoided_though_it_is_the_fastest() {
+fn partly_failing_pool_instance_is_avoided_even_if_fastest() {
     let mut queue = PermitQueue::of_pool(ms(0));
     queue.replace_servers([server(1), server(2), server(3)]);
     let mut sent = 0;
@@ -321,7 +326,7 @@
         let outcome = match (to == 1, sent % 2) {
             (true, 0) => PermitOutcome::Failed,
             (true, _) => answered(ms(5)),
-            _ => answered(WORK),
+            _ => answered(SERVICE_TIME),
         };
         queue.returned(requester(number), outcome, at);
     }
@@ -329,7 +334,7 @@
 }
 
 #[gtest]
-fn a_refusal_explains_one_later_try_until_the_caller_gives_up() {
+fn refusal_accounts_for_one_retry_until_the_caller_gives_up() {
     let mut callers = RefusedCallers::default();
     let refused = RefusedCaller {
         not_before: ms(100),
@@ -366,7 +371,7 @@
 }
 
 #[gtest]
-fn refused_callers_of_urgent_requests_may_come_back_first_and_early_ones_are_known() {
+fn urgent_callers_may_retry_first_and_early_retries_are_recognized() {
     let mut dispatcher = Dispatcher::default();
     for number in 0..2 {
         dispatcher.ask(&owner_ask(number, 1), owner, ms(0));
@@ -383,16 +388,16 @@
     expect_that!(urgent, ge(ms(150)));
     dispatcher.ask(&owner_ask(11, 0), owner, ms(10));
     expect_that!(dispatcher.counters().early, eq(1));
-    // Told to wait for longer than it can: its third of the time is enough.
+    // The retry delay exceeds what the caller can wait: a third of its time left is enough.
     dispatcher.ask(&owner_ask(10, 2), owner, ms(900));
     expect_that!(dispatcher.counters().early, eq(1));
 }
 
 #[gtest]
-fn queues_that_nobody_uses_are_forgotten() {
+fn unused_queues_are_dropped() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.ask(&owner_ask(1, 1), owner, ms(0));
-    dispatcher.returned(OWNER, requester(1), answered(WORK), ms(100));
+    dispatcher.returned(OWNER, requester(1), answered(SERVICE_TIME), ms(100));
     dispatcher.expire(ms(5_000));
     expect_that!(dispatcher.next_deadline(), none());
     dispatcher.expire(ms(11_000));
@@ -416,7 +421,7 @@
     Lost {
         position: usize,
     },
-    Pass {
+    Advance {
         ms: u64,
     },
 }
@@ -428,7 +433,7 @@
         3 => (0usize..8, proptest::bool::ANY)
             .prop_map(|(position, ran)| Message::Return { position, ran }),
         1 => (0usize..8).prop_map(|position| Message::Lost { position }),
-        3 => (0u64..200).prop_map(|ms| Message::Pass { ms }),
+        3 => (0u64..200).prop_map(|ms| Message::Advance { ms }),
     ]
 }
 
@@ -439,50 +444,50 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is asked, returned and lost: never more permits than slots and one, each
-    /// ask decided once for good, and nothing waits beyond its target.
+    /// Whatever is requested, returned and lost: never more permits than the slots plus one,
+    /// one final decision for each request, and no request waits beyond its target.
     #[test]
-    fn no_request_is_stuck_and_no_permit_is_handed_out_twice(
+    fn no_request_gets_stuck_and_no_permit_is_granted_twice(
         messages in proptest::collection::vec(message(), 1..200)
     ) {
         let mut queue = queue();
         let mut now = ms(0);
         let mut number = 0;
-        let mut out: Vec<u64> = Vec::new();
+        let mut outstanding: Vec<u64> = Vec::new();
         let mut waiting: BTreeSet<(Duration, u64)> = BTreeSet::new();
         for message in messages {
             match message {
                 Message::Ask { urgency, to_target, early } => {
                     number += 1;
                     let is_early = early;
-                    // A late one waits for a lull.
+                    // A late one waits for an idle slot.
                     let limit = match to_target {
                         0 => queue.service_time() * 2,
                         _ => ms(to_target),
                     };
                     let permit = AdmissionRequest { is_early, ..ask(number, urgency, to_target) };
                     match queue.ask(permit, now) {
-                        Admission::Granted(_) => out.push(number),
+                        Admission::Granted(_) => outstanding.push(number),
                         Admission::Queued => {
                             waiting.insert((now + limit, number));
                         }
                         Admission::Refused => {}
                     }
                 }
-                Message::Return { position, ran } if !out.is_empty() => {
-                    let ended = out.remove(position % out.len());
-                    let outcome = if ran { answered(WORK) } else { PermitOutcome::NoSample };
+                Message::Return { position, ran } if !outstanding.is_empty() => {
+                    let ended = outstanding.remove(position % outstanding.len());
+                    let outcome = if ran { answered(SERVICE_TIME) } else { PermitOutcome::NoSample };
                     queue.returned(requester(ended), outcome, now);
                 }
-                Message::Lost { position } if !out.is_empty() => {
-                    out.remove(position % out.len());
+                Message::Lost { position } if !outstanding.is_empty() => {
+                    outstanding.remove(position % outstanding.len());
                 }
                 Message::Return { .. } | Message::Lost { .. } => {}
-                Message::Pass { ms: passed } => {
+                Message::Advance { ms: passed } => {
                     now += ms(passed);
-                    // Permits that are out for long have expired; their holders may go on.
+                    // Long outstanding permits have expired; their holders may proceed.
                     if passed > 150 {
-                        out.truncate(SLOTS + 1);
+                        outstanding.truncate(SLOTS + 1);
                     }
                 }
             }
@@ -491,7 +496,7 @@
                 prop_assert!(known.is_some(), "decided twice");
                 waiting.remove(&known.expect("known"));
                 if verdict == Admission::Granted(OWNER) {
-                    out.push(decided.number);
+                    outstanding.push(decided.number);
                 }
             }
             prop_assert!(queue.outstanding() <= SLOTS + 1);
@@ -505,7 +510,7 @@
 }
 
 #[gtest]
-fn an_instance_of_a_pool_that_has_asked_for_a_pause_comes_last_until_its_end() {
+fn pool_instance_that_asked_for_a_pause_is_selected_last() {
     let mut queue = PermitQueue::of_pool(Duration::ZERO);
     queue.replace_servers([server(1), server(2)]);
     let first = queue.ask(ask(0, 0, 5_000), ms(0));
--- a/crates/ledgelead-router/tests/dispatch/replay.rs
+++ b/crates/ledgelead-router/tests/dispatch/replay.rs
@@ -1,11 +1,11 @@
-//! Replays of peaks at one owner. The figures in the comments are of these runs.
+//! Replays of load peaks at one owner.
 
 use crate::load::{Kind, Load, Outcome, Run};
 use googletest::prelude::*;
 use std::f64::consts::TAU;
 use std::time::Duration;
 
-/// Two kinds that compete for the owner: payments, and lookups that are less urgent.
+/// Two kinds that compete for the owner: payments, and less urgent lookups.
 fn kinds() -> Vec<Kind> {
     vec![
         Kind {
@@ -21,15 +21,20 @@
     ]
 }
 
-/// Twelve owners, each on its own.
+/// Twelve independent owners.
 const OWNERS: u64 = 12;
 
-fn play(factor: fn(Duration) -> f64, impatient: f64, permits: bool) -> Runs {
-    play_slow(factor, impatient, permits, 0.0)
+fn simulate(factor: fn(Duration) -> f64, impatient: f64, permits: bool) -> Runs {
+    simulate_slow(factor, impatient, permits, 0.0)
 }
 
 /// The same with owners whose machines are slow for this share of the time.
-fn play_slow(factor: fn(Duration) -> f64, impatient: f64, permits: bool, slow_share: f64) -> Runs {
+fn simulate_slow(
+    factor: fn(Duration) -> f64,
+    impatient: f64,
+    permits: bool,
+    slow_share: f64,
+) -> Runs {
     let load = Load {
         slow_share,
         factor,
@@ -40,7 +45,7 @@
     };
     Runs(
         (0..OWNERS)
-            .map(|owner| Run::play(load.clone(), owner))
+            .map(|owner| Run::simulate(load.clone(), owner))
             .collect(),
     )
 }
@@ -48,7 +53,7 @@
 struct Runs(Vec<Run>);
 
 impl Runs {
-    /// What became of the callers that came between two seconds.
+    /// Results for callers that arrived between two seconds.
     fn total(&self, from: usize, to: usize) -> Outcome {
         let each = self.0.iter().map(|run| run.total(from, to));
         each.fold(Outcome::default(), Outcome::and)
@@ -61,22 +66,23 @@
     }
 }
 
-/// A wave of 17 s around 0.8 of the capacity, whose peak lies above it.
+/// A sine wave with a period of 17 s around 0.8 of the capacity, whose peak exceeds the
+/// capacity.
 fn wave(at: Duration) -> f64 {
     0.8 * (1.0 + 0.55 * (TAU * at.as_secs_f64() / 17.0).sin())
 }
 
 #[gtest]
-fn fewer_answers_are_late_at_the_peaks_of_a_wave() {
-    let before = play(wave, 0.0, false).total(0, 60);
-    let after = play(wave, 0.0, true).total(0, 60);
+fn permits_reduce_late_responses_at_the_peaks_of_a_wave() {
+    let before = simulate(wave, 0.0, false).total(0, 60);
+    let after = simulate(wave, 0.0, true).total(0, 60);
     println!("wave: before {before:?} after {after:?}");
     expect_that!(after.share_late(), lt(before.share_late() / 2.0));
     expect_that!(after.share_in_time(), gt(before.share_in_time() + 0.1));
 }
 
-/// 0.7 of the capacity, and 1.5 times it from 20 to 40 s.
-fn half_more(at: Duration) -> f64 {
+/// 0.7 of the capacity, and 1.5 times the capacity from 20 to 40 s.
+fn overload_by_half(at: Duration) -> f64 {
     if (20..40).contains(&at.as_secs()) {
         1.5
     } else {
@@ -85,7 +91,7 @@
 }
 
 /// The same with twice the capacity.
-fn twice(at: Duration) -> f64 {
+fn overload_by_two(at: Duration) -> f64 {
     if (20..40).contains(&at.as_secs()) {
         2.0
     } else {
@@ -93,17 +99,17 @@
     }
 }
 
-/// Answers in time as a share of what the owner could work on in 20 s of that load.
+/// Responses in time as a share of what the owners could handle in the 20 s of overload.
 fn goodput(runs: &Runs) -> f64 {
     let capacity = OWNERS as f64 * 20.0 * crate::load::capacity(0.0);
     f64::from(runs.total(20, 40).in_time) / capacity
 }
 
 #[gtest]
-fn goodput_stays_near_capacity_beyond_it_though_a_third_repeats_at_once() {
-    for factor in [half_more, twice] {
-        let before = goodput(&play(factor, 0.33, false));
-        let run = play(factor, 0.33, true);
+fn goodput_stays_near_capacity_under_overload_with_impatient_callers() {
+    for factor in [overload_by_half, overload_by_two] {
+        let before = goodput(&simulate(factor, 0.33, false));
+        let run = simulate(factor, 0.33, true);
         let after = goodput(&run);
         let back: Outcome = run.total(42, 60);
         let undisturbed = run.total(5, 20);
@@ -119,8 +125,8 @@
 }
 
 #[gtest]
-fn the_more_urgent_kind_is_never_served_less_and_no_kind_starves() {
-    let run = play(twice, 0.33, true);
+fn more_urgent_kind_is_served_at_least_as_well_and_no_kind_starves() {
+    let run = simulate(overload_by_two, 0.33, true);
     let urgent = run.of_kind(0, 20, 40).share_in_time();
     let less = run.of_kind(1, 20, 40).share_in_time();
     let all = run.total(20, 40).share_in_time();
@@ -130,14 +136,14 @@
 }
 
 #[gtest]
-fn owners_whose_machines_are_slow_for_moments_gain_as_well() {
+fn permits_also_help_owners_with_slow_moments() {
     let worth = |outcome: Outcome| f64::from(outcome.in_time) + 0.3 * f64::from(outcome.late);
     for (name, factor) in [
         ("wave", wave as fn(Duration) -> f64),
-        ("half more", half_more),
+        ("half more", overload_by_half),
     ] {
-        let before = play_slow(factor, 0.33, false, 0.2).total(0, 60);
-        let after = play_slow(factor, 0.33, true, 0.2).total(0, 60);
+        let before = simulate_slow(factor, 0.33, false, 0.2).total(0, 60);
+        let after = simulate_slow(factor, 0.33, true, 0.2).total(0, 60);
         println!(
             "slow {name}: before {before:?} {:.0} after {after:?} {:.0}",
             worth(before),
--- a/crates/ledgelead-router/tests/repeats/bound.rs
+++ b/crates/ledgelead-router/tests/repeats/bound.rs
@@ -1,4 +1,4 @@
-//! The budget over all nodes is never passed.
+//! Retries never exceed the budget over all nodes.
 
 use crate::checker::{Arrivals, WINDOW};
 use googletest::prelude::*;
@@ -13,7 +13,7 @@
 
 /// Time between two steps of a history.
 const STEP: Duration = Duration::from_millis(10);
-/// Until a change of the nodes is known to the others.
+/// Time until a change of the nodes is known to the others.
 const VIEW_LAG: Duration = Duration::from_millis(500);
 
 fn ms(millis: u64) -> Duration {
@@ -24,25 +24,26 @@
     ServiceName::from("s")
 }
 
-/// What happens to one node.
+/// An event at one node.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
-    Dies,
+enum NodeEvent {
+    Crashes,
     Starts,
-    /// It loses the store: it sees no changes, and after a while isn't registered.
-    IsCut,
+    /// The node is partitioned from the store: it sees no changes, and is no longer registered
+    /// after a while.
+    Partitioned,
     Heals,
 }
 
 #[derive(Clone, Debug)]
 struct Phase {
     steps: u32,
-    /// Requests a second over all nodes.
+    /// Requests per second over all nodes.
     demand: f64,
-    /// Share of the attempts that ask for a repeat.
-    repeated: f64,
-    /// The node to which half of the clients go.
-    heavy: usize,
+    /// Share of the attempts that request a retry.
+    retried: f64,
+    /// The node that gets half of the clients.
+    busiest: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -53,45 +54,45 @@
     slack: f64,
     by_value: bool,
     phases: Vec<Phase>,
-    happenings: Vec<(u32, usize, Happening)>,
+    events: Vec<(u32, usize, NodeEvent)>,
 }
 
-struct Life {
+struct Incarnation {
     budget: RetryBudget,
-    /// Tells the lives of one node apart.
+    /// Distinguishes the incarnations of a node.
     number: usize,
     view: usize,
 }
 
 #[derive(Default)]
-struct Place {
-    life: Option<Life>,
-    cut_since: Option<Timestamp>,
+struct NodeSlot {
+    incarnation: Option<Incarnation>,
+    partitioned_since: Option<Timestamp>,
     alive_since: Option<Timestamp>,
 }
 
-impl Place {
-    /// Whether the others see it in the registry.
+impl NodeSlot {
+    /// Whether the other nodes see it in the registry.
     fn is_registered(&self, now: Timestamp) -> bool {
         let known = |at: Timestamp| at + VIEW_LAG <= now;
-        self.alive_since.is_some_and(known) && !self.cut_since.is_some_and(known)
+        self.alive_since.is_some_and(known) && !self.partitioned_since.is_some_and(known)
     }
 }
 
-struct Wish {
+struct PendingRetry {
     at: Timestamp,
     node: usize,
-    life: usize,
-    repeats: u32,
-    facts: RetryCandidate,
+    incarnation: usize,
+    retries: u32,
+    candidate: RetryCandidate,
 }
 
 struct Fleet {
     rng: Pcg64Mcg,
     bounds: BudgetBounds,
-    places: Vec<Place>,
-    lives: usize,
-    wishes: Vec<Wish>,
+    slots: Vec<NodeSlot>,
+    incarnations: usize,
+    pending_retries: Vec<PendingRetry>,
     arrivals: Arrivals,
 }
 
@@ -105,9 +106,9 @@
         let mut fleet = Fleet {
             rng: Pcg64Mcg::seed_from_u64(history.seed),
             bounds,
-            places: (0..history.nodes).map(|_| Place::default()).collect(),
-            lives: 0,
-            wishes: Vec::new(),
+            slots: (0..history.nodes).map(|_| NodeSlot::default()).collect(),
+            incarnations: 0,
+            pending_retries: Vec::new(),
             arrivals: Arrivals::default(),
         };
         for node in 0..history.nodes {
@@ -117,133 +118,149 @@
     }
 
     fn start(&mut self, node: usize, now: Timestamp) {
-        if self.places[node].life.is_some() {
+        if self.slots[node].incarnation.is_some() {
             return;
         }
         let mut budget = RetryBudget::new(self.bounds);
         budget.start(now);
-        // All nodes start at first; whoever starts later has had another life.
+        // All nodes start at first; a node that starts later has had another incarnation.
         if now > Duration::ZERO {
             budget.note_earlier_incarnation();
         }
-        self.lives += 1;
-        self.places[node] = Place {
-            life: Some(Life {
+        self.incarnations += 1;
+        self.slots[node] = NodeSlot {
+            incarnation: Some(Incarnation {
                 budget,
-                number: self.lives,
+                number: self.incarnations,
                 view: 0,
             }),
-            cut_since: None,
+            partitioned_since: None,
             alive_since: Some(now),
         };
     }
 
-    fn happens(&mut self, node: usize, happening: Happening, now: Timestamp) {
-        // A fifth of the nodes at most are cut off at once.
-        let cut = self.places.iter().filter(|place| place.cut_since.is_some());
-        let may_cut = (cut.count() + 1) * 5 <= self.places.len();
-        match happening {
-            Happening::Dies => self.places[node] = Place::default(),
-            Happening::Starts => self.start(node, now),
-            Happening::IsCut if may_cut => {
-                let place = &mut self.places[node];
-                place.cut_since = place.cut_since.or(Some(now));
+    fn apply_event(&mut self, node: usize, event: NodeEvent, now: Timestamp) {
+        // At most a fifth of the nodes are partitioned at the same time.
+        let partitioned = self
+            .slots
+            .iter()
+            .filter(|slot| slot.partitioned_since.is_some());
+        let may_partition = (partitioned.count() + 1) * 5 <= self.slots.len();
+        match event {
+            NodeEvent::Crashes => self.slots[node] = NodeSlot::default(),
+            NodeEvent::Starts => self.start(node, now),
+            NodeEvent::Partitioned if may_partition => {
+                let slot = &mut self.slots[node];
+                slot.partitioned_since = slot.partitioned_since.or(Some(now));
             }
-            Happening::IsCut => {}
-            Happening::Heals => self.places[node].cut_since = None,
+            NodeEvent::Partitioned => {}
+            NodeEvent::Heals => self.slots[node].partitioned_since = None,
         }
     }
 
-    fn look(&mut self, now: Timestamp) {
-        let registered = self.places.iter().filter(|place| place.is_registered(now));
+    fn update_views(&mut self, now: Timestamp) {
+        let registered = self.slots.iter().filter(|slot| slot.is_registered(now));
         let registered = registered.count();
-        for place in self.places.iter_mut() {
-            let cut = place.cut_since.is_some();
-            if let Some(life) = place.life.as_mut().filter(|_| !cut) {
-                life.view = registered;
-                life.budget.record_node_count(registered, now);
+        for slot in self.slots.iter_mut() {
+            let partitioned = slot.partitioned_since.is_some();
+            if let Some(incarnation) = slot.incarnation.as_mut().filter(|_| !partitioned) {
+                incarnation.view = registered;
+                incarnation.budget.record_node_count(registered, now);
             }
         }
     }
 
     fn request(&mut self, phase: &Phase, now: Timestamp) {
-        let alive: Vec<usize> = (0..self.places.len())
-            .filter(|node| self.places[*node].life.is_some())
+        let alive: Vec<usize> = (0..self.slots.len())
+            .filter(|node| self.slots[*node].incarnation.is_some())
             .collect();
         self.arrivals.requests.push(now);
         let Some(any) = alive.get(self.rng.random_range(0..alive.len().max(1))) else {
             return;
         };
-        let heavy = phase.heavy % self.places.len();
-        let goes_heavy = alive.contains(&heavy) && self.rng.random_bool(0.5);
-        let node = if goes_heavy { heavy } else { *any };
-        let Some(life) = self.places[node].life.as_mut() else {
+        let busiest = phase.busiest % self.slots.len();
+        let goes_busiest = alive.contains(&busiest) && self.rng.random_bool(0.5);
+        let node = if goes_busiest { busiest } else { *any };
+        let Some(incarnation) = self.slots[node].incarnation.as_mut() else {
             return;
         };
-        life.budget.record_request(&service(), now);
-        let number = life.number;
-        self.wish(phase, node, number, 0, now);
+        incarnation.budget.record_request(&service(), now);
+        let number = incarnation.number;
+        self.request_retry(phase, node, number, 0, now);
     }
 
-    fn wish(&mut self, phase: &Phase, node: usize, life: usize, repeats: u32, now: Timestamp) {
-        if !self.rng.random_bool(phase.repeated) || repeats >= 3 {
+    fn request_retry(
+        &mut self,
+        phase: &Phase,
+        node: usize,
+        incarnation: usize,
+        retries: u32,
+        now: Timestamp,
+    ) {
+        if !self.rng.random_bool(phase.retried) || retries >= 3 {
             return;
         }
-        let facts = RetryCandidate {
+        let candidate = RetryCandidate {
             rank: self.rng.random_range(0..3),
             meets_target: self.rng.random_bool(0.8),
             not_run: self.rng.random_bool(0.8),
             acceptance: 0.6,
         };
         let at = now + ms(self.rng.random_range(1..300));
-        self.wishes.push(Wish {
+        self.pending_retries.push(PendingRetry {
             at,
             node,
-            life,
-            repeats,
-            facts,
+            incarnation,
+            retries,
+            candidate,
         });
     }
 
-    fn repeat(&mut self, phase: &Phase, by_value: bool, now: Timestamp) {
-        let due: Vec<Wish> = self.wishes.extract_if(.., |wish| wish.at <= now).collect();
-        for wish in due {
-            let life = self.places[wish.node].life.as_mut();
-            let Some(life) = life.filter(|life| life.number == wish.life) else {
+    fn send_retries(&mut self, phase: &Phase, by_value: bool, now: Timestamp) {
+        let due: Vec<PendingRetry> = self
+            .pending_retries
+            .extract_if(.., |retry| retry.at <= now)
+            .collect();
+        for retry in due {
+            let incarnation = self.slots[retry.node].incarnation.as_mut();
+            let Some(incarnation) =
+                incarnation.filter(|incarnation| incarnation.number == retry.incarnation)
+            else {
                 continue;
             };
-            let (nodes, service) = (life.view, service());
-            let drawn = match by_value {
+            let (nodes, service) = (incarnation.view, service());
+            let granted = match by_value {
                 true => {
-                    life.budget
-                        .try_acquire_for(&service, &wish.facts, nodes, now)
+                    incarnation
+                        .budget
+                        .try_acquire_for(&service, &retry.candidate, nodes, now)
                         == RetryDecision::Granted
                 }
-                false => life.budget.try_acquire(&service, nodes, now),
+                false => incarnation.budget.try_acquire(&service, nodes, now),
             };
-            if drawn {
-                let way = ms(self.rng.random_range(0..30));
-                self.arrivals.repeats.push(now + way);
-                self.wish(phase, wish.node, wish.life, wish.repeats + 1, now);
+            if granted {
+                let transit = ms(self.rng.random_range(0..30));
+                self.arrivals.retries.push(now + transit);
+                self.request_retry(phase, retry.node, retry.incarnation, retry.retries + 1, now);
             }
         }
     }
 }
 
-/// Plays a history.
+/// Simulates a history.
 fn arrivals(history: &History) -> Arrivals {
     let mut fleet = Fleet::new(history);
     let mut step = 0;
     for phase in &history.phases {
         for _ in 0..phase.steps {
             let now = STEP * step;
-            for (at, node, happening) in &history.happenings {
+            for (at, node, event) in &history.events {
                 if *at == step {
-                    fleet.happens(node % history.nodes, *happening, now);
+                    fleet.apply_event(node % history.nodes, *event, now);
                 }
             }
-            fleet.look(now);
-            fleet.repeat(phase, history.by_value, now);
+            fleet.update_views(now);
+            fleet.send_retries(phase, history.by_value, now);
             let expected = phase.demand * STEP.as_secs_f64();
             let more = fleet.rng.random_bool(expected.fract());
             for _ in 0..expected as usize + usize::from(more) {
@@ -257,26 +274,26 @@
 
 fn phase() -> impl Strategy<Value = Phase> {
     let demand = prop_oneof![Just(0.0), 1.0..30.0, 30.0..600.0];
-    let repeated = prop_oneof![Just(0.0), Just(0.4), Just(1.0)];
-    (50u32..1_200, demand, repeated, 0usize..40).prop_map(|(steps, demand, repeated, heavy)| {
+    let retried = prop_oneof![Just(0.0), Just(0.4), Just(1.0)];
+    (50u32..1_200, demand, retried, 0usize..40).prop_map(|(steps, demand, retried, busiest)| {
         Phase {
             steps,
             demand,
-            repeated,
-            heavy,
+            retried,
+            busiest,
         }
     })
 }
 
-fn happening() -> impl Strategy<Value = (u32, usize, Happening)> {
-    let happening = prop_oneof![
-        Just(Happening::Dies),
-        Just(Happening::Starts),
-        Just(Happening::Starts),
-        Just(Happening::IsCut),
-        Just(Happening::Heals),
+fn event() -> impl Strategy<Value = (u32, usize, NodeEvent)> {
+    let event = prop_oneof![
+        Just(NodeEvent::Crashes),
+        Just(NodeEvent::Starts),
+        Just(NodeEvent::Starts),
+        Just(NodeEvent::Partitioned),
+        Just(NodeEvent::Heals),
     ];
-    (0u32..5_000, 0usize..40, happening)
+    (0u32..5_000, 0usize..40, event)
 }
 
 prop_compose! {
@@ -286,9 +303,9 @@
         slack in 0.0..200.0,
         by_value in any::<bool>(),
         phases in proptest::collection::vec(phase(), 1..8),
-        happenings in proptest::collection::vec(happening(), 0..120),
+        events in proptest::collection::vec(event(), 0..120),
     ) -> History {
-        History { seed, nodes, ratio: 0.2, slack, by_value, phases, happenings }
+        History { seed, nodes, ratio: 0.2, slack, by_value, phases, events }
     }
 }
 
@@ -300,19 +317,19 @@
     })]
 
     #[test]
-    fn whatever_starts_dies_or_is_cut_off_the_bound_is_kept(history in history()) {
+    fn limit_holds_over_starts_crashes_and_partitions(history in history()) {
         let excess = arrivals(&history).excess(history.ratio, history.slack);
         prop_assert!(excess <= 0.0, "{excess} beyond the bound");
     }
 }
 
-/// A history in which all that are up ask for repeats all the time.
-fn steady(nodes: usize, happenings: Vec<(u32, usize, Happening)>) -> History {
+/// A history in which all running nodes request retries all the time.
+fn steady(nodes: usize, events: Vec<(u32, usize, NodeEvent)>) -> History {
     let phase = Phase {
         steps: 4_000,
         demand: 60.0,
-        repeated: 1.0,
-        heavy: 0,
+        retried: 1.0,
+        busiest: 0,
     };
     History {
         seed: 5,
@@ -321,15 +338,15 @@
         slack: 170.0,
         by_value: false,
         phases: vec![phase],
-        happenings,
+        events,
     }
 }
 
 #[gtest]
-fn nodes_that_start_anew_do_not_use_the_slack_again() {
+fn restarted_nodes_do_not_reuse_the_slack() {
     let restart = |step: u32, node: usize| {
-        let (dies, starts) = (Happening::Dies, Happening::Starts);
-        [(step, node, dies), (step + 10, node, starts)]
+        let (crashes, starts) = (NodeEvent::Crashes, NodeEvent::Starts);
+        [(step, node, crashes), (step + 10, node, starts)]
     };
     let restarts = (0..8u32).flat_map(|at| {
         let step = 1_500 + at * 250;
@@ -340,14 +357,14 @@
 }
 
 #[gtest]
-fn those_that_remain_do_not_use_the_slack_of_the_dead_again() {
-    let deaths = (1..6usize).map(|node| (2_000 + node as u32 * 20, node, Happening::Dies));
-    let history = steady(6, deaths.collect());
+fn remaining_nodes_do_not_reuse_the_slack_of_crashed_ones() {
+    let crashes = (1..6usize).map(|node| (2_000 + node as u32 * 20, node, NodeEvent::Crashes));
+    let history = steady(6, crashes.collect());
     expect_that!(arrivals(&history).excess(0.2, 170.0), le(0.0));
 }
 
 #[gtest]
-fn a_steady_fleet_uses_most_of_the_budget() {
+fn stable_fleet_uses_most_of_the_budget() {
     let mut arrivals = arrivals(&steady(6, Vec::new()));
     let within = |times: &[Timestamp]| {
         let late = times
@@ -356,23 +373,23 @@
         late.count() as f64
     };
     let allowed = 0.2 * within(&arrivals.requests) + 170.0;
-    expect_that!(within(&arrivals.repeats), ge(allowed * 0.7));
+    expect_that!(within(&arrivals.retries), ge(allowed * 0.7));
     expect_that!(arrivals.excess(0.2, 170.0), le(0.0));
 }
 
 #[gtest]
-fn clients_that_change_nodes_do_not_pay_at_both() {
-    let phase = |steps, repeated| Phase {
+fn clients_that_change_nodes_do_not_count_fully_at_both() {
+    let phase = |steps, retried| Phase {
         steps,
         demand: 300.0,
-        repeated,
-        heavy: 9,
+        retried,
+        busiest: 9,
     };
-    let deaths = (2..10usize).map(|node| (1_100, node, Happening::Dies));
+    let crashes = (2..10usize).map(|node| (1_100, node, NodeEvent::Crashes));
     let history = History {
         slack: 10.0,
         phases: vec![phase(1_000, 0.0), phase(1_200, 1.0)],
-        ..steady(10, deaths.collect())
+        ..steady(10, crashes.collect())
     };
     expect_that!(arrivals(&history).excess(0.2, 10.0), le(0.0));
 }
--- a/crates/ledgelead-router/tests/repeats/main.rs
+++ b/crates/ledgelead-router/tests/repeats/main.rs
@@ -1,4 +1,5 @@
-//! The retry budget over all nodes: never passed, and spent where it wins most.
+//! Tests of the retry budget over all nodes: it is never exceeded, and spent on the most
+//! valuable retries.
 
 mod bound;
 mod checker;
--- a/crates/ledgelead-router/tests/repeats/replay.rs
+++ b/crates/ledgelead-router/tests/repeats/replay.rs
@@ -1,5 +1,5 @@
-//! A load replayed without a network: all instances of a service reject two in five
-//! requests for 8 s, half of the clients use a fifth of the nodes, some nodes die.
+//! A load replayed without a network: all instances of a service reject two in five requests
+//! for 8 s, half of the clients use a fifth of the nodes, and some nodes crash.
 
 use crate::checker::{Arrivals, WINDOW};
 use googletest::prelude::*;
@@ -20,17 +20,17 @@
 const SLACK: f64 = 174.0;
 const STEP: Duration = Duration::from_millis(10);
 const STEPS: u32 = 2_600;
-/// Requests a second, of each of the kinds.
+/// Requests per second of each kind.
 const DEMAND: [f64; 3] = [240.0, 320.0, 240.0];
 const TARGET: Duration = Duration::from_millis(600);
 /// Clients give up after this time.
-const GIVEN_UP: Duration = Duration::from_secs(4);
-/// What an answer after its target is worth.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Value of a response after the target latency.
 const LATE_CREDIT: f64 = 0.4;
-const ANSWER: Duration = Duration::from_millis(120);
-const REJECTION: Duration = Duration::from_millis(5);
-/// Share of the attempts that are rejected, and of those whose answer is lost, while the
-/// instances fail.
+const RESPONSE_TIME: Duration = Duration::from_millis(120);
+const REJECTION_TIME: Duration = Duration::from_millis(5);
+/// Shares of the attempts that are rejected, and whose response is lost, while the instances
+/// fail.
 const REJECTED: f64 = 0.4;
 const LOST: f64 = 0.05;
 
@@ -42,17 +42,17 @@
     ServiceName::from("s")
 }
 
-fn fails(now: Timestamp) -> bool {
+fn is_failing(now: Timestamp) -> bool {
     ms(12_000) <= now && now < ms(20_000)
 }
 
-/// Nodes that die while the instances reject, and one that starts anew.
-const DEATHS: [(Duration, usize); 3] = [
+/// Nodes that crash while the instances reject, and one that restarts.
+const CRASHES: [(Duration, usize); 3] = [
     (Duration::from_millis(13_500), 1),
     (Duration::from_millis(14_000), 9),
     (Duration::from_millis(15_500), 12),
 ];
-const START: (Duration, usize) = (Duration::from_millis(15_000), 1);
+const RESTART: (Duration, usize) = (Duration::from_millis(15_000), 1);
 
 struct Node {
     budget: RetryBudget,
@@ -61,16 +61,16 @@
 
 /// A client's request, at its next attempt.
 #[derive(Clone, Copy)]
-struct Asked {
+struct PendingRequest {
     at: Timestamp,
     kind: usize,
     began: Timestamp,
     node: usize,
-    /// Attempts of this try, in which it may have run.
+    /// Attempts in this submission, in which the request may have run.
     attempts: u32,
     may_have_run: bool,
-    /// Client tries that are left.
-    tries: u32,
+    /// Client submissions left.
+    submissions: u32,
 }
 
 #[derive(Default)]
@@ -78,13 +78,13 @@
     asked: [f64; 3],
     served: [f64; 3],
     credit: f64,
-    /// The least that was left of the bound.
+    /// Minimum remaining difference to the limit.
     left: f64,
-    repeats: usize,
+    retries: usize,
 }
 
 impl Outcome {
-    /// Several replays as one.
+    /// Combines the results of several replays.
     fn add(&mut self, other: &Outcome) {
         for kind in 0..DEMAND.len() {
             self.asked[kind] += other.asked[kind];
@@ -92,7 +92,7 @@
         }
         self.credit += other.credit;
         self.left = self.left.min(other.left);
-        self.repeats += other.repeats;
+        self.retries += other.retries;
     }
 
     fn served_share(&self, kind: usize) -> f64 {
@@ -104,7 +104,7 @@
     rng: Pcg64Mcg,
     by_value: bool,
     nodes: Vec<Option<Node>>,
-    asked: Vec<Asked>,
+    asked: Vec<PendingRequest>,
     arrivals: Arrivals,
     outcome: Outcome,
 }
@@ -141,7 +141,7 @@
         });
     }
 
-    /// A node for a client: half of them use the busy ones.
+    /// Chooses a node for a client: half of them use the busy ones.
     fn node(&mut self) -> usize {
         loop {
             let node = match self.rng.random_bool(0.5) {
@@ -154,22 +154,22 @@
         }
     }
 
-    fn come(&mut self, now: Timestamp) {
+    fn submit_new(&mut self, now: Timestamp) {
         for (kind, demand) in DEMAND.into_iter().enumerate() {
             let expected = demand * STEP.as_secs_f64();
             let more = self.rng.random_bool(expected.fract());
             for _ in 0..expected as usize + usize::from(more) {
-                self.outcome.asked[kind] += f64::from(u8::from(fails(now)));
-                let (node, tries) = (self.node(), self.rng.random_range(1..=2));
-                self.try_at(
-                    Asked {
+                self.outcome.asked[kind] += f64::from(u8::from(is_failing(now)));
+                let (node, submissions) = (self.node(), self.rng.random_range(1..=2));
+                self.submit(
+                    PendingRequest {
                         at: now,
                         kind,
                         began: now,
                         node,
                         attempts: 0,
                         may_have_run: false,
-                        tries,
+                        submissions,
                     },
                     now,
                 );
@@ -177,8 +177,8 @@
         }
     }
 
-    /// A client tries, for the first time or again.
-    fn try_at(&mut self, asked: Asked, now: Timestamp) {
+    /// A client submits the request, for the first time or again.
+    fn submit(&mut self, asked: PendingRequest, now: Timestamp) {
         self.arrivals.requests.push(now);
         if let Some(node) = self.nodes[asked.node].as_mut() {
             node.budget.record_request(&service(), now);
@@ -186,10 +186,10 @@
         self.attempt(asked, now);
     }
 
-    fn attempt(&mut self, mut asked: Asked, now: Timestamp) {
+    fn attempt(&mut self, mut asked: PendingRequest, now: Timestamp) {
         asked.attempts += 1;
         let drawn = self.rng.random_range(0.0..1.0);
-        let rejected = fails(now) && drawn < REJECTED;
+        let rejected = is_failing(now) && drawn < REJECTED;
         if let Some(node) = self.nodes[asked.node].as_mut() {
             node.rejections.received(&service(), now);
             if rejected {
@@ -197,19 +197,19 @@
             }
         }
         if rejected {
-            asked.at = now + REJECTION;
-        } else if fails(now) && drawn < REJECTED + LOST {
-            asked.at = now + ANSWER;
+            asked.at = now + REJECTION_TIME;
+        } else if is_failing(now) && drawn < REJECTED + LOST {
+            asked.at = now + RESPONSE_TIME;
             asked.may_have_run = true;
         } else {
-            self.serve(&asked, now + ANSWER);
+            self.serve(&asked, now + RESPONSE_TIME);
             return;
         }
         self.asked.push(asked);
     }
 
-    fn serve(&mut self, asked: &Asked, now: Timestamp) {
-        if !fails(asked.began) || now > asked.began + GIVEN_UP {
+    fn serve(&mut self, asked: &PendingRequest, now: Timestamp) {
+        if !is_failing(asked.began) || now > asked.began + CLIENT_TIMEOUT {
             return;
         }
         self.outcome.served[asked.kind] += 1.0;
@@ -217,13 +217,13 @@
         self.outcome.credit += if late { LATE_CREDIT } else { 1.0 };
     }
 
-    fn go_on(&mut self, now: Timestamp) {
-        let due: Vec<Asked> = self.asked.extract_if(.., |asked| asked.at <= now).collect();
+    fn process_due(&mut self, now: Timestamp) {
+        let due: Vec<PendingRequest> = self.asked.extract_if(.., |asked| asked.at <= now).collect();
         for asked in due {
             if asked.attempts == 0 {
-                self.try_at(asked, now);
-            } else if asked.attempts < 2 && self.draws(&asked, now) {
-                self.arrivals.repeats.push(now);
+                self.submit(asked, now);
+            } else if asked.attempts < 2 && self.is_retry_granted(&asked, now) {
+                self.arrivals.retries.push(now);
                 self.attempt(asked, now);
             } else {
                 self.refuse(asked, now);
@@ -231,87 +231,89 @@
         }
     }
 
-    fn draws(&mut self, asked: &Asked, now: Timestamp) -> bool {
+    fn is_retry_granted(&mut self, asked: &PendingRequest, now: Timestamp) -> bool {
         let alive = self.nodes.iter().flatten().count();
         let Some(node) = self.nodes[asked.node].as_mut() else {
             return false;
         };
-        let facts = RetryCandidate {
+        let candidate = RetryCandidate {
             rank: u32::try_from(asked.kind).unwrap_or(u32::MAX),
-            meets_target: now + ANSWER <= asked.began + TARGET,
+            meets_target: now + RESPONSE_TIME <= asked.began + TARGET,
             not_run: !asked.may_have_run,
             acceptance: 1.0 - node.rejections.share(&service(), now),
         };
         if self.by_value {
-            node.budget.try_acquire_for(&service(), &facts, alive, now) == RetryDecision::Granted
+            node.budget
+                .try_acquire_for(&service(), &candidate, alive, now)
+                == RetryDecision::Granted
         } else {
             node.budget.try_acquire(&service(), alive, now)
         }
     }
 
-    /// The client comes back as it is told, if it has tries left.
-    fn refuse(&mut self, mut asked: Asked, now: Timestamp) {
-        if asked.tries == 0 {
+    /// The client retries as told, if it has submissions left.
+    fn refuse(&mut self, mut asked: PendingRequest, now: Timestamp) {
+        if asked.submissions == 0 {
             return;
         }
         let share = match self.nodes[asked.node].as_mut() {
             Some(node) => node.rejections.share(&service(), now),
             None => 0.0,
         };
-        let spread = self.rng.random_range(1.0..1.7);
-        asked.at = now + retry_after(share).mul_f64(spread);
+        let jitter = self.rng.random_range(1.0..1.7);
+        asked.at = now + retry_after(share).mul_f64(jitter);
         asked.node = self.node();
-        asked.tries -= 1;
+        asked.submissions -= 1;
         asked.attempts = 0;
         asked.may_have_run = false;
         self.asked.push(asked);
     }
 
-    fn play(mut self) -> Outcome {
+    fn run(mut self) -> Outcome {
         for step in 0..STEPS {
             let now = STEP * step;
-            for (at, node) in DEATHS {
+            for (at, node) in CRASHES {
                 if at == now {
                     self.nodes[node] = None;
                 }
             }
-            if START.0 == now {
-                self.start(START.1, now);
+            if RESTART.0 == now {
+                self.start(RESTART.1, now);
             }
             let alive = self.nodes.iter().flatten().count();
             for node in self.nodes.iter_mut().flatten() {
                 node.budget.record_node_count(alive, now);
             }
-            self.come(now);
-            self.go_on(now);
+            self.submit_new(now);
+            self.process_due(now);
         }
-        self.outcome.repeats = self.arrivals.repeats.len();
+        self.outcome.retries = self.arrivals.retries.len();
         self.outcome.left = -self.arrivals.excess(RATIO, SLACK);
         self.outcome
     }
 }
 
-/// Several replays, one way or the other.
+/// Runs several replays, with or without valuing retries.
 fn replays(by_value: bool) -> Outcome {
     let mut all = Outcome {
         left: f64::INFINITY,
         ..Outcome::default()
     };
     for seed in 0..SEEDS {
-        all.add(&Replay::new(by_value, seed).play());
+        all.add(&Replay::new(by_value, seed).run());
     }
     all
 }
 
 #[gtest]
-fn the_urgent_are_served_first_and_none_is_starved() {
+fn urgent_requests_are_served_first_and_no_kind_starves() {
     let first_come = replays(false);
     let by_value = replays(true);
     for outcome in [&first_come, &by_value] {
         let shares = [0, 1, 2].map(|kind| outcome.served_share(kind));
         println!(
             "credit {:.0}, served {shares:.3?}, repeats {}, left of the bound {:.0}",
-            outcome.credit, outcome.repeats, outcome.left
+            outcome.credit, outcome.retries, outcome.left
         );
         expect_that!(outcome.left, ge(0.0));
     }
--- a/crates/ledgelead-router/tests/repeats/value.rs
+++ b/crates/ledgelead-router/tests/repeats/value.rs
@@ -1,4 +1,4 @@
-//! What a repeat wins.
+//! The value of retries.
 
 use crate::checker::WINDOW;
 use googletest::prelude::*;
@@ -25,12 +25,12 @@
     }
 }
 
-/// A service at which each of these was asked for so many times in the last second.
+/// A service at which each of these retries was requested so many times in the last second.
 fn demand(asked: &[(RetryCandidate, usize)]) -> RetryDemand {
     let mut demand = RetryDemand::default();
-    for (facts, times) in asked {
+    for (candidate, times) in asked {
         for _ in 0..*times {
-            demand.record_request(facts, ms(900));
+            demand.record_request(candidate, ms(900));
         }
     }
     demand
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn what_is_urgent_in_time_and_lost_wins_more() {
+fn urgent_timely_and_lost_requests_have_more_value() {
     let late = RetryCandidate {
         meets_target: false,
         ..lost(0)
@@ -60,32 +60,32 @@
 }
 
 #[gtest]
-fn a_budget_far_from_used_up_goes_to_whoever_asks() {
+fn ample_budget_is_granted_in_order_of_arrival() {
     let demand = demand(&[(lost(0), 90), (rejected(2), 1)]);
-    let worth = |facts| demand.is_worthwhile(&facts, level(10.0), ms(901));
-    expect_that!(worth(rejected(2)), eq(true));
-    expect_that!(worth(lost(0)), eq(true));
+    let is_granted = |candidate| demand.is_worthwhile(&candidate, level(10.0), ms(901));
+    expect_that!(is_granted(rejected(2)), eq(true));
+    expect_that!(is_granted(lost(0)), eq(true));
 }
 
 #[gtest]
-fn the_rest_is_kept_for_those_that_win_more_and_ask() {
-    let worth = |asked: &[(RetryCandidate, usize)], facts, left| {
+fn short_budget_is_reserved_for_more_valuable_retries() {
+    let is_granted = |asked: &[(RetryCandidate, usize)], candidate, left| {
         let mut demand = demand(asked);
         for rank in [0, 1] {
             demand.record_grant(rank, WINDOW, ms(0));
         }
-        demand.is_worthwhile(&facts, level(left), ms(1_800))
+        demand.is_worthwhile(&candidate, level(left), ms(1_800))
     };
     let both = [(lost(0), 5), (rejected(1), 20)];
-    expect_that!(worth(&both, rejected(1), 6.0), eq(true));
-    expect_that!(worth(&both, rejected(1), 5.9), eq(false));
-    expect_that!(worth(&both, lost(0), 1.0), eq(true));
-    // Where nothing better asks, nothing is kept.
-    expect_that!(worth(&[(rejected(1), 20)], rejected(1), 1.0), eq(true));
+    expect_that!(is_granted(&both, rejected(1), 6.0), eq(true));
+    expect_that!(is_granted(&both, rejected(1), 5.9), eq(false));
+    expect_that!(is_granted(&both, lost(0), 1.0), eq(true));
+    // If nothing more valuable is requested, nothing is reserved.
+    expect_that!(is_granted(&[(rejected(1), 20)], rejected(1), 1.0), eq(true));
 }
 
 #[gtest]
-fn each_kind_keeps_a_share() {
+fn each_rank_keeps_a_share() {
     let mut asked = demand(&[(lost(0), 90), (rejected(1), 90)]);
     for _ in 0..20 {
         asked.record_grant(0, WINDOW, ms(0));
@@ -103,7 +103,7 @@
 }
 
 #[gtest]
-fn a_small_budget_is_not_divided() {
+fn small_budget_is_not_divided() {
     let demand = demand(&[(lost(0), 90), (rejected(1), 90)]);
     let level = BudgetLevel {
         capacity: 1.9,
