--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -243,12 +243,12 @@
         }
         // The incarnation's own entry, written later than the other one, shows that it is
         // running.
-        if let Some(again) = self
+        if let Some(revived) = self
             .instances
             .get_mut(id)
             .filter(|incarnation| incarnation.is_superseded)
         {
-            again.ended = false;
+            revived.ended = false;
         }
         let current = CurrentIncarnation {
             id: id.clone(),
@@ -309,7 +309,7 @@
     /// their names. Instances of a zone that is no longer evacuated count as cold until their
     /// entries have had time to state otherwise.
     pub fn set_evacuated_zones(&mut self, zones: &BTreeSet<u64>, now: Timestamp) {
-        let taken_back: Vec<u64> = self
+        let no_longer_evacuated: Vec<u64> = self
             .evacuated
             .keys()
             .filter(|zone| !zones.contains(zone))
@@ -321,7 +321,7 @@
         for instance in self.instances.values_mut() {
             let zone = instance.record.zone.stable_hash();
             instance.evacuated_since = self.evacuated.get(&zone).copied();
-            if taken_back.contains(&zone) {
+            if no_longer_evacuated.contains(&zone) {
                 instance.warm_at = instance.warm_at.max(now + COLDNESS_PROPAGATION_TIME);
             }
         }
@@ -351,12 +351,12 @@
     /// Incarnations that announced in responses that they leave, and whose entries don't state
     /// it.
     pub fn leaving_by_response(&self) -> impl Iterator<Item = (&InstanceId, Timestamp)> {
-        let is_known_elsewhere = |id: &InstanceId| {
+        let is_redundant = |id: &InstanceId| {
             let known = self.instances.get(id);
             known.is_none_or(|known| known.record.draining || known.is_gone() || known.ended)
         };
-        let said = self.announced_leaving.iter().map(|(id, at)| (id, *at));
-        said.filter(move |(id, _)| !is_known_elsewhere(id))
+        let announced = self.announced_leaving.iter().map(|(id, at)| (id, *at));
+        announced.filter(move |(id, _)| !is_redundant(id))
     }
 
     /// Whether an instance has announced that it leaves, in its entry or in a response.
--- a/crates/ledgelead-router/src/dispatch/servers.rs
+++ b/crates/ledgelead-router/src/dispatch/servers.rs
@@ -110,7 +110,7 @@
 /// All instances of a queue.
 #[derive(Clone, Debug)]
 pub(super) struct Servers {
-    known: HashMap<u64, ServerState>,
+    states: HashMap<u64, ServerState>,
     /// Minimum number of permits beyond the slots of each.
     min_extra_permits: f64,
     /// Whether failing instances are ejected in favor of others.
@@ -121,7 +121,7 @@
     /// The instances of an owner's queue: no other instance can serve its keys.
     pub(super) fn single_owner() -> Servers {
         Servers {
-            known: HashMap::new(),
+            states: HashMap::new(),
             min_extra_permits: 1.0,
             ejects: false,
         }
@@ -130,7 +130,7 @@
     /// The instances of a pool, which are interchangeable.
     pub(super) fn pool() -> Servers {
         Servers {
-            known: HashMap::new(),
+            states: HashMap::new(),
             min_extra_permits: 0.0,
             ejects: true,
         }
@@ -139,27 +139,27 @@
     /// Replaces the set of serving instances. One that is gone is dropped once its permits are
     /// returned.
     pub(super) fn replace(&mut self, servers: impl IntoIterator<Item = Server>) {
-        for known in self.known.values_mut() {
-            known.slots = 0;
+        for state in self.states.values_mut() {
+            state.slots = 0;
         }
         for server in servers {
-            let known = self.known.entry(server.id).or_default();
-            known.slots = server.slots.max(1);
-            known.is_cold = server.is_cold;
-            known.service_time = known.service_time.or(server.service_time);
+            let state = self.states.entry(server.id).or_default();
+            state.slots = server.slots.max(1);
+            state.is_cold = server.is_cold;
+            state.service_time = state.service_time.or(server.service_time);
         }
-        self.known
-            .retain(|_, known| known.slots + known.outstanding > 0);
+        self.states
+            .retain(|_, state| state.slots + state.outstanding > 0);
     }
 
     /// Total number of slots.
     pub(super) fn slots(&self) -> usize {
-        self.known.values().map(ServerState::usable_slots).sum()
+        self.states.values().map(ServerState::usable_slots).sum()
     }
 
     /// Expected service time of one request.
     pub(super) fn service_time(&self) -> Duration {
-        let samples = self.known.values().filter_map(|known| known.service_time);
+        let samples = self.states.values().filter_map(|state| state.service_time);
         let (sum, count) = samples.fold((Duration::ZERO, 0u32), |(sum, count), service_time| {
             (sum + service_time, count + 1)
         });
@@ -178,57 +178,57 @@
         needs_slot: bool,
         now: Timestamp,
     ) -> Option<u64> {
-        let can_take = |known: &ServerState| {
-            let slots = known.usable_slots();
+        let can_take = |state: &ServerState| {
+            let slots = state.usable_slots();
             let extra_permits = match needs_slot {
                 true => 0,
-                false => known.extra_permits.max(self.min_extra_permits) as usize,
+                false => state.extra_permits.max(self.min_extra_permits) as usize,
             };
-            slots > 0 && known.outstanding < slots + extra_permits
+            slots > 0 && state.outstanding < slots + extra_permits
         };
-        let ejects = self.ejects && self.ejected(now) * 2 <= self.known.len();
-        let candidates = self.known.iter().filter(|(_, known)| {
-            let is_ejected = ejects && known.failures.is_ejected(now);
-            can_take(known) && !is_ejected
+        let ejects = self.ejects && self.ejected(now) * 2 <= self.states.len();
+        let candidates = self.states.iter().filter(|(_, state)| {
+            let is_ejected = ejects && state.failures.is_ejected(now);
+            can_take(state) && !is_ejected
         });
-        let rank = |id: u64, known: &ServerState| Rank {
+        let rank = |id: u64, state: &ServerState| Rank {
             was_tried: tried == Some(id),
-            is_backed_off: known.backoff_until > now,
-            is_failing: known.failures.share(now) > FAILING_SHARE,
-            load: known.load_with_one_more(),
-            service_time: known.service_time.unwrap_or(UNKNOWN_SERVICE_TIME),
+            is_backed_off: state.backoff_until > now,
+            is_failing: state.failures.share(now) > FAILING_SHARE,
+            load: state.load_with_one_more(),
+            service_time: state.service_time.unwrap_or(UNKNOWN_SERVICE_TIME),
             id,
         };
-        let ranked = candidates.map(|(id, known)| rank(*id, known));
+        let ranked = candidates.map(|(id, state)| rank(*id, state));
         let best = ranked.min_by(|left, right| left.order(right));
         best.map(|rank| rank.id)
     }
 
     fn ejected(&self, now: Timestamp) -> usize {
-        let is_ejected = |known: &&ServerState| known.failures.is_ejected(now);
-        self.known.values().filter(is_ejected).count()
+        let is_ejected = |state: &&ServerState| state.failures.is_ejected(now);
+        self.states.values().filter(is_ejected).count()
     }
 
     /// Counts one more request at an instance. Returns its requests per slot.
     pub(super) fn reserve_slot(&mut self, server: u64) -> f64 {
-        let known = self.known.entry(server).or_default();
-        let load = known.load_with_one_more();
-        known.outstanding += 1;
+        let state = self.states.entry(server).or_default();
+        let load = state.load_with_one_more();
+        state.outstanding += 1;
         load
     }
 
     pub(super) fn release_slot(&mut self, server: u64) {
-        if let Some(known) = self.known.get_mut(&server) {
-            known.outstanding = known.outstanding.saturating_sub(1);
+        if let Some(state) = self.states.get_mut(&server) {
+            state.outstanding = state.outstanding.saturating_sub(1);
         }
     }
 
     /// Records a response, and its service time if it is representative.
     pub(super) fn answered(&mut self, server: u64, service_time: Option<Duration>, now: Timestamp) {
-        if let Some(known) = self.known.get_mut(&server) {
-            known.failures.answered(&FAILURE_RULES, now);
+        if let Some(state) = self.states.get_mut(&server) {
+            state.failures.answered(&FAILURE_RULES, now);
             if let Some(service_time) = service_time {
-                known.sample(service_time);
+                state.sample(service_time);
             }
         }
     }
@@ -239,31 +239,31 @@
     /// longer be changed.
     pub(super) fn record_load(&mut self, server: u64, load: InstanceLoad, is_wanted: bool) {
         let least = self.min_extra_permits;
-        let Some(known) = self.known.get_mut(&server) else {
+        let Some(state) = self.states.get_mut(&server) else {
             return;
         };
-        let most = known.usable_slots() as f64;
+        let most = state.usable_slots() as f64;
         if load.waiting > 0 {
-            known.extra_permits -= EXTRA_PERMIT_STEP * load.waiting as f64;
-        } else if is_wanted && load.running < known.usable_slots() {
-            known.extra_permits += EXTRA_PERMIT_STEP;
+            state.extra_permits -= EXTRA_PERMIT_STEP * load.waiting as f64;
+        } else if is_wanted && load.running < state.usable_slots() {
+            state.extra_permits += EXTRA_PERMIT_STEP;
         }
-        known.extra_permits = known.extra_permits.clamp(least, most.max(least));
+        state.extra_permits = state.extra_permits.clamp(least, most.max(least));
     }
 
     /// Records that an instance wants no requests from some node until then. Other instances
     /// are preferred for all nodes; the node that was told sends nothing there whatever it is
     /// granted.
     pub(super) fn backed_off(&mut self, server: u64, until: Timestamp) {
-        if let Some(known) = self.known.get_mut(&server) {
-            known.backoff_until = known.backoff_until.max(until);
+        if let Some(state) = self.states.get_mut(&server) {
+            state.backoff_until = state.backoff_until.max(until);
         }
     }
 
     /// Records that a request there was aborted, or its response was lost.
     pub(super) fn failed(&mut self, server: u64, now: Timestamp) {
-        if let Some(known) = self.known.get_mut(&server) {
-            known.failures.failed(&FAILURE_RULES, now);
+        if let Some(state) = self.states.get_mut(&server) {
+            state.failures.failed(&FAILURE_RULES, now);
         }
     }
 }
--- a/crates/ledgelead-router/src/requests/answers.rs
+++ b/crates/ledgelead-router/src/requests/answers.rs
@@ -78,7 +78,7 @@
 
     /// Whether the request was refused for lack of capacity, so that others are refused as
     /// well.
-    pub fn lacks_room(self) -> bool {
+    pub fn lacks_capacity(self) -> bool {
         matches!(
             self,
             Refusal::Overloaded | Refusal::QueueTooLong | Refusal::Rejected
--- a/crates/ledgelead-router/src/requests/budget.rs
+++ b/crates/ledgelead-router/src/requests/budget.rs
@@ -126,14 +126,14 @@
     pub fn try_acquire_for(
         &mut self,
         service: &ServiceName,
-        facts: &RetryCandidate,
+        candidate: &RetryCandidate,
         nodes: usize,
         now: Timestamp,
     ) -> RetryDecision {
         let usage = self.usage.entry(service.clone()).or_default();
         usage.expire(now, self.bounds.window);
-        usage.demand.record_request(facts, now);
-        if !self.is_worthwhile(service, facts, nodes, now) {
+        usage.demand.record_request(candidate, now);
+        if !self.is_worthwhile(service, candidate, nodes, now) {
             return RetryDecision::HeldBack;
         }
         if !self.try_acquire(service, nodes, now) {
@@ -142,7 +142,7 @@
         let usage = self.usage.entry(service.clone()).or_default();
         usage
             .demand
-            .record_grant(facts.rank, self.bounds.window, now);
+            .record_grant(candidate.rank, self.bounds.window, now);
         RetryDecision::Granted
     }
 
@@ -170,14 +170,14 @@
     pub fn is_worthwhile(
         &self,
         service: &ServiceName,
-        facts: &RetryCandidate,
+        candidate: &RetryCandidate,
         nodes: usize,
         now: Timestamp,
     ) -> bool {
         let level = self.level(service, nodes, now);
         self.usage
             .get(service)
-            .is_none_or(|usage| usage.demand.is_worthwhile(facts, level, now))
+            .is_none_or(|usage| usage.demand.is_worthwhile(candidate, level, now))
     }
 
     fn level(&self, service: &ServiceName, nodes: usize, now: Timestamp) -> BudgetLevel {
@@ -234,8 +234,8 @@
         let capacity = paid(now);
         let forgotten = self.retries.partition_point(|at| *at + window <= now);
         let series = (forgotten..self.retries.len()).map(|first| {
-            let drawn = (self.retries.len() - first) as f64;
-            paid(self.retries[first]) - drawn
+            let taken = (self.retries.len() - first) as f64;
+            paid(self.retries[first]) - taken
         });
         let left = series.fold(capacity, f64::min);
         BudgetLevel { capacity, left }
@@ -249,8 +249,8 @@
     }
 }
 
-fn drop_before(times: &mut VecDeque<Timestamp>, now: Timestamp, kept: Duration) {
-    while times.front().is_some_and(|time| *time + kept <= now) {
+fn drop_before(times: &mut VecDeque<Timestamp>, now: Timestamp, max_age: Duration) {
+    while times.front().is_some_and(|time| *time + max_age <= now) {
         times.pop_front();
     }
 }
--- a/crates/ledgelead-router/src/requests/common_rejection.rs
+++ b/crates/ledgelead-router/src/requests/common_rejection.rs
@@ -41,10 +41,10 @@
         now: Timestamp,
     ) {
         let instances = self.services.entry(service.clone()).or_default();
-        let heard = instances.entry(instance.clone()).or_default();
-        heard.at = now;
+        let response = instances.entry(instance.clone()).or_default();
+        response.at = now;
         if rejected {
-            heard.rejected = Some(now);
+            response.rejected = Some(now);
         }
     }
 
@@ -54,18 +54,18 @@
             return false;
         };
         let recent = |at: Timestamp| at + RESPONSE_TTL > now;
-        let heard = instances.values().filter(|heard| recent(heard.at));
+        let responding = instances.values().filter(|response| recent(response.at));
         let rejecting = instances
             .values()
-            .filter(|heard| heard.rejected.is_some_and(recent));
+            .filter(|response| response.rejected.is_some_and(recent));
         let rejecting = rejecting.count();
-        rejecting >= MIN_REJECTING && rejecting as f64 >= heard.count() as f64 * COMMON_SHARE
+        rejecting >= MIN_REJECTING && rejecting as f64 >= responding.count() as f64 * COMMON_SHARE
     }
 
     /// Drops responses that no longer count.
     pub fn expire(&mut self, now: Timestamp) {
         for instances in self.services.values_mut() {
-            instances.retain(|_, heard| heard.at + RESPONSE_TTL > now);
+            instances.retain(|_, response| response.at + RESPONSE_TTL > now);
         }
     }
 }
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -43,7 +43,7 @@
 const REVIEW_SHARE: f64 = 1.3;
 /// The same for an instance that answers other requests: it is usually processing this one
 /// too, and an aborted request starts over elsewhere. Its response may have been lost, though.
-const REVIEW_ANSWERING: f64 = 2.0;
+const REVIEW_SHARE_IF_ANSWERING: f64 = 2.0;
 /// A connection lost within this time was lost while the request was being sent.
 const PROMPT_LOSS: Duration = Duration::from_millis(25);
 /// Logged for an attempt that was aborted in favour of another one.
@@ -115,7 +115,7 @@
             .get(&attempt.instance)
             .and_then(|seen| seen.last_answer())
             .is_some_and(|at| at > attempt.sent);
-        let silence_limit = open.route.target_latency.mul_f64(REVIEW_ANSWERING);
+        let silence_limit = open.route.target_latency.mul_f64(REVIEW_SHARE_IF_ANSWERING);
         if answers_others && attempt.sent + silence_limit > context.now {
             return false;
         }
@@ -172,9 +172,9 @@
             return;
         };
         // An attempt at an instance that was never reached doesn't make the next one a retry.
-        let repeated = !open.tried.is_empty();
+        let is_retry = !open.tried.is_empty();
         let reason = open.failure_reason();
-        if repeated && !self.acquire_retry(client, selected.expected, context) {
+        if is_retry && !self.acquire_retry(client, selected.expected, context) {
             self.refuse(client, reason, context, out);
             return;
         }
@@ -205,7 +205,7 @@
         open.attempt = Some(Attempt {
             exchange,
             instance: selected.id.clone(),
-            repeated,
+            is_retry,
             sent: context.now,
             load_factor: selected.load_factor,
             review_at: context.now + review,
@@ -247,7 +247,7 @@
             AttemptOutcome::NeverSent { .. } => {
                 // Removes this attempt only: an earlier one at the same instance may have run.
                 open.tried.pop();
-                if attempt.repeated {
+                if attempt.is_retry {
                     let rank = self.mechanisms.rank(open);
                     self.budget.refund_for(&open.service, rank);
                 }
@@ -256,14 +256,14 @@
                     // from being selected.
                     open.rejected = true;
                 }
-                let again = Some(context.now + MISDIRECTED_PAUSE);
-                open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
+                let retry_at = Some(context.now + MISDIRECTED_PAUSE);
+                open.misdirection = Misdirection::at(&attempt.instance, assignment, retry_at);
             }
             AttemptOutcome::Incomplete { .. } => {
                 // The instance stays in the list of tried ones, since it has received part of
                 // the request.
-                let again = Some(context.now + MISDIRECTED_PAUSE);
-                open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
+                let retry_at = Some(context.now + MISDIRECTED_PAUSE);
+                open.misdirection = Misdirection::at(&attempt.instance, assignment, retry_at);
             }
             AttemptOutcome::Rejected { misdirected, ended } => {
                 open.rejected = true;
@@ -277,10 +277,10 @@
                     true => Duration::ZERO,
                     false => MISDIRECTED_PAUSE,
                 };
-                let again = context.now + pause;
+                let retry_at = context.now + pause;
                 let once_more = !ended && (!misdirected || open.tried.len() < 2);
-                let again = once_more.then_some(again);
-                open.misdirection = Misdirection::at(&attempt.instance, assignment, again);
+                let retry_at = once_more.then_some(retry_at);
+                open.misdirection = Misdirection::at(&attempt.instance, assignment, retry_at);
                 self.misdirected |= misdirected && open.misdirection.is_some();
             }
             AttemptOutcome::Unknown { timed_out } => {
@@ -293,14 +293,14 @@
             }
             AttemptOutcome::Relay(_) => {}
         }
-        let repeats_unknown = !self.protections.has(Protection::UnknownNotRepeated);
-        if open.may_have_run && !open.is_idempotent() && !repeats_unknown {
+        let retries_unknown = !self.protections.has(Protection::UnknownNotRepeated);
+        if open.may_have_run && !open.is_idempotent() && !retries_unknown {
             open.exhausted = true;
         }
     }
 
     /// Records how long an owner was busy with an attempt that it ran, or may have run.
-    pub(super) fn note_work(
+    pub(super) fn record_owner_work(
         &mut self,
         client: ClientId,
         attempt: &Attempt,
@@ -334,16 +334,16 @@
         match result {
             Ok(response) => {
                 let notice = Notice::of(&attempt.instance, response, context.headers);
-                self.note_notice(&attempt.instance, notice, context);
+                self.apply_notice(&attempt.instance, notice, context);
                 let rate = RateNotice::of(&attempt.instance, response, context.headers);
-                self.note_rate(&attempt.instance, rate, now);
+                self.apply_rate_notice(&attempt.instance, rate, now);
                 let load = reported_load(response, context);
                 let instance = context.directory.get(&attempt.instance);
                 let rejected = is_rejection(response, context);
                 cause = rejected.then(|| rejection_cause(notice, load.as_ref(), instance));
-                let counts = self.note_rejection(attempt, cause, context);
+                let counts = self.record_rejection(attempt, cause, context);
                 let seen = self.statistics.entry(&attempt.instance);
-                seen.note_response(now);
+                seen.record_response(now);
                 if cause.is_some() && counts {
                     seen.rejected(now);
                 } else if cause.is_none() && is_server_failure(response) {
@@ -351,7 +351,7 @@
                 }
                 let slots = instance.map_or(1, |instance| instance.record.slots.max(1));
                 if let Some(instance) = instance.filter(|_| response.is_success()) {
-                    note_reporting(
+                    record_load_reporting(
                         &mut self.load_reporting,
                         &instance.record.service,
                         load.is_some(),
@@ -413,7 +413,11 @@
 }
 
 /// Records whether the instances of a service report their load.
-fn note_reporting(reporting: &mut BTreeSet<ServiceName>, service: &ServiceName, reports: bool) {
+fn record_load_reporting(
+    reporting: &mut BTreeSet<ServiceName>,
+    service: &ServiceName,
+    reports: bool,
+) {
     if !reports {
         reporting.remove(service);
     } else if !reporting.contains(service) {
--- a/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
@@ -36,7 +36,7 @@
         std::mem::take(&mut self.crash_signs)
     }
 
-    pub(super) fn note_crash_signs(
+    pub(super) fn collect_crash_signs(
         &mut self,
         client: ClientId,
         attempt: &Attempt,
@@ -53,8 +53,8 @@
                 let instance = context.directory.get(&attempt.instance);
                 // The end of a leaving instance is planned and no crash.
                 if instance.is_some_and(|instance| instance.leaving_since().is_none()) {
-                    let accusation = accusation(open, context.now);
-                    signs.lost.push((attempt.instance.clone(), accusation));
+                    let lost_attempt = lost_attempt(open, context.now);
+                    signs.lost.push((attempt.instance.clone(), lost_attempt));
                 }
             }
             Err(ExchangeFailure::Refused) => signs.refused.push(attempt.instance.clone()),
@@ -111,7 +111,7 @@
         && headers.get(&context.headers.signature).is_some()
 }
 
-fn accusation(open: &OpenRequest, now: Timestamp) -> Accusation {
+fn lost_attempt(open: &OpenRequest, now: Timestamp) -> Accusation {
     let path = open.request.path();
     let mut end = path.len().min(MAX_PATH_BYTES);
     while !path.is_char_boundary(end) {
--- a/crates/ledgelead-router/src/requests/lifecycle/decide.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/decide.rs
@@ -36,7 +36,7 @@
 pub(super) enum Step {
     Send(Selected, SocketAddr),
     Wait {
-        again: Option<Timestamp>,
+        retry_at: Option<Timestamp>,
         reason: Refusal,
     },
     Refuse(Refusal),
@@ -71,7 +71,7 @@
         // instance must not get new work.
         if let Some(until) = context.unconfirmed_until {
             return Step::Wait {
-                again: Some(until),
+                retry_at: Some(until),
                 reason: Refusal::NotConfigured,
             };
         }
@@ -118,7 +118,7 @@
         context: &RequestContext<'_>,
     ) -> Step {
         let wait = |reason: Refusal| Step::Wait {
-            again: None,
+            retry_at: None,
             reason,
         };
         // No owner is worth waiting for while a change of ownership can't be stored.
@@ -163,10 +163,10 @@
             if same
                 && misdirection
                     .retry_at
-                    .is_none_or(|again| again > context.now)
+                    .is_none_or(|retry_at| retry_at > context.now)
             {
                 return Step::Wait {
-                    again: misdirection.retry_at,
+                    retry_at: misdirection.retry_at,
                     reason: Refusal::KeyMoving,
                 };
             }
@@ -175,7 +175,7 @@
         let ejects = self.mechanisms.has(Mechanism::Ejection);
         if let Some(seen) = seen.filter(|seen| ejects && seen.is_ejected(context.now)) {
             return Step::Wait {
-                again: Some(seen.ejected_until()),
+                retry_at: Some(seen.ejected_until()),
                 reason: Refusal::OwnerFails,
             };
         }
@@ -218,7 +218,7 @@
             return Step::Send(selected, address);
         }
         Step::Wait {
-            again: None,
+            retry_at: None,
             reason: open.failure_reason_or(Refusal::Overloaded),
         }
     }
@@ -261,7 +261,7 @@
                 return self.step_in_backoff(open, left, context);
             }
             return Step::Wait {
-                again: None,
+                retry_at: None,
                 reason: open.failure_reason_or(Refusal::NoInstance),
             };
         };
--- a/crates/ledgelead-router/src/requests/lifecycle/endings.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/endings.rs
@@ -35,7 +35,7 @@
     pub(super) fn wait(
         &mut self,
         client: ClientId,
-        again: Option<Timestamp>,
+        retry_at: Option<Timestamp>,
         reason: Refusal,
         context: &RequestContext<'_>,
         out: &mut Vec<Action>,
@@ -63,7 +63,7 @@
         }
         self.waiting
             .insert((self.mechanisms.rank(open), since, client));
-        let wake = again.map_or(limit, |again| again.min(limit));
+        let wake = retry_at.map_or(limit, |retry_at| retry_at.min(limit));
         self.wake_at(client, wake);
     }
 
@@ -133,11 +133,11 @@
         let request = open.request.clone();
         let service = open.service.clone();
         let key = open.key;
-        let told = open.retry_after;
-        let told = told.filter(|_| reason == Refusal::QueueTooLong);
+        let from_dispatcher = open.retry_after;
+        let from_dispatcher = from_dispatcher.filter(|_| reason == Refusal::QueueTooLong);
         let own = self.retry_after(&service, key, reason, context);
-        let again = told.unwrap_or(own);
-        let response = self.refusal(&request, reason, again, context);
+        let delay = from_dispatcher.unwrap_or(own);
+        let response = self.refusal(&request, reason, delay, context);
         self.finish(client, response, out);
     }
 
@@ -222,10 +222,10 @@
         {
             return left;
         }
-        if reason == Refusal::Rejected && self.rejects_with_room(service, context) {
+        if reason == Refusal::Rejected && self.rejects_with_free_slots(service, context) {
             return REJECTED_RETRY_AFTER;
         }
-        if reason.lacks_room() {
+        if reason.lacks_capacity() {
             self.refusals.refused(service, context.now);
         }
         let admitted = key
@@ -242,12 +242,12 @@
         &mut self,
         request: &Request,
         reason: Refusal,
-        again: Duration,
+        delay: Duration,
         context: &RequestContext<'_>,
     ) -> Response {
         *self.counters.refused.entry(reason.name()).or_default() += 1;
-        let jitter = again.mul_f64(self.rng.random_range(0.0..RETRY_AFTER_JITTER));
-        refusal(request, reason, again + jitter, context.headers)
+        let jitter = delay.mul_f64(self.rng.random_range(0.0..RETRY_AFTER_JITTER));
+        refusal(request, reason, delay + jitter, context.headers)
     }
 }
 
--- a/crates/ledgelead-router/src/requests/lifecycle/notices.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/notices.rs
@@ -18,7 +18,7 @@
 
 impl Requests {
     /// Applies what an instance announces about itself in a response.
-    pub(super) fn note_notice(
+    pub(super) fn apply_notice(
         &mut self,
         instance: &InstanceId,
         notice: Notice,
@@ -33,7 +33,8 @@
         let earlier = self.statistics.backoff_left(instance, context.now);
         let pauses = notice.backoff.is_some() && earlier.is_none();
         if let Some(backoff) = notice.backoff.filter(|_| honors_backoff) {
-            self.statistics.note_backoff(instance, backoff, context.now);
+            self.statistics
+                .record_backoff(instance, backoff, context.now);
         }
         if notice.leaving {
             self.announced_leaving.push(instance.clone());
@@ -53,7 +54,12 @@
     }
 
     /// Applies what a response announces about its instance's rate limit.
-    pub(super) fn note_rate(&mut self, instance: &InstanceId, notice: RateNotice, now: Timestamp) {
+    pub(super) fn apply_rate_notice(
+        &mut self,
+        instance: &InstanceId,
+        notice: RateNotice,
+        now: Timestamp,
+    ) {
         let limit = notice.limit();
         let kind = match notice {
             RateNotice::Limited(_) => Some("rate_limit"),
@@ -112,15 +118,15 @@
         left: Duration,
         context: &RequestContext<'_>,
     ) -> Step {
-        let again = context.now + left;
+        let retry_at = context.now + left;
         let not_run = match self.lacks_tokens(open, context) {
             true => Refusal::RateLimited,
             false => Refusal::BackedOff,
         };
         let reason = open.failure_reason_or(not_run);
-        match again <= open.wait_limit_from(context.now) {
+        match retry_at <= open.wait_limit_from(context.now) {
             true => Step::Wait {
-                again: Some(again),
+                retry_at: Some(retry_at),
                 reason,
             },
             false => Step::Refuse(reason),
--- a/crates/ledgelead-router/src/requests/lifecycle/permits.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/permits.rs
@@ -134,9 +134,9 @@
         let Some(open) = self.open.get(&client) else {
             return false;
         };
-        let may = open.key.is_none() && !open.overflowed;
+        let may_overflow = open.key.is_none() && !open.overflowed;
         let overflows_to_other_zone =
-            may && self.freest_other_zone(&open.service, context).is_some();
+            may_overflow && self.freest_other_zone(&open.service, context).is_some();
         if let Some(open) = self
             .open
             .get_mut(&client)
@@ -253,8 +253,8 @@
     }
 
     fn needs_permit(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
-        let asks = open.permit.is_some() || self.permits.are_replies_fast(context.now);
-        asks && !open.without_permit
+        let may_ask = open.permit.is_some() || self.permits.are_replies_fast(context.now);
+        may_ask && !open.without_permit
             && self.mechanisms.has(Mechanism::OwnerQueues)
             && context.routes.is_contended(&open.service)
             && context.shared.follows_digest(context.now)
@@ -296,8 +296,8 @@
         let candidates = Candidates::of_queue(need.queue, &need.zone, context.registry);
         let dispatcher = candidates.and_then(|candidates| {
             let candidates = [Some(candidates.first), candidates.second];
-            let heard = |candidate: &SocketAddr| self.permits.may_ask(*candidate, now);
-            candidates.into_iter().flatten().find(heard)
+            let is_responsive = |candidate: &SocketAddr| self.permits.may_ask(*candidate, now);
+            candidates.into_iter().flatten().find(is_responsive)
         });
         let Some(dispatcher) = dispatcher.filter(|_| !open.without_permit) else {
             open.without_permit = true;
--- a/crates/ledgelead-router/src/requests/lifecycle/retries.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/retries.rs
@@ -27,18 +27,19 @@
     pub(super) fn can_retry(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
         let nodes = context.registry.len();
         let expected = open.route.target_latency / 2;
-        let facts = RetryCandidate {
+        let candidate = RetryCandidate {
             not_run: false,
             ..self.retry_candidate(open, expected, context)
         };
         let by_value = self.mechanisms.has(Mechanism::RepeatValue);
-        let wins = !by_value
+        let is_worthwhile = !by_value
             || self
                 .budget
-                .is_worthwhile(&open.service, &facts, nodes, context.now);
-        wins && self
-            .budget
-            .has_retry_left(&open.service, nodes, context.now)
+                .is_worthwhile(&open.service, &candidate, nodes, context.now);
+        is_worthwhile
+            && self
+                .budget
+                .has_retry_left(&open.service, nodes, context.now)
     }
 
     /// Takes a retry from the budget for a request whose next response is expected after
@@ -53,23 +54,23 @@
             return false;
         };
         let nodes = context.registry.len();
-        let facts = self.retry_candidate(open, expected, context);
-        let drawn = if self.mechanisms.has(Mechanism::RepeatValue) {
+        let candidate = self.retry_candidate(open, expected, context);
+        let decision = if self.mechanisms.has(Mechanism::RepeatValue) {
             self.budget
-                .try_acquire_for(&open.service, &facts, nodes, context.now)
+                .try_acquire_for(&open.service, &candidate, nodes, context.now)
         } else if self.budget.try_acquire(&open.service, nodes, context.now) {
             RetryDecision::Granted
         } else {
             RetryDecision::Exhausted
         };
-        let name = match drawn {
-            RetryDecision::Granted if facts.not_run => SENT_NOT_RUN,
+        let name = match decision {
+            RetryDecision::Granted if candidate.not_run => SENT_NOT_RUN,
             RetryDecision::Granted => SENT_MAY_HAVE_RUN,
             RetryDecision::HeldBack => HELD_BACK,
             RetryDecision::Exhausted => EXHAUSTED,
         };
-        *self.counters.repeats.entry(name).or_default() += 1;
-        drawn == RetryDecision::Granted
+        *self.counters.retries.entry(name).or_default() += 1;
+        decision == RetryDecision::Granted
     }
 
     fn retry_candidate(
@@ -89,7 +90,7 @@
 
     /// Records an instance's response, and why it rejected the request if it did. Returns
     /// whether a rejection counts as a failure of this instance.
-    pub(super) fn note_rejection(
+    pub(super) fn record_rejection(
         &mut self,
         attempt: &Attempt,
         cause: Option<RejectionCause>,
@@ -125,7 +126,7 @@
     }
 
     /// Whether the instances of a service reject some requests although they have free slots.
-    pub(super) fn rejects_with_room(
+    pub(super) fn rejects_with_free_slots(
         &self,
         service: &ServiceName,
         context: &RequestContext<'_>,
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -159,12 +159,12 @@
                 .unresponsive
                 .insert(limiter, context.now + UNRESPONSIVE_TTL);
         }
-        let is_heard = |candidate: &SocketAddr| {
+        let is_responsive = |candidate: &SocketAddr| {
             let unresponsive = self.tokens.unresponsive.get(candidate);
             unresponsive.is_none_or(|until| *until <= context.now)
         };
         let in_order = [Some(candidates.first), candidates.second];
-        let limiter = in_order.into_iter().flatten().find(is_heard)?;
+        let limiter = in_order.into_iter().flatten().find(is_responsive)?;
         Some((limiter, 1))
     }
 
--- a/crates/ledgelead-router/src/requests/open_request.rs
+++ b/crates/ledgelead-router/src/requests/open_request.rs
@@ -27,7 +27,7 @@
     /// The instance it was sent to.
     pub instance: InstanceId,
     /// Whether it was taken from the retry budget.
-    pub repeated: bool,
+    pub is_retry: bool,
     /// When it was sent.
     pub sent: Timestamp,
     /// Requests per slot of the instance, including this one.
@@ -173,11 +173,11 @@
 
     /// The same for a request that begins to wait at `begins`, unless it is already waiting.
     pub fn wait_limit_from(&self, begins: Timestamp) -> Timestamp {
-        let early = self.received + self.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE);
+        let early_limit = self.received + self.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE);
         let since = self.waiting_since.unwrap_or(begins);
         // A request that returns from a failed attempt gets the same time again, since its
         // time for an early refusal has passed.
-        let again = since + self.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE);
-        early.max(again).min(self.due)
+        let renewed_limit = since + self.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE);
+        early_limit.max(renewed_limit).min(self.due)
     }
 }
--- a/crates/ledgelead-router/src/requests/permits.rs
+++ b/crates/ledgelead-router/src/requests/permits.rs
@@ -266,8 +266,8 @@
     /// Records the first reply to a permit request, or that it was given up without one.
     pub fn record_reply_time(&mut self, permit: &PermitHandle, now: Timestamp) {
         let took = now.saturating_sub(permit.asked_at);
-        let kept = self.reply_time.mul_f64(1.0 - REPLY_SAMPLE_WEIGHT);
-        self.reply_time = kept + took.mul_f64(REPLY_SAMPLE_WEIGHT);
+        let decayed = self.reply_time.mul_f64(1.0 - REPLY_SAMPLE_WEIGHT);
+        self.reply_time = decayed + took.mul_f64(REPLY_SAMPLE_WEIGHT);
     }
 
     /// Records that a dispatcher replied.
@@ -277,11 +277,11 @@
 
     /// Marks a dispatcher as lost, or as not granting permits.
     pub fn mark_lost(&mut self, dispatcher: SocketAddr, now: Timestamp) {
-        let lost = DispatcherSilence {
+        let silence = DispatcherSilence {
             asked_at: None,
             silent_until: now + UNRESPONSIVE_TTL,
         };
-        self.dispatchers.insert(dispatcher, lost);
+        self.dispatchers.insert(dispatcher, silence);
     }
 
     /// Counts a request that proceeds without a permit.
--- a/crates/ledgelead-router/src/requests/retry_value.rs
+++ b/crates/ledgelead-router/src/requests/retry_value.rs
@@ -94,11 +94,11 @@
 
 impl RetryDemand {
     /// Records a requested retry, whether or not it is granted.
-    pub fn record_request(&mut self, facts: &RetryCandidate, now: Timestamp) {
+    pub fn record_request(&mut self, candidate: &RetryCandidate, now: Timestamp) {
         let requested = RequestedRetry {
             at: now,
-            rank: facts.rank,
-            step: facts.step(),
+            rank: candidate.rank,
+            step: candidate.step(),
         };
         self.requested.push_back(requested);
         self.expire_requested(now);
@@ -124,7 +124,7 @@
     /// Whether a retry is valuable enough at this level of the budget.
     pub fn is_worthwhile(
         &self,
-        facts: &RetryCandidate,
+        candidate: &RetryCandidate,
         level: BudgetLevel,
         now: Timestamp,
     ) -> bool {
@@ -134,10 +134,10 @@
         }
         let ranks = self.ranks(now).len().max(1);
         let reserved = self.granted.len() as f64 * RANK_RESERVED_SHARE / ranks as f64;
-        if self.granted_to(facts.rank) < reserved {
+        if self.granted_to(candidate.rank) < reserved {
             return true;
         }
-        level.left >= 1.0 + self.requested_above(facts.step(), now) * RESERVED_SECONDS
+        level.left >= 1.0 + self.requested_above(candidate.step(), now) * RESERVED_SECONDS
     }
 
     /// Ranks that requested retries recently.
--- a/crates/ledgelead-router/src/requests/selection.rs
+++ b/crates/ledgelead-router/src/requests/selection.rs
@@ -84,8 +84,8 @@
     /// Number of requests that find a free slot there before the next digest: the free slots,
     /// and those that become free until then. Zero if the instance is unlikely to answer in
     /// the time left.
-    fn free_capacity(&self, left: Duration) -> f64 {
-        if self.cost > left.mul_f64(OWN_ZONE_TIME_SHARE) {
+    fn free_capacity(&self, time_left: Duration) -> f64 {
+        if self.cost > time_left.mul_f64(OWN_ZONE_TIME_SHARE) {
             return 0.0;
         }
         let service_time = self.service_time.max(MIN_SERVICE_TIME);
@@ -95,13 +95,13 @@
 }
 
 impl SelectionContext<'_> {
-    /// Selects the best instance that was not tried yet, if there is any. `left` is the time
-    /// left in which a response is useful.
+    /// Selects the best instance that was not tried yet, if there is any. `time_left` is how
+    /// long a response is still useful.
     pub fn select(
         &self,
         service: &ServiceName,
         tried: &[InstanceId],
-        left: Duration,
+        time_left: Duration,
         rng: &mut Pcg64Mcg,
     ) -> Option<Selected> {
         let serving: Vec<&Instance> = self
@@ -110,8 +110,8 @@
             .filter(|instance| instance.serves() && !self.is_unavailable(instance))
             .collect();
         let usable = self.without_ejected(&serving);
-        let typical = self.typical_service_time(&serving, left);
-        let estimate = |instance: &Instance| self.estimate(instance, typical, 1, left);
+        let typical = self.typical_service_time(&serving, time_left);
+        let estimate = |instance: &Instance| self.estimate(instance, typical, 1, time_left);
         let untried = usable
             .iter()
             .filter(|instance| !tried.contains(&instance.record.id))
@@ -121,14 +121,14 @@
         let own: Vec<Selected> = own.into_iter().map(estimate).collect();
         if self.selects_by_free_capacity() {
             let other: Vec<Selected> = other.into_iter().map(estimate).collect();
-            return self.select_by_free_capacity(own, other, left, rng);
+            return self.select_by_free_capacity(own, other, time_left, rng);
         }
         let best_own = best(own, rng);
         let prefers = self.mechanisms.has(Mechanism::ZonePreference);
         let enough = prefers
             && best_own
                 .as_ref()
-                .is_some_and(|selected| selected.cost <= left.mul_f64(OWN_ZONE_TIME_SHARE));
+                .is_some_and(|selected| selected.cost <= time_left.mul_f64(OWN_ZONE_TIME_SHARE));
         if enough {
             return best_own;
         }
@@ -156,15 +156,15 @@
         &self,
         own: Vec<Selected>,
         other: Vec<Selected>,
-        left: Duration,
+        time_left: Duration,
         rng: &mut Pcg64Mcg,
     ) -> Option<Selected> {
         let preference = match self.mechanisms.has(Mechanism::ZonePreference) {
-            true => other_zone_weight(&own, &other, left),
+            true => other_zone_weight(&own, &other, time_left),
             false => 1.0,
         };
         let weighted =
-            |weight: f64| move |selected: &Selected| selected.free_capacity(left) * weight;
+            |weight: f64| move |selected: &Selected| selected.free_capacity(time_left) * weight;
         let own_weights = own.iter().map(weighted(1.0));
         let weights: Vec<f64> = own_weights
             .chain(other.iter().map(weighted(preference)))
@@ -179,16 +179,16 @@
 
     /// Estimates one more request at the owner of a key. All zones send to an owner; zones
     /// whose open requests are unknown are assumed to be like the others.
-    pub fn estimate_owner(&self, owner: &Instance, left: Duration) -> Selected {
-        let typical = self.typical_service_time(&[owner], left);
+    pub fn estimate_owner(&self, owner: &Instance, time_left: Duration) -> Selected {
+        let typical = self.typical_service_time(&[owner], time_left);
         let known = self.shared.zones(self.now).max(1);
-        self.estimate(owner, typical, self.zones.div_ceil(known).max(1), left)
+        self.estimate(owner, typical, self.zones.div_ceil(known).max(1), time_left)
     }
 
     /// Estimates one more request at an instance from the open requests of this zone's nodes.
-    pub fn estimate_instance(&self, instance: &Instance, left: Duration) -> Selected {
-        let typical = self.typical_service_time(&[instance], left);
-        self.estimate(instance, typical, 1, left)
+    pub fn estimate_instance(&self, instance: &Instance, time_left: Duration) -> Selected {
+        let typical = self.typical_service_time(&[instance], time_left);
+        self.estimate(instance, typical, 1, time_left)
     }
 
     fn estimate(
@@ -196,7 +196,7 @@
         instance: &Instance,
         typical: Duration,
         senders: u32,
-        left: Duration,
+        time_left: Duration,
     ) -> Selected {
         let id = &instance.record.id;
         let statistics = self.statistics.get(id);
@@ -235,7 +235,7 @@
         Selected {
             id: id.clone(),
             expected,
-            cost: expected + left.mul_f64(failures * FAILURE_COST),
+            cost: expected + time_left.mul_f64(failures * FAILURE_COST),
             load_factor,
             slots,
             open: f64::from(open),
@@ -263,14 +263,14 @@
     }
 
     /// The mean service time of the instances for which it is known.
-    fn typical_service_time(&self, instances: &[&Instance], left: Duration) -> Duration {
+    fn typical_service_time(&self, instances: &[&Instance], time_left: Duration) -> Duration {
         let known: Vec<Duration> = instances
             .iter()
             .filter_map(|instance| self.service_time(&instance.record.id))
             .collect();
         match u32::try_from(known.len()) {
             Ok(count) if count > 0 => known.iter().sum::<Duration>() / count,
-            _ => left / 4,
+            _ => time_left / 4,
         }
     }
 
@@ -301,11 +301,11 @@
 
 /// Weight of instances in other zones relative to the own zone: zero as long as the own zone
 /// has free capacity, since traffic between zones is expensive, and one once it has none.
-fn other_zone_weight(own: &[Selected], other: &[Selected], left: Duration) -> f64 {
+fn other_zone_weight(own: &[Selected], other: &[Selected], time_left: Duration) -> f64 {
     let free_capacity_per_slot = |zone: &[Selected]| {
         let free_capacity: f64 = zone
             .iter()
-            .map(|selected| selected.free_capacity(left))
+            .map(|selected| selected.free_capacity(time_left))
             .sum();
         let slots: f64 = zone.iter().map(|selected| selected.slots).sum();
         free_capacity / slots.max(1.0)
--- a/crates/ledgelead-router/src/requests/statistics.rs
+++ b/crates/ledgelead-router/src/requests/statistics.rs
@@ -55,7 +55,7 @@
 
 impl Statistics {
     /// Records any response of the instance.
-    pub fn note_response(&mut self, now: Timestamp) {
+    pub fn record_response(&mut self, now: Timestamp) {
         self.last_answer = Some(now);
     }
 
@@ -105,7 +105,7 @@
 
     /// Records that the instance asked for a pause. An earlier pause stays in force if it ends
     /// later.
-    fn note_backoff(&mut self, backoff: Duration, now: Timestamp) {
+    fn record_backoff(&mut self, backoff: Duration, now: Timestamp) {
         self.backoff_until = self.backoff_until.max(now + backoff);
     }
 
@@ -174,8 +174,8 @@
     }
 
     /// Records that an instance asked this node for a pause.
-    pub fn note_backoff(&mut self, id: &InstanceId, backoff: Duration, now: Timestamp) {
-        self.entry(id).note_backoff(backoff, now);
+    pub fn record_backoff(&mut self, id: &InstanceId, backoff: Duration, now: Timestamp) {
+        self.entry(id).record_backoff(backoff, now);
         self.last_backoff = self.last_backoff.max(now + backoff);
     }
 
--- a/crates/ledgelead-router/tests/node/notices.rs
+++ b/crates/ledgelead-router/tests/node/notices.rs
@@ -189,7 +189,7 @@
         );
         fixture.run_until(fixture.now + ms(301));
     }
-    expect_that!(fixture.node.status().requests.repeats, is_empty());
+    expect_that!(fixture.node.status().requests.retries, is_empty());
     fixture.ask(KEYED, Some(7));
     expect_that!(answer_all(&mut fixture, |_| success()), len(eq(1)));
 }
--- a/crates/ledgelead-router/tests/node/rate_limits.rs
+++ b/crates/ledgelead-router/tests/node/rate_limits.rs
@@ -128,7 +128,7 @@
     let again: Option<f64> = response.headers.number("retry-after");
     // A token a second, spread by 0.7.
     expect_that!(again, some(all!(gt(0.0), le(1.8))));
-    expect_that!(fixture.node.status().requests.repeats, is_empty());
+    expect_that!(fixture.node.status().requests.retries, is_empty());
 }
 
 #[gtest]
--- a/crates/ledgelead-runtime/src/metrics.rs
+++ b/crates/ledgelead-runtime/src/metrics.rs
@@ -123,7 +123,7 @@
         &mut registry,
         "clients_left",
         "Clients that left before their answer",
-        status.requests.left,
+        status.requests.clients_left,
     );
     counter(
         &mut registry,
@@ -214,7 +214,7 @@
 
 fn register_repeats(registry: &mut Registry, status: &NodeStatus) {
     let repeats = Family::<ReasonLabel, Counter>::default();
-    for (reason, count) in &status.requests.repeats {
+    for (reason, count) in &status.requests.retries {
         let label = ReasonLabel { reason };
         repeats.get_or_create(&label).inc_by(*count);
     }
