--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Treats entries that vanish before this time as possibly coming back. Nodes pass this
-    /// time on together with the changes that they relay.
+    /// Treats entries that vanish before this time as possibly coming back. A node that relays
+    /// changes states this time with them.
     pub fn defer_removals_until(&mut self, until: Timestamp) {
         self.defer_removals_until = self.defer_removals_until.max(until);
         self.absence_conclusive_at = self.absence_conclusive_at.max(until);
--- a/crates/ledgelead-router/src/dispatch/dispatcher.rs
+++ b/crates/ledgelead-router/src/dispatch/dispatcher.rs
@@ -144,18 +144,18 @@
     where
         S: IntoIterator<Item = Server>,
     {
-        let known = self.queues.get(&ask.queue);
-        let is_current = known.is_some_and(|queue| queue.read_at + POOL_TTL > now);
+        let entry = self.queues.get(&ask.queue);
+        let is_current = entry.is_some_and(|queue| queue.read_at + POOL_TTL > now);
         if !is_current {
             self.read_servers(ask, servers(), now)?;
         }
         let queue = self.queues.get_mut(&ask.queue)?;
         queue.refusals.received(now);
-        let known = self.callers.take(ask.caller, now);
-        let is_early = known.is_some_and(|known| now < known.not_before);
+        let entry = self.callers.take(ask.caller, now);
+        let is_early = entry.is_some_and(|entry| now < entry.not_before);
         self.counters.early += u64::from(is_early);
         let target = now + ask.to_target;
-        let target = known.map_or(target, |known| target.min(known.target));
+        let target = entry.map_or(target, |entry| target.min(entry.target));
         let permit = AdmissionRequest {
             requester: ask.requester,
             urgency: ask.urgency,
@@ -174,9 +174,9 @@
         if verdict == Admission::Queued {
             queue.waiting.insert(ask.requester, caller);
         }
-        let mut decided = vec![self.decided(ask.queue, ask.requester, verdict, caller, now)];
-        decided.extend(self.advance(ask.queue, now));
-        Some(decided)
+        let mut decisions = vec![self.decision(ask.queue, ask.requester, verdict, caller, now)];
+        decisions.extend(self.advance(ask.queue, now));
+        Some(decisions)
     }
 
     /// Updates the instances behind a queue, and creates the queue if it is new.
@@ -216,24 +216,24 @@
         outcome: PermitOutcome,
         now: Timestamp,
     ) -> Vec<DispatchDecision> {
-        let Some(known) = self.queues.get_mut(&queue) else {
+        let Some(entry) = self.queues.get_mut(&queue) else {
             return Vec::new();
         };
-        known.waiting.remove(&requester);
-        known.permits.returned(requester, outcome, now);
+        entry.waiting.remove(&requester);
+        entry.permits.returned(requester, outcome, now);
         self.advance(queue, now)
     }
 
     /// Makes the decisions that are due.
     pub fn deadline(&mut self, now: Timestamp) -> Vec<DispatchDecision> {
-        let mut decided = Vec::new();
+        let mut decisions = Vec::new();
         while let Some((at, queue)) = self.due.first().copied() {
             if at > now {
                 break;
             }
-            decided.extend(self.advance(queue, now));
+            decisions.extend(self.advance(queue, now));
         }
-        decided
+        decisions
     }
 
     /// When the next decision is due.
@@ -256,23 +256,23 @@
     }
 
     fn advance(&mut self, queue: u64, now: Timestamp) -> Vec<DispatchDecision> {
-        let Some(known) = self.queues.get_mut(&queue) else {
+        let Some(entry) = self.queues.get_mut(&queue) else {
             return Vec::new();
         };
-        let verdicts = known.permits.advance(now);
-        let mut decided = Vec::new();
-        for (requester, verdict) in verdicts {
+        let admissions = entry.permits.advance(now);
+        let mut decisions = Vec::new();
+        for (requester, verdict) in admissions {
             let waited = self.queues.get_mut(&queue);
-            let Some(caller) = waited.and_then(|known| known.waiting.remove(&requester)) else {
+            let Some(caller) = waited.and_then(|entry| entry.waiting.remove(&requester)) else {
                 continue;
             };
-            decided.push(self.decided(queue, requester, verdict, caller, now));
+            decisions.push(self.decision(queue, requester, verdict, caller, now));
         }
         self.reschedule(queue);
-        decided
+        decisions
     }
 
-    fn decided(
+    fn decision(
         &mut self,
         queue: u64,
         requester: PermitId,
@@ -300,9 +300,9 @@
     /// Records a refusal and returns when the caller may retry: later the more requests are
     /// refused, and earlier for more urgent ones.
     fn refuse(&mut self, queue: u64, caller: Caller, now: Timestamp) -> Duration {
-        let share = self.queues.get_mut(&queue).map_or(0.0, |known| {
-            known.refusals.refused(now);
-            known.refusals.share(now)
+        let share = self.queues.get_mut(&queue).map_or(0.0, |entry| {
+            entry.refusals.refused(now);
+            entry.refusals.share(now)
         });
         let rank = f64::from(caller.urgency.min(MAX_RANK));
         let retry_after = retry_after(share).mul_f64(1.0 + EXTRA_DELAY_PER_RANK * rank);
@@ -318,17 +318,17 @@
     }
 
     fn reschedule(&mut self, queue: u64) {
-        let Some(known) = self.queues.get_mut(&queue) else {
+        let Some(entry) = self.queues.get_mut(&queue) else {
             return;
         };
-        let next = known.permits.next_deadline();
-        if known.due_at == next {
+        let next = entry.permits.next_deadline();
+        if entry.due_at == next {
             return;
         }
-        if let Some(at) = known.due_at {
+        if let Some(at) = entry.due_at {
             self.due.remove(&(at, queue));
         }
-        known.due_at = next;
+        entry.due_at = next;
         if let Some(at) = next {
             self.due.insert((at, queue));
         }
--- a/crates/ledgelead-router/src/dispatch/queue.rs
+++ b/crates/ledgelead-router/src/dispatch/queue.rs
@@ -282,13 +282,13 @@
     /// too long.
     pub fn advance(&mut self, now: Timestamp) -> Vec<(PermitId, Admission)> {
         self.expire(now);
-        let mut decided = self.expire_waiting(now);
+        let mut decisions = self.expire_waiting(now);
         while let Some((requester, server)) = self.select_next(now) {
             if let Some(request) = self.dequeue(requester) {
-                decided.push((requester, self.grant(requester, request.class, server, now)));
+                decisions.push((requester, self.grant(requester, request.class, server, now)));
             }
         }
-        decided
+        decisions
     }
 
     /// When `advance` next has something to do without a further message.
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -111,7 +111,7 @@
             tried: Some(entry.tried).filter(|tried| *tried > 0),
         };
         let decided = match self.stopping {
-            true => Err(Declined::Stops),
+            true => Err(Declined::ShuttingDown),
             false => self
                 .ask_dispatcher(&ask, entry.service, now)
                 .ok_or(Declined::UnknownQueue),
@@ -231,7 +231,7 @@
             Ok(Admission::Granted(server)) => (PermitVerdict::Granted, server),
             Ok(Admission::Queued) => (PermitVerdict::Queued, 0),
             Ok(Admission::Refused) => (PermitVerdict::Refused, 0),
-            Err(Declined::Stops) => (PermitVerdict::Stops, 0),
+            Err(Declined::ShuttingDown) => (PermitVerdict::Stops, 0),
             Err(Declined::UnknownQueue) => (PermitVerdict::UnknownQueue, 0),
         };
         let message = PeerMessage::PermitDecision {
@@ -251,7 +251,7 @@
         PermitVerdict::Granted => Ok(Admission::Granted(server)),
         PermitVerdict::Queued => Ok(Admission::Queued),
         PermitVerdict::Refused => Ok(Admission::Refused),
-        PermitVerdict::Stops => Err(Declined::Stops),
+        PermitVerdict::Stops => Err(Declined::ShuttingDown),
         PermitVerdict::UnknownQueue => Err(Declined::UnknownQueue),
     }
 }
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -46,7 +46,7 @@
 const REVIEW_SHARE_IF_ANSWERING: f64 = 2.0;
 /// A connection lost within this time was lost while the request was being sent.
 const PROMPT_LOSS: Duration = Duration::from_millis(25);
-/// Logged for an attempt that was aborted in favour of another one.
+/// Logged for an attempt that was aborted in favor of another one.
 const ABORTED_FOR_RETRY: &str = "abandoned";
 /// Logged for an attempt without a response at the request's deadline.
 pub(super) const CUT_AT_TIMEOUT: &str = "cut_at_timeout";
@@ -113,7 +113,7 @@
         let answers_others = self
             .statistics
             .get(&attempt.instance)
-            .and_then(|seen| seen.last_answer())
+            .and_then(|stats| stats.last_answer())
             .is_some_and(|at| at > attempt.sent);
         let silence_limit = open.route.target_latency.mul_f64(REVIEW_SHARE_IF_ANSWERING);
         if answers_others && attempt.sent + silence_limit > context.now {
@@ -196,8 +196,11 @@
             self.cold_sends.record(&selected.id, context.now);
         }
         let exchange = context.exchanges.next_id();
-        let limits = self.mechanisms.has(Mechanism::RestLimit);
-        let idle_limit = self.idle_limit.current(context.now).filter(|_| limits);
+        let limits_idle_time = self.mechanisms.has(Mechanism::RestLimit);
+        let idle_limit = self
+            .idle_limit
+            .current(context.now)
+            .filter(|_| limits_idle_time);
         let options = attempt_options(open, idle_limit, context);
         let review = open.route.target_latency.mul_f64(REVIEW_SHARE);
         let request = forwarded_request(open, &selected.id, context);
@@ -231,7 +234,7 @@
         &mut self,
         client: ClientId,
         attempt: &Attempt,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         cause: Option<RejectionCause>,
         context: &RequestContext<'_>,
     ) {
@@ -242,8 +245,8 @@
         let assignment = open
             .key
             .and_then(|key| context.ownership.find(&open.service, key));
-        log_attempt_ended(open, attempt, verdict.name(), context);
-        match verdict {
+        log_attempt_ended(open, attempt, outcome.name(), context);
+        match outcome {
             AttemptOutcome::NeverSent { .. } => {
                 // Removes this attempt only: an earlier one at the same instance may have run.
                 open.tried.pop();
@@ -272,8 +275,9 @@
                 }
                 // An owner that rejects one of several requests although it has free slots
                 // accepts the next one at once.
-                let declined = uses_rejection_cause && cause == Some(RejectionCause::FreeSlots);
-                let pause = match declined && open.tried.len() < 2 {
+                let has_free_slots =
+                    uses_rejection_cause && cause == Some(RejectionCause::FreeSlots);
+                let pause = match has_free_slots && open.tried.len() < 2 {
                     true => Duration::ZERO,
                     false => MISDIRECTED_PAUSE,
                 };
@@ -342,12 +346,12 @@
                 let rejected = is_rejection(response, context);
                 cause = rejected.then(|| rejection_cause(notice, load.as_ref(), instance));
                 let counts = self.record_rejection(attempt, cause, context);
-                let seen = self.statistics.entry(&attempt.instance);
-                seen.record_response(now);
+                let stats = self.statistics.entry(&attempt.instance);
+                stats.record_response(now);
                 if cause.is_some() && counts {
-                    seen.rejected(now);
+                    stats.rejected(now);
                 } else if cause.is_none() && is_server_failure(response) {
-                    seen.failed(now);
+                    stats.failed(now);
                 }
                 let slots = instance.map_or(1, |instance| instance.record.slots.max(1));
                 if let Some(instance) = instance.filter(|_| response.is_success()) {
@@ -363,10 +367,10 @@
                 if let Some(load) = load {
                     let open = load.running.saturating_add(load.waiting);
                     factor = f64::from(open) / f64::from(slots);
-                    seen.load_reported(load);
+                    stats.load_reported(load);
                 }
                 if response.is_success() {
-                    seen.answered(now.saturating_sub(attempt.sent), factor, now);
+                    stats.answered(now.saturating_sub(attempt.sent), factor, now);
                 }
             }
             Err(_) => self.statistics.entry(&attempt.instance).failed(now),
@@ -400,8 +404,8 @@
         if let Some(permit) = &attempt.permit {
             self.permits.release(permit, outcome);
         }
-        let seen = self.statistics.entry(&attempt.instance);
-        seen.open = seen.open.saturating_sub(1);
+        let stats = self.statistics.entry(&attempt.instance);
+        stats.open = stats.open.saturating_sub(1);
         self.changed_load.insert(attempt.instance.clone());
     }
 }
--- a/crates/ledgelead-router/src/requests/lifecycle/decide.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/decide.rs
@@ -171,11 +171,11 @@
                 };
             }
         }
-        let seen = self.statistics.get(&assignment.owner);
+        let stats = self.statistics.get(&assignment.owner);
         let ejects = self.mechanisms.has(Mechanism::Ejection);
-        if let Some(seen) = seen.filter(|seen| ejects && seen.is_ejected(context.now)) {
+        if let Some(stats) = stats.filter(|stats| ejects && stats.is_ejected(context.now)) {
             return Step::Wait {
-                retry_at: Some(seen.ejected_until()),
+                retry_at: Some(stats.ejected_until()),
                 reason: Refusal::OwnerFails,
             };
         }
--- a/crates/ledgelead-router/src/requests/lifecycle/endings.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/endings.rs
@@ -169,10 +169,10 @@
     pub(super) fn is_unsent_in_time(
         &self,
         client: ClientId,
-        verdict: &AttemptOutcome,
+        outcome: &AttemptOutcome,
         context: &RequestContext<'_>,
     ) -> bool {
-        match verdict {
+        match outcome {
             AttemptOutcome::Incomplete { timed_out } => *timed_out,
             AttemptOutcome::NeverSent { refused: false } => self
                 .open
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -275,15 +275,15 @@
     }
 
     fn open_at(&mut self, id: InstanceId) -> (InstanceId, OpenRequests) {
-        let seen = self.statistics.entry(&id);
+        let stats = self.statistics.entry(&id);
         let SpeedSample {
             answered,
             busy,
             slowness,
-        } = seen.take_unannounced_speed();
+        } = stats.take_unannounced_speed();
         let open = OpenRequests {
             instance: id.stable_hash(),
-            count: u16::try_from(seen.open).unwrap_or(u16::MAX),
+            count: u16::try_from(stats.open).unwrap_or(u16::MAX),
             answered: u8::try_from(answered).unwrap_or(u8::MAX),
             busy_ms: u32::try_from(busy.as_millis()).unwrap_or(u32::MAX),
             slowness: slowness.unwrap_or(0),
@@ -333,7 +333,7 @@
         std::mem::take(&mut self.misdirected)
     }
 
-    /// Prepares for shutdown: from now on no attempt is aborted in favour of another one,
+    /// Prepares for shutdown: from now on no attempt is aborted in favor of another one,
     /// since the requests in flight must not be cut off.
     pub fn begin_stopping(&mut self) {
         self.stopping = true;
@@ -428,8 +428,8 @@
         let cause = self.record_result(&attempt, &result, context);
         self.record_connection_result(&attempt, &result, idle_for, context.now);
         self.collect_crash_signs(client, &attempt, &result, context);
-        let verdict = classify_outcome(result, &attempt.instance, context.headers);
-        match verdict {
+        let outcome = classify_outcome(result, &attempt.instance, context.headers);
+        match outcome {
             AttemptOutcome::Relay(response) => {
                 self.counters.relayed += 1;
                 self.finish(client, relayed(response), out);
--- a/crates/ledgelead-router/src/requests/lifecycle/permits.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/permits.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Declined {
     /// It is shutting down, so another node takes over its queues.
-    Stops,
+    ShuttingDown,
     /// It doesn't know the owner or the service yet, or has too many queues.
     UnknownQueue,
 }
@@ -79,7 +79,7 @@
         let Some(permit) = open.permit.as_mut().filter(asked) else {
             return;
         };
-        if decision.verdict != Err(Declined::Stops) {
+        if decision.verdict != Err(Declined::ShuttingDown) {
             self.permits.record_reply(from);
         }
         if permit.state == PermitState::Asked {
@@ -107,7 +107,7 @@
                 open.permit = None;
                 self.permits.drop_number(number);
                 match declined {
-                    Declined::Stops => self.permits.mark_lost(from, context.now),
+                    Declined::ShuttingDown => self.permits.mark_lost(from, context.now),
                     Declined::UnknownQueue => open.without_permit = true,
                 }
             }
--- a/crates/ledgelead-router/src/requests/lifecycle/retries.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/retries.rs
@@ -17,7 +17,7 @@
 const SENT_NOT_RUN: &str = "sent_not_run";
 /// Metric label of a retry of a request that may have run.
 const SENT_MAY_HAVE_RUN: &str = "sent_in_doubt";
-/// Metric label of a retry that was refused in favour of more valuable ones.
+/// Metric label of a retry that was refused in favor of more valuable ones.
 const HELD_BACK: &str = "kept_back";
 /// Metric label of a retry for which the budget was exhausted.
 const EXHAUSTED: &str = "used_up";
@@ -105,12 +105,12 @@
             return false;
         }
         let service = &instance.record.service;
-        let declined = cause == Some(RejectionCause::FreeSlots);
+        let has_free_slots = cause == Some(RejectionCause::FreeSlots);
         let now = context.now;
         self.common_rejections
-            .record(service, &attempt.instance, declined, now);
+            .record(service, &attempt.instance, has_free_slots, now);
         self.rejections.received(service, now);
-        if declined {
+        if has_free_slots {
             self.rejections.refused(service, now);
         }
         if !self.mechanisms.has(Mechanism::RejectionCause) {
--- a/crates/ledgelead-router/tests/dispatch/load.rs
+++ b/crates/ledgelead-router/tests/dispatch/load.rs
@@ -94,7 +94,7 @@
 struct Caller {
     kind: usize,
     first_submitted: Duration,
-    tries: u32,
+    retries: u32,
     impatient: bool,
 }
 
@@ -215,7 +215,7 @@
         let caller = Caller {
             kind,
             first_submitted: self.now,
-            tries: 0,
+            retries: 0,
             impatient: self.rng.random_bool(self.load.impatient),
         };
         self.callers.insert(self.last_caller, caller);
@@ -233,7 +233,7 @@
     }
 
     fn submit(&mut self, caller: u64) {
-        let Caller { kind, tries, .. } = self.callers[&caller];
+        let Caller { kind, retries, .. } = self.callers[&caller];
         let kind = self.load.kinds[kind];
         if !self.load.permits {
             self.reach_owner(caller);
@@ -244,7 +244,7 @@
             kind: QueueKind::Owner,
             requester: PermitId {
                 node: SocketAddr::from(([10, 0, 0, 1], 7_000)),
-                number: caller * 10 + u64::from(tries),
+                number: caller * 10 + u64::from(retries),
             },
             urgency: kind.urgency,
             to_target: kind.target,
@@ -326,7 +326,7 @@
         let Caller {
             kind,
             first_submitted,
-            tries,
+            retries,
             ..
         } = self.callers[&caller];
         let in_time = self.now <= first_submitted + self.load.kinds[kind].target;
@@ -336,7 +336,7 @@
         if self.load.permits {
             let requester = PermitId {
                 node: SocketAddr::from(([10, 0, 0, 1], 7_000)),
-                number: caller * 10 + u64::from(tries),
+                number: caller * 10 + u64::from(retries),
             };
             let took = self.now - self.sent[&caller];
             let decided = self.dispatcher.returned(
@@ -356,10 +356,10 @@
 
     fn refused(&mut self, caller: u64, retry_after: Duration) {
         let known = self.callers.get_mut(&caller).expect("a caller");
-        if known.tries >= RETRIES {
+        if known.retries >= RETRIES {
             return;
         }
-        known.tries += 1;
+        known.retries += 1;
         let pause = match known.impatient {
             true => Duration::from_millis(2),
             // Waits as told, up to a third of its time left.
