--- a/crates/ledgelead-runtime/src/metrics.rs
+++ b/crates/ledgelead-runtime/src/metrics.rs
@@ -195,7 +195,7 @@
             .inc_by(*count);
     }
     registry.register("refusals", "Own answers by reason", refused);
-    register_repeats(&mut registry, status);
+    register_retries(&mut registry, status);
     register_notices(&mut registry, status);
     register_calls(&mut registry, status);
     register_quarantine(&mut registry, status);
@@ -212,16 +212,16 @@
     text
 }
 
-fn register_repeats(registry: &mut Registry, status: &NodeStatus) {
-    let repeats = Family::<ReasonLabel, Counter>::default();
+fn register_retries(registry: &mut Registry, status: &NodeStatus) {
+    let retries = Family::<ReasonLabel, Counter>::default();
     for (reason, count) in &status.requests.repeats {
         let label = ReasonLabel { reason };
-        repeats.get_or_create(&label).inc_by(*count);
+        retries.get_or_create(&label).inc_by(*count);
     }
     registry.register(
         "repeats",
         "Repeats asked for, by what became of them",
-        repeats,
+        retries,
     );
 }
 
@@ -290,18 +290,18 @@
         "Instances that ended under them",
         status.ends_counted as u64,
     );
-    let held_back = Family::<QuarantineLabel, Gauge>::default();
+    let quarantined = Family::<QuarantineLabel, Gauge>::default();
     for (digest, path) in &status.quarantined {
         let label = QuarantineLabel {
             digest: digest.to_string(),
             path: path.clone(),
         };
-        set(&held_back.get_or_create(&label), 1);
+        set(&quarantined.get_or_create(&label), 1);
     }
     registry.register(
         "quarantined_request",
         "Held back, since instances ended under it",
-        held_back,
+        quarantined,
     );
 }
 
--- a/crates/ledgelead-runtime/src/outbound.rs
+++ b/crates/ledgelead-runtime/src/outbound.rs
@@ -44,7 +44,7 @@
     /// When the request is written, if that is delayed on a new connection.
     write_at: Option<Instant>,
     /// Delay between the connection's establishment and the first write.
-    settle_time: Duration,
+    observe_before_write: Duration,
     connect_by: Instant,
     /// When the whole request must be written, if that is bounded.
     write_by: Option<Instant>,
@@ -284,7 +284,7 @@
                 Duration::ZERO
             },
             write_at: None,
-            settle_time: new.options.settle,
+            observe_before_write: new.options.settle,
             connect_by,
             write_by,
             answer_by,
@@ -351,8 +351,8 @@
         running.is_some_and(|running| running.is_probe)
     }
 
-    /// Delays the first write on a new connection by the exchange's settle time, if it has
-    /// one. A reset within that time proves that the request was not sent.
+    /// Delays the first write on a new connection by the exchange's observation time, if it
+    /// has one. A reset within that time proves that the request was not sent.
     fn delay_first_write(&mut self, index: usize, now: Instant) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
@@ -360,10 +360,10 @@
         let Some(running) = connection.running.as_mut() else {
             return;
         };
-        if running.settle_time.is_zero() {
+        if running.observe_before_write.is_zero() {
             return;
         }
-        let write_at = now + running.settle_time;
+        let write_at = now + running.observe_before_write;
         running.write_at = Some(write_at);
         let key = ConnectionKey {
             index,
--- a/crates/ledgelead-runtime/src/process.rs
+++ b/crates/ledgelead-runtime/src/process.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Runs a node until it is asked to stop. Calls `started` with the addresses once they are
+/// Runs a node until a stop is requested. Calls `started` with the addresses once they are
 /// bound.
 ///
 /// # Errors
--- a/crates/ledgelead-runtime/src/reactor.rs
+++ b/crates/ledgelead-runtime/src/reactor.rs
@@ -70,7 +70,7 @@
     control: Control,
     settings: Box<dyn SettingsSource>,
     stop_grace: Duration,
-    /// When the process was asked to stop.
+    /// When a stop was requested.
     stop_requested_at: Option<Instant>,
     inputs: VecDeque<Input>,
     timer: MinTimerKey,
--- a/crates/ledgelead-runtime/tests/outbound.rs
+++ b/crates/ledgelead-runtime/tests/outbound.rs
@@ -13,8 +13,8 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Settle time and time limits of the exchanges: far longer than any test takes.
-const SETTLE_TIME: Duration = Duration::from_secs(600);
+/// Time limits and observation time of the exchanges: far longer than any test takes.
+const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// An exchange on a new connection, and the instance's end of the connection.
 struct Fixture {
@@ -30,16 +30,16 @@
     ExchangeOptions {
         match_header: None,
         reuse_idle_below: Duration::ZERO,
-        connect_timeout: SETTLE_TIME * 2,
+        connect_timeout: LONG_TIMEOUT * 2,
         write_timeout: None,
-        settle: SETTLE_TIME,
-        timeout: SETTLE_TIME * 2,
+        settle: LONG_TIMEOUT,
+        timeout: LONG_TIMEOUT * 2,
         renewed: false,
     }
 }
 
 /// Options by which the request is written as soon as the connection is established.
-fn without_settle_time() -> ExchangeOptions {
+fn without_observation() -> ExchangeOptions {
     ExchangeOptions {
         settle: Duration::ZERO,
         ..options()
@@ -105,11 +105,11 @@
 }
 
 #[gtest]
-fn a_request_on_a_new_connection_is_written_after_the_settle_time() {
+fn a_request_on_a_new_connection_is_written_after_the_observation_time() {
     let mut fixture = fixture();
     let mut inputs = Vec::new();
     // Before the connection is established, its time limit is the next deadline.
-    while fixture.outbound.next_deadline() != Some(fixture.start + SETTLE_TIME) {
+    while fixture.outbound.next_deadline() != Some(fixture.start + LONG_TIMEOUT) {
         fixture
             .outbound
             .ready(fixture.key, fixture.start, &mut inputs);
@@ -120,7 +120,7 @@
     expect_that!(early, err(eq(ErrorKind::WouldBlock)));
     fixture
         .outbound
-        .expire(fixture.start + SETTLE_TIME, &mut inputs);
+        .expire(fixture.start + LONG_TIMEOUT, &mut inputs);
     fixture.peer.set_nonblocking(false).expect("a socket");
     let count = fixture.peer.read(&mut buffer).expect("bytes");
     expect_that!(buffer[..count].starts_with(b"POST /once"), eq(true));
@@ -134,14 +134,14 @@
     abort: impl Fn(&mut Outbound, Instant),
 ) -> std::io::Result<usize> {
     let mut inputs = Vec::new();
-    while fixture.outbound.next_deadline() != Some(fixture.start + SETTLE_TIME) {
+    while fixture.outbound.next_deadline() != Some(fixture.start + LONG_TIMEOUT) {
         fixture
             .outbound
             .ready(fixture.key, fixture.start, &mut inputs);
     }
     fixture
         .outbound
-        .expire(fixture.start + SETTLE_TIME, &mut inputs);
+        .expire(fixture.start + LONG_TIMEOUT, &mut inputs);
     let mut buffer = [0; 1_024];
     let count = fixture.peer.read(&mut buffer).expect("the request");
     expect_that!(count, gt(0));
@@ -162,7 +162,7 @@
         error.kind() == ErrorKind::ConnectionReset
     }));
     let timed_out = read_after_abort(&mut fixture(), |outbound, start| {
-        outbound.expire(start + SETTLE_TIME * 2, &mut Vec::new());
+        outbound.expire(start + LONG_TIMEOUT * 2, &mut Vec::new());
     });
     expect_that!(timed_out, is_reset);
 }
@@ -176,7 +176,7 @@
         vec![b'x'; LARGE_BODY_BYTES],
         ExchangeOptions {
             write_timeout,
-            ..without_settle_time()
+            ..without_observation()
         },
     );
     let mut inputs = Vec::new();
@@ -263,7 +263,7 @@
 
 #[gtest]
 fn a_reset_after_the_last_byte_proves_nothing() {
-    let mut fixture = fixture_with(Vec::new(), without_settle_time());
+    let mut fixture = fixture_with(Vec::new(), without_observation());
     poll_until_request_arrives(&mut fixture);
     drop(take_peer(&mut fixture));
     expect_that!(fail_by(&mut fixture, poll), eq(ExchangeFailure::Lost));
@@ -288,8 +288,8 @@
 
 #[gtest]
 fn a_request_that_is_not_written_within_its_time_limit_is_never_run() {
-    let mut fixture = partly_written(Some(SETTLE_TIME));
-    let at = fixture.start + SETTLE_TIME;
+    let mut fixture = partly_written(Some(LONG_TIMEOUT));
+    let at = fixture.start + LONG_TIMEOUT;
     expect_that!(fixture.outbound.next_deadline(), some(eq(at)));
     let failure = fail_by(&mut fixture, |fixture, inputs| {
         fixture.outbound.expire(at, inputs);
@@ -313,18 +313,18 @@
     let mut fixture = fixture_with(
         Vec::new(),
         ExchangeOptions {
-            write_timeout: Some(SETTLE_TIME),
-            ..without_settle_time()
+            write_timeout: Some(LONG_TIMEOUT),
+            ..without_observation()
         },
     );
     let mut inputs = poll_until_request_arrives(&mut fixture);
     fixture
         .outbound
-        .expire(fixture.start + SETTLE_TIME, &mut inputs);
+        .expire(fixture.start + LONG_TIMEOUT, &mut inputs);
     expect_that!(inputs, is_empty());
     fixture
         .outbound
-        .expire(fixture.start + SETTLE_TIME * 2, &mut inputs);
+        .expire(fixture.start + LONG_TIMEOUT * 2, &mut inputs);
     let timed_out = matches!(
         inputs[0],
         Input::Exchanged {
@@ -337,7 +337,7 @@
 
 #[gtest]
 fn an_idle_connection_that_the_peer_has_closed_proves_that_nothing_was_sent() {
-    let mut fixture = fixture_with(Vec::new(), without_settle_time());
+    let mut fixture = fixture_with(Vec::new(), without_observation());
     let mut inputs = poll_until_request_arrives(&mut fixture);
     let mut request = [0; 4_096];
     let count = fixture.peer.read(&mut request).expect("the request");
@@ -360,8 +360,8 @@
         address,
         request: Some(Request::new("POST", "/once", Vec::new())),
         options: ExchangeOptions {
-            reuse_idle_below: SETTLE_TIME,
-            ..without_settle_time()
+            reuse_idle_below: LONG_TIMEOUT,
+            ..without_observation()
         },
     };
     let started = fixture
--- a/crates/ledgelead-types/src/configuration.rs
+++ b/crates/ledgelead-types/src/configuration.rs
@@ -282,7 +282,7 @@
         })
     }
 
-    /// The caller that holds a credential, by its SHA-256 in hexadecimal.
+    /// The caller with this credential, given as its SHA-256 in hexadecimal.
     pub fn caller_by_credential(&self, credential_sha256: &str) -> Option<&CallerConfiguration> {
         self.callers
             .iter()
