--- a/crates/ledgelead-router/tests/node/response_notices.rs
+++ b/crates/ledgelead-router/tests/node/response_notices.rs
@@ -183,7 +183,7 @@
         );
         fixture.run_until(fixture.now + ms(301));
     }
-    expect_that!(fixture.node.status().requests.repeats, is_empty());
+    expect_that!(fixture.node.status().requests.retries, is_empty());
     fixture.request(KEYED, Some(7));
     expect_that!(answer_all(&mut fixture, |_| success()), len(eq(1)));
 }
