--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -113,7 +113,7 @@
             tried: Some(entry.failed_instance).filter(|tried| *tried > 0),
         };
         let decided = match self.stopping {
-            true => Err(Declined::Stops),
+            true => Err(Declined::ShuttingDown),
             false => self
                 .dispatch_request(&request, entry.service, now)
                 .ok_or(Declined::UnknownQueue),
@@ -234,7 +234,7 @@
             Ok(Admission::Granted(server)) => (PermitVerdict::Granted, server),
             Ok(Admission::Queued) => (PermitVerdict::Queued, 0),
             Ok(Admission::Refused) => (PermitVerdict::Refused, 0),
-            Err(Declined::Stops) => (PermitVerdict::ShuttingDown, 0),
+            Err(Declined::ShuttingDown) => (PermitVerdict::ShuttingDown, 0),
             Err(Declined::UnknownQueue) => (PermitVerdict::UnknownQueue, 0),
         };
         let message = PeerMessage::PermitDecision {
@@ -257,7 +257,7 @@
         PermitVerdict::Granted => Ok(Admission::Granted(server)),
         PermitVerdict::Queued => Ok(Admission::Queued),
         PermitVerdict::Refused => Ok(Admission::Refused),
-        PermitVerdict::ShuttingDown => Err(Declined::Stops),
+        PermitVerdict::ShuttingDown => Err(Declined::ShuttingDown),
         PermitVerdict::UnknownQueue => Err(Declined::UnknownQueue),
     }
 }
--- a/crates/ledgelead-router/tests/node/rate_limits.rs
+++ b/crates/ledgelead-router/tests/node/rate_limits.rs
@@ -139,7 +139,7 @@
     let retry_after: Option<f64> = response.headers.number("retry-after");
     // One token per second, extended at random by up to 0.7 of that.
     expect_that!(retry_after, some(all!(gt(0.0), le(1.8))));
-    expect_that!(fixture.node.status().requests.repeats, is_empty());
+    expect_that!(fixture.node.status().requests.retries, is_empty());
 }
 
 #[gtest]
