--- a/crates/ledgelead-lab/src/fleet/checker.rs
+++ b/crates/ledgelead-lab/src/fleet/checker.rs
@@ -1,43 +1,46 @@
-//! Judges what the stand-ins recorded.
+//! Checks the recorded behaviour of the simulated services for violations.
 
-use super::instance::{Instance, KEYS};
+use super::instance::{Instance, KEY_COUNT};
 use ledgelead_router::dialect::KeyRange;
 use ledgelead_router::identity::{InstanceId, ServiceName};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What must never happen.
+/// Kinds of violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ViolationKind {
-    /// Two live instances held the same key by grants that came in time.
+    /// Two live instances held the same key under grants that were not late.
     SingleOwner,
-    /// Keys passed to another instance, or another life, under no higher token.
+    /// Keys moved to another instance or incarnation without a higher token.
     TokenRises,
-    /// A life got its earlier life's keys from a node that knew of it.
-    LivesApart,
-    /// Two live instances held the same key and both began requests on it.
+    /// An incarnation received the keys of its predecessor from a node that knew of the new
+    /// incarnation.
+    DistinctIncarnations,
+    /// Two live instances held the same key and both started requests for it.
     TwoOwnersServed,
-    /// A request that may run once ran twice.
+    /// A request that may run at most once ran twice.
     OnceOnly,
-    /// A request ran although its client was told that it had not.
+    /// A request ran although its client was told that it did not.
     NotRunIsTrue,
-    /// A leaving instance got a request long after it said so.
+    /// A leaving instance received a request long after it announced its departure.
     NoNewWorkAfterLeave,
-    /// A leaving instance got a request long after an answer had told the node so.
+    /// A leaving instance received a request from a node long after it told that node in a
+    /// response.
     LeavingHeeded,
-    /// An instance got several requests of a node in a pause that it had asked it for.
+    /// An instance received several requests from a node during a pause that it had requested
+    /// from that node.
     PauseKept,
-    /// An instance got more requests than the rate limit that it names allows.
+    /// An instance received more requests than its announced rate limit allows.
     LimitKept,
-    /// A node went back to an older configuration.
+    /// A node reverted to an older configuration.
     ConfigurationMonotonic,
-    /// A node in touch lacked a configuration long after it was acknowledged.
+    /// A node connected to the store lacked a configuration long after its acknowledgement.
     ConfigurationInTime,
-    /// A client got the answer to another request.
+    /// A client received the response to another request.
     AnswerMatchesRequest,
-    /// A request under which three instances had ended went on to be sent.
+    /// A request that had crashed three instances was forwarded again.
     CrashesContained,
-    /// A request was held back under which no instance ended by itself.
+    /// A request that crashes no instances was quarantined.
     HarmlessServed,
 }
 
@@ -47,7 +50,7 @@
         match self {
             ViolationKind::SingleOwner => "single_owner",
             ViolationKind::TokenRises => "token_rises",
-            ViolationKind::LivesApart => "lives_apart",
+            ViolationKind::DistinctIncarnations => "lives_apart",
             ViolationKind::TwoOwnersServed => "two_owners_served",
             ViolationKind::OnceOnly => "once_only",
             ViolationKind::NotRunIsTrue => "not_run_is_true",
@@ -64,36 +67,36 @@
     }
 }
 
-/// One violation.
+/// A violation.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// Its kind.
     pub kind: ViolationKind,
-    /// When it was seen.
+    /// When it was detected.
     pub at: Duration,
-    /// What was seen.
+    /// Details of the violation.
     pub what: String,
 }
 
-/// The checker.
+/// Collects violations during a run.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// What was found.
+    /// Violations found so far.
     pub violations: Vec<Violation>,
     runs: HashMap<u64, u32>,
     refused: HashMap<u64, Duration>,
     versions: BTreeMap<(usize, u64), u64>,
     late: BTreeSet<((usize, u64), u64)>,
-    /// The highest token of each key so far, and the life that held the key under it.
+    /// The highest token seen for each key, and the incarnation that held the key under it.
     tokens: BTreeMap<ServiceName, Vec<(u64, usize)>>,
 }
 
 impl Checker {
-    fn found(&mut self, kind: ViolationKind, at: Duration, what: String) {
+    fn record_violation(&mut self, kind: ViolationKind, at: Duration, what: String) {
         self.violations.push(Violation { kind, at, what });
     }
 
-    /// An instance took a grant that came in time.
+    /// An instance accepted a grant that was not late.
     pub fn granted(
         &mut self,
         holder: usize,
@@ -108,7 +111,7 @@
             if same {
                 continue;
             }
-            let overlapping = other.holds.iter().find(|hold| {
+            let overlapping = other.held_ranges.iter().find(|hold| {
                 hold.until > now
                     && !hold.late
                     && hold.range.first <= range.last
@@ -122,28 +125,28 @@
                     hold.range,
                     hold.until
                 );
-                self.found(ViolationKind::SingleOwner, now, what);
+                self.record_violation(ViolationKind::SingleOwner, now, what);
             }
         }
     }
 
-    /// A life took a grant that came in time. Its token is above those under which other
-    /// lives have held the keys; a grant that was meant for an earlier life, and was on
-    /// its way as that ended, is the same grant as before.
-    pub fn passed(
+    /// An incarnation accepted a grant that was not late. Its token must exceed those under
+    /// which other incarnations held the keys. A grant addressed to a previous incarnation
+    /// that was in flight when that ended counts as the same grant.
+    pub fn keys_transferred(
         &mut self,
         holder: usize,
-        is_meant: bool,
+        is_intended: bool,
         (range, fence): (KeyRange, u64),
         instances: &[Instance],
         now: Duration,
     ) {
         let tokens = self.tokens.entry(instances[holder].record.service.clone());
-        let tokens = tokens.or_insert_with(|| vec![(0, holder); KEYS]);
+        let tokens = tokens.or_insert_with(|| vec![(0, holder); KEY_COUNT]);
         let mut found = None;
         for token in &mut tokens[usize::from(range.first)..=usize::from(range.last)] {
             let (highest, other) = *token;
-            if highest >= fence && other != holder && is_meant {
+            if highest >= fence && other != holder && is_intended {
                 found = Some(*token);
             }
             if fence >= highest {
@@ -153,26 +156,28 @@
         if let Some((highest, other)) = found {
             let (holder, other) = (instances[holder].id(), instances[other].id());
             let what = format!("{holder} takes {range:?} under {fence}, {other} had {highest}");
-            self.found(ViolationKind::TokenRises, now, what);
+            self.record_violation(ViolationKind::TokenRises, now, what);
         }
     }
 
-    /// A life got an order for its earlier life from a node that had long known of it.
-    pub fn former_life_meant(
+    /// An incarnation received an order addressed to its predecessor, from a node that had
+    /// known of the new incarnation for long enough.
+    pub fn order_for_previous_incarnation(
         &mut self,
         node: usize,
-        meant: &InstanceId,
-        life: &Instance,
+        intended: &InstanceId,
+        incarnation: &Instance,
         (range, fence): (KeyRange, u64),
         now: Duration,
     ) {
-        let life = life.id();
-        let what = format!("{life} gets {range:?} under {fence} for {meant} from node {node}");
-        self.found(ViolationKind::LivesApart, now, what);
+        let incarnation = incarnation.id();
+        let what =
+            format!("{incarnation} gets {range:?} under {fence} for {intended} from node {node}");
+        self.record_violation(ViolationKind::DistinctIncarnations, now, what);
     }
 
-    /// An instance began a request.
-    pub fn began(
+    /// An instance started a request.
+    pub fn request_started(
         &mut self,
         holder: usize,
         attempt: u64,
@@ -184,11 +189,11 @@
         let runs = self.runs.entry(attempt).or_default();
         *runs += 1;
         if once && *runs > 1 {
-            self.found(ViolationKind::OnceOnly, now, format!("request {attempt}"));
+            self.record_violation(ViolationKind::OnceOnly, now, format!("request {attempt}"));
         }
         if self.refused.contains_key(&attempt) {
             let what = format!("request {attempt} begins after its refusal");
-            self.found(ViolationKind::NotRunIsTrue, now, what);
+            self.record_violation(ViolationKind::NotRunIsTrue, now, what);
         }
         if let Some(key) = key {
             self.check_owner(holder, key, instances, now);
@@ -196,7 +201,7 @@
     }
 
     fn check_owner(&mut self, holder: usize, key: u16, instances: &[Instance], now: Duration) {
-        let Some(own) = instances[holder].hold_of(key, now) else {
+        let Some(own) = instances[holder].held_range_of(key, now) else {
             return;
         };
         let both = instances.iter().enumerate().find(|(index, other)| {
@@ -204,9 +209,12 @@
                 && other.alive
                 && other.record.service == instances[holder].record.service;
             relevant
-                && other.hold_of(key, now).is_some_and(|hold| {
+                && other.held_range_of(key, now).is_some_and(|hold| {
                     let since = hold.since.max(own.since);
-                    other.begun.get(&key).is_some_and(|begun| *begun >= since)
+                    other
+                        .last_started
+                        .get(&key)
+                        .is_some_and(|last_started| *last_started >= since)
                 })
         });
         if let Some((index, _)) = both {
@@ -215,53 +223,63 @@
                 instances[holder].id(),
                 instances[index].id()
             );
-            self.found(ViolationKind::TwoOwnersServed, now, what);
+            self.record_violation(ViolationKind::TwoOwnersServed, now, what);
         }
     }
 
-    /// A client was told that its request had not run.
+    /// A client was told that its request did not run.
     pub fn refused(&mut self, attempt: u64, once: bool, now: Duration) {
         self.refused.insert(attempt, now);
         if once && self.runs.contains_key(&attempt) {
             let what = format!("request {attempt} is refused after it ran");
-            self.found(ViolationKind::NotRunIsTrue, now, what);
+            self.record_violation(ViolationKind::NotRunIsTrue, now, what);
         }
     }
 
-    /// A request has reached instances too often after the third had ended under it.
-    pub fn crashing_sent_on(&mut self, number: usize, node: usize, ended: usize, now: Duration) {
+    /// A request reached more instances than allowed after it had crashed the third one.
+    pub fn crashing_request_reached_instance(
+        &mut self,
+        number: usize,
+        node: usize,
+        ended: usize,
+        now: Duration,
+    ) {
         let what = format!("request {number} from node {node}, {ended} instances have ended");
-        self.found(ViolationKind::CrashesContained, now, what);
+        self.record_violation(ViolationKind::CrashesContained, now, what);
     }
 
     /// A harmless request was refused as one that crashes instances.
-    pub fn harmless_held_back(&mut self, attempt: u64, now: Duration) {
+    pub fn harmless_request_quarantined(&mut self, attempt: u64, now: Duration) {
         let what = format!("request {attempt}");
-        self.found(ViolationKind::HarmlessServed, now, what);
+        self.record_violation(ViolationKind::HarmlessServed, now, what);
     }
 
-    /// A client got an answer.
+    /// A client received a response.
     pub fn answered(&mut self, asked: u64, carried: Option<u64>, now: Duration) {
         if carried != Some(asked) {
             let what = format!("request {asked} got the answer to {carried:?}");
-            self.found(ViolationKind::AnswerMatchesRequest, now, what);
+            self.record_violation(ViolationKind::AnswerMatchesRequest, now, what);
         }
     }
 
-    /// A leaving instance got a request.
-    pub fn worked_while_leaving(
+    /// An instance received a request after the drain bound of its departure.
+    pub fn request_to_leaving(
         &mut self,
         caller: (usize, u64),
         instance: &Instance,
-        left: Duration,
+        leaving_since: Duration,
         now: Duration,
     ) {
-        let what = format!("{} since {left:?}, from node {}", instance.id(), caller.0);
-        self.found(ViolationKind::NoNewWorkAfterLeave, now, what);
+        let what = format!(
+            "{} since {leaving_since:?}, from node {}",
+            instance.id(),
+            caller.0
+        );
+        self.record_violation(ViolationKind::NoNewWorkAfterLeave, now, what);
     }
 
-    /// An instance got a request of a node that had an answer of it saying that it leaves.
-    pub fn sent_to_leaving(
+    /// An instance received a request from a node that it had told of its departure.
+    pub fn request_after_leave_notice(
         &mut self,
         caller: (usize, u64),
         instance: &Instance,
@@ -273,11 +291,12 @@
             instance.id(),
             caller.0
         );
-        self.found(ViolationKind::LeavingHeeded, now, what);
+        self.record_violation(ViolationKind::LeavingHeeded, now, what);
     }
 
-    /// An instance got so many requests in a pause that it had asked a node for.
-    pub fn sent_in_pause(
+    /// An instance received too many requests during a pause that it had requested from a
+    /// node.
+    pub fn requests_in_pause(
         &mut self,
         caller: (usize, u64),
         instance: &Instance,
@@ -289,11 +308,11 @@
             instance.id(),
             caller.0
         );
-        self.found(ViolationKind::PauseKept, now, what);
+        self.record_violation(ViolationKind::PauseKept, now, what);
     }
 
-    /// An instance got more than it allows of the nodes that know of its limit.
-    pub fn sent_beyond_limit(
+    /// An instance received more requests than it allows from the nodes that know its limit.
+    pub fn requests_beyond_limit(
         &mut self,
         instance: &Instance,
         arrived: usize,
@@ -301,25 +320,25 @@
         now: Duration,
     ) {
         let what = format!("{arrived} requests to {}, {allowed} allowed", instance.id());
-        self.found(ViolationKind::LimitKept, now, what);
+        self.record_violation(ViolationKind::LimitKept, now, what);
     }
 
-    /// A node in touch has to have this configuration in force by now.
-    pub fn due_in_force(&mut self, caller: (usize, u64), due: u64, now: Duration) {
+    /// A connected node must have applied this configuration by now.
+    pub fn check_due_version(&mut self, caller: (usize, u64), due: u64, now: Duration) {
         let known = self.versions.get(&caller).copied().unwrap_or(0);
-        // One report for each version that a life of a node lacks.
+        // One report per version that an incarnation of a node lacks.
         if known < due && self.late.insert((caller, due)) {
             let what = format!("node {} has {known} and lacks {due}", caller.0);
-            self.found(ViolationKind::ConfigurationInTime, now, what);
+            self.record_violation(ViolationKind::ConfigurationInTime, now, what);
         }
     }
 
-    /// A node has this configuration in force.
-    pub fn in_force(&mut self, caller: (usize, u64), version: u64, now: Duration) {
+    /// A node has applied this configuration.
+    pub fn configuration_applied(&mut self, caller: (usize, u64), version: u64, now: Duration) {
         let known = self.versions.entry(caller).or_default();
         if version < *known {
             let what = format!("node {} goes from {known} to {version}", caller.0);
-            self.found(ViolationKind::ConfigurationMonotonic, now, what);
+            self.record_violation(ViolationKind::ConfigurationMonotonic, now, what);
         } else {
             *known = version;
         }
--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -57,7 +57,7 @@
     /// Creates an empty directory.
     pub fn new(protections: Protections) -> Directory {
         Directory {
-            merges_incarnations: !protections.has(Protection::LivesApart),
+            merges_incarnations: !protections.has(Protection::DistinctIncarnations),
             ..Directory::default()
         }
     }
@@ -276,7 +276,7 @@
     /// therefore written by something else.
     fn lacks_start_time(&self, id: &InstanceId) -> bool {
         let current = self.current.get(id.name());
-        id.born().is_none() && current.is_some_and(|current| current.id.born().is_some())
+        id.start_ms().is_none() && current.is_some_and(|current| current.id.start_ms().is_some())
     }
 
     /// The later incarnation of a restarted instance, if this one is known to have ended by
@@ -285,7 +285,7 @@
     pub fn later_incarnation(&self, id: &InstanceId) -> Option<&Instance> {
         let current = &self.current.get(id.name())?.id;
         let is_known = self.instances.contains_key(id);
-        let is_later = current != id && (is_known || id.born() < current.born());
+        let is_later = current != id && (is_known || id.start_ms() < current.start_ms());
         is_later.then(|| self.instances.get(current)).flatten()
     }
 
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -1,17 +1,17 @@
-//! Rate limits of instances between nodes: who names one, and asks for tokens.
+//! Distribution of instances' rate limits among nodes, and requests for tokens.
 //!
-//! A limit binds all nodes, but an instance names it to one at a time. So a node reports what
-//! an answer tells it to the coordinator, which announces it to all. Each request then asks
-//! one of the instance's limiters for a token.
+//! A limit applies to all nodes together, but an instance announces it to one node at a time.
+//! So a node reports the limits it finds in responses to the coordinator, which announces them
+//! to all nodes. Each request then asks one of the instance's limiters for a token.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::dispatch::Candidates;
 use crate::identity::ZoneName;
 use crate::io::Action;
 use crate::peers::{
-    Datagram, PeerMessage, RateLimitEntry, TokenVerdictEntry, age_ms, encode, time_of,
+    Datagram, PeerMessage, RateLimitEntry, TokenVerdictEntry, age_ms, encode, time_from_age,
 };
 use crate::protections::Protection;
 use crate::rate_limit::{LimitStatement, LimiterRole, RateLimit, TokenVerdict};
@@ -21,30 +21,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most limits in one message, 17 bytes each, so that it fits the shortest usual MTU.
+/// Maximum number of limits in one message, 17 bytes each, so that it fits the smallest common
+/// MTU.
 const MAX_LIMITS: usize = 64;
-/// Time after which a node asks again that has asked one that is none of the limiters.
+/// Time after which a node repeats its request for a token if the node it asked is not a
+/// limiter of the instance.
 const OTHER_LIMITER_WAIT: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Sends what requests ask limiters for. Returns whether this node has decided on some.
-    pub(super) fn ask_for_tokens(&mut self, now: Timestamp, out: &mut Vec<Action>) -> bool {
+    /// Sends the token requests of open requests to their limiters. Returns whether this node
+    /// has decided on any of them itself.
+    pub(super) fn send_token_requests(&mut self, now: Timestamp, out: &mut Vec<Action>) -> bool {
         let mut has_decided = false;
         loop {
-            let asks = self.requests.take_token_requests();
-            if asks.is_empty() {
+            let token_requests = self.requests.take_token_requests();
+            if token_requests.is_empty() {
                 return has_decided;
             }
-            for (to, ask) in asks {
+            for (to, token_request) in token_requests {
                 if to == self.settings.peer_address {
                     has_decided = true;
-                    let decision = self.decide_on_token(to, &ask, now, out);
+                    let decision = self.decide_on_token(to, &token_request, now, out);
                     self.token_decided(to, &decision, now, out);
                 } else {
                     let message = PeerMessage::TokenAsk {
-                        number: ask.number,
-                        zone: Text(ask.zone.to_string()),
-                        limit: limit_entry(ask.instance, ask.statement, now),
+                        number: token_request.number,
+                        zone: Text(token_request.zone.to_string()),
+                        limit: limit_entry(token_request.instance, token_request.statement, now),
                     };
                     send(to, &[encode(&message)], out);
                 }
@@ -52,30 +55,30 @@
         }
     }
 
-    /// Another node asks for a token.
-    pub(super) fn token_asked(
+    /// Answers another node's request for a token.
+    pub(super) fn token_requested(
         &mut self,
         from: SocketAddr,
-        ask: &TokenRequest,
+        token_request: &TokenRequest,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let decision = self.decide_on_token(from, ask, now, out);
+        let decision = self.decide_on_token(from, token_request, now, out);
         let (verdict, wait) = match decision.verdict {
             TokenVerdict::Granted => (TokenVerdictEntry::Granted, Duration::ZERO),
             TokenVerdict::Refused(wait) => (TokenVerdictEntry::Refused, wait),
             TokenVerdict::Unlimited => (TokenVerdictEntry::Unlimited, Duration::ZERO),
         };
         let message = PeerMessage::TokenDecision {
-            number: ask.number,
-            instance: ask.instance,
+            number: token_request.number,
+            instance: token_request.instance,
             verdict,
             wait_ms: short_millis(wait),
         };
         send(from, &[encode(&message)], out);
     }
 
-    /// A limiter has decided on an ask of this node.
+    /// Applies a limiter's decision on a token request of this node.
     pub(super) fn token_decided(
         &mut self,
         from: SocketAddr,
@@ -89,58 +92,62 @@
 
     fn decide_on_token(
         &mut self,
-        asker: SocketAddr,
-        ask: &TokenRequest,
+        requester: SocketAddr,
+        token_request: &TokenRequest,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> TokenDecision {
         let limits = self.requests.limits_mut();
-        limits.announced(ask.instance, ask.statement);
-        let verdict = match limits.limit(ask.instance) {
+        limits.record_from_peer(token_request.instance, token_request.statement);
+        let verdict = match limits.limit(token_request.instance) {
             None => TokenVerdict::Unlimited,
-            Some(limit) => match self.limiter_role(ask, now, out) {
-                Some(role) => self.limiter.ask(asker, ask.instance, limit, role, now),
+            Some(limit) => match self.limiter_role(token_request, now, out) {
+                Some(role) => {
+                    self.limiter
+                        .request_token(requester, token_request.instance, limit, role, now)
+                }
                 None => TokenVerdict::Refused(OTHER_LIMITER_WAIT),
             },
         };
         TokenDecision {
-            number: ask.number,
-            instance: ask.instance,
+            number: token_request.number,
+            instance: token_request.instance,
             verdict,
         }
     }
 
-    /// Which of an instance's limiters this node is, by its own view of the nodes. Two nodes
-    /// whose views differ are not both the first for longer than their views differ.
+    /// This node's role among an instance's limiters, by its own view of the nodes. Two nodes
+    /// act as the first limiter at the same time only as long as their views differ.
     fn limiter_role(
         &mut self,
-        ask: &TokenRequest,
+        token_request: &TokenRequest,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> Option<LimiterRole> {
         if !self.settings.protections.has(Protection::SharedRateLimit) {
-            return Some(LimiterRole::First);
+            return Some(LimiterRole::Primary);
         }
         let own = self.settings.peer_address;
-        let candidates = Candidates::of_limit(ask.instance, &ask.zone, &self.registry)?;
+        let candidates =
+            Candidates::of_limit(token_request.instance, &token_request.zone, &self.registry)?;
         if candidates.first == own {
-            return Some(LimiterRole::First);
+            return Some(LimiterRole::Primary);
         }
         if candidates.second != Some(own) {
             return None;
         }
-        let standing = self.succession.asked_for(candidates.first, now);
+        let standing = self.succession.asked_in_place_of(candidates.first, now);
         if standing.is_probed {
             let probe = PeerMessage::LimiterProbe { is_reply: false };
             send(candidates.first, &[encode(&probe)], out);
         }
         Some(match standing.is_lost {
-            true => LimiterRole::First,
-            false => LimiterRole::Second,
+            true => LimiterRole::Primary,
+            false => LimiterRole::Secondary,
         })
     }
 
-    /// Reports to the coordinator which limits it lacks.
+    /// Reports to the coordinator the limits that it has not announced.
     pub(super) fn report_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.coordination.coordinator().is_some() || self.requests.limits().is_empty() {
             return;
@@ -151,19 +158,19 @@
         }
     }
 
-    /// As coordinator, announces all limits; with each heartbeat, since datagrams are lost and
-    /// nodes start.
+    /// As coordinator, announces all limits with each heartbeat, since datagrams get lost and
+    /// new nodes start.
     pub(super) fn announce_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.coordination.coordinator().is_none() || self.requests.limits().is_empty() {
             return;
         }
-        let messages = limits_messages(self.requests.limits().current(now), now);
+        let messages = limits_messages(self.requests.limits().to_announce(now), now);
         if !messages.is_empty() {
             self.broadcast(&messages, now, out);
         }
     }
 
-    /// Another node says which instances name limits.
+    /// Applies limits sent by another node.
     pub(super) fn limits_received(
         &mut self,
         from: SocketAddr,
@@ -175,16 +182,16 @@
         let limits = self.requests.limits_mut();
         for entry in entries.iter() {
             let statement = statement_of(entry, now);
-            limits.announced(entry.instance, statement);
+            limits.record_from_peer(entry.instance, statement);
             if is_coordinator {
-                limits.reported(entry.instance, statement.limit);
+                limits.mark_reported(entry.instance, statement.limit);
             }
         }
         self.reconsider_waiting(now, out);
     }
 }
 
-/// Another limiter probes this one, or answers a probe.
+/// Answers the probe of another limiter.
 pub(super) fn limiter_probed(from: SocketAddr, is_reply: bool, out: &mut Vec<Action>) {
     if !is_reply {
         let reply = PeerMessage::LimiterProbe { is_reply: true };
@@ -192,7 +199,7 @@
     }
 }
 
-/// As many messages as the limits take.
+/// Splits the limits into as many messages as needed.
 fn limits_messages(
     limits: impl Iterator<Item = (u64, LimitStatement)>,
     now: Timestamp,
@@ -219,12 +226,12 @@
         limit: entry
             .millis_per_s
             .map(|millis_per_s| RateLimit { millis_per_s }),
-        at: time_of(entry.age_ms, now),
+        at: time_from_age(entry.age_ms, now),
     }
 }
 
-/// A limiter's verdict, as another node has sent it.
-pub(super) fn token_verdict(verdict: TokenVerdictEntry, wait_ms: u16) -> TokenVerdict {
+/// Decodes a limiter's verdict from a message.
+pub(super) fn decode_token_verdict(verdict: TokenVerdictEntry, wait_ms: u16) -> TokenVerdict {
     match verdict {
         TokenVerdictEntry::Granted => TokenVerdict::Granted,
         TokenVerdictEntry::Refused => {
@@ -234,8 +241,8 @@
     }
 }
 
-/// An ask, as another node has sent it.
-pub(super) fn token_ask(
+/// Decodes a token request from a message.
+pub(super) fn decode_token_request(
     number: u64,
     zone: &Text,
     limit: &RateLimitEntry,
--- a/crates/ledgelead-router/src/node/picture.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -1,4 +1,4 @@
-//! Takes over what the store tells.
+//! Applies objects read from the store to the node's state.
 
 use super::Node;
 use crate::Timestamp;
@@ -17,8 +17,8 @@
 use std::collections::BTreeSet;
 
 impl Node {
-    /// A whole list.
-    pub(super) fn apply_all(
+    /// Applies a complete list of objects of one kind.
+    pub(super) fn apply_list(
         &mut self,
         kind: ObjectKind,
         objects: Vec<Object>,
@@ -32,7 +32,7 @@
         let mut zones = Vec::new();
         let mut quarantined = BTreeSet::new();
         for object in objects {
-            self.note_readable(kind, &object);
+            self.note_readability(kind, &object);
             if kind == ObjectKind::Quarantine {
                 self.evidence_read(&object, now);
                 quarantined.extend(RequestDigest::parse(&object.name));
@@ -47,20 +47,23 @@
                     revision: object.revision,
                 }),
                 Ok(ObjectContent::Configuration(configuration)) => {
-                    self.configure(configuration, now, out);
+                    self.activate_configuration(configuration, now, out);
                 }
                 Ok(ObjectContent::Ownership(record)) => {
                     let version = RecordVersion {
                         revision: object.revision,
-                        // A list that may be stale confirms nothing.
+                        // A list that may be stale doesn't confirm the record.
                         is_confirmed: self.store.is_exact(kind),
                     };
                     self.ownership_changed(record, version, started, now, out);
                 }
                 Ok(ObjectContent::Evacuation(zone)) => zones.push(zone),
                 Ok(ObjectContent::Quarantine(_)) => {}
-                // It names nothing to use: a list goes on without it.
-                Err(_) if kind == ObjectKind::Nodes => nodes.extend(self.known_node(&object.name)),
+                // An unreadable registration names no usable node; the rest of the list is
+                // applied.
+                Err(_) if kind == ObjectKind::Nodes => {
+                    nodes.extend(self.known_registration(&object.name))
+                }
                 Err(_) => self.apply_unreadable(kind, &object.name, false, now),
             }
         }
@@ -74,9 +77,9 @@
             ObjectKind::Instances => self.directory.replace_all(instances, now),
             ObjectKind::Nodes => self.replace_nodes(nodes),
             ObjectKind::Ownership => {
-                self.coordination.listed = true;
+                self.coordination.record_listed = true;
                 if is_empty && self.store.is_exact(kind) {
-                    self.record_is_missing(now);
+                    self.note_missing_record(now);
                 }
             }
             ObjectKind::Configuration => {}
@@ -89,13 +92,13 @@
         }
     }
 
-    /// These nodes are registered, and no others.
+    /// Replaces all known registrations of nodes.
     pub(super) fn replace_nodes(&mut self, registrations: Vec<Registration>) {
         self.registry.replace_all(registrations);
         self.note_earlier_incarnation();
     }
 
-    /// The nodes were listed whole, perhaps for the first time.
+    /// Notes that the nodes were listed completely; `is_first` marks the first such list.
     pub(super) fn nodes_listed(&mut self, is_first: bool, now: Timestamp) {
         self.store.registration.listed();
         if is_first {
@@ -103,17 +106,17 @@
         }
     }
 
-    /// Takes changed evacuations into force, and passes them on at once.
+    /// Activates changed evacuations and announces them in an immediate heartbeat.
     pub(super) fn evacuations_changed(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let zones = self.evacuations.zones();
         Event::Evacuated { zones: zones.len() }.emit();
         self.directory.set_evacuated_zones(zones, now);
         self.coordination.note_change();
-        self.gossip.hasten_heartbeat();
+        self.messaging.send_heartbeat_soon();
         self.reconsider_waiting(now, out);
     }
 
-    /// One change.
+    /// Applies a single change of an object.
     pub(super) fn apply_event(
         &mut self,
         kind: ObjectKind,
@@ -124,9 +127,9 @@
     ) {
         let object = event.object;
         if event.gone {
-            self.unreadable.settled(kind, &object.name);
+            self.unreadable.clear(kind, &object.name);
         } else {
-            self.note_readable(kind, &object);
+            self.note_readability(kind, &object);
         }
         if let (Ok(ObjectContent::Quarantine(_)), false) = (&object.content, event.gone) {
             self.evidence_read(&object, now);
@@ -151,7 +154,7 @@
                 self.note_earlier_incarnation();
             }
             Ok(ObjectContent::Configuration(configuration)) if !event.gone => {
-                self.configure(configuration, now, out);
+                self.activate_configuration(configuration, now, out);
             }
             Ok(ObjectContent::Ownership(record)) if !event.gone => {
                 let version = RecordVersion::confirmed(object.revision);
@@ -166,48 +169,50 @@
             }
             Ok(ObjectContent::Quarantine(_)) => {
                 if let Some(request) = RequestDigest::parse(&object.name) {
-                    self.lifted(request, now);
+                    self.quarantine_lifted(request, now);
                 }
             }
-            Ok(_) => self.unreadable.met(kind, &object.name, "was removed"),
+            Ok(_) => self.unreadable.record(kind, &object.name, "was removed"),
             Err(_) => self.apply_unreadable(kind, &object.name, event.gone, now),
         }
     }
 
-    /// An object that can't be read has been written, or is gone and told by its name alone.
-    /// As an instance's entry it names none to use, either way.
+    /// Handles an object that was written in an unreadable form, or that was removed and is
+    /// known only by its name. In both cases it names no usable instance.
     fn apply_unreadable(&mut self, kind: ObjectKind, name: &str, gone: bool, now: Timestamp) {
         match kind {
             ObjectKind::Instances if gone => self.directory.remove(name, now),
-            ObjectKind::Instances if self.settings.protections.has(Protection::ForeignUnused) => {
+            ObjectKind::Instances
+                if self.settings.protections.has(Protection::ExcludeUnreadable) =>
+            {
                 self.directory.remove_unreadable(name, now);
             }
             ObjectKind::Nodes if gone => self.registry.remove(&NodeName::from(name)),
             ObjectKind::Quarantine if gone => {
                 if let Some(request) = RequestDigest::parse(name) {
-                    self.lifted(request, now);
+                    self.quarantine_lifted(request, now);
                 }
             }
             _ => {}
         }
     }
 
-    /// The registration that is known of a node whose object can't be read any more: it
-    /// is reached as before.
-    fn known_node(&self, name: &str) -> Option<Registration> {
+    /// The last known registration of a node whose object has become unreadable. The node is
+    /// still reached by it.
+    fn known_registration(&self, name: &str) -> Option<Registration> {
         self.registry.registration(&NodeName::from(name)).cloned()
     }
 
-    fn note_readable(&mut self, kind: ObjectKind, object: &Object) {
+    fn note_readability(&mut self, kind: ObjectKind, object: &Object) {
         match &object.content {
-            Ok(_) => self.unreadable.settled(kind, &object.name),
-            Err(finding) => self.unreadable.met(kind, &object.name, finding),
+            Ok(_) => self.unreadable.clear(kind, &object.name),
+            Err(finding) => self.unreadable.record(kind, &object.name, finding),
         }
     }
 
-    /// Takes a version of the configuration into force, unless this life of
-    /// the node has a newer one.
-    pub(super) fn configure(
+    /// Activates a configuration, unless this incarnation of the node already has that version
+    /// or a higher one.
+    pub(super) fn activate_configuration(
         &mut self,
         configuration: Configuration,
         now: Timestamp,
@@ -233,16 +238,16 @@
         out: &mut Vec<Action>,
     ) {
         if record.era < era_of(version.revision) {
-            self.former_record_read(record, version, now);
+            self.apply_former_record(record, version, now);
             return;
         }
-        // A write of this node may be told by its answer, or by a list if the
-        // answer was lost: the others hear of it either way.
-        let written = self.writes(&record).then(|| {
+        // A write of this node may be confirmed by its answer, or by a list if the answer was
+        // lost. It is announced to the other nodes in either case.
+        let written = self.is_pending_write(&record).then(|| {
             let changes = record.changes_since(self.ownership.record());
             (self.ownership.revision(), changes)
         });
-        let before = self.record_before();
+        let before = self.record_before_change();
         if !self.ownership.update(record, version) {
             return;
         }
@@ -256,13 +261,15 @@
 }
 
 impl Node {
-    /// The record before a change, where it matters which keys are lost with their owners.
-    pub(super) fn record_before(&self) -> Option<OwnershipRecord> {
-        let matters = self.routes.has_contended();
-        matters.then(|| self.ownership.record().clone())
+    /// A copy of the record before a change, if some routes need to know which keys get a new
+    /// owner without the state of the previous one.
+    pub(super) fn record_before_change(&self) -> Option<OwnershipRecord> {
+        let is_needed = self.routes.has_contended();
+        is_needed.then(|| self.ownership.record().clone())
     }
 
-    /// The record has changed: notes which keys were lost with their owners.
+    /// Records which keys got a new owner without the state of the previous one by a change of
+    /// the record.
     pub(super) fn note_cold_keys(&mut self, before: Option<OwnershipRecord>, now: Timestamp) {
         if let Some(before) = before {
             let after = self.ownership.record();
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -5,7 +5,6 @@
 use super::retries::rejection_cause;
 use super::{RequestContext, Requests};
 use crate::Timestamp;
-use crate::boundary::MAX_SLOTS;
 use crate::dispatch::PermitOutcome;
 use crate::events::Event;
 use crate::identity::{InstanceId, ServiceName};
@@ -19,6 +18,7 @@
 use crate::requests::rejection_cause::RejectionCause;
 use crate::requests::selection::Selected;
 use crate::requests::statistics::ReportedLoad;
+use crate::validation::MAX_SLOTS;
 use crate::whole_millis;
 use ledgelead_http::{Request, Response};
 use std::collections::BTreeSet;
@@ -70,7 +70,7 @@
         let Some(attempt) = open.attempt.clone() else {
             return false;
         };
-        let reviews = self.mechanisms.has(Mechanism::Review) && !self.stopping;
+        let reviews = self.mechanisms.has(Mechanism::SlowAttemptRetry) && !self.stopping;
         if attempt.review_at > context.now || !reviews || !open.is_idempotent() {
             let next = if attempt.review_at > context.now && reviews {
                 attempt.review_at.min(open.due)
@@ -196,7 +196,7 @@
             self.cold_sends.record(&selected.id, context.now);
         }
         let exchange = context.exchanges.next_id();
-        let limits_idle_time = self.mechanisms.has(Mechanism::RestLimit);
+        let limits_idle_time = self.mechanisms.has(Mechanism::IdleConnectionLimit);
         let idle_limit = self
             .idle_limit
             .current(context.now)
@@ -288,7 +288,7 @@
                 self.misdirected |= misdirected && open.misdirection.is_some();
             }
             AttemptOutcome::Unknown { timed_out } => {
-                open.may_have_run = self.protections.has(Protection::HonestRefusal);
+                open.may_have_run = self.protections.has(Protection::AccurateRefusal);
                 open.timed_out |= timed_out;
             }
             AttemptOutcome::Failed(response) => {
@@ -297,7 +297,7 @@
             }
             AttemptOutcome::Relay(_) => {}
         }
-        let retries_unknown = !self.protections.has(Protection::UnknownNotRepeated);
+        let retries_unknown = !self.protections.has(Protection::RetryOnlyIfNotRun);
         if open.may_have_run && !open.is_idempotent() && !retries_unknown {
             open.exhausted = true;
         }
@@ -475,7 +475,7 @@
         connect_timeout: CONNECT_TIMEOUT.min(write_timeout),
         write_timeout: Some(write_timeout),
         // Retrying an idempotent request costs less than delaying every one.
-        settle: if open.is_idempotent() {
+        observe_before_write: if open.is_idempotent() {
             Duration::ZERO
         } else {
             SETTLE_NON_IDEMPOTENT
@@ -483,7 +483,7 @@
         // Slightly longer than this node waits: the request's own timer produces the final
         // response at its deadline.
         timeout: left + ANSWER_MARGIN,
-        renewed: false,
+        timeout_restarts: false,
     }
 }
 
--- a/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/crashes.rs
@@ -5,7 +5,7 @@
 use crate::Timestamp;
 use crate::identity::InstanceId;
 use crate::io::{ClientId, ExchangeFailure};
-use crate::quarantine::{Accusation, CallerId};
+use crate::quarantine::{CallerId, LostAttempt};
 use crate::requests::digest::RequestDigest;
 use crate::requests::open_request::{Attempt, OpenRequest};
 use ledgelead_http::Response;
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct CrashSigns {
     /// Attempts whose connection was lost.
-    pub lost: Vec<(InstanceId, Accusation)>,
+    pub lost: Vec<(InstanceId, LostAttempt)>,
     /// Instances that refused a connection.
     pub refused: Vec<InstanceId>,
     /// Instances that answered, and when the request was sent to them.
@@ -78,7 +78,7 @@
     /// Whether a request is quarantined because it crashes instances.
     pub(super) fn is_quarantined(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
         let evidence = context.evidence;
-        !evidence.is_empty() && evidence.holds_back(&open.digest(), open.caller)
+        !evidence.is_empty() && evidence.is_quarantined_for(&open.digest(), open.caller)
     }
 
     /// Whether a request that was lost with its instance has ended too many instances to be
@@ -111,13 +111,13 @@
         && headers.get(&context.headers.signature).is_some()
 }
 
-fn lost_attempt(open: &OpenRequest, now: Timestamp) -> Accusation {
+fn lost_attempt(open: &OpenRequest, now: Timestamp) -> LostAttempt {
     let path = open.request.path();
     let mut end = path.len().min(MAX_PATH_BYTES);
     while !path.is_char_boundary(end) {
         end -= 1;
     }
-    Accusation {
+    LostAttempt {
         request: open.digest(),
         caller: open.caller,
         path: path[..end].to_owned(),
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -41,7 +41,7 @@
 use crate::ownership::cold_keys::ColdKeys;
 use crate::ownership::coordinator::ExchangeIds;
 use crate::ownership::view::OwnershipView;
-use crate::ownership::work::Work;
+use crate::ownership::work::WorkSample;
 use crate::peers::{OpenRequests, Registry, SharedLoad, SpeedSample};
 use crate::protections::{Protection, Protections};
 use crate::quarantine::{CallerId, Evidence};
@@ -128,7 +128,7 @@
     evacuation_bound: Duration,
     rng: Pcg64Mcg,
     requested_keys: BTreeMap<ServiceName, Vec<u16>>,
-    owner_work: BTreeMap<InstanceId, Work>,
+    owner_work: BTreeMap<InstanceId, WorkSample>,
     changed_load: BTreeSet<InstanceId>,
     /// Services whose instances report their load in responses.
     load_reporting: BTreeSet<ServiceName>,
@@ -256,7 +256,7 @@
     }
 
     /// Returns the work that owners did for requests of this node since the last call.
-    pub fn take_owner_work(&mut self) -> BTreeMap<InstanceId, Work> {
+    pub fn take_owner_work(&mut self) -> BTreeMap<InstanceId, WorkSample> {
         std::mem::take(&mut self.owner_work)
     }
 
@@ -502,7 +502,7 @@
             .map(|wait| Duration::from_millis(wait).saturating_sub(ANSWER_MARGIN));
         let due = context.now + client_wait.map_or(route.timeout, |wait| wait.min(route.timeout));
         Ok(OpenRequest {
-            caller: match self.protections.has(Protection::WholeIdentity) {
+            caller: match self.protections.has(Protection::FullRequestIdentity) {
                 true => CallerId::new(source),
                 false => CallerId::ALL,
             },
@@ -536,7 +536,7 @@
     /// The digest is computed on demand, unless a simulation disables the protection that
     /// compares whole requests.
     fn first_digest(&self, request: &Request) -> OnceCell<RequestDigest> {
-        match self.protections.has(Protection::WholeIdentity) {
+        match self.protections.has(Protection::FullRequestIdentity) {
             true => OnceCell::new(),
             false => {
                 let by_path = Request::new("", request.path(), Vec::new());
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -34,7 +34,7 @@
     /// The step that obtains a token for a request about to be sent to this instance, if it
     /// needs one and has none.
     pub(super) fn token_step(&self, client: ClientId, instance: &InstanceId) -> Option<Step> {
-        if self.statistics.limits.is_empty() || !self.protections.has(Protection::HeededRateLimit) {
+        if self.statistics.limits.is_empty() || !self.protections.has(Protection::HonorRateLimit) {
             return None;
         }
         self.statistics.limits.limit(instance.stable_hash())?;
@@ -111,7 +111,9 @@
         let (Some((limiter, times_asked)), Some(zone), Some(statement)) =
             (limiter, zone, statement)
         else {
-            self.statistics.limits.refused(hash, NO_LIMITER_PAUSE, now);
+            self.statistics
+                .limits
+                .mark_refused(hash, NO_LIMITER_PAUSE, now);
             self.advance(client, context, out);
             return;
         };
@@ -188,14 +190,18 @@
         match decision.verdict {
             TokenVerdict::Granted => {}
             TokenVerdict::Refused(wait) => {
-                self.statistics.limits.refused(decision.instance, wait, now);
+                self.statistics
+                    .limits
+                    .mark_refused(decision.instance, wait, now);
             }
             TokenVerdict::Unlimited => {
                 let ended = LimitStatement {
                     limit: None,
                     at: now,
                 };
-                self.statistics.limits.announced(decision.instance, ended);
+                self.statistics
+                    .limits
+                    .record_from_peer(decision.instance, ended);
             }
         }
         let Some(client) = self.tokens.take_client(decision.number) else {
--- a/crates/ledgelead-router/src/requests/notice.rs
+++ b/crates/ledgelead-router/src/requests/notice.rs
@@ -1,8 +1,8 @@
 //! What instances announce about themselves in responses.
 
-use crate::boundary::{MAX_TIMEOUT, decimal};
 use crate::dialect::HeaderNames;
 use crate::identity::InstanceId;
+use crate::validation::{MAX_TIMEOUT, decimal};
 use ledgelead_http::Response;
 use std::time::Duration;
 
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -84,7 +84,11 @@
 #[gtest]
 fn a_misdirected_answer_under_the_id_of_a_life_proves_no_end() {
     let misdirected = Ok(answer(421, &[("instance", "a")]));
-    let judged = classify_outcome(misdirected, &InstanceId::of_life("a", 10), &headers());
+    let judged = classify_outcome(
+        misdirected,
+        &InstanceId::with_start_time("a", 10),
+        &headers(),
+    );
     expect_that!(
         matches!(judged, AttemptOutcome::Rejected { ended: false, .. }),
         eq(true)
@@ -245,7 +249,7 @@
         ..OpenRequests::default()
     }];
     let from = ([10, 0, 0, 9], 1).into();
-    fixture.shared.counted(from, 1, &told, ms(900));
+    fixture.shared.record_node_counts(from, 1, &told, ms(900));
     expect_that!(fixture.chosen(&[]), eq("b"));
 }
 
@@ -319,7 +323,9 @@
     };
     let entries: Vec<DigestEntry> = loads.iter().map(entry).collect();
     let hub = ([10, 0, 0, 9], 1).into();
-    fixture.shared.digested(hub, 2, &entries, |_| 0, ms(950));
+    fixture
+        .shared
+        .record_digest(hub, 2, &entries, |_| 0, ms(950));
 }
 
 /// How often each of the three instances is chosen in a hundred selections.
@@ -444,7 +450,7 @@
         }];
         fixture
             .shared
-            .counted(([10, 0, 0, 9], 1).into(), 1, &changes, ms(900));
+            .record_node_counts(([10, 0, 0, 9], 1).into(), 1, &changes, ms(900));
     };
     let (with, off) = without(Mechanism::SharedLoad, &told);
     expect_that!((with.as_str(), off.as_str()), eq(("b", "a")));
