--- a/crates/ledgelead-lab/src/fleet/store.rs
+++ b/crates/ledgelead-lab/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The store's stand-in: objects with revisions, watches, conditional writes.
+//! A simulated store with object revisions, watches and conditional writes.
 
 use ledgelead_router::configuration::Configuration;
 use ledgelead_router::dialect::{
@@ -10,56 +10,56 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most objects of one page of a list, unless a run says otherwise.
-pub const PAGE: usize = 500;
+/// Default maximum number of objects per page of a list.
+pub const PAGE_OBJECTS: usize = 500;
 
-/// How many revisions a stale list may be behind.
+/// Interval, in revisions, at which the view for stale lists is refreshed.
 const STALE_REVISIONS: u64 = 12;
 
-/// Who waits for changes.
+/// A watch that waits for changes.
 #[derive(Clone, Debug)]
-pub struct Waiting {
-    /// The node and its life.
+pub struct PendingWatch {
+    /// The node index and its incarnation.
     pub caller: (usize, u64),
     /// Its exchange.
     pub exchange: ExchangeId,
-    /// The kind that is watched.
+    /// The watched kind.
     pub kind: ObjectKind,
-    /// Changes after this revision are wanted.
+    /// The watch reports changes after this revision.
     pub revision: u64,
 }
 
-/// What a call leads to.
+/// Result of a store call.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An answer at once.
+    /// An immediate answer.
     Answer(StoreAnswer),
-    /// The watch waits.
+    /// The watch waits for changes.
     Wait {
-        /// The kind that is watched.
+        /// The watched kind.
         kind: ObjectKind,
-        /// Changes after this revision are wanted.
+        /// The watch reports changes after this revision.
         revision: u64,
-        /// For how long.
+        /// Maximum wait time.
         wait: Duration,
     },
 }
 
-/// Objects as they were at an earlier revision, for lists that may be stale.
+/// Objects at an earlier revision, which lists that accept stale data return.
 #[derive(Clone)]
-struct Earlier {
+struct StaleView {
     objects: BTreeMap<(ObjectKind, String), Object>,
     revision: u64,
 }
 
-/// The store's state at a time.
+/// A snapshot of the store for a later restore.
 #[derive(Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     revision: u64,
     objects: BTreeMap<(ObjectKind, String), Object>,
     history: Vec<Change>,
-    forgotten: u64,
-    earlier: Option<Earlier>,
+    compacted_revision: u64,
+    stale_view: Option<StaleView>,
 }
 
 #[derive(Clone)]
@@ -69,70 +69,71 @@
     event: ObjectEvent,
 }
 
-/// The store.
+/// The simulated store.
 #[derive(Default)]
 pub struct Store {
     revision: u64,
     objects: BTreeMap<(ObjectKind, String), Object>,
     history: Vec<Change>,
-    forgotten: u64,
-    earlier: Option<Earlier>,
-    page: usize,
-    /// Rises each time the store comes back from a copy.
+    compacted_revision: u64,
+    stale_view: Option<StaleView>,
+    page_objects: usize,
+    /// Increases each time the store is restored from a snapshot.
     era: u64,
-    /// Watches that wait.
-    pub waiting: Vec<Waiting>,
+    /// Watches that wait for changes.
+    pub pending_watches: Vec<PendingWatch>,
 }
 
 impl Store {
-    /// An empty store whose lists come in pages of so many objects.
-    pub fn with_page(page: usize) -> Store {
+    /// Creates an empty store that lists up to `page_objects` objects per page.
+    pub fn with_page_size(page_objects: usize) -> Store {
         Store {
-            page,
+            page_objects,
             ..Store::default()
         }
     }
 
-    /// The era.
+    /// The current era.
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// The state as it is now.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy {
+    /// Takes a snapshot of the current state.
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot {
             revision: self.revision,
             objects: self.objects.clone(),
             history: self.history.clone(),
-            forgotten: self.forgotten,
-            earlier: self.earlier.clone(),
+            compacted_revision: self.compacted_revision,
+            stale_view: self.stale_view.clone(),
         }
     }
 
-    /// The state is that of a copy again.
-    pub fn restore(&mut self, copy: StoreCopy) {
-        self.revision = copy.revision;
-        self.objects = copy.objects;
-        self.history = copy.history;
-        self.forgotten = copy.forgotten;
-        self.earlier = copy.earlier;
-        self.waiting.clear();
+    /// Replaces the state with a snapshot and increments the era.
+    pub fn restore(&mut self, snapshot: StoreSnapshot) {
+        self.revision = snapshot.revision;
+        self.objects = snapshot.objects;
+        self.history = snapshot.history;
+        self.compacted_revision = snapshot.compacted_revision;
+        self.stale_view = snapshot.stale_view;
+        self.pending_watches.clear();
         self.era += 1;
     }
 
-    /// The names of all objects of a kind.
+    /// Names of all objects of a kind.
     pub fn names(&self, kind: ObjectKind) -> BTreeSet<String> {
         let of_kind = self.objects.keys().filter(|(of, _)| *of == kind);
         of_kind.map(|(_, name)| name.clone()).collect()
     }
 
-    /// The operator writes a configuration.
+    /// Writes a configuration on behalf of the operator.
     pub fn configure(&mut self, configuration: Configuration) {
         let content = ObjectContent::Configuration(configuration);
         self.put(ObjectKind::Configuration, "main", content);
     }
 
-    /// An instance writes its entry; a heartbeat alone is no change.
+    /// Writes the entry of an instance. An unchanged record, such as a mere heartbeat, creates
+    /// no revision.
     pub fn register(&mut self, record: InstanceRecord) {
         let name = record.id.name().to_owned();
         let known = self.objects.get(&(ObjectKind::Instances, name.clone()));
@@ -149,7 +150,7 @@
         );
     }
 
-    /// An entry goes.
+    /// Removes the entry of an instance.
     pub fn remove_instance(&mut self, name: &str) {
         let key = (ObjectKind::Instances, name.to_owned());
         if let Some(object) = self.objects.remove(&key) {
@@ -162,14 +163,14 @@
         }
     }
 
-    /// Another writer makes or replaces an object, by what can't be read.
-    pub fn spoil(&mut self, kind: ObjectKind, name: &str) {
+    /// Creates or replaces an object with unreadable content, as a foreign writer would.
+    pub fn write_unreadable(&mut self, kind: ObjectKind, name: &str) {
         self.write(kind, name, Err("no such field".to_owned()));
     }
 
-    /// The history is forgotten; watches that wait get no more of it.
+    /// Drops the change history, so that pending watches lose their position in it.
     pub fn compact(&mut self) {
-        self.forgotten = self.revision;
+        self.compacted_revision = self.revision;
         self.history.clear();
     }
 
@@ -179,7 +180,7 @@
         object
     }
 
-    /// What nodes and instances write is what an adapter would read.
+    /// Asserts that a store adapter would accept what nodes and instances write.
     fn assert_within_bounds(&self, kind: ObjectKind, object: &Object) {
         let mut checked = object.clone();
         validation::check(kind, &mut checked);
@@ -195,7 +196,7 @@
         content: Result<ObjectContent, String>,
     ) -> Object {
         if self.revision.is_multiple_of(STALE_REVISIONS) {
-            self.earlier = Some(Earlier {
+            self.stale_view = Some(StaleView {
                 objects: self.objects.clone(),
                 revision: self.revision,
             });
@@ -241,7 +242,7 @@
                 Outcome::Answer(if exists {
                     StoreAnswer::Conflict
                 } else {
-                    StoreAnswer::Written(self.put(content.kind(), name, unwritten(content)))
+                    StoreAnswer::Written(self.put(content.kind(), name, object_content(content)))
                 })
             }
             StoreCall::Replace {
@@ -265,13 +266,13 @@
         if revision.is_some_and(|revision| revision != object.revision) {
             return StoreAnswer::Conflict;
         }
-        StoreAnswer::Written(self.put(content.kind(), name, unwritten(content)))
+        StoreAnswer::Written(self.put(content.kind(), name, object_content(content)))
     }
 
     fn list(&self, kind: ObjectKind, after: Option<&str>, stale: bool) -> StoreAnswer {
         let after = after.unwrap_or_default();
-        let (listed, revision) = match &self.earlier {
-            Some(earlier) if stale => (&earlier.objects, earlier.revision),
+        let (listed, revision) = match &self.stale_view {
+            Some(stale_view) if stale => (&stale_view.objects, stale_view.revision),
             _ => (&self.objects, self.revision),
         };
         let mut objects: Vec<Object> = listed
@@ -279,8 +280,8 @@
             .filter(|((of, name), _)| *of == kind && name.as_str() > after)
             .map(|(_, object)| object.clone())
             .collect();
-        let more = objects.len() > self.page;
-        objects.truncate(self.page);
+        let more = objects.len() > self.page_objects;
+        objects.truncate(self.page_objects);
         StoreAnswer::Objects {
             objects,
             more,
@@ -288,9 +289,9 @@
         }
     }
 
-    /// The changes of a kind after a revision, if there are some.
+    /// The changes of a kind after a revision, if any.
     pub fn changes(&self, kind: ObjectKind, revision: u64) -> Option<StoreAnswer> {
-        if revision < self.forgotten || revision > self.revision {
+        if revision < self.compacted_revision || revision > self.revision {
             return Some(StoreAnswer::HistoryLost);
         }
         let events: Vec<ObjectEvent> = self
@@ -305,7 +306,7 @@
         })
     }
 
-    /// The answer of a watch whose time is over.
+    /// The answer to a watch that timed out.
     pub fn no_changes(&self) -> StoreAnswer {
         StoreAnswer::Events {
             events: Vec::new(),
@@ -314,7 +315,7 @@
     }
 }
 
-fn unwritten(content: &WrittenContent) -> ObjectContent {
+fn object_content(content: &WrittenContent) -> ObjectContent {
     match content {
         WrittenContent::Ownership(record) => ObjectContent::Ownership(record.clone()),
         WrittenContent::Node(record) => ObjectContent::Node(record.clone()),
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -1,21 +1,24 @@
-//! Messages about permits: asks of this node's requests, and its answers as dispatcher.
+//! Messages about permits: requests for permits from this node, and its decisions as
+//! dispatcher.
 
 use super::Node;
-use super::gossip::send;
+use super::messaging::send;
 use crate::Timestamp;
 use crate::directory::Instance;
 use crate::dispatch::{
-    Admission, Decided, InstanceLoad, PermitId, PermitOutcome, QueueAsk, QueueKind, Server,
+    Admission, DispatchDecision, DispatchRequest, InstanceLoad, PermitId, PermitOutcome, QueueKind,
+    Server,
 };
 use crate::io::Action;
 use crate::peers::{PeerMessage, PermitAskEntry, PermitReturnReason, PermitVerdict, encode};
-use crate::requests::{Ask, Declined, PermitDecision, PermitMessage, pool_hash};
+use crate::requests::{Declined, PermitDecision, PermitMessage, PermitRequest, pool_hash};
 use crate::short_millis;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 impl Node {
-    /// Sends what requests have for dispatchers, and does what is due as one.
+    /// Sends pending messages to dispatchers, and announces the decisions that are due as
+    /// dispatcher.
     pub(super) fn dispatch(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let due = self.dispatcher.deadline(now);
         self.announce_decisions(due, now, out);
@@ -39,19 +42,27 @@
     ) {
         let is_own = to == self.settings.peer_address;
         match message {
-            PermitMessage::Ask(ask) if is_own => {
-                self.permit_asked(to, &ask_entry(&ask), now, out);
+            PermitMessage::Request(request) if is_own => {
+                self.permit_requested(to, &encode_permit_request(&request), now, out);
             }
-            PermitMessage::Ask(ask) => {
-                let message = PeerMessage::PermitAsk(ask_entry(&ask));
+            PermitMessage::Request(request) => {
+                let message = PeerMessage::PermitAsk(encode_permit_request(&request));
                 send(to, &[encode(&message)], out);
             }
-            PermitMessage::Return { number, queue, how } if is_own => {
-                let asker = PermitId { node: to, number };
-                self.permit_returned(queue, asker, how, now, out);
+            PermitMessage::Return {
+                number,
+                queue,
+                outcome,
+            } if is_own => {
+                let requester = PermitId { node: to, number };
+                self.permit_returned(queue, requester, outcome, now, out);
             }
-            PermitMessage::Return { number, queue, how } => {
-                let (ended, took_ms, load) = match how {
+            PermitMessage::Return {
+                number,
+                queue,
+                outcome,
+            } => {
+                let (ended, took_ms, load) = match outcome {
                     PermitOutcome::Answered { took, load } => (
                         PermitReturnReason::Answered,
                         short_millis(took),
@@ -75,25 +86,25 @@
         }
     }
 
-    /// A node asks this one for a permit.
-    pub(super) fn permit_asked(
+    /// Handles a request for a permit.
+    pub(super) fn permit_requested(
         &mut self,
         from: SocketAddr,
         entry: &PermitAskEntry,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let asker = PermitId {
+        let requester = PermitId {
             node: from,
             number: entry.number,
         };
-        let ask = QueueAsk {
+        let request = DispatchRequest {
             queue: entry.queue,
             kind: match entry.is_pool {
                 true => QueueKind::Pool,
                 false => QueueKind::Owner,
             },
-            asker,
+            requester,
             urgency: entry.urgency,
             to_target: Duration::from_millis(u64::from(entry.to_target_ms)),
             left: Duration::from_millis(u64::from(entry.remaining_ms)),
@@ -104,7 +115,7 @@
         let decided = match self.stopping {
             true => Err(Declined::Stops),
             false => self
-                .ask_dispatcher(&ask, entry.service, now)
+                .dispatch_request(&request, entry.service, now)
                 .ok_or(Declined::UnknownQueue),
         };
         match decided {
@@ -114,36 +125,37 @@
                     number: entry.number,
                     queue: entry.queue,
                     verdict: Err(declined),
-                    return_after: Duration::ZERO,
+                    retry_after: Duration::ZERO,
                 };
                 self.announce_decision(from, &decision, now, out);
             }
         }
     }
 
-    /// Decides as dispatcher; none where this node doesn't know the queue, or has too many.
-    fn ask_dispatcher(
+    /// Decides as dispatcher. Returns `None` if this node doesn't know the queue or already
+    /// keeps too many queues.
+    fn dispatch_request(
         &mut self,
-        ask: &QueueAsk,
+        request: &DispatchRequest,
         service: u64,
         now: Timestamp,
-    ) -> Option<Vec<Decided>> {
+    ) -> Option<Vec<DispatchDecision>> {
         let services = &self.configuration.as_ref()?.services;
         let known = services
             .iter()
             .find(|known| known.name.stable_hash() == service)?;
         let service = &known.name;
         let own_pool = pool_hash(service, &self.settings.zone);
-        if ask.kind == QueueKind::Pool && ask.queue != own_pool {
+        if request.kind == QueueKind::Pool && request.queue != own_pool {
             return None;
         }
-        // Few nodes may send to a cold instance whose rate is bounded.
+        // If the rate to cold instances is limited, only a few nodes may send to them.
         let is_bounded = known.cold_rate.is_some();
         let directory = &self.directory;
         let shared = &self.shared;
         let zone = &self.settings.zone;
-        let is_behind = |instance: &&Instance| match ask.kind {
-            QueueKind::Owner => instance.record.id.stable_hash() == ask.queue,
+        let is_candidate = |instance: &&Instance| match request.kind {
+            QueueKind::Owner => instance.record.id.stable_hash() == request.queue,
             QueueKind::Pool => {
                 let is_usable = instance.serves() && !(is_bounded && instance.is_cold(now));
                 is_usable && instance.record.zone == *zone
@@ -155,30 +167,30 @@
                 id,
                 slots: usize::try_from(instance.record.slots).unwrap_or(usize::MAX),
                 is_cold: instance.is_cold(now),
-                work: shared.service_time(id, now),
+                service_time: shared.service_time(id, now),
             }
         };
         let servers = || {
-            let behind = directory.of_service(service).filter(is_behind);
-            behind.map(server).collect::<Vec<Server>>()
+            let candidates = directory.of_service(service).filter(is_candidate);
+            candidates.map(server).collect::<Vec<Server>>()
         };
-        self.dispatcher.ask(ask, servers, now)
+        self.dispatcher.ask(request, servers, now)
     }
 
-    /// A permit of this dispatcher comes back.
+    /// Handles the return of a permit that this dispatcher granted.
     pub(super) fn permit_returned(
         &mut self,
         queue: u64,
-        asker: PermitId,
-        how: PermitOutcome,
+        requester: PermitId,
+        outcome: PermitOutcome,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let decided = self.dispatcher.returned(queue, asker, how, now);
+        let decided = self.dispatcher.returned(queue, requester, outcome, now);
         self.announce_decisions(decided, now, out);
     }
 
-    /// A dispatcher has decided on an ask of this node.
+    /// Applies a dispatcher's decision on a permit request of this node.
     pub(super) fn permit_decided(
         &mut self,
         from: SocketAddr,
@@ -190,15 +202,20 @@
         requests.permit_decided(from, decision, &mut context, out);
     }
 
-    fn announce_decisions(&mut self, decided: Vec<Decided>, now: Timestamp, out: &mut Vec<Action>) {
+    fn announce_decisions(
+        &mut self,
+        decided: Vec<DispatchDecision>,
+        now: Timestamp,
+        out: &mut Vec<Action>,
+    ) {
         for decided in decided {
             let decision = PermitDecision {
-                number: decided.asker.number,
+                number: decided.requester.number,
                 queue: decided.queue,
                 verdict: Ok(decided.verdict),
-                return_after: decided.return_after,
+                retry_after: decided.retry_after,
             };
-            self.announce_decision(decided.asker.node, &decision, now, out);
+            self.announce_decision(decided.requester.node, &decision, now, out);
         }
     }
 
@@ -225,14 +242,17 @@
             queue: decision.queue,
             verdict,
             server,
-            return_ms: short_millis(decision.return_after),
+            return_ms: short_millis(decision.retry_after),
         };
         send(to, &[encode(&message)], out);
     }
 }
 
-/// A dispatcher's verdict, as another node has sent it.
-pub(super) fn verdict_of(verdict: PermitVerdict, server: u64) -> Result<Admission, Declined> {
+/// Decodes a dispatcher's verdict from a message.
+pub(super) fn decode_permit_verdict(
+    verdict: PermitVerdict,
+    server: u64,
+) -> Result<Admission, Declined> {
     match verdict {
         PermitVerdict::Granted => Ok(Admission::Granted(server)),
         PermitVerdict::Queued => Ok(Admission::Queued),
@@ -242,8 +262,8 @@
     }
 }
 
-/// How a request ended, as another node has sent it.
-pub(super) fn returned(
+/// Decodes how a request ended from a message.
+pub(super) fn decode_permit_outcome(
     ended: PermitReturnReason,
     took_ms: u16,
     load: Option<(u8, u8)>,
@@ -269,17 +289,17 @@
     (short(load.running), short(load.waiting))
 }
 
-fn ask_entry(ask: &Ask) -> PermitAskEntry {
+fn encode_permit_request(request: &PermitRequest) -> PermitAskEntry {
     PermitAskEntry {
-        number: ask.number,
-        queue: ask.queue,
-        is_pool: ask.kind == QueueKind::Pool,
-        service: ask.service,
-        urgency: u8::try_from(ask.urgency).unwrap_or(u8::MAX),
-        to_target_ms: short_millis(ask.to_target),
-        remaining_ms: short_millis(ask.left),
-        caller: ask.caller,
-        is_cold: ask.is_cold,
-        failed_instance: ask.tried.unwrap_or(0),
+        number: request.number,
+        queue: request.queue,
+        is_pool: request.kind == QueueKind::Pool,
+        service: request.service,
+        urgency: u8::try_from(request.urgency).unwrap_or(u8::MAX),
+        to_target_ms: short_millis(request.to_target),
+        remaining_ms: short_millis(request.left),
+        caller: request.caller,
+        is_cold: request.is_cold,
+        failed_instance: request.tried.unwrap_or(0),
     }
 }
--- a/crates/ledgelead-router/src/node/gossip.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -1,11 +1,12 @@
-//! Messages between nodes: their dispatch, reports to the coordinator, sending.
+//! Messages between nodes: dispatch of received messages, periodic reports to the coordinator,
+//! and sending.
 
 use super::Node;
-use super::dispatch::{returned, verdict_of};
+use super::dispatch::{decode_permit_outcome, decode_permit_verdict};
 use super::leaving::AnnouncedLeaving;
-use super::open_requests::OpenRequestPace;
+use super::open_requests::OpenRequestSchedule;
 use super::quarantine::EvidenceMessage;
-use super::rate_limits::{limiter_probed, token_ask, token_verdict};
+use super::rate_limits::{decode_token_request, decode_token_verdict, limiter_probed};
 use super::relay::{RelayState, TakeOver};
 use crate::Timestamp;
 use crate::dialect::ObjectKind;
@@ -23,64 +24,65 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pause between the coordinator's heartbeats.
+/// Interval between heartbeats of the coordinator.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause between reports of the keys asked for, of a node that may be chosen to pass
-/// broadcasts on: its reports show that it lives.
+/// Interval between load reports of a node that is a candidate for relaying broadcasts. Its
+/// reports show that it is alive.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// The same of any other node, for each node there is: the coordinator gets as many reports a
-/// second whatever the size of the fleet.
-const REPORT_PAUSE_A_NODE: Duration = Duration::from_millis(1);
-/// The longest such pause; counts of keys stand for the last second.
+/// The report interval of any other node is this times the number of nodes, so that the
+/// coordinator gets the same number of reports per second whatever the size of the fleet.
+const REPORT_PAUSE_PER_NODE: Duration = Duration::from_millis(1);
+/// Upper bound of that interval; key counts cover the last second.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// How many nodes prepare at once to follow a coordinator that has resigned.
+/// How many nodes read the record immediately when a coordinator has resigned.
 const PROMPT_SUCCESSORS: usize = 3;
-/// Most keys in one report.
+/// Maximum number of keys in a report.
 const MAX_KEYS: usize = 400;
-/// Most owners in one report.
+/// Maximum number of owners in a report.
 const MAX_WORK: usize = 30;
 
 /// State of the messages between nodes.
-pub(super) struct Gossip {
+pub(super) struct Messaging {
     next_heartbeat: Timestamp,
     next_report: Timestamp,
     pub(super) relay: RelayState,
-    pub(super) open_requests: OpenRequestPace,
-    /// Where the last heartbeat of the coordinator came from.
+    pub(super) open_requests: OpenRequestSchedule,
+    /// Origin of the coordinator's last heartbeat.
     pub(super) coordinator_address: Option<SocketAddr>,
-    /// Which node passed it on, or sent it.
+    /// The node that sent or relayed that heartbeat to this one.
     pub(super) heartbeat_sender: Option<SocketAddr>,
-    /// When this node is on its own again, unless it hears of instances.
-    pub(super) informed_until: Option<Timestamp>,
-    /// The epoch of the coordinator whose view is followed until then.
-    pub(super) followed: Option<u64>,
-    /// Whether the store serves the coordinator, by its last heartbeat.
-    pub(super) serves_coordinator: bool,
-    /// When it was last heard.
-    pub(super) heard_store_at: Timestamp,
-    /// The newest epoch of a heartbeat.
+    /// Until when this node follows the coordinator's view of the store instead of its own
+    /// watches. Each heartbeat of a coordinator that the store serves extends it.
+    pub(super) following_until: Option<Timestamp>,
+    /// Epoch of the coordinator followed until then.
+    pub(super) followed_epoch: Option<u64>,
+    /// Whether the store serves the coordinator, according to its last heartbeat.
+    pub(super) store_serves_coordinator: bool,
+    /// When that last heartbeat was received.
+    pub(super) coordinator_heard_at: Timestamp,
+    /// The highest epoch in any heartbeat.
     pub(super) newest_epoch: u64,
-    /// Heartbeats of an earlier epoch than the newest that is known.
+    /// Heartbeats received with an epoch below the highest known one.
     pub(super) former_heartbeats: u64,
-    /// How long heartbeats are on their way.
+    /// Estimated delay of heartbeats.
     pub(super) delay: DelayEstimate,
-    /// Who leaves, by the coordinator's last word.
+    /// Instances that the coordinator last announced as leaving.
     pub(super) announced_leaving: AnnouncedLeaving,
 }
 
-impl Gossip {
-    pub(super) fn new(now: Timestamp) -> Gossip {
-        Gossip {
+impl Messaging {
+    pub(super) fn new(now: Timestamp) -> Messaging {
+        Messaging {
             next_heartbeat: now,
             next_report: now + REPORT_INTERVAL,
-            open_requests: OpenRequestPace::new(now),
+            open_requests: OpenRequestSchedule::new(now),
             coordinator_address: None,
             heartbeat_sender: None,
             relay: RelayState::default(),
-            informed_until: None,
-            followed: None,
-            serves_coordinator: true,
-            heard_store_at: now,
+            following_until: None,
+            followed_epoch: None,
+            store_serves_coordinator: true,
+            coordinator_heard_at: now,
             newest_epoch: 0,
             former_heartbeats: 0,
             delay: DelayEstimate::default(),
@@ -88,53 +90,58 @@
         }
     }
 
-    /// The next heartbeat carries news and is due at once.
-    pub(super) fn hasten_heartbeat(&mut self) {
+    /// Makes the next heartbeat due immediately, because it carries a change.
+    pub(super) fn send_heartbeat_soon(&mut self) {
         self.next_heartbeat = Timestamp::ZERO;
     }
 
     pub(super) fn next_deadline(&self) -> Timestamp {
         let due = self.next_heartbeat.min(self.next_report);
-        let others = [self.informed_until, self.relay.next_ask()];
+        let others = [self.following_until, self.relay.next_store_request()];
         others.into_iter().flatten().fold(due, Timestamp::min)
     }
 }
 
 impl Node {
-    /// Sends what is due.
-    pub(super) fn gossip(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if self.gossip.next_heartbeat <= now {
-            self.gossip.next_heartbeat = now + HEARTBEAT_INTERVAL;
+    /// Sends the heartbeats and reports that are due, and stops following a coordinator that
+    /// is no longer heard.
+    pub(super) fn send_due_messages(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        if self.messaging.next_heartbeat <= now {
+            self.messaging.next_heartbeat = now + HEARTBEAT_INTERVAL;
             self.announce_heartbeat(now, out);
             self.announce_leaving(now, out);
             self.announce_limits(now, out);
         }
-        if self.gossip.next_report <= now {
-            self.gossip.next_report = now + self.report_interval();
+        if self.messaging.next_report <= now {
+            self.messaging.next_report = now + self.report_interval();
             self.report_load(now, out);
             self.report_leaving(now, out);
             self.report_limits(now, out);
         }
-        if self.gossip.informed_until.is_some_and(|until| until <= now) {
-            self.gossip.informed_until = None;
-            self.gossip.followed = None;
+        if self
+            .messaging
+            .following_until
+            .is_some_and(|until| until <= now)
+        {
+            self.messaging.following_until = None;
+            self.messaging.followed_epoch = None;
             Event::FollowsNobody.emit();
-            self.store.set_informed(false, now, out);
+            self.store.set_following(false, now, out);
         }
         self.review_gaps(now, out);
     }
 
     fn report_interval(&self) -> Duration {
         let nodes = u32::try_from(self.registry.len()).unwrap_or(u32::MAX);
-        match self.may_forward() {
+        match self.is_relay_candidate() {
             true => REPORT_INTERVAL,
-            false => REPORT_PAUSE_A_NODE
+            false => REPORT_PAUSE_PER_NODE
                 .saturating_mul(nodes)
                 .clamp(REPORT_INTERVAL, MAX_REPORT_INTERVAL),
         }
     }
 
-    /// Sends datagrams to all other nodes, each by itself.
+    /// Sends datagrams to each other node directly.
     pub(super) fn send_to_all(&self, datagrams: &[Datagram], out: &mut Vec<Action>) {
         for record in self.others() {
             send(record.address, datagrams, out);
@@ -147,28 +154,28 @@
             .filter(|record| record.address != self.settings.peer_address)
     }
 
-    /// Where the coordinator is reached, if this node knows it.
+    /// Address of the coordinator, if known.
     pub(super) fn coordinator_address(&self) -> Option<SocketAddr> {
         let registered = || {
             let coordinator = self.ownership.record().coordinator.as_ref()?;
             Some(self.registry.get(&coordinator.node)?.address)
         };
-        self.gossip.coordinator_address.or_else(registered)
+        self.messaging.coordinator_address.or_else(registered)
     }
 
-    /// Reports to the coordinator which keys were asked for, and what owners did.
+    /// Reports to the coordinator which keys were requested and what work owners did.
     fn report_load(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let asked = self.requests.take_asked();
-        let worked = self.requests.take_worked();
-        let nothing = asked.is_empty() && worked.is_empty();
-        if nothing && !self.may_forward() {
+        let requested_keys = self.requests.take_requested_keys();
+        let owner_work = self.requests.take_owner_work();
+        let is_empty = requested_keys.is_empty() && owner_work.is_empty();
+        if is_empty && !self.is_relay_candidate() {
             return;
         }
         if let Some(coordinator) = self.coordination.coordinator_mut() {
-            for (service, keys) in &asked {
+            for (service, keys) in &requested_keys {
                 coordinator.record_load(service, keys, now);
             }
-            for (instance, work) in worked {
+            for (instance, work) in owner_work {
                 coordinator.record_work(instance.stable_hash(), work);
             }
             return;
@@ -176,7 +183,7 @@
         let Some(address) = self.coordinator_address() else {
             return;
         };
-        let reports = asked
+        let reports = requested_keys
             .into_iter()
             .map(|(service, mut keys)| {
                 keys.truncate(MAX_KEYS);
@@ -190,13 +197,13 @@
             configuration_version: self.configuration_version(),
             nodes_revision: self.store.revision_of(ObjectKind::Nodes).unwrap_or(0),
             reports,
-            work: work_reports(worked),
+            work: work_reports(owner_work),
         });
         send(address, &[report], out);
     }
 
-    /// A message of another node.
-    pub(super) fn datagram(
+    /// Handles a datagram from another node.
+    pub(super) fn datagram_received(
         &mut self,
         from: SocketAddr,
         bytes: &[u8],
@@ -212,14 +219,14 @@
         };
         self.count_received(from, message.kind(), bytes.len());
         if !message.is_valid() {
-            log::warn!(target: "peers", "datagram from {from}: numbers out of bounds");
+            log::warn!(target: "peers", "datagram from {from}: values out of bounds");
             return;
         }
         self.succession.heard(from);
-        self.message(from, message, now, out);
+        self.handle_message(from, message, now, out);
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         from: SocketAddr,
         message: PeerMessage,
@@ -241,7 +248,7 @@
                 changes,
             } => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
-                self.directory.doubt_removals_until(now + unconfirmed);
+                self.directory.defer_removals_until(now + unconfirmed);
                 self.instances_announced(span, changes, now, out);
             }
             PeerMessage::NodesChanged { span, changes } => {
@@ -271,7 +278,7 @@
                     first_fence,
                     digest,
                 };
-                self.heard_take_over(take_over, now, out);
+                self.take_over_announced(take_over, now, out);
             }
             PeerMessage::OwnershipChanged { span, changes } => {
                 self.ownership_announced(span, changes, now, out);
@@ -279,15 +286,17 @@
             PeerMessage::ResyncRequest { kind, since } => {
                 self.changes_requested(from, kind, since, now, out);
             }
-            PeerMessage::CoordinatorResigned { epoch } => self.heard_resignation(epoch, now, out),
+            PeerMessage::CoordinatorResigned { epoch } => {
+                self.resignation_announced(epoch, now, out)
+            }
             PeerMessage::LoadReport {
                 configuration_version,
                 nodes_revision,
                 reports,
                 work,
             } => {
-                self.zone_relays.heard(from, nodes_revision, now);
-                self.heard_configuration(configuration_version, now, out);
+                self.zone_relays.note_report(from, nodes_revision, now);
+                self.configuration_version_announced(configuration_version, now, out);
                 self.record_key_reports(&reports, now);
                 self.record_work_reports(&work);
             }
@@ -313,7 +322,7 @@
                 self.digest_received(from, zones, &entries, now, out);
             }
             PeerMessage::ZoneSums { sums } => self.shared.record_zone_sums(from, &sums, now),
-            PeerMessage::PermitAsk(ask) => self.permit_asked(from, &ask, now, out),
+            PeerMessage::PermitAsk(ask) => self.permit_requested(from, &ask, now, out),
             PeerMessage::PermitDecision {
                 number,
                 queue,
@@ -324,8 +333,8 @@
                 let decision = PermitDecision {
                     number,
                     queue,
-                    verdict: verdict_of(verdict, server),
-                    return_after: Duration::from_millis(u64::from(return_ms)),
+                    verdict: decode_permit_verdict(verdict, server),
+                    retry_after: Duration::from_millis(u64::from(return_ms)),
                 };
                 self.permit_decided(from, &decision, now, out);
             }
@@ -337,8 +346,8 @@
                 load,
             } => {
                 let asker = PermitId { node: from, number };
-                let how = returned(reason, took_ms, load);
-                self.permit_returned(queue, asker, how, now, out);
+                let outcome = decode_permit_outcome(reason, took_ms, load);
+                self.permit_returned(queue, asker, outcome, now, out);
             }
             PeerMessage::Evidence {
                 wants_reply,
@@ -361,8 +370,8 @@
                 zone,
                 limit,
             } => {
-                let ask = token_ask(number, &zone, &limit, now);
-                self.token_asked(from, &ask, now, out);
+                let ask = decode_token_request(number, &zone, &limit, now);
+                self.token_requested(from, &ask, now, out);
             }
             PeerMessage::TokenDecision {
                 number,
@@ -373,7 +382,7 @@
                 let decision = TokenDecision {
                     number,
                     instance,
-                    verdict: token_verdict(verdict, wait_ms),
+                    verdict: decode_token_verdict(verdict, wait_ms),
                 };
                 self.token_decided(from, &decision, now, out);
             }
@@ -384,29 +393,30 @@
                 instances,
             } => {
                 let unconfirmed = Duration::from_millis(u64::from(unconfirmed_ms));
-                self.directory.doubt_removals_until(now + unconfirmed);
+                self.directory.defer_removals_until(now + unconfirmed);
                 self.instances_listed(span, instances, now, out);
             }
         }
     }
 
-    /// Another node of the zone limits the rest of kept connections; 0 for no limit.
+    /// Applies the idle limit of reused connections that another node of the zone has
+    /// announced; 0 means no limit.
     fn follow_rest_limit(&mut self, rest_limit_ms: u16, now: Timestamp) {
         if rest_limit_ms > 0 {
             let limit = Duration::from_millis(u64::from(rest_limit_ms));
-            self.requests.follow_rest_limit(limit, now);
+            self.requests.follow_idle_limit(limit, now);
         }
     }
 
-    /// Announces that this node has left the coordinator's place.
+    /// Announces that this node has given up the coordinator role.
     pub(super) fn announce_resignation(&self, out: &mut Vec<Action>) {
         let epoch = self.ownership.record().epoch;
         self.send_to_all(&[encode(&PeerMessage::CoordinatorResigned { epoch })], out);
     }
 
-    /// Only those that come first as successors read the record at once. The
-    /// others hear from the successor, or miss the coordinator's heartbeats.
-    fn heard_resignation(&mut self, epoch: u64, now: Timestamp, out: &mut Vec<Action>) {
+    /// Only the first nodes in the order of succession read the record immediately. The others
+    /// hear from the successor, or notice missing heartbeats of the coordinator.
+    fn resignation_announced(&mut self, epoch: u64, now: Timestamp, out: &mut Vec<Action>) {
         let current = epoch >= self.ownership.record().epoch;
         if current && self.campaign_rank() < PROMPT_SUCCESSORS {
             self.store.refresh_ownership(now, out);
@@ -438,14 +448,14 @@
     }
 }
 
-/// What owners did, in the form of a report.
-fn work_reports(worked: BTreeMap<InstanceId, WorkSample>) -> List<WorkReport> {
+/// Converts the work done by owners to report entries.
+fn work_reports(owner_work: BTreeMap<InstanceId, WorkSample>) -> List<WorkReport> {
     let report = |(instance, work): (InstanceId, WorkSample)| WorkReport {
         instance: instance.stable_hash(),
         answered: u16::try_from(work.answered).unwrap_or(u16::MAX),
         busy_ms: u32::try_from(work.busy.as_millis()).unwrap_or(u32::MAX),
     };
-    List(worked.into_iter().take(MAX_WORK).map(report).collect())
+    List(owner_work.into_iter().take(MAX_WORK).map(report).collect())
 }
 
 /// Sends datagrams to one node.
--- a/crates/ledgelead-router/src/ownership/coordinator/orders.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/orders.rs
@@ -59,7 +59,7 @@
             let Some(instance) = shard
                 .owner
                 .as_ref()
-                .and_then(|id| context.directory.addressee(id))
+                .and_then(|id| context.directory.get_unless_superseded(id))
             else {
                 *next_attempt = shard.lease.possible_until;
                 continue;
@@ -90,7 +90,7 @@
             let instance = shard
                 .owner
                 .as_ref()
-                .and_then(|id| context.directory.addressee(id));
+                .and_then(|id| context.directory.get_unless_superseded(id));
             let Some(instance) = instance else {
                 shard.lease.unanswered(false, context.now);
                 continue;
@@ -179,7 +179,7 @@
             if !reviews_all && !shard.lease.is_unresponsive() {
                 continue;
             }
-            if let Some(later) = context.directory.later_life(owner) {
+            if let Some(later) = context.directory.later_incarnation(owner) {
                 if shard.has_order_out() {
                     // Review again as soon as that order has ended.
                     self.owners_reviewed = None;
@@ -193,7 +193,7 @@
             }
             let leaving = match context.directory.get(owner) {
                 Some(instance) => !instance.serves() || must_warm_up(context, instance),
-                None => context.directory.is_settled(context.now),
+                None => context.directory.is_absence_conclusive(context.now),
             };
             let is_expired = shard.lease.has_expired(self.protections, context.now);
             let lapsed = shard.lease.is_unresponsive() && is_expired;
--- a/crates/ledgelead-router/src/requests/mod.rs
+++ b/crates/ledgelead-router/src/requests/mod.rs
@@ -1,10 +1,11 @@
-//! The life of a client's request: route, wait, attempts, answer.
+//! The lifecycle of a client's request: routing, waiting, attempts and the response.
 
 mod answers;
 mod budget;
 mod cold_start;
 mod common_rejection;
 mod digest;
+mod idle_limit;
 mod lifecycle;
 mod node_count;
 mod notice;
@@ -14,31 +15,30 @@
 mod permits;
 mod refusal_share;
 mod rejection_cause;
-mod repeat_value;
-mod rest_limit;
+mod retry_value;
 mod selection;
 mod split;
 mod statistics;
 mod tokens;
 
 pub use answers::refusal;
-pub use budget::{BudgetBounds, Draw, RetryBudget};
+pub use budget::{BudgetBounds, RetryBudget, RetryDecision};
 pub use cold_start::{ColdBound, ColdGate, ColdSends};
 pub use common_rejection::CommonRejections;
 pub use digest::{DIGEST_BYTES, RequestDigest};
+pub use idle_limit::IdleLimit;
 pub use lifecycle::{
     CrashSigns, Declined, PermitDecision, RequestContext, RequestCounters, Requests,
 };
 pub use notice::Notice;
 pub use open_request::Misdirection;
-pub use outcome::{Verdict, judge};
+pub use outcome::{AttemptOutcome, classify_outcome};
 pub use overload::{OverloadedKey, Overloads};
-pub use permits::{Ask, PermitCounters, PermitMessage, Permits, pool_hash};
-pub use refusal_share::{RefusalShare, RefusalShares, return_after};
+pub use permits::{PermitCounters, PermitMessage, PermitRequest, Permits, pool_hash};
+pub use refusal_share::{RefusalShare, RefusalShares, retry_after};
 pub use rejection_cause::RejectionCause;
-pub use repeat_value::{BudgetLevel, RepeatDemand, RepeatFacts};
-pub use rest_limit::IdleConnectionLimit;
+pub use retry_value::{BudgetLevel, RetryCandidate, RetryDemand};
 pub use selection::{Selected, SelectionContext};
 pub use split::{LARGE_BODY_BYTES, SplitRequest, Splits};
 pub use statistics::{ReportedLoad, Statistics, StatisticsTable};
-pub use tokens::{TokenAsk, TokenDecision};
+pub use tokens::{TokenDecision, TokenRequest};
