--- a/crates/ledgelead-router/src/evacuation.rs
+++ b/crates/ledgelead-router/src/evacuation.rs
@@ -35,13 +35,13 @@
     }
 
     /// Applies a complete list from the store. Returns whether the zones have changed.
-    pub fn listed(&mut self, zones: &[ZoneName], revision: u64) -> bool {
+    pub fn apply_list(&mut self, zones: &[ZoneName], revision: u64) -> bool {
         let zones = zones.iter().map(ZoneName::stable_hash).collect();
         self.replace(zones, revision)
     }
 
     /// Applies a change of one zone. Returns whether the zones have changed.
-    pub fn changed(&mut self, zone: &ZoneName, evacuated: bool, revision: u64) -> bool {
+    pub fn apply_change(&mut self, zone: &ZoneName, evacuated: bool, revision: u64) -> bool {
         let mut zones = self.zones.clone();
         if evacuated {
             zones.insert(zone.stable_hash());
@@ -52,7 +52,7 @@
     }
 
     /// Applies the zones in a coordinator's heartbeat. Returns whether they have changed.
-    pub fn heard(&mut self, entry: &EvacuationsEntry) -> bool {
+    pub fn apply_heartbeat(&mut self, entry: &EvacuationsEntry) -> bool {
         let zones = entry.zones.0.iter().copied().collect();
         self.replace(zones, entry.revision)
     }
--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -278,7 +278,7 @@
         if is_former || revision.is_some() && !self.ownership.is_confirmed() {
             // Known only from a datagram or from an earlier era, while a takeover must be
             // based on what the store itself has answered.
-            self.coordination.election.tried_unconfirmed(now);
+            self.coordination.election.await_confirmation(now);
             self.store.refresh_ownership(now, out);
             return;
         }
@@ -310,7 +310,7 @@
         };
         Event::Campaigns { epoch: next.epoch }.emit();
         self.coordination.taking_over = true;
-        self.coordination.election.tried(now);
+        self.coordination.election.record_attempt(now);
         self.start_call(Purpose::TakeOver(next), call, now, out);
     }
 
@@ -353,7 +353,7 @@
         out: &mut Vec<Action>,
     ) {
         let record = self.ownership.record().clone();
-        self.coordination.election.observed(&record, now);
+        self.coordination.election.observe_record(&record, now);
         let is_named = record.coordinator.as_ref() == Some(&self.settings.identity);
         // The answer may arrive after the heartbeat of a successor.
         if !is_named || record.epoch < self.newest_epoch() {
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -10,7 +10,7 @@
     Server,
 };
 use crate::io::Action;
-use crate::peers::{PeerMessage, PermitAskEntry, PermitReturnReason, PermitVerdict, encode};
+use crate::peers::{PeerMessage, PermitRequestEntry, PermitReturnReason, PermitStatus, encode};
 use crate::requests::{Declined, PermitDecision, PermitMessage, PermitRequest, pool_hash};
 use crate::short_millis;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
                 self.permit_requested(to, &encode_permit_request(&request), now, out);
             }
             PermitMessage::Request(request) => {
-                let message = PeerMessage::PermitAsk(encode_permit_request(&request));
+                let message = PeerMessage::PermitRequest(encode_permit_request(&request));
                 send(to, &[encode(&message)], out);
             }
             PermitMessage::Return {
@@ -90,7 +90,7 @@
     pub(super) fn permit_requested(
         &mut self,
         from: SocketAddr,
-        entry: &PermitAskEntry,
+        entry: &PermitRequestEntry,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
@@ -231,16 +231,16 @@
             return;
         }
         let (verdict, server) = match decision.verdict {
-            Ok(Admission::Granted(server)) => (PermitVerdict::Granted, server),
-            Ok(Admission::Queued) => (PermitVerdict::Queued, 0),
-            Ok(Admission::Refused) => (PermitVerdict::Refused, 0),
-            Err(Declined::Stops) => (PermitVerdict::ShuttingDown, 0),
-            Err(Declined::UnknownQueue) => (PermitVerdict::UnknownQueue, 0),
+            Ok(Admission::Granted(server)) => (PermitStatus::Granted, server),
+            Ok(Admission::Queued) => (PermitStatus::Queued, 0),
+            Ok(Admission::Refused) => (PermitStatus::Refused, 0),
+            Err(Declined::Stops) => (PermitStatus::ShuttingDown, 0),
+            Err(Declined::UnknownQueue) => (PermitStatus::UnknownQueue, 0),
         };
         let message = PeerMessage::PermitDecision {
             number: decision.number,
             queue: decision.queue,
-            verdict,
+            status: verdict,
             server,
             return_ms: short_millis(decision.retry_after),
         };
@@ -250,15 +250,15 @@
 
 /// Decodes a dispatcher's verdict from a message.
 pub(super) fn decode_permit_verdict(
-    verdict: PermitVerdict,
+    verdict: PermitStatus,
     server: u64,
 ) -> Result<Admission, Declined> {
     match verdict {
-        PermitVerdict::Granted => Ok(Admission::Granted(server)),
-        PermitVerdict::Queued => Ok(Admission::Queued),
-        PermitVerdict::Refused => Ok(Admission::Refused),
-        PermitVerdict::ShuttingDown => Err(Declined::Stops),
-        PermitVerdict::UnknownQueue => Err(Declined::UnknownQueue),
+        PermitStatus::Granted => Ok(Admission::Granted(server)),
+        PermitStatus::Queued => Ok(Admission::Queued),
+        PermitStatus::Refused => Ok(Admission::Refused),
+        PermitStatus::ShuttingDown => Err(Declined::Stops),
+        PermitStatus::UnknownQueue => Err(Declined::UnknownQueue),
     }
 }
 
@@ -289,8 +289,8 @@
     (short(load.running), short(load.waiting))
 }
 
-fn encode_permit_request(request: &PermitRequest) -> PermitAskEntry {
-    PermitAskEntry {
+fn encode_permit_request(request: &PermitRequest) -> PermitRequestEntry {
+    PermitRequestEntry {
         number: request.number,
         queue: request.queue,
         is_pool: request.kind == QueueKind::Pool,
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -148,7 +148,7 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        if self.evacuations.heard(entry) {
+        if self.evacuations.apply_heartbeat(entry) {
             self.evacuations_changed(now, out);
         }
     }
@@ -235,7 +235,7 @@
         if store_serves || !health.serves() || health.recovered_recently(now) {
             self.coordination
                 .election
-                .heard(epoch, now.saturating_sub(delay));
+                .heard_coordinator(epoch, now.saturating_sub(delay));
         }
         self.revision_announced(RelayedKind::Ownership, revision, now, out);
     }
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -222,7 +222,7 @@
             log::warn!(target: "peers", "datagram from {from}: values out of bounds");
             return;
         }
-        self.succession.heard(from);
+        self.succession.record_message(from);
         self.handle_message(from, message, now, out);
     }
 
@@ -322,18 +322,18 @@
                 self.digest_received(from, zones, &entries, now, out);
             }
             PeerMessage::ZoneSums { sums } => self.shared.record_zone_sums(from, &sums, now),
-            PeerMessage::PermitAsk(ask) => self.permit_requested(from, &ask, now, out),
+            PeerMessage::PermitRequest(ask) => self.permit_requested(from, &ask, now, out),
             PeerMessage::PermitDecision {
                 number,
                 queue,
-                verdict,
+                status,
                 server,
                 return_ms,
             } => {
                 let decision = PermitDecision {
                     number,
                     queue,
-                    verdict: decode_permit_verdict(verdict, server),
+                    verdict: decode_permit_verdict(status, server),
                     retry_after: Duration::from_millis(u64::from(return_ms)),
                 };
                 self.permit_decided(from, &decision, now, out);
@@ -365,7 +365,7 @@
                 self.leaving_received(from, &instances, now, out)
             }
             PeerMessage::RateLimits { limits } => self.limits_received(from, &limits, now, out),
-            PeerMessage::TokenAsk {
+            PeerMessage::TokenRequest {
                 number,
                 zone,
                 limit,
@@ -376,13 +376,13 @@
             PeerMessage::TokenDecision {
                 number,
                 instance,
-                verdict,
+                status,
                 wait_ms,
             } => {
                 let decision = TokenDecision {
                     number,
                     instance,
-                    verdict: decode_token_verdict(verdict, wait_ms),
+                    verdict: decode_token_verdict(status, wait_ms),
                 };
                 self.token_decided(from, &decision, now, out);
             }
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -11,10 +11,10 @@
 use crate::identity::ZoneName;
 use crate::io::Action;
 use crate::peers::{
-    Datagram, PeerMessage, RateLimitEntry, TokenVerdictEntry, age_ms, encode, time_from_age,
+    Datagram, PeerMessage, RateLimitEntry, TokenStatusEntry, age_ms, encode, time_from_age,
 };
 use crate::protections::Protection;
-use crate::rate_limit::{LimitStatement, LimiterRole, RateLimit, TokenVerdict};
+use crate::rate_limit::{LimitStatement, LimiterRole, RateLimit, TokenStatus};
 use crate::requests::{TokenDecision, TokenRequest};
 use crate::short_millis;
 use ledgelead_types::codec::{List, Text};
@@ -44,7 +44,7 @@
                     let decision = self.decide_on_token(to, &token_request, now, out);
                     self.token_decided(to, &decision, now, out);
                 } else {
-                    let message = PeerMessage::TokenAsk {
+                    let message = PeerMessage::TokenRequest {
                         number: token_request.number,
                         zone: Text(token_request.zone.to_string()),
                         limit: limit_entry(token_request.instance, token_request.statement, now),
@@ -65,14 +65,14 @@
     ) {
         let decision = self.decide_on_token(from, token_request, now, out);
         let (verdict, wait) = match decision.verdict {
-            TokenVerdict::Granted => (TokenVerdictEntry::Granted, Duration::ZERO),
-            TokenVerdict::Refused(wait) => (TokenVerdictEntry::Refused, wait),
-            TokenVerdict::Unlimited => (TokenVerdictEntry::Unlimited, Duration::ZERO),
+            TokenStatus::Granted => (TokenStatusEntry::Granted, Duration::ZERO),
+            TokenStatus::Refused(wait) => (TokenStatusEntry::Refused, wait),
+            TokenStatus::Unlimited => (TokenStatusEntry::Unlimited, Duration::ZERO),
         };
         let message = PeerMessage::TokenDecision {
             number: token_request.number,
             instance: token_request.instance,
-            verdict,
+            status: verdict,
             wait_ms: short_millis(wait),
         };
         send(from, &[encode(&message)], out);
@@ -100,13 +100,13 @@
         let limits = self.requests.limits_mut();
         limits.record_from_peer(token_request.instance, token_request.statement);
         let verdict = match limits.limit(token_request.instance) {
-            None => TokenVerdict::Unlimited,
+            None => TokenStatus::Unlimited,
             Some(limit) => match self.limiter_role(token_request, now, out) {
                 Some(role) => {
                     self.limiter
                         .request_token(requester, token_request.instance, limit, role, now)
                 }
-                None => TokenVerdict::Refused(OTHER_LIMITER_WAIT),
+                None => TokenStatus::Refused(OTHER_LIMITER_WAIT),
             },
         };
         TokenDecision {
@@ -231,13 +231,13 @@
 }
 
 /// Decodes a limiter's verdict from a message.
-pub(super) fn decode_token_verdict(verdict: TokenVerdictEntry, wait_ms: u16) -> TokenVerdict {
+pub(super) fn decode_token_verdict(verdict: TokenStatusEntry, wait_ms: u16) -> TokenStatus {
     match verdict {
-        TokenVerdictEntry::Granted => TokenVerdict::Granted,
-        TokenVerdictEntry::Refused => {
-            TokenVerdict::Refused(Duration::from_millis(u64::from(wait_ms)))
+        TokenStatusEntry::Granted => TokenStatus::Granted,
+        TokenStatusEntry::Refused => {
+            TokenStatus::Refused(Duration::from_millis(u64::from(wait_ms)))
         }
-        TokenVerdictEntry::Unlimited => TokenVerdict::Unlimited,
+        TokenStatusEntry::Unlimited => TokenStatus::Unlimited,
     }
 }
 
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -190,7 +190,7 @@
                 .supersede(take_over.base, take_over.revision, record)
         {
             let record = self.ownership.record();
-            self.coordination.election.observed(record, now);
+            self.coordination.election.observe_record(record, now);
             self.reconsider_waiting(now, out);
         } else if known < take_over.revision {
             let base = take_over.base;
--- a/crates/ledgelead-router/src/node/store_objects.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -85,7 +85,7 @@
             ObjectKind::Configuration => {}
             ObjectKind::Evacuations => {
                 let revision = self.store.revision_of(kind).unwrap_or(0);
-                if self.evacuations.listed(&zones, revision) {
+                if self.evacuations.apply_list(&zones, revision) {
                     self.evacuations_changed(now, out);
                 }
             }
@@ -163,7 +163,7 @@
             Ok(ObjectContent::Evacuation(zone)) => {
                 let revision = self.store.revision_of(ObjectKind::Evacuations);
                 let revision = revision.unwrap_or(object.revision);
-                if self.evacuations.changed(&zone, !event.gone, revision) {
+                if self.evacuations.apply_change(&zone, !event.gone, revision) {
                     self.evacuations_changed(now, out);
                 }
             }
--- a/crates/ledgelead-router/src/ownership/coordinator/placement.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/placement.rs
@@ -320,8 +320,8 @@
     }
     for candidate in &mut candidates {
         if let Some(limit) = context.limits.limit(candidate.id.stable_hash()) {
-            let most = limit.per_s().max(MIN_CAPACITY);
-            candidate.capacity = candidate.capacity.min(most);
+            let max_rate = limit.per_s().max(MIN_CAPACITY);
+            candidate.capacity = candidate.capacity.min(max_rate);
         }
     }
     candidates
--- a/crates/ledgelead-router/src/ownership/coordinator/shard.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/shard.rs
@@ -128,8 +128,8 @@
         now: Timestamp,
     ) -> Lease {
         let fresh = Lease::fresh(now, handover);
-        let is_earlier_life = |owner: &InstanceId| owner != next && owner.shares_name(next);
-        if !self.owner.as_ref().is_some_and(is_earlier_life) {
+        let is_earlier_incarnation = |owner: &InstanceId| owner != next && owner.shares_name(next);
+        if !self.owner.as_ref().is_some_and(is_earlier_incarnation) {
             return fresh;
         }
         // Orders to the earlier incarnation may have reached this one.
--- a/crates/ledgelead-router/src/ownership/election.rs
+++ b/crates/ledgelead-router/src/ownership/election.rs
@@ -24,14 +24,14 @@
 pub struct Election {
     last_heard: Timestamp,
     epoch: u64,
-    next_try: Timestamp,
+    next_attempt: Timestamp,
     confirming: bool,
 }
 
 impl Election {
     /// A heartbeat of the coordinator of this epoch arrived, and the store serves that
     /// coordinator.
-    pub fn heard(&mut self, epoch: u64, now: Timestamp) {
+    pub fn heard_coordinator(&mut self, epoch: u64, now: Timestamp) {
         if epoch >= self.epoch {
             self.epoch = epoch;
             self.last_heard = self.last_heard.max(now);
@@ -46,7 +46,7 @@
 
     /// A version of the record with a new coordinator is known; that coordinator gets time for
     /// its first heartbeat.
-    pub fn observed(&mut self, record: &OwnershipRecord, now: Timestamp) {
+    pub fn observe_record(&mut self, record: &OwnershipRecord, now: Timestamp) {
         if record.epoch > self.epoch {
             self.epoch = record.epoch;
             self.last_heard = now;
@@ -68,32 +68,32 @@
             ELECTION_TIMEOUT
         };
         let begin = served_since.max(self.last_heard + silence);
-        (begin + delay).max(self.next_try)
+        (begin + delay).max(self.next_attempt)
     }
 
     /// The record has to be read before an attempt.
-    pub fn tried_unconfirmed(&mut self, now: Timestamp) {
+    pub fn await_confirmation(&mut self, now: Timestamp) {
         self.confirming = true;
-        self.next_try = now + CONFIRM_PAUSE;
+        self.next_attempt = now + CONFIRM_PAUSE;
     }
 
     /// The record has been read.
     pub fn confirmed(&mut self, now: Timestamp) {
         if self.confirming {
             self.confirming = false;
-            self.next_try = now;
+            self.next_attempt = now;
         }
     }
 
     /// When to try if the record names an earlier incarnation of this node as coordinator: at
     /// once, since no other node knows as early that it has ended.
     pub fn due_after_own_restart(&self) -> Timestamp {
-        self.next_try
+        self.next_attempt
     }
 
     /// An attempt was made; the next one has to wait.
-    pub fn tried(&mut self, now: Timestamp) {
-        self.next_try = now + ELECTION_TIMEOUT;
+    pub fn record_attempt(&mut self, now: Timestamp) {
+        self.next_attempt = now + ELECTION_TIMEOUT;
     }
 }
 
@@ -106,14 +106,14 @@
     coordinator: Option<&'a NodeIdentity>,
     nodes: impl Iterator<Item = &'a NodeRecord> + Clone,
 ) -> usize {
-    let place = |record: &'a NodeRecord| {
+    let rank_key = |record: &'a NodeRecord| {
         let node = &record.identity.node;
         let before = coordinator.is_some_and(|coordinator| *node <= coordinator.node);
         (Reverse(record.millicores), before, node)
     };
     let own = nodes.clone().find(|record| record.identity.node == *this);
-    let Some(own) = own.map(place) else {
+    let Some(own) = own.map(rank_key) else {
         return nodes.count();
     };
-    nodes.filter(|record| place(record) < own).count()
+    nodes.filter(|record| rank_key(record) < own).count()
 }
--- a/crates/ledgelead-router/src/ownership/record.rs
+++ b/crates/ledgelead-router/src/ownership/record.rs
@@ -159,10 +159,10 @@
     /// The assignment of the same service that begins at the same key. Requires sorted
     /// assignments.
     fn find_first(&self, other: &Assignment) -> Option<&Assignment> {
-        let place = self.assignments.binary_search_by(|assignment| {
+        let position = self.assignments.binary_search_by(|assignment| {
             (&assignment.service, assignment.first).cmp(&(&other.service, other.first))
         });
-        place.ok().map(|place| &self.assignments[place])
+        position.ok().map(|position| &self.assignments[position])
     }
 
     /// Applies assignments in order, each replacing what it overlaps. Requires sorted
@@ -178,8 +178,8 @@
             let overlapped = self.assignments[begin..end].iter().cloned();
             let mut pieces: Vec<Assignment> =
                 overlapped.flat_map(|old| old.without(&change)).collect();
-            let place = pieces.partition_point(|piece| piece.first < change.first);
-            pieces.insert(place, change);
+            let position = pieces.partition_point(|piece| piece.first < change.first);
+            pieces.insert(position, change);
             self.assignments.splice(begin..end, pieces);
         }
     }
--- a/crates/ledgelead-router/src/peers/change_log.rs
+++ b/crates/ledgelead-router/src/peers/change_log.rs
@@ -1,4 +1,4 @@
-//! The most recent changes of one kind, kept by a coordinator for nodes that missed some.
+//! The max_items recent changes of one kind, lists by a coordinator for nodes that missed some.
 
 use std::collections::VecDeque;
 
@@ -16,15 +16,15 @@
 /// Lists of changes, oldest first; each one continues where the previous one ends.
 #[derive(Debug)]
 pub struct ChangeLog<T> {
-    kept: VecDeque<Changes<T>>,
+    lists: VecDeque<Changes<T>>,
     capacity: usize,
 }
 
 impl<T: Clone> ChangeLog<T> {
-    /// An empty log that keeps at most `capacity` lists.
+    /// An empty log that keeps at max_items `capacity` lists.
     pub fn new(capacity: usize) -> ChangeLog<T> {
         ChangeLog {
-            kept: VecDeque::new(),
+            lists: VecDeque::new(),
             capacity,
         }
     }
@@ -32,30 +32,30 @@
     /// Adds a list. If it does not connect to the log, the log is cleared first.
     pub fn push(&mut self, changes: Changes<T>) {
         let continues = self
-            .kept
+            .lists
             .back()
             .is_none_or(|last| last.revision == changes.base);
         if !continues {
-            self.kept.clear();
+            self.lists.clear();
         }
-        self.kept.push_back(changes);
-        if self.kept.len() > self.capacity {
-            self.kept.pop_front();
+        self.lists.push_back(changes);
+        if self.lists.len() > self.capacity {
+            self.lists.pop_front();
         }
     }
 
     /// All changes after a revision. None if the log does not reach back that far, has no
-    /// later changes, or has more than `most`: hundreds of nodes may request more changes than
+    /// later changes, or has more than `max_items`: hundreds of nodes may request more changes than
     /// datagrams can carry.
-    pub fn since(&self, revision: u64, most: usize) -> Option<Changes<T>> {
-        let first = self.kept.front()?;
-        let last = self.kept.back()?;
+    pub fn since(&self, revision: u64, max_items: usize) -> Option<Changes<T>> {
+        let first = self.lists.front()?;
+        let last = self.lists.back()?;
         if revision < first.base || last.revision <= revision {
             return None;
         }
-        let later = self.kept.iter().filter(|list| list.revision > revision);
+        let later = self.lists.iter().filter(|list| list.revision > revision);
         let count: usize = later.clone().map(|list| list.items.len()).sum();
-        if count > most {
+        if count > max_items {
             return None;
         }
         Some(Changes {
--- a/crates/ledgelead-router/src/peers/message.rs
+++ b/crates/ledgelead-router/src/peers/message.rs
@@ -122,7 +122,7 @@
 
 /// A node's request for a permit from a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct PermitAskEntry {
+pub struct PermitRequestEntry {
     /// The number that the node gave the request.
     pub number: u64,
     /// Identifies the queue.
@@ -149,7 +149,7 @@
 
 /// A dispatcher's decision about a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum PermitVerdict {
+pub enum PermitStatus {
     /// The request may be sent.
     Granted,
     /// The request is queued.
@@ -175,7 +175,7 @@
 
 /// A limiter's decision about a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum TokenVerdictEntry {
+pub enum TokenStatusEntry {
     /// One request may be sent.
     Granted,
     /// No token is available now.
@@ -432,15 +432,15 @@
         sums: List<ZoneSum>,
     },
     /// Asks the dispatcher of a queue for a permit.
-    PermitAsk(PermitAskEntry),
-    /// A dispatcher's answer to a `PermitAsk`.
+    PermitRequest(PermitRequestEntry),
+    /// A dispatcher's answer to a `PermitRequest`.
     PermitDecision {
-        /// The number of the `PermitAsk`.
+        /// The number of the `PermitRequest`.
         number: u64,
         /// Identifies the queue.
         queue: u64,
         /// The decision.
-        verdict: PermitVerdict,
+        status: PermitStatus,
         /// Stable hash of the instance to which the request may be sent, if granted.
         server: u64,
         /// When the caller may try again, in milliseconds, if refused.
@@ -448,7 +448,7 @@
     },
     /// Returns a permit, or withdraws a queued request.
     PermitReturn {
-        /// The number of the `PermitAsk`.
+        /// The number of the `PermitRequest`.
         number: u64,
         /// Identifies the queue.
         queue: u64,
@@ -483,7 +483,7 @@
         limits: List<RateLimitEntry>,
     },
     /// Asks a limiter of an instance for a token.
-    TokenAsk {
+    TokenRequest {
         /// The number that the sender gave this message.
         number: u64,
         /// The zone of the instance.
@@ -491,14 +491,14 @@
         /// The limit that the sender knows.
         limit: RateLimitEntry,
     },
-    /// A limiter's answer to a `TokenAsk`.
+    /// A limiter's answer to a `TokenRequest`.
     TokenDecision {
-        /// The number of the `TokenAsk`.
+        /// The number of the `TokenRequest`.
         number: u64,
         /// Stable hash of the instance's id.
         instance: u64,
         /// The decision.
-        verdict: TokenVerdictEntry,
+        status: TokenStatusEntry,
         /// How long the sender gets no token, in milliseconds, if refused.
         wait_ms: u16,
     },
@@ -536,12 +536,12 @@
             PeerMessage::OpenRequestCounts { .. } => "open_requests",
             PeerMessage::LoadDigest { .. } => "load_digest",
             PeerMessage::ZoneSums { .. } => "zone_sums",
-            PeerMessage::PermitAsk(_) => "permit_ask",
+            PeerMessage::PermitRequest(_) => "permit_ask",
             PeerMessage::PermitDecision { .. } => "permit_decision",
             PeerMessage::PermitReturn { .. } => "permit_return",
             PeerMessage::LeavingInstances { .. } => "leaving",
             PeerMessage::RateLimits { .. } => "rate_limits",
-            PeerMessage::TokenAsk { .. } => "token_ask",
+            PeerMessage::TokenRequest { .. } => "token_ask",
             PeerMessage::TokenDecision { .. } => "token_decision",
             PeerMessage::LimiterProbe { .. } => "limiter_probe",
             PeerMessage::Evidence { .. } => "evidence",
--- a/crates/ledgelead-router/src/peers/message_validation.rs
+++ b/crates/ledgelead-router/src/peers/message_validation.rs
@@ -42,12 +42,12 @@
             | PeerMessage::OpenRequestCounts { .. }
             | PeerMessage::LoadDigest { .. }
             | PeerMessage::ZoneSums { .. }
-            | PeerMessage::PermitAsk(_)
+            | PeerMessage::PermitRequest(_)
             | PeerMessage::PermitDecision { .. }
             | PeerMessage::PermitReturn { .. }
             | PeerMessage::LeavingInstances { .. }
             | PeerMessage::RateLimits { .. }
-            | PeerMessage::TokenAsk { .. }
+            | PeerMessage::TokenRequest { .. }
             | PeerMessage::TokenDecision { .. }
             | PeerMessage::LimiterProbe { .. }
             | PeerMessage::Evidence { .. } => true,
--- a/crates/ledgelead-router/src/peers/mod.rs
+++ b/crates/ledgelead-router/src/peers/mod.rs
@@ -28,9 +28,9 @@
 pub use instance_table::InstanceTable;
 pub use message::{
     ChangeSpan, ChangedAssignment, ChangedInstance, ChangedNode, Datagram, DigestEntry, Heartbeat,
-    InstanceEntry, KeyReport, NodeEntry, OpenRequests, PeerAddress, PeerMessage, PermitAskEntry,
-    PermitReturnReason, PermitVerdict, RateLimitEntry, RelayedKind, TokenVerdictEntry, WorkReport,
-    ZoneSum, decode, encode,
+    InstanceEntry, KeyReport, NodeEntry, OpenRequests, PeerAddress, PeerMessage,
+    PermitRequestEntry, PermitReturnReason, PermitStatus, RateLimitEntry, RelayedKind,
+    TokenStatusEntry, WorkReport, ZoneSum, decode, encode,
 };
 pub use registry::{NodeRecord, Registration, Registry};
 pub use shared_load::{SharedLoad, SpeedSample};
--- a/crates/ledgelead-router/src/rate_limit/failover.rs
+++ b/crates/ledgelead-router/src/rate_limit/failover.rs
@@ -64,7 +64,7 @@
     }
 
     /// A message of a node has arrived.
-    pub fn heard(&mut self, node: SocketAddr) {
+    pub fn record_message(&mut self, node: SocketAddr) {
         if !self.silent.is_empty() {
             self.silent.remove(&node);
         }
--- a/crates/ledgelead-router/src/rate_limit/limiter.rs
+++ b/crates/ledgelead-router/src/rate_limit/limiter.rs
@@ -49,7 +49,7 @@
 
 /// The decision about a request for a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TokenVerdict {
+pub enum TokenStatus {
     /// One request may be sent.
     Granted,
     /// No token is available for the node for this time.
@@ -98,7 +98,7 @@
         limit: RateLimit,
         role: LimiterRole,
         now: Timestamp,
-    ) -> TokenVerdict {
+    ) -> TokenStatus {
         let rate = limit.per_s().max(MIN_RATE);
         let rate = match role {
             LimiterRole::Primary => rate,
@@ -114,10 +114,10 @@
         if bucket.tokens >= 1.0 {
             bucket.tokens -= 1.0;
             self.counters.granted += 1;
-            return TokenVerdict::Granted;
+            return TokenStatus::Granted;
         }
         self.counters.refused += 1;
-        TokenVerdict::Refused(bucket.refuse(asker, rate, now))
+        TokenStatus::Refused(bucket.refuse(asker, rate, now))
     }
 
     /// Removes unused buckets.
@@ -130,8 +130,8 @@
 impl Bucket {
     fn fill(&mut self, rate: f64, now: Timestamp) {
         let passed = now.saturating_sub(self.filled_at).as_secs_f64();
-        let most = MIN_BURST + rate * BURST.as_secs_f64();
-        self.tokens = (self.tokens + rate * passed).min(most);
+        let max_tokens = MIN_BURST + rate * BURST.as_secs_f64();
+        self.tokens = (self.tokens + rate * passed).min(max_tokens);
         self.filled_at = now;
         self.used_at = now;
     }
--- a/crates/ledgelead-router/src/rate_limit/mod.rs
+++ b/crates/ledgelead-router/src/rate_limit/mod.rs
@@ -7,5 +7,5 @@
 
 pub use failover::{FailoverStatus, LimiterFailover};
 pub use known::{KnownLimits, LimitStatement};
-pub use limiter::{Limiter, LimiterCounters, LimiterRole, TokenVerdict};
+pub use limiter::{Limiter, LimiterCounters, LimiterRole, TokenStatus};
 pub use notice::{RateLimit, RateNotice};
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -8,7 +8,7 @@
 use crate::identity::{InstanceId, ZoneName};
 use crate::io::{Action, ClientId};
 use crate::protections::Protection;
-use crate::rate_limit::{LimitStatement, TokenVerdict};
+use crate::rate_limit::{LimitStatement, TokenStatus};
 use crate::requests::open_request::OpenRequest;
 use crate::requests::tokens::{Token, TokenDecision, TokenRequest, TokenState};
 use std::net::SocketAddr;
@@ -188,13 +188,13 @@
         self.tokens.unresponsive.remove(&from);
         let now = context.now;
         match decision.verdict {
-            TokenVerdict::Granted => {}
-            TokenVerdict::Refused(wait) => {
+            TokenStatus::Granted => {}
+            TokenStatus::Refused(wait) => {
                 self.statistics
                     .limits
                     .mark_refused(decision.instance, wait, now);
             }
-            TokenVerdict::Unlimited => {
+            TokenStatus::Unlimited => {
                 let ended = LimitStatement {
                     limit: None,
                     at: now,
@@ -218,8 +218,8 @@
             return;
         };
         match decision.verdict {
-            TokenVerdict::Granted => token.state = TokenState::Held,
-            TokenVerdict::Refused(_) | TokenVerdict::Unlimited => open.token = None,
+            TokenStatus::Granted => token.state = TokenState::Held,
+            TokenStatus::Refused(_) | TokenStatus::Unlimited => open.token = None,
         }
         self.advance(client, context, out);
     }
--- a/crates/ledgelead-router/src/requests/tokens.rs
+++ b/crates/ledgelead-router/src/requests/tokens.rs
@@ -3,7 +3,7 @@
 use crate::Timestamp;
 use crate::identity::{InstanceId, ZoneName};
 use crate::io::ClientId;
-use crate::rate_limit::{LimitStatement, TokenVerdict};
+use crate::rate_limit::{LimitStatement, TokenStatus};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -55,7 +55,7 @@
     /// Stable hash of the instance's id.
     pub instance: u64,
     /// The decision.
-    pub verdict: TokenVerdict,
+    pub verdict: TokenStatus,
 }
 
 /// Token requests without a decision.
--- a/crates/ledgelead-router/src/store/watcher.rs
+++ b/crates/ledgelead-router/src/store/watcher.rs
@@ -247,9 +247,9 @@
     }
 
     /// Another node has reported all changes up to this revision.
-    pub fn advance(&mut self, told: u64) {
+    pub fn advance(&mut self, reported: u64) {
         if let Position::Watching { revision } = &mut self.position {
-            *revision = (*revision).max(told);
+            *revision = (*revision).max(reported);
         }
     }
 
--- a/crates/ledgelead-router/src/zone_traffic.rs
+++ b/crates/ledgelead-router/src/zone_traffic.rs
@@ -39,8 +39,8 @@
 }
 
 impl ZoneBytes {
-    fn add(&mut self, place: ZoneRelation, bytes: usize) {
-        let count = match place {
+    fn add(&mut self, zone: ZoneRelation, bytes: usize) {
+        let count = match zone {
             ZoneRelation::Own => &mut self.own,
             ZoneRelation::Other => &mut self.other,
             ZoneRelation::Unknown => &mut self.unknown,
@@ -61,12 +61,12 @@
 
 impl ZoneTraffic {
     /// Counts sent bytes.
-    pub fn sent(&mut self, purpose: &'static str, place: ZoneRelation, bytes: usize) {
-        self.sent.entry(purpose).or_default().add(place, bytes);
+    pub fn sent(&mut self, purpose: &'static str, zone: ZoneRelation, bytes: usize) {
+        self.sent.entry(purpose).or_default().add(zone, bytes);
     }
 
     /// Counts received bytes.
-    pub fn received(&mut self, purpose: &'static str, place: ZoneRelation, bytes: usize) {
-        self.received.entry(purpose).or_default().add(place, bytes);
+    pub fn received(&mut self, purpose: &'static str, zone: ZoneRelation, bytes: usize) {
+        self.received.entry(purpose).or_default().add(zone, bytes);
     }
 }
--- a/crates/ledgelead-router/tests/node/evacuation.rs
+++ b/crates/ledgelead-router/tests/node/evacuation.rs
@@ -163,12 +163,12 @@
 fn evacuations_never_revert_to_an_earlier_revision() {
     let zone = ZoneName::from("a");
     let mut known = Evacuations::default();
-    expect_that!(known.listed(std::slice::from_ref(&zone), 8), eq(true));
-    expect_that!(known.listed(&[], 7), eq(false));
+    expect_that!(known.apply_list(std::slice::from_ref(&zone), 8), eq(true));
+    expect_that!(known.apply_list(&[], 7), eq(false));
     expect_that!(known.zones().len(), eq(1));
-    expect_that!(known.changed(&zone, false, 9), eq(true));
+    expect_that!(known.apply_change(&zone, false, 9), eq(true));
     expect_that!(
-        known.heard(&EvacuationsEntry {
+        known.apply_heartbeat(&EvacuationsEntry {
             revision: 8,
             zones: List(vec![1])
         }),
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -10,7 +10,7 @@
 use ledgelead_router::identity::ServiceName;
 use ledgelead_router::io::{ClientId, ExchangeFailure, Input};
 use ledgelead_router::peers::{
-    NodeRecord, PeerMessage, PermitAskEntry, PermitReturnReason, PermitVerdict, encode,
+    NodeRecord, PeerMessage, PermitRequestEntry, PermitReturnReason, PermitStatus, encode,
 };
 use ledgelead_types::codec::List;
 use std::net::SocketAddr;
@@ -73,21 +73,21 @@
 }
 
 /// The last permit request sent, and its receiver.
-fn last_permit_request(fixture: &Fixture) -> (SocketAddr, PermitAskEntry) {
+fn last_permit_request(fixture: &Fixture) -> (SocketAddr, PermitRequestEntry) {
     let requests = fixture.datagrams.iter().rev();
     let mut requests = requests.filter_map(|(_, to, message)| match message {
-        PeerMessage::PermitAsk(request) => Some((*to, *request)),
+        PeerMessage::PermitRequest(request) => Some((*to, *request)),
         _ => None,
     });
     requests.next().expect("a permit request")
 }
 
-fn decide(fixture: &mut Fixture, verdict: PermitVerdict, number: u8) {
+fn decide(fixture: &mut Fixture, verdict: PermitStatus, number: u8) {
     let (dispatcher, request) = last_permit_request(fixture);
     let message = PeerMessage::PermitDecision {
         number: request.number,
         queue: request.queue,
-        verdict,
+        status: verdict,
         server: instance(number, KEYED).id.stable_hash(),
         return_ms: 700,
     };
@@ -114,10 +114,10 @@
     let mut fixture = node(contended());
     fixture.request(KEYED, Some(KEY));
     expect_that!(fixture.attempts, is_empty());
-    decide(&mut fixture, PermitVerdict::Queued, 1);
+    decide(&mut fixture, PermitStatus::Queued, 1);
     expect_that!(fixture.attempts, is_empty());
     fixture.now += ms(30);
-    decide(&mut fixture, PermitVerdict::Granted, 1);
+    decide(&mut fixture, PermitStatus::Granted, 1);
     expect_that!(fixture.attempts.len(), eq(1));
     let exchange = fixture.attempts[0].exchange;
     fixture.now += ms(80);
@@ -157,7 +157,7 @@
 fn refused_caller_is_told_immediately_when_to_retry() {
     let mut fixture = node(contended());
     let client = fixture.request(KEYED, Some(KEY));
-    decide(&mut fixture, PermitVerdict::Refused, 1);
+    decide(&mut fixture, PermitStatus::Refused, 1);
     let response = answered(&fixture, client).expect("an answer");
     expect_that!(response.status, eq(503));
     let retry_after = response.headers.text("retry-after").expect("a time");
@@ -195,7 +195,7 @@
     let (first, _) = last_permit_request(&fixture);
     fixture.run_until(fixture.now + ms(90));
     fixture.request(KEYED, Some(KEY + 1));
-    decide(&mut fixture, PermitVerdict::Queued, 1);
+    decide(&mut fixture, PermitStatus::Queued, 1);
     fixture.run_until(fixture.now + ms(111));
     // The first request continued without a permit; the next one asks the same dispatcher.
     expect_that!(fixture.attempts.len(), eq(1));
@@ -208,7 +208,7 @@
 fn dispatcher_lost_with_its_queue_delays_no_request_beyond_its_target() {
     let mut fixture = node(contended());
     let client = fixture.request(KEYED, Some(KEY));
-    decide(&mut fixture, PermitVerdict::Queued, 1);
+    decide(&mut fixture, PermitStatus::Queued, 1);
     fixture.run_until(fixture.now + ms(399));
     expect_that!(fixture.attempts, is_empty());
     expect_that!(answered(&fixture, client), none());
@@ -222,7 +222,7 @@
     for number in 0..8 {
         fixture.request(KEYED, Some(KEY + number));
         fixture.now += ms(60);
-        decide(&mut fixture, PermitVerdict::Granted, 1);
+        decide(&mut fixture, PermitStatus::Granted, 1);
     }
     fixture.attempts.clear();
     let requests_before = fixture.sent("permit_ask");
@@ -234,7 +234,7 @@
         fixture.run_until(fixture.now + ms(201));
         receive_digest(&mut fixture);
         fixture.request(KEYED, Some(KEY + number));
-        decide(&mut fixture, PermitVerdict::Granted, 1);
+        decide(&mut fixture, PermitStatus::Granted, 1);
     }
     expect_that!(fixture.sent("permit_ask"), gt(requests_before));
     fixture.attempts.clear();
@@ -252,7 +252,7 @@
     let message = PeerMessage::PermitDecision {
         number: request.number,
         queue: request.queue,
-        verdict: PermitVerdict::Granted,
+        status: PermitStatus::Granted,
         server: instance(1, KEYED).id.stable_hash(),
         return_ms: 0,
     };
@@ -268,14 +268,14 @@
 fn disconnected_client_returns_its_permit() {
     let mut fixture = node(contended());
     let client = fixture.request(KEYED, Some(KEY));
-    decide(&mut fixture, PermitVerdict::Queued, 1);
+    decide(&mut fixture, PermitStatus::Queued, 1);
     fixture.step(Input::ClientDisconnected { client });
     expect_that!(
         returns(&fixture),
         elements_are![eq(&PermitReturnReason::NoSample)]
     );
     let client = fixture.request(KEYED, Some(KEY));
-    decide(&mut fixture, PermitVerdict::Granted, 1);
+    decide(&mut fixture, PermitStatus::Granted, 1);
     fixture.step(Input::ClientDisconnected { client });
     expect_that!(returns(&fixture)[1], eq(PermitReturnReason::NoSample));
 }
@@ -284,7 +284,7 @@
 fn unsent_attempt_returns_its_permit_without_a_sample() {
     let mut fixture = node(contended());
     fixture.request(KEYED, Some(KEY));
-    decide(&mut fixture, PermitVerdict::Granted, 1);
+    decide(&mut fixture, PermitStatus::Granted, 1);
     let exchange = fixture.attempts[0].exchange;
     fixture.end(exchange, Err(ExchangeFailure::NotConnected));
     expect_that!(
@@ -297,7 +297,7 @@
 fn failed_attempt_returns_its_permit_as_failed() {
     let mut fixture = node(contended());
     fixture.request(SERVICE, None);
-    decide(&mut fixture, PermitVerdict::Granted, 2);
+    decide(&mut fixture, PermitStatus::Granted, 2);
     let exchange = fixture.attempts[0].exchange;
     fixture.now += ms(3);
     let mut response = Response::new(500, "");
@@ -315,7 +315,7 @@
     fixture.request(SERVICE, None);
     let (_, request) = last_permit_request(&fixture);
     expect_that!(request.is_pool, eq(true));
-    decide(&mut fixture, PermitVerdict::Granted, 2);
+    decide(&mut fixture, PermitStatus::Granted, 2);
     expect_that!(fixture.attempts.len(), eq(1));
     expect_that!(
         fixture.attempts[0].address,
@@ -327,7 +327,7 @@
 fn request_with_a_permit_for_an_unknown_instance_continues_without_it() {
     let mut fixture = node(contended());
     fixture.request(SERVICE, None);
-    decide(&mut fixture, PermitVerdict::Granted, 7);
+    decide(&mut fixture, PermitStatus::Granted, 7);
     expect_that!(fixture.attempts.len(), eq(1));
     expect_that!(
         returns(&fixture),
@@ -361,7 +361,7 @@
 }
 
 fn permit_request(number: u64, urgency: u8) -> PeerMessage {
-    PeerMessage::PermitAsk(PermitAskEntry {
+    PeerMessage::PermitRequest(PermitRequestEntry {
         number,
         queue: instance(1, KEYED).id.stable_hash(),
         is_pool: false,
@@ -375,12 +375,10 @@
     })
 }
 
-fn verdicts(fixture: &Fixture) -> Vec<(u64, PermitVerdict)> {
+fn verdicts(fixture: &Fixture) -> Vec<(u64, PermitStatus)> {
     let messages = fixture.datagrams.iter();
     let decided = messages.filter_map(|(_, _, message)| match message {
-        PeerMessage::PermitDecision {
-            number, verdict, ..
-        } => Some((*number, *verdict)),
+        PeerMessage::PermitDecision { number, status, .. } => Some((*number, *status)),
         _ => None,
     });
     decided.collect()
@@ -397,9 +395,9 @@
     fixture.receive(requester, &permit_request(5, 1));
     fixture.receive(requester, &permit_request(6, 0));
     let decided = verdicts(&fixture);
-    expect_that!(decided[4], eq((4, PermitVerdict::Granted)));
-    expect_that!(decided[5], eq((5, PermitVerdict::Queued)));
-    expect_that!(decided[6], eq((6, PermitVerdict::Queued)));
+    expect_that!(decided[4], eq((4, PermitStatus::Granted)));
+    expect_that!(decided[5], eq((5, PermitStatus::Queued)));
+    expect_that!(decided[6], eq((6, PermitStatus::Queued)));
     let message = PeerMessage::PermitReturn {
         number: 0,
         queue: instance(1, KEYED).id.stable_hash(),
@@ -408,7 +406,7 @@
         load: None,
     };
     fixture.receive(requester, &message);
-    expect_that!(verdicts(&fixture)[7], eq((6, PermitVerdict::Granted)));
+    expect_that!(verdicts(&fixture)[7], eq((6, PermitStatus::Granted)));
     // The other request is decided before it would be late.
     fixture.run_until(fixture.now + Duration::from_millis(400));
     expect_that!(verdicts(&fixture)[8].0, eq(5));
@@ -422,7 +420,7 @@
     fixture.receive(node_address(5), &permit_request(1, 1));
     expect_that!(
         verdicts(&fixture),
-        elements_are![eq(&(1, PermitVerdict::ShuttingDown))]
+        elements_are![eq(&(1, PermitStatus::ShuttingDown))]
     );
 }
 
@@ -431,9 +429,9 @@
     let mut fixture = node(contended());
     // The owner is not available at the moment, so that the permit is kept.
     fixture.request(KEYED, Some(KEY));
-    decide(&mut fixture, PermitVerdict::Granted, 1);
-    decide(&mut fixture, PermitVerdict::Refused, 1);
-    decide(&mut fixture, PermitVerdict::Queued, 1);
+    decide(&mut fixture, PermitStatus::Granted, 1);
+    decide(&mut fixture, PermitStatus::Refused, 1);
+    decide(&mut fixture, PermitStatus::Queued, 1);
     expect_that!(fixture.attempts.len(), eq(1));
     expect_that!(fixture.answers, is_empty());
 }
@@ -446,7 +444,7 @@
     let message = PeerMessage::PermitDecision {
         number: request.number,
         queue: request.queue,
-        verdict: PermitVerdict::Refused,
+        status: PermitStatus::Refused,
         server: 0,
         return_ms: 700,
     };
@@ -458,17 +456,17 @@
 fn dispatcher_declines_an_unknown_queue() {
     let mut fixture = dispatcher();
     fixture.datagrams.clear();
-    let PeerMessage::PermitAsk(request) = permit_request(1, 1) else {
+    let PeerMessage::PermitRequest(request) = permit_request(1, 1) else {
         return;
     };
-    let message = PeerMessage::PermitAsk(PermitAskEntry {
+    let message = PeerMessage::PermitRequest(PermitRequestEntry {
         queue: 77,
         ..request
     });
     fixture.receive(node_address(5), &message);
     expect_that!(
         verdicts(&fixture),
-        elements_are![eq(&(1, PermitVerdict::UnknownQueue))]
+        elements_are![eq(&(1, PermitStatus::UnknownQueue))]
     );
 }
 
@@ -480,7 +478,7 @@
     let decision = PeerMessage::PermitDecision {
         number: 1,
         queue: 2,
-        verdict: PermitVerdict::Granted,
+        status: PermitStatus::Granted,
         server: 3,
         return_ms: 0,
     };
--- a/crates/ledgelead-router/tests/node/rate_limits.rs
+++ b/crates/ledgelead-router/tests/node/rate_limits.rs
@@ -11,7 +11,7 @@
 use ledgelead_http::Response;
 use ledgelead_router::Timestamp;
 use ledgelead_router::dialect::ObjectKind;
-use ledgelead_router::peers::{PeerMessage, RateLimitEntry, TokenVerdictEntry};
+use ledgelead_router::peers::{PeerMessage, RateLimitEntry, TokenStatusEntry};
 use ledgelead_types::codec::{List, Text};
 use std::net::SocketAddr;
 
@@ -258,7 +258,7 @@
         .iter()
         .rev()
         .find_map(|(_, to, message)| match message {
-            PeerMessage::TokenAsk { number, limit, .. } => Some((*to, *number, limit.instance)),
+            PeerMessage::TokenRequest { number, limit, .. } => Some((*to, *number, limit.instance)),
             _ => None,
         });
     let Some((limiter, number, instance)) = token_request else {
@@ -267,7 +267,7 @@
     let decision = PeerMessage::TokenDecision {
         number,
         instance,
-        verdict: TokenVerdictEntry::Granted,
+        status: TokenStatusEntry::Granted,
         wait_ms: 0,
     };
     fixture.receive(limiter, &decision);
@@ -328,7 +328,7 @@
         if step == 150 {
             fixture.datagrams.clear();
         }
-        let token_request = PeerMessage::TokenAsk {
+        let token_request = PeerMessage::TokenRequest {
             number: step,
             zone: Text("a".to_owned()),
             limit: RateLimitEntry {
@@ -345,8 +345,8 @@
         fixture.run_until(fixture.now + ms(100));
     }
     let is_grant = |message: &PeerMessage| {
-        let granted = TokenVerdictEntry::Granted;
-        matches!(message, PeerMessage::TokenDecision { verdict, .. } if *verdict == granted)
+        let granted = TokenStatusEntry::Granted;
+        matches!(message, PeerMessage::TokenDecision { status, .. } if *status == granted)
     };
     let sent = fixture.datagrams.iter();
     sent.filter(|(_, _, message)| is_grant(message)).count()
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -435,11 +435,11 @@
     let mut election = Election::default();
     let mut record = record_of(&[1]);
     record.coordinator = Some(leader);
-    election.observed(&record, ms(1_000));
+    election.observe_record(&record, ms(1_000));
     let first = election.due(&record, 0, ms(0));
     expect_that!(first, gt(ms(1_000)));
     expect_that!(election.due(&record, 1, ms(0)), gt(first));
-    election.heard(4, ms(3_000));
+    election.heard_coordinator(4, ms(3_000));
     expect_that!(election.due(&record, 0, ms(0)), gt(ms(3_000)));
     record.coordinator = None;
     expect_that!(election.due(&record, 0, ms(0)), eq(ms(3_000)));
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -7,7 +7,7 @@
 use ledgelead_router::identity::InstanceId;
 use ledgelead_router::rate_limit::{
     FailoverStatus, KnownLimits, LimitStatement, Limiter, LimiterFailover, LimiterRole, RateLimit,
-    RateNotice, TokenVerdict,
+    RateNotice, TokenStatus,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     let asks = span.step_by(5);
     let is_granted = |at: &u64| {
         let verdict = limiter.request_token(asker(1), INSTANCE, limit, role, ms(*at));
-        verdict == TokenVerdict::Granted
+        verdict == TokenStatus::Granted
     };
     asks.filter(is_granted).collect()
 }
@@ -179,7 +179,7 @@
     let mut wait_of = |number| {
         let role = LimiterRole::Primary;
         match limiter.request_token(asker(number), INSTANCE, limit(5_000), role, ms(4_010)) {
-            TokenVerdict::Refused(wait) => wait,
+            TokenStatus::Refused(wait) => wait,
             verdict => panic!("{verdict:?}"),
         }
     };
@@ -242,7 +242,7 @@
     let mut succession = LimiterFailover::default();
     expect_that!(asked_for(&mut succession, 0..9_900).is_lost, eq(false));
     expect_that!(asked_for(&mut succession, 9_900..10_200).is_lost, eq(true));
-    succession.heard(asker(1));
+    succession.record_message(asker(1));
     expect_that!(
         asked_for(&mut succession, 10_200..19_000).is_lost,
         eq(false)
