--- a/crates/ledgelead-router/tests/change_lists.rs
+++ b/crates/ledgelead-router/tests/change_lists.rs
@@ -1,6 +1,7 @@
-//! A node's picture of the instances, told by lists in parts, by its own watch
-//! and by whole lists, in any order and with losses: what it takes for known up
-//! to a revision is what the store held at that revision.
+//! Checks a node's view of the instances against the store. The node learns of changes by
+//! lists in several parts, by its own watch and by complete lists, in any order and with
+//! losses. At the revision up to which it knows the changes, its view must equal the content
+//! of the store.
 
 use ledgelead_router::dialect::{
     Object, ObjectContent, ObjectEvent, ObjectKind, StoreAnswer, StoreCall,
@@ -13,12 +14,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Instances that come and go.
+/// Number of instances.
 const INSTANCES: u16 = 5;
-/// Changes of one list in one part.
-const A_PART: usize = 2;
+/// Number of changes in one part of a list.
+const CHANGES_PER_PART: usize = 2;
 
-/// An instance's entry: gone, serving or draining.
+/// An instance's entry: missing, serving or draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
     Gone,
@@ -26,49 +27,49 @@
     Draining,
 }
 
-/// What happens next.
+/// A step of the test.
 #[derive(Clone, Debug)]
-enum Happening {
-    /// The store takes an entry.
+enum Step {
+    /// An entry of the store is written.
     Write(u16, Entry),
-    /// The coordinator tells all changes since some revisions ago.
-    Tell(u64),
-    /// A part that is on its way arrives; the number picks one.
+    /// The coordinator sends all changes of this many revisions.
+    SendChanges(u64),
+    /// A part in transit arrives; the number selects one.
     Arrive(usize),
-    /// A part that is on its way is lost.
+    /// A part in transit is lost.
     Lose(usize),
-    /// The node asks the store.
-    Ask,
-    /// The store answers.
-    Answer,
-    /// The store forgets its history.
-    Forget,
+    /// The node calls the store.
+    CallStore,
+    /// The store's answer arrives.
+    DeliverAnswer,
+    /// The store compacts its history.
+    CompactHistory,
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn step() -> impl Strategy<Value = Step> {
     let entry = prop_oneof![
         Just(Entry::Gone),
         Just(Entry::Serving),
         Just(Entry::Draining)
     ];
     prop_oneof![
-        4 => (0..INSTANCES, entry).prop_map(|(place, entry)| Happening::Write(place, entry)),
-        3 => (1..6u64).prop_map(Happening::Tell),
-        6 => (0..100usize).prop_map(Happening::Arrive),
-        1 => (0..100usize).prop_map(Happening::Lose),
-        2 => Just(Happening::Ask),
-        2 => Just(Happening::Answer),
-        1 => Just(Happening::Forget),
+        4 => (0..INSTANCES, entry).prop_map(|(place, entry)| Step::Write(place, entry)),
+        3 => (1..6u64).prop_map(Step::SendChanges),
+        6 => (0..100usize).prop_map(Step::Arrive),
+        1 => (0..100usize).prop_map(Step::Lose),
+        2 => Just(Step::CallStore),
+        2 => Just(Step::DeliverAnswer),
+        1 => Just(Step::CompactHistory),
     ]
 }
 
 type Change = (u16, Entry);
 
-/// The store: every change, in the order of revisions from 1.
+/// The store: all changes, in the order of revisions from 1.
 #[derive(Default)]
 struct Store {
     history: Vec<Change>,
-    forgotten: u64,
+    compacted: u64,
 }
 
 impl Store {
@@ -76,7 +77,7 @@
         self.history.len() as u64
     }
 
-    /// The entries as they were at a revision.
+    /// The entries at a revision.
     fn entries_at(&self, revision: u64) -> BTreeMap<u16, Entry> {
         self.history[..revision as usize].iter().copied().collect()
     }
@@ -91,7 +92,7 @@
     fn answer(&self, call: &StoreCall) -> StoreAnswer {
         let revision = self.revision();
         match call {
-            StoreCall::Watch { revision: base, .. } if *base < self.forgotten => {
+            StoreCall::Watch { revision: base, .. } if *base < self.compacted => {
                 StoreAnswer::HistoryLost
             }
             StoreCall::Watch { revision: base, .. } => {
@@ -145,14 +146,14 @@
     }
 }
 
-/// A node's picture, kept as a node keeps it.
-struct Picture {
+/// A node's view of the instances, updated as by a node.
+struct View {
     directory: Directory,
     watcher: Watcher,
-    assembly: ChangeListAssembler<Change>,
+    assembler: ChangeListAssembler<Change>,
 }
 
-impl Picture {
+impl View {
     fn apply(&mut self, change: Change, now: Duration) {
         match change.1 {
             Entry::Gone => self.directory.remove(id(change.0).name(), now),
@@ -160,8 +161,8 @@
         }
     }
 
-    fn told(&mut self, span: ChangeSpan, changes: Vec<Change>, now: Duration) {
-        let Some(list) = self.assembly.add(span, changes) else {
+    fn received(&mut self, span: ChangeSpan, changes: Vec<Change>, now: Duration) {
+        let Some(list) = self.assembler.add(span, changes) else {
             return;
         };
         let known = self.watcher.revision();
@@ -214,7 +215,7 @@
 }
 
 fn parts(base: u64, revision: u64, changes: &[Change]) -> Vec<(ChangeSpan, Vec<Change>)> {
-    let count = u8::try_from(changes.chunks(A_PART).count()).expect("few parts");
+    let count = u8::try_from(changes.chunks(CHANGES_PER_PART).count()).expect("few parts");
     let span = |part| ChangeSpan {
         base,
         revision,
@@ -223,7 +224,7 @@
     };
     (0..count)
         .map(span)
-        .zip(changes.chunks(A_PART).map(<[Change]>::to_vec))
+        .zip(changes.chunks(CHANGES_PER_PART).map(<[Change]>::to_vec))
         .collect()
 }
 
@@ -231,57 +232,56 @@
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_known_up_to_a_revision_is_what_the_store_held(
-        happenings in proptest::collection::vec(happening(), 1..80),
+    fn view_at_a_revision_equals_the_store_at_that_revision(
+        steps in proptest::collection::vec(step(), 1..80),
     ) {
         let pace = WatcherPace { after_events: Duration::ZERO, after_nothing: Duration::ZERO, wait: Duration::from_secs(1) };
-        let mut picture = Picture {
+        let mut view = View {
             directory: Directory::default(),
             watcher: Watcher::new(ObjectKind::Instances, pace),
-            assembly: ChangeListAssembler::default(),
+            assembler: ChangeListAssembler::default(),
         };
         let mut store = Store::default();
-        let mut on_the_way = Vec::new();
-        // The store answers as things are when it is asked; the answer may be
-        // long on its way.
-        let mut asked: Option<StoreAnswer> = None;
+        let mut in_transit = Vec::new();
+        // The answer reflects the store at the time of the call, but may arrive much later.
+        let mut pending_answer: Option<StoreAnswer> = None;
         let mut now = Duration::ZERO;
-        for happening in happenings {
+        for step in steps {
             now += Duration::from_millis(1_500);
-            match happening {
-                Happening::Write(place, entry) => store.history.push((place, entry)),
-                Happening::Tell(back) => {
+            match step {
+                Step::Write(place, entry) => store.history.push((place, entry)),
+                Step::SendChanges(back) => {
                     let revision = store.revision();
                     let base = revision.saturating_sub(back);
-                    on_the_way.extend(parts(base, revision, &store.changes(base, revision)));
+                    in_transit.extend(parts(base, revision, &store.changes(base, revision)));
                 }
-                Happening::Arrive(pick) | Happening::Lose(pick) if on_the_way.is_empty() => {
+                Step::Arrive(pick) | Step::Lose(pick) if in_transit.is_empty() => {
                     let _ = pick;
                 }
-                Happening::Arrive(pick) => {
-                    let (span, changes) = on_the_way.remove(pick % on_the_way.len());
-                    picture.told(span, changes, now);
+                Step::Arrive(pick) => {
+                    let (span, changes) = in_transit.remove(pick % in_transit.len());
+                    view.received(span, changes, now);
                 }
-                Happening::Lose(pick) => {
-                    on_the_way.remove(pick % on_the_way.len());
+                Step::Lose(pick) => {
+                    in_transit.remove(pick % in_transit.len());
                 }
-                Happening::Ask => {
-                    if let Some(call) = picture.watcher.take_call(now) {
-                        asked = Some(store.answer(&call));
+                Step::CallStore => {
+                    if let Some(call) = view.watcher.take_call(now) {
+                        pending_answer = Some(store.answer(&call));
                     }
                 }
-                Happening::Answer => {
-                    if let Some(answer) = asked.take() {
-                        picture.answered(answer, now);
+                Step::DeliverAnswer => {
+                    if let Some(answer) = pending_answer.take() {
+                        view.answered(answer, now);
                     }
                 }
-                Happening::Forget => store.forgotten = store.revision(),
+                Step::CompactHistory => store.compacted = store.revision(),
             }
-            if let Some(known) = picture.watcher.revision() {
+            if let Some(known) = view.watcher.revision() {
                 let held = store.entries_at(known);
                 for place in 0..INSTANCES {
                     let expected = held.get(&place).copied().unwrap_or(Entry::Gone);
-                    prop_assert_eq!(picture.entry(place), expected, "instance {} at {}", place, known);
+                    prop_assert_eq!(view.entry(place), expected, "instance {} at {}", place, known);
                 }
             }
         }
@@ -292,11 +292,11 @@
         count in 1..12u8,
         order in proptest::collection::vec(0..12u8, 0..40),
     ) {
-        let mut assembly = ChangeListAssembler::default();
+        let mut assembler = ChangeListAssembler::default();
         let mut arrived = std::collections::BTreeSet::new();
         for part in order {
             let span = ChangeSpan { base: 3, revision: 9, part, parts: count };
-            let list = assembly.add(span, vec![part]);
+            let list = assembler.add(span, vec![part]);
             if part >= count {
                 prop_assert!(list.is_none());
                 continue;
--- a/crates/ledgelead-router/tests/cold_start.rs
+++ b/crates/ledgelead-router/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! What cold instances get, over all nodes.
+//! Requests to cold instances, over all nodes.
 
 use googletest::prelude::*;
 use ledgelead_router::configuration::{Configuration, Service};
@@ -10,10 +10,10 @@
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-/// Requests a second that a cold instance bears.
+/// Requests a second that a cold instance can process.
 const RATE: f64 = 4.2;
-/// Most requests to one cold instance in a second, over all nodes: `RATE` times the
-/// overage, and the slack.
+/// Maximum number of requests to one cold instance in a second, over all nodes: `RATE` times
+/// the allowed overage, plus the slack.
 const MOST: usize = 14;
 
 fn ms(ms: u64) -> Duration {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The instance, cold for three seconds.
+/// A directory with one instance that is cold for three seconds.
 fn directory() -> Directory {
     let mut directory = Directory::default();
     let record = InstanceRecord {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Nodes that know all others but those that `misses` names.
+/// Nodes that know all others, except those selected by `misses`.
 fn senders(nodes: usize, zones: usize, misses: impl Fn(usize, usize) -> bool) -> Vec<Sender> {
     let sender = |number: usize| {
         let mut registry = Registry::default();
@@ -98,7 +98,7 @@
     (0..nodes).map(sender).collect()
 }
 
-/// Times at which the instance gets a request, if each node has one each 20 ms.
+/// Times at which the instance gets a request if each node has one every 20 ms.
 fn sent_in_three_seconds(senders: &mut [Sender], instance: &Instance) -> Vec<Duration> {
     let configuration = configuration(Some(RATE));
     let mut sent = Vec::new();
@@ -128,7 +128,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Also where nodes don't know of one in seven others.
+    /// Even if nodes do not know one in seven of the others.
     #[test]
     fn all_nodes_together_keep_the_bound_of_a_cold_instance(
         nodes in 1usize..90,
@@ -145,7 +145,7 @@
 }
 
 #[gtest]
-fn a_cold_instance_gets_what_it_bears_from_nodes_of_its_zone() {
+fn a_cold_instance_gets_as_many_requests_as_it_can_process_from_its_zone() {
     let directory = directory();
     let instance = directory.get(&InstanceId::from("i")).expect("known");
     let mut all = senders(74, 3, |_, _| false);
@@ -164,7 +164,7 @@
 }
 
 #[gtest]
-fn warm_instances_and_services_without_a_bound_are_sent_to_by_all() {
+fn warm_instances_and_services_without_a_limit_get_requests_from_all_nodes() {
     let directory = directory();
     let instance = directory.get(&InstanceId::from("i")).expect("known");
     let all = senders(20, 3, |_, _| false);
@@ -175,7 +175,7 @@
     expect_that!(admitted(&configuration(Some(RATE)), ms(3_000)), eq(20));
     expect_that!(admitted(&configuration(None), ms(0)), eq(20));
     expect_that!(admitted(&configuration(Some(RATE)), ms(0)), eq(3));
-    // Who doesn't know itself among the nodes, knows too little to share.
+    // A node that is not in its own list of nodes does not know its share.
     let mut lone = senders(1, 1, |_, _| false);
     lone[0].registry = Registry::default();
     let configuration = configuration(Some(RATE));
--- a/crates/ledgelead-router/tests/digest.rs
+++ b/crates/ledgelead-router/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Which tries are the same request.
+//! Which attempts count as the same request.
 
 use googletest::prelude::*;
 use ledgelead_http::Request;
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn a_later_try_of_a_request_has_its_digest() {
+fn repeated_attempts_have_the_same_digest() {
     let mut later = request("/a/b?c=1", "body");
     later.headers.set("Attempt", "2");
     later.headers.set("Deadline", "300");
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn another_request_has_another_digest() {
+fn different_requests_have_different_digests() {
     let first = digest("/a/b?c=1", "body");
     let mut others = vec![
         digest("/a/b?c=2", "body"),
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn a_digest_is_read_as_it_was_written() {
+fn a_digest_is_parsed_from_its_text() {
     let first = digest("/a", "");
     expect_that!(RequestDigest::parse(&first.to_string()), some(eq(first)));
     for wrong in ["", "12", "zz", &"g".repeat(32), &"+".repeat(32)] {
--- a/crates/ledgelead-router/tests/eras.rs
+++ b/crates/ledgelead-router/tests/eras.rs
@@ -1,4 +1,4 @@
-//! Numbers of a store that may come back from a copy.
+//! Revisions of a store that can be restored from a backup.
 
 use googletest::prelude::*;
 use ledgelead_router::dialect::{Object, ObjectContent, ObjectKind, StoreAnswer, StoreCall};
@@ -17,7 +17,7 @@
 }
 
 /// The revision of an answer in an era; none if it is out of bounds.
-fn numbered(era: u64, revision: u64) -> Option<u64> {
+fn in_era(era: u64, revision: u64) -> Option<u64> {
     match with_era(era, events(revision)) {
         Ok(StoreAnswer::Events { revision, .. }) => Some(revision),
         _ => None,
@@ -25,21 +25,21 @@
 }
 
 #[gtest]
-fn each_revision_of_an_era_is_above_all_of_earlier_ones() {
+fn revisions_of_an_era_are_above_those_of_earlier_eras() {
     let last = first_in_era(1) - 1;
-    let first = numbered(1, 1).expect("a revision");
+    let first = in_era(1, 1).expect("a revision");
     expect_that!(first, gt(last));
     expect_that!(era_of(first), eq(1));
-    expect_that!(numbered(2, 1), gt(numbered(1, last)));
-    // Stores that name no era keep their own numbers.
-    expect_that!(numbered(0, 17), some(eq(17)));
+    expect_that!(in_era(2, 1), gt(in_era(1, last)));
+    // Stores without an era keep their own revisions.
+    expect_that!(in_era(0, 17), some(eq(17)));
 }
 
 #[gtest]
-fn numbers_out_of_bounds_are_findings() {
-    expect_that!(numbered(1, first_in_era(1)), none());
-    expect_that!(numbered(MAX_ERA, 1), some(anything()));
-    expect_that!(numbered(MAX_ERA + 1, 1), none());
+fn revisions_out_of_bounds_are_errors() {
+    expect_that!(in_era(1, first_in_era(1)), none());
+    expect_that!(in_era(MAX_ERA, 1), some(anything()));
+    expect_that!(in_era(MAX_ERA + 1, 1), none());
     let object = Object {
         name: "a".to_owned(),
         revision: u64::MAX,
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn the_store_is_asked_by_its_own_numbers() {
+fn calls_carry_the_stores_own_revisions() {
     let watch = StoreCall::Watch {
         kind: ObjectKind::Instances,
         revision: first_in_era(3) | 41,
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn an_entry_of_a_copy_does_not_bring_a_leaving_instance_back() {
+fn an_entry_from_a_backup_does_not_make_a_leaving_instance_serve_again() {
     let ready = InstanceRecord {
         id: InstanceId::from("a"),
         service: ServiceName::from("s"),
--- a/crates/ledgelead-router/tests/identity.rs
+++ b/crates/ledgelead-router/tests/identity.rs
@@ -1,4 +1,4 @@
-//! The texts of lives of instances.
+//! The texts of instance ids.
 
 use googletest::prelude::*;
 use ledgelead_router::identity::InstanceId;
@@ -15,7 +15,7 @@
 }
 
 #[gtest]
-fn a_name_alone_is_its_own_text() {
+fn the_text_of_an_id_without_start_time_is_its_name() {
     expect_that!(InstanceId::from("i-7f3a91c2").as_str(), eq("i-7f3a91c2"));
     expect_that!(
         InstanceId::parse("i-7f3a91c2"),
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn lives_of_one_name_differ() {
+fn incarnations_of_one_name_differ() {
     let (first, second) = (
         InstanceId::with_start_time("i", 9),
         InstanceId::with_start_time("i", 10),
@@ -54,10 +54,10 @@
         prop_assert_eq!(read.start_ms(), born);
         prop_assert_eq!(&read, &id);
         let stored = serde_json::to_string(&id).expect("a text");
-        prop_assert_eq!(serde_json::from_str::<InstanceId>(&stored).expect("a life"), id);
+        prop_assert_eq!(serde_json::from_str::<InstanceId>(&stored).expect("an instance id"), id);
     }
 
-    /// Texts of other nodes are read before they are compared.
+    /// Texts from other nodes are parsed before they are compared.
     #[test]
     fn any_two_texts_are_equal_as_they_are_ordered(
         first in "[a#01]{0,5}",
@@ -68,9 +68,9 @@
     }
 }
 
-/// Marks in plenty are read without going deep.
+/// A text of many separators is parsed without recursion.
 #[gtest]
-fn a_text_of_marks_alone_is_a_name() {
+fn a_text_of_separators_only_is_a_name() {
     let marks = "#".repeat(60_000);
     expect_that!(InstanceId::parse(&marks).name(), eq(marks.as_str()));
     expect_that!(InstanceId::parse("a#").name(), eq("a#"));
--- a/crates/ledgelead-router/tests/incarnations.rs
+++ b/crates/ledgelead-router/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! Instances that start again under their names: what is known of one life says nothing
-//! of another.
+//! Instances that restart under the same name. State known of one incarnation must not be
+//! attributed to another.
 
 use googletest::prelude::*;
 use ledgelead_router::configuration::{ClientLimits, Configuration, Service};
@@ -22,7 +22,7 @@
     Duration::from_millis(ms)
 }
 
-fn life(name: &str, born: u64) -> InstanceRecord {
+fn incarnation(name: &str, born: u64) -> InstanceRecord {
     InstanceRecord {
         id: InstanceId::with_start_time(name, born),
         service: ServiceName::from("s"),
@@ -46,20 +46,20 @@
 const UNKNOWN: (bool, bool) = (false, false);
 
 #[gtest]
-fn a_life_whose_entry_another_writer_replaced_serves_again_with_its_next_entry() {
+fn an_incarnation_whose_entry_was_overwritten_serves_again_with_its_next_entry() {
     let mut directory = Directory::default();
-    directory.replace_all(vec![Entry::at(1, life("a", 10))], ms(0));
-    // Of another start, or without one.
-    directory.upsert(Entry::at(2, life("a", 99)), ms(100));
+    directory.replace_all(vec![Entry::at(1, incarnation("a", 10))], ms(0));
+    // An entry with another start time, then one without.
+    directory.upsert(Entry::at(2, incarnation("a", 99)), ms(100));
     expect_that!(known(&directory, 10), eq(ENDED));
-    directory.upsert(Entry::at(3, life("a", 10)), ms(200));
+    directory.upsert(Entry::at(3, incarnation("a", 10)), ms(200));
     expect_that!(known(&directory, 10), eq(SERVES));
     let without_start = InstanceRecord {
         id: InstanceId::from("a"),
-        ..life("a", 10)
+        ..incarnation("a", 10)
     };
     directory.upsert(Entry::at(4, without_start), ms(300));
-    // Nothing new is sent there, but no life is proved to be over.
+    // It gets no new requests, but no incarnation is proved to have ended.
     expect_that!(known(&directory, 10), eq(UNKNOWN));
     expect_that!(
         directory
@@ -67,17 +67,17 @@
             .is_none(),
         eq(true)
     );
-    directory.upsert(Entry::at(5, life("a", 10)), ms(400));
+    directory.upsert(Entry::at(5, incarnation("a", 10)), ms(400));
     expect_that!(known(&directory, 10), eq(SERVES));
 }
 
 #[gtest]
-fn a_later_life_ends_the_earlier_one_at_any_address() {
+fn a_later_incarnation_ends_the_earlier_one_at_any_address() {
     let mut directory = Directory::default();
-    directory.replace_all(vec![life("a", 10)], ms(0));
+    directory.replace_all(vec![incarnation("a", 10)], ms(0));
     let moved = InstanceRecord {
         address: ([10, 0, 9, 9], 80).into(),
-        ..life("a", 20)
+        ..incarnation("a", 20)
     };
     directory.upsert(moved, ms(1_000));
     expect_that!(known(&directory, 10), eq(ENDED));
@@ -87,57 +87,58 @@
 }
 
 #[gtest]
-fn an_earlier_life_that_is_told_late_tells_nothing() {
+fn a_delayed_entry_of_an_earlier_incarnation_is_ignored() {
     let mut directory = Directory::default();
-    directory.replace_all(vec![life("a", 20)], ms(0));
-    directory.upsert(life("a", 10), ms(1_000));
+    directory.replace_all(vec![incarnation("a", 20)], ms(0));
+    directory.upsert(incarnation("a", 10), ms(1_000));
     expect_that!(known(&directory, 10), eq(UNKNOWN));
     expect_that!(known(&directory, 20), eq(SERVES));
-    // A list that is late as well has an entry of that name, so none is missing.
-    directory.replace_all(vec![life("a", 10)], ms(2_000));
+    // A delayed list still contains an entry of that name, so that none is missing.
+    directory.replace_all(vec![incarnation("a", 10)], ms(2_000));
     expect_that!(known(&directory, 20), eq(SERVES));
 }
 
 #[gtest]
-fn an_earlier_life_is_not_back_when_the_later_one_has_gone() {
+fn an_earlier_incarnation_stays_ended_after_the_later_one_is_gone() {
     let mut directory = Directory::default();
-    directory.replace_all(vec![life("a", 10)], ms(0));
-    directory.upsert(life("a", 20), ms(1_000));
+    directory.replace_all(vec![incarnation("a", 10)], ms(0));
+    directory.upsert(incarnation("a", 20), ms(1_000));
     directory.remove("a", ms(2_000));
-    directory.upsert(life("a", 10), ms(3_000));
+    directory.upsert(incarnation("a", 10), ms(3_000));
     expect_that!(known(&directory, 10), eq(ENDED));
     expect_that!(known(&directory, 20), eq(UNKNOWN));
 }
 
 #[gtest]
-fn the_revision_decides_where_a_clock_was_set_back() {
+fn the_revision_decides_if_a_clock_was_set_back() {
     let mut directory = Directory::default();
-    directory.replace_all(vec![Entry::at(5, life("a", 20))], ms(0));
-    directory.upsert(Entry::at(8, life("a", 10)), ms(1_000));
+    directory.replace_all(vec![Entry::at(5, incarnation("a", 20))], ms(0));
+    directory.upsert(Entry::at(8, incarnation("a", 10)), ms(1_000));
     expect_that!(known(&directory, 20), eq(ENDED));
     expect_that!(known(&directory, 10), eq(SERVES));
-    directory.upsert(Entry::at(5, life("a", 20)), ms(2_000));
+    directory.upsert(Entry::at(5, incarnation("a", 20)), ms(2_000));
     expect_that!(known(&directory, 10), eq(SERVES));
 }
 
 #[gtest]
-fn the_same_life_under_another_revision_goes_on() {
+fn the_same_incarnation_continues_at_another_revision() {
     let mut directory = Directory::default();
-    directory.replace_all(vec![Entry::at(5, life("a", 20))], ms(0));
-    directory.upsert(Entry::at(8, life("a", 20)), ms(1_000));
+    directory.replace_all(vec![Entry::at(5, incarnation("a", 20))], ms(0));
+    directory.upsert(Entry::at(8, incarnation("a", 20)), ms(1_000));
     expect_that!(known(&directory, 20), eq(SERVES));
 }
 
 #[gtest]
-fn the_name_takes_out_the_life_that_has_it() {
+fn a_deleted_name_removes_its_current_incarnation() {
     let mut directory = Directory::default();
-    directory.replace_all(vec![life("a", 10), life("b", 1)], ms(0));
-    directory.upsert(life("a", 20), ms(1_000));
-    directory.replace_all(vec![life("b", 1)], ms(2_000));
+    directory.replace_all(vec![incarnation("a", 10), incarnation("b", 1)], ms(0));
+    directory.upsert(incarnation("a", 20), ms(1_000));
+    directory.replace_all(vec![incarnation("b", 1)], ms(2_000));
     expect_that!(known(&directory, 20), eq(UNKNOWN));
 }
 
-/// A coordinator of one range that `a` owns under 5, born at 10, and `b` beside.
+/// A coordinator with one range that `a` owns with token 5, started at 10, and with a second
+/// instance `b`.
 struct Fixture {
     coordinator: Coordinator,
     directory: Directory,
@@ -170,7 +171,7 @@
             others: Duration::ZERO,
         };
         let mut directory = Directory::default();
-        directory.replace_all(vec![life("a", 10), life("b", 1)], ms(0));
+        directory.replace_all(vec![incarnation("a", 10), incarnation("b", 1)], ms(0));
         Fixture {
             coordinator: Coordinator::new(record, earlier, Protections::default(), ms(0)),
             directory,
@@ -201,7 +202,7 @@
         })
     }
 
-    /// The only order of a step.
+    /// The single order of a step.
     fn order(&mut self, now: Duration) -> OutgoingOrder {
         let orders = self.step(now).orders;
         assert_eq!(orders.len(), 1, "{orders:?}");
@@ -213,7 +214,7 @@
         self.coordinator.order_ended(order.exchange, Ok(done), now);
     }
 
-    /// Steps until the record is to be written, and the time and owner then.
+    /// Steps until the record is to be written; returns the time and the owner.
     fn next_owner(&mut self, from: Duration, to: Duration) -> Option<(Duration, InstanceId, u64)> {
         let mut now = from;
         while now <= to {
@@ -228,11 +229,11 @@
 }
 
 #[gtest]
-fn keys_pass_to_the_later_life_under_a_higher_token() {
+fn keys_pass_to_the_later_incarnation_with_a_higher_token() {
     let mut fixture = Fixture::new();
     let granted = fixture.order(ms(10_000));
     fixture.done(&granted, ms(10_005));
-    fixture.directory.upsert(life("a", 20), ms(10_500));
+    fixture.directory.upsert(incarnation("a", 20), ms(10_500));
     let next = fixture.next_owner(ms(10_500), ms(11_000));
     let later = InstanceId::with_start_time("a", 20);
     expect_that!(next, some(eq(&(ms(10_500), later.clone(), 6))));
@@ -246,10 +247,10 @@
 }
 
 #[gtest]
-fn a_grant_on_its_way_holds_the_later_life_up() {
+fn a_grant_in_transit_delays_the_later_incarnation() {
     let mut fixture = Fixture::new();
     let granted = fixture.order(ms(10_000));
-    fixture.directory.upsert(life("a", 20), ms(10_100));
+    fixture.directory.upsert(incarnation("a", 20), ms(10_100));
     expect_that!(fixture.next_owner(ms(10_100), ms(10_590)), none());
     let timed_out = Err(ExchangeFailure::TimedOut);
     fixture
@@ -263,12 +264,12 @@
 }
 
 #[gtest]
-fn another_instance_waits_out_what_the_later_life_may_have_taken() {
+fn another_instance_waits_for_grants_that_the_later_incarnation_may_have_received() {
     let mut fixture = Fixture::new();
     let granted = fixture.order(ms(10_000));
     let leaving = InstanceRecord {
         draining: true,
-        ..life("a", 20)
+        ..incarnation("a", 20)
     };
     fixture.directory.upsert(leaving, ms(10_100));
     let timed_out = Err(ExchangeFailure::TimedOut);
@@ -284,14 +285,14 @@
 }
 
 #[gtest]
-fn a_later_life_that_takes_nothing_is_waited_out_too() {
+fn the_lease_of_a_later_incarnation_that_accepts_no_keys_must_expire_too() {
     let mut fixture = Fixture::new();
     let granted = fixture.order(ms(10_000));
     fixture.done(&granted, ms(10_005));
-    fixture.directory.upsert(life("a", 20), ms(10_100));
+    fixture.directory.upsert(incarnation("a", 20), ms(10_100));
     expect_that!(fixture.next_owner(ms(10_100), ms(10_200)), some(anything()));
     fixture.coordinator.record_written(ms(10_200));
-    // The answered grant of the earlier life may have been taken by the later one.
+    // The answered grant of the earlier incarnation may have been received by the later one.
     let end = ms(10_005) + longest_hold();
     let mut now = ms(10_200);
     let mut given = None;
@@ -313,13 +314,13 @@
 }
 
 #[gtest]
-fn nothing_is_sent_to_a_life_whose_name_another_has() {
+fn no_order_is_sent_to_an_incarnation_whose_name_another_one_has() {
     let mut fixture = Fixture::new();
     let granted = fixture.order(ms(10_000));
     fixture.done(&granted, ms(10_005));
     let leaving = InstanceRecord {
         draining: true,
-        ..life("a", 20)
+        ..incarnation("a", 20)
     };
     fixture.directory.upsert(leaving, ms(10_100));
     let mut now = ms(10_100);
@@ -330,13 +331,13 @@
 }
 
 #[gtest]
-fn another_name_at_the_address_ends_the_lease_at_once() {
+fn a_different_name_at_the_address_ends_the_lease_at_once() {
     let mut fixture = Fixture::new();
     let granted = fixture.order(ms(10_000));
     fixture.done(&granted, ms(10_005));
     let other = InstanceRecord {
         id: InstanceId::with_start_time("c", 20),
-        ..life("a", 20)
+        ..incarnation("a", 20)
     };
     fixture.directory.upsert(other, ms(10_100));
     let next = fixture.next_owner(ms(10_100), ms(10_200));
@@ -344,11 +345,11 @@
 }
 
 #[gtest]
-fn an_answer_under_an_id_shows_a_life_only_after_a_later_one_would_be_known() {
+fn an_answer_proves_an_incarnation_alive_only_after_a_later_one_would_be_known() {
     let id = InstanceId::with_start_time("a", 10);
     let mut signs = UnconfirmedAnswers::default();
     signs.answered(&id, ms(1_000), ms(1_100));
-    // Answers that go on don't put it off.
+    // Further answers do not extend the wait.
     signs.answered(&id, ms(2_000), ms(2_100));
     expect_that!(signs.next_due(), some(eq(ms(3_100))));
     expect_that!(signs.take_due(ms(3_000)), is_empty());
--- a/crates/ledgelead-router/tests/local_view.rs
+++ b/crates/ledgelead-router/tests/local_view.rs
@@ -1,4 +1,4 @@
-//! What a node believes: instances, watches, the store, other nodes' load.
+//! A node's view of instances, watches, the store and other nodes' load.
 
 use googletest::prelude::*;
 use ledgelead_router::configuration::{
@@ -46,14 +46,14 @@
 }
 
 #[gtest]
-fn an_entry_that_goes_in_calm_times_takes_its_instance_out() {
+fn a_deleted_entry_removes_its_instance_while_the_store_serves() {
     let mut directory = directory(vec![record("a", 1)]);
     directory.remove("a", ms(5_000));
     expect_that!(serves(&directory, "a"), eq(false));
 }
 
 #[gtest]
-fn an_entry_that_went_with_an_outage_is_doubted_for_two_seconds() {
+fn an_entry_missing_after_an_outage_counts_as_unconfirmed_for_two_seconds() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
     directory.note_store_outage(ms(10_000));
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(10_000));
@@ -67,12 +67,12 @@
 }
 
 #[gtest]
-fn an_entry_that_went_while_only_this_node_was_cut_off_is_gone_at_once() {
+fn an_entry_deleted_while_only_this_node_was_cut_off_is_gone_at_once() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
     directory.note_store_outage(ms(14_000));
     directory.replace_all(vec![record("b", 2)], ms(14_000));
     expect_that!(serves(&directory, "a"), eq(true));
-    // The coordinator was served through the whole time.
+    // The store served the coordinator all the time.
     directory.store_served_since(ms(1_000));
     directory.expire(ms(14_100));
     expect_that!(serves(&directory, "a"), eq(false));
@@ -83,7 +83,7 @@
 }
 
 #[gtest]
-fn a_leaving_instance_has_left_at_the_last_time_at_which_it_was_known_not_to() {
+fn leaving_counts_from_the_last_time_at_which_the_instance_was_known_to_serve() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
     directory.note_current(ms(8_300));
     directory.note_current(ms(7_000));
@@ -94,8 +94,8 @@
     directory.upsert(leaving("a", 1), ms(9_000));
     directory.remove("b", ms(9_000));
     directory.note_current(ms(9_500));
-    // It ends, its entry comes back as leaving, and goes again: it has been
-    // leaving all the time.
+    // It ends; its entry reappears as leaving and disappears again. It has been leaving all
+    // the time.
     directory.remove("a", ms(10_000));
     directory.upsert(leaving("a", 1), ms(10_500));
     directory.remove("a", ms(11_000));
@@ -103,7 +103,7 @@
         let instance = directory.get(&InstanceId::from(id)).expect("remembered");
         expect_that!(instance.leaving_since(), some(eq(ms(8_300))));
     }
-    // One that serves again is not leaving any more.
+    // An instance that serves again is no longer leaving.
     directory.upsert(record("a", 1), ms(12_000));
     expect_that!(serves(&directory, "a"), eq(true));
     directory.remove("a", ms(12_100));
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn an_entry_in_doubt_counts_as_a_change_that_others_must_look_at() {
+fn an_unconfirmed_missing_entry_counts_as_a_change_of_the_directory() {
     let mut directory = directory(vec![record("a", 1)]);
     directory.note_store_outage(ms(10_000));
     let before = directory.changes();
@@ -124,7 +124,7 @@
 }
 
 #[gtest]
-fn a_new_instance_at_an_address_ends_the_other_for_good() {
+fn a_new_instance_at_an_address_permanently_ends_the_previous_one() {
     let mut directory = directory(vec![record("a", 1)]);
     directory.upsert(record("b", 1), ms(1_000));
     expect_that!(directory.has_ended(&InstanceId::from("a")), eq(true));
@@ -134,7 +134,7 @@
 }
 
 #[gtest]
-fn who_was_leaving_before_the_first_list_has_left_for_all_this_node_knows() {
+fn an_instance_leaving_before_the_first_list_may_have_left_at_any_time() {
     let leaving = InstanceRecord {
         draining: true,
         ..record("a", 1)
@@ -225,7 +225,7 @@
 }
 
 #[gtest]
-fn a_list_continues_from_the_last_name_that_can_be_read() {
+fn a_list_continues_after_the_last_readable_name() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(named_page(&["a", "b", ""], true), ms(1));
@@ -244,7 +244,7 @@
 }
 
 #[gtest]
-fn a_page_without_a_new_name_ends_the_list_and_takes_nothing_for_gone() {
+fn a_page_without_a_new_name_ends_the_list_and_removes_no_object() {
     for stuck in [&[""][..], &["a"], &["", "a", ""]] {
         let mut watcher = watcher();
         watcher.take_call(ms(0));
@@ -271,13 +271,13 @@
         let mut watcher = Watcher::new(kind, pace);
         expect_that!(is_stale(watcher.take_call(ms(0))), eq(true));
         watcher.answered(page(7, false), ms(1));
-        // It is not taken for the newest state, so nothing is confirmed by it.
+        // It does not count as the newest state, so it confirms nothing.
         expect_that!(watcher.as_of(), none());
         watcher.refresh(ms(2));
         expect_that!(is_stale(watcher.take_call(ms(2))), eq(false));
         watcher.answered(page(9, false), ms(3));
         expect_that!(watcher.as_of(), some(eq(ms(2))));
-        // Elections of a starting deployment and coordinators need it exact.
+        // Elections of a starting deployment and coordinators need an exact list.
         let mut exact = Watcher::new(kind, pace);
         exact.set_first_may_be_stale(false);
         expect_that!(is_stale(exact.take_call(ms(0))), eq(false));
@@ -285,7 +285,7 @@
 }
 
 #[gtest]
-fn the_first_watch_leaves_time_to_hear_of_a_coordinator() {
+fn the_first_watch_waits_for_a_coordinators_heartbeat() {
     for kind in ObjectKind::ALL {
         let mut watcher = Watcher::new(kind, watcher().pace());
         watcher.take_call(ms(0));
@@ -296,7 +296,7 @@
 }
 
 #[gtest]
-fn a_paused_watch_asks_until_it_is_answered_when_it_is_poked() {
+fn a_paused_watch_calls_until_answered_after_a_catch_up_request() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
@@ -317,13 +317,13 @@
 }
 
 #[gtest]
-fn many_changes_in_a_row_are_told_by_few_calls() {
+fn many_changes_in_a_row_are_read_with_few_calls() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
     watcher.set_paused(true);
     let mut calls = 0;
-    // A change each 80 ms for four seconds, and one long after.
+    // A change every 80 ms for four seconds, and one much later.
     for at in (1..=50).map(|change| ms(80 * change)).chain([ms(9_000)]) {
         watcher.request_catch_up(at);
         if watcher.take_call(at).is_some() {
@@ -339,7 +339,7 @@
 }
 
 #[gtest]
-fn a_watch_may_rest_between_answers_without_changes() {
+fn a_watch_may_pause_between_answers_without_changes() {
     let pace = WatcherPace {
         after_nothing: ms(2_500),
         ..watcher().pace()
@@ -358,7 +358,7 @@
 }
 
 #[gtest]
-fn a_new_coordinator_asks_without_waiting_for_a_change() {
+fn a_new_coordinator_calls_without_waiting_for_a_change() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
@@ -377,7 +377,7 @@
 }
 
 #[gtest]
-fn a_forgotten_history_leads_back_to_a_list() {
+fn a_compacted_history_leads_to_a_new_list() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
@@ -388,7 +388,7 @@
 }
 
 #[gtest]
-fn changes_older_than_what_another_node_has_told_are_dropped() {
+fn changes_older_than_those_reported_by_another_node_are_dropped() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
@@ -404,13 +404,13 @@
 }
 
 #[gtest]
-fn a_watch_knows_until_when_it_has_been_told_everything() {
+fn a_watch_knows_until_when_it_is_complete() {
     let mut watcher = watcher();
     watcher.set_first_may_be_stale(false);
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(300));
     expect_that!(watcher.as_of(), some(eq(ms(0))));
-    // Nothing has changed until the end of the wait.
+    // No change until the end of the wait.
     watcher.take_call(ms(1_500));
     let nothing = StoreAnswer::Events {
         events: Vec::new(),
@@ -418,7 +418,7 @@
     };
     watcher.answered(nothing, ms(2_900));
     expect_that!(watcher.as_of(), some(eq(ms(2_500))));
-    // The answer may have been on its way for long.
+    // The answer may have been in transit for long.
     watcher.take_call(ms(3_000));
     let something = StoreAnswer::Events {
         events: vec![gone("a", 9)],
@@ -426,7 +426,7 @@
     };
     watcher.answered(something, ms(3_900));
     expect_that!(watcher.as_of(), some(eq(ms(3_000))));
-    // What may be stale proves nothing.
+    // A list that may be stale proves nothing.
     let mut stale = Watcher::new(ObjectKind::Instances, watcher.pace());
     stale.take_call(ms(0));
     stale.answered(page(7, false), ms(1));
@@ -434,7 +434,7 @@
 }
 
 #[gtest]
-fn a_paused_watch_only_lists_when_it_is_told() {
+fn a_paused_watch_lists_only_on_request() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
     watcher.answered(page(7, false), ms(1));
@@ -455,7 +455,7 @@
 }
 
 #[gtest]
-fn failed_calls_are_made_again_after_growing_pauses() {
+fn failed_calls_are_retried_with_backoff() {
     let mut watcher = watcher();
     let mut now = ms(0);
     let mut pauses = Vec::new();
@@ -473,7 +473,7 @@
 }
 
 #[gtest]
-fn the_store_is_lost_only_after_a_while_of_failures() {
+fn the_store_is_unavailable_only_after_continued_failures() {
     let mut health = StoreHealth::default();
     health.succeeded(ms(100));
     health.failed(ms(200));
@@ -485,27 +485,27 @@
 }
 
 #[gtest]
-fn a_store_that_nobody_has_asked_for_long_may_have_been_away() {
+fn a_store_that_was_not_called_for_long_may_have_been_unavailable() {
     let mut health = StoreHealth::default();
     health.succeeded(ms(100));
     expect_that!(health.succeeded(ms(1_900)), eq(false));
     expect_that!(health.serving_since(), some(eq(ms(100))));
-    // A coordinator that was served has vouched for the time until here.
+    // A coordinator served by the store has relayed its changes until here.
     health.relayed_until(ms(9_000));
     expect_that!(health.succeeded(ms(10_800)), eq(false));
     expect_that!(health.succeeded(ms(12_800)), eq(true));
     expect_that!(health.serving_since(), some(eq(ms(12_800))));
 }
 
-/// A store that is away from time to time, and drops all entries meanwhile.
+/// A store that is unavailable at times and loses all entries meanwhile.
 #[derive(Clone, Debug)]
 struct Outages {
-    /// Beginning, end, and when the entries are back after it.
+    /// Start and end of each outage, and when the entries have reappeared after it.
     times: Vec<(Duration, Duration, Duration)>,
 }
 
 impl Outages {
-    /// From pauses, lengths and returns of entries, all in milliseconds.
+    /// Built from pauses, durations and delays of entries, all in milliseconds.
     fn new(drawn: &[(u64, u64, u64)]) -> Outages {
         let mut times = Vec::new();
         let mut at = Duration::ZERO;
@@ -538,17 +538,17 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever calls are out when the store goes away and returns, one that waits
-    /// through the outage among them, an instance that lives stays in use.
+    /// Whatever calls are in flight when the store becomes unavailable and recovers, including
+    /// one that waits through the outage, a living instance stays in use.
     #[test]
-    fn an_instance_that_lives_is_never_taken_for_gone(
+    fn a_living_instance_is_never_considered_gone(
         outages in proptest::collection::vec((5_000u64..9_000, 2_000u64..6_000, 0u64..2_000), 1..4),
         short in proptest::collection::vec((1u64..150, 1u64..50), 400),
         long in proptest::collection::vec((1u64..300, 500u64..10_000), 40),
         paused in 0u64..30_000,
     ) {
         let outages = Outages::new(&outages);
-        // Beginning and end of each call, and whether it lists the instances.
+        // Start and end of each call, and whether it lists the instances.
         let mut calls = Vec::new();
         let mut last_list = Duration::MAX;
         for (drawn, lists) in [(&short, true), (&long, false)] {
@@ -560,14 +560,14 @@
             }
             last_list = last_list.min(at);
         }
-        // Without lists nobody learns of what returns.
+        // Without lists the node does not see reappearing entries.
         calls.retain(|(at, _, _)| *at <= last_list);
         calls.sort();
         let mut health = StoreHealth::default();
         let mut directory = directory(vec![record("a", 1)]);
         for (now, began, lists) in calls {
-            // For some time a coordinator is followed, who relays what returns, and
-            // nothing is asked.
+            // For some time the node follows a coordinator, which relays reappearing entries,
+            // and makes no calls.
             let follows = ms(paused) <= now && now < ms(paused + 4_000);
             if follows && outages.serves(now) {
                 if health.relayed_until(now) {
@@ -598,8 +598,8 @@
 }
 
 #[gtest]
-fn counts_of_an_earlier_life_or_from_long_ago_are_void() {
-    let told = |count| {
+fn counts_of_an_earlier_incarnation_or_expired_ones_are_ignored() {
+    let reported = |count| {
         vec![OpenRequests {
             instance: 1,
             count,
@@ -608,16 +608,16 @@
     };
     let from = ([10, 0, 0, 1], 1).into();
     let mut shared = SharedLoad::default();
-    shared.record_node_counts(from, 1, &told(3), ms(0));
+    shared.record_node_counts(from, 1, &reported(3), ms(0));
     expect_that!(shared.open_at(1, ms(100)), eq(3));
     shared.record_node_counts(from, 2, &[], ms(100));
     expect_that!(shared.open_at(1, ms(100)), eq(0));
-    shared.record_node_counts(from, 2, &told(2), ms(100));
+    shared.record_node_counts(from, 2, &reported(2), ms(100));
     expect_that!(shared.open_at(1, ms(5_000)), eq(0));
 }
 
 #[gtest]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_prefix_of_the_host_is_chosen() {
     let route = |name: &str, host: &str, prefix: &str| {
         Arc::new(Route {
             name: name.to_owned(),
@@ -654,7 +654,7 @@
 
 proptest! {
     #[test]
-    fn datagrams_survive_and_hostile_ones_are_refused(
+    fn datagrams_round_trip_and_arbitrary_bytes_do_not_panic(
         counts in proptest::collection::vec((any::<u64>(), any::<u16>()), 0..50),
         noise in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
@@ -669,7 +669,7 @@
 }
 
 #[gtest]
-fn an_instance_whose_entry_is_in_doubt_is_used_but_not_listed() {
+fn an_instance_with_an_unconfirmed_missing_entry_is_used_but_not_listed() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
     directory.note_store_outage(ms(1_000));
     directory.remove("a", ms(1_100));
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Decisions about ownership: the plan, the record, leases, elections.
+//! The planner, the ownership record, leases and elections.
 
 use googletest::prelude::*;
 use ledgelead_router::dialect::KeyRange;
@@ -58,7 +58,7 @@
 #[gtest]
 fn hot_neighbouring_keys_are_split_between_instances() {
     let (low, high) = halves();
-    // 40 requests within the counted second, on ten neighbouring keys.
+    // 40 requests within the counting window of a second, on ten neighbouring keys.
     let load = loaded((0..40).map(|index| 100 + index % 10));
     let moves = plan(
         vec![candidate("a", vec![low]), candidate("b", vec![high])],
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_dominant_key_is_parted_from_the_keys_beside_it() {
+fn a_dominant_key_is_separated_from_its_neighbours() {
     let (low, high) = halves();
     let dominant = std::iter::repeat_n(100u16, 30);
     let load = loaded(dominant.chain((0..10).map(|index| 101 + index)));
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn an_even_or_idle_service_is_left_alone() {
+fn no_keys_of_a_balanced_or_idle_service_move() {
     let (low, high) = halves();
     let both = || vec![candidate("a", vec![low]), candidate("b", vec![high])];
     expect_that!(
@@ -101,7 +101,7 @@
 }
 
 #[gtest]
-fn an_instance_that_takes_no_keys_gets_none() {
+fn an_instance_that_accepts_no_keys_gets_none() {
     let (low, high) = halves();
     let load = loaded((0..40).map(|index| 100 + index % 10));
     let closed = Candidate {
@@ -118,36 +118,36 @@
     );
 }
 
-/// The range of a hundred keys with this number.
-fn hundred(place: u16) -> KeyRange {
+/// A range of a hundred_keys keys with this index.
+fn hundred_keys(index: u16) -> KeyRange {
     KeyRange {
-        first: place * 100,
-        last: place * 100 + 99,
+        first: index * 100,
+        last: index * 100 + 99,
     }
 }
 
 #[gtest]
-fn free_ranges_go_to_those_that_are_least_utilised() {
-    // Each range is asked for 16 times a second, an instance can work on 30.
-    let keys = (0..4u16).flat_map(|place| (0..16).map(move |key| place * 100 + key));
+fn free_ranges_go_to_the_least_utilised_instances() {
+    // Each range gets 16 requests a second; an instance can process 30.
+    let keys = (0..4u16).flat_map(|index| (0..16).map(move |key| index * 100 + key));
     let load = loaded(keys);
     let silent = Candidate {
         accepts_keys: false,
         ..candidate("c", Vec::new())
     };
-    let busy = candidate("a", vec![hundred(0)]);
+    let busy = candidate("a", vec![hundred_keys(0)]);
     let candidates = vec![busy, candidate("b", Vec::new()), silent];
     let mut next = NextOwners::new(candidates, Some(&load));
     let owners: Vec<String> = (1..4)
-        .flat_map(|place| next.assign(hundred(place)))
+        .flat_map(|index| next.assign(hundred_keys(index)))
         .map(|part| part.owner.to_string())
         .collect();
     expect_that!(owners, unordered_elements_are![eq("a"), eq("b"), eq("b")]);
 }
 
 #[gtest]
-fn a_free_range_that_is_too_much_for_one_instance_is_divided() {
-    // Two instances that can work on 30 each, and 60 requests a second.
+fn a_free_range_that_exceeds_one_instances_capacity_is_split() {
+    // Two instances that can each process 30, and 60 requests a second.
     let load = loaded((0..60).map(|index| index * 5));
     let range = KeyRange {
         first: 0,
@@ -164,27 +164,27 @@
 }
 
 #[gtest]
-fn a_key_that_is_too_much_for_any_instance_is_served_by_one_of_its_own() {
+fn a_key_that_exceeds_any_instances_capacity_is_assigned_to_a_single_one() {
     let hot = std::iter::repeat_n(0u16, 100);
     let load = loaded(hot.chain(1..=20));
     let candidates = vec![candidate("a", Vec::new()), candidate("b", Vec::new())];
     let mut next = NextOwners::new(candidates, Some(&load));
-    let parts = next.assign(hundred(0));
+    let parts = next.assign(hundred_keys(0));
     expect_that!(parts.len(), eq(2));
     expect_that!(parts[0].range.len(), eq(1));
     expect_that!(parts[0].owner == parts[1].owner, eq(false));
 }
 
 #[gtest]
-fn what_has_no_room_anywhere_stays_free() {
-    // Another range has taken all that the only instance can bear.
+fn a_range_without_spare_capacity_anywhere_stays_free() {
+    // Another range uses the whole capacity of the only instance.
     let load = loaded((0..40).map(|index| index * 2));
     let busy = Candidate {
         incoming: 60.0,
         ..candidate("a", Vec::new())
     };
     let mut next = NextOwners::new(vec![busy], Some(&load));
-    expect_that!(next.assign(hundred(0)), is_empty());
+    expect_that!(next.assign(hundred_keys(0)), is_empty());
 }
 
 fn record_of(fences: &[u64]) -> OwnershipRecord {
@@ -251,7 +251,7 @@
     }
 
     #[test]
-    fn the_view_finds_what_the_record_says(key: u16, fences in proptest::collection::vec(0u64..9, 0..9)) {
+    fn the_view_finds_the_owners_of_the_record(key: u16, fences in proptest::collection::vec(0u64..9, 0..9)) {
         let record = record_of(&fences);
         let mut view = OwnershipView::default();
         view.update(record.clone(), RecordVersion::confirmed(1));
@@ -262,7 +262,7 @@
 }
 
 #[gtest]
-fn the_view_never_goes_back() {
+fn the_view_never_returns_to_an_earlier_revision() {
     let mut view = OwnershipView::default();
     expect_that!(
         view.update(record_of(&[1, 2]), RecordVersion::confirmed(7)),
@@ -280,7 +280,7 @@
 }
 
 #[gtest]
-fn a_lease_is_over_only_when_no_grant_can_be_held_or_arrive() {
+fn a_lease_expires_only_when_no_grant_can_be_held_or_arrive() {
     let mut lease = Lease::fresh(ms(0), None);
     lease.granting(ExchangeId(1));
     expect_that!(lease.has_expired(ALL_ON(), ms(1)), eq(false));
@@ -304,7 +304,7 @@
 }
 
 #[gtest]
-fn a_grant_that_never_left_moves_no_end() {
+fn a_grant_that_was_never_sent_does_not_extend_the_lease() {
     let mut lease = Lease::fresh(ms(0), None);
     lease.granting(ExchangeId(1));
     lease.granted(RENEWAL_INTERVAL, ms(0));
@@ -318,7 +318,7 @@
 #[gtest]
 fn an_inherited_lease_outlasts_the_predecessors_authority() {
     let lease = Lease::inherited(ms(5), ms(10_000));
-    // Its last grant may still have been on its way as it was killed.
+    // Its last grant may have been in transit when it was killed.
     let end = ms(10_000) + ORDER_TRANSIT + longest_hold();
     expect_that!(lease.has_expired(ALL_ON(), end - ms(1)), eq(false));
     expect_that!(lease.has_expired(ALL_ON(), end), eq(true));
@@ -334,14 +334,14 @@
 }
 
 #[gtest]
-fn the_nodes_with_most_of_a_processor_follow_first() {
+fn nodes_with_the_largest_processor_share_rank_first() {
     let nodes = [("a", 100), ("b", 500), ("c", 100), ("d", 500)];
     let nodes = nodes.map(|(name, millicores)| node_record(name, millicores));
     let leader = identity("b");
     let of = |node: &str| rank(&NodeName::from(node), Some(&leader), nodes.iter());
     let order: Vec<usize> = ["d", "b", "c", "a"].map(of).to_vec();
     expect_that!(order, eq(&vec![0, 1, 2, 3]));
-    // One that isn't listed yet comes last.
+    // A node that is not listed yet comes last.
     expect_that!(of("e"), eq(4));
 }
 
@@ -352,7 +352,7 @@
     }
 }
 
-/// What a table says of an owner that does the same for three seconds, told by
+/// The estimated capacity of an owner that does the same work for three seconds, reported by
 /// several nodes.
 fn capacity_of(answered: u32, busy: u64) -> Option<f64> {
     let owner = InstanceId::from("a");
@@ -367,21 +367,21 @@
 }
 
 #[gtest]
-fn an_owner_with_free_slots_could_do_more_than_it_does() {
-    // 15 a second, each 100 ms long: 1.5 of four slots.
+fn an_owner_with_free_slots_has_more_capacity_than_its_throughput() {
+    // 15 a second, each 100 ms long: 1.5 of four slots in use.
     let capacity = capacity_of(1, 100).expect("enough answers");
     expect_that!(capacity, near(40.0, 0.1));
 }
 
 #[gtest]
-fn an_owner_with_a_queue_does_all_that_it_can() {
-    // 15 a second, each 600 ms long with its wait: nine present, four at work.
+fn an_owner_with_a_queue_works_at_its_capacity() {
+    // 15 a second, each 600 ms long including the wait: nine present, four running.
     let capacity = capacity_of(1, 600).expect("enough answers");
     expect_that!(capacity, near(15.0, 0.1));
 }
 
 #[gtest]
-fn a_capacity_needs_answers_and_is_forgotten_without_new_ones() {
+fn a_capacity_needs_answers_and_expires_without_new_ones() {
     let owner = InstanceId::from("a");
     let mut table = CapacityEstimator::new(ms(0));
     table.record(owner.stable_hash(), work(2, 200));
@@ -397,7 +397,7 @@
 }
 
 #[gtest]
-fn few_requests_that_may_be_many_by_chance_move_nothing() {
+fn a_load_within_the_random_deviation_moves_no_keys() {
     let (low, high) = halves();
     let slow = |name, range| Candidate {
         capacity: 8.0,
@@ -411,7 +411,7 @@
             PlanSettings::default(),
         )
     };
-    // 5 of 8 may be 3; 20 of 8 are too many.
+    // 5 instead of 3 of 8 may be chance; 20 of 8 are too many.
     expect_that!(planned(5), is_empty());
     expect_that!(planned(20), not(is_empty()));
     let load = loaded((0..5).map(|key| key * 100));
@@ -424,7 +424,7 @@
 }
 
 #[gtest]
-fn nodes_follow_one_after_the_other_and_at_once_after_a_resignation() {
+fn nodes_try_in_the_order_of_rank_and_at_once_after_a_resignation() {
     let nodes = ["a", "b", "c"].map(|name| node_record(name, 200));
     let of = |node: &str, leader: Option<&NodeIdentity>| {
         rank(&NodeName::from(node), leader, nodes.iter())
@@ -486,8 +486,8 @@
 }
 
 #[gtest]
-fn after_an_outage_those_that_come_first_get_their_time() {
-    // The coordinator was lost long ago, while the store served nobody.
+fn after_an_outage_lower_ranks_get_time_to_try_first() {
+    // The coordinator was lost long ago, while the store served no node.
     let election = Election::default();
     let record = OwnershipRecord {
         epoch: 3,
@@ -519,13 +519,13 @@
         eq(true)
     );
     expect_that!(view.is_confirmed(), eq(true));
-    // A stale list that comes late takes nothing back.
+    // A stale list that arrives late reverts nothing.
     expect_that!(view.update(record_of(&[1]), stale(7)), eq(false));
     expect_that!(view.is_confirmed(), eq(true));
 }
 
 #[gtest]
-fn a_registration_from_before_proves_no_end() {
+fn an_earlier_registration_does_not_prove_an_end() {
     let identity = |incarnation| NodeIdentity {
         node: NodeName::from("n"),
         incarnation,
@@ -541,14 +541,14 @@
     };
     let mut registry = Registry::default();
     registry.upsert(registration(1, 5));
-    // The record of revision 9 names the second life: its registration is
-    // newer than the one that is known here.
+    // The record of revision 9 names the second incarnation, whose registration is newer than
+    // the known one.
     expect_that!(registry.has_ended(&identity(2), 9), eq(false));
     registry.upsert(registration(2, 8));
     expect_that!(registry.has_ended(&identity(2), 9), eq(false));
     registry.upsert(registration(3, 12));
     expect_that!(registry.has_ended(&identity(2), 9), eq(true));
-    // An older registration that comes late changes nothing.
+    // An older registration that arrives late changes nothing.
     registry.upsert(registration(2, 8));
     expect_that!(registry.has_ended(&identity(2), 9), eq(true));
 }
--- a/crates/ledgelead-router/tests/quarantine.rs
+++ b/crates/ledgelead-router/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Evidence of requests that crash instances: a set of facts whose order doesn't matter.
+//! Evidence about requests that crash instances: the order in which it is learned does not
+//! matter.
 
 use googletest::prelude::*;
 use ledgelead_http::Request;
@@ -31,8 +32,8 @@
     }
 }
 
-/// Evidence of these ends, judged a second after the last.
-fn judged(ends: &[InstanceEnd]) -> Evidence {
+/// Evidence of these ends, reviewed one second after the last.
+fn reviewed(ends: &[InstanceEnd]) -> Evidence {
     let mut evidence = Evidence::default();
     for end in ends {
         evidence.record_end(request("/a"), "/a", *end);
@@ -50,38 +51,38 @@
 }
 
 #[gtest]
-fn three_ends_hold_a_request_of_one_caller_back() {
+fn three_ends_quarantine_a_request_of_one_caller() {
     let ends = [end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)];
-    expect_that!(is_quarantined_for(&judged(&ends[..2]), 1), eq(false));
-    expect_that!(is_quarantined_for(&judged(&ends), 1), eq(true));
+    expect_that!(is_quarantined_for(&reviewed(&ends[..2]), 1), eq(false));
+    expect_that!(is_quarantined_for(&reviewed(&ends), 1), eq(true));
     expect_that!(
-        is_quarantined_for(&judged(&ends), 2),
+        is_quarantined_for(&reviewed(&ends), 2),
         eq(false),
         "another caller"
     );
     let same = [end(1, 1, 0), end(1, 1, 1_000), end(1, 1, 2_000)];
     expect_that!(
-        is_quarantined_for(&judged(&same), 1),
+        is_quarantined_for(&reviewed(&same), 1),
         eq(false),
         "one instance"
     );
 }
 
 #[gtest]
-fn an_answer_before_or_after_the_third_end_acquits() {
-    let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000)]);
+fn an_answer_before_or_after_the_third_end_clears_the_request() {
+    let mut evidence = reviewed(&[end(1, 1, 0), end(1, 2, 1_000)]);
     evidence.record_answer(request("/a"), caller(1), ms(1_500));
     evidence.record_end(request("/a"), "/a", end(1, 3, 2_000));
     review(&mut evidence);
     expect_that!(is_quarantined_for(&evidence, 1), eq(false));
-    let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
+    let mut evidence = reviewed(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
     evidence.record_answer(request("/a"), caller(1), ms(100_500));
     expect_that!(is_quarantined_for(&evidence, 1), eq(false));
 }
 
 #[gtest]
-fn what_ends_with_others_at_the_same_moment_accuses_nobody() {
-    let mut evidence = judged(&[]);
+fn instances_that_end_together_with_unrelated_ones_cause_no_suspicion() {
+    let mut evidence = reviewed(&[]);
     for (number, at) in [(1, 0), (2, 2_000), (3, 4_000)] {
         evidence.record_end(request("/a"), "/a", end(1, number, at));
         evidence.record_end(request("/b"), "/b", end(2, 10 + number, at + 100));
@@ -91,8 +92,8 @@
 }
 
 #[gtest]
-fn an_end_that_an_answer_disproves_counts_no_more() {
-    let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
+fn an_end_disproved_by_an_answer_no_longer_counts() {
+    let mut evidence = reviewed(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
     evidence.disprove_end(2, ms(100_500));
     expect_that!(is_quarantined_for(&evidence, 1), eq(false));
     evidence.record_end(request("/a"), "/a", end(1, 2, 101_000));
@@ -100,27 +101,27 @@
 }
 
 #[gtest]
-fn a_request_that_ends_instances_for_several_callers_is_held_back_for_all() {
+fn a_request_that_ends_instances_for_several_callers_is_quarantined_for_all() {
     let together = [
         end(1, 1, 0),
         end(2, 1, 0),
         end(1, 2, 1_000),
         end(2, 2, 1_000),
     ];
-    expect_that!(is_quarantined_for(&judged(&together), 3), eq(false));
+    expect_that!(is_quarantined_for(&reviewed(&together), 3), eq(false));
     let alone = [
         end(1, 1, 0),
         end(1, 2, 1_000),
         end(2, 3, 2_000),
         end(2, 4, 3_000),
     ];
-    expect_that!(is_quarantined_for(&judged(&alone[..3]), 3), eq(false));
-    expect_that!(is_quarantined_for(&judged(&alone), 3), eq(true));
+    expect_that!(is_quarantined_for(&reviewed(&alone[..3]), 3), eq(false));
+    expect_that!(is_quarantined_for(&reviewed(&alone), 3), eq(true));
 }
 
 #[gtest]
-fn an_answer_to_another_caller_keeps_a_request_from_being_held_back_for_all() {
-    let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(2, 3, 2_000)]);
+fn an_answer_to_another_caller_prevents_a_quarantine_for_all() {
+    let mut evidence = reviewed(&[end(1, 1, 0), end(1, 2, 1_000), end(2, 3, 2_000)]);
     evidence.record_answer(request("/a"), caller(9), ms(2_500));
     evidence.record_end(request("/a"), "/a", end(2, 4, 3_000));
     review(&mut evidence);
@@ -136,8 +137,8 @@
 }
 
 #[gtest]
-fn what_an_operator_lifts_is_sent_until_three_more_ends() {
-    let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
+fn a_request_is_sent_after_an_operator_lifts_its_quarantine_until_three_more_ends() {
+    let mut evidence = reviewed(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
     evidence.lift(request("/a"), ms(100_500));
     expect_that!(is_quarantined_for(&evidence, 1), eq(false));
     for (number, at) in [(4, 101_000), (5, 102_000), (6, 103_000)] {
@@ -149,8 +150,8 @@
 }
 
 #[gtest]
-fn what_the_store_keeps_holds_the_request_back_again() {
-    let evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
+fn a_quarantine_is_restored_from_the_store() {
+    let evidence = reviewed(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
     let entry = evidence.get(&request("/a")).expect("an entry");
     let record = QuarantineRecord::new(entry);
     let text = serde_json::to_string(&record).expect("text");
@@ -162,8 +163,8 @@
 }
 
 #[gtest]
-fn what_is_remembered_is_bounded_and_a_quarantine_goes_last() {
-    let mut evidence = judged(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
+fn evidence_is_bounded_and_quarantines_are_removed_last() {
+    let mut evidence = reviewed(&[end(1, 1, 0), end(1, 2, 1_000), end(1, 3, 2_000)]);
     for number in 0..2_000_u64 {
         let path = format!("/innocent/{number}");
         let at = 10_000 + number;
@@ -177,7 +178,7 @@
     expect_that!(is_quarantined_for(&evidence, 1), eq(true));
 }
 
-/// A fact that some node learns.
+/// A fact that a node learns.
 #[derive(Clone, Debug)]
 enum Fact {
     Ended { by: u8, instance: u64, at: u64 },
@@ -194,7 +195,7 @@
     ]
 }
 
-/// The evidence of a node that learns facts as others send them.
+/// The evidence of a node that receives facts from others.
 fn received(facts: &[Fact]) -> Evidence {
     let mut evidence = Evidence::default();
     let now = Timestamp::from_secs(90);
@@ -225,13 +226,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Repeats and another order of messages lead to the same.
+    /// Repeated and reordered messages lead to the same evidence.
     #[test]
     fn the_order_of_messages_does_not_matter(
         facts in prop::collection::vec(fact(), 1..12),
         turn in 0..12_usize,
     ) {
-        // The same end is the same fact, whenever two nodes saw it.
+        // The same end is the same fact, even if two nodes saw it at different times.
         let mut facts = facts;
         let mut seen = std::collections::BTreeSet::new();
         facts.retain(|fact| match fact {
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits that instances name.
+//! Rate limits that instances announce.
 
 mod support;
 
@@ -27,7 +27,7 @@
     RateLimit { millis_per_s }
 }
 
-/// When tokens are granted to asks each 5 ms in this span.
+/// Times at which tokens are granted to a request every 5 ms in this span.
 fn granted(
     limiter: &mut Limiter,
     limit: RateLimit,
@@ -42,7 +42,7 @@
     asks.filter(is_granted).collect()
 }
 
-/// Most of these times in some 4 s.
+/// The maximum number of these times within about 4 s.
 fn most_in_a_window(times: &[u64]) -> usize {
     let in_window = |from: u64| {
         let window = from..from + 4_000;
@@ -51,7 +51,7 @@
     times.iter().map(|from| in_window(*from)).max().unwrap_or(0)
 }
 
-/// What an answer with this status and these headers says of the instance `a`.
+/// The rate limit in an answer of instance `a` with this status and these headers.
 fn notice(status: u16, fields: &[(&str, &str)]) -> RateNotice {
     let mut response = Response::new(status, "");
     for (name, value) in fields {
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn a_rate_limit_is_a_plain_decimal_number_and_the_lowest_counts() {
+fn a_rate_limit_is_a_plain_decimal_number_and_the_lowest_one_counts() {
     expect_that!(named(&["6.5"]), eq(limited(6_500)));
     expect_that!(named(&["1.8"]), eq(limited(1_800)));
     expect_that!(named(&[" 7 "]), eq(limited(7_000)));
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn each_whole_answer_of_the_instance_that_was_meant_counts() {
+fn every_complete_answer_of_the_target_instance_counts() {
     for status in [200, 404, 429, 500, 503] {
         let named = notice(status, &[("rate-limit", "3")]);
         expect_that!(named, eq(limited(3_000)));
@@ -101,7 +101,7 @@
 }
 
 #[gtest]
-fn a_limiter_hands_out_the_named_rate() {
+fn a_limiter_hands_out_the_announced_rate() {
     let mut limiter = Limiter::default();
     granted(&mut limiter, limit(6_500), LimiterRole::Primary, 0..5_000);
     let steady = granted(
@@ -114,14 +114,14 @@
 }
 
 #[gtest]
-fn a_limiter_that_begins_counts_what_was_sent_before_it() {
+fn a_new_limiter_accounts_for_requests_sent_before_it() {
     let mut limiter = Limiter::default();
     let first = granted(&mut limiter, limit(6_500), LimiterRole::Primary, 0..4_000);
     expect_that!(first[0], all!(ge(2_000), le(2_300)));
 }
 
 #[gtest]
-fn unused_tokens_let_few_requests_through_at_once() {
+fn unused_tokens_allow_only_a_small_burst() {
     let mut limiter = Limiter::default();
     granted(&mut limiter, limit(6_000), LimiterRole::Primary, 0..5_000);
     let after_silence = granted(
@@ -141,7 +141,7 @@
 }
 
 #[gtest]
-fn two_limiters_that_do_not_hear_each_other_stay_within_what_may_arrive() {
+fn two_limiters_that_cannot_reach_each_other_stay_within_the_allowed_burst() {
     for millis_per_s in [0, 200, 1_800, 6_500, 40_000] {
         let mut first = Limiter::default();
         let mut second = Limiter::default();
@@ -165,15 +165,15 @@
 }
 
 #[gtest]
-fn an_instance_that_takes_nothing_gets_a_request_now_and_then() {
-    // Only an answer can say that it takes requests again.
+fn an_instance_with_limit_zero_gets_occasional_requests() {
+    // Only an answer can announce that the instance accepts requests again.
     let mut limiter = Limiter::default();
     let times = granted(&mut limiter, limit(0), LimiterRole::Primary, 0..30_000);
     expect_that!(times.len(), all!(ge(5), le(8)));
 }
 
 #[gtest]
-fn refused_nodes_are_told_the_times_of_different_tokens() {
+fn refused_nodes_are_given_the_times_of_different_tokens() {
     let mut limiter = Limiter::default();
     granted(&mut limiter, limit(5_000), LimiterRole::Primary, 0..4_005);
     let mut wait_of = |number| {
@@ -185,12 +185,12 @@
     };
     let first = wait_of(1);
     expect_that!(wait_of(2) - first, all!(ge(ms(199)), le(ms(201))));
-    // Several requests of a node wait for one token.
+    // Several requests of a node wait for the same token.
     expect_that!(wait_of(1), eq(first));
 }
 
 #[gtest]
-fn of_two_statements_the_later_one_counts_whichever_arrives_first() {
+fn the_later_statement_counts_in_any_order_of_arrival() {
     let mut limits = KnownLimits::default();
     let said = |millis_per_s, at| LimitStatement {
         limit: Some(limit(millis_per_s)),
@@ -207,7 +207,7 @@
 }
 
 #[gtest]
-fn what_an_answer_says_is_reported_until_the_coordinator_knows_it() {
+fn a_limit_in_an_answer_is_reported_until_the_coordinator_knows_it() {
     let mut limits = KnownLimits::default();
     limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
     expect_that!(limits.unreported().count(), eq(1));
@@ -220,7 +220,7 @@
 }
 
 #[gtest]
-fn limits_of_instances_that_are_gone_are_forgotten() {
+fn limits_of_gone_instances_are_removed() {
     let mut limits = KnownLimits::default();
     limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
     limits.expire(|_| true, ms(100_000));
@@ -229,40 +229,34 @@
     expect_that!(limits.is_empty(), eq(true));
 }
 
-/// How a limiter stands that is asked in place of another each 100 ms for so long.
-fn asked_for(succession: &mut LimiterFailover, span: std::ops::Range<u64>) -> FailoverStatus {
+/// The state of a limiter in whose place another is asked every 100 ms for this long.
+fn asked_for(failover: &mut LimiterFailover, span: std::ops::Range<u64>) -> FailoverStatus {
     let standings = span
         .step_by(100)
-        .map(|at| succession.asked_in_place_of(asker(1), ms(at)));
+        .map(|at| failover.asked_in_place_of(asker(1), ms(at)));
     standings.last().expect("an ask")
 }
 
 #[gtest]
-fn the_second_limiter_follows_one_that_is_lost_for_good() {
-    let mut succession = LimiterFailover::default();
-    expect_that!(asked_for(&mut succession, 0..9_900).is_lost, eq(false));
-    expect_that!(asked_for(&mut succession, 9_900..10_200).is_lost, eq(true));
-    succession.record_message(asker(1));
-    expect_that!(
-        asked_for(&mut succession, 10_200..19_000).is_lost,
-        eq(false)
-    );
+fn the_secondary_limiter_replaces_a_permanently_lost_primary() {
+    let mut failover = LimiterFailover::default();
+    expect_that!(asked_for(&mut failover, 0..9_900).is_lost, eq(false));
+    expect_that!(asked_for(&mut failover, 9_900..10_200).is_lost, eq(true));
+    failover.record_message(asker(1));
+    expect_that!(asked_for(&mut failover, 10_200..19_000).is_lost, eq(false));
 }
 
 #[gtest]
-fn silence_counts_only_while_the_first_limiter_is_missed() {
-    let mut succession = LimiterFailover::default();
-    asked_for(&mut succession, 0..1_000);
-    expect_that!(
-        asked_for(&mut succession, 11_000..12_000).is_lost,
-        eq(false)
-    );
+fn silence_counts_only_while_the_primary_limiter_is_needed() {
+    let mut failover = LimiterFailover::default();
+    asked_for(&mut failover, 0..1_000);
+    expect_that!(asked_for(&mut failover, 11_000..12_000).is_lost, eq(false));
 }
 
 #[gtest]
-fn a_first_limiter_is_probed_each_second() {
-    let mut succession = LimiterFailover::default();
+fn the_primary_limiter_is_probed_every_second() {
+    let mut failover = LimiterFailover::default();
     let asks = (0..5_000).step_by(100);
-    let probes = asks.filter(|at| succession.asked_in_place_of(asker(1), ms(*at)).is_probed);
+    let probes = asks.filter(|at| failover.asked_in_place_of(asker(1), ms(*at)).is_probed);
     expect_that!(probes.count(), eq(5));
 }
--- a/crates/ledgelead-router/tests/rejections.rs
+++ b/crates/ledgelead-router/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! Why instances reject requests.
+//! Causes of rejections by instances.
 
 use googletest::prelude::*;
 use ledgelead_router::identity::{InstanceId, ServiceName};
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn the_load_tells_a_full_instance_from_one_with_room() {
+fn the_reported_load_distinguishes_full_instances_from_others() {
     let cause = |load: Option<ReportedLoad>| RejectionCause::of(load.as_ref(), 4);
     expect_that!(cause(Some(load(4, 0))), eq(RejectionCause::Full));
     expect_that!(cause(Some(load(3, 1))), eq(RejectionCause::Full));
@@ -28,7 +28,7 @@
     expect_that!(cause(None), eq(RejectionCause::NoLoadReported));
 }
 
-/// Whether rejections are common where the first ones of ten instances reject.
+/// Whether rejections count as common if the first of ten instances reject.
 fn is_common(rejecting: usize, after: Duration) -> bool {
     let service = ServiceName::from("s");
     let mut common = CommonRejections::default();
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn one_instance_alone_is_no_common_cause() {
+fn a_single_rejecting_instance_is_no_common_cause() {
     let service = ServiceName::from("s");
     let mut common = CommonRejections::default();
     common.record(&service, &InstanceId::from("i"), true, ms(0));
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Which attempts are made, and what ends prove.
+//! Which attempts are made, and what the outcomes of attempts prove.
 
 mod support;
 
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn only_proof_makes_a_request_not_run() {
+fn a_request_counts_as_not_run_only_if_proved() {
     let not_connected = verdict(Err(ExchangeFailure::NotConnected));
     expect_that!(
         matches!(not_connected, AttemptOutcome::NeverSent { refused: false }),
@@ -71,8 +71,8 @@
         ),
         eq(true)
     );
-    // A 503 without the header says nothing: an instance has run the request
-    // and failed. It is no proof that it may be refused.
+    // A 503 without the header proves nothing: an instance has executed the request and
+    // failed. It must not be reported as refused.
     let silent = verdict(Ok(answer(503, &[("signature", "s")])));
     expect_that!(matches!(silent, AttemptOutcome::Failed(_)), eq(true));
     let unsigned = verdict(Ok(answer(200, &[])));
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn a_misdirected_answer_under_the_id_of_a_life_proves_no_end() {
+fn a_misdirected_answer_with_the_id_of_an_incarnation_proves_no_end() {
     let misdirected = Ok(answer(421, &[("instance", "a")]));
     let judged = classify_outcome(
         misdirected,
@@ -162,7 +162,7 @@
 }
 
 impl Fixture {
-    /// Two instances in the own zone, one in another.
+    /// Two instances in the node's own zone, one in another.
     fn new() -> Fixture {
         let mut directory = Directory::default();
         let record = |id: &str, zone: &str, port| InstanceRecord {
@@ -230,7 +230,7 @@
 }
 
 #[gtest]
-fn requests_stay_in_their_zone_while_it_keeps_up() {
+fn requests_stay_in_their_zone_while_it_has_capacity() {
     let mut fixture = Fixture::new();
     fixture.open("a", 3);
     expect_that!(fixture.chosen(&[]), eq("b"));
@@ -240,21 +240,21 @@
 }
 
 #[gtest]
-fn what_other_nodes_have_open_counts() {
+fn open_requests_of_other_nodes_count() {
     let mut fixture = Fixture::new();
     fixture.open("b", 2);
-    let told = vec![OpenRequests {
+    let reported = vec![OpenRequests {
         instance: InstanceId::from("a").stable_hash(),
         count: 5,
         ..OpenRequests::default()
     }];
     let from = ([10, 0, 0, 9], 1).into();
-    fixture.shared.record_node_counts(from, 1, &told, ms(900));
+    fixture.shared.record_node_counts(from, 1, &reported, ms(900));
     expect_that!(fixture.chosen(&[]), eq("b"));
 }
 
 #[gtest]
-fn an_instance_that_fails_again_and_again_is_passed_over_but_not_half_of_them() {
+fn repeatedly_failing_instances_are_ejected_unless_they_are_half_of_all() {
     let mut fixture = Fixture::new();
     for _ in 0..3 {
         fixture
@@ -269,12 +269,12 @@
             .entry(&InstanceId::from("b"))
             .failed(ms(999));
     }
-    // Two of three are more than half: nobody is passed over.
+    // Two of three are more than half, so none is ejected.
     expect_that!(fixture.chosen(&["c"]), any![eq("a"), eq("b")]);
 }
 
 #[gtest]
-fn an_instance_that_fails_part_of_its_requests_is_avoided_for_some_time() {
+fn an_instance_that_fails_some_requests_is_avoided_for_some_time() {
     let mut fixture = Fixture::new();
     let seen = fixture.statistics.entry(&InstanceId::from("a"));
     // Never three failures in a row.
@@ -285,14 +285,14 @@
     expect_that!(seen.is_ejected(ms(1_000)), eq(false));
     fixture.open("b", 3);
     expect_that!(fixture.chosen(&[]), eq("b"));
-    // The share halves: it gets another chance.
+    // The failure share decays, so that the instance is tried again.
     let seen = fixture.statistics.entry(&InstanceId::from("a"));
     expect_that!(seen.failure_share(ms(1_000)), gt(0.3));
     expect_that!(seen.failure_share(ms(16_000)), lt(0.05));
 }
 
 #[gtest]
-fn only_the_present_owner_of_a_key_holds_its_requests_back() {
+fn only_the_current_owner_of_a_key_delays_its_requests() {
     let assignment = Assignment {
         service: ServiceName::from("s"),
         first: 0,
@@ -301,8 +301,7 @@
         fence: 14,
     };
     let at = |id: &str| Misdirection::at(&InstanceId::from(id), Some(&assignment), Some(ms(60)));
-    // The request was in the queue of the owner before: the next one gets it at
-    // once.
+    // The request was in the queue of the previous owner; the next one gets it at once.
     expect_that!(at("a"), none());
     let held = Misdirection {
         fence: 14,
@@ -313,7 +312,7 @@
     expect_that!(unowned, none());
 }
 
-/// A digest says what is open at the instances, and how slow each is now.
+/// A digest with the numbers of open requests at the instances and their current slowness.
 fn digest(fixture: &mut Fixture, loads: &[(&str, u16, u16)]) {
     let entry = |(id, open, slowness): &(&str, u16, u16)| DigestEntry {
         instance: InstanceId::from(*id).stable_hash(),
@@ -343,28 +342,28 @@
 }
 
 #[gtest]
-fn room_that_a_digest_shows_is_shared_by_chance() {
+fn free_slots_in_a_digest_are_used_by_weighted_random_choice() {
     let mut fixture = Fixture::new();
     digest(&mut fixture, &[("a", 0, 100), ("b", 4, 100), ("c", 2, 100)]);
     let [a, b, c] = choices(&fixture);
-    // Nearly twice the room, and no more of it in the other zone.
+    // Nearly twice the free slots, and no more of them in the other zone.
     expect_that!(a, gt(b));
     expect_that!(b, gt(3));
     expect_that!(c, eq(0));
 }
 
 #[gtest]
-fn a_zone_yields_to_others_by_the_room_that_they_have() {
+fn a_full_zone_sends_to_others_by_their_free_slots() {
     let mut fixture = Fixture::new();
     digest(
         &mut fixture,
         &[("a", 12, 100), ("b", 12, 100), ("c", 1, 100)],
     );
     expect_that!(choices(&fixture), eq([0, 0, 100]));
-    // Bytes between zones are dear: less room alone is no reason.
+    // Traffic between zones is expensive: fewer free slots alone are no reason.
     digest(&mut fixture, &[("a", 3, 100), ("b", 3, 100), ("c", 0, 100)]);
     expect_that!(choices(&fixture)[2], eq(0));
-    // Without any room, the least loaded of those that are drawn.
+    // Without any free slots, the least loaded of the drawn instances.
     digest(
         &mut fixture,
         &[("a", 12, 100), ("b", 12, 100), ("c", 6, 100)],
@@ -375,15 +374,15 @@
 }
 
 #[gtest]
-fn an_instance_that_is_slow_now_is_avoided_for_a_moment() {
+fn a_currently_slow_instance_is_avoided_for_a_short_time() {
     let mut fixture = Fixture::new();
     digest(&mut fixture, &[("a", 0, 400), ("b", 1, 100), ("c", 0, 100)]);
-    // It can't answer well in time: 200 ms of work are all that is left.
+    // It cannot answer in time: only 200 ms of work are left.
     expect_that!(choices(&fixture)[0], eq(0));
 }
 
 #[gtest]
-fn one_failure_drives_nothing_out_of_the_zone() {
+fn a_single_failure_sends_no_requests_out_of_the_zone() {
     let mut fixture = Fixture::new();
     for id in ["a", "b"] {
         let seen = fixture.statistics.entry(&InstanceId::from(id));
@@ -393,14 +392,14 @@
 }
 
 #[gtest]
-fn connections_that_rested_too_long_are_not_used_for_some_time() {
+fn connections_idle_for_too_long_are_not_used_for_some_time() {
     let mut limit = IdleLimit::default();
     limit.record_lost(ms(900), ms(1_000));
     expect_that!(limit.current(ms(1_000)), none());
     limit.record_lost(ms(500), ms(1_100));
     expect_that!(limit.current(ms(1_100)), some(eq(ms(300))));
     expect_that!(limit.own(ms(9_000)), none());
-    // What another node says holds for a while, and is not passed on.
+    // A limit reported by another node holds for a while and is not forwarded.
     limit.set_peer_limit(ms(200), ms(9_000));
     expect_that!(limit.current(ms(9_500)), some(eq(ms(200))));
     expect_that!(limit.own(ms(9_500)), none());
@@ -408,15 +407,15 @@
 }
 
 #[gtest]
-fn connections_that_end_for_other_reasons_make_no_limit() {
-    // Instances that are full end connections whether they rested or not.
+fn connections_that_end_for_other_reasons_set_no_idle_limit() {
+    // Full instances end connections whether these were idle or not.
     let mut full = IdleLimit::default();
     for at in 0..10 {
         full.record_lost(ms(500), ms(at));
         full.record_lost(ms(0), ms(at));
     }
     expect_that!(full.current(ms(20)), none());
-    // Most requests on rested connections are answered.
+    // Most requests on connections that had been idle are answered.
     let mut rare = IdleLimit::default();
     for at in 0..10 {
         rare.record_lost(ms(500), ms(at));
@@ -426,7 +425,7 @@
 }
 
 #[gtest]
-fn a_mechanism_that_is_switched_off_decides_nothing() {
+fn a_disabled_mechanism_has_no_effect() {
     let without = |mechanism, prepare: &dyn Fn(&mut Fixture)| {
         let mut fixture = Fixture::new();
         prepare(&mut fixture);
@@ -434,14 +433,14 @@
         fixture.mechanisms = Mechanisms::without(mechanism);
         (with, fixture.chosen(&[]))
     };
-    // A free instance elsewhere goes before a busy one here.
+    // A free instance in another zone is preferred to a busy one in this zone.
     let busy_zone = |fixture: &mut Fixture| {
         fixture.open("a", 3);
         fixture.open("b", 3);
     };
     let (with, off) = without(Mechanism::ZonePreference, &busy_zone);
     expect_that!((with != "c", off.as_str()), eq((true, "c")));
-    let told = |fixture: &mut Fixture| {
+    let reported = |fixture: &mut Fixture| {
         fixture.open("b", 2);
         let changes = vec![OpenRequests {
             instance: InstanceId::from("a").stable_hash(),
@@ -452,7 +451,7 @@
             .shared
             .record_node_counts(([10, 0, 0, 9], 1).into(), 1, &changes, ms(900));
     };
-    let (with, off) = without(Mechanism::SharedLoad, &told);
+    let (with, off) = without(Mechanism::SharedLoad, &reported);
     expect_that!((with.as_str(), off.as_str()), eq(("b", "a")));
     let failing = |fixture: &mut Fixture| {
         fixture.open("b", 3);
@@ -467,7 +466,7 @@
 }
 
 #[gtest]
-fn every_mechanism_has_a_name_of_its_own() {
+fn every_mechanism_has_a_unique_name() {
     for (name, mechanism) in Mechanism::ALL {
         expect_that!(Mechanism::named(name), some(eq(mechanism)));
         expect_that!(Mechanisms::without(mechanism).has(mechanism), eq(false));
@@ -484,7 +483,7 @@
 }
 
 #[gtest]
-fn a_retry_that_reached_no_instance_is_given_back() {
+fn a_retry_that_reached_no_instance_is_returned_to_the_budget() {
     let service = ServiceName::from("s");
     let mut budget = RetryBudget::new(BudgetBounds {
         ratio: 0.0,
@@ -498,13 +497,13 @@
     expect_that!(budget.try_acquire(&service, 1, Duration::ZERO), eq(true));
 }
 
-/// What an answer with this status and these headers says of the instance `a`.
+/// The notice in an answer of instance `a` with this status and these headers.
 fn notice(status: u16, fields: &[(&str, &str)]) -> Notice {
     Notice::of(&InstanceId::from("a"), &answer(status, fields), &headers())
 }
 
 #[gtest]
-fn a_pause_is_asked_for_in_seconds_and_the_longest_counts() {
+fn a_requested_pause_is_in_seconds_and_the_longest_counts() {
     let asked = |values: &[&str]| {
         let fields: Vec<(&str, &str)> =
             values.iter().map(|value| ("retry-after", *value)).collect();
@@ -546,7 +545,7 @@
 }
 
 #[gtest]
-fn only_a_503_asks_for_a_pause_and_only_the_instance_that_was_meant() {
+fn only_a_503_of_the_target_instance_requests_a_pause() {
     for status in [200, 429, 500, 502] {
         expect_that!(
             notice(status, &[("retry-after", "3")]),
--- a/crates/ledgelead-router/tests/scale.rs
+++ b/crates/ledgelead-router/tests/scale.rs
@@ -1,7 +1,7 @@
-//! A coordinator of thousands of owners: what it sends and writes is bounded a second, not
-//! by its number of ranges.
+//! A coordinator of thousands of owners: its orders and writes per second are bounded,
+//! independent of the number of ranges.
 //!
-//! Load: a node takes over 4,272 ranges, grants all of them anew, renews them, and meanwhile
+//! Scenario: a node takes over 4,272 ranges, grants all of them again and renews them, while
 //! hundreds of owners leave. It has half a core and 200 Mbit/s.
 
 use googletest::prelude::*;
@@ -23,11 +23,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time that an order takes.
+/// Time until an order is answered.
 const ROUND_TRIP: Duration = Duration::from_millis(5);
-/// Orders that may be out at once: what a coordinator with half a core carries out within
-/// the 0.6 s for which an answer is waited for, at 1 ms each.
-const BEARABLE_OUT: usize = 300;
+/// Limit for unanswered orders: a coordinator with half a core can process this many within
+/// the timeout of 0.6 s, at 1 ms each.
+const MAX_UNANSWERED: usize = 300;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -64,7 +64,7 @@
     }
 }
 
-/// A record by which each instance owns an equal range.
+/// A record in which each instance owns an equal range.
 fn record(owners: usize) -> OwnershipRecord {
     let keys = KeyRange::ALL.len() as usize;
     let edge = |index: usize| u16::try_from(index * keys / owners);
@@ -83,7 +83,7 @@
     }
 }
 
-/// A coordinator whose orders are answered after a round trip, and whose writes after 20 ms.
+/// A coordinator whose orders are answered after a round trip, and whose writes take 20 ms.
 struct Run {
     coordinator: Coordinator,
     directory: Directory,
@@ -92,7 +92,7 @@
     now: Timestamp,
     out: Vec<(Timestamp, OutgoingOrder)>,
     writing: Option<Timestamp>,
-    /// Grants and writes, by when they were sent.
+    /// Grants and writes, with the times at which they were sent.
     grants: Vec<(Timestamp, InstanceId)>,
     writes: Vec<Timestamp>,
     most_out: usize,
@@ -178,10 +178,10 @@
 }
 
 #[gtest]
-fn a_take_over_sends_few_grants_at_once_and_reaches_every_owner() {
+fn a_takeover_sends_few_grants_at_once_and_reaches_every_owner() {
     let mut run = Run::new(1_200);
     run.run_until(ms(1_500));
-    expect_that!(run.most_out, le(BEARABLE_OUT));
+    expect_that!(run.most_out, le(MAX_UNANSWERED));
     let mut granted: Vec<&InstanceId> = run.grants.iter().map(|(_, owner)| owner).collect();
     granted.sort();
     granted.dedup();
@@ -189,7 +189,7 @@
 }
 
 #[gtest]
-fn no_owner_waits_for_its_renewal_longer_than_its_hold_bears() {
+fn every_renewal_arrives_before_the_hold_ends() {
     let mut run = Run::new(2_500);
     run.run_until(ms(9_000));
     let mut last = std::collections::BTreeMap::new();
@@ -200,7 +200,7 @@
         }
     }
     expect_that!(last.len(), eq(2_500));
-    // A lost renewal is repeated after 0.85 s, and again.
+    // A lost renewal is repeated after 0.85 s, and so is the repetition.
     expect_that!(longest + ms(2 * 850), lt(HOLD));
     let steady = run.grants.iter().filter(|(at, _)| *at >= ms(5_000)).count();
     let bound = 2_500.0 * 4.0 / MAX_RENEWAL_INTERVAL.as_secs_f64();
@@ -208,11 +208,11 @@
 }
 
 #[gtest]
-fn the_record_is_written_the_less_often_the_larger_it_is() {
+fn larger_records_are_written_less_often() {
     let mut run = Run::new(2_000);
     run.run_until(ms(2_000));
     let before = run.writes.len();
-    // Owners leave by tens, so that there is something to write all the time.
+    // Owners leave by tens, so that there is always something to write.
     for step in 0..100 {
         run.drain(step * 10..step * 10 + 10);
         run.run_until(run.now + ms(20));
@@ -228,7 +228,7 @@
 }
 
 #[gtest]
-fn a_log_gives_no_more_than_datagrams_carry() {
+fn a_change_log_returns_no_more_than_datagrams_can_carry() {
     let mut log = ChangeLog::new(64);
     for base in 0..4 {
         log.push(Changes {
@@ -243,8 +243,8 @@
     expect_that!(items(2, 11), some(eq(6)));
 }
 
-/// Lays assignments over others one by one, each over all.
-fn overlaid(before: &[Assignment], changes: &[Assignment]) -> Vec<Assignment> {
+/// Applies changes one by one, each to all assignments.
+fn applied_one_by_one(before: &[Assignment], changes: &[Assignment]) -> Vec<Assignment> {
     let mut all = before.to_vec();
     for change in changes {
         let range = KeyRange {
@@ -270,7 +270,7 @@
     all
 }
 
-fn drawn_assignment() -> impl Strategy<Value = Assignment> {
+fn any_assignment() -> impl Strategy<Value = Assignment> {
     (0..3u8, 0..60u16, 0..20u16, 0..5usize).prop_map(|(service, first, length, owner)| Assignment {
         service: ServiceName::from(format!("service-{service}").as_str()),
         first,
@@ -283,14 +283,14 @@
 proptest! {
     #[test]
     fn assignments_lie_over_others_in_their_order(
-        before in prop::collection::vec(drawn_assignment(), 0..20),
-        changes in prop::collection::vec(drawn_assignment(), 0..20),
+        before in prop::collection::vec(any_assignment(), 0..20),
+        changes in prop::collection::vec(any_assignment(), 0..20),
     ) {
         let mut record = OwnershipRecord::default();
         record.apply_changes(before.clone());
-        let first = overlaid(&[], &before);
+        let first = applied_one_by_one(&[], &before);
         prop_assert_eq!(&record.assignments, &first);
         record.apply_changes(changes.clone());
-        prop_assert_eq!(&record.assignments, &overlaid(&first, &changes));
+        prop_assert_eq!(&record.assignments, &applied_one_by_one(&first, &changes));
     }
 }
--- a/crates/ledgelead-router/tests/split.rs
+++ b/crates/ledgelead-router/tests/split.rs
@@ -1,4 +1,4 @@
-//! Which requests of a split go to the owners of keys, and how exactly shares hold.
+//! Which requests of a split route go to key owners, and how precisely the shares are kept.
 
 use googletest::prelude::*;
 use ledgelead_router::identity::ServiceName;
@@ -9,22 +9,22 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Requests of one measurement.
+/// Number of requests per measurement.
 const REQUESTS: usize = 300;
-/// Body of an upload.
+/// Body size of an upload.
 const UPLOAD_BYTES: usize = 60_000;
 
-/// A fleet whose nodes split one route.
+/// Nodes of several zones that split one route.
 struct Fleet {
     nodes: Vec<(usize, Splits, Pcg64Mcg)>,
-    /// Which part of the keys each zone owns.
+    /// The share of the keys that each zone owns.
     owned: Vec<f64>,
-    /// Which part of the requests each zone's clients send.
+    /// The share of the requests that each zone's clients send.
     traffic: Vec<f64>,
     rng: Pcg64Mcg,
 }
 
-/// What some requests of a fleet came to.
+/// The result of a number of requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     sharded: usize,
@@ -66,7 +66,7 @@
         parts.len() - 1
     }
 
-    /// Clients send requests; with `draws_evenly` they are drawn by weight alone.
+    /// Sends client requests; with `draws_evenly` the target is drawn by weight alone.
     fn run(
         &mut self,
         share: f64,
@@ -126,7 +126,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Wherever owners and clients are, from the first request of each node on.
+    /// For any distribution of owners and clients, from each node's first request on.
     #[test]
     fn shares_hold_for_any_owners_zones_and_weights(
         zones in prop::collection::vec((0.05_f64..1.0, 0.05_f64..1.0), 2..6),
@@ -146,10 +146,10 @@
     }
 }
 
-/// Nodes that see five requests each round five decisions: no split that each node makes
-/// alone is exact. What must not happen is that their errors have a direction.
+/// Each node sees five requests and makes five decisions per round. No split by single nodes
+/// can be exact, but their errors must not be biased.
 #[gtest]
-fn shares_of_many_nodes_have_no_bias_from_the_start() {
+fn shares_of_many_nodes_are_unbiased_from_the_start() {
     for share in [0.1, 0.5, 0.9] {
         let mut total = 0.0;
         for seed in 0..200 {
@@ -163,7 +163,7 @@
 }
 
 #[gtest]
-fn few_requests_of_one_node_hold_the_share() {
+fn few_requests_of_one_node_keep_the_share() {
     let mut fleet = Fleet::even(4, 5);
     for _ in 0..40 {
         let few = fleet.run(0.5, 200, uploads, false);
@@ -171,9 +171,9 @@
     }
 }
 
-/// A node whose owners are elsewhere than the list of owners says corrects itself.
+/// A node whose list of owners is wrong corrects its share.
 #[gtest]
-fn a_wrong_picture_of_owners_does_not_move_the_share() {
+fn a_wrong_view_of_owners_does_not_change_the_share() {
     let mut fleet = Fleet::even(58, 3);
     fleet.owned = normalized(&[7.0, 1.0, 1.0, 1.0]);
     fleet.traffic = normalized(&[7.0, 1.0, 1.0, 1.0]);
@@ -183,7 +183,7 @@
     expect_that!(share_of(later, REQUESTS), near(0.5, 0.06));
 }
 
-/// Uploads to owners at four zones, in one split: what goes between zones.
+/// Bytes that uploads to owners in four zones send between zones, in one split.
 fn bytes_between_zones(share: f64, draws_evenly: bool) -> usize {
     let mut fleet = Fleet::even(58, 17);
     let outcome = fleet.run(share, 3_860, uploads, draws_evenly);
@@ -192,8 +192,8 @@
 }
 
 #[gtest]
-fn uploads_go_to_owners_in_the_own_zone_first() {
-    // The least that any choice can reach with a quarter of the keys in each zone is 2/3.
+fn uploads_prefer_owners_in_the_same_zone() {
+    // With a quarter of the keys in each zone, no choice can get below 2/3.
     let before = bytes_between_zones(0.5, true) as f64;
     expect_that!(bytes_between_zones(0.5, false) as f64, lt(before * 0.75));
     let before = bytes_between_zones(0.1, true) as f64;
--- a/crates/ledgelead-router/tests/support/mod.rs
+++ b/crates/ledgelead-router/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Names of headers towards the stand-ins of tests.
+//! Header names used with the test servers.
 
 use ledgelead_router::dialect::HeaderNames;
 
