--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -113,7 +113,7 @@
             tried: Some(entry.failed_instance).filter(|tried| *tried > 0),
         };
         let decided = match self.stopping {
-            true => Err(Declined::Stops),
+            true => Err(Declined::ShuttingDown),
             false => self
                 .dispatch_request(&request, entry.service, now)
                 .ok_or(Declined::UnknownQueue),
@@ -234,7 +234,7 @@
             Ok(Admission::Granted(server)) => (PermitStatus::Granted, server),
             Ok(Admission::Queued) => (PermitStatus::Queued, 0),
             Ok(Admission::Refused) => (PermitStatus::Refused, 0),
-            Err(Declined::Stops) => (PermitStatus::ShuttingDown, 0),
+            Err(Declined::ShuttingDown) => (PermitStatus::ShuttingDown, 0),
             Err(Declined::UnknownQueue) => (PermitStatus::UnknownQueue, 0),
         };
         let message = PeerMessage::PermitDecision {
@@ -257,7 +257,7 @@
         PermitStatus::Granted => Ok(Admission::Granted(server)),
         PermitStatus::Queued => Ok(Admission::Queued),
         PermitStatus::Refused => Ok(Admission::Refused),
-        PermitStatus::ShuttingDown => Err(Declined::Stops),
+        PermitStatus::ShuttingDown => Err(Declined::ShuttingDown),
         PermitStatus::UnknownQueue => Err(Declined::UnknownQueue),
     }
 }
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -249,7 +249,9 @@
         ..OpenRequests::default()
     }];
     let from = ([10, 0, 0, 9], 1).into();
-    fixture.shared.record_node_counts(from, 1, &reported, ms(900));
+    fixture
+        .shared
+        .record_node_counts(from, 1, &reported, ms(900));
     expect_that!(fixture.chosen(&[]), eq("b"));
 }
 
