--- a/crates/ledgelead-lab/src/checker/configuration.rs
+++ b/crates/ledgelead-lab/src/checker/configuration.rs
@@ -8,7 +8,7 @@
 
 /// How long an accepted configuration may take to be in force on every node
 /// that can be reached.
-pub const IN_FORCE_WITHIN: Span = Span::from_seconds(6);
+pub const APPLIED_WITHIN: Span = Span::from_seconds(6);
 
 #[derive(Clone, Copy, Debug)]
 struct NodeRecord {
@@ -29,7 +29,7 @@
     longest_lag: Span,
     longest_undisturbed_lag: Span,
     /// Since when the platform has answered as usual, as last told.
-    platform_since: Time,
+    platform_available_since: Time,
 }
 
 impl ConfigurationChecker {
@@ -74,7 +74,7 @@
         if let Some((connected, written)) = since {
             let lag = now.since(connected.max(*written));
             self.longest_lag = self.longest_lag.max(lag);
-            let undisturbed = lag.min(now.since(self.platform_since));
+            let undisturbed = lag.min(now.since(self.platform_available_since));
             self.longest_undisturbed_lag = self.longest_undisturbed_lag.max(undisturbed);
         }
     }
@@ -132,16 +132,21 @@
 
     /// Looks for nodes on which a version is late. While the platform is
     /// disturbed nobody can read it; `platform_since` is when it was last.
-    pub fn check(&mut self, now: Time, platform_since: Time, violations: &mut Violations) {
-        self.platform_since = platform_since;
-        let settled = now.before(IN_FORCE_WITHIN);
+    pub fn check(
+        &mut self,
+        now: Time,
+        platform_available_since: Time,
+        violations: &mut Violations,
+    ) {
+        self.platform_available_since = platform_available_since;
+        let settled = now.before(APPLIED_WITHIN);
         let required = self
             .writes
             .iter()
             .filter(|(_, written)| **written <= settled)
             .map(|(version, _)| *version)
             .max();
-        let Some(required) = required.filter(|_| platform_since <= settled) else {
+        let Some(required) = required.filter(|_| platform_available_since <= settled) else {
             return;
         };
         for (node, record) in &mut self.nodes {
--- a/crates/ledgelead-lab/src/checker/leaving.rs
+++ b/crates/ledgelead-lab/src/checker/leaving.rs
@@ -5,38 +5,38 @@
 use std::collections::BTreeMap;
 
 /// How long after it was told a server may still be given new work.
-pub const NEW_WORK_STOPS_WITHIN: Span = Span::from_seconds(3);
+pub const NEW_REQUESTS_STOP_WITHIN: Span = Span::from_seconds(3);
 
 /// Checks leaving servers and planned stops.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingChecker {
-    told: BTreeMap<ServerId, Time>,
+    announced: BTreeMap<ServerId, Time>,
 }
 
 impl LeavingChecker {
     /// The system was told that a server leaves or is to be drained.
-    pub fn told(&mut self, now: Time, server: ServerId) {
-        self.told.entry(server).or_insert(now);
+    pub fn leave_announced(&mut self, now: Time, server: ServerId) {
+        self.announced.entry(server).or_insert(now);
     }
 
     /// The server is active again, or has gone.
     pub fn returned(&mut self, server: ServerId) {
-        self.told.remove(&server);
+        self.announced.remove(&server);
     }
 
     /// More was lost than is tolerated: what operators were told may be
     /// forgotten.
-    pub fn forget(&mut self) {
-        self.told.clear();
+    pub fn clear(&mut self) {
+        self.announced.clear();
     }
 
     /// A server started to execute a request.
     pub fn started(&mut self, now: Time, server: ServerId, violations: &mut Violations) {
-        let Some(told) = self.told.get(&server) else {
+        let Some(announced) = self.announced.get(&server) else {
             return;
         };
-        let since = now.since(*told);
-        if since > NEW_WORK_STOPS_WITHIN {
+        let since = now.since(*announced);
+        if since > NEW_REQUESTS_STOP_WITHIN {
             violations.add(now, Violation::NoNewWorkAfterLeave, || {
                 format!("{server} was given new work {since:?} after it was told")
             });
@@ -44,8 +44,14 @@
     }
 
     /// A process stopped as planned while requests were in flight.
-    pub fn stopped(&mut self, now: Time, process: &str, cut: usize, violations: &mut Violations) {
-        for _ in 0..cut {
+    pub fn stopped(
+        &mut self,
+        now: Time,
+        process: &str,
+        interrupted: usize,
+        violations: &mut Violations,
+    ) {
+        for _ in 0..interrupted {
             violations.add(now, Violation::PlannedStopCutsNothing, || {
                 format!("the planned stop of {process} cut a request")
             });
--- a/crates/ledgelead-lab/src/checker/ownership.rs
+++ b/crates/ledgelead-lab/src/checker/ownership.rs
@@ -18,7 +18,7 @@
 
 /// How long an acknowledged move may take to reach the server, apart from
 /// losses.
-const MOVE_TAKES_EFFECT: Span = Span::from_seconds(5);
+const MOVE_TAKES_EFFECT_WITHIN: Span = Span::from_seconds(5);
 
 /// What a server holds, as the server itself recorded it.
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
     /// Moves whose new owner does not hold the slice yet.
     moves: Vec<AcknowledgedMove>,
     /// All moves, in the order in which operators were told.
-    told_moves: Vec<AcknowledgedMove>,
+    acknowledged_moves: Vec<AcknowledgedMove>,
     beyond_tolerance: bool,
     churned_share: BTreeMap<ServiceId, f64>,
 }
@@ -78,8 +78,8 @@
         self.check_overlaps(now, server, claim.service, &gained, violations);
         let serves = !gained.is_empty();
         for slice in gained {
-            self.note_grant(now, server, claim.service, slice, violations);
-            self.end_superseded(now, server, claim.service, slice.range);
+            self.record_grant(now, server, claim.service, slice, violations);
+            self.drop_superseded_moves(now, server, claim.service, slice.range);
         }
         if serves {
             self.lost_since_grant.remove(&server);
@@ -136,7 +136,7 @@
             .filter(move |(other, claim)| **other != server && claim.service == service)
     }
 
-    fn note_grant(
+    fn record_grant(
         &mut self,
         now: Time,
         server: ServerId,
@@ -167,19 +167,19 @@
     pub fn died(&mut self, server: ServerId) {
         self.claims.remove(&server);
         self.executing.retain(|_, (owner, _, _)| *owner != server);
-        self.excuse(server);
+        self.allow_loss(server);
     }
 
     /// A server froze, was cut off, is leaving or is drained: it may lose its
     /// slices without a command.
-    pub fn excuse(&mut self, server: ServerId) {
+    pub fn allow_loss(&mut self, server: ServerId) {
         self.lost_since_grant.insert(server);
         self.moves.retain(|acknowledged| acknowledged.to != server);
     }
 
     /// More replicas were lost at once than the system claims to tolerate:
     /// from now on acknowledged assignments may revert.
-    pub fn note_beyond_tolerance(&mut self) {
+    pub fn record_beyond_tolerance(&mut self) {
         self.beyond_tolerance = true;
         self.moves.clear();
     }
@@ -190,7 +190,7 @@
             old.service == acknowledged.service && old.position == acknowledged.position
         };
         self.moves.retain(|old| !superseded(old));
-        self.told_moves.push(acknowledged);
+        self.acknowledged_moves.push(acknowledged);
         let claim = self.claims.get(&acknowledged.to);
         let held = claim.filter(|claim| claim.holds_at(acknowledged.at, acknowledged.position));
         let slice = held.and_then(|claim| {
@@ -199,7 +199,7 @@
         });
         if let Some(range) = slice.map(|slice| slice.range) {
             let (service, to) = (acknowledged.service, acknowledged.to);
-            self.end_superseded(acknowledged.at, to, service, range);
+            self.drop_superseded_moves(acknowledged.at, to, service, range);
         } else if !self.beyond_tolerance {
             self.moves.push(acknowledged);
         }
@@ -209,25 +209,28 @@
     /// position of this slice moves there, moves that were told before it are
     /// superseded: the later of two may have come before the slice reached the
     /// owner of the first. A move told after it still has to come into force.
-    fn end_superseded(
+    fn drop_superseded_moves(
         &mut self,
         now: Time,
         server: ServerId,
         service: ServiceId,
         range: PositionRange,
     ) {
-        let concerns =
-            |told: &AcknowledgedMove| told.service == service && range.contains(told.position);
-        let lately = now.before(MOVE_TAKES_EFFECT);
-        let in_force = self
-            .told_moves
+        let concerns = |acknowledged: &AcknowledgedMove| {
+            acknowledged.service == service && range.contains(acknowledged.position)
+        };
+        let lately = now.before(MOVE_TAKES_EFFECT_WITHIN);
+        let latest_effective = self
+            .acknowledged_moves
             .iter()
-            .filter(|told| concerns(told) && told.to == server && told.at >= lately)
-            .map(|told| told.at)
+            .filter(|acknowledged| {
+                concerns(acknowledged) && acknowledged.to == server && acknowledged.at >= lately
+            })
+            .map(|acknowledged| acknowledged.at)
             .max();
-        if let Some(in_force) = in_force {
+        if let Some(latest_effective) = latest_effective {
             self.moves
-                .retain(|pending| !concerns(pending) || pending.at > in_force);
+                .retain(|pending| !concerns(pending) || pending.at > latest_effective);
         }
     }
 
@@ -249,10 +252,10 @@
         let executed_by = self
             .executing
             .values()
-            .find(|(other, other_service, place)| {
+            .find(|(other, other_service, other_position)| {
                 *other != server
                     && *other_service == service
-                    && *place == position
+                    && *other_position == position
                     && self
                         .claims
                         .get(other)
@@ -278,7 +281,7 @@
     /// The run ended: moves that never reached their server are found.
     pub fn finish(&mut self, now: Time, violations: &mut Violations) {
         for acknowledged in &self.moves {
-            if acknowledged.at + MOVE_TAKES_EFFECT < now {
+            if acknowledged.at + MOVE_TAKES_EFFECT_WITHIN < now {
                 violations.add(now, Violation::AcknowledgedAssignmentKept, || {
                     format!("never in force: {acknowledged:?}")
                 });
--- a/crates/ledgelead-lab/src/checker/requests.rs
+++ b/crates/ledgelead-lab/src/checker/requests.rs
@@ -18,7 +18,7 @@
 struct Record {
     once: Option<OnceKey>,
     executions: u32,
-    told_not_run: bool,
+    reported_not_run: bool,
 }
 
 /// Checks requests.
@@ -42,7 +42,7 @@
     pub fn started(&mut self, now: Time, body: u64, violations: &mut Violations) {
         let record = self.records.entry(body).or_default();
         record.executions += 1;
-        if record.told_not_run {
+        if record.reported_not_run {
             violations.add(now, Violation::NotRunIsTrue, || {
                 format!("request {body} started after its caller was told it was not run")
             });
@@ -80,7 +80,7 @@
 
     /// A caller was told how its request ended; `answer` is the number in the
     /// answer's body, when a whole answer came.
-    pub fn told(
+    pub fn outcome_reported(
         &mut self,
         now: Time,
         body: u64,
@@ -97,7 +97,7 @@
                 });
             }
             Outcome::NotRun(reason) => {
-                record.told_not_run = true;
+                record.reported_not_run = true;
                 if record.executions > 0 {
                     violations.add(now, Violation::NotRunIsTrue, || {
                         format!("request {body} was run and told not run: {reason:?}")
--- a/crates/ledgelead-lab/src/checker/violation.rs
+++ b/crates/ledgelead-lab/src/checker/violation.rs
@@ -53,23 +53,23 @@
 }
 
 /// Most violations of a run that are described; all are counted.
-const DESCRIBED: usize = 20;
+const MAX_DESCRIPTIONS: usize = 20;
 
 /// Violations found in a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Violations {
     counts: BTreeMap<Violation, u64>,
-    described: Vec<String>,
+    descriptions: Vec<String>,
 }
 
 impl Violations {
     /// Notes a violation.
     pub fn add(&mut self, at: Time, violation: Violation, description: impl FnOnce() -> String) {
         *self.counts.entry(violation).or_insert(0) += 1;
-        if self.described.len() < DESCRIBED {
+        if self.descriptions.len() < MAX_DESCRIPTIONS {
             let description = description();
             let seconds = at.as_seconds();
-            self.described
+            self.descriptions
                 .push(format!("{seconds:.6} {}: {description}", violation.name()));
         }
     }
@@ -85,7 +85,7 @@
     }
 
     /// The first violations in words.
-    pub fn described(&self) -> &[String] {
-        &self.described
+    pub fn descriptions(&self) -> &[String] {
+        &self.descriptions
     }
 }
--- a/crates/ledgelead-lab/src/demo/platform_endpoint.rs
+++ b/crates/ledgelead-lab/src/demo/platform_endpoint.rs
@@ -145,8 +145,12 @@
     }
 
     fn answer_woken(&mut self) {
-        let woken = self.state.lock().expect("platform state").take_woken();
-        for (watch, result) in woken {
+        let ready = self
+            .state
+            .lock()
+            .expect("platform state")
+            .take_ready_watches();
+        for (watch, result) in ready {
             if let Some(pending) = self.watches.remove(&watch) {
                 answer(pending.request, result);
             }
--- a/crates/ledgelead-lab/src/demo/server_thread.rs
+++ b/crates/ledgelead-lab/src/demo/server_thread.rs
@@ -205,12 +205,12 @@
     fn act(&mut self, sent_by: SentBy, action: ServerAction) {
         let now = self.shared.clock.now();
         match action {
-            ServerAction::Started { key, takes } if takes == Span::ZERO => {
+            ServerAction::Started { key, duration } if duration == Span::ZERO => {
                 let mut states = self.shared.states();
                 states.state(sent_by).finish(Moment::exact(now), key);
             }
-            ServerAction::Started { key, takes } => {
-                let at = now + takes;
+            ServerAction::Started { key, duration } => {
+                let at = now + duration;
                 self.due.push(Due { at, key, sent_by });
             }
             ServerAction::Ended { key, answer } => self.answer(key, answer),
--- a/crates/ledgelead-lab/src/hollow/deployment.rs
+++ b/crates/ledgelead-lab/src/hollow/deployment.rs
@@ -26,7 +26,7 @@
 
 /// Numbers of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct DeploymentShape {
     /// Services.
     pub services: usize,
     /// Groups of each service.
@@ -35,11 +35,11 @@
     pub servers: usize,
 }
 
-impl Shape {
+impl DeploymentShape {
     /// The shape that options ask for: groups rounded up to whole services.
-    pub fn new(options: &Options) -> Shape {
+    pub fn new(options: &Options) -> DeploymentShape {
         let services = options.groups.div_ceil(GROUPS_PER_SERVICE);
-        Shape {
+        DeploymentShape {
             services,
             groups_per_service: options.groups.div_ceil(services),
             servers: options.nodes * options.servers_per_node,
@@ -98,7 +98,7 @@
 }
 
 /// The first configuration.
-pub fn configuration(shape: &Shape) -> Configuration {
+pub fn configuration(shape: &DeploymentShape) -> Configuration {
     Configuration {
         version: ConfigurationVersion(1),
         zones: (0..ZONES).map(zone).collect(),
@@ -124,7 +124,7 @@
     }
 }
 
-fn service(shape: &Shape, index: usize) -> ServiceConfiguration {
+fn service(shape: &DeploymentShape, index: usize) -> ServiceConfiguration {
     ServiceConfiguration {
         id: service_id(index),
         name: Text(format!("service-{index}")),
@@ -138,7 +138,7 @@
     }
 }
 
-fn server(shape: &Shape, index: usize) -> ServerConfiguration {
+fn server(shape: &DeploymentShape, index: usize) -> ServerConfiguration {
     let place = shape.place_of(index);
     ServerConfiguration {
         id: server_id(index),
--- a/crates/ledgelead-lab/src/hollow/network.rs
+++ b/crates/ledgelead-lab/src/hollow/network.rs
@@ -1,6 +1,6 @@
 //! Delays between places of the simulated network.
 
-use crate::simulation::dice::Dice;
+use crate::simulation::rng::RandomStream;
 use ledgelead_types::Span;
 
 /// Zones; the first three are one region.
@@ -25,13 +25,13 @@
 }
 
 /// Draws the delay of one message from a zone to another.
-pub fn delay(dice: &mut Dice, from: usize, to: usize) -> Span {
+pub fn delay(rng: &mut RandomStream, from: usize, to: usize) -> Span {
     let millis = if from == to {
         WITHIN_ZONE_MS
     } else if region_of(from) == region_of(to) {
-        dice.between(BETWEEN_ZONES_MS.0, BETWEEN_ZONES_MS.1)
+        rng.between(BETWEEN_ZONES_MS.0, BETWEEN_ZONES_MS.1)
     } else {
-        dice.between(BETWEEN_REGIONS_MS.0, BETWEEN_REGIONS_MS.1)
+        rng.between(BETWEEN_REGIONS_MS.0, BETWEEN_REGIONS_MS.1)
     };
     Span::from_micros((millis * 1_000.0) as u64)
 }
--- a/crates/ledgelead-lab/src/hollow/nodes.rs
+++ b/crates/ledgelead-lab/src/hollow/nodes.rs
@@ -98,7 +98,7 @@
         }
         let run = NodeRun {
             index,
-            incarnation: Incarnation(self.process_dice.number()),
+            incarnation: Incarnation(self.process_rng.number()),
         };
         let settings = NodeSettings {
             node: node_id(index),
@@ -106,7 +106,7 @@
             zone: zone_id(self.nodes[index].zone),
             address: node_address(index),
             seeds: deployment::seeds(self.nodes.len()),
-            random_seed: self.process_dice.number(),
+            random_seed: self.process_rng.number(),
             protections: Protections::default(),
             assigner: AssignerChoice::Planner,
         };
--- a/crates/ledgelead-lab/src/hollow/platform.rs
+++ b/crates/ledgelead-lab/src/hollow/platform.rs
@@ -90,8 +90,8 @@
 
     /// Notes what was written and answers the watches that it ends.
     fn after_platform_step(&mut self) {
-        self.note_writes();
-        for (watch, reply) in self.platform.state.take_woken() {
+        self.check_writes();
+        for (watch, reply) in self.platform.state.take_ready_watches() {
             self.watch_ends(watch, reply);
         }
     }
@@ -129,7 +129,7 @@
         self.input(to, Input::PlatformReplied { call, reply });
     }
 
-    fn note_writes(&mut self) {
+    fn check_writes(&mut self) {
         for write in self.platform.state.take_writes() {
             if &*write.name == CONFIGURATION_OBJECT {
                 let version = ConfigurationVersion(write.version.0);
--- a/crates/ledgelead-lab/src/hollow/report.rs
+++ b/crates/ledgelead-lab/src/hollow/report.rs
@@ -32,9 +32,9 @@
     ) -> Report {
         let calm = &phases[0];
         let grown = calm.resident_bytes.saturating_sub(resident_before);
-        let mut described = Map::new();
+        let mut descriptions = Map::new();
         for phase in &phases {
-            described.insert(phase.kind.name().to_owned(), describe(phase, calm, &costs));
+            descriptions.insert(phase.kind.name().to_owned(), describe(phase, calm, &costs));
         }
         let json = json!({
             "nodes": options.nodes,
@@ -49,7 +49,7 @@
             "measured_costs": costs,
             "memory_bytes_per_node": grown as f64 / options.nodes as f64,
             "resident_bytes": calm.resident_bytes,
-            "phases": described,
+            "phases": descriptions,
         });
         Report { json }
     }
@@ -171,14 +171,14 @@
     for traffic in Traffic::ALL {
         let flow = |index: usize| phase.accounts[index].flow(traffic);
         let rate = |value: u64| value as f64 / phase.seconds();
-        let described = json!({
+        let descriptions = json!({
             "out": mean_and_max(phase, |index| rate(flow(index).bytes_out)),
             "in": mean_and_max(phase, |index| rate(flow(index).bytes_in)),
             "messages": mean_and_max(phase, |index| {
                 rate(flow(index).messages_out + flow(index).messages_in)
             }),
         });
-        kinds.insert(traffic.name().to_owned(), described);
+        kinds.insert(traffic.name().to_owned(), descriptions);
     }
     Value::Object(kinds)
 }
@@ -204,7 +204,7 @@
         ("dispatcher", |roles| roles.servers > 0),
         ("configuration-reader", |roles| roles.reads_configuration),
     ];
-    let mut described = Map::new();
+    let mut descriptions = Map::new();
     for (name, has_role) in roles {
         let nodes: Vec<(usize, Roles)> = phase
             .running()
@@ -228,9 +228,9 @@
             "cpu_percent_mean": mean(nodes.iter().map(|node| cpu(node.0))),
             "cpu_percent_max": nodes.iter().map(|node| cpu(node.0)).fold(0.0, f64::max),
         });
-        described.insert(name.to_owned(), value);
+        descriptions.insert(name.to_owned(), value);
     }
-    Value::Object(described)
+    Value::Object(descriptions)
 }
 
 fn fit(phase: &Phase, value: impl Fn(usize) -> f64) -> Fit {
@@ -242,12 +242,12 @@
 }
 
 fn named(fit: &Fit) -> Value {
-    let mut described = Map::new();
+    let mut descriptions = Map::new();
     for (name, coefficient) in REGRESSOR_NAMES.into_iter().zip(&fit.coefficients) {
-        described.insert(name.to_owned(), json!(coefficient));
+        descriptions.insert(name.to_owned(), json!(coefficient));
     }
-    described.insert("r-squared".to_owned(), json!(fit.r_squared));
-    Value::Object(described)
+    descriptions.insert("r-squared".to_owned(), json!(fit.r_squared));
+    Value::Object(descriptions)
 }
 
 fn mean_and_max(phase: &Phase, value: impl Fn(usize) -> f64) -> Value {
--- a/crates/ledgelead-lab/src/hollow/world.rs
+++ b/crates/ledgelead-lab/src/hollow/world.rs
@@ -3,7 +3,7 @@
 use super::accounts::NodeAccount;
 use super::calibration::Costs;
 use super::cpu::Stopwatch;
-use super::deployment::Shape;
+use super::deployment::DeploymentShape;
 use super::event::Event;
 use super::lag::Lags;
 use super::network;
@@ -12,8 +12,8 @@
 use super::platform::HollowPlatform;
 use super::requests::RequestCounts;
 use super::servers::HollowServer;
-use crate::simulation::dice::Dice;
 use crate::simulation::queue::EventQueue;
+use crate::simulation::rng::RandomStream;
 use ledgelead_core::Input;
 use ledgelead_types::{Span, Time};
 
@@ -31,7 +31,7 @@
     /// What the run was asked for.
     pub options: Options,
     /// Its numbers.
-    pub shape: Shape,
+    pub shape: DeploymentShape,
     /// Present virtual time.
     pub now: Time,
     /// What is to happen.
@@ -48,9 +48,9 @@
     pub lags: Lags,
     pub(super) stopwatch: Stopwatch,
     pub(super) sealer: FrameSealer,
-    pub(super) network_dice: Dice,
-    pub(super) process_dice: Dice,
-    pub(super) plan_dice: Dice,
+    pub(super) network_dice: RandomStream,
+    pub(super) process_rng: RandomStream,
+    pub(super) plan_dice: RandomStream,
     pub(super) commands: u64,
     /// Requests so far.
     pub requests: RequestCounts,
@@ -64,7 +64,7 @@
 impl World {
     /// A deployment whose nodes are about to start.
     pub fn new(options: &Options, costs: Costs) -> World {
-        let shape = Shape::new(options);
+        let shape = DeploymentShape::new(options);
         let servers = (0..shape.servers)
             .map(|index| HollowServer::new(index, shape.place_of(index).zone))
             .collect();
@@ -80,9 +80,9 @@
             lags: Lags::default(),
             stopwatch: Stopwatch::default(),
             sealer: FrameSealer::new(),
-            network_dice: Dice::new(options.seed, NETWORK_STREAM),
-            process_dice: Dice::new(options.seed, PROCESS_STREAM),
-            plan_dice: Dice::new(options.seed, PLAN_STREAM),
+            network_dice: RandomStream::new(options.seed, NETWORK_STREAM),
+            process_rng: RandomStream::new(options.seed, PROCESS_STREAM),
+            plan_dice: RandomStream::new(options.seed, PLAN_STREAM),
             commands: 0,
             requests: RequestCounts::default(),
             started_after: Time::ZERO,
@@ -90,7 +90,7 @@
             events_handled: 0,
         };
         for index in 0..options.nodes {
-            let delay = world.process_dice.between(0.0, START_SPREAD_SECONDS);
+            let delay = world.process_rng.between(0.0, START_SPREAD_SECONDS);
             let at = Span::from_micros((delay * 1e6) as u64);
             world.after(at, Event::StartNode(index));
         }
--- a/crates/ledgelead-lab/src/overload/experiment.rs
+++ b/crates/ledgelead-lab/src/overload/experiment.rs
@@ -1,11 +1,11 @@
 //! Runs the deployment at each load and replays its arrivals in the models.
 
 use super::Plan;
-use super::models::{Job, Model, Shape, answers};
+use super::models::{Job, Model, ServiceShape, answers};
 use super::report::{Ended, OverloadReport, PERMITS, Row, Window};
 use crate::scenario::{Scenario, ServiceSection};
 use crate::simulation::deployment;
-use crate::simulation::dice::milliseconds;
+use crate::simulation::rng::milliseconds;
 use crate::simulation::{TracedRequest, World};
 use ledgelead_types::assigner::AssignerChoice;
 use ledgelead_types::configuration::Partitioning;
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Time after the load begins until requests count.
-const SETTLING: Span = Span::from_seconds(5);
+const LOAD_SETTLE_TIME: Span = Span::from_seconds(5);
 /// The load ends this long before the run; requests count until then.
 const LOAD_ENDS_BEFORE: Span = Span::from_seconds(5);
 
@@ -64,7 +64,7 @@
             .position(|service| service.name == row.service)
     };
     report.rows.sort_by_key(order);
-    report.judge();
+    report.evaluate_targets();
     report
 }
 
@@ -84,7 +84,7 @@
     let warm = Time::ZERO + Span::from_seconds(scenario.run.warm_up_seconds);
     let end = Time::ZERO + Span::from_seconds(scenario.run.virtual_seconds);
     Window {
-        from: warm + SETTLING,
+        from: warm + LOAD_SETTLE_TIME,
         until: end.before(LOAD_ENDS_BEFORE),
     }
 }
@@ -105,11 +105,11 @@
     for (index, service) in scenario.services.iter().enumerate() {
         let traced: Vec<&TracedRequest> = requests
             .iter()
-            .filter(|request| request.service == index && was_work(request))
+            .filter(|request| request.service == index && used_a_server(request))
             .collect();
         let ended: Vec<Ended> = traced.iter().map(|request| ended(request)).collect();
         rows.push(row(&scenario, service, load, PERMITS, &ended));
-        let first_sent = traced.into_iter().filter(|request| !request.is_repeat);
+        let first_sent = traced.into_iter().filter(|request| !request.is_retry);
         let jobs = jobs(&scenario, index, first_sent.collect());
         for model in models(service) {
             let ended = replay(&scenario, service, model, &jobs);
@@ -153,8 +153,8 @@
 
 /// A repeat that was never sent to a server was answered with the first answer
 /// or refused: it is no work of its own.
-fn was_work(request: &TracedRequest) -> bool {
-    !request.is_repeat || request.server.is_some()
+fn used_a_server(request: &TracedRequest) -> bool {
+    !request.is_retry || request.server.is_some()
 }
 
 /// The end of a request in the run.
@@ -164,7 +164,7 @@
         sent: request.sent,
         ended: request.ended,
         outcome: request.outcome,
-        is_repeat: request.is_repeat,
+        is_retry: request.is_retry,
     }
 }
 
@@ -205,7 +205,7 @@
 }
 
 fn replay(scenario: &Scenario, service: &ServiceSection, model: Model, jobs: &[Job]) -> Vec<Ended> {
-    let shape = Shape {
+    let shape = ServiceShape {
         servers: service.instances as usize,
         slots: usize::from(service.slots),
         gateways: scenario.zones.len() * scenario.nodes.per_zone as usize,
@@ -218,7 +218,7 @@
         sent: job.arrived,
         ended: answer.unwrap_or(job.deadline),
         outcome: answer.map(|_| Outcome::Answered),
-        is_repeat: false,
+        is_retry: false,
     };
     jobs.iter().zip(ends).map(ended).collect()
 }
--- a/crates/ledgelead-lab/src/overload/models.rs
+++ b/crates/ledgelead-lab/src/overload/models.rs
@@ -60,7 +60,7 @@
 
 /// The service that a model serves.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct ServiceShape {
     /// Servers.
     pub servers: usize,
     /// Slots of each.
@@ -77,7 +77,7 @@
 struct Station {
     slots: usize,
     busy: usize,
-    waiting: Vec<VecDeque<usize>>,
+    queues: Vec<VecDeque<usize>>,
 }
 
 /// Arrivals at a station come before departures of the same moment.
@@ -90,11 +90,11 @@
 struct Run<'a> {
     model: Model,
     jobs: &'a [Job],
-    shape: Shape,
+    shape: ServiceShape,
     stations: Vec<Station>,
     steps: BTreeSet<(Time, Step, usize)>,
     station_of: Vec<usize>,
-    turns: Vec<usize>,
+    rotation: Vec<usize>,
     /// Requests of each gateway at each server.
     in_flight: Vec<Vec<usize>>,
     ends: Vec<Option<Time>>,
@@ -102,7 +102,7 @@
 
 /// When each job's caller has its answer; `None` for one that is dropped or
 /// answered after its deadline. `jobs` are in the order of their arrival.
-pub fn answers(model: Model, jobs: &[Job], shape: Shape) -> Vec<Option<Time>> {
+pub fn answers(model: Model, jobs: &[Job], shape: ServiceShape) -> Vec<Option<Time>> {
     let mut run = Run::new(model, jobs, shape);
     for (job, planned) in jobs.iter().enumerate() {
         while run
@@ -121,7 +121,7 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(model: Model, jobs: &'a [Job], shape: Shape) -> Run<'a> {
+    fn new(model: Model, jobs: &'a [Job], shape: ServiceShape) -> Run<'a> {
         let (count, slots) = match model {
             Model::Ideal => (1, shape.servers * shape.slots),
             _ => (shape.servers, shape.slots),
@@ -130,7 +130,7 @@
         let station = Station {
             slots,
             busy: 0,
-            waiting: vec![VecDeque::new(); queues],
+            queues: vec![VecDeque::new(); queues],
         };
         Run {
             model,
@@ -139,7 +139,7 @@
             stations: vec![station; count],
             steps: BTreeSet::new(),
             station_of: vec![0; jobs.len()],
-            turns: (0..shape.gateways).collect(),
+            rotation: (0..shape.gateways).collect(),
             in_flight: vec![vec![0; shape.servers]; shape.gateways],
             ends: vec![None; jobs.len()],
         }
@@ -160,19 +160,19 @@
         match (self.model, owner) {
             (Model::Ideal, _) => 0,
             (_, Some(owner)) => owner,
-            (Model::LeastInFlight, None) => self.fewest_of(gateway),
-            (_, None) => self.take_turn(gateway),
+            (Model::LeastInFlight, None) => self.least_loaded_server(gateway),
+            (_, None) => self.next_in_rotation(gateway),
         }
     }
 
-    fn take_turn(&mut self, gateway: usize) -> usize {
-        self.turns[gateway] = (self.turns[gateway] + 1) % self.shape.servers;
-        self.turns[gateway]
+    fn next_in_rotation(&mut self, gateway: usize) -> usize {
+        self.rotation[gateway] = (self.rotation[gateway] + 1) % self.shape.servers;
+        self.rotation[gateway]
     }
 
     /// The server with the fewest of a gateway's requests; ties in turn.
-    fn fewest_of(&mut self, gateway: usize) -> usize {
-        let start = self.take_turn(gateway);
+    fn least_loaded_server(&mut self, gateway: usize) -> usize {
+        let start = self.next_in_rotation(gateway);
         let counts = &self.in_flight[gateway];
         (0..self.shape.servers)
             .map(|offset| (start + offset) % self.shape.servers)
@@ -192,14 +192,14 @@
                 } else {
                     0
                 };
-                self.stations[station].waiting[tier].push_back(job);
+                self.stations[station].queues[tier].push_back(job);
             }
             Step::Departs => {
                 self.stations[station].busy -= 1;
                 self.leave(job);
             }
         }
-        self.start_waiting(now, station);
+        self.start_queued(now, station);
     }
 
     fn leave(&mut self, job: usize) {
@@ -208,10 +208,10 @@
         }
     }
 
-    fn start_waiting(&mut self, now: Time, station: usize) {
+    fn start_queued(&mut self, now: Time, station: usize) {
         while self.stations[station].busy < self.stations[station].slots {
-            let waiting = &mut self.stations[station].waiting;
-            let Some(job) = waiting.iter_mut().find_map(VecDeque::pop_front) else {
+            let queues = &mut self.stations[station].queues;
+            let Some(job) = queues.iter_mut().find_map(VecDeque::pop_front) else {
                 return;
             };
             self.start(now, station, job);
@@ -227,14 +227,18 @@
             ..
         } = self.jobs[job];
         let end = now + service_time;
-        let told = end + self.shape.hop;
-        let latest = if self.model.is_ideal() { told } else { now };
+        let answered_at = end + self.shape.hop;
+        let latest = if self.model.is_ideal() {
+            answered_at
+        } else {
+            now
+        };
         if latest > deadline {
             self.leave(job);
             return;
         }
         self.stations[station].busy += 1;
         self.steps.insert((end, Step::Departs, job));
-        self.ends[job] = (told <= deadline).then_some(told);
+        self.ends[job] = (answered_at <= deadline).then_some(answered_at);
     }
 }
--- a/crates/ledgelead-lab/src/overload/report.rs
+++ b/crates/ledgelead-lab/src/overload/report.rs
@@ -16,7 +16,7 @@
     pub outcome: Option<Outcome>,
     /// Whether it repeats another under its idempotency key. It counts only
     /// as work that was done.
-    pub is_repeat: bool,
+    pub is_retry: bool,
 }
 
 /// Part of a run over which requests count.
@@ -29,7 +29,7 @@
 }
 
 impl Window {
-    fn holds(&self, at: Time) -> bool {
+    fn contains(&self, at: Time) -> bool {
         self.from <= at && at < self.until
     }
 
@@ -135,11 +135,11 @@
         let answered_in_window = ended
             .iter()
             .filter(is_answer)
-            .filter(|end| window.holds(end.ended))
+            .filter(|end| window.contains(end.ended))
             .count();
         let sent: Vec<&Ended> = ended
             .iter()
-            .filter(|end| window.holds(end.sent) && !end.is_repeat)
+            .filter(|end| window.contains(end.sent) && !end.is_retry)
             .collect();
         let share = |count: usize| count as f64 / sent.len().max(1) as f64;
         let refused = sent
@@ -181,11 +181,11 @@
 
 impl OverloadReport {
     /// Fills in the targets that the rows allow to judge.
-    pub fn judge(&mut self) {
+    pub fn evaluate_targets(&mut self) {
         let mut services: Vec<String> = self.rows.iter().map(|row| row.service.clone()).collect();
         services.dedup();
         for service in services {
-            self.judge_service(&service);
+            self.evaluate_service_targets(&service);
         }
     }
 
@@ -196,12 +196,12 @@
         self.rows.iter().find(is_wanted)
     }
 
-    fn judge_service(&mut self, service: &str) {
+    fn evaluate_service_targets(&mut self, service: &str) {
         const HIGH: f64 = 0.8;
         const TWICE: f64 = 2.0;
         let high = self.row(service, HIGH, PERMITS);
         let twice = self.row(service, TWICE, PERMITS);
-        let mut judged = Vec::new();
+        let mut evaluated = Vec::new();
         for (ideal, target) in [
             ("ideal", "p99 at 0.8 over the ideal queue's"),
             (
@@ -210,17 +210,17 @@
             ),
         ] {
             if let (Some(high), Some(ideal)) = (high, self.row(service, HIGH, ideal)) {
-                judged.push((target, high.p99_ms / ideal.p99_ms, 1.3, false));
+                evaluated.push((target, high.p99_ms / ideal.p99_ms, 1.3, false));
             }
         }
         if let Some(twice) = twice {
-            judged.push(("goodput at 2", twice.goodput, 0.95, true));
+            evaluated.push(("goodput at 2", twice.goodput, 0.95, true));
         }
         if let (Some(high), Some(twice)) = (high, twice) {
             let ratio = twice.tiers[0].p99_ms / high.tiers[0].p99_ms;
-            judged.push(("top tier's p99 at 2 over that at 0.8", ratio, 1.5, false));
+            evaluated.push(("top tier's p99 at 2 over that at 0.8", ratio, 1.5, false));
         }
-        let targets = judged
+        let targets = evaluated
             .into_iter()
             .map(|(target, value, bound, least)| Target {
                 service: service.to_owned(),
--- a/crates/ledgelead-lab/src/simulation/callers.rs
+++ b/crates/ledgelead-lab/src/simulation/callers.rs
@@ -1,9 +1,9 @@
 //! Callers: an open loop of Poisson arrivals for each service, with Zipf
 //! popularity, hot keys that move, tiers, and requests that may run once.
 
-use super::dice::{Dice, milliseconds};
 use super::event::NodeRun;
 use super::key_load::Popularity;
+use super::rng::{RandomStream, milliseconds};
 use crate::checker::requests::OnceKey;
 use crate::scenario::{Scenario, ServiceSection};
 use ledgelead_types::configuration::Partitioning;
@@ -34,7 +34,7 @@
     /// Whether it counts in the measurements.
     pub counted: bool,
     /// Whether it repeats an earlier request under its idempotency key.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Index of the server that it was last sent to.
     pub server: Option<usize>,
 }
@@ -60,11 +60,11 @@
     last_body: u64,
     last_idempotency: u64,
     /// Draws of the load.
-    pub dice: Dice,
+    pub rng: RandomStream,
 }
 
 impl ServiceLoad {
-    fn new(section: &ServiceSection, dice: &mut Dice) -> ServiceLoad {
+    fn new(section: &ServiceSection, rng: &mut RandomStream) -> ServiceLoad {
         let keyed = section.partitioning != Partitioning::None;
         let mut load = ServiceLoad {
             section: section.clone(),
@@ -75,12 +75,12 @@
             by_position: Vec::new(),
             popularity: Popularity::default(),
         };
-        shuffle(&mut load.order, dice);
+        shuffle(&mut load.order, rng);
         load.by_position = (0..section.load.keys)
             .map(|key| (load.position(key), key))
             .collect();
         load.by_position.sort_unstable();
-        load.move_hot_keys(dice);
+        load.move_hot_keys(rng);
         load
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Draws new hot keys, all at first, then as many as move at a time.
-    pub fn move_hot_keys(&mut self, dice: &mut Dice) {
+    pub fn move_hot_keys(&mut self, rng: &mut RandomStream) {
         let load = &self.section.load;
         let keys = load.keys as usize;
         let moved = match load.hot_keys_moved {
@@ -102,24 +102,22 @@
             some => some.min(load.hot_keys),
         };
         if self.hot.is_empty() {
-            self.hot = (0..load.hot_keys)
-                .map(|_| dice.below(keys) as u32)
-                .collect();
+            self.hot = (0..load.hot_keys).map(|_| rng.below(keys) as u32).collect();
         } else {
             // The longest hot cool down first.
             self.hot.drain(..moved as usize);
-            self.hot.extend((0..moved).map(|_| dice.below(keys) as u32));
+            self.hot.extend((0..moved).map(|_| rng.below(keys) as u32));
         }
-        self.weigh_keys();
+        self.update_popularity();
     }
 
-    fn draw_key(&self, dice: &mut Dice) -> u32 {
-        if dice.chance(self.section.load.hot_percent / 100.0)
-            && let Some(hot) = dice.pick(&self.hot)
+    fn draw_key(&self, rng: &mut RandomStream) -> u32 {
+        if rng.chance(self.section.load.hot_percent / 100.0)
+            && let Some(hot) = rng.pick(&self.hot)
         {
             return hot;
         }
-        let point = dice.unit();
+        let point = rng.unit();
         let rank = self.cumulative.partition_point(|sum| *sum <= point);
         self.order[rank.min(self.order.len() - 1)]
     }
@@ -140,21 +138,21 @@
         self.section.load.of_capacity * slots * MILLIS_PER_SECOND / self.section.service_ms
     }
 
-    fn draw_service_time(&self, dice: &mut Dice) -> Span {
+    fn draw_service_time(&self, rng: &mut RandomStream) -> Span {
         let variable = self.section.service_variable_share;
-        let factor = (1.0 - variable) + dice.exponential(variable);
+        let factor = (1.0 - variable) + rng.exponential(variable);
         milliseconds(self.section.service_ms * factor)
     }
 }
 
 impl Callers {
     /// The callers of a scenario.
-    pub fn new(scenario: &Scenario, mut dice: Dice) -> Callers {
+    pub fn new(scenario: &Scenario, mut rng: RandomStream) -> Callers {
         Callers {
             services: scenario
                 .services
                 .iter()
-                .map(|section| ServiceLoad::new(section, &mut dice))
+                .map(|section| ServiceLoad::new(section, &mut rng))
                 .collect(),
             open: BTreeMap::new(),
             tiers: scenario
@@ -164,19 +162,19 @@
                 .collect(),
             last_body: 0,
             last_idempotency: 0,
-            dice,
+            rng,
         }
     }
 
     /// Draws a request of a service; returns the number in its body.
     pub fn draw(&mut self, service: usize, now: Time) -> u64 {
         let load = &self.services[service];
-        let key = load.keyed.then(|| load.key(load.draw_key(&mut self.dice)));
-        let service_time = load.draw_service_time(&mut self.dice);
+        let key = load.keyed.then(|| load.key(load.draw_key(&mut self.rng)));
+        let service_time = load.draw_service_time(&mut self.rng);
         let section = &load.section.load;
         let deadline = Span::from_millis(section.deadline_ms);
-        let is_once = self.dice.chance(section.once_only_percent / 100.0);
-        let has_idempotency_key = self.dice.chance(section.repeat_percent / 100.0);
+        let is_once = self.rng.chance(section.once_only_percent / 100.0);
+        let has_idempotency_key = self.rng.chance(section.repeat_percent / 100.0);
         let tier = self.draw_tier();
         let body = self.next_body();
         let once = is_once.then(|| {
@@ -198,7 +196,7 @@
             accepted: None,
             probe: None,
             counted: true,
-            is_repeat: false,
+            is_retry: false,
             server: None,
         };
         self.open.insert(body, request);
@@ -206,12 +204,12 @@
     }
 
     /// A caller's repeat of a request under its idempotency key.
-    pub fn repeat(&mut self, original: &CallerRequest, now: Time) -> u64 {
+    pub fn retry(&mut self, original: &CallerRequest, now: Time) -> u64 {
         let body = self.next_body();
         let request = CallerRequest {
             sent: now,
             accepted: None,
-            is_repeat: true,
+            is_retry: true,
             ..original.clone()
         };
         self.open.insert(body, request);
@@ -242,7 +240,7 @@
             accepted: None,
             probe: Some(probe),
             counted: false,
-            is_repeat: false,
+            is_retry: false,
             server: None,
         };
         self.open.insert(body, request);
@@ -255,7 +253,7 @@
     }
 
     fn draw_tier(&mut self) -> TierId {
-        let mut point = self.dice.unit() * 100.0;
+        let mut point = self.rng.unit() * 100.0;
         for (index, share) in self.tiers.iter().enumerate() {
             if point < *share {
                 return TierId(index as u8);
@@ -279,8 +277,8 @@
     sums.into_iter().map(|partial| partial / sum).collect()
 }
 
-fn shuffle(items: &mut [u32], dice: &mut Dice) {
+fn shuffle(items: &mut [u32], rng: &mut RandomStream) {
     for last in (1..items.len()).rev() {
-        items.swap(last, dice.below(last + 1));
+        items.swap(last, rng.below(last + 1));
     }
 }
--- a/crates/ledgelead-lab/src/simulation/clock.rs
+++ b/crates/ledgelead-lab/src/simulation/clock.rs
@@ -1,6 +1,6 @@
 //! Clocks of processes that run fast or slow against the run's clock.
 
-use super::dice::Dice;
+use super::rng::RandomStream;
 use ledgelead_types::{Span, Time};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,12 +19,12 @@
 
 impl SkewedClock {
     /// A clock that deviates by at most `drift_ppm` either way.
-    pub fn draw(dice: &mut Dice, drift_ppm: u64) -> SkewedClock {
+    pub fn draw(rng: &mut RandomStream, drift_ppm: u64) -> SkewedClock {
         const PARTS: f64 = 1_000_000.0;
         let drift = drift_ppm as f64 / PARTS;
         SkewedClock {
-            offset: dice.below(START_RANGE) as u64,
-            rate: 1.0 + dice.between(-drift, drift),
+            offset: rng.below(START_RANGE) as u64,
+            rate: 1.0 + rng.between(-drift, drift),
         }
     }
 
--- a/crates/ledgelead-lab/src/simulation/command.rs
+++ b/crates/ledgelead-lab/src/simulation/command.rs
@@ -267,25 +267,25 @@
     arguments: &Arguments,
     results: &BTreeMap<u64, (Measurements, Checker)>,
 ) -> (Measurements, Report) {
-    const DESCRIBED: usize = 20;
+    const MAX_DESCRIPTIONS: usize = 20;
     let mut measurements = Measurements::new(scenario);
     let mut counts = Violation::ALL
         .into_iter()
         .map(|violation| (violation.name(), 0))
         .collect::<BTreeMap<_, _>>();
-    let mut described = Vec::new();
+    let mut descriptions = Vec::new();
     for (seed, (run, checker)) in results {
         measurements.merge(run);
         for (name, count) in violation_counts(&checker.violations) {
             *counts.entry(name).or_insert(0) += count;
         }
-        let descriptions = checker.violations.described().iter();
-        described.extend(descriptions.map(|text| format!("seed {seed}: {text}")));
+        let run_descriptions = checker.violations.descriptions().iter();
+        descriptions.extend(run_descriptions.map(|text| format!("seed {seed}: {text}")));
     }
-    described.truncate(DESCRIBED);
+    descriptions.truncate(MAX_DESCRIPTIONS);
     let seeds = format!("{}..{}", arguments.seeds.start(), arguments.seeds.end());
     let runs = results.len() as u64;
-    let report = Report::new(scenario, &seeds, runs, &measurements, counts, described);
+    let report = Report::new(scenario, &seeds, runs, &measurements, counts, descriptions);
     (measurements, report)
 }
 
--- a/crates/ledgelead-lab/src/simulation/event.rs
+++ b/crates/ledgelead-lab/src/simulation/event.rs
@@ -52,7 +52,7 @@
     /// A caller sends a request.
     SendRequest(u64),
     /// A caller hears how its request ended.
-    CallerTold {
+    NotifyCaller {
         /// Number in the request's body.
         body: u64,
         /// How.
--- a/crates/ledgelead-lab/src/simulation/faults.rs
+++ b/crates/ledgelead-lab/src/simulation/faults.rs
@@ -1,13 +1,13 @@
 //! Faults: drawn from the seed or at their fixed time, and carried out.
 
 use super::deployment;
-use super::dice::{Dice, seconds};
 use super::event::Event;
-use super::network::{Degradation, Place};
+use super::network::{Degradation, Endpoint};
+use super::rng::{RandomStream, seconds};
 use super::world::World;
 use crate::scenario::{FaultKind, FaultSpecification};
 use crate::standin::platform::PlatformCondition;
-use crate::standin::server::LoadLie;
+use crate::standin::server::LoadOverride;
 use ledgelead_types::configuration::Partitioning;
 use ledgelead_types::server::LoadReport;
 use ledgelead_types::{ConfigurationVersion, Position, Span, Time};
@@ -24,20 +24,20 @@
     /// When it began.
     pub began: Option<Time>,
     /// Processes that died with it and start again at its end.
-    victims: Vec<Place>,
+    terminated: Vec<Endpoint>,
 }
 
 impl Fault {
     /// Whether it may be felt at a time: while it lasts and for as long after
     /// as the system may take to get over it.
-    fn is_felt(&self, now: Time) -> bool {
-        let ends = |began: Time| began + self.length + GOT_OVER_WITHIN;
+    fn is_in_effect(&self, now: Time) -> bool {
+        let ends = |began: Time| began + self.length + RECOVERY_TIME;
         self.began.is_some_and(|began| now < ends(began))
     }
 }
 
 /// How long the system may take to get over a loss.
-const GOT_OVER_WITHIN: Span = Span::from_seconds(5);
+const RECOVERY_TIME: Span = Span::from_seconds(5);
 
 /// How much later the platform answers when it is slow.
 const SLOW_PLATFORM: Span = Span::from_millis(1_500);
@@ -55,7 +55,7 @@
             let mut at = first;
             while let Some(per_minute) = specification.per_minute.filter(|rate| *rate > 0.0) {
                 const MINUTE: f64 = 60.0;
-                at += self.fault_dice.exponential(MINUTE / per_minute);
+                at += self.fault_rng.exponential(MINUTE / per_minute);
                 if at >= last {
                     break;
                 }
@@ -66,14 +66,14 @@
 
     fn add_fault(&mut self, specification: &FaultSpecification, at: f64) {
         let (shortest, longest) = (specification.min_seconds, specification.max_seconds);
-        let length = seconds(self.fault_dice.between(shortest, longest));
+        let length = seconds(self.fault_rng.between(shortest, longest));
         let index = self.faults.len();
         self.faults.push(Fault {
             kind: specification.kind,
             length,
             target: None,
             began: None,
-            victims: Vec::new(),
+            terminated: Vec::new(),
         });
         let at = Time::ZERO + seconds(at);
         self.events.add(at, Event::FaultBegins(index));
@@ -86,14 +86,14 @@
         };
         let now = self.now();
         if kind.is_loss() {
-            self.note_several_losses();
+            self.mark_overlapping_losses();
         }
         self.faults[index].target = Some(target);
         self.faults[index].began = Some(now);
         let fault = self.faults[index].clone();
         self.measurements.fault(now, fault.kind);
         self.session
-            .note(now, || format!("fault {:?} of {target}", fault.kind));
+            .add_line(now, || format!("fault {:?} of {target}", fault.kind));
         self.begin(index, &fault, target);
         if fault.length > Span::ZERO {
             self.after(fault.length, Event::FaultEnds(index));
@@ -110,34 +110,34 @@
             | FaultKind::StopNode
             | FaultKind::CutNode => {
                 let running = self.running_nodes();
-                self.fault_dice.pick(&running)
+                self.fault_rng.pick(&running)
             }
             FaultKind::LeaveServer | FaultKind::DrainServer => {
-                let service = self.fault_dice.below(self.scenario.services.len());
+                let service = self.fault_rng.below(self.scenario.services.len());
                 let settled = now.before(Span::from_seconds(5));
                 let healthy = self.healthy_servers(service, settled);
                 let enough = healthy.len() > 1;
-                self.fault_dice.pick(&healthy).filter(|_| enough)
+                self.fault_rng.pick(&healthy).filter(|_| enough)
             }
             FaultKind::KillServer
             | FaultKind::FreezeServer
             | FaultKind::CutServer
             | FaultKind::MisleadingHealth => {
-                let service = self.fault_dice.below(self.scenario.services.len());
+                let service = self.fault_rng.below(self.scenario.services.len());
                 let healthy = self.healthy_servers(service, now);
-                self.fault_dice.pick(&healthy)
+                self.fault_rng.pick(&healthy)
             }
             FaultKind::MoveSlice | FaultKind::LoseOwner | FaultKind::LoseLeaderAndOwner => {
                 let service = self.keyed_service()?;
                 let healthy = self.healthy_servers(service, now);
-                self.fault_dice.pick(&healthy)
+                self.fault_rng.pick(&healthy)
             }
             FaultKind::LoseLeader | FaultKind::LoseQuorum => {
                 let service = self.keyed_service()?;
                 self.leader_of(service)
             }
             FaultKind::CutZone | FaultKind::LoseZone => {
-                Some(self.fault_dice.below(self.scenario.zones.len()))
+                Some(self.fault_rng.below(self.scenario.zones.len()))
             }
             FaultKind::CutRegion
             | FaultKind::DegradeNetwork
@@ -154,7 +154,7 @@
         let keyed = (0..self.scenario.services.len())
             .filter(|index| self.scenario.services[*index].partitioning != Partitioning::None)
             .collect::<Vec<_>>();
-        self.fault_dice.pick(&keyed)
+        self.fault_rng.pick(&keyed)
     }
 
     /// The node that leads the first group of a service.
@@ -173,9 +173,9 @@
     pub(super) fn single_loss(&self) -> Option<FaultKind> {
         let now = self.now();
         let losses = self.faults.iter().filter(|fault| fault.kind.is_loss());
-        let mut felt = losses.filter(|fault| fault.is_felt(now));
-        let single = felt.next()?;
-        felt.next().is_none().then_some(single.kind)
+        let mut in_effect = losses.filter(|fault| fault.is_in_effect(now));
+        let single = in_effect.next()?;
+        in_effect.next().is_none().then_some(single.kind)
     }
 
     fn begin(&mut self, index: usize, fault: &Fault, target: usize) {
@@ -186,7 +186,7 @@
             FaultKind::KillServer | FaultKind::LoseOwner => self.lose_server(target),
             FaultKind::FreezeServer => self.server_freezes(target, fault.length),
             FaultKind::LeaveServer => self.server_leaves(target),
-            FaultKind::MisleadingHealth => self.set_lie(target, true),
+            FaultKind::MisleadingHealth => self.set_load_override(target, true),
             FaultKind::CutNode => self.cut_node(target, true),
             FaultKind::CutServer => self.cut_server(target, true),
             FaultKind::CutZone => self.cut_zone(target, true),
@@ -198,7 +198,7 @@
             FaultKind::RacingCommands => self.race_commands(),
             FaultKind::DrainServer => self.operate_server(target, true),
             FaultKind::MoveSlice => {
-                let position = Position(self.fault_dice.number());
+                let position = Position(self.fault_rng.number());
                 self.move_slice(position, target);
             }
             FaultKind::LoseLeader => self.lose_leader(target),
@@ -221,7 +221,7 @@
             }
             FaultKind::KillServer | FaultKind::LoseOwner => self.server_starts(target),
             FaultKind::LeaveServer => self.server_returns(target),
-            FaultKind::MisleadingHealth => self.set_lie(target, false),
+            FaultKind::MisleadingHealth => self.set_load_override(target, false),
             FaultKind::CutNode => self.cut_node(target, false),
             FaultKind::CutServer => self.cut_server(target, false),
             FaultKind::CutZone => self.cut_zone(target, false),
@@ -235,7 +235,7 @@
             | FaultKind::LoseQuorum
             | FaultKind::LoseAllNodes
             | FaultKind::LoseAllButPlatform
-            | FaultKind::LoseLeaderAndOwner => self.victims_return(&fault.victims),
+            | FaultKind::LoseLeaderAndOwner => self.restart_terminated(&fault.terminated),
             FaultKind::PauseNode
             | FaultKind::FreezeServer
             | FaultKind::RacingCommands
@@ -253,7 +253,7 @@
         if let Some(service) = self.keyed_service() {
             let now = self.now();
             let healthy = self.healthy_servers(service, now);
-            if let Some(server) = self.fault_dice.pick(&healthy) {
+            if let Some(server) = self.fault_rng.pick(&healthy) {
                 self.probe_slices_of(server);
             }
         }
@@ -307,20 +307,20 @@
     fn lose_together(&mut self, fault: usize, nodes: Vec<usize>, servers: Vec<usize>) {
         for index in nodes {
             self.node_dies(index);
-            self.faults[fault].victims.push(Place::Node(index));
+            self.faults[fault].terminated.push(Endpoint::Node(index));
         }
         for index in servers {
             self.lose_server(index);
-            self.faults[fault].victims.push(Place::Server(index));
+            self.faults[fault].terminated.push(Endpoint::Server(index));
         }
     }
 
-    fn victims_return(&mut self, victims: &[Place]) {
-        for victim in victims {
+    fn restart_terminated(&mut self, terminated: &[Endpoint]) {
+        for victim in terminated {
             match *victim {
-                Place::Node(index) => self.node_starts(index),
-                Place::Server(index) => self.server_starts(index),
-                Place::Platform | Place::Clients => {}
+                Endpoint::Node(index) => self.node_starts(index),
+                Endpoint::Server(index) => self.server_starts(index),
+                Endpoint::Platform | Endpoint::Clients => {}
             }
         }
     }
@@ -342,33 +342,33 @@
         self.operate_server(index, false);
     }
 
-    fn set_lie(&mut self, index: usize, lies: bool) {
-        let lie = if lies {
-            LoadLie::Fixed(LoadReport::default())
+    fn set_load_override(&mut self, index: usize, misreports: bool) {
+        let load_override = if misreports {
+            LoadOverride::Fixed(LoadReport::default())
         } else {
-            LoadLie::None
+            LoadOverride::None
         };
         if let Some(state) = &mut self.servers[index].process {
-            state.set_lie(lie);
+            state.set_load_override(load_override);
         }
     }
 
     fn cut_node(&mut self, index: usize, cut: bool) {
-        self.network.cut_place(Place::Node(index), cut);
-        self.note_reachability(index);
+        self.network.cut_endpoint(Endpoint::Node(index), cut);
+        self.update_reachability(index);
     }
 
     fn cut_server(&mut self, index: usize, cut: bool) {
-        self.network.cut_place(Place::Server(index), cut);
-        self.note_server_cut(index, cut);
+        self.network.cut_endpoint(Endpoint::Server(index), cut);
+        self.update_server_reachability(index, cut);
     }
 
     /// A server that is cut off may lose its slices without a command.
-    fn note_server_cut(&mut self, index: usize, cut: bool) {
+    fn update_server_reachability(&mut self, index: usize, cut: bool) {
         let now = self.now();
         let server = &mut self.servers[index];
         if cut {
-            self.checker.ownership.excuse(server.plan.server);
+            self.checker.ownership.allow_loss(server.plan.server);
         }
         let healthy = !cut && server.process.is_some();
         server.healthy_since = healthy.then_some(now);
@@ -377,29 +377,29 @@
     fn cut_zone(&mut self, zone: usize, cut: bool) {
         self.network.cut_zone(zone, cut);
         for index in self.nodes_in(zone) {
-            self.note_reachability(index);
+            self.update_reachability(index);
         }
         for index in self.servers_in(zone) {
-            self.note_server_cut(index, cut);
+            self.update_server_reachability(index, cut);
         }
     }
 
     fn cut_regions(&mut self, cut: bool) {
         self.network.cut_regions(cut);
         for index in 0..self.nodes.len() {
-            self.note_reachability(index);
+            self.update_reachability(index);
         }
         for index in 0..self.servers.len() {
-            self.note_server_cut(index, cut);
+            self.update_server_reachability(index, cut);
         }
     }
 
     fn degrade_network(&mut self) {
-        let draw = |dice: &mut Dice, most: f64| dice.between(0.0, most);
+        let draw = |rng: &mut RandomStream, most: f64| rng.between(0.0, most);
         let degradation = Degradation {
-            loss: draw(&mut self.fault_dice, 0.05),
-            duplicate: draw(&mut self.fault_dice, 0.05),
-            reorder: draw(&mut self.fault_dice, 0.05),
+            loss: draw(&mut self.fault_rng, 0.05),
+            duplicate: draw(&mut self.fault_rng, 0.05),
+            reorder: draw(&mut self.fault_rng, 0.05),
         };
         self.network.degrade(degradation);
     }
@@ -408,7 +408,7 @@
     fn race_commands(&mut self) {
         let present = self.checker.configuration.newest();
         for _ in 0..2 {
-            let weight = 1 + self.fault_dice.below(100) as u32;
+            let weight = 1 + self.fault_rng.below(100) as u32;
             self.alter_tier(weight, Some(ConfigurationVersion(present.0)));
         }
     }
--- a/crates/ledgelead-lab/src/simulation/key_load.rs
+++ b/crates/ledgelead-lab/src/simulation/key_load.rs
@@ -105,7 +105,7 @@
     }
 
     /// Works out the popularity anew, after the hot keys have moved.
-    pub(super) fn weigh_keys(&mut self) {
+    pub(super) fn update_popularity(&mut self) {
         let mut by_key = vec![0.0; self.order.len()];
         let hot_share = if self.hot.is_empty() {
             0.0
--- a/crates/ledgelead-lab/src/simulation/measurements.rs
+++ b/crates/ledgelead-lab/src/simulation/measurements.rs
@@ -169,7 +169,7 @@
     }
 
     /// A caller was told how its request ended.
-    pub fn told(&mut self, now: Time, tier: TierId, outcome: Outcome, latency: Span) {
+    pub fn outcome_reported(&mut self, now: Time, tier: TierId, outcome: Outcome, latency: Span) {
         match outcome {
             Outcome::Answered => {
                 self.answered += 1;
--- a/crates/ledgelead-lab/src/simulation/network.rs
+++ b/crates/ledgelead-lab/src/simulation/network.rs
@@ -1,14 +1,14 @@
 //! The network: latency by zones, jitter, loss, duplication, reordering, and
 //! cuts between zones, regions, single nodes and single servers.
 
-use super::dice::{Dice, milliseconds, seconds};
+use super::rng::{RandomStream, milliseconds, seconds};
 use crate::scenario::{NetworkSection, PlatformSection, ZoneSection};
 use ledgelead_types::Span;
 use std::collections::BTreeMap;
 
 /// An end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum Endpoint {
     /// A node, by index.
     Node(usize),
     /// A server, by index.
@@ -40,12 +40,12 @@
     section: NetworkSection,
     platform_latency: Span,
     regions: Vec<String>,
-    zones: BTreeMap<Place, usize>,
+    zones: BTreeMap<Endpoint, usize>,
     degradation: Degradation,
-    cut_places: BTreeMap<Place, u32>,
+    cut_endpoints: BTreeMap<Endpoint, u32>,
     cut_zones: BTreeMap<usize, u32>,
     cut_regions: u32,
-    dice: Dice,
+    rng: RandomStream,
 }
 
 impl Network {
@@ -54,7 +54,7 @@
         section: &NetworkSection,
         platform: &PlatformSection,
         zones: &[ZoneSection],
-        dice: Dice,
+        rng: RandomStream,
     ) -> Network {
         Network {
             section: section.clone(),
@@ -62,16 +62,16 @@
             regions: zones.iter().map(|zone| zone.region.clone()).collect(),
             zones: BTreeMap::new(),
             degradation: Degradation::default(),
-            cut_places: BTreeMap::new(),
+            cut_endpoints: BTreeMap::new(),
             cut_zones: BTreeMap::new(),
             cut_regions: 0,
-            dice,
+            rng,
         }
     }
 
     /// Puts a node or server into a zone.
-    pub fn put(&mut self, place: Place, zone: usize) {
-        self.zones.insert(place, zone);
+    pub fn put(&mut self, endpoint: Endpoint, zone: usize) {
+        self.zones.insert(endpoint, zone);
     }
 
     /// The network is worse than usual from now on; the default ends it.
@@ -85,8 +85,8 @@
     }
 
     /// Cuts a node or server off, or ends one such cut.
-    pub fn cut_place(&mut self, place: Place, cut: bool) {
-        count(&mut self.cut_places, place, cut);
+    pub fn cut_endpoint(&mut self, endpoint: Endpoint, cut: bool) {
+        count(&mut self.cut_endpoints, endpoint, cut);
     }
 
     /// Cuts a zone off from the others and the platform, or ends one such cut.
@@ -104,11 +104,11 @@
     }
 
     /// Whether messages pass between two places.
-    pub fn connected(&self, from: Place, to: Place) -> bool {
-        if self.cut_places.contains_key(&from) || self.cut_places.contains_key(&to) {
-            return from == Place::Clients || to == Place::Clients;
+    pub fn connected(&self, from: Endpoint, to: Endpoint) -> bool {
+        if self.cut_endpoints.contains_key(&from) || self.cut_endpoints.contains_key(&to) {
+            return from == Endpoint::Clients || to == Endpoint::Clients;
         }
-        if from == Place::Clients || to == Place::Clients {
+        if from == Endpoint::Clients || to == Endpoint::Clients {
             return true;
         }
         let (from_zone, to_zone) = (self.zones.get(&from), self.zones.get(&to));
@@ -127,52 +127,52 @@
         }
     }
 
-    /// Whether a place has been cut off in any way.
-    pub fn is_cut(&self, place: Place) -> bool {
-        let zone = self.zones.get(&place);
-        self.cut_places.contains_key(&place)
+    /// Whether a endpoint has been cut off in any way.
+    pub fn is_cut(&self, endpoint: Endpoint) -> bool {
+        let zone = self.zones.get(&endpoint);
+        self.cut_endpoints.contains_key(&endpoint)
             || zone.is_some_and(|zone| self.cut_zones.contains_key(zone))
             || self.cut_regions > 0
     }
 
     /// Delays of the copies of one datagram: none when it is lost.
-    pub fn datagram(&mut self, from: Place, to: Place) -> Delays {
+    pub fn datagram(&mut self, from: Endpoint, to: Endpoint) -> Delays {
         let loss = self.section.loss_percent / 100.0 + self.degradation.loss;
-        if !self.connected(from, to) || self.dice.chance(loss) {
+        if !self.connected(from, to) || self.rng.chance(loss) {
             return Delays::default();
         }
         let duplicate = self.section.duplicate_percent / 100.0 + self.degradation.duplicate;
         let first = Some(self.delay(from, to));
-        let second = self.dice.chance(duplicate).then(|| self.delay(from, to));
+        let second = self.rng.chance(duplicate).then(|| self.delay(from, to));
         Delays([first, second])
     }
 
     /// Delay of a message on a connection, which sends lost parts again;
     /// `None` while the places are cut off from each other.
-    pub fn segment(&mut self, from: Place, to: Place) -> Option<Span> {
+    pub fn segment(&mut self, from: Endpoint, to: Endpoint) -> Option<Span> {
         if !self.connected(from, to) {
             return None;
         }
         let mut delay = self.delay(from, to);
         let loss = self.section.loss_percent / 100.0 + self.degradation.loss;
-        if self.dice.chance(loss) {
+        if self.rng.chance(loss) {
             delay = delay + RETRANSMISSION;
         }
         Some(delay)
     }
 
-    fn delay(&mut self, from: Place, to: Place) -> Span {
-        let jitter = milliseconds(self.dice.exponential(self.section.jitter_ms));
+    fn delay(&mut self, from: Endpoint, to: Endpoint) -> Span {
+        let jitter = milliseconds(self.rng.exponential(self.section.jitter_ms));
         let mut delay = self.latency(from, to) + jitter;
         let reorder = self.section.reorder_percent / 100.0 + self.degradation.reorder;
-        if self.dice.chance(reorder) {
-            delay = delay + seconds(self.dice.between(0.0, LONGEST_REORDER_SECONDS));
+        if self.rng.chance(reorder) {
+            delay = delay + seconds(self.rng.between(0.0, LONGEST_REORDER_SECONDS));
         }
         delay
     }
 
-    fn latency(&self, from: Place, to: Place) -> Span {
-        if from == Place::Platform || to == Place::Platform {
+    fn latency(&self, from: Endpoint, to: Endpoint) -> Span {
+        if from == Endpoint::Platform || to == Endpoint::Platform {
             return self.platform_latency;
         }
         let (Some(from), Some(to)) = (self.zones.get(&from), self.zones.get(&to)) else {
--- a/crates/ledgelead-lab/src/simulation/nodes.rs
+++ b/crates/ledgelead-lab/src/simulation/nodes.rs
@@ -4,7 +4,7 @@
 use super::clock::{NodeClock, SkewedClock};
 use super::deployment;
 use super::event::{Event, NodeRun, ToNode, ToServer};
-use super::network::Place;
+use super::network::Endpoint;
 
 use super::ports::SimulatedPorts;
 use super::world::World;
@@ -44,7 +44,7 @@
     pub run: NodeRun,
     /// Its clock.
     pub clock: Rc<NodeClock>,
-    held: Vec<ToNode>,
+    queued_events: Vec<ToNode>,
     /// Attempts that have not ended.
     pub attempts: BTreeMap<AttemptId, OpenAttempt>,
     /// Numbers in the whole answers of attempts.
@@ -100,10 +100,10 @@
         }
         let run = NodeRun {
             index,
-            incarnation: Incarnation(self.process_dice.number()),
+            incarnation: Incarnation(self.process_rng.number()),
         };
         let drift = self.scenario.nodes.clock_drift_ppm;
-        let skew = SkewedClock::draw(&mut self.process_dice, drift);
+        let skew = SkewedClock::draw(&mut self.process_rng, drift);
         let clock = Rc::new(NodeClock::new(self.run_clock.clone(), skew));
         let ports = SimulatedPorts {
             run,
@@ -120,7 +120,7 @@
             actor,
             run,
             clock,
-            held: Vec::new(),
+            queued_events: Vec::new(),
             attempts: BTreeMap::new(),
             answers: BTreeMap::new(),
             bodies: BTreeMap::new(),
@@ -133,7 +133,7 @@
         self.checker
             .configuration
             .started(deployment::node_id(index), now);
-        self.note_reachability(index);
+        self.update_reachability(index);
         self.list_machine(index, MachineState::Live);
     }
 
@@ -151,7 +151,7 @@
             zone: deployment::zone_id(self.nodes[run.index].zone),
             address: deployment::node_address(run.index),
             seeds,
-            random_seed: self.process_dice.number(),
+            random_seed: self.process_rng.number(),
             protections: self.protections,
             assigner: self.assigner,
         }
@@ -165,7 +165,7 @@
     /// replicas' memory is lost.
     pub(super) fn node_dies(&mut self, index: usize) {
         if self.nodes[index].process.is_some() {
-            self.note_node_lost(index);
+            self.record_node_loss(index);
             self.node_ends(index);
         }
     }
@@ -201,17 +201,17 @@
 
     pub(super) fn stop_times_out(&mut self, run: NodeRun) {
         if self.is_present(run) {
-            self.note_cut_requests(run);
+            self.report_interrupted_requests(run);
             self.node_dies(run.index);
         }
     }
 
-    fn node_has_stopped(&mut self, run: NodeRun) {
-        self.note_cut_requests(run);
+    fn node_stopped(&mut self, run: NodeRun) {
+        self.report_interrupted_requests(run);
         self.node_ends(run.index);
     }
 
-    fn note_cut_requests(&mut self, run: NodeRun) {
+    fn report_interrupted_requests(&mut self, run: NodeRun) {
         let now = self.now();
         let open = self.nodes[run.index]
             .process
@@ -234,7 +234,7 @@
         }
         process.clock.pause(until);
         self.events.add(until, Event::ResumeNode(index));
-        self.note_reachability(index);
+        self.update_reachability(index);
     }
 
     pub(super) fn node_resumes(&mut self, index: usize) {
@@ -247,16 +247,17 @@
         }
         process.clock.resume();
         let run = process.run;
-        for event in std::mem::take(&mut process.held) {
+        for event in std::mem::take(&mut process.queued_events) {
             self.reach_node(run, event);
             self.run_actors();
         }
-        self.note_reachability(index);
+        self.update_reachability(index);
     }
 
     /// Tells the checker whether a node is connected at present.
-    pub(super) fn note_reachability(&mut self, index: usize) {
-        let reachable = self.nodes[index].is_active() && !self.network.is_cut(Place::Node(index));
+    pub(super) fn update_reachability(&mut self, index: usize) {
+        let reachable =
+            self.nodes[index].is_active() && !self.network.is_cut(Endpoint::Node(index));
         let since = reachable.then_some(self.now());
         self.checker
             .configuration
@@ -292,7 +293,7 @@
             return;
         };
         if process.clock.paused_until().is_some() {
-            process.held.push(event);
+            process.queued_events.push(event);
             return;
         }
         match event {
@@ -335,7 +336,7 @@
                 ..
             } => self.renew(run, call, server, renewal),
             Output::CallPlatform { call, request } => {
-                self.note_call(run, call);
+                self.register_call(run, call);
                 self.call_platform(run, call, request);
             }
             Output::Forward(forward) => self.forward(run, &forward),
@@ -353,7 +354,7 @@
             } => self.respond(run, request, outcome, attempt),
             Output::CommandFinished { ticket, result } => self.command_finished(ticket, result),
             Output::Record(event) => self.recorded(run, &event),
-            Output::Stopped => self.node_has_stopped(run),
+            Output::Stopped => self.node_stopped(run),
         }
     }
 
@@ -363,7 +364,7 @@
         }
     }
 
-    pub(super) fn note_call(&mut self, run: NodeRun, call: CallId) {
+    pub(super) fn register_call(&mut self, run: NodeRun, call: CallId) {
         if let Some(process) = &mut self.nodes[run.index].process {
             process.calls.insert(call);
         }
@@ -379,7 +380,7 @@
             .peer_message(now, run.index, index, &message);
         let delays = self
             .network
-            .datagram(Place::Node(run.index), Place::Node(index));
+            .datagram(Endpoint::Node(run.index), Endpoint::Node(index));
         let Some(receiver) = self.nodes[index].run() else {
             return;
         };
@@ -397,7 +398,7 @@
     }
 
     fn renew(&mut self, run: NodeRun, call: CallId, server: ServerId, renewal: LeaseRenewal) {
-        self.note_call(run, call);
+        self.register_call(run, call);
         let now = self.now();
         self.measurements.renewal(now, run.index, &renewal);
         let timeout = ToNode::Renewed(call, server, None);
@@ -405,15 +406,15 @@
         let Some(index) = self.server_index(server) else {
             return;
         };
-        let (node, place) = (Place::Node(run.index), Place::Server(index));
-        let Some(delay) = self.network.segment(node, place) else {
+        let (node, endpoint) = (Endpoint::Node(run.index), Endpoint::Server(index));
+        let Some(delay) = self.network.segment(node, endpoint) else {
             return;
         };
         if self.servers[index].process.is_none() {
             let refused = ToNode::Renewed(call, server, None);
             return self.after(delay + delay, Event::ToNode(run, refused));
         }
-        let probe = super::dice::milliseconds(self.scenario.network.probe_ms);
+        let probe = super::rng::milliseconds(self.scenario.network.probe_ms);
         let event = ToServer::Renewal(run, call, Box::new(renewal));
         self.after(
             delay + probe,
--- a/crates/ledgelead-lab/src/simulation/operators.rs
+++ b/crates/ledgelead-lab/src/simulation/operators.rs
@@ -2,7 +2,7 @@
 
 use super::deployment::{self, OPERATOR};
 use super::event::{Event, ToNode};
-use super::network::Place;
+use super::network::Endpoint;
 use super::world::World;
 use crate::checker::ownership::AcknowledgedMove;
 use ledgelead_core::{Input, TicketId};
@@ -14,9 +14,9 @@
 use std::collections::BTreeMap;
 
 /// How long an operator waits before asking again.
-const ASK_AGAIN: Span = Span::from_millis(700);
+const COMMAND_RETRY_INTERVAL: Span = Span::from_millis(700);
 /// How often an operator asks again under the same command identifier.
-const MOST_ASKS: u32 = 12;
+const MAX_COMMAND_ATTEMPTS: u32 = 12;
 
 /// What a command is for.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,14 +45,14 @@
 struct OpenCommand {
     command: AdministrationCommand,
     purpose: CommandPurpose,
-    asked: u32,
+    attempts: u32,
 }
 
 /// All operators.
 #[derive(Clone, Debug, Default)]
 pub struct Operators {
     open: BTreeMap<TicketId, OpenCommand>,
-    asked: BTreeMap<Text, u32>,
+    attempts: BTreeMap<Text, u32>,
     last_ticket: u64,
     last_command: u64,
 }
@@ -77,16 +77,20 @@
 impl World<'_> {
     /// An operator sends a command to a node that takes connections.
     pub(super) fn send_command(&mut self, command: AdministrationCommand, purpose: CommandPurpose) {
-        let asked = self.operators.asked.entry(command.id.clone()).or_insert(0);
-        *asked += 1;
-        let asked = *asked;
+        let attempts = self
+            .operators
+            .attempts
+            .entry(command.id.clone())
+            .or_insert(0);
+        *attempts += 1;
+        let attempts = *attempts;
         let running = self.running_nodes();
         let run = self
-            .fault_dice
+            .fault_rng
             .pick(&running)
             .and_then(|node| self.nodes[node].run());
         let Some(run) = run else {
-            return self.ask_again(command, purpose, asked);
+            return self.retry_command(command, purpose, attempts);
         };
         self.operators.last_ticket += 1;
         let ticket = TicketId(self.operators.last_ticket);
@@ -99,19 +103,27 @@
             OpenCommand {
                 command,
                 purpose,
-                asked,
+                attempts,
             },
         );
         let delay = self
             .network
-            .segment(Place::Clients, Place::Node(run.index))
+            .segment(Endpoint::Clients, Endpoint::Node(run.index))
             .unwrap_or_default();
         self.after(delay, Event::ToNode(run, ToNode::Input(Box::new(input))));
     }
 
-    fn ask_again(&mut self, command: AdministrationCommand, purpose: CommandPurpose, asked: u32) {
-        if asked < MOST_ASKS {
-            self.after(ASK_AGAIN, Event::SendCommand(Box::new(command), purpose));
+    fn retry_command(
+        &mut self,
+        command: AdministrationCommand,
+        purpose: CommandPurpose,
+        attempts: u32,
+    ) {
+        if attempts < MAX_COMMAND_ATTEMPTS {
+            self.after(
+                COMMAND_RETRY_INTERVAL,
+                Event::SendCommand(Box::new(command), purpose),
+            );
         }
     }
 
@@ -123,20 +135,20 @@
         self.measurements.command_finished(&result);
         match result {
             CommandResult::Configured { version, .. } => {
-                self.note_configured(&open, version);
+                self.record_configured(&open, version);
             }
-            CommandResult::Operated { .. } => self.note_operated(now, &open.purpose),
+            CommandResult::Operated { .. } => self.record_operated(now, &open.purpose),
             CommandResult::Unknown
             | CommandResult::Rejected(
                 CommandRejection::NoLeader
                 | CommandRejection::PlatformUnavailable
                 | CommandRejection::Contention,
-            ) => self.ask_again(open.command, open.purpose, open.asked),
+            ) => self.retry_command(open.command, open.purpose, open.attempts),
             CommandResult::Rejected(_) => {}
         }
     }
 
-    fn note_configured(&mut self, open: &OpenCommand, version: ConfigurationVersion) {
+    fn record_configured(&mut self, open: &OpenCommand, version: ConfigurationVersion) {
         let now = self.now();
         let if_version = match open.purpose {
             CommandPurpose::Configure { if_version } => if_version,
@@ -152,11 +164,11 @@
         );
     }
 
-    fn note_operated(&mut self, now: Time, purpose: &CommandPurpose) {
+    fn record_operated(&mut self, now: Time, purpose: &CommandPurpose) {
         match *purpose {
             CommandPurpose::Drain(server) => {
-                self.checker.leaving.told(now, server);
-                self.checker.ownership.excuse(server);
+                self.checker.leaving.leave_announced(now, server);
+                self.checker.ownership.allow_loss(server);
             }
             CommandPurpose::Move {
                 service,
--- a/crates/ledgelead-lab/src/simulation/platform.rs
+++ b/crates/ledgelead-lab/src/simulation/platform.rs
@@ -2,7 +2,7 @@
 
 use super::deployment;
 use super::event::{Event, NodeRun, ToNode};
-use super::network::Place;
+use super::network::Endpoint;
 use super::world::World;
 use crate::scenario::Scenario;
 use crate::standin::platform::{PlatformCondition, PlatformResponse, PlatformState, WatchId};
@@ -31,7 +31,7 @@
     pub fn new(scenario: &Scenario) -> PlatformProcess {
         let lag = scenario.platform.machine_list_lag_seconds;
         PlatformProcess {
-            state: PlatformState::new(super::dice::seconds(lag)),
+            state: PlatformState::new(super::rng::seconds(lag)),
             watchers: BTreeMap::new(),
             disturbed: BTreeMap::new(),
             undisturbed_since: Time::ZERO,
@@ -59,7 +59,7 @@
             value: Bytes(value),
         };
         self.platform.state.call(Time::ZERO, &create);
-        self.note_writes();
+        self.check_writes();
     }
 
     pub(super) fn call_platform(&mut self, run: NodeRun, call: CallId, request: PlatformCall) {
@@ -71,8 +71,8 @@
         } else {
             CALL_TIMEOUT
         };
-        let node = Place::Node(run.index);
-        let (delay, error) = match self.network.segment(node, Place::Platform) {
+        let node = Endpoint::Node(run.index);
+        let (delay, error) = match self.network.segment(node, Endpoint::Platform) {
             Some(delay) => (Some(delay), PlatformError::AnswerLost),
             None => (None, PlatformError::Unavailable),
         };
@@ -92,8 +92,8 @@
                 self.after(WATCH_TIMEOUT, Event::WatchTimeout(watch));
             }
         }
-        self.note_writes();
-        for (watch, reply) in self.platform.state.take_woken() {
+        self.check_writes();
+        for (watch, reply) in self.platform.state.take_ready_watches() {
             self.watch_ends(watch, reply);
         }
     }
@@ -104,8 +104,8 @@
         call: CallId,
         reply: Result<PlatformReply, PlatformError>,
     ) {
-        let node = Place::Node(run.index);
-        let Some(delay) = self.network.segment(Place::Platform, node) else {
+        let node = Endpoint::Node(run.index);
+        let Some(delay) = self.network.segment(Endpoint::Platform, node) else {
             return;
         };
         if let Ok(reply) = &reply {
@@ -129,7 +129,7 @@
         }
     }
 
-    fn note_writes(&mut self) {
+    fn check_writes(&mut self) {
         for write in self.platform.state.take_writes() {
             if &*write.name != CONFIGURATION_OBJECT {
                 continue;
--- a/crates/ledgelead-lab/src/simulation/probes.rs
+++ b/crates/ledgelead-lab/src/simulation/probes.rs
@@ -1,8 +1,8 @@
 //! Unavailable time: after a loss, cheap requests for each slice concerned,
 //! until one that was sent after the loss is answered.
 
-use super::dice::seconds;
 use super::event::Event;
+use super::rng::seconds;
 use super::world::World;
 use crate::scenario::FaultKind;
 use ledgelead_types::{Outcome, PositionRange, Span, Time};
@@ -39,13 +39,13 @@
                 done: false,
                 single,
             });
-            let first = seconds(self.fault_dice.between(0.0, INTERVAL.as_seconds()));
+            let first = seconds(self.fault_rng.between(0.0, INTERVAL.as_seconds()));
             self.after(first, Event::Probe(index));
         }
     }
 
     /// A loss begins: slices that are not served again yet suffer from two.
-    pub(super) fn note_several_losses(&mut self) {
+    pub(super) fn mark_overlapping_losses(&mut self) {
         for probe in self.probes.iter_mut().filter(|probe| !probe.done) {
             probe.single = None;
         }
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(super) fn probe_told(&mut self, index: usize, outcome: Outcome, sent: Time) {
+    pub(super) fn probe_finished(&mut self, index: usize, outcome: Outcome, sent: Time) {
         let now = self.now();
         let probe = &mut self.probes[index];
         if probe.done || outcome != Outcome::Answered || sent < probe.lost_at {
@@ -77,7 +77,7 @@
         let (service, range) = (probe.service, probe.range);
         let span = now.since(probe.lost_at);
         self.measurements.unavailable(span, probe.single);
-        self.session.note(now, || {
+        self.session.add_line(now, || {
             let service = &self.scenario.services[service].name;
             format!("{service} {range:?} was unavailable for {span:?}")
         });
--- a/crates/ledgelead-lab/src/simulation/requests.rs
+++ b/crates/ledgelead-lab/src/simulation/requests.rs
@@ -2,10 +2,10 @@
 
 use super::callers::CallerRequest;
 use super::deployment;
-use super::dice::{milliseconds, seconds};
 use super::event::{Event, NodeRun, ToNode, ToServer};
-use super::network::Place;
+use super::network::Endpoint;
 use super::nodes::{OpenAttempt, RunningNode};
+use super::rng::{milliseconds, seconds};
 use super::world::World;
 use crate::checker::requests::OnceKey;
 use crate::standin::execution::{AttemptKey, ServerAnswer, ServerRequest};
@@ -20,9 +20,9 @@
 /// How long a node's input and output try to connect to a server.
 const CONNECT_TIMEOUT: Span = Span::from_millis(250);
 /// How much longer than its deadline a caller waits for the outcome.
-const CALLER_PATIENCE: Span = Span::from_millis(500);
+const CALLER_GRACE: Span = Span::from_millis(500);
 /// How long after a request its caller may repeat it, at most, in seconds.
-const LATEST_REPEAT_SECONDS: f64 = 0.4;
+const MAX_RETRY_DELAY_SECONDS: f64 = 0.4;
 
 impl World<'_> {
     pub(super) fn next_arrival(&mut self, service: usize) {
@@ -33,14 +33,14 @@
         let rate = self.callers.services[service].mean_rate()
             * self.diurnal_factor()
             * self.pull_factor(service);
-        let gap = seconds(self.callers.dice.exponential(1.0 / rate.max(0.001)));
+        let gap = seconds(self.callers.rng.exponential(1.0 / rate.max(0.001)));
         self.after(gap, Event::NextArrival(service));
         let body = self.callers.draw(service, now);
         let request = self.callers.open[&body].clone();
         if let Some(OnceKey::Idempotency(_)) = request.once {
-            let delay = seconds(self.callers.dice.between(0.0, LATEST_REPEAT_SECONDS));
-            let repeat = self.callers.repeat(&request, now + delay);
-            self.after(delay, Event::SendRequest(repeat));
+            let delay = seconds(self.callers.rng.between(0.0, MAX_RETRY_DELAY_SECONDS));
+            let retry = self.callers.retry(&request, now + delay);
+            self.after(delay, Event::SendRequest(retry));
         }
         self.send_request(body);
     }
@@ -67,7 +67,7 @@
         let running = (0..self.nodes.len())
             .filter(|index| self.nodes[*index].process.is_some())
             .collect::<Vec<_>>();
-        let Some(node) = self.callers.dice.pick(&running) else {
+        let Some(node) = self.callers.rng.pick(&running) else {
             self.callers.open.remove(&body);
             return;
         };
@@ -82,10 +82,13 @@
         let Some(run) = self.nodes[node].run() else {
             return;
         };
-        if let Some(delay) = self.network.segment(Place::Clients, Place::Node(node)) {
+        if let Some(delay) = self
+            .network
+            .segment(Endpoint::Clients, Endpoint::Node(node))
+        {
             self.after(delay, Event::ToNode(run, ToNode::Request(body)));
         }
-        self.after(deadline + CALLER_PATIENCE, Event::CallerTimeout(body));
+        self.after(deadline + CALLER_GRACE, Event::CallerTimeout(body));
     }
 
     pub(super) fn request_reaches(&mut self, run: NodeRun, body: u64) {
@@ -122,11 +125,11 @@
         let answer = attempt.and_then(|attempt| process.answers.get(&attempt).copied());
         let delay = self
             .network
-            .segment(Place::Node(run.index), Place::Clients)
+            .segment(Endpoint::Node(run.index), Endpoint::Clients)
             .unwrap_or_default();
         self.after(
             delay,
-            Event::CallerTold {
+            Event::NotifyCaller {
                 body,
                 outcome,
                 answer,
@@ -134,31 +137,36 @@
         );
     }
 
-    pub(super) fn caller_told(&mut self, body: u64, outcome: Outcome, answer: Option<u64>) {
+    pub(super) fn notify_caller(&mut self, body: u64, outcome: Outcome, answer: Option<u64>) {
         let now = self.now();
         let Some(request) = self.callers.open.remove(&body) else {
             return;
         };
-        self.checker
-            .requests
-            .told(now, body, outcome, answer, &mut self.checker.violations);
+        self.checker.requests.outcome_reported(
+            now,
+            body,
+            outcome,
+            answer,
+            &mut self.checker.violations,
+        );
         self.session
-            .note(now, || format!("request {body} ended: {outcome}"));
+            .add_line(now, || format!("request {body} ended: {outcome}"));
         if let Some(probe) = request.probe {
-            self.probe_told(probe, outcome, request.sent);
+            self.probe_finished(probe, outcome, request.sent);
         }
-        self.trace.note(now, &request, Some(outcome));
+        self.trace.record(now, &request, Some(outcome));
         if request.counted {
             let latency = now.since(request.sent);
-            self.measurements.told(now, request.tier, outcome, latency);
+            self.measurements
+                .outcome_reported(now, request.tier, outcome, latency);
         }
     }
 
     /// The caller's connection broke, or it gave up: it knows nothing.
-    fn caller_knows_nothing(&mut self, body: u64) -> Option<CallerRequest> {
+    fn end_without_outcome(&mut self, body: u64) -> Option<CallerRequest> {
         let now = self.now();
         let request = self.callers.open.remove(&body)?;
-        self.trace.note(now, &request, None);
+        self.trace.record(now, &request, None);
         if request.counted {
             self.measurements.unknown += 1;
         }
@@ -166,12 +174,12 @@
     }
 
     pub(super) fn caller_loses_connection(&mut self, body: u64) {
-        self.caller_knows_nothing(body);
+        self.end_without_outcome(body);
     }
 
     pub(super) fn caller_times_out(&mut self, body: u64) {
         let accepted = self
-            .caller_knows_nothing(body)
+            .end_without_outcome(body)
             .and_then(|request| request.accepted);
         if let Some((run, request)) = accepted {
             let input = Box::new(Input::CallerLeft(request));
@@ -207,8 +215,8 @@
         let timeout = Span::from_micros(timeout.as_micros() as u64);
         let expired = ToNode::AttemptTimeout(forward.attempt);
         self.after(timeout, Event::ToNode(run, expired));
-        let (node, place) = (Place::Node(run.index), Place::Server(index));
-        let Some(mut delay) = self.network.segment(node, place) else {
+        let (node, endpoint) = (Endpoint::Node(run.index), Endpoint::Server(index));
+        let Some(mut delay) = self.network.segment(node, endpoint) else {
             if fresh_connection {
                 let refused = ToNode::AttemptNotSent(forward.attempt);
                 self.after(CONNECT_TIMEOUT, Event::ToNode(run, refused));
@@ -271,8 +279,8 @@
             gateway: self.member(run),
             attempt,
         };
-        let (node, place) = (Place::Node(run.index), Place::Server(index));
-        if let Some(delay) = self.network.segment(node, place) {
+        let (node, endpoint) = (Endpoint::Node(run.index), Endpoint::Server(index));
+        if let Some(delay) = self.network.segment(node, endpoint) {
             let event = ToServer::Cancel(key);
             self.after(
                 delay,
--- a/crates/ledgelead-lab/src/simulation/dice.rs
+++ b/crates/ledgelead-lab/src/simulation/rng.rs
@@ -7,13 +7,13 @@
 
 /// A stream of random draws.
 #[derive(Clone, Debug)]
-pub struct Dice(Pcg64Mcg);
+pub struct RandomStream(Pcg64Mcg);
 
-impl Dice {
+impl RandomStream {
     /// Stream `stream` of a seed.
-    pub fn new(seed: u64, stream: u64) -> Dice {
+    pub fn new(seed: u64, stream: u64) -> RandomStream {
         const MIXER: u64 = 0x9E37_79B9_7F4A_7C15;
-        Dice(Pcg64Mcg::seed_from_u64(
+        RandomStream(Pcg64Mcg::seed_from_u64(
             seed.wrapping_mul(MIXER) ^ stream.rotate_left(32),
         ))
     }
--- a/crates/ledgelead-lab/src/simulation/servers.rs
+++ b/crates/ledgelead-lab/src/simulation/servers.rs
@@ -3,7 +3,7 @@
 use super::clock::SkewedClock;
 use super::deployment::{self, ServerPlan};
 use super::event::{Event, NodeRun, ToNode, ToServer};
-use super::network::Place;
+use super::network::Endpoint;
 use super::nodes::NodeProcess;
 use super::world::World;
 use crate::checker::ownership::Claim;
@@ -39,10 +39,10 @@
     /// When it asked to be drained.
     pub leaving_since: Option<Time>,
     /// When the first node heard of it.
-    pub leaving_told: bool,
+    pub leaving_reported: bool,
     max_connections: u32,
     frozen: bool,
-    held: Vec<ToServer>,
+    queued_events: Vec<ToServer>,
 }
 
 impl ServerProcess {
@@ -57,10 +57,10 @@
             connections: 0,
             started_in_window: 0,
             leaving_since: None,
-            leaving_told: false,
+            leaving_reported: false,
             max_connections: 0,
             frozen: false,
-            held: Vec::new(),
+            queued_events: Vec::new(),
         }
     }
 
@@ -96,7 +96,7 @@
             slots: section.slots,
             queue: usize::from(section.slots),
             keyed: section.partitioning != Partitioning::None,
-            cold_for: super::dice::seconds(section.cold_seconds),
+            cold_for: super::rng::seconds(section.cold_seconds),
             cold_factor: section.cold_factor,
             protections: self.protections,
         };
@@ -107,7 +107,7 @@
         server.process = Some(ServerState::new(settings, server.run, moment));
         server.healthy_since = Some(now);
         server.leaving_since = None;
-        server.leaving_told = false;
+        server.leaving_reported = false;
         self.checker.leaving.returned(plan.server);
     }
 
@@ -118,7 +118,7 @@
             return;
         }
         server.frozen = false;
-        server.held.clear();
+        server.queued_events.clear();
         server.healthy_since = None;
         let id = server.plan.server;
         self.checker.ownership.died(id);
@@ -141,7 +141,7 @@
                 .map(|(attempt, _)| *attempt)
                 .collect::<Vec<_>>();
             for attempt in broken {
-                let (from, to) = (Place::Server(index), Place::Node(node));
+                let (from, to) = (Endpoint::Server(index), Endpoint::Node(node));
                 if let Some(delay) = self.network.segment(from, to) {
                     self.after(delay, Event::ToNode(run, ToNode::AttemptLost(attempt)));
                 }
@@ -158,7 +158,7 @@
         server.frozen = true;
         server.healthy_since = None;
         let id = server.plan.server;
-        self.checker.ownership.excuse(id);
+        self.checker.ownership.allow_loss(id);
         self.after(length, Event::ResumeServer(index));
     }
 
@@ -169,7 +169,7 @@
             return;
         }
         server.healthy_since = Some(now);
-        for event in std::mem::take(&mut server.held) {
+        for event in std::mem::take(&mut server.queued_events) {
             self.reach_server(index, None, event);
         }
     }
@@ -180,7 +180,7 @@
             return;
         }
         if server.frozen {
-            server.held.push(event);
+            server.queued_events.push(event);
             return;
         }
         match event {
@@ -223,9 +223,9 @@
         }
         for action in state.take_actions() {
             match action {
-                ServerAction::Started { key, takes } => self.started(index, key, takes),
+                ServerAction::Started { key, duration } => self.started(index, key, duration),
                 ServerAction::Ended { key, answer } => {
-                    let cut = self.measurements_cut(answer);
+                    let cut = self.draw_answer_cut(answer);
                     let event = ToNode::AttemptAnswered {
                         attempt: key.attempt,
                         answer,
@@ -239,19 +239,19 @@
     }
 
     /// Whether an answer is cut on its way, as happens on a bad network.
-    fn measurements_cut(&mut self, answer: ServerAnswer) -> bool {
-        const CUT_SHARE_OF_LOSS: f64 = 0.1;
-        let probability = self.network.degradation().loss * CUT_SHARE_OF_LOSS;
-        matches!(answer, ServerAnswer::Done { .. }) && self.fault_dice.chance(probability)
+    fn draw_answer_cut(&mut self, answer: ServerAnswer) -> bool {
+        const CUT_ANSWERS_PER_LOSS: f64 = 0.1;
+        let probability = self.network.degradation().loss * CUT_ANSWERS_PER_LOSS;
+        matches!(answer, ServerAnswer::Done { .. }) && self.fault_rng.chance(probability)
     }
 
-    fn started(&mut self, index: usize, key: AttemptKey, takes: Span) {
+    fn started(&mut self, index: usize, key: AttemptKey, duration: Span) {
         let now = self.now();
         let server = &mut self.servers[index];
         server.started_in_window += 1;
         let plan = server.plan;
         let run = server.run;
-        let takes = server.clock.run_span(takes);
+        let duration = server.clock.run_span(duration);
         let started = server
             .process
             .iter()
@@ -272,7 +272,7 @@
                 .started(now, plan.server, &mut checker.violations);
         }
         self.after(
-            takes,
+            duration,
             Event::ToServer {
                 index,
                 run: Some(run),
@@ -287,7 +287,7 @@
             index: node,
             incarnation: key.gateway.incarnation,
         };
-        let (from, to) = (Place::Server(index), Place::Node(node));
+        let (from, to) = (Endpoint::Server(index), Endpoint::Node(node));
         if let Some(delay) = self.network.segment(from, to) {
             self.after(delay, Event::ToNode(run, event));
         }
@@ -320,7 +320,7 @@
                 .ownership
                 .renewed(now, id, claim, &mut checker.violations);
         }
-        let (from, to) = (Place::Server(index), Place::Node(node.index));
+        let (from, to) = (Endpoint::Server(index), Endpoint::Node(node.index));
         if let Some(delay) = self.network.segment(from, to) {
             let event = ToNode::Renewed(call, id, Some(reply));
             self.after(delay, Event::ToNode(node, event));
@@ -338,7 +338,7 @@
         if let Some(reply) = &reply {
             let now = self.now();
             self.measurements.renewal_reply(now, run.index, reply);
-            self.note_told_leaving(server, reply);
+            self.record_reported_leaving(server, reply);
         }
         self.input(
             run,
@@ -350,15 +350,15 @@
         );
     }
 
-    fn note_told_leaving(&mut self, server: ServerId, reply: &RenewalReply) {
+    fn record_reported_leaving(&mut self, server: ServerId, reply: &RenewalReply) {
         let now = self.now();
         let Some(index) = self.server_index(server).filter(|_| reply.leaving) else {
             return;
         };
         let process = &mut self.servers[index];
-        if process.leaving_since.is_some() && !process.leaving_told {
-            process.leaving_told = true;
-            self.checker.leaving.told(now, server);
+        if process.leaving_since.is_some() && !process.leaving_reported {
+            process.leaving_reported = true;
+            self.checker.leaving.leave_announced(now, server);
         }
     }
 
@@ -372,7 +372,7 @@
         state.set_leaving(true);
         server.leaving_since = Some(now);
         let id = server.plan.server;
-        self.checker.ownership.excuse(id);
+        self.checker.ownership.allow_loss(id);
         self.after(LEAVING_CHECK, Event::CheckLeaving(index));
     }
 
--- a/crates/ledgelead-lab/src/simulation/session.rs
+++ b/crates/ledgelead-lab/src/simulation/session.rs
@@ -8,23 +8,23 @@
 /// What happened, when it is wanted.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
-    wanted: bool,
+    enabled: bool,
     lines: Vec<String>,
     held: BTreeMap<ServerId, Vec<GrantedSlice>>,
 }
 
 impl Session {
     /// A session that keeps its lines.
-    pub fn wanted() -> Session {
+    pub fn enabled() -> Session {
         Session {
-            wanted: true,
+            enabled: true,
             ..Session::default()
         }
     }
 
     /// Adds a line.
-    pub fn note(&mut self, now: Time, line: impl FnOnce() -> String) {
-        if self.wanted {
+    pub fn add_line(&mut self, now: Time, line: impl FnOnce() -> String) {
+        if self.enabled {
             let seconds = now.as_seconds();
             self.lines.push(format!("{seconds:9.4} {}", line()));
         }
@@ -33,13 +33,13 @@
     /// Adds an event that a node recorded.
     pub fn recorded(&mut self, now: Time, node: NodeId, event: &Event) {
         if !matches!(event, Event::RequestFinished { .. }) {
-            self.note(now, || format!("{node}: {event:?}"));
+            self.add_line(now, || format!("{node}: {event:?}"));
         }
     }
 
     /// Adds a change of what a server holds.
     pub fn holds(&mut self, now: Time, server: ServerId, held: &[GrantedSlice]) {
-        if !self.wanted || self.held.get(&server).is_some_and(|old| old == held) {
+        if !self.enabled || self.held.get(&server).is_some_and(|old| old == held) {
             return;
         }
         let slices = held.iter().map(|slice| {
@@ -47,7 +47,7 @@
             format!("{first:016x}-{last:016x} under {}", slice.token)
         });
         let slices = slices.collect::<Vec<_>>().join(", ");
-        self.note(now, || format!("{server} holds [{slices}]"));
+        self.add_line(now, || format!("{server} holds [{slices}]"));
         self.held.insert(server, held.to_vec());
     }
 
--- a/crates/ledgelead-lab/src/simulation/tolerance.rs
+++ b/crates/ledgelead-lab/src/simulation/tolerance.rs
@@ -6,69 +6,69 @@
 //! Single ownership is promised all the same. The checker has to know, since
 //! it must not blame the system for what it doesn't claim.
 
-use super::network::Place;
+use super::network::Endpoint;
 use super::world::World;
 use ledgelead_types::{Span, Time};
 
 /// How long a group may take to replace a lost replica while no other node is
 /// paused or cut off.
-const REPLACED_WITHIN: Span = Span::from_seconds(5);
+const REPLACEMENT_TIME: Span = Span::from_seconds(5);
 
 /// Losses of nodes that may not have been made good yet.
 #[derive(Clone, Debug, Default)]
 pub struct Tolerance {
-    outstanding: Vec<Loss>,
+    outstanding: Vec<NodeLoss>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Loss {
+struct NodeLoss {
     zone: usize,
     /// Undisturbed time since.
-    settled: Span,
+    undisturbed: Span,
 }
 
 impl Tolerance {
     /// A process died; returns whether this is beyond what is tolerated.
-    fn died(&mut self, zone: usize) -> bool {
+    fn record_loss(&mut self, zone: usize) -> bool {
         let beyond = self.outstanding.iter().any(|loss| loss.zone != zone);
-        self.outstanding.push(Loss {
+        self.outstanding.push(NodeLoss {
             zone,
-            settled: Span::ZERO,
+            undisturbed: Span::ZERO,
         });
         beyond
     }
 
     /// A second passed without a disturbed node.
-    fn settle(&mut self, span: Span) {
+    fn age(&mut self, span: Span) {
         for loss in &mut self.outstanding {
-            loss.settled = loss.settled + span;
+            loss.undisturbed = loss.undisturbed + span;
         }
         self.outstanding
-            .retain(|loss| loss.settled <= REPLACED_WITHIN);
+            .retain(|loss| loss.undisturbed <= REPLACEMENT_TIME);
     }
 }
 
 impl World<'_> {
     /// Notes that a node's process ended without handing its roles over.
-    pub(super) fn note_node_lost(&mut self, index: usize) {
-        if !self.tolerance.died(self.nodes[index].zone) {
+    pub(super) fn record_node_loss(&mut self, index: usize) {
+        if !self.tolerance.record_loss(self.nodes[index].zone) {
             return;
         }
         let now = self.now();
         self.session
-            .note(now, || "more was lost than is tolerated".to_owned());
-        self.checker.ownership.note_beyond_tolerance();
-        self.checker.leaving.forget();
+            .add_line(now, || "more was lost than is tolerated".to_owned());
+        self.checker.ownership.record_beyond_tolerance();
+        self.checker.leaving.clear();
     }
 
     /// Each second: lets losses settle while no node is disturbed.
-    pub(super) fn settle_losses(&mut self, passed: Span) {
+    pub(super) fn age_losses(&mut self, passed: Span) {
         let disturbed = (0..self.nodes.len()).any(|index| {
             let paused = self.nodes[index].process.is_some() && !self.nodes[index].is_active();
-            paused || self.network.is_cut(Place::Node(index))
+            paused || self.network.is_cut(Endpoint::Node(index))
         });
         if !disturbed && self.now() > Time::ZERO {
-            self.tolerance.settle(passed);
+            self.tolerance.age(passed);
         }
     }
 }
--- a/crates/ledgelead-lab/src/simulation/trace.rs
+++ b/crates/ledgelead-lab/src/simulation/trace.rs
@@ -26,7 +26,7 @@
     /// Index of the server that it was last sent to.
     pub server: Option<usize>,
     /// Whether it repeats an earlier request under its idempotency key.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// How it ended; `None` when the caller heard nothing.
     pub outcome: Option<Outcome>,
 }
@@ -34,22 +34,22 @@
 /// Requests that ended, while they are wanted.
 #[derive(Default)]
 pub struct Trace {
-    wanted: bool,
+    enabled: bool,
     requests: Vec<TracedRequest>,
 }
 
 impl Trace {
     /// A record that is kept.
-    pub fn wanted() -> Trace {
+    pub fn enabled() -> Trace {
         Trace {
-            wanted: true,
+            enabled: true,
             requests: Vec::new(),
         }
     }
 
     /// Notes the end of a request that counts in the measurements.
-    pub fn note(&mut self, now: Time, request: &CallerRequest, outcome: Option<Outcome>) {
-        if !self.wanted || !request.counted {
+    pub fn record(&mut self, now: Time, request: &CallerRequest, outcome: Option<Outcome>) {
+        if !self.enabled || !request.counted {
             return;
         }
         self.requests.push(TracedRequest {
@@ -62,7 +62,7 @@
             service_time: request.service_time,
             gateway: request.accepted.map(|(run, _)| run.index),
             server: request.server,
-            is_repeat: request.is_repeat,
+            is_retry: request.is_retry,
             outcome,
         });
     }
--- a/crates/ledgelead-lab/src/simulation/world.rs
+++ b/crates/ledgelead-lab/src/simulation/world.rs
@@ -2,17 +2,17 @@
 
 use super::callers::Callers;
 use super::deployment;
-use super::dice::Dice;
 use super::event::{Event, NodeRun};
 use super::faults::Fault;
 use super::measurements::Measurements;
-use super::network::{Network, Place};
+use super::network::{Endpoint, Network};
 use super::nodes::NodeProcess;
 use super::operators::Operators;
 use super::platform::PlatformProcess;
 use super::ports::Outbox;
 use super::probes::Probe;
 use super::queue::EventQueue;
+use super::rng::RandomStream;
 use super::servers::ServerProcess;
 use super::session::Session;
 use super::tolerance::Tolerance;
@@ -53,8 +53,8 @@
     pub(super) callers: Callers,
     pub(super) operators: Operators,
     pub(super) faults: Vec<Fault>,
-    pub(super) fault_dice: Dice,
-    pub(super) process_dice: Dice,
+    pub(super) fault_rng: RandomStream,
+    pub(super) process_rng: RandomStream,
     pub(super) probes: Vec<Probe>,
     pub(super) checker: Checker,
     pub(super) measurements: Measurements,
@@ -83,7 +83,7 @@
         protections: Protections,
         assigner: AssignerChoice,
     ) -> World<'a> {
-        let dice = |stream: Stream| Dice::new(seed, stream as u64);
+        let rng = |stream: Stream| RandomStream::new(seed, stream as u64);
         let start = Instant::now();
         let mut world = World {
             scenario,
@@ -98,16 +98,16 @@
                 &scenario.network,
                 &scenario.platform,
                 &scenario.zones,
-                dice(Stream::Network),
+                rng(Stream::Network),
             ),
             nodes: Vec::new(),
             servers: Vec::new(),
             platform: PlatformProcess::new(scenario),
-            callers: Callers::new(scenario, dice(Stream::Callers)),
+            callers: Callers::new(scenario, rng(Stream::Callers)),
             operators: Operators::default(),
             faults: Vec::new(),
-            fault_dice: dice(Stream::Faults),
-            process_dice: dice(Stream::Processes),
+            fault_rng: rng(Stream::Faults),
+            process_rng: rng(Stream::Processes),
             probes: Vec::new(),
             checker: Checker::default(),
             measurements: Measurements::new(scenario),
@@ -121,12 +121,12 @@
 
     /// Keeps a record of the session in words from now on.
     pub fn record_session(&mut self) {
-        self.session = Session::wanted();
+        self.session = Session::enabled();
     }
 
     /// Keeps every request and its end from now on.
     pub fn trace_requests(&mut self) {
-        self.trace = Trace::wanted();
+        self.trace = Trace::enabled();
     }
 
     /// The requests that ended since they are kept, in the order of their
@@ -150,7 +150,7 @@
             self.events.add(warm, Event::NextArrival(index));
             let period = service.load.hot_move_seconds;
             if period > 0.0 {
-                self.after(super::dice::seconds(period), Event::MoveHotKeys(index));
+                self.after(super::rng::seconds(period), Event::MoveHotKeys(index));
             }
         }
         self.after(Span::from_seconds(1), Event::EverySecond);
@@ -159,9 +159,9 @@
     fn place_servers(&mut self) {
         for plan in deployment::servers(self.scenario) {
             let index = self.servers.len();
-            self.network.put(Place::Server(index), plan.zone);
+            self.network.put(Endpoint::Server(index), plan.zone);
             let drift = self.scenario.nodes.clock_drift_ppm;
-            let clock = super::clock::SkewedClock::draw(&mut self.process_dice, drift);
+            let clock = super::clock::SkewedClock::draw(&mut self.process_rng, drift);
             self.servers.push(ServerProcess::new(plan, clock));
             self.server_starts(index);
         }
@@ -172,10 +172,10 @@
         for zone in 0..self.scenario.zones.len() {
             for _ in 0..self.scenario.nodes.per_zone {
                 let index = self.nodes.len();
-                self.network.put(Place::Node(index), zone);
+                self.network.put(Endpoint::Node(index), zone);
                 self.nodes.push(NodeProcess::new(index, zone));
-                let delay = self.process_dice.between(0.0, LATEST_START);
-                self.after(super::dice::seconds(delay), Event::StartNode(index));
+                let delay = self.process_rng.between(0.0, LATEST_START);
+                self.after(super::rng::seconds(delay), Event::StartNode(index));
             }
         }
     }
@@ -252,11 +252,11 @@
             Event::WatchTimeout(watch) => self.watch_times_out(watch),
             Event::NextArrival(service) => self.next_arrival(service),
             Event::SendRequest(body) => self.send_request(body),
-            Event::CallerTold {
+            Event::NotifyCaller {
                 body,
                 outcome,
                 answer,
-            } => self.caller_told(body, outcome, answer),
+            } => self.notify_caller(body, outcome, answer),
             Event::CallerTimeout(body) => self.caller_times_out(body),
             Event::SendCommand(command, purpose) => self.send_command(*command, purpose),
             Event::FaultBegins(index) => self.fault_begins(index),
@@ -268,20 +268,22 @@
     }
 
     fn move_hot_keys(&mut self, service: usize) {
-        self.callers.services[service].move_hot_keys(&mut self.callers.dice);
+        self.callers.services[service].move_hot_keys(&mut self.callers.rng);
         let period = self.scenario.services[service].load.hot_move_seconds;
-        self.after(super::dice::seconds(period), Event::MoveHotKeys(service));
+        self.after(super::rng::seconds(period), Event::MoveHotKeys(service));
     }
 
     fn every_second(&mut self) {
         let now = self.now();
-        let platform_since = self.platform.undisturbed_since(now);
-        self.checker
-            .configuration
-            .check(now, platform_since, &mut self.checker.violations);
+        let platform_available_since = self.platform.undisturbed_since(now);
+        self.checker.configuration.check(
+            now,
+            platform_available_since,
+            &mut self.checker.violations,
+        );
         self.measure_imbalance();
         self.measure_balance();
-        self.settle_losses(Span::from_seconds(1));
+        self.age_losses(Span::from_seconds(1));
         self.after(Span::from_seconds(1), Event::EverySecond);
     }
 
--- a/crates/ledgelead-lab/src/standin/execution.rs
+++ b/crates/ledgelead-lab/src/standin/execution.rs
@@ -54,7 +54,7 @@
         /// The attempt.
         key: AttemptKey,
         /// How long it takes.
-        takes: Span,
+        duration: Span,
     },
     /// An attempt ended; its sender is to be told.
     Ended {
--- a/crates/ledgelead-lab/src/standin/platform.rs
+++ b/crates/ledgelead-lab/src/standin/platform.rs
@@ -137,20 +137,20 @@
 
     /// Watches whose object has become newer, with their answers. While the
     /// platform is down nothing is told.
-    pub fn take_woken(&mut self) -> Vec<(WatchId, Result<PlatformReply, PlatformError>)> {
+    pub fn take_ready_watches(&mut self) -> Vec<(WatchId, Result<PlatformReply, PlatformError>)> {
         if self.condition.down {
             return Vec::new();
         }
-        let woken = self
+        let ready = self
             .watches
             .iter()
             .filter(|(_, (name, after))| self.version(name) > *after)
             .map(|(watch, (name, _))| (*watch, Ok(self.get(name))))
             .collect::<Vec<_>>();
-        for (watch, _) in &woken {
+        for (watch, _) in &ready {
             self.watches.remove(watch);
         }
-        woken
+        ready
     }
 
     /// Ends a watch that waited long enough; `None` when it has ended before.
--- a/crates/ledgelead-lab/src/standin/server.rs
+++ b/crates/ledgelead-lab/src/standin/server.rs
@@ -36,7 +36,7 @@
 
 /// How a server misreports its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LoadLie {
+pub enum LoadOverride {
     /// It tells the truth.
     #[default]
     None,
@@ -57,15 +57,15 @@
     releasing: Vec<GrantedSlice>,
     draining: bool,
     leaving: bool,
-    lie: LoadLie,
+    load_override: LoadOverride,
     executing: BTreeMap<AttemptKey, Execution>,
-    waiting: VecDeque<Waiting>,
+    queued: VecDeque<QueuedRequest>,
     finished: Vec<Execution>,
     actions: Vec<ServerAction>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct QueuedRequest {
     request: ServerRequest,
     deadline: Time,
 }
@@ -85,9 +85,9 @@
             releasing: Vec::new(),
             draining: false,
             leaving: false,
-            lie: LoadLie::None,
+            load_override: LoadOverride::None,
             executing: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             finished: Vec::new(),
             actions: Vec::new(),
         }
@@ -100,16 +100,16 @@
 
     /// Takes or refuses a renewal of its lease.
     pub fn renew(&mut self, now: Moment, renewal: &LeaseRenewal) -> RenewalReply {
-        let verdict = self.judge(now, renewal);
+        let verdict = self.apply_renewal(now, renewal);
         self.drop_finished_releases();
-        let tell_held = verdict != RenewalVerdict::Taken;
+        let include_held = verdict != RenewalVerdict::Taken;
         RenewalReply {
             stamp: now.local,
             run: self.run,
             verdict,
             holding: self.holding,
             releasing: List(self.releasing.clone()),
-            held: List(if tell_held {
+            held: List(if include_held {
                 self.held.clone()
             } else {
                 Vec::new()
@@ -119,7 +119,7 @@
         }
     }
 
-    fn judge(&mut self, now: Moment, renewal: &LeaseRenewal) -> RenewalVerdict {
+    fn apply_renewal(&mut self, now: Moment, renewal: &LeaseRenewal) -> RenewalVerdict {
         if renewal.authority < self.highest && self.checks_tokens() {
             return RenewalVerdict::Fenced {
                 highest: self.highest,
@@ -133,7 +133,7 @@
             return RenewalVerdict::StampOnly;
         };
         match &renewal.slices {
-            Some(slices) => self.hold(&slices.0, renewal.unchanged_since),
+            Some(slices) => self.set_held(&slices.0, renewal.unchanged_since),
             None if renewal.unchanged_since != self.holding => return RenewalVerdict::SetUnknown,
             None => {}
         }
@@ -148,9 +148,9 @@
         self.started <= stamp && stamp <= now.local
     }
 
-    fn hold(&mut self, slices: &[GrantedSlice], unchanged_since: FencingToken) {
-        let given_up = self.held.iter().filter(|old| !slices.contains(old));
-        self.releasing.extend(given_up.copied());
+    fn set_held(&mut self, slices: &[GrantedSlice], unchanged_since: FencingToken) {
+        let released = self.held.iter().filter(|old| !slices.contains(old));
+        self.releasing.extend(released.copied());
         self.held = slices.to_vec();
         self.releasing.retain(|slice| !slices.contains(slice));
         self.holding = unchanged_since;
@@ -179,11 +179,11 @@
         if self.has_free_slot() {
             return self.start(now, request);
         }
-        if self.waiting.len() >= self.settings.queue {
+        if self.queued.len() >= self.settings.queue {
             return self.refuse(request.key, ServerRefusal::Busy);
         }
         let deadline = now.local + request.deadline;
-        self.waiting.push_back(Waiting { request, deadline });
+        self.queued.push_back(QueuedRequest { request, deadline });
     }
 
     /// Ends an execution whose time has passed; unknown attempts are ignored.
@@ -192,20 +192,20 @@
             return;
         };
         self.end(key, ServerAnswer::Done { body });
-        self.start_waiting(now);
+        self.start_queued(now);
     }
 
     /// Cancels an attempt: one that waits is not run, one that executes is
     /// cut short.
     pub fn cancel(&mut self, now: Moment, key: AttemptKey) {
-        let waiting_before = self.waiting.len();
-        self.waiting.retain(|waiting| waiting.request.key != key);
-        if self.waiting.len() < waiting_before {
+        let queued_before = self.queued.len();
+        self.queued.retain(|queued| queued.request.key != key);
+        if self.queued.len() < queued_before {
             self.refuse(key, ServerRefusal::Cancelled);
         }
         if self.end_execution(now, key).is_some() {
             self.end(key, ServerAnswer::Aborted);
-            self.start_waiting(now);
+            self.start_queued(now);
         }
     }
 
@@ -216,18 +216,18 @@
     }
 
     /// Lets it misreport its load from now on.
-    pub fn set_lie(&mut self, lie: LoadLie) {
-        self.lie = lie;
+    pub fn set_load_override(&mut self, load_override: LoadOverride) {
+        self.load_override = load_override;
     }
 
     /// Load as it reports it, which may be a lie.
     pub fn load(&self, now: Moment) -> LoadReport {
-        if let LoadLie::Fixed(report) = self.lie {
+        if let LoadOverride::Fixed(report) = self.load_override {
             return report;
         }
         LoadReport {
             executing: self.executing.len() as u16,
-            waiting: self.waiting.len() as u16,
+            waiting: self.queued.len() as u16,
             utilization: self.executing.len() as f64 / f64::from(self.settings.slots.max(1)),
             cold: self.is_cold(now),
         }
@@ -259,7 +259,7 @@
 
     /// Whether nothing executes or waits.
     pub fn is_idle(&self) -> bool {
-        self.executing.is_empty() && self.waiting.is_empty()
+        self.executing.is_empty() && self.queued.is_empty()
     }
 
     /// What is to be done since the last call, in order.
@@ -331,14 +331,14 @@
         self.executing.insert(request.key, execution);
         self.actions.push(ServerAction::Started {
             key: request.key,
-            takes: request.service_time.times(factor),
+            duration: request.service_time.times(factor),
         });
     }
 
-    fn start_waiting(&mut self, now: Moment) {
+    fn start_queued(&mut self, now: Moment) {
         self.refuse_expired(now);
         while self.has_free_slot() {
-            let Some(next) = self.waiting.pop_front() else {
+            let Some(next) = self.queued.pop_front() else {
                 return;
             };
             match self.refusal(now, next.request.ownership) {
@@ -349,12 +349,12 @@
     }
 
     fn refuse_expired(&mut self, now: Moment) {
-        let (expired, waiting) = std::mem::take(&mut self.waiting)
+        let (expired, queued) = std::mem::take(&mut self.queued)
             .into_iter()
-            .partition::<VecDeque<_>, _>(|waiting| waiting.deadline <= now.local);
-        self.waiting = waiting;
-        for waiting in expired {
-            self.refuse(waiting.request.key, ServerRefusal::DeadlinePassed);
+            .partition::<VecDeque<_>, _>(|queued| queued.deadline <= now.local);
+        self.queued = queued;
+        for queued in expired {
+            self.refuse(queued.request.key, ServerRefusal::DeadlinePassed);
         }
     }
 
--- a/crates/ledgelead-lab/tests/checker.rs
+++ b/crates/ledgelead-lab/tests/checker.rs
@@ -146,18 +146,18 @@
 /// of the storm scenario.
 #[gtest]
 fn superseded_move_is_not_found_and_others_are() {
-    let told = |position, to, seconds| AcknowledgedMove {
+    let acknowledged = |position, to, seconds| AcknowledgedMove {
         service: SERVICE,
         position: Position(position),
         to: ServerId(to),
         at: at(seconds),
     };
-    for (second, expected) in [(told(7, 3, 1), 0), (told(7, 4, 1), 2)] {
+    for (second, expected) in [(acknowledged(7, 3, 1), 0), (acknowledged(7, 4, 1), 2)] {
         for claimed_first in [true, false] {
             let mut violations = Violations::default();
             let mut checker = OwnershipChecker::default();
             let claim = claim(2, at(20));
-            checker.acknowledged(told(5, 2, 1));
+            checker.acknowledged(acknowledged(5, 2, 1));
             if claimed_first {
                 checker.renewed(at(1), ServerId(3), claim.clone(), &mut violations);
             }
@@ -176,7 +176,7 @@
 /// acknowledged to an operator later, so it must still take effect.
 #[gtest]
 fn move_acknowledged_after_the_effective_one_is_found() {
-    let told = |position, to, seconds| AcknowledgedMove {
+    let acknowledged = |position, to, seconds| AcknowledgedMove {
         service: SERVICE,
         position: Position(position),
         to: ServerId(to),
@@ -184,8 +184,8 @@
     };
     let mut violations = Violations::default();
     let mut checker = OwnershipChecker::default();
-    checker.acknowledged(told(5, 3, 1));
-    checker.acknowledged(told(7, 2, 2));
+    checker.acknowledged(acknowledged(5, 3, 1));
+    checker.acknowledged(acknowledged(7, 2, 2));
     checker.renewed(at(3), ServerId(3), claim(2, at(20)), &mut violations);
     checker.finish(at(30), &mut violations);
     let found = violations.count(Violation::AcknowledgedAssignmentKept);
@@ -200,16 +200,16 @@
     for body in 1..=4 {
         checker.sent(body, Some(OnceKey::Idempotency(body / 4)));
     }
-    checker.told(at(1), 1, refusal, None, &mut violations);
-    checker.told(at(1), 2, Outcome::Answered, Some(2), &mut violations);
+    checker.outcome_reported(at(1), 1, refusal, None, &mut violations);
+    checker.outcome_reported(at(1), 2, Outcome::Answered, Some(2), &mut violations);
     expect_that!(violations.total(), eq(0));
-    checker.told(at(1), 2, Outcome::Answered, Some(3), &mut violations);
-    checker.told(at(1), 2, Outcome::Answered, None, &mut violations);
+    checker.outcome_reported(at(1), 2, Outcome::Answered, Some(3), &mut violations);
+    checker.outcome_reported(at(1), 2, Outcome::Answered, None, &mut violations);
     expect_that!(violations.count(Violation::AnswerMatchesRequest), eq(2));
     checker.started(at(2), 1, &mut violations);
     expect_that!(violations.count(Violation::NotRunIsTrue), eq(1));
     checker.started(at(2), 4, &mut violations);
-    checker.told(at(3), 4, refusal, None, &mut violations);
+    checker.outcome_reported(at(3), 4, refusal, None, &mut violations);
     expect_that!(violations.count(Violation::NotRunIsTrue), eq(2));
     expect_that!(violations.count(Violation::OnceOnly), eq(0));
     checker.started(at(4), 2, &mut violations);
@@ -220,7 +220,7 @@
 fn requests_after_a_leave_and_requests_interrupted_by_a_stop_are_found() {
     let mut checker = Checker::default();
     let leaving = &mut checker.leaving;
-    leaving.told(at(1), ServerId(1));
+    leaving.leave_announced(at(1), ServerId(1));
     leaving.started(at(4), ServerId(1), &mut checker.violations);
     leaving.started(at(5), ServerId(2), &mut checker.violations);
     expect_that!(checker.violations.total(), eq(0));
--- a/crates/ledgelead-lab/tests/simulated_world.rs
+++ b/crates/ledgelead-lab/tests/simulated_world.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use ledgelead_lab::scenario::parse;
 use ledgelead_lab::simulation::clock::{NodeClock, SkewedClock};
-use ledgelead_lab::simulation::dice::Dice;
-use ledgelead_lab::simulation::network::{Network, Place};
+use ledgelead_lab::simulation::network::{Endpoint, Network};
 use ledgelead_lab::simulation::queue::EventQueue;
+use ledgelead_lab::simulation::rng::RandomStream;
 use ledgelead_lab::standin::platform::{PlatformResponse, PlatformState};
 use ledgelead_types::platform::*;
 use ledgelead_types::*;
@@ -28,7 +28,7 @@
     /// clock.
     #[test]
     fn timers_of_skewed_clocks_never_fire_early(seed: u64, run in 0_u64..1 << 36, span in 0_u64..1 << 32) {
-        let clock = SkewedClock::draw(&mut Dice::new(seed, 0), 5_000);
+        let clock = SkewedClock::draw(&mut RandomStream::new(seed, 0), 5_000);
         let waited = Time(run) + clock.run_span(Span(span));
         let elapsed = clock.local(waited).since(clock.local(Time(run)));
         prop_assert!(elapsed.0 + 1 >= span);
@@ -53,7 +53,10 @@
 #[gtest]
 fn paused_process_sees_its_clock_jump_at_the_end_of_the_pause() {
     let run = Rc::new(Cell::new(Time(1_000)));
-    let clock = NodeClock::new(run.clone(), SkewedClock::draw(&mut Dice::new(1, 1), 0));
+    let clock = NodeClock::new(
+        run.clone(),
+        SkewedClock::draw(&mut RandomStream::new(1, 1), 0),
+    );
     let before = clock.now();
     clock.pause(Time(5_000));
     run.set(Time(4_000));
@@ -67,24 +70,33 @@
 #[gtest]
 fn partitioned_zone_is_isolated_from_others_but_connected_within() {
     let scenario = parse(BOGOTA).expect("the scenario is valid");
-    let dice = Dice::new(1, 1);
-    let mut network = Network::new(&scenario.network, &scenario.platform, &scenario.zones, dice);
+    let rng = RandomStream::new(1, 1);
+    let mut network = Network::new(&scenario.network, &scenario.platform, &scenario.zones, rng);
     for (index, zone) in [0, 0, 1].into_iter().enumerate() {
-        network.put(Place::Node(index), zone);
+        network.put(Endpoint::Node(index), zone);
     }
     network.cut_zone(0, true);
     network.cut_zone(0, true);
     network.cut_zone(0, false);
-    expect_that!(network.connected(Place::Node(0), Place::Node(1)), eq(true));
-    expect_that!(network.connected(Place::Node(0), Place::Node(2)), eq(false));
     expect_that!(
-        network.connected(Place::Node(0), Place::Platform),
+        network.connected(Endpoint::Node(0), Endpoint::Node(1)),
+        eq(true)
+    );
+    expect_that!(
+        network.connected(Endpoint::Node(0), Endpoint::Node(2)),
+        eq(false)
+    );
+    expect_that!(
+        network.connected(Endpoint::Node(0), Endpoint::Platform),
         eq(false)
     );
-    expect_that!(network.connected(Place::Node(0), Place::Clients), eq(true));
+    expect_that!(
+        network.connected(Endpoint::Node(0), Endpoint::Clients),
+        eq(true)
+    );
     network.cut_zone(0, false);
     expect_that!(
-        network.segment(Place::Node(0), Place::Node(2)),
+        network.segment(Endpoint::Node(0), Endpoint::Node(2)),
         some(anything())
     );
 }
