--- a/crates/ledgelead-lab/src/checker/configuration.rs
+++ b/crates/ledgelead-lab/src/checker/configuration.rs
@@ -1,25 +1,24 @@
-//! Accepted configurations: in force on every reachable node in time, and
-//! never undone.
+//! Checks that accepted configurations are applied on every reachable node in time and never
+//! reverted.
 
 use super::violation::{Violation, Violations};
 use ledgelead_types::configuration::{Configuration, REMEMBERED_COMMANDS};
 use ledgelead_types::{ConfigurationVersion, NodeId, Span, Time};
 use std::collections::BTreeMap;
 
-/// How long an accepted configuration may take to be in force on every node
-/// that can be reached.
+/// Time within which every reachable node applies an accepted configuration.
 pub const APPLIED_WITHIN: Span = Span::from_seconds(6);
 
 #[derive(Clone, Copy, Debug)]
 struct NodeRecord {
     applied: ConfigurationVersion,
-    /// Since when the node has run and been connected; `None` while not.
+    /// Since when the node has been running and connected; `None` while it is not.
     connected_since: Option<Time>,
-    /// Version whose lateness was reported, to report it once.
+    /// Newest version reported as late, so that each is reported only once.
     reported: ConfigurationVersion,
 }
 
-/// Checks configurations.
+/// Checks the application of configurations.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationChecker {
     nodes: BTreeMap<NodeId, NodeRecord>,
@@ -28,13 +27,12 @@
     relied_on: BTreeMap<ConfigurationVersion, String>,
     longest_lag: Span,
     longest_undisturbed_lag: Span,
-    /// Since when the platform has answered as usual, as last told.
+    /// Since when the platform has been undisturbed, as of the last check.
     platform_available_since: Time,
 }
 
 impl ConfigurationChecker {
-    /// A node's process started, or is connected again; `None` when it is no
-    /// longer running or connected.
+    /// Records since when a node has been running and connected; `None` if it is not.
     pub fn connected(&mut self, node: NodeId, since: Option<Time>) {
         self.nodes
             .entry(node)
@@ -46,13 +44,13 @@
             .connected_since = since;
     }
 
-    /// A node's process started and knows no configuration.
+    /// A node's process started without a configuration.
     pub fn started(&mut self, node: NodeId, now: Time) {
         self.nodes.remove(&node);
         self.connected(node, Some(now));
     }
 
-    /// A version is in force on a node.
+    /// A node applied a version.
     pub fn applied(
         &mut self,
         now: Time,
@@ -94,8 +92,8 @@
         }
     }
 
-    /// An operator was told that a command, which relied on `if_version`, is
-    /// in force from a version on.
+    /// An operator was told that a command, which required `if_version`, takes effect with a
+    /// version.
     pub fn accepted(
         &mut self,
         now: Time,
@@ -124,14 +122,14 @@
         }
     }
 
-    /// The newest version that was stored.
+    /// The newest stored version.
     pub fn newest(&self) -> ConfigurationVersion {
         let newest = self.writes.keys().next_back();
         newest.copied().unwrap_or_default()
     }
 
-    /// Looks for nodes on which a version is late. While the platform is
-    /// disturbed nobody can read it; `platform_since` is when it was last.
+    /// Reports nodes on which a version is late. Nodes cannot read versions while the platform
+    /// is disturbed; `platform_available_since` is the end of the last disturbance.
     pub fn check(
         &mut self,
         now: Time,
@@ -161,14 +159,14 @@
         }
     }
 
-    /// Longest time from a version's storage, or from the node's return, until
-    /// it was in force on a node.
+    /// Longest time from the storage of a version, or from the node's reconnection if later,
+    /// until the node applied it.
     pub fn longest_lag(&self) -> Span {
         self.longest_lag
     }
 
-    /// The same, counted from the end of the platform's latest disturbance
-    /// where that is later.
+    /// Like `longest_lag`, but counted from the end of the platform's last disturbance if that
+    /// is later.
     pub fn longest_undisturbed_lag(&self) -> Span {
         self.longest_undisturbed_lag
     }
--- a/crates/ledgelead-lab/src/checker/leaving.rs
+++ b/crates/ledgelead-lab/src/checker/leaving.rs
@@ -1,10 +1,10 @@
-//! Servers that leave and planned stops.
+//! Checks leaving servers and planned stops.
 
 use super::violation::{Violation, Violations};
 use ledgelead_types::{ServerId, Span, Time};
 use std::collections::BTreeMap;
 
-/// How long after it was told a server may still be given new work.
+/// Time after the announcement during which a leaving server may still be given new requests.
 pub const NEW_REQUESTS_STOP_WITHIN: Span = Span::from_seconds(3);
 
 /// Checks leaving servers and planned stops.
@@ -14,18 +14,18 @@
 }
 
 impl LeavingChecker {
-    /// The system was told that a server leaves or is to be drained.
+    /// The system was told that a server is leaving or is to be drained.
     pub fn leave_announced(&mut self, now: Time, server: ServerId) {
         self.announced.entry(server).or_insert(now);
     }
 
-    /// The server is active again, or has gone.
+    /// The server is active again or has ended.
     pub fn returned(&mut self, server: ServerId) {
         self.announced.remove(&server);
     }
 
-    /// More was lost than is tolerated: what operators were told may be
-    /// forgotten.
+    /// Forgets all announcements. After losses beyond the tolerance the system may forget them
+    /// too.
     pub fn clear(&mut self) {
         self.announced.clear();
     }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A process stopped as planned while requests were in flight.
+    /// A process was stopped as planned while requests were in flight.
     pub fn stopped(
         &mut self,
         now: Time,
--- a/crates/ledgelead-lab/src/checker/mod.rs
+++ b/crates/ledgelead-lab/src/checker/mod.rs
@@ -1,8 +1,8 @@
-//! Judges a run by what the stand-ins recorded: which server could execute and
-//! did execute what, when and under which token; what callers and operators
-//! sent and were told; what the platform stored. What the system under test
-//! believes of itself is not asked, except which configuration version a node
-//! says is in force, since that is what operators see.
+//! Checks a run against what the simulated services, callers and operators recorded: which
+//! server could execute and did execute what, when and under which token; what callers and
+//! operators sent and were told; what the platform stored. The state of the system under test
+//! is not used, except for the configuration version that a node reports as applied, since
+//! operators see it too.
 
 pub mod configuration;
 pub mod leaving;
@@ -13,17 +13,17 @@
 
 pub use violation::{Violation, Violations};
 
-/// All checks of one run.
+/// All checks of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
     /// Ownership of keys.
     pub ownership: ownership::OwnershipChecker,
-    /// What callers were told.
+    /// Outcomes reported to callers.
     pub requests: requests::RequestChecker,
     /// Configuration on every node.
     pub configuration: configuration::ConfigurationChecker,
     /// Leaving servers and planned stops.
     pub leaving: leaving::LeavingChecker,
-    /// What was found.
+    /// Violations found.
     pub violations: Violations,
 }
--- a/crates/ledgelead-lab/src/checker/ownership.rs
+++ b/crates/ledgelead-lab/src/checker/ownership.rs
@@ -1,13 +1,12 @@
-//! At most one owner, and acknowledged assignments that stay.
+//! Checks that each position has at most one owner and that acknowledged assignments persist.
 //!
-//! A server *claims* a position while it holds a slice with the position under
-//! a lease that is unexpired in true time. Claims change only when a server
-//! takes a renewal or dies, so overlaps are looked for at each renewal that
-//! changed what a server claims. A server that started a request under a valid
-//! lease and was lost afterwards may still be executing when its successor
-//! starts: work in a lost server's own memory can't be recalled. So an overlap
-//! of executions counts while the earlier server's lease runs: then the
-//! handover did not wait.
+//! A server *claims* a position while it holds a slice containing the position under a lease
+//! that is unexpired in true time. Claims change only when a server accepts a renewal or dies,
+//! so overlaps are checked after each renewal that changed a claim. A server that started a
+//! request under a valid lease and was then lost may still be executing it when its successor
+//! starts, since work in a lost server's memory can't be recalled. An overlap of executions is
+//! therefore a violation only while the previous server's lease is valid: then the handover
+//! did not wait.
 
 use super::partition_map::{LastGrant, PartitionMap};
 use super::violation::{Violation, Violations};
@@ -16,16 +15,15 @@
 use ledgelead_types::{Position, PositionRange, ServerId, ServiceId, Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long an acknowledged move may take to reach the server, apart from
-/// losses.
+/// Time within which an acknowledged move reaches the new owner, unless there are losses.
 const MOVE_TAKES_EFFECT_WITHIN: Span = Span::from_seconds(5);
 
-/// What a server holds, as the server itself recorded it.
+/// Slices held by a server, as recorded by the server itself.
 #[derive(Clone, Debug)]
 pub struct Claim {
     /// Its service.
     pub service: ServiceId,
-    /// Slices.
+    /// The held slices.
     pub held: Vec<GrantedSlice>,
     /// End of its lease in true time.
     pub lease_until: Time,
@@ -37,7 +35,7 @@
     }
 }
 
-/// A move that an operator was told is decided.
+/// A move that was acknowledged to an operator.
 #[derive(Clone, Copy, Debug)]
 pub struct AcknowledgedMove {
     /// The service.
@@ -50,7 +48,7 @@
     pub at: Time,
 }
 
-/// Checks ownership.
+/// Checks the ownership of positions.
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipChecker {
     claims: BTreeMap<ServerId, Claim>,
@@ -59,14 +57,14 @@
     lost_since_grant: BTreeSet<ServerId>,
     /// Moves whose new owner does not hold the slice yet.
     moves: Vec<AcknowledgedMove>,
-    /// All moves, in the order in which operators were told.
+    /// All moves, in the order of their acknowledgement.
     acknowledged_moves: Vec<AcknowledgedMove>,
     beyond_tolerance: bool,
     churned_share: BTreeMap<ServiceId, f64>,
 }
 
 impl OwnershipChecker {
-    /// A server took a renewal and now has this claim.
+    /// A server accepted a renewal, which resulted in this claim.
     pub fn renewed(
         &mut self,
         now: Time,
@@ -90,9 +88,8 @@
         self.claims.insert(server, claim);
     }
 
-    /// Slices that the server claims now and did not claim just before. A
-    /// renewal that a frozen server takes after its lease has run out grants
-    /// nothing.
+    /// Slices that the server claims now but did not claim before. A renewal that a frozen
+    /// server accepts after the lease has expired grants nothing.
     fn gained(&self, now: Time, server: ServerId, claim: &Claim) -> Vec<GrantedSlice> {
         if now >= claim.lease_until {
             return Vec::new();
@@ -163,28 +160,28 @@
         });
     }
 
-    /// A server died and has forgotten its slices.
+    /// A server died and lost its slices.
     pub fn died(&mut self, server: ServerId) {
         self.claims.remove(&server);
         self.executing.retain(|_, (owner, _, _)| *owner != server);
         self.allow_loss(server);
     }
 
-    /// A server froze, was cut off, is leaving or is drained: it may lose its
+    /// A server froze, was partitioned, is leaving or is being drained, so it may lose its
     /// slices without a command.
     pub fn allow_loss(&mut self, server: ServerId) {
         self.lost_since_grant.insert(server);
         self.moves.retain(|acknowledged| acknowledged.to != server);
     }
 
-    /// More replicas were lost at once than the system claims to tolerate:
-    /// from now on acknowledged assignments may revert.
+    /// More replicas were lost at once than the system tolerates, so from now on acknowledged
+    /// assignments may be reverted.
     pub fn record_beyond_tolerance(&mut self) {
         self.beyond_tolerance = true;
         self.moves.clear();
     }
 
-    /// An operator was told that a move is decided.
+    /// A move was acknowledged to an operator.
     pub fn acknowledged(&mut self, acknowledged: AcknowledgedMove) {
         let superseded = |old: &AcknowledgedMove| {
             old.service == acknowledged.service && old.position == acknowledged.position
@@ -205,10 +202,10 @@
         }
     }
 
-    /// A server has a slice. Where an operator was lately told that another
-    /// position of this slice moves there, moves that were told before it are
-    /// superseded: the later of two may have come before the slice reached the
-    /// owner of the first. A move told after it still has to come into force.
+    /// A server acquired a slice. If a recent acknowledgement assigned another position of
+    /// this slice to the server, moves acknowledged before it are superseded: the later of two
+    /// moves may be carried out before the slice reaches the owner named by the first. A move
+    /// acknowledged after it must still take effect.
     fn drop_superseded_moves(
         &mut self,
         now: Time,
@@ -278,7 +275,7 @@
         self.executing.remove(&key);
     }
 
-    /// The run ended: moves that never reached their server are found.
+    /// Ends the checks and reports moves that never reached their server.
     pub fn finish(&mut self, now: Time, violations: &mut Violations) {
         for acknowledged in &self.moves {
             if acknowledged.at + MOVE_TAKES_EFFECT_WITHIN < now {
@@ -289,13 +286,13 @@
         }
     }
 
-    /// Share of a service's position space that changed owner while its owner
-    /// lived, added up.
+    /// Accumulated share of a service's position space that changed owner while its owner was
+    /// alive.
     pub fn churned_share(&self, service: ServiceId) -> f64 {
         self.churned_share.get(&service).copied().unwrap_or(0.0)
     }
 
-    /// Slices that a server claims at a time.
+    /// Slices that a server claims at the given time.
     pub fn claimed(&self, now: Time, server: ServerId) -> Vec<GrantedSlice> {
         self.claims
             .get(&server)
--- a/crates/ledgelead-lab/src/checker/partition_map.rs
+++ b/crates/ledgelead-lab/src/checker/partition_map.rs
@@ -1,4 +1,4 @@
-//! Who was last granted each part of a service's position space.
+//! The latest grant of each part of a service's position space.
 
 use ledgelead_types::{FencingToken, Position, PositionRange, ServerId};
 use std::collections::BTreeMap;
@@ -6,22 +6,22 @@
 /// The latest grant of a range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastGrant {
-    /// Positions.
+    /// The granted positions.
     pub range: PositionRange,
-    /// Server that was granted them.
+    /// The server to which they were granted.
     pub server: ServerId,
     /// Token of the grant.
     pub token: FencingToken,
 }
 
-/// Ranges without overlaps, each with its latest grant.
+/// Non-overlapping ranges, each with its latest grant.
 #[derive(Clone, Debug, Default)]
 pub struct PartitionMap {
     by_first: BTreeMap<Position, LastGrant>,
 }
 
 impl PartitionMap {
-    /// Grants that share a position with a range, cut to the range.
+    /// Grants that overlap a range, clipped to the range.
     pub fn overlapping(&self, range: PositionRange) -> Vec<LastGrant> {
         self.by_first
             .range(..=range.last)
@@ -38,7 +38,7 @@
             .collect()
     }
 
-    /// Puts a grant over whatever was there.
+    /// Inserts a grant and replaces what it overlaps.
     pub fn put(&mut self, new: LastGrant) {
         let overlapping = self.overlapping_whole(new.range);
         for old in overlapping {
--- a/crates/ledgelead-lab/src/checker/requests.rs
+++ b/crates/ledgelead-lab/src/checker/requests.rs
@@ -1,16 +1,16 @@
-//! What callers were told, against what servers executed.
+//! Checks the outcomes reported to callers against the executions of servers.
 
 use super::violation::{Violation, Violations};
 use ledgelead_types::{Outcome, Time};
 use std::collections::BTreeMap;
 
-/// Names what may run once: one request, or all requests under one
+/// Identifies what may run at most once: a single request, or all requests with the same
 /// idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OnceKey {
-    /// A request that may not be repeated and has no idempotency key.
+    /// A request that may not be retried and has no idempotency key.
     Body(u64),
-    /// Requests under this idempotency key.
+    /// Requests with this idempotency key.
     Idempotency(u64),
 }
 
@@ -21,7 +21,7 @@
     reported_not_run: bool,
 }
 
-/// Checks requests.
+/// Checks requests and their outcomes.
 #[derive(Clone, Debug, Default)]
 pub struct RequestChecker {
     records: BTreeMap<u64, Record>,
@@ -29,7 +29,7 @@
 }
 
 impl RequestChecker {
-    /// A caller sends a request whose body holds this number.
+    /// A caller sends a request with this number in its body.
     pub fn sent(&mut self, body: u64, once: Option<OnceKey>) {
         let record = Record {
             once,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether the answer to one request is that of another: the same, or one
-    /// under the same idempotency key that was executed.
+    /// Whether an answer to request `answered` is valid for request `body`: it is the same
+    /// request, or one with the same idempotency key that was executed.
     fn answers(&self, answered: u64, body: u64) -> bool {
         if answered == body {
             return true;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// A caller was told how its request ended; `answer` is the number in the
-    /// answer's body, when a whole answer came.
+    /// A caller was told the outcome of its request. `answer` is the number in the body of a
+    /// complete answer.
     pub fn outcome_reported(
         &mut self,
         now: Time,
--- a/crates/ledgelead-lab/src/checker/violation.rs
+++ b/crates/ledgelead-lab/src/checker/violation.rs
@@ -1,31 +1,31 @@
-//! What a check can find.
+//! Violations that checks can find.
 
 use ledgelead_types::Time;
 use std::collections::BTreeMap;
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// Two servers could execute, or executed, requests for one position.
+    /// Two servers could execute, or did execute, requests for the same position.
     SingleOwner,
-    /// An acknowledged assignment was undone without a command or a loss.
+    /// An acknowledged assignment was reverted without a command or a loss.
     AcknowledgedAssignmentKept,
-    /// A caller was handed another request's answer, or one that is not whole.
+    /// A caller received an answer to another request, or an incomplete one.
     AnswerMatchesRequest,
-    /// A caller was told "not run" of a request that was run.
+    /// A caller was told "not run" although the request ran.
     NotRunIsTrue,
-    /// A request that may run once ran twice.
+    /// A request that may run at most once ran twice.
     OnceOnly,
-    /// A leaving server was given new work.
+    /// A leaving server received new requests.
     NoNewWorkAfterLeave,
-    /// A planned stop cut a request in flight.
+    /// A planned stop interrupted a request.
     PlannedStopCutsNothing,
-    /// A configuration went back, or was late on a node.
+    /// A node reverted to an older configuration or applied one too late.
     ConfigurationMonotonic,
 }
 
 impl Violation {
-    /// Every violation, in the order of reports.
+    /// All violations, in the order of reports.
     pub const ALL: [Violation; 8] = [
         Violation::SingleOwner,
         Violation::AcknowledgedAssignmentKept,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Most violations of a run that are described; all are counted.
+/// Maximum number of violations described per run; all are counted.
 const MAX_DESCRIPTIONS: usize = 20;
 
 /// Violations found in a run.
@@ -63,7 +63,7 @@
 }
 
 impl Violations {
-    /// Notes a violation.
+    /// Records a violation.
     pub fn add(&mut self, at: Time, violation: Violation, description: impl FnOnce() -> String) {
         *self.counts.entry(violation).or_insert(0) += 1;
         if self.descriptions.len() < MAX_DESCRIPTIONS {
@@ -74,17 +74,17 @@
         }
     }
 
-    /// How often a promise was broken.
+    /// Number of violations of one kind.
     pub fn count(&self, violation: Violation) -> u64 {
         self.counts.get(&violation).copied().unwrap_or(0)
     }
 
-    /// How often any promise was broken.
+    /// Total number of violations.
     pub fn total(&self) -> u64 {
         self.counts.values().sum()
     }
 
-    /// The first violations in words.
+    /// Descriptions of the first violations.
     pub fn descriptions(&self) -> &[String] {
         &self.descriptions
     }
--- a/crates/ledgelead-lab/src/demo/bench.rs
+++ b/crates/ledgelead-lab/src/demo/bench.rs
@@ -155,8 +155,8 @@
             Targets::Nodes(nodes) => nodes.len(),
             Targets::Servers { .. } => 0,
         };
-        let straight = self.deployment.direct_targets();
-        let direct = self.send(connections, pacing, straight)?;
+        let direct_targets = self.deployment.direct_targets();
+        let direct = self.send(connections, pacing, direct_targets)?;
         let routed = self.send(connections, pacing, nodes)?;
         let (p50, p99) = (
             routed.latencies.quantile_ms(0.5),
--- a/crates/ledgelead-lab/src/demo/caller.rs
+++ b/crates/ledgelead-lab/src/demo/caller.rs
@@ -29,7 +29,7 @@
 /// Deadline of every request.
 const DEADLINE: Span = Span::from_millis(2_000);
 /// How long a caller waits beyond the deadline for the node's word on it.
-const PATIENCE: Duration = Duration::from_millis(3_000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Longest time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Reason of a refusal that a caller answers by asking another node.
@@ -100,15 +100,15 @@
         .http_status_as_error(false)
         .max_redirects(0)
         .timeout_connect(Some(CONNECT_TIMEOUT))
-        .timeout_recv_response(Some(PATIENCE))
-        .timeout_recv_body(Some(PATIENCE))
+        .timeout_recv_response(Some(RESPONSE_TIMEOUT))
+        .timeout_recv_body(Some(RESPONSE_TIMEOUT))
         .build()
         .new_agent()
 }
 
 /// The outcome of a request, and who told it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SendResult {
     /// The node that was asked last; `None` for a request sent past the nodes.
     pub node: Option<SocketAddr>,
     /// The outcome.
@@ -121,7 +121,7 @@
     targets: &Targets,
     credentials: &[String],
     request: &PlannedRequest,
-) -> Sent {
+) -> SendResult {
     let credential = &credentials[request.caller];
     match targets {
         Targets::Nodes(nodes) => send_to_nodes(client, nodes, credential, request),
@@ -129,7 +129,7 @@
             let address = direct_target(keyed, unkeyed, request);
             let url = format!("http://{address}/{}", request.request.0);
             let outcome = attempt(client.agent(address), url, credential, request).into_outcome();
-            Sent {
+            SendResult {
                 node: None,
                 outcome,
             }
@@ -142,14 +142,14 @@
     /// For good.
     Ended(CallerOutcome),
     /// Not run, and another node may take it.
-    NotTaken(String),
+    NotAccepted(String),
 }
 
 impl Attempt {
     fn into_outcome(self) -> CallerOutcome {
         match self {
             Attempt::Ended(outcome) => outcome,
-            Attempt::NotTaken(reason) => CallerOutcome::NotRun(reason),
+            Attempt::NotAccepted(reason) => CallerOutcome::NotRun(reason),
         }
     }
 }
@@ -159,8 +159,8 @@
     nodes: &[SocketAddr],
     credential: &str,
     request: &PlannedRequest,
-) -> Sent {
-    let mut sent = Sent {
+) -> SendResult {
+    let mut sent = SendResult {
         node: None,
         outcome: CallerOutcome::NotRun(NO_NODE.to_owned()),
     };
@@ -168,12 +168,12 @@
         let node = nodes[(request.request.0 as usize + turn) % nodes.len()];
         let agent = client.agent(node);
         let attempt = attempt(agent, node_url(node, request), credential, request);
-        let may_go_on = matches!(attempt, Attempt::NotTaken(_));
-        sent = Sent {
+        let may_try_next = matches!(attempt, Attempt::NotAccepted(_));
+        sent = SendResult {
             node: Some(node),
             outcome: attempt.into_outcome(),
         };
-        if !may_go_on {
+        if !may_try_next {
             break;
         }
     }
@@ -209,7 +209,7 @@
     };
     match agent.run(message) {
         Ok(response) => read_outcome(response, request),
-        Err(error) if proves_not_sent(&error) => Attempt::NotTaken(NO_NODE.to_owned()),
+        Err(error) if proves_not_sent(&error) => Attempt::NotAccepted(NO_NODE.to_owned()),
         Err(error) => Attempt::Ended(CallerOutcome::Unknown(error_name(&error))),
     }
 }
@@ -246,7 +246,7 @@
         Err(error) => return Attempt::Ended(CallerOutcome::Unknown(error_name(&error))),
     };
     match outcome.as_deref() {
-        Some("not-run") if reason == STOPPING => Attempt::NotTaken(reason),
+        Some("not-run") if reason == STOPPING => Attempt::NotAccepted(reason),
         Some("not-run") => Attempt::Ended(CallerOutcome::NotRun(reason)),
         Some("unknown") => Attempt::Ended(CallerOutcome::Unknown(reason)),
         _ if status.is_success() => Attempt::Ended(CallerOutcome::Answered {
--- a/crates/ledgelead-lab/src/demo/checker.rs
+++ b/crates/ledgelead-lab/src/demo/checker.rs
@@ -75,13 +75,14 @@
 }
 
 /// Counts the broken promises.
-pub fn judge(evidence: &Evidence<'_>) -> Violations {
+pub fn check(evidence: &Evidence<'_>) -> Violations {
     let starts = starts_by_request(evidence.executions);
     let count = |request: RequestNumber| starts.get(&request).copied().unwrap_or(0);
     let mut violations = Violations {
         single_owner: single_owner_violations(evidence.executions),
-        no_new_work_after_leave: work_after_leave(evidence),
-        planned_stop_cuts_nothing: cut_by_server_stops(evidence) + cut_by_node_stops(evidence),
+        no_new_work_after_leave: requests_after_leave(evidence),
+        planned_stop_cuts_nothing: interrupted_by_server_stops(evidence)
+            + interrupted_by_node_stops(evidence),
         ..Violations::default()
     };
     for record in evidence.callers {
@@ -118,24 +119,24 @@
                 .push(execution);
         }
     }
-    by_position.into_values().map(broken_successions).sum()
+    by_position.into_values().map(ownership_violations).sum()
 }
 
 /// Counts, among the executions for one key, those that started while another
 /// server's ran, or under an older token than one started before.
-fn broken_successions(mut executions: Vec<&Execution>) -> usize {
+fn ownership_violations(mut executions: Vec<&Execution>) -> usize {
     executions.sort_by_key(|execution| (execution.started, execution.key));
-    let mut broken = 0;
+    let mut violations = 0;
     for (index, later) in executions.iter().enumerate() {
         let earlier = &executions[..index];
         let overlaps = earlier
             .iter()
             .any(|earlier| earlier.server != later.server && runs_at(earlier, later.started));
         let token = |execution: &Execution| execution.ownership.map(|claim| claim.token);
-        let goes_back = earlier.iter().any(|earlier| token(earlier) > token(later));
-        broken += usize::from(overlaps || goes_back);
+        let has_older_token = earlier.iter().any(|earlier| token(earlier) > token(later));
+        violations += usize::from(overlaps || has_older_token);
     }
-    broken
+    violations
 }
 
 fn runs_at(execution: &Execution, time: Time) -> bool {
@@ -149,7 +150,7 @@
         .filter(|departure| departure.planned)
 }
 
-fn work_after_leave(evidence: &Evidence<'_>) -> usize {
+fn requests_after_leave(evidence: &Evidence<'_>) -> usize {
     planned(evidence)
         .map(|departure| {
             let limit = departure.at + LEAVE_LIMIT;
@@ -163,7 +164,7 @@
         .sum()
 }
 
-fn cut_by_server_stops(evidence: &Evidence<'_>) -> usize {
+fn interrupted_by_server_stops(evidence: &Evidence<'_>) -> usize {
     let outcomes = evidence
         .callers
         .iter()
@@ -186,8 +187,8 @@
         .sum()
 }
 
-fn cut_by_node_stops(evidence: &Evidence<'_>) -> usize {
-    let cut_by = |stop: &NodeDeparture| {
+fn interrupted_by_node_stops(evidence: &Evidence<'_>) -> usize {
+    let interrupted_by = |stop: &NodeDeparture| {
         let in_flight = |record: &&CallerRecord| {
             record.node == Some(stop.address) && record.due < stop.at && stop.at < record.finished
         };
@@ -195,5 +196,5 @@
         let cut = evidence.callers.iter().filter(in_flight).filter(unknown);
         cut.count()
     };
-    evidence.node_departures.iter().map(cut_by).sum()
+    evidence.node_departures.iter().map(interrupted_by).sum()
 }
--- a/crates/ledgelead-lab/src/demo/demonstration.rs
+++ b/crates/ledgelead-lab/src/demo/demonstration.rs
@@ -51,7 +51,7 @@
 /// Pause between two looks at what is due.
 const TICK: Duration = Duration::from_millis(5);
 /// Longest wait, after the load, for the end of a node's stop.
-const NODE_STOP_PATIENCE: Duration = Duration::from_secs(5);
+const NODE_STOP_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often the live summary is printed.
 const LIVE_INTERVAL: Span = Span::from_seconds(1);
 
@@ -96,7 +96,7 @@
     let idle_traffic = ControlTraffic::start(&deployment);
     let direct = Load::start(deployment.clock, direct)?.finish();
     let idle_bytes_per_second = idle_traffic.bytes_per_second(&deployment);
-    live::print(options, || "straight to the back ends: done".to_owned());
+    live::print(options, || "direct load on the back ends: done".to_owned());
 
     let routed_time = options.duration.less(direct_time);
     let first_request = direct.len() as u64 + 1;
@@ -175,7 +175,7 @@
         let mut next_live = self.started + LIVE_INTERVAL;
         while !self.load.is_finished() {
             let now = self.deployment.clock.now();
-            self.disturb(now, options)?;
+            self.inject_faults(now, options)?;
             if now >= next_live {
                 next_live = next_live + LIVE_INTERVAL;
                 live::print(options, || live::summary(&self.deployment, self.load.log()));
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    fn disturb(&mut self, now: Time, options: &Options) -> Result<(), DemoError> {
+    fn inject_faults(&mut self, now: Time, options: &Options) -> Result<(), DemoError> {
         let share = now.since(self.started).as_seconds() / self.duration.as_seconds();
         if self.kill.is_none() && share >= KILL_AT {
             self.undisturbed_control_bytes_per_second =
@@ -202,14 +202,12 @@
         }
         if self.leave.is_none() && share >= LEAVE_AT {
             let leave = self.ask_server_to_leave()?;
-            live::print(options, || {
-                format!("{} wishes to leave", leave.departure.server)
-            });
+            live::print(options, || format!("{} is leaving", leave.departure.server));
             self.leave = Some(leave);
         }
         if self.node_stop.is_none() && share >= NODE_STOP_AT {
             self.node_stop = self.stop_node()?;
-            live::print(options, || "a node stops".to_owned());
+            live::print(options, || "stopping a node".to_owned());
         }
         self.stop_drained_server();
         Ok(())
@@ -217,27 +215,27 @@
 
     /// A back end that owns slices and was left alone so far.
     fn owner(&self) -> Result<ServerId, DemoError> {
-        let touched = self.kill.as_ref().map(|kill| kill.departure.server);
+        let killed = self.kill.as_ref().map(|kill| kill.departure.server);
         self.deployment
             .servers
             .iter()
             .filter(|server| !server.claimable().is_empty())
             .map(|server| server.settings().server)
-            .find(|server| Some(*server) != touched)
+            .find(|server| Some(*server) != killed)
             .ok_or(DemoError::NoOwner)
     }
 
     fn kill_server(&mut self) -> Result<Kill, DemoError> {
-        let victim = self.owner()?;
+        let server_id = self.owner()?;
         let server = self
             .deployment
-            .server_mut(victim)
+            .server_mut(server_id)
             .ok_or(DemoError::NoOwner)?;
         let slices = server.claimable();
         server.kill();
         let at = server.stopped_at().ok_or(DemoError::NoOwner)?;
         let departure = Departure {
-            server: victim,
+            server: server_id,
             at,
             planned: false,
         };
@@ -245,15 +243,15 @@
     }
 
     fn ask_server_to_leave(&mut self) -> Result<Leave, DemoError> {
-        let leaver = self.owner()?;
+        let server_id = self.owner()?;
         let at = self.deployment.clock.now();
         let server = self
             .deployment
-            .server_mut(leaver)
+            .server_mut(server_id)
             .ok_or(DemoError::NoOwner)?;
         server.leave();
         let departure = Departure {
-            server: leaver,
+            server: server_id,
             at,
             planned: true,
         };
@@ -320,7 +318,7 @@
         let departures = kill.into_iter().chain(leave).collect::<Vec<_>>();
         let node_departures = self.node_stop.iter().map(|stop| stop.departure);
         let node_departures = node_departures.collect::<Vec<_>>();
-        let violations = checker::judge(&Evidence {
+        let violations = checker::check(&Evidence {
             callers: &records,
             executions: &executions,
             departures: &departures,
@@ -405,7 +403,7 @@
 impl NodeStop {
     /// How long the stop took; `None` while it lasts.
     fn duration_ms(&self) -> Option<f64> {
-        let stopped = self.stopped.recv_timeout(NODE_STOP_PATIENCE).ok()?;
+        let stopped = self.stopped.recv_timeout(NODE_STOP_TIMEOUT).ok()?;
         Some(stopped.since(self.departure.at).as_millis())
     }
 }
--- a/crates/ledgelead-lab/src/demo/deployment.rs
+++ b/crates/ledgelead-lab/src/demo/deployment.rs
@@ -109,7 +109,7 @@
                 *probe += 1;
                 let outcome = send_probe(client, node.http_address(), key, *probe);
                 if !matches!(outcome, CallerOutcome::Answered { matches: true, .. }) {
-                    return Some(format!("{} tells a probe {outcome:?}", node.node()));
+                    return Some(format!("{} answered a probe with {outcome:?}", node.node()));
                 }
             }
         }
--- a/crates/ledgelead-lab/src/demo/http.rs
+++ b/crates/ledgelead-lab/src/demo/http.rs
@@ -15,7 +15,7 @@
 /// Time for these threads to take the connections that keep them busy.
 const SETTLING_TIME: Duration = Duration::from_millis(10);
 /// How often connections that are queued nevertheless are freed.
-pub const NUDGE_INTERVAL: Span = Span::from_millis(50);
+pub const WAKE_INTERVAL: Span = Span::from_millis(50);
 
 /// A server that listens on a free port of the loopback interface.
 ///
@@ -25,15 +25,15 @@
 /// wait until some connection ends. So the threads that the pool starts with
 /// are kept busy, which makes it add a thread for each connection, and
 /// [`Listening::nudge`] frees what is queued nevertheless.
-pub struct Listening {
+pub struct HttpListener {
     server: Server,
     address: SocketAddr,
     _held: Vec<TcpStream>,
 }
 
-impl Listening {
+impl HttpListener {
     /// Starts a server.
-    pub fn start() -> io::Result<Listening> {
+    pub fn start() -> io::Result<HttpListener> {
         let server = Server::from_listener(listener()?, None).map_err(io::Error::other)?;
         let address = server
             .server_addr()
@@ -43,7 +43,7 @@
             .map(|_| TcpStream::connect(address))
             .collect::<io::Result<Vec<_>>>()?;
         thread::sleep(SETTLING_TIME);
-        Ok(Listening {
+        Ok(HttpListener {
             server,
             address,
             _held: held,
@@ -62,9 +62,9 @@
 
     /// Opens and closes a connection: the thread that takes it goes on with a
     /// connection that is queued.
-    pub fn nudge(&self) {
+    pub fn wake_queued(&self) {
         if let Err(error) = TcpStream::connect(self.address) {
-            log::debug!("no nudge: {error}");
+            log::debug!("failed to connect to wake a queued connection: {error}");
         }
     }
 }
--- a/crates/ledgelead-lab/src/demo/nodes.rs
+++ b/crates/ledgelead-lab/src/demo/nodes.rs
@@ -104,7 +104,7 @@
         .spawn(move || Node::start(settings).map_err(|error| error.to_string()))?;
     match starting.join() {
         Ok(result) => result.map_err(io::Error::other),
-        Err(_) => Err(io::Error::other("the node's start panicked")),
+        Err(_) => Err(io::Error::other("starting the node panicked")),
     }
 }
 
--- a/crates/ledgelead-lab/src/demo/platform_endpoint.rs
+++ b/crates/ledgelead-lab/src/demo/platform_endpoint.rs
@@ -1,7 +1,7 @@
 //! The platform's object API on a real socket (`docs/platform-interface.md`).
 
 use super::clock::WallClock;
-use super::http::{self, Listening};
+use super::http::{self, HttpListener};
 use crate::standin::platform::{PlatformResponse, PlatformState, WatchId};
 use ledgelead_types::platform::{
     MachineEntry, MachineState, ObjectVersion, PlatformCall, PlatformError, PlatformReply,
@@ -31,7 +31,7 @@
 pub struct PlatformEndpoint {
     state: Arc<Mutex<PlatformState>>,
     clock: WallClock,
-    server: Arc<Listening>,
+    server: Arc<HttpListener>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -39,10 +39,10 @@
 impl PlatformEndpoint {
     /// Starts an empty platform.
     pub fn start(clock: WallClock) -> io::Result<PlatformEndpoint> {
-        let server = Arc::new(Listening::start()?);
+        let server = Arc::new(HttpListener::start()?);
         let state = Arc::new(Mutex::new(PlatformState::default()));
         let stop = Arc::new(AtomicBool::new(false));
-        let serving = Serving {
+        let serving = ServerThread {
             state: Arc::clone(&state),
             clock,
             watches: BTreeMap::new(),
@@ -100,20 +100,20 @@
     until: Time,
 }
 
-struct Serving {
+struct ServerThread {
     state: Arc<Mutex<PlatformState>>,
     clock: WallClock,
     watches: BTreeMap<WatchId, PendingWatch>,
 }
 
-impl Serving {
-    fn run(mut self, listening: &Listening, stop: &AtomicBool) {
+impl ServerThread {
+    fn run(mut self, listening: &HttpListener, stop: &AtomicBool) {
         let mut next_nudge = self.clock.now();
         while !stop.load(Ordering::SeqCst) {
             let now = self.clock.now();
             if now >= next_nudge {
-                listening.nudge();
-                next_nudge = now + http::NUDGE_INTERVAL;
+                listening.wake_queued();
+                next_nudge = now + http::WAKE_INTERVAL;
             }
             match listening.server().recv_timeout(IDLE_WAIT) {
                 Ok(Some(request)) => self.serve(request),
--- a/crates/ledgelead-lab/src/demo/relay.rs
+++ b/crates/ledgelead-lab/src/demo/relay.rs
@@ -42,7 +42,7 @@
     }
 
     /// Closes every connection in both directions and accepts no more.
-    pub fn cut(&self) {
+    pub fn disconnect(&self) {
         if self.shared.cut.swap(true, Ordering::SeqCst) {
             return;
         }
@@ -58,7 +58,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.cut();
+        self.disconnect();
     }
 }
 
--- a/crates/ledgelead-lab/src/demo/report.rs
+++ b/crates/ledgelead-lab/src/demo/report.rs
@@ -212,7 +212,7 @@
     fn write_costs(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
-            "straight to the back ends: {} answered, p50 {:.2} ms, p99 {:.2} ms",
+            "direct load on the back ends: {} answered, p50 {:.2} ms, p99 {:.2} ms",
             self.direct_answered, self.direct_latency_ms_p50, self.direct_latency_ms_p99
         )?;
         writeln!(
@@ -239,7 +239,7 @@
         writeln!(formatter, "unknown: {:?}", self.unknown_reasons)?;
         write!(
             formatter,
-            "broken promises: {} ({:?})",
+            "violations: {} ({:?})",
             self.violations, self.violations_by_name
         )
     }
--- a/crates/ledgelead-lab/src/demo/server_endpoint.rs
+++ b/crates/ledgelead-lab/src/demo/server_endpoint.rs
@@ -4,10 +4,10 @@
 //! [`ServerState`](crate::standin::server::ServerState).
 
 use super::clock::WallClock;
-use super::http::Listening;
+use super::http::HttpListener;
 use super::nodes;
 use super::relay::Relay;
-use super::server_thread::Serving;
+use super::server_thread::ServerThread;
 use crate::standin::Moment;
 use crate::standin::execution::Execution;
 use crate::standin::server::{ServerSettings, ServerState};
@@ -48,7 +48,7 @@
     settings: EndpointSettings,
     address: SocketAddr,
     shared: Arc<Shared>,
-    server: Arc<Listening>,
+    server: Arc<HttpListener>,
     relay: Option<Relay>,
     thread: Option<JoinHandle<()>>,
     stopped_at: Option<Time>,
@@ -75,7 +75,7 @@
 impl ServerEndpoint {
     /// Starts a server that holds nothing.
     pub fn start(clock: WallClock, settings: EndpointSettings) -> io::Result<ServerEndpoint> {
-        let server = Arc::new(Listening::start()?);
+        let server = Arc::new(HttpListener::start()?);
         let relay = match settings.killable {
             true => Some(Relay::start(server.address())?),
             false => None,
@@ -87,7 +87,7 @@
             stop: AtomicBool::new(false),
         });
         let key = ServerKey::new(&Secret::new(nodes::SERVER_KEY));
-        let serving = Serving::new(settings, Arc::clone(&shared), key);
+        let serving = ServerThread::new(settings, Arc::clone(&shared), key);
         let listening = Arc::clone(&server);
         let thread = thread::Builder::new()
             .name(format!("lab-server-{}", settings.server.0))
@@ -151,7 +151,7 @@
     /// answers.
     pub fn kill(&mut self) {
         if let Some(relay) = &self.relay {
-            relay.cut();
+            relay.disconnect();
         }
         self.stop_thread();
     }
@@ -161,11 +161,11 @@
     pub fn executions(&self) -> Vec<Execution> {
         let mut states = self.shared.states();
         states.collect_ended();
-        let cut_short = |execution: &Execution| Execution {
+        let terminated = |execution: &Execution| Execution {
             ended: self.stopped_at,
             ..*execution
         };
-        let unfinished = states.routed.unfinished().map(cut_short);
+        let unfinished = states.routed.unfinished().map(terminated);
         let ended = states.executions.iter().copied();
         ended.chain(unfinished).collect()
     }
--- a/crates/ledgelead-lab/src/demo/server_request.rs
+++ b/crates/ledgelead-lab/src/demo/server_request.rs
@@ -62,7 +62,7 @@
 }
 
 /// How many cancelled attempts that have not arrived yet are remembered.
-const REMEMBERED_CANCELLATIONS: usize = 256;
+const MAX_REMEMBERED_CANCELLATIONS: usize = 256;
 
 /// Gives each open attempt a key of its own, whatever form its name has.
 #[derive(Debug, Default)]
@@ -96,7 +96,7 @@
 
     /// Remembers that an attempt was cancelled before it arrived.
     pub fn cancel_unknown(&mut self, name: &str) {
-        if self.cancelled.len() >= REMEMBERED_CANCELLATIONS {
+        if self.cancelled.len() >= MAX_REMEMBERED_CANCELLATIONS {
             self.cancelled.pop_front();
         }
         self.cancelled.push_back(name.to_owned());
@@ -108,7 +108,7 @@
     }
 
     /// Forgets an attempt that has ended.
-    pub fn forget(&mut self, key: AttemptKey) {
+    pub fn remove(&mut self, key: AttemptKey) {
         self.keys.retain(|_, known| *known != key);
     }
 }
--- a/crates/ledgelead-lab/src/demo/server_thread.rs
+++ b/crates/ledgelead-lab/src/demo/server_thread.rs
@@ -2,7 +2,7 @@
 //! executions when their service time has passed.
 
 use super::answer;
-use super::http::{self, Listening};
+use super::http::{self, HttpListener};
 use super::records::RequestNumber;
 use super::server_endpoint::{EndpointSettings, SentBy, Shared};
 use super::server_request::{self, AttemptNames};
@@ -25,10 +25,10 @@
 /// Path of cancellations.
 const CANCEL_PATH: &str = "/ledgelead/cancel";
 /// Status of an order whose signature is missing or wrong.
-const UNSIGNED: u16 = 403;
+const UNSIGNED_STATUS: u16 = 403;
 
 /// A request whose answer is due.
-struct Open {
+struct OpenRequest {
     request: Request,
     sent_by: SentBy,
     number: Option<RequestNumber>,
@@ -37,26 +37,30 @@
 
 /// An execution that ends at a known time.
 #[derive(Clone, Copy, Debug)]
-struct Due {
+struct DueExecution {
     at: Time,
     key: AttemptKey,
     sent_by: SentBy,
 }
 
 /// What the thread holds.
-pub(super) struct Serving {
+pub(super) struct ServerThread {
     settings: EndpointSettings,
     shared: Arc<Shared>,
     key: ServerKey,
     names: AttemptNames,
-    open: BTreeMap<AttemptKey, Open>,
-    due: Vec<Due>,
+    open: BTreeMap<AttemptKey, OpenRequest>,
+    due: Vec<DueExecution>,
 }
 
-impl Serving {
+impl ServerThread {
     /// A thread that takes orders of nodes that hold the key.
-    pub(super) fn new(settings: EndpointSettings, shared: Arc<Shared>, key: ServerKey) -> Serving {
-        Serving {
+    pub(super) fn new(
+        settings: EndpointSettings,
+        shared: Arc<Shared>,
+        key: ServerKey,
+    ) -> ServerThread {
+        ServerThread {
             settings,
             shared,
             key,
@@ -67,13 +71,13 @@
     }
 
     /// Serves until the endpoint stops it.
-    pub(super) fn run(mut self, listening: &Listening) {
+    pub(super) fn run(mut self, listening: &HttpListener) {
         let mut next_nudge = self.shared.clock.now();
         while !self.shared.stop.load(Ordering::SeqCst) {
             let now = self.shared.clock.now();
             if now >= next_nudge {
-                listening.nudge();
-                next_nudge = now + http::NUDGE_INTERVAL;
+                listening.wake_queued();
+                next_nudge = now + http::WAKE_INTERVAL;
             }
             match listening.server().recv_timeout(self.time_to_next_end()) {
                 Ok(Some(request)) => self.serve(request),
@@ -103,7 +107,7 @@
             return http::answer(request, 400, Vec::new(), &[]);
         };
         if !self.is_signed(&request, "", &body) {
-            return http::answer(request, UNSIGNED, Vec::new(), &[]);
+            return http::answer(request, UNSIGNED_STATUS, Vec::new(), &[]);
         }
         let Ok(renewal) = codec::decode::<LeaseRenewal>(&body) else {
             return http::answer(request, 400, Vec::new(), &[]);
@@ -116,7 +120,7 @@
     fn cancel(&mut self, request: Request) {
         let name = http::header_of(&request, server_request::ATTEMPT_HEADER).unwrap_or_default();
         if !self.is_signed(&request, name, &[]) {
-            return http::answer(request, UNSIGNED, Vec::new(), &[]);
+            return http::answer(request, UNSIGNED_STATUS, Vec::new(), &[]);
         }
         self.cancel_attempt(name);
         http::answer(request, 200, Vec::new(), &[]);
@@ -164,7 +168,7 @@
             tier: server_request::tier(&request),
             service_time: self.settings.service_time,
         };
-        let open = Open {
+        let open = OpenRequest {
             request,
             sent_by,
             number,
@@ -180,8 +184,8 @@
         let now = self.shared.clock.now();
         let (ended, due) = self.due.iter().partition(|due| due.at <= now);
         self.due = due;
-        let ended: Vec<Due> = ended;
-        for Due { key, sent_by, .. } in ended {
+        let ended: Vec<DueExecution> = ended;
+        for DueExecution { key, sent_by, .. } in ended {
             let now = Moment::exact(self.shared.clock.now());
             self.shared.states().state(sent_by).finish(now, key);
             self.carry_out(sent_by);
@@ -211,14 +215,14 @@
             }
             ServerAction::Started { key, duration } => {
                 let at = now + duration;
-                self.due.push(Due { at, key, sent_by });
+                self.due.push(DueExecution { at, key, sent_by });
             }
             ServerAction::Ended { key, answer } => self.answer(key, answer),
         }
     }
 
     fn answer(&mut self, key: AttemptKey, ended: ServerAnswer) {
-        self.names.forget(key);
+        self.names.remove(key);
         let Some(open) = self.open.remove(&key) else {
             return;
         };
--- a/crates/ledgelead-lab/src/hollow/cpu.rs
+++ b/crates/ledgelead-lab/src/hollow/cpu.rs
@@ -9,9 +9,9 @@
 use std::time::Instant;
 
 /// Pieces longer than this may hold a preemption, in nanoseconds.
-const LONG_PIECE_NANOS: u64 = 100_000;
+const PREEMPTIBLE_PIECE_NANOS: u64 = 100_000;
 /// Pieces between two looks at the waiting time.
-const PIECES_PER_LOOK: u32 = 256;
+const PIECES_PER_CHECK: u32 = 256;
 
 /// Times pieces of work.
 #[derive(Debug, Default)]
@@ -25,14 +25,14 @@
     /// nanoseconds.
     pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> (T, u64) {
         self.pieces += 1;
-        if self.pieces >= PIECES_PER_LOOK {
+        if self.pieces >= PIECES_PER_CHECK {
             self.pieces = 0;
             self.waited_before = waited_nanos();
         }
         let start = Instant::now();
         let result = work();
         let elapsed = start.elapsed().as_nanos() as u64;
-        if elapsed <= LONG_PIECE_NANOS {
+        if elapsed <= PREEMPTIBLE_PIECE_NANOS {
             return (result, elapsed);
         }
         let waited = waited_nanos();
--- a/crates/ledgelead-lab/src/hollow/deployment.rs
+++ b/crates/ledgelead-lab/src/hollow/deployment.rs
@@ -53,9 +53,9 @@
 
     /// Service and zone of a server, by its index: the groups of a service get
     /// servers in turn, and each group's servers go over the zones in turn.
-    pub fn place_of(&self, server: usize) -> ServerPlace {
+    pub fn location_of(&self, server: usize) -> ServerLocation {
         let round = server / self.groups();
-        ServerPlace {
+        ServerLocation {
             service: service_id(server % self.groups() / self.groups_per_service),
             zone: round % ZONES,
         }
@@ -75,7 +75,7 @@
 
 /// Where a server belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerPlace {
+pub struct ServerLocation {
     /// Its service.
     pub service: ServiceId,
     /// Index of its zone.
@@ -139,7 +139,7 @@
 }
 
 fn server(shape: &DeploymentShape, index: usize) -> ServerConfiguration {
-    let place = shape.place_of(index);
+    let place = shape.location_of(index);
     ServerConfiguration {
         id: server_id(index),
         name: Text(format!("server-{index}")),
--- a/crates/ledgelead-lab/src/hollow/nodes.rs
+++ b/crates/ledgelead-lab/src/hollow/nodes.rs
@@ -154,7 +154,7 @@
             decode::<PeerMessage>(payload)
         });
         let Ok(message) = message else {
-            log::error!("a node sent a message that does not decode");
+            log::error!("failed to decode a message from a node");
             return;
         };
         let account = &mut self.accounts[to.index];
@@ -164,12 +164,12 @@
         account.count(traffic, Direction::In, payload.len() + HEADER_BYTES);
         let groups = groups_with_routes_in(&message);
         self.input(to, Input::Peer { from, message });
-        self.note_routes(to, &groups);
+        self.record_routes(to, &groups);
     }
 
     /// Notes the routes that are in force on a node after a message that
     /// brought some, whole or as a change.
-    fn note_routes(&mut self, run: NodeRun, groups: &[GroupId]) {
+    fn record_routes(&mut self, run: NodeRun, groups: &[GroupId]) {
         let now = self.now;
         for group in groups {
             let process = self.process_of(run);
@@ -228,7 +228,7 @@
             } => self.renew(run, call, server, renewal),
             Output::CallPlatform { call, request } => self.call_platform(run, call, request),
             Output::Record(event) => self.recorded(run, &event),
-            Output::CommandFinished { result, .. } => self.note_command(&result),
+            Output::CommandFinished { result, .. } => self.record_command(&result),
             Output::Stopped => self.node_restarts_later(run.index),
             Output::Forward(forward) => self.forward(run, &forward),
             Output::Respond { outcome, .. } => self.responded(outcome),
@@ -250,7 +250,10 @@
         let account = &mut self.accounts[run.index];
         account.codec_nanos += nanos;
         let Some(frame_bytes) = frame else {
-            log::error!("a message of {} bytes fits no frame", payload.len());
+            log::error!(
+                "a message of {} bytes exceeds the frame size",
+                payload.len()
+            );
             return;
         };
         account.partners.insert(to);
@@ -292,14 +295,14 @@
         }
     }
 
-    fn note_command(&mut self, result: &CommandResult) {
+    fn record_command(&mut self, result: &CommandResult) {
         let is_done = matches!(
             result,
             CommandResult::Configured { .. } | CommandResult::Operated { .. }
         );
         if !is_done {
             self.failed_commands += 1;
-            log::warn!("a command ended as {result:?}");
+            log::warn!("command failed: {result:?}");
         }
     }
 
--- a/crates/ledgelead-lab/src/hollow/phases.rs
+++ b/crates/ledgelead-lab/src/hollow/phases.rs
@@ -19,7 +19,7 @@
 /// Longest time that the start may take.
 const START_LIMIT: Span = Span::from_seconds(60);
 /// Quiet time after the start and between phases.
-const QUIET: Span = Span::from_seconds(10);
+const QUIET_TIME: Span = Span::from_seconds(10);
 /// Changes of the configuration a second in their phase.
 const CHANGES_PER_SECOND: f64 = 0.5;
 /// Moved slices a second in their phase.
@@ -33,7 +33,7 @@
 /// Bytes of a megabyte in reports.
 const BYTES_PER_MEGABYTE: u64 = 1_000_000;
 /// Rate that an operator sets in a change.
-const CHANGED_RATE: usize = 10_000;
+const MAX_CHANGED_RATE: usize = 10_000;
 
 /// What a phase did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,14 +138,14 @@
         }
         let nodes = self.nodes.len();
         self.run_until(|held| held.live_nodes == nodes);
-        self.run_for(QUIET);
+        self.run_for(QUIET_TIME);
         if !self.options.configure_first {
             self.store_first_configuration();
         }
         let groups = self.shape.groups();
         self.run_until(|held| held.routes == groups && held.unserved_slices == 0);
         self.started_after = self.now;
-        self.run_for(QUIET);
+        self.run_for(QUIET_TIME);
     }
 
     fn run_until(&mut self, is_done: impl Fn(&HeldState) -> bool) {
@@ -186,7 +186,7 @@
             resident_bytes: process_usage::read()?.resident_bytes,
         };
         phase.show_progress(self.now);
-        self.run_for(QUIET);
+        self.run_for(QUIET_TIME);
         Ok(phase)
     }
 
@@ -195,7 +195,7 @@
         let running: Vec<usize> = self.running_nodes().collect();
         let rate = REQUESTS_PER_NODE_AND_SECOND * running.len() as f64;
         (0..(rate * seconds / 2.0) as usize)
-            .map(|_| Planned::Request(running[self.plan_dice.below(running.len())]))
+            .map(|_| Planned::Request(running[self.plan_rng.below(running.len())]))
             .collect()
     }
 
@@ -203,7 +203,7 @@
         let mut chosen = Vec::new();
         let count = count.min(self.nodes.len() / 3).max(1);
         while chosen.len() < count {
-            let index = self.plan_dice.below(self.nodes.len());
+            let index = self.plan_rng.below(self.nodes.len());
             let planned = plan(index);
             if !chosen.contains(&planned) {
                 chosen.push(planned);
@@ -241,8 +241,8 @@
     }
 
     fn change_configuration(&mut self) {
-        let rate = self.plan_dice.below(CHANGED_RATE) as u32;
-        let number = self.plan_dice.below(deployment::CALLERS as usize) as u32 + 1;
+        let rate = self.plan_rng.below(MAX_CHANGED_RATE) as u32;
+        let number = self.plan_rng.below(deployment::CALLERS as usize) as u32 + 1;
         let change = ConfigurationChange::PutCaller(deployment::caller(number, rate));
         self.command(AdministrationAction::Configure(List(vec![change])));
     }
@@ -252,15 +252,15 @@
         let Some(view) = self.nodes.iter().find_map(|node| node.view(self.now)) else {
             return;
         };
-        let group = self.plan_dice.below(view.groups.len());
+        let group = self.plan_rng.below(view.groups.len());
         let routes = &view.groups[group].routes;
         let active: Vec<_> = routes
             .servers
             .iter()
             .filter(|server| server.status == ServerStatus::Active)
             .collect();
-        let slice = self.plan_dice.below(routes.slices.len());
-        let to = self.plan_dice.below(active.len());
+        let slice = self.plan_rng.below(routes.slices.len());
+        let to = self.plan_rng.below(active.len());
         let (Some(slice), Some(to)) = (routes.slices.get(slice), active.get(to)) else {
             return;
         };
@@ -275,7 +275,7 @@
     /// Sends a command to a random node.
     fn command(&mut self, action: AdministrationAction) {
         let running: Vec<usize> = self.running_nodes().collect();
-        let index = running[self.plan_dice.below(running.len())];
+        let index = running[self.plan_rng.below(running.len())];
         let Some(run) = self.nodes[index].run() else {
             return;
         };
--- a/crates/ledgelead-lab/src/hollow/requests.rs
+++ b/crates/ledgelead-lab/src/hollow/requests.rs
@@ -35,9 +35,9 @@
             return;
         };
         self.requests.arrived += 1;
-        let service = self.plan_dice.below(self.shape.services);
-        let number = self.plan_dice.below(CALLERS as usize) as u32 + 1;
-        let key = self.plan_dice.number().to_le_bytes().to_vec();
+        let service = self.plan_rng.below(self.shape.services);
+        let number = self.plan_rng.below(CALLERS as usize) as u32 + 1;
+        let key = self.plan_rng.number().to_le_bytes().to_vec();
         let arrival = RequestArrival {
             request: RequestId(self.requests.arrived),
             service: Text(format!("service-{service}")),
--- a/crates/ledgelead-lab/src/hollow/world.rs
+++ b/crates/ledgelead-lab/src/hollow/world.rs
@@ -48,9 +48,9 @@
     pub lags: Lags,
     pub(super) stopwatch: Stopwatch,
     pub(super) sealer: FrameSealer,
-    pub(super) network_dice: RandomStream,
+    pub(super) network_rng: RandomStream,
     pub(super) process_rng: RandomStream,
-    pub(super) plan_dice: RandomStream,
+    pub(super) plan_rng: RandomStream,
     pub(super) commands: u64,
     /// Requests so far.
     pub requests: RequestCounts,
@@ -66,7 +66,7 @@
     pub fn new(options: &Options, costs: Costs) -> World {
         let shape = DeploymentShape::new(options);
         let servers = (0..shape.servers)
-            .map(|index| HollowServer::new(index, shape.place_of(index).zone))
+            .map(|index| HollowServer::new(index, shape.location_of(index).zone))
             .collect();
         let mut world = World {
             options: *options,
@@ -80,9 +80,9 @@
             lags: Lags::default(),
             stopwatch: Stopwatch::default(),
             sealer: FrameSealer::new(),
-            network_dice: RandomStream::new(options.seed, NETWORK_STREAM),
+            network_rng: RandomStream::new(options.seed, NETWORK_STREAM),
             process_rng: RandomStream::new(options.seed, PROCESS_STREAM),
-            plan_dice: RandomStream::new(options.seed, PLAN_STREAM),
+            plan_rng: RandomStream::new(options.seed, PLAN_STREAM),
             commands: 0,
             requests: RequestCounts::default(),
             started_after: Time::ZERO,
@@ -140,7 +140,7 @@
 
     /// Draws the delay of a message between zones.
     pub(super) fn delay(&mut self, from: usize, to: usize) -> Span {
-        network::delay(&mut self.network_dice, from, to)
+        network::delay(&mut self.network_rng, from, to)
     }
 
     fn handle(&mut self, event: Event) {
--- a/crates/ledgelead-lab/src/overload/experiment.rs
+++ b/crates/ledgelead-lab/src/overload/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs the deployment at each load and replays its arrivals in the models.
+//! Runs the deployment under each load and replays its arrivals in the models.
 
 use super::Plan;
 use super::models::{Job, Model, ServiceShape, answers};
@@ -15,12 +15,12 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Time after the load begins until requests count.
+/// Time between the start of the load and the start of the measurement.
 const LOAD_SETTLE_TIME: Span = Span::from_seconds(5);
-/// The load ends this long before the run; requests count until then.
+/// The load and the measurement end this long before the run.
 const LOAD_ENDS_BEFORE: Span = Span::from_seconds(5);
 
-/// Results of one load.
+/// Results of a run with one load.
 struct LoadResult {
     rows: Vec<Row>,
     violations: u64,
@@ -39,7 +39,9 @@
                         return;
                     };
                     let result = run_load(scenario, plan, *load);
-                    let mut results = results.lock().expect("no run panics while it holds this");
+                    let mut results = results
+                        .lock()
+                        .expect("no run panics while holding the lock");
                     results.insert(index, result);
                 }
             });
@@ -68,7 +70,7 @@
     report
 }
 
-/// The scenario without faults, under a constant load.
+/// The scenario without faults and under a constant load.
 fn at_load(scenario: &Scenario, plan: &Plan, load: f64) -> Scenario {
     let mut scenario = scenario.clone();
     scenario.faults.clear();
@@ -141,8 +143,8 @@
     Row::count(label, ended, &tiers, window(scenario), capacity)
 }
 
-/// Round robin and fewest in flight are the same for keys, which have one
-/// owner each.
+/// For keyed services, `RoundRobin` and `LeastInFlight` are the same because each key has one
+/// owner.
 fn models(service: &ServiceSection) -> Vec<Model> {
     if service.partitioning == Partitioning::None {
         vec![Model::RoundRobin, Model::LeastInFlight, Model::Ideal]
@@ -151,13 +153,13 @@
     }
 }
 
-/// A repeat that was never sent to a server was answered with the first answer
-/// or refused: it is no work of its own.
+/// A retry that was never sent to a server was refused or answered from the first attempt, so
+/// it used no server.
 fn used_a_server(request: &TracedRequest) -> bool {
     !request.is_retry || request.server.is_some()
 }
 
-/// The end of a request in the run.
+/// The completion of a request in the run.
 fn ended(request: &TracedRequest) -> Ended {
     Ended {
         tier: usize::from(request.tier.0),
@@ -168,8 +170,8 @@
     }
 }
 
-/// The run's requests in the order of their arrival. A key's owner is the
-/// server that its requests were last sent to in the run.
+/// The requests of the run in order of arrival. The owner of a key is the server to which its
+/// requests were last sent in the run.
 fn jobs(scenario: &Scenario, service: usize, mut traced: Vec<&TracedRequest>) -> Vec<Job> {
     traced.sort_by_key(|request| request.sent);
     let first = deployment::servers(scenario)
@@ -223,7 +225,7 @@
     jobs.iter().zip(ends).map(ended).collect()
 }
 
-/// From a caller through a gateway to a server, on average over the zones.
+/// Mean one-way time from a caller through a gateway to a server, averaged over the zones.
 fn mean_hop(scenario: &Scenario) -> Span {
     let network = &scenario.network;
     let zones = scenario.zones.len() as f64;
--- a/crates/ledgelead-lab/src/overload/mod.rs
+++ b/crates/ledgelead-lab/src/overload/mod.rs
@@ -1,6 +1,6 @@
-//! `ledgelead-lab overload`: a whole deployment without faults under several
-//! loads, compared with models of other kinds of dispatch under the arrivals
-//! of the same run.
+//! The `ledgelead-lab overload` command. Runs a complete deployment without faults under
+//! several loads and compares it with models of other dispatch methods that get the same
+//! arrivals.
 
 mod experiment;
 pub mod models;
@@ -13,14 +13,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Loads of each service as shares of its capacity, unless told otherwise.
+/// Default loads of each service, as shares of its capacity.
 const LOADS: [f64; 5] = [0.5, 0.8, 0.95, 2.0, 5.0];
-/// Virtual seconds of each run, unless told otherwise.
+/// Default length of each run, in virtual seconds.
 const SECONDS: u64 = 60;
-/// Most threads used unless told otherwise.
+/// Default maximum number of threads.
 const THREADS: usize = 4;
 
-/// What is to be measured.
+/// Settings of the experiment.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Loads of each service as shares of its capacity.
@@ -29,7 +29,7 @@
     pub seed: u64,
     /// Virtual seconds of each run.
     pub seconds: u64,
-    /// Runs at once.
+    /// Number of runs at the same time.
     pub threads: usize,
 }
 
@@ -44,10 +44,9 @@
     }
 }
 
-/// Runs `overload` with the arguments behind its name.
+/// Runs `overload` with its command line arguments.
 ///
-/// # Errors
-/// A wrong command line, or a scenario that can't be read.
+/// # Errors Returns an error if the command line is invalid or the scenario can't be read.
 pub fn run(parser: &mut lexopt::Parser) -> Result<ExitCode, SimulateError> {
     let mut plan = Plan::default();
     let mut scenario = None;
@@ -67,7 +66,7 @@
     let report = measure(&read_scenario(&path)?, &plan);
     if json {
         let text = serde_json::to_string(&report);
-        println!("{}", text.expect("a report is plain data"));
+        println!("{}", text.expect("a report is serializable"));
     } else {
         report.print();
     }
--- a/crates/ledgelead-lab/src/overload/models.rs
+++ b/crates/ledgelead-lab/src/overload/models.rs
@@ -1,26 +1,26 @@
-//! Models of other ways to divide the servers' slots among gateways, under
-//! the arrivals and service times of a run.
+//! Models of other methods to share the servers' slots among gateways, which replay the
+//! arrivals and service times of a run.
 //!
-//! A model has stations with slots and a queue in front of them; a job reaches
-//! its station one hop after its arrival, and its answer takes one hop back.
+//! A model has stations with slots and a queue each. A job reaches its station one hop after
+//! its arrival, and its answer takes another hop back.
 
 use ledgelead_types::{Span, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How a request finds its server, and in what order servers work.
+/// Determines to which server a request goes, and in which order servers execute requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Model {
-    /// Each gateway takes turns over the servers, which queue without tiers.
-    /// A key's requests go to its owner.
+    /// Each gateway uses the servers in rotation; servers queue without tiers. Requests with a
+    /// key go to the owner of the key.
     RoundRobin,
-    /// Each gateway sends to the server with the fewest of its own requests,
-    /// which queues without tiers. A key's requests go to its owner.
+    /// Each gateway uses the server with the fewest of its own requests in flight; servers
+    /// queue without tiers. Requests with a key go to the owner of the key.
     LeastInFlight,
-    /// One queue an owner with full knowledge, in strict order of tiers: the
-    /// limit for a service that is divided by key as it is.
+    /// One queue per owner with complete knowledge and strict tier priority: the upper bound
+    /// for a keyed service with the given owners.
     IdealByOwner,
-    /// One queue over all servers with full knowledge, in strict order of
-    /// tiers: the limit.
+    /// A single queue for all servers with complete knowledge and strict tier priority: the
+    /// upper bound.
     Ideal,
 }
 
@@ -35,20 +35,20 @@
         }
     }
 
-    /// Whether it knows tiers, and what can't end in time.
+    /// Whether the model knows tiers and drops requests that can't finish in time.
     fn is_ideal(self) -> bool {
         matches!(self, Model::IdealByOwner | Model::Ideal)
     }
 }
 
-/// A request of the run.
+/// A request of the run to replay.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// When its caller sent it.
     pub arrived: Time,
     /// Index of its tier; the first is the highest.
     pub tier: usize,
-    /// Time that a server needs.
+    /// Execution time at a server.
     pub service_time: Span,
     /// When its caller gives up.
     pub deadline: Time,
@@ -58,18 +58,18 @@
     pub owner: Option<usize>,
 }
 
-/// The service that a model serves.
+/// Size of the simulated service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceShape {
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Slots of each.
+    /// Slots per server.
     pub slots: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Tiers.
+    /// Number of tiers.
     pub tiers: usize,
-    /// From caller to server, one way, through a gateway.
+    /// One-way time from caller to server through a gateway.
     pub hop: Span,
 }
 
@@ -80,7 +80,7 @@
     queues: Vec<VecDeque<usize>>,
 }
 
-/// Arrivals at a station come before departures of the same moment.
+/// Arrivals at a station are processed before departures at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrives,
@@ -95,13 +95,13 @@
     steps: BTreeSet<(Time, Step, usize)>,
     station_of: Vec<usize>,
     rotation: Vec<usize>,
-    /// Requests of each gateway at each server.
+    /// Requests in flight, by gateway and server.
     in_flight: Vec<Vec<usize>>,
     ends: Vec<Option<Time>>,
 }
 
-/// When each job's caller has its answer; `None` for one that is dropped or
-/// answered after its deadline. `jobs` are in the order of their arrival.
+/// Times at which the callers receive their answers; `None` for jobs that are dropped or
+/// answered after their deadline. `jobs` must be in order of arrival.
 pub fn answers(model: Model, jobs: &[Job], shape: ServiceShape) -> Vec<Option<Time>> {
     let mut run = Run::new(model, jobs, shape);
     for (job, planned) in jobs.iter().enumerate() {
@@ -170,7 +170,7 @@
         self.rotation[gateway]
     }
 
-    /// The server with the fewest of a gateway's requests; ties in turn.
+    /// The server with the fewest requests of a gateway; ties are broken in rotation.
     fn least_loaded_server(&mut self, gateway: usize) -> usize {
         let start = self.next_in_rotation(gateway);
         let counts = &self.in_flight[gateway];
@@ -218,8 +218,8 @@
         }
     }
 
-    /// A server drops what is past its deadline; the ideal queue also what
-    /// can't end before it.
+    /// Servers drop requests whose deadline has passed; the ideal queues also those that can't
+    /// finish in time.
     fn start(&mut self, now: Time, station: usize, job: usize) {
         let Job {
             service_time,
--- a/crates/ledgelead-lab/src/overload/report.rs
+++ b/crates/ledgelead-lab/src/overload/report.rs
@@ -1,30 +1,30 @@
-//! Figures of the experiment.
+//! Results of the overload experiment.
 
 use ledgelead_types::{Outcome, Span, Time};
 use serde::Serialize;
 
-/// How one request ended.
+/// The completion of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     /// Index of its tier.
     pub tier: usize,
     /// When it was sent.
     pub sent: Time,
-    /// When its caller heard the end.
+    /// When its caller received the outcome or gave up.
     pub ended: Time,
-    /// How; `None` when the caller heard nothing.
+    /// The outcome; `None` if the caller received none.
     pub outcome: Option<Outcome>,
-    /// Whether it repeats another under its idempotency key. It counts only
-    /// as work that was done.
+    /// Whether it retries another request with the same idempotency key. Retries count only as
+    /// server load.
     pub is_retry: bool,
 }
 
-/// Part of a run over which requests count.
+/// The measured part of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// First moment.
+    /// Start.
     pub from: Time,
-    /// Last moment.
+    /// End (exclusive).
     pub until: Time,
 }
 
@@ -54,41 +54,41 @@
     pub p99_ms: f64,
 }
 
-/// One service under one load by one kind of dispatch.
+/// Results of a service under one load with one dispatch method.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// Name of the service.
     pub service: String,
-    /// Load offered, as a share of the capacity.
+    /// Offered load, as a share of the capacity.
     pub load: f64,
-    /// Kind of dispatch.
+    /// Dispatch method.
     pub dispatch: &'static str,
-    /// Requests answered in the window over what the servers can serve.
+    /// Requests answered in the window divided by the number that the servers can execute.
     pub goodput: f64,
-    /// Requests sent in the window that were told "not run", as a share.
+    /// Share of the requests sent in the window whose outcome was "not run".
     pub refused: f64,
-    /// Requests sent in the window whose end is unknown, as a share.
+    /// Share of the requests sent in the window with an unknown outcome.
     pub unknown: f64,
     /// Median over all tiers, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile over all tiers, in milliseconds.
     pub p99_ms: f64,
-    /// The tiers, the highest first.
+    /// Results by tier, highest first.
     pub tiers: Vec<TierRow>,
 }
 
-/// A target and what was measured.
+/// A target and the measured value.
 #[derive(Clone, Debug, Serialize)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// What is compared.
+    /// Description of the target.
     pub target: &'static str,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
     /// Its bound.
     pub bound: f64,
-    /// Whether the figure keeps the bound.
+    /// Whether the value meets the bound.
     pub met: bool,
 }
 
@@ -99,17 +99,17 @@
     pub scenario: String,
     /// Seed of the run.
     pub seed: u64,
-    /// Virtual seconds measured at each load.
+    /// Length of the measurement at each load, in virtual seconds.
     pub measured_seconds: f64,
-    /// Broken promises over all loads.
+    /// Number of violations over all loads.
     pub violations: u64,
     /// Results by service, load and dispatch.
     pub rows: Vec<Row>,
-    /// Targets, where the loads that they need were run.
+    /// Targets for which the required loads were run.
     pub targets: Vec<Target>,
 }
 
-/// Name of the row of the system itself.
+/// Dispatch name of the real system.
 pub const PERMITS: &str = "permits";
 
 fn percentiles(spans: &mut [Span]) -> (f64, f64) {
@@ -122,8 +122,7 @@
 }
 
 impl Row {
-    /// Counts the ends of a service's requests. `capacity` is in requests a
-    /// second.
+    /// Summarizes the completed requests of a service. `capacity` is in requests per second.
     pub fn count(
         (service, load, dispatch): (&str, f64, &'static str),
         ended: &[Ended],
@@ -180,7 +179,7 @@
 }
 
 impl OverloadReport {
-    /// Fills in the targets that the rows allow to judge.
+    /// Evaluates the targets for which the rows are available.
     pub fn evaluate_targets(&mut self) {
         let mut services: Vec<String> = self.rows.iter().map(|row| row.service.clone()).collect();
         services.dedup();
@@ -236,7 +235,7 @@
         self.targets.extend(targets);
     }
 
-    /// The tables in Markdown.
+    /// Prints the results as Markdown tables.
     pub fn print(&self) {
         println!(
             "| service | load | dispatch | goodput | refused | unknown | p50 ms | p99 ms | p99 ms by tier |"
@@ -273,6 +272,6 @@
                 if target.met { "yes" } else { "no" },
             );
         }
-        println!("\nbroken promises: {}", self.violations);
+        println!("\nviolations: {}", self.violations);
     }
 }
--- a/crates/ledgelead-lab/src/processes/load.rs
+++ b/crates/ledgelead-lab/src/processes/load.rs
@@ -74,7 +74,7 @@
                     break;
                 }
                 if clock.now().since(started) > READY_LIMIT {
-                    let missing = format!("{node} tells a probe {outcome:?}");
+                    let missing = format!("{node} answered a probe with {outcome:?}");
                     return Err(ProcessError::NotReady(missing));
                 }
                 std::thread::sleep(READY_PAUSE);
--- a/crates/ledgelead-lab/src/scenario/check.rs
+++ b/crates/ledgelead-lab/src/scenario/check.rs
@@ -1,11 +1,11 @@
-//! Checks of a scenario whose sections were all read.
+//! Validates a scenario after all sections were read.
 
 use super::parse::Finding;
 use super::{FaultKind, FaultSpecification, Scenario, ServiceSection};
 use ledgelead_types::configuration::Partitioning;
 use ledgelead_types::timing::CLOCK_DRIFT_PPM;
 
-/// Adds a finding for everything that is out of bounds or contradicts.
+/// Adds a finding for each value that is out of range or contradicts another one.
 pub(super) fn check(scenario: &Scenario, findings: &mut Vec<Finding>) {
     check_run(scenario, findings);
     check_deployment(scenario, findings);
@@ -114,7 +114,7 @@
     require(
         service.load.hot_keys == 0 || service.partitioning != Partitioning::None,
         format!("{place}.load.hot_keys"),
-        "need a service that is divided by key",
+        "require a keyed service",
         findings,
     );
 }
--- a/crates/ledgelead-lab/src/scenario/faults.rs
+++ b/crates/ledgelead-lab/src/scenario/faults.rs
@@ -1,67 +1,66 @@
-//! Faults of a scenario: at a fixed time, or drawn from the seed.
+//! Faults of a scenario, at a fixed time or at random times.
 
 use serde::Deserialize;
 
-/// What fails.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A node's process dies and a new one starts on the same address.
+    /// A node's process is killed, and a new one starts at the same address.
     KillNode,
-    /// A node's process stands still, then goes on as if nothing happened.
+    /// A node's process makes no progress for a while, then continues.
     PauseNode,
-    /// A node is stopped as planned and started again.
+    /// A node is stopped as planned and restarted.
     StopNode,
-    /// A server dies and starts again.
+    /// A server is killed and restarted.
     KillServer,
-    /// A server stands still, then goes on as if nothing happened.
+    /// A server makes no progress for a while, then continues.
     FreezeServer,
-    /// A server asks to be drained, leaves when it may, and comes back.
+    /// A server asks to be drained, stops when it is drained, and comes back.
     LeaveServer,
-    /// A server misreports its load as idle.
+    /// A server reports that it is idle regardless of its load.
     MisleadingHealth,
-    /// A node is cut off from all others and from the platform.
+    /// A node is partitioned from all other nodes and the platform.
     CutNode,
-    /// A server is cut off from all nodes.
+    /// A server is partitioned from all nodes.
     CutServer,
-    /// A zone is cut off from the other zones.
+    /// A zone is partitioned from the other zones.
     CutZone,
-    /// A region is cut off from the other regions.
+    /// A region is partitioned from the other regions.
     CutRegion,
-    /// Messages are lost, doubled, delayed and reordered more than usual.
+    /// More messages than usual are lost, duplicated, delayed and reordered.
     DegradeNetwork,
-    /// The platform answers nothing.
+    /// All calls to the platform fail without an effect.
     PlatformDown,
-    /// The platform answers late.
+    /// The platform responds late.
     PlatformSlow,
-    /// The platform's answers are lost after the effect.
+    /// The platform carries out calls, but its responses are lost.
     PlatformLosesAnswers,
-    /// Two operators change the same thing at once.
+    /// Two operators change the same setting at the same time.
     RacingCommands,
-    /// An operator drains a server and activates it again.
+    /// An operator drains a server and later activates it again.
     DrainServer,
     /// An operator moves a slice.
     MoveSlice,
-    /// A server that owns slices dies for good; unavailable time is measured.
+    /// A server that owns slices is killed permanently; unavailability is measured.
     LoseOwner,
-    /// The leader of a keyed service's group dies for good.
+    /// The leader of a keyed service's group is killed permanently.
     LoseLeader,
-    /// A leader and a server that owns slices die at the same moment.
+    /// A leader and a server that owns slices are killed at the same moment.
     LoseLeaderAndOwner,
-    /// A zone's nodes and servers die at the same moment.
+    /// All nodes and servers of a zone are killed at the same moment.
     LoseZone,
-    /// All but one of the voters of a keyed service's group die at the same
-    /// moment.
+    /// All but one of the voters of a keyed service's group are killed at the same moment.
     LoseQuorum,
-    /// All nodes die at the same moment.
+    /// All nodes are killed at the same moment.
     LoseAllNodes,
-    /// All nodes and servers die at the same moment; the platform is left.
+    /// All nodes and servers are killed at the same moment; only the platform remains.
     LoseAllButPlatform,
 }
 
 impl FaultKind {
-    /// Whether it takes something away that requests or leases need, so that
-    /// another loss at the same time is a loss of two.
+    /// Whether it removes something that requests or leases depend on, so that a second one at
+    /// the same time counts as a double loss.
     pub fn is_loss(self) -> bool {
         match self {
             FaultKind::MisleadingHealth
@@ -93,16 +92,16 @@
     }
 }
 
-/// A fault and when it happens.
+/// A fault and its schedule.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpecification {
-    /// What fails.
+    /// Its kind.
     pub kind: FaultKind,
-    /// When, in seconds after the start.
+    /// Start, in seconds after the start of the run.
     #[serde(default)]
     pub at_seconds: Option<f64>,
-    /// How often, on average; drawn from the seed.
+    /// Mean number of occurrences per minute, at random times.
     #[serde(default)]
     pub per_minute: Option<f64>,
     /// Shortest duration, in seconds.
--- a/crates/ledgelead-lab/src/scenario/mod.rs
+++ b/crates/ledgelead-lab/src/scenario/mod.rs
@@ -1,7 +1,7 @@
 //! Scenario files: a deployment, its load and its faults.
 //!
-//! [`parse`] reads every section on its own, so that all mistakes of a file
-//! are found at once and reported with their place.
+//! [`parse`] reads every section separately, so that all errors in a file are reported at once
+//! with their location.
 
 mod check;
 mod faults;
@@ -12,22 +12,22 @@
 pub use parse::{Finding, parse};
 pub use sections::*;
 
-/// A whole scenario.
+/// A complete scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// General settings.
     pub run: RunSection,
-    /// Latency and quality of the network.
+    /// Latency and reliability of the network.
     pub network: NetworkSection,
-    /// The system's own processes.
+    /// The nodes of the system under test.
     pub nodes: NodesSection,
     /// The platform.
     pub platform: PlatformSection,
-    /// Zones, in the order of their identifiers.
+    /// Zones in the order of their identifiers.
     pub zones: Vec<ZoneSection>,
-    /// Services, in the order of their identifiers.
+    /// Services in the order of their identifiers.
     pub services: Vec<ServiceSection>,
-    /// Tiers, in the order of their identifiers.
+    /// Tiers in the order of their identifiers.
     pub tiers: Vec<TierSection>,
     /// Faults.
     pub faults: Vec<FaultSpecification>,
--- a/crates/ledgelead-lab/src/scenario/parse.rs
+++ b/crates/ledgelead-lab/src/scenario/parse.rs
@@ -1,16 +1,16 @@
-//! Reads a scenario file and collects every mistake.
+//! Reads scenario files and collects all errors.
 
 use super::{Scenario, check};
 use serde::de::DeserializeOwned;
 use std::fmt;
 use toml::{Table, Value};
 
-/// A mistake in a scenario file.
+/// An error in a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Place in the file, such as `services[2].slots`.
+    /// Location in the file, such as `services[2].slots`.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -31,9 +31,8 @@
 
 /// Reads a scenario.
 ///
-/// # Errors
-/// Every mistake that was found: wrong syntax is reported alone, otherwise
-/// every section is read and then checked against the others.
+/// # Errors Returns all errors found. A syntax error is reported alone; otherwise every
+/// section is read and then checked against the others.
 pub fn parse(text: &str) -> Result<Scenario, Vec<Finding>> {
     let mut sections = Sections {
         table: text
--- a/crates/ledgelead-lab/src/scenario/sections.rs
+++ b/crates/ledgelead-lab/src/scenario/sections.rs
@@ -3,7 +3,7 @@
 use ledgelead_types::configuration::{BalanceConfiguration, Partitioning};
 use serde::Deserialize;
 
-/// Length of the run.
+/// General settings of the run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunSection {
@@ -11,21 +11,21 @@
     pub name: String,
     /// Length of the run in virtual seconds.
     pub virtual_seconds: u64,
-    /// Seconds at the start without load counted and without faults.
+    /// Initial seconds without measured load and without faults.
     pub warm_up_seconds: u64,
     /// Seconds of load after the warm-up before balance is measured.
     #[serde(default)]
     pub settle_seconds: u64,
-    /// Seconds at the end without new faults, so that the deployment can
-    /// settle before the last checks.
+    /// Final seconds without new faults, so that the deployment can recover before the last
+    /// checks.
     pub quiet_seconds: u64,
-    /// Width of the windows over which imbalance is averaged, in seconds.
+    /// Length of the windows over which imbalance is averaged, in seconds.
     #[serde(default = "default_window")]
     pub imbalance_window_seconds: u64,
-    /// Period of the daily rise and fall of the load, in seconds; 0 for none.
+    /// Period of the daily load cycle, in seconds; 0 for none.
     #[serde(default)]
     pub diurnal_period_seconds: u64,
-    /// Height of the daily rise and fall, as a share of the mean.
+    /// Amplitude of the daily load cycle, as a share of the mean.
     #[serde(default)]
     pub diurnal_amplitude: f64,
 }
@@ -34,7 +34,7 @@
     10
 }
 
-/// Latency and quality of the network. Times are one way.
+/// Latency and reliability of the network. Latencies are one-way.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkSection {
@@ -55,23 +55,23 @@
     /// Messages between nodes that arrive twice, in percent.
     #[serde(default)]
     pub duplicate_percent: f64,
-    /// Messages that are overtaken by later ones, in percent.
+    /// Messages that later ones overtake, in percent.
     #[serde(default)]
     pub reorder_percent: f64,
-    /// How long a new connection takes, in milliseconds.
+    /// Time to open a connection, in milliseconds.
     pub connect_ms: f64,
-    /// How long a server takes to answer a probe or renewal, in milliseconds.
+    /// Time for a server to respond to a probe or renewal, in milliseconds.
     pub probe_ms: f64,
 }
 
-/// The system's own processes.
+/// The nodes of the system under test.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodesSection {
     /// Nodes in each zone.
     pub per_zone: u32,
-    /// Largest deviation of a process's clock from true time, in parts per
-    /// million either way.
+    /// Maximum deviation of a process's clock from true time, in parts per million in either
+    /// direction.
     pub clock_drift_ppm: u64,
 }
 
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSection {
-    /// One way to the platform, in milliseconds.
+    /// One-way latency to the platform, in milliseconds.
     pub latency_ms: f64,
-    /// How long a change of a machine takes to show in the list, in seconds.
+    /// Delay until a machine's change appears in the machine list, in seconds.
     pub machine_list_lag_seconds: f64,
 }
 
@@ -96,7 +96,7 @@
     pub region: String,
 }
 
-/// A tier and the share of the load that its callers send.
+/// A tier and its share of the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierSection {
@@ -104,7 +104,7 @@
     pub name: String,
     /// Weight of its share of contested capacity.
     pub weight: u32,
-    /// Least share of a server's capacity, in percent.
+    /// Minimum share of a server's capacity, in percent.
     #[serde(default)]
     pub guaranteed_percent: u8,
     /// Share of each service's load, in percent.
@@ -117,7 +117,7 @@
 pub struct ServiceSection {
     /// Name.
     pub name: String,
-    /// How keys become positions.
+    /// How keys are mapped to positions.
     pub partitioning: Partitioning,
     /// Number of groups.
     #[serde(default = "one_group")]
@@ -125,28 +125,27 @@
     /// Replicas of each group.
     #[serde(default = "three_replicas")]
     pub replicas: u8,
-    /// Slices that a group starts with for each of its servers.
+    /// Initial number of slices per server of a group.
     #[serde(default = "eight_slices")]
     pub slices_per_server: u16,
-    /// Instances, spread over the zones in turn.
+    /// Number of instances, distributed over the zones in rotation.
     pub instances: u32,
-    /// Requests that an instance executes at once.
+    /// Requests that an instance executes concurrently.
     pub slots: u16,
-    /// Connections that an instance accepts.
+    /// Maximum number of connections to an instance.
     pub connections: u16,
     /// Mean service time, in milliseconds.
     pub service_ms: f64,
-    /// Share of the service time that varies, exponentially distributed, from
-    /// 0 to 1.
+    /// Share of the service time that is exponentially distributed, from 0 to 1.
     #[serde(default = "half")]
     pub service_variable_share: f64,
     /// How long an instance is cold after its start, in seconds.
     #[serde(default)]
     pub cold_seconds: f64,
-    /// Factor on the service times of a cold instance.
+    /// Factor by which service times are longer on a cold instance.
     #[serde(default = "one")]
     pub cold_factor: f64,
-    /// Price of moving keys against uneven load.
+    /// Cost of moving keys, weighed against uneven load.
     #[serde(default)]
     pub balance: BalanceConfiguration,
     /// Load.
@@ -173,7 +172,7 @@
     1.0
 }
 
-/// Load of a service: open loop, Poisson arrivals.
+/// Open-loop load of a service with Poisson arrivals.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadSection {
@@ -185,35 +184,35 @@
     /// Exponent of the Zipf distribution of the keys' popularity.
     #[serde(default)]
     pub zipf: f64,
-    /// Hot keys on top of it.
+    /// Number of additional hot keys.
     #[serde(default)]
     pub hot_keys: u32,
     /// Share of the load that goes to the hot keys, in percent.
     #[serde(default)]
     pub hot_percent: f64,
-    /// How often the hot keys change, in seconds; 0 for never.
+    /// Interval between changes of the hot keys, in seconds; 0 for never.
     #[serde(default)]
     pub hot_move_seconds: f64,
-    /// How many hot keys change at a time; 0 for all.
+    /// Number of hot keys that change at a time; 0 for all.
     #[serde(default)]
     pub hot_keys_moved: u32,
-    /// How often archives are pulled, in seconds; 0 for never.
+    /// Interval between load bursts caused by archive downloads, in seconds; 0 for never.
     #[serde(default)]
     pub pull_every_seconds: u64,
-    /// How long a pull lasts, in seconds.
+    /// Duration of such a burst, in seconds.
     #[serde(default)]
     pub pull_seconds: u64,
-    /// Factor on the load during a pull.
+    /// Factor on the load during a burst.
     #[serde(default = "one")]
     pub pull_factor: f64,
     /// Requests that run at most once, in percent.
     #[serde(default)]
     pub once_only_percent: f64,
-    /// Requests that run at most once and are sent again by the caller under
-    /// the same idempotency key through another node, in percent of those.
+    /// Share of these at-most-once requests that the caller sends a second time with the same
+    /// idempotency key through another node, in percent.
     #[serde(default)]
     pub repeat_percent: f64,
-    /// Time that callers give a request, in milliseconds.
+    /// Deadline of requests, in milliseconds.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u64,
 }
--- a/crates/ledgelead-lab/src/simulation/callers.rs
+++ b/crates/ledgelead-lab/src/simulation/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: an open loop of Poisson arrivals for each service, with Zipf
-//! popularity, hot keys that move, tiers, and requests that may run once.
+//! Callers: open-loop Poisson arrivals per service, with Zipf-distributed key popularity,
+//! changing hot keys, tiers, and requests that may run at most once.
 
 use super::event::NodeRun;
 use super::key_load::Popularity;
@@ -10,36 +10,36 @@
 use ledgelead_types::{Bytes, Position, PositionRange, RequestId, Span, TierId, Time};
 use std::collections::BTreeMap;
 
-/// A request as its caller knows it.
+/// A request from the caller's point of view.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
     /// Index of the service.
     pub service: usize,
-    /// Key, for a service that is divided by key.
+    /// Its key, if the service is keyed.
     pub key: Option<Bytes>,
     /// Tier of the caller.
     pub tier: TierId,
-    /// Time that the caller gives it.
+    /// How long the caller allows the request to take.
     pub deadline: Span,
-    /// Time that a warm server needs.
+    /// Execution time on a warm server.
     pub service_time: Span,
-    /// What may run once, if anything.
+    /// What may run at most once, if anything.
     pub once: Option<OnceKey>,
     /// When it was sent.
     pub sent: Time,
-    /// The run of a node that accepted it, and its number there.
+    /// The node incarnation that accepted it, and its request number there.
     pub accepted: Option<(NodeRun, RequestId)>,
-    /// Slice that it probes, if it is a probe.
+    /// The probe that it belongs to, if any.
     pub probe: Option<usize>,
     /// Whether it counts in the measurements.
     pub counted: bool,
-    /// Whether it repeats an earlier request under its idempotency key.
+    /// Whether it retries an earlier request with the same idempotency key.
     pub is_retry: bool,
-    /// Index of the server that it was last sent to.
+    /// Index of the server to which it was last sent.
     pub server: Option<usize>,
 }
 
-/// Keys and popularity of a service.
+/// Keys of a service and their popularity.
 pub struct ServiceLoad {
     pub(super) section: ServiceSection,
     pub(super) keyed: bool,
@@ -54,12 +54,12 @@
 pub struct Callers {
     /// Load of each service.
     pub services: Vec<ServiceLoad>,
-    /// Requests that have not ended for their callers.
+    /// Requests whose callers have not received an outcome, by the number in the body.
     pub open: BTreeMap<u64, CallerRequest>,
     tiers: Vec<f64>,
     last_body: u64,
     last_idempotency: u64,
-    /// Draws of the load.
+    /// Random numbers of the load.
     pub rng: RandomStream,
 }
 
@@ -84,7 +84,7 @@
         load
     }
 
-    /// The bytes of a key.
+    /// The bytes of the key with this number.
     fn key(&self, number: u32) -> Bytes {
         Bytes(format!("{number:08}-{}", self.section.name).into_bytes())
     }
@@ -93,7 +93,7 @@
         Position::of(&self.key(number).0, self.section.partitioning)
     }
 
-    /// Draws new hot keys, all at first, then as many as move at a time.
+    /// Draws new hot keys: all of them initially, later as many as change at a time.
     pub fn move_hot_keys(&mut self, rng: &mut RandomStream) {
         let load = &self.section.load;
         let keys = load.keys as usize;
@@ -104,7 +104,7 @@
         if self.hot.is_empty() {
             self.hot = (0..load.hot_keys).map(|_| rng.below(keys) as u32).collect();
         } else {
-            // The longest hot cool down first.
+            // Drop the keys that have been hot the longest.
             self.hot.drain(..moved as usize);
             self.hot.extend((0..moved).map(|_| rng.below(keys) as u32));
         }
@@ -122,7 +122,7 @@
         self.order[rank.min(self.order.len() - 1)]
     }
 
-    /// A key whose position lies in a range.
+    /// A key whose position is in the range.
     fn key_in(&self, range: PositionRange) -> Option<u32> {
         let first = self
             .by_position
@@ -131,7 +131,7 @@
         range.contains(*position).then_some(*key)
     }
 
-    /// Mean requests a second at the mean of the day.
+    /// Mean requests per second, averaged over the daily cycle.
     pub fn mean_rate(&self) -> f64 {
         let slots = f64::from(self.section.instances) * f64::from(self.section.slots);
         const MILLIS_PER_SECOND: f64 = 1_000.0;
@@ -146,7 +146,7 @@
 }
 
 impl Callers {
-    /// The callers of a scenario.
+    /// Creates the callers of a scenario.
     pub fn new(scenario: &Scenario, mut rng: RandomStream) -> Callers {
         Callers {
             services: scenario
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Draws a request of a service; returns the number in its body.
+    /// Draws a request for a service and returns the number in its body.
     pub fn draw(&mut self, service: usize, now: Time) -> u64 {
         let load = &self.services[service];
         let key = load.keyed.then(|| load.key(load.draw_key(&mut self.rng)));
@@ -203,7 +203,7 @@
         body
     }
 
-    /// A caller's repeat of a request under its idempotency key.
+    /// Creates a retry of a request with the same idempotency key.
     pub fn retry(&mut self, original: &CallerRequest, now: Time) -> u64 {
         let body = self.next_body();
         let request = CallerRequest {
@@ -216,7 +216,7 @@
         body
     }
 
-    /// A cheap request for a key in a range; `None` when no key lies there.
+    /// Creates a cheap request for a key in a range; `None` if the range contains no key.
     pub fn probe(
         &mut self,
         probe: usize,
@@ -264,7 +264,7 @@
     }
 }
 
-/// Cumulative popularity of ranks under a Zipf distribution.
+/// Cumulative popularity by rank under a Zipf distribution.
 fn zipf(count: u32, exponent: f64) -> Vec<f64> {
     let weights = (1..=count).map(|rank| f64::from(rank).powf(-exponent));
     let mut sum = 0.0;
--- a/crates/ledgelead-lab/src/simulation/clock.rs
+++ b/crates/ledgelead-lab/src/simulation/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks of processes that run fast or slow against the run's clock.
+//! Process clocks that run fast or slow relative to the clock of the run.
 
 use super::rng::RandomStream;
 use ledgelead_types::{Span, Time};
@@ -6,19 +6,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A monotonic clock with a rate of its own and an arbitrary start.
+/// A monotonic clock with its own rate and an arbitrary start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SkewedClock {
     offset: u64,
     rate: f64,
 }
 
-/// Clocks start within this many microseconds, so that times of different
-/// processes can't be compared by accident.
+/// Range of clock starts in microseconds. Different starts expose accidental comparisons of
+/// times from different processes.
 const START_RANGE: usize = 1_000_000_000;
 
 impl SkewedClock {
-    /// A clock that deviates by at most `drift_ppm` either way.
+    /// Draws a clock that deviates by at most `drift_ppm` in either direction.
     pub fn draw(rng: &mut RandomStream, drift_ppm: u64) -> SkewedClock {
         const PARTS: f64 = 1_000_000.0;
         let drift = drift_ppm as f64 / PARTS;
@@ -28,24 +28,24 @@
         }
     }
 
-    /// What this clock shows at a point of the run.
+    /// Time on this clock at a time of the run.
     pub fn local(&self, run: Time) -> Time {
         Time(self.offset + (run.0 as f64 * self.rate) as u64)
     }
 
-    /// When, on the run's clock, this clock shows `local`.
+    /// Time of the run at which this clock shows `local`.
     pub fn run_time(&self, local: Time) -> Time {
         Time((local.0.saturating_sub(self.offset) as f64 / self.rate) as u64)
     }
 
-    /// How long this clock takes, on the run's clock, to advance by `span`.
+    /// Time on the clock of the run that this clock takes to advance by `span`.
     pub fn run_span(&self, span: Span) -> Span {
         Span((span.0 as f64 / self.rate).ceil() as u64)
     }
 }
 
-/// The clock of a node's process, which the process may stop seeing while it
-/// is paused. Shared between the world and the process's ports.
+/// The clock of a node's process. While the process is paused it sees a frozen time. Shared
+/// between the simulation and the process's ports.
 #[derive(Debug)]
 pub struct NodeClock {
     run: Rc<Cell<Time>>,
@@ -60,7 +60,7 @@
 }
 
 impl NodeClock {
-    /// A clock of a process that runs.
+    /// Creates the clock of a running process.
     pub fn new(run: Rc<Cell<Time>>, skew: SkewedClock) -> NodeClock {
         NodeClock {
             run,
@@ -69,31 +69,30 @@
         }
     }
 
-    /// Stops the process until a point of the run.
+    /// Pauses the process until a time of the run.
     pub fn pause(&self, until: Time) {
         let from = self.run.get();
         self.paused.set(Some(Pause { from, until }));
     }
 
-    /// Lets the process go on; its clock has advanced meanwhile.
+    /// Resumes the process; its clock has advanced meanwhile.
     pub fn resume(&self) {
         self.paused.set(None);
     }
 
-    /// Until when the process is paused.
+    /// End of the current pause, if any.
     pub fn paused_until(&self) -> Option<Time> {
         self.paused.get().map(|pause| pause.until)
     }
 
-    /// What the process sees. A paused process sees nothing later than the
-    /// start of its pause.
+    /// Time that the process sees. A paused process sees the start of its pause.
     pub fn now(&self) -> Time {
         let run = self.paused.get().map_or(self.run.get(), |pause| pause.from);
         self.skew.local(run)
     }
 
-    /// How long a timer has to wait on the run's clock. A paused process's
-    /// timers fire after the pause.
+    /// Delay of a timer on the clock of the run. Timers of a paused process fire after the
+    /// pause.
     pub fn timer_delay(&self, span: Span) -> Duration {
         let mut delay = self.skew.run_span(span);
         if let Some(pause) = self.paused.get() {
--- a/crates/ledgelead-lab/src/simulation/command.rs
+++ b/crates/ledgelead-lab/src/simulation/command.rs
@@ -1,4 +1,4 @@
-//! `ledgelead-lab simulate`.
+//! The `ledgelead-lab simulate` command.
 
 use super::measurements::Measurements;
 use super::page;
@@ -21,11 +21,11 @@
 /// Why a simulation could not run.
 #[derive(Debug)]
 pub enum SimulateError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Arguments(lexopt::Error),
     /// The scenario file can't be read.
     File(PathBuf, std::io::Error),
-    /// The scenario file has mistakes.
+    /// The scenario file has errors.
     Scenario(PathBuf, Vec<Finding>),
 }
 
@@ -35,7 +35,7 @@
             SimulateError::Arguments(error) => write!(formatter, "{error}"),
             SimulateError::File(path, error) => write!(formatter, "{}: {error}", path.display()),
             SimulateError::Scenario(path, findings) => {
-                write!(formatter, "{} has mistakes:", path.display())?;
+                write!(formatter, "{} has errors:", path.display())?;
                 for finding in findings {
                     write!(formatter, "\n  {finding}")?;
                 }
@@ -53,13 +53,13 @@
     }
 }
 
-/// What `simulate` is asked to do.
+/// Arguments of `simulate`.
 struct Arguments {
     scenario: PathBuf,
     seeds: RangeInclusive<u64>,
     sabotage: Option<Protection>,
     json: bool,
-    /// Directory of the page with plots.
+    /// Directory in which to write the HTML page with plots.
     report: Option<PathBuf>,
     /// Whether to run the baselines too.
     baselines: bool,
@@ -67,23 +67,22 @@
     threads: usize,
 }
 
-/// All seeds under one assigner.
+/// Results of all seeds with one assigner.
 pub struct AssignerRuns {
     /// The assigner.
     pub assigner: AssignerChoice,
-    /// What was measured, merged.
+    /// Merged measurements.
     pub measurements: Measurements,
-    /// The same as figures.
+    /// Report of the measurements.
     pub report: Report,
 }
 
-/// Most threads used unless told otherwise.
+/// Default maximum number of threads.
 const DEFAULT_THREADS: usize = 4;
 
-/// Runs `simulate` with the arguments behind its name.
+/// Runs `simulate` with its command line arguments.
 ///
-/// # Errors
-/// A wrong command line, or a scenario that can't be read.
+/// # Errors Returns an error if the command line is invalid or the scenario can't be read.
 pub fn simulate(parser: &mut lexopt::Parser) -> Result<ExitCode, SimulateError> {
     let arguments = read_arguments(parser)?;
     let scenario = read_scenario(&arguments.scenario)?;
@@ -147,7 +146,7 @@
     Ok(arguments)
 }
 
-/// Reads `A..B`, both included, or one seed.
+/// Parses an inclusive range `A..B` or a single seed.
 fn read_seeds(text: &str) -> Result<RangeInclusive<u64>, lexopt::Error> {
     let number = |part: &str| {
         part.parse::<u64>()
@@ -156,7 +155,7 @@
     let (first, last) = text.split_once("..").unwrap_or((text, text));
     let seeds = number(first)?..=number(last)?;
     if seeds.is_empty() {
-        return Err(format!("{text:?} holds no seed").into());
+        return Err(format!("{text:?} contains no seeds").into());
     }
     Ok(seeds)
 }
@@ -169,23 +168,21 @@
         Some((_, protection)) => Ok(protection),
         None => {
             let names = Protection::SABOTAGES.map(|(known, _)| known).join(", ");
-            Err(format!("no sabotage {name:?}; there are {names}").into())
+            Err(format!("unknown sabotage {name:?}; available: {names}").into())
         }
     }
 }
 
 /// Reads a scenario file.
 ///
-/// # Errors
-/// The file can't be read, or has mistakes.
+/// # Errors Returns an error if the file can't be read or has errors.
 pub fn read_scenario(path: &PathBuf) -> Result<Scenario, SimulateError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| SimulateError::File(path.clone(), error))?;
     parse(&text).map_err(|findings| SimulateError::Scenario(path.clone(), findings))
 }
 
-/// Runs every seed, several at a time, and merges them in the order of the
-/// seeds.
+/// Runs all seeds on several threads and merges the results in the order of the seeds.
 fn run_seeds(scenario: &Scenario, arguments: &Arguments, assigner: AssignerChoice) -> AssignerRuns {
     let protections = protections(arguments);
     let next = AtomicU64::new(*arguments.seeds.start());
@@ -200,7 +197,9 @@
                         return;
                     }
                     let result = run_seed(scenario, seed, protections, assigner);
-                    let mut results = results.lock().expect("no run panics while it holds this");
+                    let mut results = results
+                        .lock()
+                        .expect("no run panics while holding the lock");
                     results.insert(seed, result);
                     progress.show(results.len());
                 }
@@ -216,7 +215,7 @@
     }
 }
 
-/// The planner, and the baselines when they are asked for.
+/// The planner, and also the baselines if requested.
 fn assigners(arguments: &Arguments) -> &'static [AssignerChoice] {
     if arguments.baselines || arguments.report.is_some() {
         &AssignerChoice::ALL
@@ -225,7 +224,7 @@
     }
 }
 
-/// The command that makes the same page again.
+/// The command that reproduces the page.
 fn command_line(arguments: &Arguments) -> String {
     let sabotage = arguments.sabotage.and_then(|protection| {
         let mut sabotages = Protection::SABOTAGES.into_iter();
@@ -240,7 +239,7 @@
     )
 }
 
-/// Runs the first seed and prints it in words.
+/// Runs the first seed and prints its session log.
 fn print_session(scenario: &Scenario, arguments: &Arguments) {
     let protections = protections(arguments);
     let mut world = World::new(
@@ -289,7 +288,7 @@
     (measurements, report)
 }
 
-/// Shows progress on long runs.
+/// Reports the progress of long runs.
 struct Progress {
     assigner: AssignerChoice,
     seeds: u64,
@@ -310,7 +309,7 @@
     }
 
     fn show(&self, done: usize) {
-        let mut shown = self.shown.lock().expect("showing progress never panics");
+        let mut shown = self.shown.lock().expect("reporting progress never panics");
         if shown.elapsed() < Progress::INTERVAL {
             return;
         }
@@ -340,5 +339,5 @@
     } else {
         serde_json::to_string_pretty(&comparison)
     };
-    println!("{}", text.expect("a report is plain data"));
+    println!("{}", text.expect("a report is serializable"));
 }
--- a/crates/ledgelead-lab/src/simulation/deployment.rs
+++ b/crates/ledgelead-lab/src/simulation/deployment.rs
@@ -29,12 +29,12 @@
     Text(format!("10.0.{}.{}:7000", index / 250, index % 250 + 1))
 }
 
-/// The credential, hashed, of the caller that bought a tier.
+/// Hashed credential of a caller in a tier.
 pub fn credential_of(tier: TierId) -> Text {
     Text(format!("{:064x}", u64::from(tier.0) + 1))
 }
 
-/// Place of a server in the scenario.
+/// A server of the scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerPlan {
     /// Its identifier.
@@ -45,8 +45,8 @@
     pub zone: usize,
 }
 
-/// The servers of a scenario: the instances of each service over the zones in
-/// turn. Identifiers count from 1.
+/// The servers of a scenario. The instances of each service are distributed over the zones in
+/// rotation. Identifiers start at 1.
 pub fn servers(scenario: &Scenario) -> Vec<ServerPlan> {
     let mut plans = Vec::new();
     for (service, section) in scenario.services.iter().enumerate() {
@@ -61,7 +61,7 @@
     plans
 }
 
-/// The first configuration.
+/// The initial configuration.
 pub fn configuration(scenario: &Scenario) -> Configuration {
     Configuration {
         version: ConfigurationVersion(1),
--- a/crates/ledgelead-lab/src/simulation/event.rs
+++ b/crates/ledgelead-lab/src/simulation/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen in the simulated world.
+//! Events of the simulation.
 
 use super::operators::CommandPurpose;
 use crate::standin::execution::{AttemptKey, ServerAnswer, ServerRequest};
@@ -10,12 +10,12 @@
 use ledgelead_types::server::{LeaseRenewal, LoadReport};
 use ledgelead_types::{Incarnation, Outcome, ServerId};
 
-/// One run of a node's process, by the node's index.
+/// An incarnation of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeRun {
     /// Index of the node.
     pub index: usize,
-    /// Its run. Events of an earlier run are dropped.
+    /// Its incarnation. Events of earlier incarnations are dropped.
     pub incarnation: Incarnation,
 }
 
@@ -24,43 +24,43 @@
 pub enum Event {
     /// A node's process starts.
     StartNode(usize),
-    /// A paused node goes on.
+    /// A paused node resumes.
     ResumeNode(usize),
-    /// A node is given up that did not finish its planned stop.
+    /// The time for a node's planned stop is over.
     StopTimeout(NodeRun),
-    /// Something reaches a node.
+    /// An event reaches a node.
     ToNode(NodeRun, ToNode),
-    /// A frozen server goes on.
+    /// A frozen server resumes.
     ResumeServer(usize),
-    /// Something reaches a server; `run` is set for events of one run.
+    /// An event reaches a server.
     ToServer {
         /// Index of the server.
         index: usize,
-        /// Run of the server that it is for; `None` for any.
+        /// The incarnation of the server that the event is meant for; `None` for any.
         run: Option<u64>,
-        /// What.
+        /// The event.
         event: ToServer,
     },
-    /// A leaving server looks whether it may stop.
+    /// A leaving server checks whether it may stop.
     CheckLeaving(usize),
     /// A call reaches the platform.
     ToPlatform(NodeRun, CallId, PlatformCall),
-    /// A watch has waited long enough.
+    /// A watch times out.
     WatchTimeout(WatchId),
-    /// The next request of a service's open loop.
+    /// The next open-loop request of a service is due.
     NextArrival(usize),
     /// A caller sends a request.
     SendRequest(u64),
-    /// A caller hears how its request ended.
+    /// A caller receives the outcome of its request.
     NotifyCaller {
         /// Number in the request's body.
         body: u64,
-        /// How.
+        /// The outcome.
         outcome: Outcome,
         /// Number in the answer's body.
         answer: Option<u64>,
     },
-    /// A caller gives up.
+    /// A caller gives up waiting.
     CallerTimeout(u64),
     /// An operator sends a command.
     SendCommand(Box<AdministrationCommand>, CommandPurpose),
@@ -72,14 +72,14 @@
     Probe(usize),
     /// A service's hot keys change.
     MoveHotKeys(usize),
-    /// The checks and measurements of each second.
+    /// Runs the periodic checks and measurements.
     EverySecond,
 }
 
-/// What can reach a node.
+/// An event that reaches a node.
 #[derive(Debug)]
 pub enum ToNode {
-    /// An input of the decisions.
+    /// An input of the node's state machine.
     Input(Box<Input>),
     /// A caller's request.
     Request(u64),
@@ -87,42 +87,42 @@
     AttemptNotSent(AttemptId),
     /// An attempt's connection broke.
     AttemptLost(AttemptId),
-    /// A server's answer to an attempt.
+    /// A server answered an attempt.
     AttemptAnswered {
         /// The attempt.
         attempt: AttemptId,
         /// The answer.
         answer: ServerAnswer,
-        /// Whether the answer was cut on its way.
+        /// Whether the answer was truncated in transit.
         cut: bool,
-        /// Load that came along.
+        /// Load reported with the answer.
         load: LoadReport,
     },
     /// An attempt's deadline has passed.
     AttemptTimeout(AttemptId),
-    /// A server's answer to a renewal, or its end without one.
+    /// A server answered a renewal, or the renewal failed.
     Renewed(
         CallId,
         ServerId,
         Option<ledgelead_types::server::RenewalReply>,
     ),
-    /// The platform's answer.
+    /// The platform answered a call.
     PlatformReplied(CallId, Result<PlatformReply, PlatformError>),
 }
 
-/// What can reach a server.
+/// An event that reaches a server.
 #[derive(Debug)]
 pub enum ToServer {
     /// An attempt.
     Request {
         /// The request.
         request: ServerRequest,
-        /// Whether its connection was opened for it.
+        /// Whether a new connection was opened for it.
         fresh_connection: bool,
     },
     /// A cancellation.
     Cancel(AttemptKey),
-    /// An execution's time has passed.
+    /// An execution is complete.
     Finish(AttemptKey),
     /// A renewal.
     Renewal(NodeRun, CallId, Box<LeaseRenewal>),
--- a/crates/ledgelead-lab/src/simulation/faults.rs
+++ b/crates/ledgelead-lab/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: drawn from the seed or at their fixed time, and carried out.
+//! Schedules the faults of a scenario and carries them out.
 
 use super::deployment;
 use super::event::Event;
@@ -12,38 +12,38 @@
 use ledgelead_types::server::LoadReport;
 use ledgelead_types::{ConfigurationVersion, Position, Span, Time};
 
-/// A fault of the schedule.
+/// A scheduled fault.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// What fails.
+    /// Its kind.
     pub kind: FaultKind,
-    /// For how long; zero for good.
+    /// Its duration; zero if it is permanent.
     pub length: Span,
-    /// Index of the node, server or zone that fails, once it has begun.
+    /// Index of the affected node, server or zone, once the fault has begun.
     pub target: Option<usize>,
     /// When it began.
     pub began: Option<Time>,
-    /// Processes that died with it and start again at its end.
+    /// Processes that it terminated and that restart at its end.
     terminated: Vec<Endpoint>,
 }
 
 impl Fault {
-    /// Whether it may be felt at a time: while it lasts and for as long after
-    /// as the system may take to get over it.
+    /// Whether it may have effects at a given time: while it lasts, and for `RECOVERY_TIME`
+    /// afterwards.
     fn is_in_effect(&self, now: Time) -> bool {
         let ends = |began: Time| began + self.length + RECOVERY_TIME;
         self.began.is_some_and(|began| now < ends(began))
     }
 }
 
-/// How long the system may take to get over a loss.
+/// Time that the system may take to recover from a loss.
 const RECOVERY_TIME: Span = Span::from_seconds(5);
 
-/// How much later the platform answers when it is slow.
+/// Additional response delay of a slow platform.
 const SLOW_PLATFORM: Span = Span::from_millis(1_500);
 
 impl World<'_> {
-    /// Draws the schedule.
+    /// Creates the schedule of faults.
     pub(super) fn draw_faults(&mut self) {
         let run = &self.scenario.run;
         let first = run.warm_up_seconds as f64;
@@ -100,8 +100,8 @@
         }
     }
 
-    /// What fails: an index whose meaning depends on the kind; `None` when
-    /// there is nothing that could fail at present.
+    /// Chooses an index, whose meaning depends on the kind; `None` if nothing can be affected
+    /// at present.
     fn draw_target(&mut self, kind: FaultKind) -> Option<usize> {
         let now = self.now();
         match kind {
@@ -169,7 +169,7 @@
         })
     }
 
-    /// The kind of the loss that begins now, unless another may still be felt.
+    /// The kind of the loss that is beginning, unless another loss is still in effect.
     pub(super) fn single_loss(&self) -> Option<FaultKind> {
         let now = self.now();
         let losses = self.faults.iter().filter(|fault| fault.kind.is_loss());
@@ -248,7 +248,7 @@
         self.server_dies(index);
     }
 
-    /// Probes the slices of one server while the leader is lost.
+    /// Kills the leader and probes the slices of one server meanwhile.
     fn lose_leader(&mut self, node: usize) {
         if let Some(service) = self.keyed_service() {
             let now = self.now();
@@ -279,7 +279,7 @@
         self.lose_together(fault, (0..self.nodes.len()).collect(), servers);
     }
 
-    /// Loses a group's leader and all other voters but one.
+    /// Kills the leader and all other voters but one of a group.
     fn lose_quorum(&mut self, fault: usize, leader: usize) {
         let group = self.view(leader).and_then(|view| {
             let leading = view.groups.into_iter().find(|group| group.leads);
@@ -296,14 +296,14 @@
         self.lose_together(fault, lost, Vec::new());
     }
 
-    /// Probes the slices of all servers, which stay alive.
+    /// Probes the slices of all servers, none of which is killed.
     fn probe_all_slices(&mut self) {
         for index in 0..self.servers.len() {
             self.probe_slices_of(index);
         }
     }
 
-    /// Nodes and servers die at the same moment.
+    /// Kills nodes and servers at the same moment.
     fn lose_together(&mut self, fault: usize, nodes: Vec<usize>, servers: Vec<usize>) {
         for index in nodes {
             self.node_dies(index);
@@ -363,7 +363,7 @@
         self.update_server_reachability(index, cut);
     }
 
-    /// A server that is cut off may lose its slices without a command.
+    /// Informs the checker that a partitioned server may lose its slices without a command.
     fn update_server_reachability(&mut self, index: usize, cut: bool) {
         let now = self.now();
         let server = &mut self.servers[index];
@@ -404,7 +404,7 @@
         self.network.degrade(degradation);
     }
 
-    /// Two operators rely on the same version and change the same tier.
+    /// Two operators base their commands on the same version and change the same tier.
     fn race_commands(&mut self) {
         let present = self.checker.configuration.newest();
         for _ in 0..2 {
--- a/crates/ledgelead-lab/src/simulation/key_load.rs
+++ b/crates/ledgelead-lab/src/simulation/key_load.rs
@@ -1,6 +1,6 @@
-//! Load that each server is to expect from the keys that it owns: the true
-//! popularity of the keys, which only the simulation knows, over the slices
-//! that the server claims. Unlike counted requests it has no sampling noise.
+//! Expected load of each server: the true popularity of the keys, known only to the
+//! simulation, over the slices that the server claims. Unlike counted requests it has no
+//! sampling noise.
 
 use super::callers::ServiceLoad;
 use super::deployment;
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Popularity {
     positions: Vec<Position>,
-    /// Share of the load on the positions before each index, and on all.
+    /// Cumulative share of the load on the positions before each index, and on all.
     sums: Vec<f64>,
     hottest: f64,
 }
 
 impl Popularity {
-    /// From the share of every position, in the order of positions.
+    /// Creates it from the share of each position, in the order of positions.
     pub fn new(shares: impl IntoIterator<Item = (Position, f64)>) -> Popularity {
         let mut popularity = Popularity {
             sums: vec![0.0],
@@ -34,21 +34,21 @@
         popularity
     }
 
-    /// Share of the load that falls on a range.
+    /// Share of the load on a range.
     pub fn of(&self, range: PositionRange) -> f64 {
         let before = |position| self.positions.partition_point(|known| *known < position);
         let through = |position| self.positions.partition_point(|known| *known <= position);
         self.sums[through(range.last)] - self.sums[before(range.first)]
     }
 
-    /// Share of the load that falls on the most popular position.
+    /// Share of the load on the most popular position.
     pub fn hottest(&self) -> f64 {
         self.hottest
     }
 }
 
-/// Busiest share over the mean, or over the most popular position where this
-/// exceeds the mean: one position can't be divided.
+/// Highest share divided by the mean, or by the share of the most popular position if that is
+/// higher, since a single position can't be divided.
 pub fn imbalance_over_floor(shares: &[f64], hottest: f64) -> Option<f64> {
     let busiest = shares.iter().copied().fold(0.0, f64::max);
     let mean = 1.0 / shares.len() as f64;
@@ -56,7 +56,7 @@
 }
 
 impl World<'_> {
-    /// Notes imbalance and churn of every service that is divided by key.
+    /// Records the imbalance and churn of every keyed service.
     pub(super) fn measure_balance(&mut self) {
         let now = self.now();
         let run = &self.scenario.run;
@@ -94,17 +94,17 @@
 }
 
 impl ServiceLoad {
-    /// Whether the service is divided by key.
+    /// Whether the service is keyed.
     pub fn is_keyed(&self) -> bool {
         self.keyed
     }
 
-    /// Popularity of the keys at present.
+    /// Current popularity of the keys.
     pub fn popularity(&self) -> &Popularity {
         &self.popularity
     }
 
-    /// Works out the popularity anew, after the hot keys have moved.
+    /// Recomputes the popularity after the hot keys have changed.
     pub(super) fn update_popularity(&mut self) {
         let mut by_key = vec![0.0; self.order.len()];
         let hot_share = if self.hot.is_empty() {
--- a/crates/ledgelead-lab/src/simulation/measurements.rs
+++ b/crates/ledgelead-lab/src/simulation/measurements.rs
@@ -1,4 +1,4 @@
-//! What a run measures, apart from violations.
+//! Measurements of a run, apart from violations.
 
 use super::timeline::{BalanceRecord, Timeline};
 use super::world::World;
@@ -13,14 +13,14 @@
 use ledgelead_types::{Outcome, Span, TierId, Time};
 use std::collections::BTreeMap;
 
-/// Purpose of bytes that a node sends or receives for control.
+/// Purpose of control traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ControlKind {
-    /// Messages between nodes, apart from those on the path of requests.
+    /// Messages between nodes, apart from those of the request path.
     Peers(MessageKind),
-    /// Leases of servers.
+    /// Lease renewals of servers.
     Leases,
-    /// The platform.
+    /// Calls to the platform.
     Platform,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Measurements of one run, or of several merged.
+/// Measurements of one run or of several merged runs.
 #[derive(Clone, Debug)]
 pub struct Measurements {
     /// Requests that callers sent.
@@ -44,40 +44,39 @@
     pub answered: u64,
     /// Requests that were not run.
     pub not_run: u64,
-    /// Requests of which nobody knows.
+    /// Requests with an unknown outcome.
     pub unknown: u64,
-    /// Time from the caller's sending to a whole answer, by tier, in
-    /// microseconds.
+    /// Time from sending to the complete answer, by tier, in microseconds.
     pub latency: BTreeMap<TierId, Histogram<u64>>,
     /// Unavailable time by loss and slice, in microseconds.
     pub unavailable: Histogram<u64>,
-    /// The same by kind of loss, where no other loss was felt meanwhile.
+    /// Unavailable time by kind of loss, for losses that did not overlap with others.
     pub unavailable_single: BTreeMap<FaultKind, Histogram<u64>>,
-    /// Bytes sent and received for control, by node and kind.
+    /// Control bytes sent and received, by node and purpose.
     pub control_bytes: BTreeMap<(usize, ControlKind), u64>,
-    /// Bytes on the path of requests between nodes.
+    /// Bytes exchanged between nodes for requests.
     pub dispatch_bytes: u64,
-    /// Share of the position space that changed owner while its owner lived,
-    /// added up over the services divided by key.
+    /// Accumulated share of the position space that changed owner while its owner was alive,
+    /// over all keyed services.
     pub churned_share: f64,
-    /// Longest time until a stored configuration was in force on a node.
+    /// Longest time until a node applied a stored configuration.
     pub longest_configuration_lag: Span,
-    /// The same, from the end of the platform's latest disturbance where that
-    /// is later.
+    /// Longest time until a node applied a stored configuration, counted from the end of the
+    /// platform's last disturbance if that is later.
     pub longest_undisturbed_configuration_lag: Span,
     /// Faults that began, by kind.
     pub faults: BTreeMap<FaultKind, u64>,
-    /// Commands by how they ended.
+    /// Commands by result.
     pub commands: BTreeMap<&'static str, u64>,
     /// Events that the nodes recorded, by name.
     pub events: BTreeMap<&'static str, u64>,
-    /// Faults of the first run with their time.
+    /// Faults of the first run with the times at which they began.
     pub fault_marks: Vec<(Time, FaultKind)>,
-    /// Time measured, added up over runs.
+    /// Measured time, summed over runs.
     pub measured: Span,
     /// Imbalance and churn by service.
     pub balance: Vec<BalanceRecord>,
-    /// Course of the first run.
+    /// Time series of the first run.
     pub timeline: Timeline,
     imbalance_sum: f64,
     imbalance_windows: u64,
@@ -99,7 +98,7 @@
 }
 
 impl Measurements {
-    /// Nothing measured yet.
+    /// Creates empty measurements.
     pub fn new(scenario: &Scenario) -> Measurements {
         use ledgelead_types::configuration::Partitioning;
         let keyed =
@@ -131,7 +130,7 @@
         }
     }
 
-    /// A message between nodes.
+    /// Counts a message between nodes.
     pub fn peer_message(&mut self, now: Time, from: usize, to: usize, message: &PeerMessage) {
         let bytes = encode(message).len() as u64;
         let kind = message.kind();
@@ -143,22 +142,22 @@
         }
     }
 
-    /// A renewal that a node sends.
+    /// Counts a renewal sent by a node.
     pub fn renewal(&mut self, now: Time, node: usize, renewal: &LeaseRenewal) {
         self.control(now, node, ControlKind::Leases, encode(renewal).len() as u64);
     }
 
-    /// A server's answer that a node receives.
+    /// Counts a server's reply to a renewal.
     pub fn renewal_reply(&mut self, now: Time, node: usize, reply: &RenewalReply) {
         self.control(now, node, ControlKind::Leases, encode(reply).len() as u64);
     }
 
-    /// A call that a node sends to the platform.
+    /// Counts a call to the platform.
     pub fn platform_call(&mut self, now: Time, node: usize, call: &PlatformCall) {
         self.control(now, node, ControlKind::Platform, encode(call).len() as u64);
     }
 
-    /// The platform's answer to a node.
+    /// Counts a reply of the platform.
     pub fn platform_reply(&mut self, now: Time, node: usize, reply: &PlatformReply) {
         self.control(now, node, ControlKind::Platform, encode(reply).len() as u64);
     }
@@ -168,7 +167,7 @@
         *self.control_bytes.entry((node, kind)).or_insert(0) += bytes;
     }
 
-    /// A caller was told how its request ended.
+    /// Records the outcome reported to a caller.
     pub fn outcome_reported(&mut self, now: Time, tier: TierId, outcome: Outcome, latency: Span) {
         match outcome {
             Outcome::Answered => {
@@ -182,8 +181,8 @@
         }
     }
 
-    /// A slice was answered again this long after a loss, which was the only
-    /// one unless there is no `single`.
+    /// Records how long after a loss a slice was answered again. `single` is the kind of loss
+    /// if no other loss overlapped.
     pub fn unavailable(&mut self, span: Span, single: Option<FaultKind>) {
         record(&mut self.unavailable, span);
         if let Some(kind) = single {
@@ -192,18 +191,18 @@
         }
     }
 
-    /// A fault began.
+    /// Records the start of a fault.
     pub fn fault(&mut self, now: Time, kind: FaultKind) {
         *self.faults.entry(kind).or_insert(0) += 1;
         self.fault_marks.push((now, kind));
     }
 
-    /// A node recorded an event.
+    /// Counts an event recorded by a node.
     pub fn recorded(&mut self, event: &Event) {
         *self.events.entry(event.name()).or_insert(0) += 1;
     }
 
-    /// A command ended.
+    /// Counts the result of a command.
     pub fn command_finished(&mut self, result: &CommandResult) {
         let name = match result {
             CommandResult::Configured { .. } => "configured",
@@ -219,12 +218,12 @@
         self.imbalance_windows += 1;
     }
 
-    /// The run has ended.
+    /// Ends the measurement.
     pub fn end(&mut self, now: Time) {
         self.measured = now.since(Time::ZERO + self.warm_up);
     }
 
-    /// Adds another run's measurements.
+    /// Adds the measurements of another run.
     pub fn merge(&mut self, other: &Measurements) {
         self.requests += other.requests;
         self.answered += other.answered;
@@ -271,22 +270,22 @@
         self.imbalance_windows += other.imbalance_windows;
     }
 
-    /// Time-weighted mean of the busiest server's load over the mean, over
-    /// the services; `None` when nothing was measured.
+    /// Time-weighted mean, over the services, of the busiest server's load divided by the mean
+    /// load; `None` if nothing was measured.
     pub fn imbalance(&self) -> Option<f64> {
         let windows = self.imbalance_windows;
         (windows > 0).then(|| self.imbalance_sum / windows as f64)
     }
 
-    /// Percent of a service's position space that changes owner an hour while
-    /// its owner lives.
+    /// Percent per hour of a service's position space that changes owner while its owner is
+    /// alive.
     pub fn churn_percent_per_hour(&self) -> f64 {
         const PERCENT_TIMES_HOUR: f64 = 100.0 * 3_600.0;
         let services = self.keyed_services.max(1) as f64;
         self.churned_share * PERCENT_TIMES_HOUR / self.measured.as_seconds().max(1.0) / services
     }
 
-    /// Control bytes a second by node.
+    /// Control bytes per second by node.
     pub fn control_bytes_per_second(&self) -> BTreeMap<usize, f64> {
         let mut rates = BTreeMap::new();
         let seconds = self.measured.as_seconds().max(1.0);
@@ -296,7 +295,7 @@
         rates
     }
 
-    /// Control bytes a second by kind, over all nodes.
+    /// Control bytes per second by purpose, over all nodes.
     pub fn control_bytes_per_second_by_kind(&self) -> BTreeMap<ControlKind, f64> {
         let mut rates = BTreeMap::new();
         let seconds = self.measured.as_seconds().max(1.0);
@@ -314,8 +313,8 @@
 }
 
 impl World<'_> {
-    /// At the end of each window: busiest server's requests over the mean of
-    /// each service, over the servers that were healthy all the window.
+    /// At the end of each window, records for each service the busiest server's requests
+    /// divided by the mean, over the servers that were healthy during the whole window.
     pub(super) fn measure_imbalance(&mut self) {
         let window = Span::from_seconds(self.scenario.run.imbalance_window_seconds);
         let now = self.now();
--- a/crates/ledgelead-lab/src/simulation/mod.rs
+++ b/crates/ledgelead-lab/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A whole deployment in virtual time: the node's actors over a simulated
-//! network, stand-in servers, platform, callers and operators, every process
-//! with a clock of its own. One seed gives one run.
+//! Simulation of a complete deployment in virtual time: the node actors run over a simulated
+//! network with simulated servers, platform, callers and operators. Every process has its own
+//! clock. A seed determines the whole run.
 
 pub mod callers;
 pub mod clock;
--- a/crates/ledgelead-lab/src/simulation/network.rs
+++ b/crates/ledgelead-lab/src/simulation/network.rs
@@ -1,12 +1,12 @@
-//! The network: latency by zones, jitter, loss, duplication, reordering, and
-//! cuts between zones, regions, single nodes and single servers.
+//! The network: latency by zone, jitter, loss, duplication, reordering, and partitions of
+//! zones, regions, single nodes and single servers.
 
 use super::rng::{RandomStream, milliseconds, seconds};
 use crate::scenario::{NetworkSection, PlatformSection, ZoneSection};
 use ledgelead_types::Span;
 use std::collections::BTreeMap;
 
-/// An end of a connection.
+/// An endpoint of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
     /// A node, by index.
@@ -19,23 +19,23 @@
     Clients,
 }
 
-/// How much worse the network is than usual.
+/// Degradation of the network relative to the scenario.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Degradation {
     /// Added probability of loss.
     pub loss: f64,
     /// Added probability of a duplicate.
     pub duplicate: f64,
-    /// Added probability that a message is delayed beyond later ones.
+    /// Added probability that later messages overtake a message.
     pub reorder: f64,
 }
 
-/// How long a message that others overtake is delayed, at most, in seconds.
+/// Maximum additional delay of a reordered message, in seconds.
 const LONGEST_REORDER_SECONDS: f64 = 0.5;
-/// How long a lost segment of a connection takes to be sent again.
+/// Delay of a retransmitted segment of a connection.
 const RETRANSMISSION: Span = Span::from_millis(200);
 
-/// The network.
+/// The simulated network.
 pub struct Network {
     section: NetworkSection,
     platform_latency: Span,
@@ -49,7 +49,7 @@
 }
 
 impl Network {
-    /// A network without cuts.
+    /// Creates a network without partitions.
     pub fn new(
         section: &NetworkSection,
         platform: &PlatformSection,
@@ -69,32 +69,32 @@
         }
     }
 
-    /// Puts a node or server into a zone.
+    /// Assigns a node or server to a zone.
     pub fn put(&mut self, endpoint: Endpoint, zone: usize) {
         self.zones.insert(endpoint, zone);
     }
 
-    /// The network is worse than usual from now on; the default ends it.
+    /// Sets the degradation; the default ends it.
     pub fn degrade(&mut self, degradation: Degradation) {
         self.degradation = degradation;
     }
 
-    /// How much worse than usual the network is.
+    /// The current degradation.
     pub fn degradation(&self) -> Degradation {
         self.degradation
     }
 
-    /// Cuts a node or server off, or ends one such cut.
+    /// Begins (`cut`) or ends a partition of one endpoint from all others but clients.
     pub fn cut_endpoint(&mut self, endpoint: Endpoint, cut: bool) {
         count(&mut self.cut_endpoints, endpoint, cut);
     }
 
-    /// Cuts a zone off from the others and the platform, or ends one such cut.
+    /// Begins (`cut`) or ends a partition of a zone from the other zones and the platform.
     pub fn cut_zone(&mut self, zone: usize, cut: bool) {
         count(&mut self.cut_zones, zone, cut);
     }
 
-    /// Cuts all regions off from each other, or ends one such cut.
+    /// Begins (`cut`) or ends a partition between all regions.
     pub fn cut_regions(&mut self, cut: bool) {
         if cut {
             self.cut_regions += 1;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whether messages pass between two places.
+    /// Whether messages pass between two endpoints.
     pub fn connected(&self, from: Endpoint, to: Endpoint) -> bool {
         if self.cut_endpoints.contains_key(&from) || self.cut_endpoints.contains_key(&to) {
             return from == Endpoint::Clients || to == Endpoint::Clients;
@@ -119,7 +119,7 @@
         self.cut_regions == 0 || self.same_region(from_zone, to_zone)
     }
 
-    /// The platform counts as a part of every region.
+    /// The platform belongs to every region.
     fn same_region(&self, from: Option<&usize>, to: Option<&usize>) -> bool {
         match (from, to) {
             (Some(from), Some(to)) => self.regions[*from] == self.regions[*to],
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Whether a endpoint has been cut off in any way.
+    /// Whether an endpoint is affected by any partition.
     pub fn is_cut(&self, endpoint: Endpoint) -> bool {
         let zone = self.zones.get(&endpoint);
         self.cut_endpoints.contains_key(&endpoint)
@@ -135,7 +135,7 @@
             || self.cut_regions > 0
     }
 
-    /// Delays of the copies of one datagram: none when it is lost.
+    /// Delays of the copies of a datagram; none if it is lost.
     pub fn datagram(&mut self, from: Endpoint, to: Endpoint) -> Delays {
         let loss = self.section.loss_percent / 100.0 + self.degradation.loss;
         if !self.connected(from, to) || self.rng.chance(loss) {
@@ -147,8 +147,8 @@
         Delays([first, second])
     }
 
-    /// Delay of a message on a connection, which sends lost parts again;
-    /// `None` while the places are cut off from each other.
+    /// Delay of a message on a connection, which retransmits lost segments; `None` while the
+    /// endpoints are partitioned from each other.
     pub fn segment(&mut self, from: Endpoint, to: Endpoint) -> Option<Span> {
         if !self.connected(from, to) {
             return None;
--- a/crates/ledgelead-lab/src/simulation/nodes.rs
+++ b/crates/ledgelead-lab/src/simulation/nodes.rs
@@ -1,5 +1,5 @@
-//! The system's own processes: start, stop, loss, pauses, and what their
-//! input and output do between the decisions and the world.
+//! Node processes: start, stop, loss and pauses, and the input and output between their state
+//! machines and the simulated network.
 
 use super::clock::{NodeClock, SkewedClock};
 use super::deployment;
@@ -21,46 +21,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How long a node waits for a server's answer to a renewal.
+/// How long a node waits for a reply to a renewal.
 const RENEWAL_TIMEOUT: Span = Span::from_millis(300);
-/// How long a node may take over a planned stop.
+/// Time limit of a planned stop.
 const STOP_TIMEOUT: Span = Span::from_seconds(20);
 
-/// A node: its machine, and its process while it runs.
+/// A node's machine, with its process while it is running.
 pub struct NodeProcess {
     /// Its identifier.
     pub node: NodeId,
     /// Index of its zone.
     pub zone: usize,
     index: usize,
-    /// Its process.
+    /// Its process, if it is running.
     pub process: Option<RunningNode>,
 }
 
-/// One run of a node's process.
+/// An incarnation of a node's process.
 pub struct RunningNode {
     actor: ActorOwn<NodeActor<SimulatedPorts>>,
-    /// Its run.
+    /// Its index and incarnation.
     pub run: NodeRun,
     /// Its clock.
     pub clock: Rc<NodeClock>,
     queued_events: Vec<ToNode>,
     /// Attempts that have not ended.
     pub attempts: BTreeMap<AttemptId, OpenAttempt>,
-    /// Numbers in the whole answers of attempts.
+    /// Numbers in the complete answers, by attempt.
     pub answers: BTreeMap<AttemptId, u64>,
-    /// Numbers in the requests' bodies.
+    /// Numbers in the request bodies.
     pub bodies: BTreeMap<RequestId, u64>,
     /// Requests that have not been answered.
     pub open: BTreeSet<RequestId>,
     calls: BTreeSet<CallId>,
-    /// Connections to servers that are open and unused, by server index.
+    /// Open but unused connections, by server index.
     pub idle_connections: BTreeMap<usize, u32>,
     /// Number of the last request.
     pub last_request: u64,
 }
 
-/// An attempt that a node's input and output carry out.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenAttempt {
     /// Index of the server.
@@ -70,7 +70,7 @@
 }
 
 impl NodeProcess {
-    /// A machine whose process has not started.
+    /// Creates a machine whose process is not running.
     pub fn new(index: usize, zone: usize) -> NodeProcess {
         NodeProcess {
             node: deployment::node_id(index),
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Its present run.
+    /// Its current incarnation.
     pub fn run(&self) -> Option<NodeRun> {
         self.process.as_ref().map(|process| process.run)
     }
 
-    /// Whether its process runs and is not paused.
+    /// Whether its process is running and not paused.
     pub fn is_active(&self) -> bool {
         self.process
             .as_ref()
@@ -161,8 +161,8 @@
         self.scenario.zones.len() * self.scenario.nodes.per_zone as usize
     }
 
-    /// Ends a node's process at once: callers lose their connections, and the
-    /// replicas' memory is lost.
+    /// Kills a node's process: callers lose their connections, and the memory of its replicas
+    /// is lost.
     pub(super) fn node_dies(&mut self, index: usize) {
         if self.nodes[index].process.is_some() {
             self.record_node_loss(index);
@@ -189,7 +189,7 @@
         self.list_machine(index, MachineState::Gone);
     }
 
-    /// Asks a node to stop as planned.
+    /// Tells a node to stop as planned.
     pub(super) fn node_stops(&mut self, index: usize) {
         let Some(run) = self.nodes[index].run() else {
             return;
@@ -223,7 +223,7 @@
             .stopped(now, "a node", open, &mut checker.violations);
     }
 
-    /// Pauses a node's process; what reaches it meanwhile waits.
+    /// Pauses a node's process; events that reach it meanwhile are queued.
     pub(super) fn node_pauses(&mut self, index: usize, length: Span) {
         let until = self.now() + length;
         let Some(process) = &self.nodes[index].process else {
@@ -254,7 +254,7 @@
         self.update_reachability(index);
     }
 
-    /// Tells the checker whether a node is connected at present.
+    /// Informs the checker whether a node is currently connected.
     pub(super) fn update_reachability(&mut self, index: usize) {
         let reachable =
             self.nodes[index].is_active() && !self.network.is_cut(Endpoint::Node(index));
@@ -264,7 +264,7 @@
             .connected(self.nodes[index].node, since);
     }
 
-    /// Gives an input to a node's actor.
+    /// Passes an input to a node's actor.
     pub(super) fn input(&mut self, run: NodeRun, input: Input) {
         let Some(process) = &self.nodes[run.index].process else {
             return;
@@ -274,7 +274,7 @@
         }
     }
 
-    /// What a node can tell; `None` while it does not run.
+    /// A snapshot of the node's state; `None` while it is not running.
     pub fn view(&mut self, index: usize) -> Option<NodeView> {
         let seen = Rc::new(RefCell::new(None));
         let process = self.nodes[index].process.as_ref()?;
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Carries out one output of a node.
+    /// Carries out an output of a node.
     pub(super) fn perform(&mut self, run: NodeRun, output: Output) {
         if !self.is_present(run) {
             return;
@@ -343,7 +343,7 @@
             Output::CancelAttempt {
                 attempt, server, ..
             } => self.cancel_attempt(run, attempt, server),
-            // Every answer is held here until it is to be forgotten.
+            // Every answer is kept until it is forgotten.
             Output::KeepAnswer(_) => {}
             Output::ForgetAnswer(attempt) => self.forget_answer(run, attempt),
             Output::Respond {
@@ -439,7 +439,7 @@
         self.session.recorded(now, node, event);
     }
 
-    /// The member of a run.
+    /// The member identity of a node incarnation.
     pub(super) fn member(&self, run: NodeRun) -> Member {
         Member {
             node: self.nodes[run.index].node,
@@ -447,7 +447,7 @@
         }
     }
 
-    /// Index of the node of this identifier.
+    /// Index of the node with this identifier.
     pub(super) fn index_of(&self, node: NodeId) -> usize {
         debug_assert_eq!(self.nodes[node.0 as usize - 1].index, node.0 as usize - 1);
         node.0 as usize - 1
--- a/crates/ledgelead-lab/src/simulation/operators.rs
+++ b/crates/ledgelead-lab/src/simulation/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: their commands, what they are told, and how they insist.
+//! Operators: their commands, results and retries.
 
 use super::deployment::{self, OPERATOR};
 use super::event::{Event, ToNode};
@@ -13,24 +13,24 @@
 };
 use std::collections::BTreeMap;
 
-/// How long an operator waits before asking again.
+/// Delay before an operator retries a command.
 const COMMAND_RETRY_INTERVAL: Span = Span::from_millis(700);
-/// How often an operator asks again under the same command identifier.
+/// Maximum number of attempts with the same command identifier.
 const MAX_COMMAND_ATTEMPTS: u32 = 12;
 
-/// What a command is for.
+/// Purpose of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandPurpose {
-    /// A change of the configuration that relies on a version, or on none.
+    /// Changes the configuration, optionally only if it has the given version.
     Configure {
-        /// The version.
+        /// The required version.
         if_version: Option<ConfigurationVersion>,
     },
-    /// A server is to take no new work.
+    /// Drains a server.
     Drain(ServerId),
-    /// A server is to take work again.
+    /// Activates a drained server.
     Activate(ServerId),
-    /// A slice is to move.
+    /// Moves a slice.
     Move {
         /// The service.
         service: ServiceId,
@@ -58,7 +58,7 @@
 }
 
 impl Operators {
-    /// A new command.
+    /// Creates a command.
     pub fn command(
         &mut self,
         action: AdministrationAction,
@@ -75,7 +75,7 @@
 }
 
 impl World<'_> {
-    /// An operator sends a command to a node that takes connections.
+    /// Sends a command to a random running node.
     pub(super) fn send_command(&mut self, command: AdministrationCommand, purpose: CommandPurpose) {
         let attempts = self
             .operators
@@ -180,8 +180,8 @@
                 to,
                 at: now,
             }),
-            // A drain that the operator repeated until it was answered may
-            // have been acknowledged after this was sent.
+            // A drain that the operator retried may be acknowledged after this command was
+            // sent.
             CommandPurpose::Activate(server) => self.checker.leaving.returned(server),
             CommandPurpose::Configure { .. } => {}
         }
@@ -197,7 +197,7 @@
         }
     }
 
-    /// An operator drains or activates a server.
+    /// Sends a command that drains or activates a server.
     pub(super) fn operate_server(&mut self, index: usize, drain: bool) {
         let server = self.servers[index].plan.server;
         let (operation, purpose) = if drain {
@@ -216,7 +216,7 @@
         self.send_command(command, purpose);
     }
 
-    /// An operator moves a slice to a server.
+    /// Sends a command that moves a slice to a server.
     pub(super) fn move_slice(&mut self, position: Position, to: usize) {
         let server = self.servers[to].plan.server;
         let group = self.group_of(to);
@@ -234,7 +234,7 @@
         self.send_command(command, purpose);
     }
 
-    /// An operator changes a tier's weight.
+    /// Sends a command that changes the weight of a tier.
     pub(super) fn alter_tier(&mut self, weight: u32, if_version: Option<ConfigurationVersion>) {
         let tier = &self.scenario.tiers[0];
         let change = ConfigurationChange::AlterTier(TierConfiguration {
--- a/crates/ledgelead-lab/src/simulation/page.rs
+++ b/crates/ledgelead-lab/src/simulation/page.rs
@@ -1,5 +1,5 @@
-//! The page of a simulation: plots and a table against the baselines, in one
-//! HTML file that needs no other.
+//! Renders the results of a simulation as a self-contained HTML page with plots and a
+//! comparison with the baselines.
 
 use super::command::AssignerRuns;
 use super::measurements::Measurements;
@@ -23,11 +23,10 @@
 .marks{columns:4;font-size:12px;padding-left:24px}\
 .note,.empty{color:#555}";
 
-/// Writes the page into a directory, which is made if it is missing, and
-/// returns its path.
+/// Writes the page into a directory, which is created if it does not exist, and returns its
+/// path.
 ///
-/// # Errors
-/// When the directory or the file can't be written.
+/// # Errors Returns an error if the directory or the file can't be written.
 pub fn write(
     directory: &Path,
     scenario: &Scenario,
@@ -40,7 +39,7 @@
     Ok(file)
 }
 
-/// The page as HTML. The first of the runs is the planner's.
+/// Renders the page. The first run must be that of the planner.
 fn render(scenario: &Scenario, command: &str, runs: &[AssignerRuns]) -> String {
     let Some(planner) = runs.first() else {
         return String::new();
@@ -51,19 +50,19 @@
     let _ = write!(
         html,
         "<title>Simulation {name}</title><style>{STYLE}</style><h1>Simulation {name}</h1>\
-         <p>Seeds {}, {} s of virtual time, {} violations. Made again by \
+         <p>Seeds {}, {} s of virtual time, {} violations. Reproduce with \
          <code>{}</code>.</p>",
         planner.report.seeds,
         planner.report.virtual_seconds,
         planner.report.violations_total(),
         escape(command),
     );
-    html.push_str("<h2>Against the baselines</h2>");
+    html.push_str("<h2>Comparison with the baselines</h2>");
     html.push_str(&comparison(scenario, runs));
     html.push_str(
-        "<p class=\"note\">All over the same seeds, arrivals and faults. Imbalance: the busiest \
-         server's load over the mean, with one hottest key as the floor. Churn: share of \
-         the position space that changed owner while its owner lived.</p>",
+        "<p class=\"note\">All with the same seeds, arrivals and faults. Imbalance: the busiest \
+         server's load over the mean, but not below that of the hottest key. Churn: share of \
+         the position space that changed owner while its owner was alive.</p>",
     );
     let first_seed = planner.report.seeds.split("..").next().unwrap_or_default();
     let _ = write!(html, "<h2>Over time, seed {first_seed}</h2>");
@@ -148,7 +147,7 @@
         let imbalance = Plot {
             title: &format!("{}: imbalance", service.name),
             x_label: "seconds",
-            y_label: "busiest over mean",
+            y_label: "busiest / mean",
             y_from: 1.0,
             lines: lines(&|measured| settled(scenario, &measured.balance[index].imbalance)),
             legend: SeriesLabelPosition::UpperRight,
@@ -168,8 +167,8 @@
     }
 }
 
-/// Samples from the time at which balance is measured. Before, an assigner
-/// without any load to go by may be far off, which would flatten all else.
+/// Samples from the start of the balance measurement. Earlier ones can be far off because an
+/// assigner has no load data yet, which would flatten the rest of the plot.
 fn settled(scenario: &Scenario, samples: &[Sample]) -> Vec<Sample> {
     let run = &scenario.run;
     let from = (run.warm_up_seconds + run.settle_seconds) as f64;
@@ -228,7 +227,7 @@
     list + "</ol>"
 }
 
-/// Share of the losses that lasted no longer than a time.
+/// Plots the share of losses that lasted no longer than a given time.
 fn unavailable(measured: &Measurements) -> String {
     let losses = &measured.unavailable;
     let mut points = vec![(0.0, 0.0)];
@@ -243,7 +242,7 @@
     }
     let plot = Plot {
         title: &format!(
-            "{} losses of slices, share answered again within a time",
+            "{} slice losses, share answered again within a time",
             losses.len()
         ),
         x_label: "ms after the loss",
--- a/crates/ledgelead-lab/src/simulation/platform.rs
+++ b/crates/ledgelead-lab/src/simulation/platform.rs
@@ -1,4 +1,5 @@
-//! The platform in the world: calls, watches, lost and late answers.
+//! Calls and watches between nodes and the simulated platform, including lost and delayed
+//! answers.
 
 use super::deployment;
 use super::event::{Event, NodeRun, ToNode};
@@ -12,12 +13,12 @@
 use ledgelead_types::{Bytes, ConfigurationVersion, Span, Time};
 use std::collections::BTreeMap;
 
-/// How long a node waits for the platform's answer, apart from watches.
+/// How long a node waits for a reply of the platform, except for watches.
 const CALL_TIMEOUT: Span = Span::from_seconds(3);
-/// How long the platform lets a watch wait.
+/// How long the platform keeps a watch open.
 const WATCH_TIMEOUT: Span = Span::from_seconds(10);
 
-/// The platform and who waits for it.
+/// The platform and its pending watches.
 pub struct PlatformProcess {
     /// Its state.
     pub state: PlatformState,
@@ -27,7 +28,7 @@
 }
 
 impl PlatformProcess {
-    /// A platform that holds nothing yet.
+    /// Creates a platform without objects.
     pub fn new(scenario: &Scenario) -> PlatformProcess {
         let lag = scenario.platform.machine_list_lag_seconds;
         PlatformProcess {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Since when the platform has answered as usual: `now` while it doesn't.
+    /// Since when the platform has been undisturbed; `now` during a disturbance.
     pub fn undisturbed_since(&self, now: Time) -> Time {
         if self.disturbed.is_empty() {
             self.undisturbed_since
@@ -49,7 +50,7 @@
 }
 
 impl World<'_> {
-    /// Stores the first configuration.
+    /// Stores the initial configuration.
     pub(super) fn platform_starts(&mut self) {
         let configuration = deployment::configuration(self.scenario);
         let value = serde_json::to_vec(&configuration).expect("a configuration is plain data");
@@ -142,12 +143,12 @@
                         .configuration
                         .written(write.at, &stored, &mut checker.violations);
                 }
-                Err(error) => log::error!("a node stored a broken configuration: {error}"),
+                Err(error) => log::error!("a node stored an invalid configuration: {error}"),
             }
         }
     }
 
-    /// Disturbs the platform for the length of a fault, or ends it.
+    /// Begins a disturbance of the platform by a fault, or ends it if there is no condition.
     pub(super) fn disturb_platform(&mut self, fault: usize, condition: Option<PlatformCondition>) {
         match condition {
             Some(condition) => {
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Notes the state of a node's machine in the platform's list.
+    /// Updates the state of a node's machine in the platform's list.
     pub(super) fn list_machine(&mut self, index: usize, state: MachineState) {
         let entry = MachineEntry {
             node: deployment::node_id(index),
--- a/crates/ledgelead-lab/src/simulation/plots.rs
+++ b/crates/ledgelead-lab/src/simulation/plots.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG text.
+//! Plots in SVG format.
 
 use super::timeline::Sample;
 use plotters::coord::Shift;
@@ -6,10 +6,10 @@
 
 /// Size of a plot in pixels.
 const SIZE: (u32, u32) = (960, 300);
-/// Size of the title's letters.
+/// Font size of the title.
 const CAPTION_SIZE: u32 = 18;
-/// Colours of the lines, which readers with colour blindness can tell apart
-/// (M. Okabe, K. Ito, "Color Universal Design", 2008).
+/// Line colours that are distinguishable with colour blindness (M. Okabe, K. Ito, "Color
+/// Universal Design", 2008).
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -20,33 +20,33 @@
 ];
 const MARK: RGBColor = RGBColor(170, 170, 170);
 
-/// A line with its name.
+/// A named line.
 pub struct Line {
     /// Name in the legend.
     pub name: String,
-    /// Points in the order of their abscissas.
+    /// Points in ascending order of their x values.
     pub points: Vec<Sample>,
 }
 
-/// What a plot shows.
+/// Contents of a plot.
 pub struct Plot<'a> {
     /// Title.
     pub title: &'a str,
-    /// Meaning and unit of the abscissa.
+    /// Label of the x axis, with the unit.
     pub x_label: &'a str,
-    /// Meaning and unit of the ordinate.
+    /// Label of the y axis, with the unit.
     pub y_label: &'a str,
-    /// Lowest ordinate shown.
+    /// Lowest y value shown.
     pub y_from: f64,
-    /// The lines; the first is drawn thickest.
+    /// The lines; the first one is drawn thickest.
     pub lines: Vec<Line>,
-    /// Where the legend stands.
+    /// Position of the legend.
     pub legend: SeriesLabelPosition,
-    /// Numbered marks on the abscissa.
+    /// Numbered marks on the x axis.
     pub marks: &'a [f64],
 }
 
-/// A figure on an axis, without needless digits.
+/// Formats an axis value without unnecessary digits.
 fn short(value: f64) -> String {
     if value.abs() >= 10_000.0 {
         format!("{:.0}k", value / 1_000.0)
@@ -62,8 +62,7 @@
 type Failure = DrawingAreaErrorKind<std::io::Error>;
 
 impl Plot<'_> {
-    /// The plot as an SVG element, or a sentence when there is nothing to
-    /// show.
+    /// Renders the plot as an SVG element, or a sentence if there is no data.
     pub fn render(&self) -> String {
         let mut svg = String::new();
         let points = self.lines.iter().map(|line| line.points.len());
@@ -110,7 +109,7 @@
             let text = Text::new(number, (*at, height), ("sans-serif", 12));
             chart.draw_series(std::iter::once(text))?;
         }
-        // The first line last, so that it lies on top.
+        // Draw the first line last, so that it is on top.
         for (index, line) in self.lines.iter().enumerate().rev() {
             let width = if index == 0 { 2 } else { 1 };
             let style = COLOURS[index % COLOURS.len()].stroke_width(width);
--- a/crates/ledgelead-lab/src/simulation/ports.rs
+++ b/crates/ledgelead-lab/src/simulation/ports.rs
@@ -9,16 +9,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the nodes want done, in the order in which they said so.
+/// Outputs of the nodes in the order in which they were produced.
 pub type Outbox = Rc<RefCell<Vec<(NodeRun, Output)>>>;
 
-/// Collects a node's outputs and shows it its own clock.
+/// Collects the outputs of a node and provides its clock.
 pub struct SimulatedPorts {
-    /// The process.
+    /// The node incarnation.
     pub run: NodeRun,
     /// Its clock.
     pub clock: Rc<NodeClock>,
-    /// Where outputs go.
+    /// Destination of its outputs.
     pub outbox: Outbox,
 }
 
--- a/crates/ledgelead-lab/src/simulation/probes.rs
+++ b/crates/ledgelead-lab/src/simulation/probes.rs
@@ -1,5 +1,5 @@
-//! Unavailable time: after a loss, cheap requests for each slice concerned,
-//! until one that was sent after the loss is answered.
+//! Measures unavailability: after a loss, sends cheap requests for each affected slice until
+//! one that was sent after the loss is answered.
 
 use super::event::Event;
 use super::rng::seconds;
@@ -7,10 +7,10 @@
 use crate::scenario::FaultKind;
 use ledgelead_types::{Outcome, PositionRange, Span, Time};
 
-/// How often a slice is probed.
+/// Interval between probes of a slice.
 const INTERVAL: Span = Span::from_millis(25);
-/// How long a slice is probed; a slice that is not answered by then counts as
-/// unavailable for this long.
+/// Maximum time for which a slice is probed. A slice that is not answered by then counts as
+/// unavailable for this time.
 const LONGEST: Span = Span::from_seconds(30);
 
 /// A slice that is probed.
@@ -20,12 +20,12 @@
     range: PositionRange,
     lost_at: Time,
     done: bool,
-    /// The kind of loss, unless another one was felt meanwhile.
+    /// The kind of loss, unless another loss overlapped with it.
     single: Option<FaultKind>,
 }
 
 impl World<'_> {
-    /// Probes every slice that a server claims, from now on.
+    /// Starts probing every slice that a server claims.
     pub(super) fn probe_slices_of(&mut self, server: usize) {
         let now = self.now();
         let plan = self.servers[server].plan;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A loss begins: slices that are not served again yet suffer from two.
+    /// A loss begins: slices that are not yet served again are affected by more than one loss.
     pub(super) fn mark_overlapping_losses(&mut self) {
         for probe in self.probes.iter_mut().filter(|probe| !probe.done) {
             probe.single = None;
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Counts slices that were never answered.
+    /// Records the slices that were not answered by the end of the run.
     pub(super) fn finish_probes(&mut self) {
         let now = self.now();
         for probe in &self.probes {
--- a/crates/ledgelead-lab/src/simulation/queue.rs
+++ b/crates/ledgelead-lab/src/simulation/queue.rs
@@ -1,5 +1,4 @@
-//! Events of the world in the order of their time; those of one time in the
-//! order in which they were added.
+//! Event queue ordered by time. Events with the same time are taken in insertion order.
 
 use ledgelead_types::Time;
 use std::cmp::Ordering;
@@ -40,7 +39,7 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// The heap yields its greatest item first: the earliest event.
+    /// Reversed, because the heap yields its greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.order().cmp(&self.order())
     }
--- a/crates/ledgelead-lab/src/simulation/report.rs
+++ b/crates/ledgelead-lab/src/simulation/report.rs
@@ -1,4 +1,4 @@
-//! The report of several runs, in words and as one JSON object.
+//! The report of one or more runs, which is printed as JSON.
 
 use super::measurements::Measurements;
 use crate::checker::{Violation, Violations};
@@ -17,32 +17,32 @@
     pub p99: f64,
 }
 
-/// Results of one seed, or of several in sum. Field names are stable.
+/// Results of one or more seeds. Field names are stable.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Name of the scenario.
     pub scenario: String,
-    /// Seeds, as given.
+    /// Range of seeds.
     pub seeds: String,
-    /// Virtual time in sum, in seconds.
+    /// Total virtual time, in seconds.
     pub virtual_seconds: u64,
     /// Requests that callers sent.
     pub requests: u64,
     /// Of these, answered.
     pub answered: u64,
-    /// Of these, not run.
+    /// Of these, with an unknown outcome.
     pub not_run: u64,
     /// Of these, unknown.
     pub unknown: u64,
     /// Violations by name.
     pub violations: BTreeMap<&'static str, u64>,
-    /// Busiest server's load over the mean.
+    /// Load of the busiest server divided by the mean.
     pub imbalance: Option<f64>,
-    /// Balance of each service that is divided by key.
+    /// Balance of each keyed service.
     pub services: BTreeMap<String, ServiceBalance>,
-    /// Share of the position space that changed owner while its owner lived.
+    /// Share of the position space that changed owner while its owner was alive.
     pub churn_percent_per_hour: f64,
-    /// Losses of slices that were measured.
+    /// Number of slice losses measured.
     pub unavailable_count: u64,
     /// Median unavailable time.
     pub unavailable_ms_p50: f64,
@@ -50,27 +50,27 @@
     pub unavailable_ms_p99: f64,
     /// Longest unavailable time.
     pub unavailable_ms_max: f64,
-    /// The same by kind of loss, where no other loss was felt within 5 s before, or until the
-    /// slice was served again.
+    /// Unavailable time by kind of loss, for losses without another loss in the 5 s before or
+    /// until the slice was served again.
     pub unavailable_single_ms: BTreeMap<String, UnavailableTimes>,
     /// Latency of answered requests by tier.
     pub latency_ms: BTreeMap<String, Percentiles>,
-    /// Control bytes a second, sent and received, of the node with the most.
+    /// Highest control traffic of a node in bytes per second, sent and received.
     pub control_bytes_per_second_per_node_max: f64,
-    /// Control bytes a second by purpose, over all nodes.
+    /// Control traffic by purpose in bytes per second, over all nodes.
     pub control_bytes_per_second_by_kind: BTreeMap<&'static str, f64>,
-    /// Longest time until a stored configuration was in force on a node.
+    /// Longest time until a node applied a stored configuration.
     pub configuration_lag_ms_max: f64,
-    /// The same, counted from the end of the platform's latest disturbance
-    /// where that is later.
+    /// Longest time until a node applied a stored configuration, counted from the end of the
+    /// platform's last disturbance if that is later.
     pub configuration_undisturbed_lag_ms_max: f64,
     /// Faults that began, by kind.
     pub faults: BTreeMap<String, u64>,
-    /// Commands by how they ended.
+    /// Commands by result.
     pub commands: BTreeMap<&'static str, u64>,
     /// Events that the nodes recorded, by name.
     pub events: BTreeMap<&'static str, u64>,
-    /// The first violations in words, with their seed.
+    /// Descriptions of the first violations, with their seeds.
     pub first_violations: Vec<String>,
 }
 
@@ -86,15 +86,13 @@
     }
 }
 
-/// Balance of one service that is divided by key.
+/// Balance of a keyed service.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ServiceBalance {
-    /// Mean over time: the busiest server's load, as the popularity of its
-    /// keys has it, over the mean, or over the hottest key's load where that
-    /// exceeds the mean.
+    /// Mean over time of the busiest server's expected load, by the popularity of its keys,
+    /// divided by the mean, or by the load of the hottest key if that exceeds the mean.
     pub imbalance: Option<f64>,
-    /// Percent of the position space that changed owner an hour while its
-    /// owner lived.
+    /// Percent per hour of the position space that changed owner while its owner was alive.
     pub churn_percent_per_hour: f64,
 }
 
@@ -115,8 +113,7 @@
         .collect()
 }
 
-/// The same scenario and seeds under several assigners. Field names are
-/// stable.
+/// Results of the same scenario and seeds with several assigners. Field names are stable.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
     /// The planner's report.
@@ -129,7 +126,7 @@
 /// Unavailable times, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct UnavailableTimes {
-    /// How many slices were lost.
+    /// Number of lost slices.
     pub count: u64,
     /// Median.
     pub p50: f64,
@@ -150,7 +147,7 @@
 }
 
 impl Report {
-    /// The report of measurements over `runs` runs.
+    /// Creates the report from measurements over `runs` runs.
     pub fn new(
         scenario: &Scenario,
         seeds: &str,
@@ -211,13 +208,13 @@
         }
     }
 
-    /// Violations in sum.
+    /// Total number of violations.
     pub fn violations_total(&self) -> u64 {
         self.violations.values().sum()
     }
 }
 
-/// Every violation by name, with its count.
+/// Number of violations by name.
 pub fn violation_counts(violations: &Violations) -> BTreeMap<&'static str, u64> {
     Violation::ALL
         .into_iter()
--- a/crates/ledgelead-lab/src/simulation/requests.rs
+++ b/crates/ledgelead-lab/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: from their callers to nodes, on to servers, and back.
+//! Requests on their way from callers to nodes and servers, and back.
 
 use super::callers::CallerRequest;
 use super::deployment;
@@ -14,14 +14,13 @@
 use ledgelead_types::server::{AttemptResult, LoadReport};
 use ledgelead_types::{Outcome, RequestId, ServerId, Span, Text};
 
-/// How long before the end of the run the load ends, so that every request
-/// ends before it.
+/// The load ends this long before the run, so that every request ends within the run.
 pub(super) const LOAD_ENDS_BEFORE: Span = Span::from_seconds(5);
-/// How long a node's input and output try to connect to a server.
+/// Time limit for a node's connection to a server.
 const CONNECT_TIMEOUT: Span = Span::from_millis(250);
-/// How much longer than its deadline a caller waits for the outcome.
+/// How much longer than the deadline a caller waits for the outcome.
 const CALLER_GRACE: Span = Span::from_millis(500);
-/// How long after a request its caller may repeat it, at most, in seconds.
+/// Maximum delay of a caller's retry after the original request, in seconds.
 const MAX_RETRY_DELAY_SECONDS: f64 = 0.4;
 
 impl World<'_> {
@@ -54,7 +53,7 @@
         1.0 + run.diurnal_amplitude * (day * std::f64::consts::TAU).sin()
     }
 
-    /// Rise of a service's load while archives are pulled.
+    /// Factor on a service's load during an archive download.
     fn pull_factor(&self, service: usize) -> f64 {
         let load = &self.scenario.services[service].load;
         let pulls = load.pull_every_seconds > 0
@@ -62,7 +61,7 @@
         if pulls { load.pull_factor } else { 1.0 }
     }
 
-    /// A caller sends a request to a node that takes connections.
+    /// Sends a caller's request to a random running node.
     pub(super) fn send_request(&mut self, body: u64) {
         let running = (0..self.nodes.len())
             .filter(|index| self.nodes[*index].process.is_some())
@@ -162,7 +161,7 @@
         }
     }
 
-    /// The caller's connection broke, or it gave up: it knows nothing.
+    /// Ends a request without an outcome, because the connection broke or the caller gave up.
     fn end_without_outcome(&mut self, body: u64) -> Option<CallerRequest> {
         let now = self.now();
         let request = self.callers.open.remove(&body)?;
@@ -381,7 +380,7 @@
     }
 }
 
-/// Takes an open, unused connection, if there is one.
+/// Takes an idle connection, if there is one.
 fn take_idle(process: &mut RunningNode, server: usize) -> bool {
     match process.idle_connections.get_mut(&server) {
         Some(count) if *count > 0 => {
--- a/crates/ledgelead-lab/src/simulation/rng.rs
+++ b/crates/ledgelead-lab/src/simulation/rng.rs
@@ -1,16 +1,16 @@
-//! Random draws of a simulation. Each concern has its own stream, so that a
-//! change of one leaves the others' draws as they were.
+//! Random numbers of a simulation. Each concern has its own stream, so that a change in one
+//! does not affect the numbers of the others.
 
 use ledgelead_types::Span;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A stream of random draws.
+/// A stream of random numbers.
 #[derive(Clone, Debug)]
 pub struct RandomStream(Pcg64Mcg);
 
 impl RandomStream {
-    /// Stream `stream` of a seed.
+    /// Creates stream number `stream` of a seed.
     pub fn new(seed: u64, stream: u64) -> RandomStream {
         const MIXER: u64 = 0x9E37_79B9_7F4A_7C15;
         RandomStream(Pcg64Mcg::seed_from_u64(
@@ -18,7 +18,7 @@
         ))
     }
 
-    /// Any number.
+    /// A random 64-bit number.
     pub fn number(&mut self) -> u64 {
         self.0.next_u64()
     }
@@ -39,29 +39,29 @@
         low + (high - low) * self.unit()
     }
 
-    /// True with this probability.
+    /// True with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.unit() < probability
     }
 
-    /// Exponentially distributed with this mean.
+    /// An exponentially distributed number with the given mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// One of the items; `None` of an empty slice.
+    /// A random item; `None` if there are none.
     pub fn pick<T: Copy>(&mut self, items: &[T]) -> Option<T> {
         items.get(self.below(items.len())).copied()
     }
 }
 
-/// A span of this many milliseconds.
+/// Converts milliseconds to a span.
 pub fn milliseconds(count: f64) -> Span {
     const MICROS: f64 = 1_000.0;
     Span::from_micros((count * MICROS) as u64)
 }
 
-/// A span of this many seconds.
+/// Converts seconds to a span.
 pub fn seconds(count: f64) -> Span {
     const MICROS: f64 = 1_000_000.0;
     Span::from_micros((count * MICROS) as u64)
--- a/crates/ledgelead-lab/src/simulation/servers.rs
+++ b/crates/ledgelead-lab/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: their processes, and what passes between them and nodes.
+//! Server processes, and the messages between them and nodes.
 
 use super::clock::SkewedClock;
 use super::deployment::{self, ServerPlan};
@@ -15,30 +15,30 @@
 use ledgelead_types::server::{LeaseRenewal, RenewalReply, RenewalVerdict};
 use ledgelead_types::{ServerId, Span, Time};
 
-/// How often a leaving server looks whether it may stop.
+/// Interval at which a leaving server checks whether it may stop.
 const LEAVING_CHECK: Span = Span::from_millis(100);
-/// How long a leaving server waits to be drained before it stops anyway.
+/// How long a leaving server waits to be drained before it stops regardless.
 const LEAVING_GRACE: Span = Span::from_seconds(20);
 
-/// A server: its machine, and its process while it runs.
+/// A server's machine, with its process while it is running.
 pub struct ServerProcess {
-    /// Its place in the scenario.
+    /// The server in the scenario.
     pub plan: ServerPlan,
     /// Its clock.
     pub clock: SkewedClock,
     /// Its process.
     pub process: Option<ServerState>,
-    /// Counts its processes.
+    /// Number of processes started so far.
     pub run: u64,
-    /// Since when it has run without a fault; `None` while it has one.
+    /// Since when it has been running without a fault; `None` during a fault.
     pub healthy_since: Option<Time>,
-    /// Connections that are open.
+    /// Number of open connections.
     pub connections: u32,
-    /// Requests that it started in the present measuring window.
+    /// Requests started in the current measurement window.
     pub started_in_window: u64,
     /// When it asked to be drained.
     pub leaving_since: Option<Time>,
-    /// When the first node heard of it.
+    /// Whether a node has been told that it wants to leave.
     pub leaving_reported: bool,
     max_connections: u32,
     frozen: bool,
@@ -46,7 +46,7 @@
 }
 
 impl ServerProcess {
-    /// A machine whose process has not started.
+    /// Creates a machine whose process is not running.
     pub fn new(plan: ServerPlan, clock: SkewedClock) -> ServerProcess {
         ServerProcess {
             plan,
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Whether it accepts one more connection.
+    /// Whether it accepts another connection.
     pub fn may_connect(&self) -> bool {
         self.connections < self.max_connections
     }
 }
 
 impl World<'_> {
-    /// Index of a server of this identifier.
+    /// Index of the server with this identifier.
     pub(super) fn server_index(&self, server: ServerId) -> Option<usize> {
         let index = (server.0 as usize).checked_sub(1)?;
         (index < self.servers.len()).then_some(index)
@@ -111,7 +111,7 @@
         self.checker.leaving.returned(plan.server);
     }
 
-    /// Ends a server's process at once.
+    /// Kills a server's process.
     pub(super) fn server_dies(&mut self, index: usize) {
         let server = &mut self.servers[index];
         if server.process.take().is_none() {
@@ -125,7 +125,7 @@
         self.break_connections(index);
     }
 
-    /// Nodes see their connections to a dead server break.
+    /// Breaks the nodes' connections to a dead server.
     fn break_connections(&mut self, index: usize) {
         for node in 0..self.nodes.len() {
             let Some(process) = &mut self.nodes[node].process else {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Lets a server stand still for a time.
+    /// Freezes a server for a time.
     pub(super) fn server_freezes(&mut self, index: usize, length: Span) {
         let server = &mut self.servers[index];
         if server.process.is_none() || server.frozen {
@@ -208,7 +208,7 @@
         self.send_to_gateway(index, request.key, event);
     }
 
-    /// Steps a server and carries out what it wants.
+    /// Steps a server's state machine and carries out its actions.
     fn at_server(&mut self, index: usize, step: impl FnOnce(&mut ServerState, Moment)) {
         let now = self.now();
         let server = &mut self.servers[index];
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Whether an answer is cut on its way, as happens on a bad network.
+    /// Whether an answer is truncated in transit, which happens on a degraded network.
     fn draw_answer_cut(&mut self, answer: ServerAnswer) -> bool {
         const CUT_ANSWERS_PER_LOSS: f64 = 0.1;
         let probability = self.network.degradation().loss * CUT_ANSWERS_PER_LOSS;
@@ -327,7 +327,7 @@
         }
     }
 
-    /// A renewal's end reached a node.
+    /// A node receives the result of a renewal.
     pub(super) fn renewed(
         &mut self,
         run: NodeRun,
@@ -362,7 +362,7 @@
         }
     }
 
-    /// A server asks to be drained, and stops when it may.
+    /// A server asks to be drained and stops when it is.
     pub(super) fn server_leaves(&mut self, index: usize) {
         let now = self.now();
         let server = &mut self.servers[index];
@@ -395,7 +395,7 @@
         self.server_dies(index);
     }
 
-    /// Servers of a service that have run without a fault since a time.
+    /// Servers of a service that have been running without a fault since the given time.
     pub(super) fn healthy_servers(&self, service: usize, since: Time) -> Vec<usize> {
         (0..self.servers.len())
             .filter(|index| {
@@ -407,7 +407,7 @@
             .collect()
     }
 
-    /// Nodes whose process runs.
+    /// Nodes with a running process.
     pub(super) fn running_nodes(&self) -> Vec<usize> {
         let running = |node: &NodeProcess| node.process.is_some();
         (0..self.nodes.len())
--- a/crates/ledgelead-lab/src/simulation/session.rs
+++ b/crates/ledgelead-lab/src/simulation/session.rs
@@ -1,11 +1,11 @@
-//! A session in words, line by line, for golden files.
+//! A textual log of a session, used for snapshot tests.
 
 use ledgelead_types::event::Event;
 use ledgelead_types::server::GrantedSlice;
 use ledgelead_types::{NodeId, ServerId, Time};
 use std::collections::BTreeMap;
 
-/// What happened, when it is wanted.
+/// The log lines, if enabled.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     enabled: bool,
@@ -14,7 +14,7 @@
 }
 
 impl Session {
-    /// A session that keeps its lines.
+    /// Creates an enabled log.
     pub fn enabled() -> Session {
         Session {
             enabled: true,
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Adds an event that a node recorded.
+    /// Adds an event recorded by a node.
     pub fn recorded(&mut self, now: Time, node: NodeId, event: &Event) {
         if !matches!(event, Event::RequestFinished { .. }) {
             self.add_line(now, || format!("{node}: {event:?}"));
         }
     }
 
-    /// Adds a change of what a server holds.
+    /// Adds a change of the slices that a server holds.
     pub fn holds(&mut self, now: Time, server: ServerId, held: &[GrantedSlice]) {
         if !self.enabled || self.held.get(&server).is_some_and(|old| old == held) {
             return;
--- a/crates/ledgelead-lab/src/simulation/timeline.rs
+++ b/crates/ledgelead-lab/src/simulation/timeline.rs
@@ -1,13 +1,13 @@
-//! What a run measures over time, for plots.
+//! Time series of a run, for plots.
 
 use hdrhistogram::Histogram;
 use ledgelead_types::{Span, TierId, Time};
 use std::collections::BTreeMap;
 
-/// Width of the intervals over which latency is taken together.
+/// Width of the intervals over which latency is aggregated.
 pub const LATENCY_INTERVAL: Span = Span::from_seconds(5);
 
-/// A value at a time of the run, in seconds.
+/// Time of the run in seconds, and the value at that time.
 pub type Sample = (f64, f64);
 
 /// Imbalance and churn of one service.
@@ -15,8 +15,8 @@
 pub struct BalanceRecord {
     /// Imbalance over time.
     pub imbalance: Vec<Sample>,
-    /// Percent of the position space that has changed owner while its owner
-    /// lived, added up over time.
+    /// Accumulated percentage of the position space that changed owner while its owner was
+    /// alive, over time.
     pub churn: Vec<Sample>,
     churned_before: f64,
     churned_share: f64,
@@ -26,8 +26,8 @@
 }
 
 impl BalanceRecord {
-    /// Takes one second's values: the imbalance, if there is one, and the
-    /// share of the space churned since the start.
+    /// Records the values of one second: the imbalance, if available, and the share of the
+    /// position space churned since the start.
     pub fn observe(&mut self, now: Time, imbalance: Option<f64>, churned: f64, is_measured: bool) {
         let second = now.as_seconds();
         if !is_measured {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds another run; its course over time is dropped unless this has none.
+    /// Adds another run. Its time series is used only if this record has none.
     pub fn merge(&mut self, other: &BalanceRecord) {
         if self.imbalance.is_empty() {
             self.imbalance = other.imbalance.clone();
@@ -57,14 +57,13 @@
         self.seconds += other.seconds;
     }
 
-    /// Mean over time of the imbalance.
+    /// Mean imbalance over time.
     pub fn mean_imbalance(&self) -> Option<f64> {
         let count = self.imbalance_count;
         (count > 0).then(|| self.imbalance_sum / count as f64)
     }
 
-    /// Percent of the position space that changed owner an hour while its
-    /// owner lived.
+    /// Percent per hour of the position space that changed owner while its owner was alive.
     pub fn churn_percent_per_hour(&self) -> f64 {
         const PERCENT_TIMES_HOUR: f64 = 100.0 * 3_600.0;
         self.churned_share * PERCENT_TIMES_HOUR / self.seconds.max(1) as f64
@@ -80,7 +79,7 @@
 }
 
 impl Timeline {
-    /// An answer reached its caller.
+    /// Records an answer that reached its caller.
     pub fn answered(&mut self, now: Time, tier: TierId, latency: Span) {
         let interval = now.0 / LATENCY_INTERVAL.0;
         let histogram = self
@@ -90,13 +89,13 @@
         super::measurements::record(histogram, latency);
     }
 
-    /// Control bytes were sent or received.
+    /// Records control bytes sent or received.
     pub fn control(&mut self, now: Time, bytes: u64) {
         let second = now.as_seconds() as u64;
         *self.control_bytes.entry(second).or_insert(0) += bytes;
     }
 
-    /// Whether nothing was noted.
+    /// Whether nothing was recorded.
     pub fn is_empty(&self) -> bool {
         self.latency.is_empty() && self.control_bytes.is_empty()
     }
@@ -112,7 +111,7 @@
         .collect()
     }
 
-    /// Control bytes a second over time, of the mean of `nodes` nodes.
+    /// Control bytes per second over time, averaged over `nodes` nodes.
     pub fn control_bytes(&self, nodes: usize) -> Vec<Sample> {
         let nodes = nodes.max(1) as f64;
         let bytes = self.control_bytes.iter();
--- a/crates/ledgelead-lab/src/simulation/tolerance.rs
+++ b/crates/ledgelead-lab/src/simulation/tolerance.rs
@@ -1,20 +1,20 @@
-//! Whether more was lost at once than the system claims to tolerate.
+//! Detects losses beyond what the system claims to tolerate.
 //!
-//! Replicas of a group stand in different zones and keep nothing on disk: two
-//! processes that die in different zones before the group has replaced the
-//! first may take a quorum, and with it assignments that were acknowledged.
-//! Single ownership is promised all the same. The checker has to know, since
-//! it must not blame the system for what it doesn't claim.
+//! Replicas of a group run in different zones and keep nothing on disk. If two processes in
+//! different zones die before the group has replaced the first one, a quorum may be lost, and
+//! acknowledged assignments with it. Single ownership is guaranteed even then. The checker
+//! must know about this case because it must not report the loss of assignments as a
+//! violation.
 
 use super::network::Endpoint;
 use super::world::World;
 use ledgelead_types::{Span, Time};
 
-/// How long a group may take to replace a lost replica while no other node is
-/// paused or cut off.
+/// Time within which a group replaces a lost replica while no other node is paused or
+/// partitioned.
 const REPLACEMENT_TIME: Span = Span::from_seconds(5);
 
-/// Losses of nodes that may not have been made good yet.
+/// Node losses that may not have been compensated yet.
 #[derive(Clone, Debug, Default)]
 pub struct Tolerance {
     outstanding: Vec<NodeLoss>,
@@ -23,12 +23,12 @@
 #[derive(Clone, Copy, Debug)]
 struct NodeLoss {
     zone: usize,
-    /// Undisturbed time since.
+    /// Undisturbed time since the loss.
     undisturbed: Span,
 }
 
 impl Tolerance {
-    /// A process died; returns whether this is beyond what is tolerated.
+    /// Records the loss of a process. Returns whether it exceeds the tolerance.
     fn record_loss(&mut self, zone: usize) -> bool {
         let beyond = self.outstanding.iter().any(|loss| loss.zone != zone);
         self.outstanding.push(NodeLoss {
@@ -38,7 +38,7 @@
         beyond
     }
 
-    /// A second passed without a disturbed node.
+    /// Records a period in which no node was disturbed.
     fn age(&mut self, span: Span) {
         for loss in &mut self.outstanding {
             loss.undisturbed = loss.undisturbed + span;
@@ -49,7 +49,7 @@
 }
 
 impl World<'_> {
-    /// Notes that a node's process ended without handing its roles over.
+    /// Records that a node's process ended without handing over its roles.
     pub(super) fn record_node_loss(&mut self, index: usize) {
         if !self.tolerance.record_loss(self.nodes[index].zone) {
             return;
@@ -61,7 +61,7 @@
         self.checker.leaving.clear();
     }
 
-    /// Each second: lets losses settle while no node is disturbed.
+    /// Ages the losses once per second, while no node is disturbed.
     pub(super) fn age_losses(&mut self, passed: Span) {
         let disturbed = (0..self.nodes.len()).any(|index| {
             let paused = self.nodes[index].process.is_some() && !self.nodes[index].is_active();
--- a/crates/ledgelead-lab/src/simulation/trace.rs
+++ b/crates/ledgelead-lab/src/simulation/trace.rs
@@ -1,37 +1,36 @@
-//! A record of every caller's request and its end, for experiments that
-//! replay the same arrivals elsewhere.
+//! Records every caller's request and its outcome, for experiments that replay the arrivals.
 
 use super::callers::CallerRequest;
 use ledgelead_types::{Bytes, Outcome, Span, TierId, Time};
 
-/// A request that ended for its caller.
+/// A completed request.
 #[derive(Clone, Debug)]
 pub struct TracedRequest {
     /// Index of the service.
     pub service: usize,
-    /// Key, for a service that is divided by key.
+    /// Its key, if the service is keyed.
     pub key: Option<Bytes>,
     /// Tier of the caller.
     pub tier: TierId,
     /// When the caller sent it.
     pub sent: Time,
-    /// When the caller heard its end, or gave up.
+    /// When the caller received the outcome or gave up.
     pub ended: Time,
-    /// Time that the caller gave it.
+    /// How long the caller allowed it to take.
     pub deadline: Span,
-    /// Time that a warm server needs.
+    /// Execution time on a warm server.
     pub service_time: Span,
     /// Index of the node that accepted it.
     pub gateway: Option<usize>,
-    /// Index of the server that it was last sent to.
+    /// Index of the server to which it was last sent.
     pub server: Option<usize>,
-    /// Whether it repeats an earlier request under its idempotency key.
+    /// Whether it retries an earlier request with the same idempotency key.
     pub is_retry: bool,
-    /// How it ended; `None` when the caller heard nothing.
+    /// Its outcome; `None` if the caller received none.
     pub outcome: Option<Outcome>,
 }
 
-/// Requests that ended, while they are wanted.
+/// Completed requests, if recording is enabled.
 #[derive(Default)]
 pub struct Trace {
     enabled: bool,
@@ -39,7 +38,7 @@
 }
 
 impl Trace {
-    /// A record that is kept.
+    /// Creates an enabled recorder.
     pub fn enabled() -> Trace {
         Trace {
             enabled: true,
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Notes the end of a request that counts in the measurements.
+    /// Records the end of a request that counts in the measurements.
     pub fn record(&mut self, now: Time, request: &CallerRequest, outcome: Option<Outcome>) {
         if !self.enabled || !request.counted {
             return;
@@ -67,7 +66,7 @@
         });
     }
 
-    /// What was noted since the last call, in the order of the ends.
+    /// Takes the requests recorded since the last call, in the order of their ends.
     pub fn take(&mut self) -> Vec<TracedRequest> {
         std::mem::take(&mut self.requests)
     }
--- a/crates/ledgelead-lab/src/simulation/world.rs
+++ b/crates/ledgelead-lab/src/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The world and its loop.
+//! The simulation state and event loop.
 
 use super::callers::Callers;
 use super::deployment;
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Streams of random draws.
+/// Streams of random numbers.
 #[derive(Clone, Copy, Debug)]
 enum Stream {
     Network,
@@ -36,7 +36,7 @@
     Processes,
 }
 
-/// A deployment and everything around it.
+/// A simulated deployment and its environment.
 pub struct World<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) protections: Protections,
@@ -63,7 +63,7 @@
     pub(super) trace: Trace,
 }
 
-/// Runs one seed of a scenario to its end.
+/// Runs a scenario with one seed to the end.
 pub fn run_seed(
     scenario: &Scenario,
     seed: u64,
@@ -76,7 +76,7 @@
 }
 
 impl<'a> World<'a> {
-    /// The world at the start of a run.
+    /// Creates a simulation at the start of its run.
     pub fn new(
         scenario: &'a Scenario,
         seed: u64,
@@ -119,23 +119,22 @@
         world
     }
 
-    /// Keeps a record of the session in words from now on.
+    /// Enables the textual session log.
     pub fn record_session(&mut self) {
         self.session = Session::enabled();
     }
 
-    /// Keeps every request and its end from now on.
+    /// Enables the recording of requests.
     pub fn trace_requests(&mut self) {
         self.trace = Trace::enabled();
     }
 
-    /// The requests that ended since they are kept, in the order of their
-    /// ends.
+    /// Takes the recorded requests in the order of their ends.
     pub fn take_traced_requests(&mut self) -> Vec<TracedRequest> {
         self.trace.take()
     }
 
-    /// The session in words.
+    /// Lines of the session log.
     pub fn session(&self) -> &[String] {
         self.session.lines()
     }
@@ -190,7 +189,7 @@
         Time::ZERO + Span::from_seconds(self.scenario.run.virtual_seconds)
     }
 
-    /// Runs up to and including a point of the run.
+    /// Runs up to and including a time of the run.
     pub fn run_until(&mut self, until: Time) {
         while let Some(next) = self.next_time().filter(|next| *next <= until) {
             self.advance(next);
@@ -219,7 +218,7 @@
         }
     }
 
-    /// Lets the actors do all that is due, and carries out what they want.
+    /// Lets the actors process everything that is due, and carries out their outputs.
     pub(super) fn run_actors(&mut self) {
         let instant = self.start + Span(self.now().0).to_std();
         self.stakker.run(instant, false);
@@ -229,7 +228,7 @@
         }
     }
 
-    /// The run's clock.
+    /// Current time of the run.
     pub fn now(&self) -> Time {
         self.run_clock.get()
     }
@@ -287,7 +286,7 @@
         self.after(Span::from_seconds(1), Event::EverySecond);
     }
 
-    /// Makes the last checks and gives out what was measured.
+    /// Performs the final checks and returns the results.
     pub fn finish(mut self) -> (Measurements, Checker) {
         let now = self.now();
         self.checker
@@ -309,7 +308,7 @@
         (self.measurements, self.checker)
     }
 
-    /// A run of a node that is still the present one.
+    /// Whether a node incarnation is the current one.
     pub(super) fn is_present(&self, run: NodeRun) -> bool {
         self.nodes[run.index].run() == Some(run)
     }
