--- a/crates/ledgelead-lab/src/standin/execution.rs
+++ b/crates/ledgelead-lab/src/standin/execution.rs
@@ -1,86 +1,85 @@
-//! What a server stand-in records of the work it ran, for the checker.
+//! Requests at simulated servers and records of their execution for the checker.
 
 use ledgelead_types::request::{AttemptId, OwnershipClaim};
 use ledgelead_types::server::ServerRefusal;
 use ledgelead_types::{Member, ServerId, Span, TierId, Time};
 
-/// Identifies an attempt over all nodes: request numbers are unique only
-/// within one run of the node that accepted the request.
+/// Identifies an attempt across all nodes. Request numbers are unique only within one
+/// incarnation of the node that accepted the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
-    /// Node that sent the attempt, in one run of its process.
+    /// The node incarnation that sent the attempt.
     pub gateway: Member,
-    /// The attempt there.
+    /// The attempt within that incarnation.
     pub attempt: AttemptId,
 }
 
-/// A request as it arrives at a server.
+/// A request that arrives at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerRequest {
     /// The attempt.
     pub key: AttemptKey,
-    /// Number that the caller put into its body; the answer repeats it.
+    /// Number in the request body, which the answer repeats.
     pub body: u64,
-    /// What the request claims of its key's owner.
+    /// The ownership that the request claims for its key's owner.
     pub ownership: Option<OwnershipClaim>,
-    /// Time left until the deadline, on arrival.
+    /// Remaining time until the deadline at arrival.
     pub deadline: Span,
     /// Priority tier.
     pub tier: TierId,
-    /// Time that a warm server needs to execute it.
+    /// Execution time on a warm server.
     pub service_time: Span,
 }
 
-/// How a server ended an attempt.
+/// The result of an attempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAnswer {
-    /// Executed; the answer repeats the body's number.
+    /// Executed; the answer repeats the number in the body.
     Done {
-        /// The body's number.
+        /// Number in the request body.
         body: u64,
     },
     /// Not started, and never will be.
     Refused(ServerRefusal),
-    /// Cancelled while it executed: part of it may have taken effect.
+    /// Cancelled during execution: part of it may have taken effect.
     Aborted,
 }
 
-/// Something that the driver of a server stand-in has to act on.
+/// An action that the driver of a simulated server must carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAction {
-    /// An execution began; [`super::server::ServerState::finish`] has to be
-    /// called after this span of the server's clock.
+    /// An execution started. [`super::server::ServerState::finish`] must be called after this
+    /// span of the server's clock.
     Started {
         /// The attempt.
         key: AttemptKey,
-        /// How long it takes.
+        /// Duration of the execution.
         duration: Span,
     },
-    /// An attempt ended; its sender is to be told.
+    /// An attempt ended; its sender must be told.
     Ended {
         /// The attempt.
         key: AttemptKey,
-        /// How.
+        /// The result.
         answer: ServerAnswer,
     },
 }
 
-/// One execution as the server recorded it.
+/// Record of an execution.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Execution {
     /// The attempt.
     pub key: AttemptKey,
-    /// Number that the caller put into its body.
+    /// Number in the request body.
     pub body: u64,
     /// Server that executed it.
     pub server: ServerId,
-    /// Run of the server's process.
+    /// Incarnation number of the server's process.
     pub run: u64,
     /// Position and token under which it was executed.
     pub ownership: Option<OwnershipClaim>,
-    /// Start, on the clock of the run.
+    /// Start on the clock of the run.
     pub started: Time,
-    /// End, on the clock of the run; `None` while it executes or when the
-    /// server died during it.
+    /// End on the clock of the run; `None` during execution, or if the server died meanwhile.
     pub ended: Option<Time>,
 }
--- a/crates/ledgelead-lab/src/standin/platform.rs
+++ b/crates/ledgelead-lab/src/standin/platform.rs
@@ -1,36 +1,36 @@
-//! The platform's object API ([`ledgelead_types::platform`]): versioned
-//! objects with compare-and-swap and watches, and a lagging list of machines.
+//! The platform's object API ([`ledgelead_types::platform`]): versioned objects with
+//! compare-and-swap and watches, and a delayed list of machines.
 
 use ledgelead_types::platform::*;
 use ledgelead_types::{Bytes, List, NodeId, Span, Text, Time};
 use std::collections::BTreeMap;
 
-/// Whether and how the platform answers.
+/// Active faults of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlatformCondition {
-    /// Every call fails without an effect.
+    /// Every call fails without taking effect.
     pub down: bool,
-    /// Added to each answer by the driver.
+    /// Delay that the driver adds to each response.
     pub delay: Span,
-    /// Effects happen, answers are lost.
+    /// Calls take effect, but their responses are lost.
     pub loses_answers: bool,
 }
 
-/// Names a watch until it ends.
+/// Identifies a pending watch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatchId(pub u64);
 
-/// What became of a call.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformResponse {
-    /// It ended.
+    /// The call ended.
     Ended(Result<PlatformReply, PlatformError>),
-    /// It waits for a newer object. The driver ends it by
-    /// [`PlatformState::end_watch`] after a bounded time.
+    /// The call waits for a newer object. The driver ends it with [`PlatformState::end_watch`]
+    /// after a bounded time.
     Watching(WatchId),
 }
 
-/// A swap that took effect.
+/// A successful swap.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformWrite {
     /// Name of the object.
@@ -39,16 +39,16 @@
     pub version: ObjectVersion,
     /// Its new content.
     pub value: Bytes,
-    /// When, on the clock of the run.
+    /// Time on the clock of the run.
     pub at: Time,
 }
 
-/// The platform.
+/// The simulated platform.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformState {
-    /// Whether and how it answers.
+    /// Active faults.
     pub condition: PlatformCondition,
-    /// How long a change of a machine takes to show in the list.
+    /// Delay until a machine's change appears in the list.
     pub machine_list_lag: Span,
     objects: BTreeMap<Text, (ObjectVersion, Bytes)>,
     watches: BTreeMap<WatchId, (Text, ObjectVersion)>,
@@ -59,8 +59,8 @@
 }
 
 impl PlatformState {
-    /// A platform that holds nothing yet; a change of a machine takes
-    /// `machine_list_lag` to show in the list.
+    /// Creates a platform without objects, on which a machine's change appears in the list
+    /// after `machine_list_lag`.
     pub fn new(machine_list_lag: Span) -> PlatformState {
         PlatformState {
             machine_list_lag,
@@ -135,8 +135,8 @@
         PlatformReply::Swapped { version }
     }
 
-    /// Watches whose object has become newer, with their answers. While the
-    /// platform is down nothing is told.
+    /// Takes the watches whose object has a newer version, with their answers. None are
+    /// answered while the platform is down.
     pub fn take_ready_watches(&mut self) -> Vec<(WatchId, Result<PlatformReply, PlatformError>)> {
         if self.condition.down {
             return Vec::new();
@@ -153,7 +153,7 @@
         ready
     }
 
-    /// Ends a watch that waited long enough; `None` when it has ended before.
+    /// Ends a watch that timed out; `None` if it has already ended.
     pub fn end_watch(&mut self, watch: WatchId) -> Option<Result<PlatformReply, PlatformError>> {
         self.watches.remove(&watch)?;
         if self.condition.down {
@@ -162,14 +162,13 @@
         Some(Ok(PlatformReply::Unchanged))
     }
 
-    /// Ends every watch, as when the platform goes down, and returns them.
+    /// Ends and returns all watches, for example because the platform goes down.
     pub fn drop_watches(&mut self) -> Vec<WatchId> {
         std::mem::take(&mut self.watches).into_keys().collect()
     }
 
-    /// Notes a change of a machine. It shows after the list's lag, but a
-    /// machine that is back shows at once: one listed as gone is off for
-    /// certain.
+    /// Updates a machine. The change appears after the list's delay, except that a live
+    /// machine appears immediately, so that a machine listed as gone is certainly off.
     pub fn set_machine(&mut self, now: Time, entry: MachineEntry) {
         if entry.state == MachineState::Live {
             self.pending_machines
@@ -193,7 +192,7 @@
         PlatformReply::Machines(self.machines.values().cloned().collect::<List<_>>())
     }
 
-    /// Swaps that took effect since the last call, in order.
+    /// Takes the successful swaps since the last call, in order.
     pub fn take_writes(&mut self) -> Vec<PlatformWrite> {
         std::mem::take(&mut self.writes)
     }
--- a/crates/ledgelead-lab/src/standin/server.rs
+++ b/crates/ledgelead-lab/src/standin/server.rs
@@ -1,11 +1,11 @@
-//! A back end that obeys the server interface
-//! ([`ledgelead_types::server`]): leases with fencing, admission, execution in
-//! slots, draining, cancellation, deadlines, cold starts and load reports.
+//! A simulated back end that implements the server interface ([`ledgelead_types::server`]):
+//! leases with fencing, admission, execution in slots, draining, cancellation, deadlines, cold
+//! starts and load reports.
 //!
-//! Invariant: a request for a key starts only while the server's lease is
-//! unexpired on its own clock and the request carries the token under which
-//! the server holds the slice. Both are checked when the execution starts, so
-//! a server that was frozen starts nothing it no longer owns.
+//! Invariant: a request for a key starts only while the server's lease is unexpired on its own
+//! clock and the request carries the token under which the server holds the slice. Both are
+//! checked when the execution starts, so that a server that was frozen starts nothing that it
+//! no longer owns.
 
 use super::Moment;
 use super::execution::*;
@@ -15,36 +15,36 @@
 use ledgelead_types::{FencingToken, List, ServerId, Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a server is set up with.
+/// Settings of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSettings {
     /// Its identifier.
     pub server: ServerId,
-    /// Requests that it executes at once.
+    /// Requests that it executes concurrently.
     pub slots: u16,
-    /// Requests that may wait for a slot.
+    /// Maximum number of queued requests.
     pub queue: usize,
-    /// Whether its service is divided by key.
+    /// Whether its service is keyed.
     pub keyed: bool,
-    /// How long it stays cold after its start.
+    /// How long it is cold after its start.
     pub cold_for: Span,
-    /// Factor on service times while it is cold.
+    /// Factor by which service times are longer while it is cold.
     pub cold_factor: f64,
-    /// Protections; all on, except for a proof of the checker.
+    /// Enabled protections. Some are disabled only to test the checker.
     pub protections: Protections,
 }
 
-/// How a server misreports its load.
+/// Replaces the load that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LoadOverride {
-    /// It tells the truth.
+    /// Reports the actual load.
     #[default]
     None,
-    /// It reports this, whatever happens.
+    /// Always reports this load.
     Fixed(LoadReport),
 }
 
-/// One run of a back end's process.
+/// The state of one incarnation of a back end's process.
 #[derive(Clone, Debug)]
 pub struct ServerState {
     settings: ServerSettings,
@@ -71,8 +71,8 @@
 }
 
 impl ServerState {
-    /// A process that has just started and holds nothing. `run` differs from
-    /// that of every earlier process of this server.
+    /// Creates a newly started process without slices. `run` must differ from that of all
+    /// earlier processes of this server.
     pub fn new(settings: ServerSettings, run: u64, now: Moment) -> ServerState {
         ServerState {
             settings,
@@ -93,12 +93,12 @@
         }
     }
 
-    /// What it was set up with.
+    /// Its settings.
     pub fn settings(&self) -> &ServerSettings {
         &self.settings
     }
 
-    /// Takes or refuses a renewal of its lease.
+    /// Accepts or rejects a renewal of its lease.
     pub fn renew(&mut self, now: Moment, renewal: &LeaseRenewal) -> RenewalReply {
         let verdict = self.apply_renewal(now, renewal);
         self.drop_finished_releases();
@@ -142,8 +142,8 @@
         RenewalVerdict::Taken
     }
 
-    /// A stamp of an earlier process would let a grant outlive the restart
-    /// that has forgotten it.
+    /// Accepting a stamp of a previous process would keep a grant valid across a restart,
+    /// although the restart lost it.
     fn is_own(&self, stamp: Time, now: Moment) -> bool {
         self.started <= stamp && stamp <= now.local
     }
@@ -156,7 +156,7 @@
         self.holding = unchanged_since;
     }
 
-    /// A slice is released when nothing executes under its token any more.
+    /// A slice is released when no execution under its token is left.
     fn drop_finished_releases(&mut self) {
         let executing = &self.executing;
         self.releasing.retain(|slice| {
@@ -167,7 +167,7 @@
         });
     }
 
-    /// Admits a request: starts it, lets it wait, or refuses it.
+    /// Starts, queues or refuses a request.
     pub fn request(&mut self, now: Moment, request: ServerRequest) {
         self.refuse_expired(now);
         if let Some(refusal) = self.refusal(now, request.ownership) {
@@ -186,7 +186,7 @@
         self.queued.push_back(QueuedRequest { request, deadline });
     }
 
-    /// Ends an execution whose time has passed; unknown attempts are ignored.
+    /// Completes an execution; unknown attempts are ignored.
     pub fn finish(&mut self, now: Moment, key: AttemptKey) {
         let Some(body) = self.end_execution(now, key) else {
             return;
@@ -195,8 +195,7 @@
         self.start_queued(now);
     }
 
-    /// Cancels an attempt: one that waits is not run, one that executes is
-    /// cut short.
+    /// Cancels an attempt: a queued one is not run, a running one is aborted.
     pub fn cancel(&mut self, now: Moment, key: AttemptKey) {
         let queued_before = self.queued.len();
         self.queued.retain(|queued| queued.request.key != key);
@@ -209,18 +208,17 @@
         }
     }
 
-    /// Announces in its renewal replies that it wants to leave, or takes it
-    /// back.
+    /// Sets whether its renewal replies announce that it wants to leave.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Lets it misreport its load from now on.
+    /// Sets the load that it reports from now on.
     pub fn set_load_override(&mut self, load_override: LoadOverride) {
         self.load_override = load_override;
     }
 
-    /// Load as it reports it, which may be a lie.
+    /// The load that it reports, which may be overridden.
     pub fn load(&self, now: Moment) -> LoadReport {
         if let LoadOverride::Fixed(report) = self.load_override {
             return report;
@@ -233,7 +231,7 @@
         }
     }
 
-    /// Slices for which it would start a request now.
+    /// Slices for which it would currently start a request.
     pub fn claimable(&self, now: Moment) -> &[GrantedSlice] {
         if now.local < self.lease_until {
             &self.held
@@ -242,37 +240,37 @@
         }
     }
 
-    /// Slices that it holds, whether or not its lease runs.
+    /// Slices that it holds, even if its lease has expired.
     pub fn held(&self) -> &[GrantedSlice] {
         &self.held
     }
 
-    /// Until when, on its own clock, its lease runs.
+    /// End of its lease on its own clock.
     pub fn lease_until(&self) -> Time {
         self.lease_until
     }
 
-    /// Whether it was told to take no new work.
+    /// Whether it was told to accept no new requests.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether nothing executes or waits.
+    /// Whether no request is running or queued.
     pub fn is_idle(&self) -> bool {
         self.executing.is_empty() && self.queued.is_empty()
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the actions since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<ServerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Executions that ended since the last call.
+    /// Takes the executions that ended since the last call.
     pub fn take_executions(&mut self) -> Vec<Execution> {
         std::mem::take(&mut self.finished)
     }
 
-    /// Executions that have started and not ended, as when the process dies.
+    /// Executions that have not ended, for example because the process died.
     pub fn unfinished(&self) -> impl Iterator<Item = &Execution> {
         self.executing.values()
     }
--- a/crates/ledgelead-lab/tests/demo_checker.rs
+++ b/crates/ledgelead-lab/tests/demo_checker.rs
@@ -43,12 +43,12 @@
     }
 }
 
-fn judge(
+fn check(
     callers: &[CallerRecord],
     executions: &[Execution],
     departures: &[Departure],
 ) -> Violations {
-    checker::judge(&Evidence {
+    checker::check(&Evidence {
         callers,
         executions,
         departures,
@@ -69,7 +69,7 @@
         execution(2, 2, "1.1.2", (10, 20)),
         execution(4, 2, "1.1.2", (20, 30)),
     ];
-    expect_that!(judge(&callers, &executions, &[]), eq(Violations::default()));
+    expect_that!(check(&callers, &executions, &[]), eq(Violations::default()));
 }
 
 #[gtest]
@@ -78,12 +78,12 @@
         execution(1, 1, "1.1.1", (0, 10)),
         execution(2, 2, "1.1.2", (9, 20)),
     ];
-    expect_that!(judge(&[], &overlapping, &[]).single_owner, eq(1));
+    expect_that!(check(&[], &overlapping, &[]).single_owner, eq(1));
     let going_back = [
         execution(1, 2, "1.1.2", (0, 10)),
         execution(2, 1, "1.1.1", (10, 20)),
     ];
-    expect_that!(judge(&[], &going_back, &[]).single_owner, eq(1));
+    expect_that!(check(&[], &going_back, &[]).single_owner, eq(1));
 }
 
 #[gtest]
@@ -106,7 +106,7 @@
         answer_matches_request: 2,
         ..Violations::default()
     };
-    expect_that!(judge(&callers, &executions, &[]), eq(expected));
+    expect_that!(check(&callers, &executions, &[]), eq(expected));
 }
 
 #[gtest]
@@ -131,7 +131,7 @@
         planned_stop_cuts_nothing: 1,
         ..Violations::default()
     };
-    expect_that!(judge(&callers, &executions, &[departure]), eq(expected));
+    expect_that!(check(&callers, &executions, &[departure]), eq(expected));
 }
 
 #[gtest]
@@ -152,7 +152,7 @@
         address,
         at: millis(10),
     };
-    let violations = checker::judge(&Evidence {
+    let violations = checker::check(&Evidence {
         callers: &callers,
         executions: &[],
         departures: &[],
