--- a/crates/ledgelead-lab/src/demo/bench.rs
+++ b/crates/ledgelead-lab/src/demo/bench.rs
@@ -1,5 +1,5 @@
-//! Measures what the router adds: the same load straight to the back ends and
-//! through the nodes, in one run, with back ends that take no time.
+//! Measures the overhead of the router: the same load is sent directly to the back ends and
+//! through the nodes, in one run, with back ends whose service time is zero.
 
 use super::caller::Targets;
 use super::configuration;
@@ -15,7 +15,7 @@
 use ledgelead_types::Span;
 use std::fmt;
 
-/// What is deployed: the keyed service as large as at Bogotá.
+/// Size of the deployment; the keyed service has the size of that in the Bogotá scenario.
 const SHAPE: DeploymentShape = DeploymentShape {
     nodes: 3,
     keyed_servers: 14,
@@ -25,78 +25,76 @@
     killable: false,
 };
 
-/// Connections of the closed-loop measurements.
+/// Numbers of connections of the closed-loop measurements.
 const CONNECTIONS: [usize; 3] = [1, 64, 512];
-/// Rate of the open-loop measurement: what one node has to carry at the
-/// designed size.
+/// Rate of the open-loop measurement, which is the design load of one node.
 const OPEN_LOOP_REQUESTS_PER_SECOND: f64 = 2_200.0;
-/// Threads that send in the open-loop measurement.
+/// Number of threads that send in the open-loop measurement.
 const OPEN_LOOP_CONNECTIONS: usize = 64;
-/// Threads that share an HTTP client.
+/// Number of threads that share an HTTP client.
 const THREADS_PER_CLIENT: usize = 8;
-/// Requests a second that are planned for a closed loop: more than it takes.
+/// Planned requests per second of a closed loop, which must exceed what it can send.
 const PLANNED_REQUESTS_PER_SECOND: f64 = 40_000.0;
 /// Number of keys.
 const KEYS: usize = 5_000;
 /// Seed of the load.
 const SEED: u64 = 7;
 
-/// The results of all measurements.
+/// Results of all measurements.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct BenchReport {
     /// Processor cores of the machine.
     pub cores: usize,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// One row a measurement.
+    /// One row per measurement.
     pub rows: Vec<BenchRow>,
 }
 
-/// One measurement; times in milliseconds.
+/// Result of a measurement; times are in milliseconds.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct BenchRow {
     /// `closed-loop` or `open-loop`.
     pub load: &'static str,
-    /// Nodes that the callers ask.
+    /// Number of nodes to which callers send requests.
     pub nodes_asked: usize,
-    /// Requests at once: about as many connections of callers.
+    /// Concurrent requests, which is about the number of connections from callers.
     pub connections: usize,
-    /// Answered requests a second through the nodes.
+    /// Answered requests per second through the nodes.
     pub requests_per_second: f64,
-    /// Answered requests a second straight to the back ends.
+    /// Answered requests per second directly at the back ends.
     pub direct_requests_per_second: f64,
-    /// Answered requests for each second of processor time that the threads
-    /// of all nodes took.
+    /// Answered requests per second of processor time of all node threads.
     pub requests_per_second_per_core: f64,
-    /// Processor cores that the threads of all nodes kept busy.
+    /// Number of processor cores used by all node threads.
     pub node_cores: f64,
-    /// Requests that were not answered.
+    /// Number of requests that were not answered.
     pub not_answered: usize,
-    /// Answers that were cut or to another request.
+    /// Number of answers that were truncated or belonged to another request.
     pub wrong_answers: usize,
     /// Median latency through the nodes.
     pub latency_ms_p50: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the latency through the nodes.
     pub latency_ms_p99: f64,
-    /// Median latency straight to the back ends.
+    /// Median latency directly at the back ends.
     pub direct_latency_ms_p50: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the latency directly at the back ends.
     pub direct_latency_ms_p99: f64,
     /// Difference of the medians.
     pub added_latency_ms_p50: f64,
     /// Difference of the 99th percentiles.
     pub added_latency_ms_p99: f64,
-    /// 99th percentile through the nodes over the direct one.
+    /// 99th percentile through the nodes divided by the direct one.
     pub latency_ratio_p99: f64,
-    /// Threads of the nodes at the end of the load.
+    /// Number of node threads at the end of the load.
     pub node_threads: usize,
-    /// All threads of the process, with stand-ins and callers.
+    /// Number of all threads of the process, including simulated services and callers.
     pub threads: usize,
-    /// Resident memory of the process, with stand-ins and callers, in MiB.
+    /// Resident memory of the process in MiB, including simulated services and callers.
     pub resident_mib: f64,
 }
 
-/// Runs all measurements, each for the options' duration.
+/// Runs all measurements, each for the duration in the options.
 pub fn run(options: &Options) -> Result<BenchReport, DemoError> {
     let deployment = Deployment::start(&SHAPE)?;
     deployment.wait_until_ready().map_err(DemoError::NotReady)?;
@@ -121,7 +119,7 @@
 }
 
 impl BenchReport {
-    /// Whether every answer was whole and to its own request.
+    /// Whether every answer was complete and belonged to its request.
     pub fn is_sound(&self) -> bool {
         self.rows.iter().all(|row| row.wrong_answers == 0)
     }
@@ -133,7 +131,7 @@
     next_request: u64,
 }
 
-/// One load and what it took.
+/// Results of a single load.
 struct Measured {
     answered: usize,
     not_answered: usize,
--- a/crates/ledgelead-lab/src/demo/caller.rs
+++ b/crates/ledgelead-lab/src/demo/caller.rs
@@ -1,4 +1,4 @@
-//! Sends one request as a caller and tells its outcome.
+//! Sends a request as a caller and determines its outcome.
 
 use super::answer;
 use super::records::CallerOutcome;
@@ -11,68 +11,66 @@
 use ureq::http::{Method, Request, Response};
 use ureq::{Agent, Body, Error, Timeout};
 
-/// Name of the service whose keys are owned.
+/// Name of the keyed service.
 pub const KEYED_SERVICE: &str = "vacantes";
-/// Name of the service without keys.
+/// Name of the unkeyed service.
 pub const UNKEYED_SERVICE: &str = "postulaciones";
 
 /// Header with the key.
 const KEY_HEADER: &str = "Ledgelead-Key";
-/// Header with the time left until the caller's deadline, in milliseconds.
+/// Header with the remaining time until the caller's deadline, in milliseconds.
 const DEADLINE_HEADER: &str = "Ledgelead-Deadline-Ms";
 /// Header with the outcome of a request.
 const OUTCOME_HEADER: &str = "Ledgelead-Outcome";
-/// Header with the reason of an outcome.
+/// Header with the reason for an outcome.
 const REASON_HEADER: &str = "Ledgelead-Reason";
-/// Header of a request that must run at most once.
+/// Header that makes a request run at most once.
 const IDEMPOTENCY_HEADER: &str = "Idempotency-Key";
 /// Deadline of every request.
 const DEADLINE: Span = Span::from_millis(2_000);
-/// How long a caller waits beyond the deadline for the node's word on it.
+/// How long a caller waits for a response from a node, beyond the deadline of the request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Longest time to connect.
+/// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Reason of a refusal that a caller answers by asking another node.
+/// Reason of a refusal after which a caller tries another node.
 const STOPPING: &str = "stopping";
-/// Reason when no node could be reached.
+/// Reason if no node could be reached.
 const NO_NODE: &str = "no-node-reachable";
 
-/// Where requests go.
+/// Destination of requests.
 #[derive(Clone, Debug)]
 pub enum Targets {
-    /// To nodes, in an order that differs from request to request. A node
-    /// that can't be reached or is stopping is passed over.
+    /// Nodes, in an order that differs between requests. Nodes that are stopping or can't be
+    /// reached are skipped.
     Nodes(Vec<SocketAddr>),
-    /// Straight to the back ends: by a static division of the positions for
-    /// the keyed service, in turn for the other.
+    /// Back ends. Requests of the keyed service are distributed by a static partitioning of
+    /// the positions, those of the other service in rotation.
     Servers {
         /// Back ends of the keyed service.
         keyed: Vec<SocketAddr>,
-        /// Back ends of the service without keys.
+        /// Back ends of the unkeyed service.
         unkeyed: Vec<SocketAddr>,
     },
 }
 
-/// Connections that a client keeps open to one node or back end beyond those
-/// in use.
+/// Maximum number of idle connections of a client to one node or back end.
 const MAX_IDLE_PER_TARGET: usize = 128;
-/// Bytes of each of the two buffers of a connection; requests and answers are
-/// small.
+/// Size of each of a connection's two buffers; requests and answers are small.
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Connections that a client keeps open altogether beyond those in use.
+/// Maximum number of idle connections of a client in total.
 const MAX_IDLE: usize = 1_024;
 
-/// HTTP clients of its own for each target. The library looks through all idle
-/// connections of a client at each request, so one client for all targets would
-/// spend more time on that than on requests. Threads that share a client share
-/// its connections, so there are hardly more of them than requests in flight.
+/// A separate HTTP client per target. The library scans all idle connections of a client for
+/// each request, so a single client for all targets would spend more time on that than on the
+/// requests. Threads that share a client share its connections, so there are hardly more
+/// connections than requests in flight.
 #[derive(Clone, Debug)]
 pub struct Client {
     agents: BTreeMap<SocketAddr, Agent>,
 }
 
 impl Client {
-    /// A client for these targets.
+    /// Creates clients for these targets.
     pub fn new(targets: &Targets) -> Client {
         let addresses: Vec<SocketAddr> = match targets {
             Targets::Nodes(nodes) => nodes.clone(),
@@ -90,7 +88,7 @@
     }
 }
 
-/// An HTTP client for any target.
+/// Creates an HTTP client for any target.
 pub fn new_agent() -> Agent {
     Agent::config_builder()
         .max_idle_connections_per_host(MAX_IDLE_PER_TARGET)
@@ -106,16 +104,16 @@
         .new_agent()
 }
 
-/// The outcome of a request, and who told it.
+/// The outcome of a request, and the node that reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendResult {
-    /// The node that was asked last; `None` for a request sent past the nodes.
+    /// The node that was tried last; `None` for requests sent directly to back ends.
     pub node: Option<SocketAddr>,
     /// The outcome.
     pub outcome: CallerOutcome,
 }
 
-/// Sends the request by a client for the targets and waits for its outcome.
+/// Sends a request to the targets and waits for its outcome.
 pub fn send(
     client: &Client,
     targets: &Targets,
@@ -137,11 +135,11 @@
     }
 }
 
-/// How an attempt at one node ended.
+/// Result of an attempt at one node.
 enum Attempt {
-    /// For good.
+    /// The final outcome.
     Ended(CallerOutcome),
-    /// Not run, and another node may take it.
+    /// The request did not run, and another node may accept it.
     NotAccepted(String),
 }
 
@@ -265,7 +263,7 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-/// Whether the error proves that no byte of the request was written.
+/// Whether the error proves that no part of the request was sent.
 fn proves_not_sent(error: &Error) -> bool {
     match error {
         Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
--- a/crates/ledgelead-lab/src/demo/checker.rs
+++ b/crates/ledgelead-lab/src/demo/checker.rs
@@ -1,4 +1,4 @@
-//! Judges a demonstration by what callers and servers recorded.
+//! Checks a demonstration against the records of callers and servers.
 
 use super::records::{CallerOutcome, CallerRecord, RequestNumber};
 use crate::standin::execution::Execution;
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Within this time from its wish to leave, a server may still be sent work.
+/// Time after its announcement during which a leaving server may still get requests.
 pub const LEAVE_LIMIT: Span = Span::from_seconds(3);
 
-/// A server that left or was killed, as the demonstration did it.
+/// A server that left or was killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
     /// The server.
     pub server: ServerId,
-    /// When it was killed, or asked to be drained.
+    /// When it was killed or asked to be drained.
     pub at: Time,
     /// Whether it was stopped as planned rather than killed.
     pub planned: bool,
@@ -23,7 +23,7 @@
 /// A node that was stopped as planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeDeparture {
-    /// Where callers reached it.
+    /// Its address for callers.
     pub address: SocketAddr,
     /// When it was told to stop.
     pub at: Time,
@@ -32,9 +32,9 @@
 /// Everything that was recorded.
 #[derive(Clone, Copy, Debug)]
 pub struct Evidence<'a> {
-    /// Routed requests as their callers saw them.
+    /// Routed requests as recorded by their callers.
     pub callers: &'a [CallerRecord],
-    /// Executions of routed requests, of all servers.
+    /// Executions of routed requests at all servers.
     pub executions: &'a [Execution],
     /// Servers that left.
     pub departures: &'a [Departure],
@@ -42,28 +42,26 @@
     pub node_departures: &'a [NodeDeparture],
 }
 
-/// How often each promise was broken.
+/// Number of violations of each guarantee.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Violations {
-    /// A key was served by two servers at once, or under an older token after
-    /// a newer one.
+    /// Executions of a key on two servers at once, or under an older token after a newer one.
     pub single_owner: usize,
-    /// A caller was handed an answer that is not its own or not whole.
+    /// Answers that were incomplete or belonged to another request.
     pub answer_matches_request: usize,
-    /// A request was started though its caller was told that it was not run.
+    /// Requests that started although their callers were told that they did not run.
     pub not_run_is_true: usize,
-    /// A request that must run at most once was started more often.
+    /// Requests that must run at most once but started more often.
     pub once_only: usize,
-    /// A request was started at a server a few seconds after it wished to
-    /// leave.
+    /// Requests that started on a server more than `LEAVE_LIMIT` after it asked to leave.
     pub no_new_work_after_leave: usize,
-    /// A request that a leaving server had started, or that was in flight at
-    /// a node when it was told to stop, brought its caller no answer.
+    /// Unanswered requests that a leaving server had started, or that were in flight at a node
+    /// when it was told to stop.
     pub planned_stop_cuts_nothing: usize,
 }
 
 impl Violations {
-    /// All together.
+    /// Total number of violations.
     pub fn total(&self) -> usize {
         self.single_owner
             + self.answer_matches_request
@@ -74,7 +72,7 @@
     }
 }
 
-/// Counts the broken promises.
+/// Counts the violations.
 pub fn check(evidence: &Evidence<'_>) -> Violations {
     let starts = starts_by_request(evidence.executions);
     let count = |request: RequestNumber| starts.get(&request).copied().unwrap_or(0);
@@ -122,8 +120,8 @@
     by_position.into_values().map(ownership_violations).sum()
 }
 
-/// Counts, among the executions for one key, those that started while another
-/// server's ran, or under an older token than one started before.
+/// Counts the executions of a key that started during an execution on another server, or under
+/// an older token than an earlier execution.
 fn ownership_violations(mut executions: Vec<&Execution>) -> usize {
     executions.sort_by_key(|execution| (execution.started, execution.key));
     let mut violations = 0;
--- a/crates/ledgelead-lab/src/demo/configuration.rs
+++ b/crates/ledgelead-lab/src/demo/configuration.rs
@@ -1,4 +1,4 @@
-//! The deployment that the demonstration and the benchmark run.
+//! The configuration used by the demonstration and the benchmark.
 
 use super::caller::{KEYED_SERVICE, UNKEYED_SERVICE};
 use super::server_endpoint::ServerEndpoint;
@@ -6,26 +6,26 @@
 use ledgelead_types::*;
 use sha2::{Digest, Sha256};
 
-/// Zones, as many as nodes.
+/// Zones, one per node.
 pub const ZONES: [&str; 3] = ["chapinero", "teusaquillo", "kennedy"];
-/// The service whose keys are owned.
+/// The keyed service.
 pub const KEYED: ServiceId = ServiceId(1);
-/// The service without keys.
+/// The unkeyed service.
 pub const UNKEYED: ServiceId = ServiceId(2);
 /// Credential of the operator.
 pub const OPERATOR_CREDENTIAL: &str = "demo-operator";
 
-/// Connections that a back end accepts from all nodes together.
+/// Maximum number of connections to a back end from all nodes together.
 const MAX_CONNECTIONS: u16 = 130;
 
-/// A tier with its weight, its guarantee and how many callers bought it.
+/// Tiers with their name, weight, guaranteed share and number of callers.
 const TIERS: [(&str, u32, u8, usize); 3] = [
     ("gold", 8, 20, 2),
     ("silver", 3, 10, 4),
     ("bronze", 1, 5, 6),
 ];
 
-/// The credentials of all callers, in the order of their identifiers.
+/// Credentials of all callers in the order of their identifiers.
 pub fn credentials() -> Vec<String> {
     TIERS
         .iter()
@@ -35,12 +35,12 @@
         .collect()
 }
 
-/// The zone of server or node number `index`, counted from 0.
+/// Zone of the server or node with this index.
 pub fn zone_of(index: usize) -> ZoneId {
     ZoneId((index % ZONES.len()) as u16 + 1)
 }
 
-/// The whole configuration, for servers that listen already.
+/// Composes the configuration for servers that are already listening.
 pub fn compose(servers: &[ServerEndpoint]) -> Configuration {
     Configuration {
         version: ConfigurationVersion(1),
--- a/crates/ledgelead-lab/src/demo/demonstration.rs
+++ b/crates/ledgelead-lab/src/demo/demonstration.rs
@@ -1,6 +1,6 @@
-//! Runs a demonstration: the same load straight to the back ends and through
-//! the nodes, with a server killed, a server stopped as planned and a node
-//! stopped while the load runs.
+//! Runs a demonstration: the same load is sent directly to the back ends and through the
+//! nodes. During the latter, a server is killed, a server leaves as planned and a node is
+//! stopped.
 
 use super::checker::{self, Departure, Evidence, NodeDeparture};
 use super::configuration;
@@ -21,7 +21,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What is deployed.
+/// Size of the deployment.
 pub const SHAPE: DeploymentShape = DeploymentShape {
     nodes: 3,
     keyed_servers: 6,
@@ -31,38 +31,38 @@
     killable: true,
 };
 
-/// Requests a second: about a third of the back ends' capacity.
+/// Requests per second, about a third of the back ends' capacity.
 const REQUESTS_PER_SECOND: f64 = 900.0;
-/// Threads that send: enough for the requests that wait while a slice has no
-/// owner.
+/// Number of threads that send, which must be enough for the requests that wait while a slice
+/// has no owner.
 const SENDING_THREADS: usize = 256;
 /// Number of keys.
 const KEYS: usize = 5_000;
 /// Seed of the load.
 const SEED: u64 = 20_260;
-/// Share of the whole time in which load goes straight to the back ends.
+/// Share of the duration in which the load goes directly to the back ends.
 const DIRECT_SHARE: f64 = 0.2;
-/// When, as a share of the load through the nodes, a server is killed.
+/// When a server is killed, as a share of the load through the nodes.
 const KILL_AT: f64 = 0.33;
-/// When a server wishes to leave.
+/// When a server asks to leave, as a share of the same load.
 const LEAVE_AT: f64 = 0.55;
-/// When a node is stopped.
+/// When a node is stopped, as a share of the same load.
 const NODE_STOP_AT: f64 = 0.78;
-/// Pause between two looks at what is due.
+/// Interval between checks for due actions.
 const TICK: Duration = Duration::from_millis(5);
-/// Longest wait, after the load, for the end of a node's stop.
+/// Maximum time to wait for the end of a node's stop after the load.
 const NODE_STOP_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the live summary is printed.
+/// Interval of the live summary.
 const LIVE_INTERVAL: Span = Span::from_seconds(1);
 
-/// Why a demonstration gave no result.
+/// Why a demonstration failed.
 #[derive(Debug)]
 pub enum DemoError {
-    /// The system gave no socket or no thread.
+    /// A socket or thread could not be created.
     System(io::Error),
-    /// The deployment was not ready in time; says what was missing.
+    /// The deployment was not ready in time; contains what was missing.
     NotReady(String),
-    /// No back end owned anything to lose.
+    /// No suitable back end owns slices.
     NoOwner,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// Runs a demonstration and sums it up.
+/// Runs a demonstration and summarizes it.
 pub fn run(options: &Options) -> Result<DemoReport, DemoError> {
     let deployment = Deployment::start(&SHAPE)?;
     let ready = deployment.wait_until_ready().map_err(DemoError::NotReady)?;
@@ -123,7 +123,7 @@
     LoadSettings::open_loop(&shape, targets, SENDING_THREADS)
 }
 
-/// Load through the nodes, with what is done meanwhile.
+/// The load through the nodes and the faults during it.
 struct Run {
     deployment: Deployment,
     load: Load,
@@ -136,7 +136,7 @@
     undisturbed_control_bytes_per_second: f64,
 }
 
-/// A server that was killed, and what it owned.
+/// A killed server and the slices that it owned.
 struct Kill {
     departure: Departure,
     slices: Vec<GrantedSlice>,
@@ -148,7 +148,7 @@
     handed_over: Option<Time>,
 }
 
-/// A node that is being stopped.
+/// A node that is stopping.
 struct NodeStop {
     departure: NodeDeparture,
     node: String,
@@ -170,7 +170,7 @@
         })
     }
 
-    /// Does what is due until every request has its outcome.
+    /// Carries out due actions until every request has an outcome.
     fn drive(&mut self, options: &Options) -> Result<(), DemoError> {
         let mut next_live = self.started + LIVE_INTERVAL;
         while !self.load.is_finished() {
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// A back end that owns slices and was left alone so far.
+    /// A back end that owns slices and has not been killed.
     fn owner(&self) -> Result<ServerId, DemoError> {
         let killed = self.kill.as_ref().map(|kill| kill.departure.server);
         self.deployment
@@ -261,7 +261,7 @@
         })
     }
 
-    /// Ends the leaving server's process once it has nothing left to do.
+    /// Ends the process of the leaving server once it is drained.
     fn stop_drained_server(&mut self) {
         let Some(leave) = self
             .leave
@@ -297,7 +297,7 @@
             .name("lab-stop-node".to_owned())
             .spawn(move || {
                 running.stop();
-                // Whoever waits may have given up.
+                // The receiver may have given up waiting.
                 let _ = stop.send(clock.now());
             })?;
         Ok(Some(NodeStop {
@@ -365,7 +365,7 @@
         }
     }
 
-    /// The run in parts, each from one disturbance to the next.
+    /// The parts of the run between faults.
     fn phases(&self, end: Time) -> Vec<Phase> {
         let mut starts = vec![("undisturbed".to_owned(), self.started)];
         if let Some(kill) = &self.kill {
@@ -386,7 +386,7 @@
     }
 }
 
-/// Part of a run.
+/// A part of the run.
 struct Phase {
     name: String,
     from: Time,
@@ -401,14 +401,14 @@
 }
 
 impl NodeStop {
-    /// How long the stop took; `None` while it lasts.
+    /// Duration of the stop; `None` if it has not ended in time.
     fn duration_ms(&self) -> Option<f64> {
         let stopped = self.stopped.recv_timeout(NODE_STOP_TIMEOUT).ok()?;
         Some(stopped.since(self.departure.at).as_millis())
     }
 }
 
-/// Control traffic of all nodes from a point in time on.
+/// Control traffic of all nodes since a point in time.
 struct ControlTraffic {
     started: Time,
     bytes: Vec<u64>,
@@ -422,7 +422,7 @@
         }
     }
 
-    /// Bytes a second, of the node with the most.
+    /// Bytes per second of the node with the highest traffic.
     fn bytes_per_second(&self, deployment: &Deployment) -> f64 {
         let seconds = deployment.clock.now().since(self.started).as_seconds();
         let most = control_bytes(deployment)
--- a/crates/ledgelead-lab/src/demo/deployment.rs
+++ b/crates/ledgelead-lab/src/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! Platform, back ends and nodes together.
+//! Platform, back ends and nodes of a demonstration.
 
 use super::caller::{self, Client, Targets};
 use super::clock::WallClock;
@@ -15,46 +15,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait until everything is owned and every node answers.
+/// Time limit until all keys have an owner and every node answers.
 const READY_LIMIT: Span = Span::from_seconds(20);
-/// Pause between two looks whether that is so.
+/// Interval between checks of the readiness.
 const READY_PAUSE: Duration = Duration::from_millis(50);
-/// Rounding error of the sum of all slices' shares.
+/// Tolerated rounding error of the sum of all slices' shares.
 const ROUNDING: f64 = 1e-9;
-/// Probes are numbered from here, beyond all requests of a load.
+/// First request number of probes, beyond all requests of a load.
 const FIRST_PROBE: u64 = 1 << 40;
 
-/// What to deploy.
+/// Size of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct DeploymentShape {
-    /// Nodes, each in the next zone.
+    /// Number of nodes, each in the next zone.
     pub nodes: usize,
-    /// Back ends of the keyed service.
+    /// Number of back ends of the keyed service.
     pub keyed_servers: usize,
-    /// Back ends of the service without keys.
+    /// Number of back ends of the unkeyed service.
     pub unkeyed_servers: usize,
-    /// Requests that a back end executes at once.
+    /// Requests that a back end executes concurrently.
     pub slots: u16,
-    /// Time that a request takes.
+    /// Execution time of a request.
     pub service_time: Span,
     /// Whether back ends can be killed.
     pub killable: bool,
 }
 
-/// Everything that runs.
+/// A running deployment.
 pub struct Deployment {
     /// The clock of all records.
     pub clock: WallClock,
     /// The platform.
     pub platform: PlatformEndpoint,
-    /// Back ends: those of the keyed service come first.
+    /// Back ends; those of the keyed service come first.
     pub servers: Vec<ServerEndpoint>,
     /// Nodes.
     pub nodes: Vec<DemoNode>,
 }
 
 impl Deployment {
-    /// Starts everything; nothing is owned yet.
+    /// Starts everything. Keys have no owners yet.
     pub fn start(shape: &DeploymentShape) -> io::Result<Deployment> {
         let clock = WallClock::start();
         let platform = PlatformEndpoint::start(clock)?;
@@ -76,11 +76,9 @@
         })
     }
 
-    /// Waits until every key has an owner and every node answers for both
-    /// services.
+    /// Waits until every key has an owner and every node answers for both services.
     ///
-    /// # Errors
-    /// When that takes too long: what is still missing.
+    /// # Errors Returns what is still missing after the time limit.
     pub fn wait_until_ready(&self) -> Result<Span, String> {
         let client = Client::new(&self.node_targets());
         let started = self.clock.now();
@@ -116,7 +114,7 @@
         None
     }
 
-    /// Share of all keys that some back end holds a lease on.
+    /// Share of all keys for which a back end holds a lease.
     pub fn owned_share(&self) -> f64 {
         let shares = |server: &ServerEndpoint| {
             let slices = server.claimable();
@@ -125,12 +123,12 @@
         self.servers.iter().map(shares).sum::<f64>().abs()
     }
 
-    /// The nodes as targets of callers.
+    /// The nodes as targets.
     pub fn node_targets(&self) -> Targets {
         Targets::Nodes(self.nodes.iter().map(DemoNode::http_address).collect())
     }
 
-    /// The back ends as targets of callers.
+    /// The back ends as targets.
     pub fn direct_targets(&self) -> Targets {
         Targets::Servers {
             keyed: self.addresses(true),
@@ -145,7 +143,7 @@
             .find(|server| server.settings().server == id)
     }
 
-    /// Executions of what nodes sent, at all back ends.
+    /// Executions of requests sent by nodes, at all back ends.
     pub fn executions(&self) -> Vec<Execution> {
         self.servers
             .iter()
@@ -177,7 +175,7 @@
         .collect()
 }
 
-/// Sends a request that runs as often as it likes to one node.
+/// Sends a request that may run more than once to a node.
 pub fn send_probe(
     client: &Client,
     node: SocketAddr,
--- a/crates/ledgelead-lab/src/demo/http.rs
+++ b/crates/ledgelead-lab/src/demo/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers around the HTTP server library that all stand-ins share.
+//! Helpers for the HTTP servers of the simulated services.
 
 use ledgelead_types::Span;
 use std::io::{self, Read};
@@ -8,23 +8,22 @@
 use std::time::Duration;
 use tiny_http::{Header, Request, Response, Server};
 
-/// Largest body that a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: u64 = 1 << 20;
-/// Threads that the HTTP library's pool starts with.
+/// Initial number of threads in the HTTP library's pool.
 const INITIAL_POOL_THREADS: usize = 4;
-/// Time for these threads to take the connections that keep them busy.
+/// Time for these threads to accept the connections that keep them busy.
 const SETTLING_TIME: Duration = Duration::from_millis(10);
-/// How often connections that are queued nevertheless are freed.
+/// Interval at which queued connections are woken.
 pub const WAKE_INTERVAL: Span = Span::from_millis(50);
 
 /// A server that listens on a free port of the loopback interface.
 ///
-/// `tiny_http` 0.12 queues a connection for a thread that it counts as waiting
-/// until that thread has woken. Of two connections that come together the
-/// second can be queued behind a thread that the first then keeps, and would
-/// wait until some connection ends. So the threads that the pool starts with
-/// are kept busy, which makes it add a thread for each connection, and
-/// [`Listening::nudge`] frees what is queued nevertheless.
+/// `tiny_http` 0.12 queues a connection for a thread that it considers idle until that thread
+/// has woken up. If two connections arrive at the same time, the second can be queued behind a
+/// thread that is kept by the first, and would wait until some connection ends. Therefore the
+/// initial threads of the pool are kept busy, so that it adds a thread for each connection,
+/// and [`HttpListener::wake_queued`] releases connections that are queued nevertheless.
 pub struct HttpListener {
     server: Server,
     address: SocketAddr,
@@ -55,13 +54,13 @@
         &self.server
     }
 
-    /// Where it is reached.
+    /// Its address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens and closes a connection: the thread that takes it goes on with a
-    /// connection that is queued.
+    /// Opens and closes a connection. The thread that accepts it continues with a queued
+    /// connection.
     pub fn wake_queued(&self) {
         if let Err(error) = TcpStream::connect(self.address) {
             log::debug!("failed to connect to wake a queued connection: {error}");
@@ -69,8 +68,8 @@
     }
 }
 
-/// A listener on a free port of the loopback interface. On Linux the sockets
-/// that it accepts inherit its option to send small segments at once.
+/// Listens on a free port of the loopback interface. On Linux the accepted sockets inherit the
+/// option to send small segments immediately.
 fn listener() -> io::Result<TcpListener> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let socket = TcpStream::from(OwnedFd::from(listener));
@@ -78,7 +77,7 @@
     Ok(TcpListener::from(OwnedFd::from(socket)))
 }
 
-/// The value of a request's header.
+/// The value of a request header.
 pub fn header_of<'a>(request: &'a Request, name: &'static str) -> Option<&'a str> {
     request
         .headers()
@@ -87,14 +86,14 @@
         .map(|header| header.value.as_str())
 }
 
-/// Reads a request's whole body.
+/// Reads the complete body of a request.
 pub fn read_body(request: &mut Request) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     request.as_reader().take(MAX_BODY).read_to_end(&mut body)?;
     Ok(body)
 }
 
-/// An answer with a body and headers.
+/// Creates a response with a body and headers.
 pub fn response(
     status: u16,
     body: Vec<u8>,
@@ -108,8 +107,8 @@
     response
 }
 
-/// Sends an answer. One whose receiver has left is dropped: the receiver's own
-/// records tell what that meant.
+/// Sends a response. It is dropped if the receiver has disconnected; the receiver's own
+/// records show the consequences.
 pub fn answer(request: Request, status: u16, body: Vec<u8>, headers: &[(&'static str, String)]) {
     if let Err(error) = request.respond(response(status, body, headers)) {
         log::debug!("an answer was not taken: {error}");
--- a/crates/ledgelead-lab/src/demo/latency.rs
+++ b/crates/ledgelead-lab/src/demo/latency.rs
@@ -4,13 +4,13 @@
 use hdrhistogram::Histogram;
 use ledgelead_types::Span;
 
-/// Significant decimal digits that are kept.
+/// Significant decimal digits of recorded latencies.
 const DIGITS: u8 = 3;
 
-/// Longest latency that is told apart from longer ones.
+/// Longest latency that can be distinguished.
 const LONGEST: Span = Span::from_seconds(120);
 
-/// Latencies, counted in microseconds.
+/// Latency distribution in microseconds.
 pub struct Latencies {
     histogram: Histogram<u64>,
 }
@@ -24,7 +24,7 @@
 }
 
 impl Latencies {
-    /// Latencies of the answered requests, from when each was due.
+    /// Latencies of the answered requests, counted from when they were due.
     pub fn of<'a>(records: impl IntoIterator<Item = &'a CallerRecord>) -> Latencies {
         let mut latencies = Latencies::default();
         for record in records.into_iter().filter(|record| record.is_answered()) {
@@ -33,25 +33,24 @@
         latencies
     }
 
-    /// Counts one.
+    /// Records a latency.
     pub fn record(&mut self, latency: Span) {
         self.histogram.saturating_record(latency.as_micros());
     }
 
-    /// Counts all of another distribution.
+    /// Adds another distribution.
     pub fn add(&mut self, other: &Latencies) {
         self.histogram
             .add(&other.histogram)
             .expect("distributions of one size add up");
     }
 
-    /// How many were counted.
+    /// Number of recorded latencies.
     pub fn count(&self) -> u64 {
         self.histogram.len()
     }
 
-    /// The latency, in milliseconds, that this share (0 to 1) stays within; 0
-    /// without any.
+    /// The quantile `share` (0 to 1) in milliseconds; 0 if nothing was recorded.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         Span::from_micros(self.histogram.value_at_quantile(share)).as_millis()
     }
--- a/crates/ledgelead-lab/src/demo/live.rs
+++ b/crates/ledgelead-lab/src/demo/live.rs
@@ -1,4 +1,4 @@
-//! The summary that is printed while a demonstration runs.
+//! Live summary of a running demonstration.
 
 use super::deployment::Deployment;
 use super::latency::Latencies;
@@ -6,14 +6,14 @@
 use super::records::CallerLog;
 use super::report::Counts;
 
-/// Prints a line to read, unless only the JSON object is wanted.
+/// Prints a line, unless JSON output is requested.
 pub fn print(options: &Options, line: impl FnOnce() -> String) {
     if !options.json {
         println!("{}", line());
     }
 }
 
-/// Who owns what, and the requests so far.
+/// Summarizes the owners and the requests so far.
 pub fn summary(deployment: &Deployment, log: &CallerLog) -> String {
     let records = log.snapshot();
     let counts = Counts::of(&records);
--- a/crates/ledgelead-lab/src/demo/load.rs
+++ b/crates/ledgelead-lab/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! Load of planned requests, sent by threads of their own.
+//! Sends the planned requests of a load from separate threads.
 
 use super::caller::{self, Client, Targets};
 use super::clock::WallClock;
@@ -14,33 +14,34 @@
 /// When requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pacing {
-    /// Each when it is due, however slow the answers to earlier ones are, as
-    /// far as there are threads to send it.
+    /// Requests are sent when they are due, regardless of earlier responses, as long as a
+    /// thread is available.
     OpenLoop,
-    /// Each as soon as a thread has the answer to its last one, for this long.
+    /// Requests are sent as soon as a thread has the response to its previous one, for this
+    /// duration.
     ClosedLoop(Span),
 }
 
-/// What to send, where to, and how.
+/// Requests, targets and pacing of a load.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// The requests, in the order in which they are due.
+    /// The requests in the order in which they are due.
     pub requests: Vec<PlannedRequest>,
-    /// Where they go.
+    /// Their targets.
     pub targets: Targets,
-    /// Credential of each caller.
+    /// Credentials of the callers.
     pub credentials: Vec<String>,
-    /// Threads that send: the most requests in flight.
+    /// Number of sending threads, which is the maximum number of requests in flight.
     pub threads: usize,
-    /// Threads that share an HTTP client and its connections. Sharing saves
-    /// connections; the lock of a client that too many share costs time.
+    /// Number of threads that share an HTTP client and its connections. Sharing saves
+    /// connections, but the client's lock becomes a bottleneck if too many threads share it.
     pub threads_per_client: usize,
     /// When requests are sent.
     pub pacing: Pacing,
 }
 
 impl LoadSettings {
-    /// An open loop of the deployment's callers; `threads` of them share one
+    /// Settings for an open loop of the deployment's callers, in which all `threads` share one
     /// client.
     pub fn open_loop(shape: &LoadShape, targets: Targets, threads: usize) -> LoadSettings {
         LoadSettings {
@@ -54,13 +55,13 @@
     }
 }
 
-/// A load that runs in threads of its own.
+/// A running load.
 pub struct Load {
     threads: Vec<JoinHandle<()>>,
     log: CallerLog,
 }
 
-/// What the sending threads share.
+/// State shared by the sending threads.
 struct Schedule {
     clock: WallClock,
     start: Time,
@@ -70,7 +71,7 @@
 }
 
 impl Load {
-    /// Starts to send from now on.
+    /// Starts to send requests.
     pub fn start(clock: WallClock, settings: LoadSettings) -> io::Result<Load> {
         let threads = settings.threads;
         let sharing = settings.threads_per_client;
@@ -97,17 +98,17 @@
         Ok(Load { threads, log })
     }
 
-    /// What has been recorded so far.
+    /// The records so far.
     pub fn log(&self) -> &CallerLog {
         &self.log
     }
 
-    /// Whether every request has its outcome.
+    /// Whether every request has an outcome.
     pub fn is_finished(&self) -> bool {
         self.threads.iter().all(JoinHandle::is_finished)
     }
 
-    /// Waits until every request has its outcome.
+    /// Waits until every request has an outcome.
     pub fn finish(self) -> Vec<CallerRecord> {
         for thread in self.threads {
             thread.join().expect("a sending thread panicked");
@@ -141,7 +142,7 @@
         self.settings.requests.get(index)
     }
 
-    /// When the request was due; `None` when the load is over.
+    /// Waits until a request is due and returns that time; `None` if the load is over.
     fn wait_until_due(&self, request: &PlannedRequest) -> Option<Time> {
         match self.settings.pacing {
             Pacing::OpenLoop => {
--- a/crates/ledgelead-lab/src/demo/mod.rs
+++ b/crates/ledgelead-lab/src/demo/mod.rs
@@ -1,8 +1,8 @@
-//! The whole path on real sockets of the loopback interface, in one process:
+//! Runs the complete request path over sockets of the loopback interface in one process:
 //! platform, nodes, back ends and callers.
 //!
-//! The stand-ins for platform and back ends are the pure state machines of
-//! [`crate::standin`], here behind HTTP servers.
+//! The simulated platform and back ends are the pure state machines of [`crate::standin`]
+//! behind HTTP servers.
 
 pub mod answer;
 pub mod bench;
@@ -32,16 +32,16 @@
 use options::Options;
 use std::process::ExitCode;
 
-/// Exit code for a command line that can't be read.
+/// Exit code for an invalid command line.
 const USAGE_ERROR: u8 = 2;
 
-/// Runs `demo` with the arguments that follow the command. Fails when a
-/// promise was broken or a request is not accounted for.
+/// Runs `demo` with its command line arguments. Fails if there is a violation or a request
+/// without an outcome.
 pub fn run_demo(parser: &mut lexopt::Parser) -> ExitCode {
     run(parser, demonstration::run, |report| report.is_sound())
 }
 
-/// Runs `bench` with the arguments that follow the command.
+/// Runs `bench` with its command line arguments.
 pub fn run_bench(parser: &mut lexopt::Parser) -> ExitCode {
     run(parser, bench::run, |report| report.is_sound())
 }
--- a/crates/ledgelead-lab/src/demo/nodes.rs
+++ b/crates/ledgelead-lab/src/demo/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of a demonstration, all in this process.
+//! The nodes of a demonstration, which all run in this process.
 
 use super::configuration;
 use ledgelead_core::SeedNode;
@@ -10,14 +10,14 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::thread;
 
-/// Secret that the nodes share.
+/// Secret shared by the nodes.
 const CLUSTER_KEY: &str = "a key for the loopback interface only";
-/// Secret that the nodes share with the back ends.
+/// Secret shared by nodes and back ends.
 pub const SERVER_KEY: &str = "a key for back ends of the loopback";
 /// Any free port of the loopback interface.
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A node and where it is reached.
+/// A node and its addresses.
 pub struct DemoNode {
     node: NodeId,
     index: usize,
@@ -27,8 +27,7 @@
 }
 
 impl DemoNode {
-    /// Starts node number `index`, counted from 0, which asks the earlier
-    /// ones first.
+    /// Starts the node with this index. The earlier nodes are its seeds.
     pub fn start(index: usize, platform: SocketAddr, earlier: &[DemoNode]) -> io::Result<DemoNode> {
         let node = NodeId(index as u32 + 1);
         let settings = Settings {
@@ -61,7 +60,7 @@
         self.node
     }
 
-    /// Where callers reach it.
+    /// Its address for callers.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
@@ -76,14 +75,13 @@
         }
     }
 
-    /// Control bytes that it has sent and received so far: messages between
-    /// nodes and lease renewals.
+    /// Control bytes sent and received so far: messages between nodes and lease renewals.
     pub fn control_bytes(&self) -> u64 {
         let metrics = self.running.as_ref().map(|node| node.metrics().render());
         metrics.map_or(0, |metrics| sum_control_bytes(&metrics))
     }
 
-    /// Takes the running node out, to stop it.
+    /// Takes the running node in order to stop it.
     pub fn take(&mut self) -> Option<RunningNode> {
         self.running.take()
     }
@@ -96,8 +94,9 @@
     }
 }
 
-/// Threads without a name inherit that of the thread that starts them, so the
-/// threads of a node's libraries can be told from those of the lab.
+/// Starts a node in a named thread. Threads without a name inherit that of the thread that
+/// starts them, so that the threads of a node's libraries can be distinguished from those of
+/// the lab.
 fn start_in_named_thread(node: NodeId, settings: Settings) -> io::Result<RunningNode> {
     let starting = thread::Builder::new()
         .name(format!("{node}/start"))
--- a/crates/ledgelead-lab/src/demo/options.rs
+++ b/crates/ledgelead-lab/src/demo/options.rs
@@ -1,11 +1,11 @@
-//! Command line of `demo` and `bench`.
+//! Command line options of `demo` and `bench`.
 
 use ledgelead_types::Span;
 use lexopt::prelude::*;
 
-/// Shortest demonstration that has time for its events, in seconds.
+/// Minimum duration of a demonstration in seconds, which leaves time for its faults.
 const MIN_SECONDS: u64 = 4;
-/// Duration when the command line names none, in seconds.
+/// Default duration, in seconds.
 const DEFAULT_SECONDS: u64 = 10;
 
 /// Options of both commands.
@@ -13,11 +13,11 @@
 pub struct Options {
     /// How long load is sent.
     pub duration: Span,
-    /// Whether to print one JSON object instead of a summary to read.
+    /// Whether to print a JSON object instead of a summary.
     pub json: bool,
 }
 
-/// Reads the arguments that follow the command.
+/// Parses the command line arguments.
 pub fn parse(parser: &mut lexopt::Parser) -> Result<Options, lexopt::Error> {
     let mut options = Options {
         duration: Span::from_seconds(DEFAULT_SECONDS),
--- a/crates/ledgelead-lab/src/demo/platform_endpoint.rs
+++ b/crates/ledgelead-lab/src/demo/platform_endpoint.rs
@@ -1,4 +1,4 @@
-//! The platform's object API on a real socket (`docs/platform-interface.md`).
+//! Serves the platform's object API on a socket (`docs/platform-interface.md`).
 
 use super::clock::WallClock;
 use super::http::{self, HttpListener};
@@ -16,18 +16,18 @@
 use std::time::Duration;
 use tiny_http::{Method, Request};
 
-/// Longest time that a watch waits for a newer object.
+/// Maximum time that a watch waits for a newer object.
 const MAX_WATCH: Span = Span::from_seconds(30);
-/// How often the endpoint looks for watches that have waited long enough.
+/// Interval between checks for watches that have timed out.
 const IDLE_WAIT: Duration = Duration::from_millis(10);
 /// Path of the machine list.
 const MACHINES_PATH: &str = "/machines";
-/// Start of every object's path.
+/// Prefix of object paths.
 const OBJECTS_PATH: &str = "/objects/";
 /// Header with an object's version.
 const VERSION_HEADER: &str = "Object-Version";
 
-/// The platform, listening until it is dropped.
+/// The platform, which listens until it is dropped.
 pub struct PlatformEndpoint {
     state: Arc<Mutex<PlatformState>>,
     clock: WallClock,
@@ -37,7 +37,7 @@
 }
 
 impl PlatformEndpoint {
-    /// Starts an empty platform.
+    /// Starts a platform without objects.
     pub fn start(clock: WallClock) -> io::Result<PlatformEndpoint> {
         let server = Arc::new(HttpListener::start()?);
         let state = Arc::new(Mutex::new(PlatformState::default()));
@@ -60,12 +60,12 @@
         })
     }
 
-    /// Where it is reached.
+    /// Its address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Writes an object past the HTTP interface, before anybody reads it.
+    /// Writes an object without the HTTP interface, before it is read.
     pub fn put(&self, name: &str, value: Vec<u8>) {
         let call = PlatformCall::CompareAndSwap {
             name: Text::from(name),
@@ -76,7 +76,7 @@
         state.call(self.clock.now(), &call);
     }
 
-    /// Notes what the platform believes of a machine.
+    /// Updates the state of a machine.
     pub fn set_machine(&self, entry: MachineEntry) {
         let mut state = self.state.lock().expect("platform state");
         state.set_machine(self.clock.now(), entry);
@@ -88,13 +88,13 @@
         self.stop.store(true, Ordering::SeqCst);
         self.server.server().unblock();
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has said so on standard error.
+            // A panic of the thread has already been reported on standard error.
             let _ = thread.join();
         }
     }
 }
 
-/// A watch that waits for its object.
+/// A watch that waits for a newer object.
 struct PendingWatch {
     request: Request,
     until: Time,
@@ -174,13 +174,13 @@
     }
 }
 
-/// A call with the time that a watch may wait.
+/// A parsed call and the wait time of a watch.
 struct ReadCall {
     call: PlatformCall,
     wait: Span,
 }
 
-/// Reads a call; `None` when there is nothing of this kind.
+/// Parses a call; `None` if there is no such call.
 fn read_call(request: &mut Request) -> Option<ReadCall> {
     let url = request.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
@@ -236,8 +236,8 @@
             http::answer(request, 200, machine_list(&machines), &[]);
         }
         Err(PlatformError::Unavailable) => http::answer(request, 503, Vec::new(), &[]),
-        // The library answers 500 for a request that is dropped: the caller
-        // can't tell whether the call took effect.
+        // The library responds with status 500 to a dropped request, so the caller can't tell
+        // whether the call took effect.
         Err(PlatformError::AnswerLost) => drop(request),
     }
 }
--- a/crates/ledgelead-lab/src/demo/process_usage.rs
+++ b/crates/ledgelead-lab/src/demo/process_usage.rs
@@ -1,38 +1,37 @@
 //! Processor time, threads and memory of this process, from `/proc/self`.
 //!
-//! Threads are told apart by their names: those of the lab start with
-//! `lab`, those of nodes with `node-`, and a thread without a name inherits
-//! that of the thread that started it.
+//! Threads are distinguished by their names: those of the lab start with `lab`, those of nodes
+//! with `node-`, and a thread without a name inherits that of the thread that started it.
 
 use std::fs;
 use std::io;
 
-/// Start of the names of all threads of nodes.
+/// Prefix of the names of node threads.
 const NODE_PREFIX: &str = "node-";
-/// Ticks of processor time a second, in the files of `/proc`: a constant of
-/// the kernel's interface to programs.
+/// Clock ticks per second in the files of `/proc`, a constant of the kernel's user-space
+/// interface.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of a `stat` file behind the name, counted from 0: time in user mode
-/// and in the kernel.
+/// Fields of a `stat` file after the name, counted from 0: time in user mode and in kernel
+/// mode.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// What the process has used so far.
+/// Resources used by the process so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
-    /// Processor time of the nodes' living threads, in seconds.
+    /// Processor time of the nodes' running threads, in seconds.
     pub node_cpu_seconds: f64,
     /// Processor time of the whole process, in seconds.
     pub cpu_seconds: f64,
-    /// Threads of nodes.
+    /// Number of node threads.
     pub node_threads: usize,
-    /// All threads.
+    /// Number of all threads.
     pub threads: usize,
     /// Resident memory of the whole process, in bytes.
     pub resident_bytes: u64,
 }
 
-/// Reads the present usage.
+/// Reads the current usage.
 pub fn read() -> io::Result<ProcessUsage> {
     let mut usage = ProcessUsage {
         resident_bytes: resident_bytes(&fs::read_to_string("/proc/self/status")?),
@@ -42,7 +41,7 @@
         usage.cpu_seconds = whole.cpu_seconds;
     }
     for task in fs::read_dir("/proc/self/task")? {
-        // A thread may end between the listing and the reading.
+        // A thread may end after it was listed.
         let Ok(stat) = fs::read_to_string(task?.path().join("stat")) else {
             continue;
         };
@@ -64,7 +63,7 @@
     cpu_seconds: f64,
 }
 
-/// Reads `id (name) state ...`; the name may itself hold brackets.
+/// Parses `id (name) state ...`; the name may contain parentheses.
 fn parse_stat(line: &str) -> Option<Stat<'_>> {
     let (start, end) = (line.find('(')?, line.rfind(')')?);
     let fields = line[end + 1..].split_whitespace().collect::<Vec<_>>();
--- a/crates/ledgelead-lab/src/demo/records.rs
+++ b/crates/ledgelead-lab/src/demo/records.rs
@@ -1,45 +1,45 @@
-//! What callers record. The checker judges by these records and the servers'
-//! executions alone, never by what the router believes.
+//! Records of callers. The checker uses only these records and the servers' executions, never
+//! the state of the router.
 
 use ledgelead_types::{Position, ServerId, Time};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Identifies a caller's request in one demonstration. It travels in the path
-/// of the request and in the server's answer.
+/// Identifies a caller's request in a demonstration. It is part of the request path and of the
+/// server's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// What a caller was told about a request.
+/// The outcome of a request as known to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// It received an answer of a server.
+    /// The caller received an answer from a server.
     Answered {
-        /// The server that the answer names.
+        /// The server named in the answer.
         server: Option<ServerId>,
-        /// Whether the answer is whole and to this very request.
+        /// Whether the answer is complete and belongs to the request.
         matches: bool,
     },
-    /// It was told, or knows itself, that the request was not run.
+    /// The caller was told, or can tell from the failure, that the request did not run.
     NotRun(String),
-    /// It can't know whether the request was run.
+    /// The caller can't know whether the request ran.
     Unknown(String),
 }
 
-/// One request as its caller saw it.
+/// A caller's record of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRecord {
     /// The request.
     pub request: RequestNumber,
-    /// Position of its key; `None` for a service without keys.
+    /// Position of its key; `None` for the unkeyed service.
     pub position: Option<Position>,
     /// Whether it must run at most once.
     pub once_only: bool,
-    /// When it was due by the open-loop schedule.
+    /// When it was due according to the open-loop schedule.
     pub due: Time,
     /// When its outcome was known.
     pub finished: Time,
-    /// The node that was asked last; `None` for a request sent past the nodes.
+    /// The node that was tried last; `None` for requests sent directly to back ends.
     pub node: Option<SocketAddr>,
     /// The outcome.
     pub outcome: CallerOutcome,
@@ -51,13 +51,13 @@
         matches!(self.outcome, CallerOutcome::Answered { .. })
     }
 
-    /// Whether an answer arrived that is cut or belongs to another request.
+    /// Whether an answer arrived that is truncated or belongs to another request.
     pub fn is_mismatch(&self) -> bool {
         matches!(self.outcome, CallerOutcome::Answered { matches: false, .. })
     }
 }
 
-/// Records of all callers, growing while the load runs.
+/// Records of all callers, which grow while the load runs.
 #[derive(Clone, Debug, Default)]
 pub struct CallerLog {
     records: Arc<Mutex<Vec<CallerRecord>>>,
@@ -69,7 +69,7 @@
         self.records.lock().expect("caller log").push(record);
     }
 
-    /// A copy of all records, in the order of their ends.
+    /// A copy of all records in the order of completion.
     pub fn snapshot(&self) -> Vec<CallerRecord> {
         self.records.lock().expect("caller log").clone()
     }
--- a/crates/ledgelead-lab/src/demo/relay.rs
+++ b/crates/ledgelead-lab/src/demo/relay.rs
@@ -1,8 +1,8 @@
-//! A relay of TCP connections that can be cut at once.
+//! A TCP relay whose connections can be closed all at once.
 //!
-//! The HTTP library keeps its connections to itself and closes none that is
-//! in use. A process that dies closes all of them. Each stand-in server is
-//! therefore reached through a relay, and killing the server cuts the relay.
+//! The HTTP library does not expose its connections and does not close those in use, whereas a
+//! process that dies closes all of them. Each simulated server is therefore reached through a
+//! relay, which is disconnected to kill the server.
 
 use std::io;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Relays connections from a port of its own to `target` until it is cut.
+/// Relays connections from its own port to `target` until it is disconnected.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -24,7 +24,7 @@
 }
 
 impl Relay {
-    /// Starts to relay to `target`.
+    /// Starts a relay to `target`.
     pub fn start(target: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -36,22 +36,22 @@
         Ok(Relay { address, shared })
     }
 
-    /// Where the relay is reached.
+    /// Its address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes every connection in both directions and accepts no more.
+    /// Closes all connections in both directions and accepts no more.
     pub fn disconnect(&self) {
         if self.shared.cut.swap(true, Ordering::SeqCst) {
             return;
         }
         let streams = std::mem::take(&mut *self.shared.streams.lock().expect("relay streams"));
         for stream in streams {
-            // A stream that its peer has closed already is as good as cut.
+            // The peer may already have closed the stream.
             let _ = stream.shutdown(Shutdown::Both);
         }
-        // Wakes the accepting thread, which sees that the relay is cut.
+        // Wake the accepting thread, so that it notices the end of the relay.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -68,7 +68,7 @@
             return;
         }
         let Ok(incoming) = incoming else { continue };
-        // A connection that can't be relayed is closed by dropping it.
+        // A connection that can't be relayed is closed when it is dropped.
         let _ = relay_connection(incoming, target, shared);
     }
 }
@@ -102,7 +102,7 @@
     thread::Builder::new()
         .name("lab-relay".to_owned())
         .spawn(move || {
-            // The end of the copy, by either side, ends this direction.
+            // The end of the copy, caused by either side, ends this direction.
             let _ = io::copy(&mut from, &mut to);
             let _ = to.shutdown(Shutdown::Write);
         })?;
--- a/crates/ledgelead-lab/src/demo/report.rs
+++ b/crates/ledgelead-lab/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What a demonstration found, as one JSON object or a table.
+//! The report of a demonstration, as a JSON object or a table.
 
 use super::checker::Violations;
 use super::latency::Latencies;
@@ -7,67 +7,66 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-/// The result of a demonstration; times in milliseconds.
+/// Results of a demonstration; times are in milliseconds.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct DemoReport {
-    /// Requests of callers through the nodes.
+    /// Requests sent through the nodes.
     pub requests: usize,
     /// Requests that were answered.
     pub answered: usize,
-    /// Requests whose callers know that they were not run.
+    /// Requests whose callers know that they did not run.
     pub not_run: usize,
-    /// Requests whose callers can't know whether they were run.
+    /// Requests whose callers can't know whether they ran.
     pub unknown: usize,
-    /// Broken promises, all together.
+    /// Total number of violations.
     pub violations: usize,
-    /// Median latency of the answered requests, over the whole run.
+    /// Median latency of the answered requests over the whole run.
     pub latency_ms_p50: f64,
-    /// Their 99th percentile.
+    /// 99th percentile of the latency over the whole run.
     pub latency_ms_p99: f64,
-    /// Median latency of the same load sent straight to the back ends.
+    /// Median latency of the same load sent directly to the back ends.
     pub direct_latency_ms_p50: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the direct latency.
     pub direct_latency_ms_p99: f64,
-    /// Requests that were sent straight to the back ends and answered.
+    /// Answered requests of the direct load.
     pub direct_answered: usize,
-    /// Median latency before the first disturbance.
+    /// Median latency before the first fault.
     pub undisturbed_latency_ms_p50: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the latency before the first fault.
     pub undisturbed_latency_ms_p99: f64,
-    /// Time until a request was answered again, per slice of the killed
-    /// server that saw requests: median.
+    /// Median time until a request was answered again, over the slices of the killed server
+    /// that received requests.
     pub unavailable_ms_p50: f64,
-    /// The longest.
+    /// Maximum of that time.
     pub unavailable_ms_max: f64,
-    /// Slices of the killed server that saw requests.
+    /// Slices of the killed server that received requests.
     pub slices_measured: usize,
-    /// Of these, slices for which nothing was answered any more.
+    /// Of these, slices without any later answer.
     pub slices_not_recovered: usize,
-    /// From the wish to leave until the server had handed everything over;
-    /// none when it did not within the run.
+    /// Time from a server's request to leave until it had handed everything over; `None` if it
+    /// did not within the run.
     pub planned_stop_ms: Option<f64>,
-    /// From the call to stop a node until its end.
+    /// Time from the call to stop a node until its end.
     pub node_stop_ms: Option<f64>,
-    /// Bytes between nodes and for lease renewals, sent and received, of the
-    /// node with the most, while no request goes through the nodes.
+    /// Bytes per second for messages between nodes and lease renewals, sent and received, of
+    /// the node with the highest traffic, while no requests go through the nodes.
     pub idle_control_bytes_per_second_per_node_max: f64,
-    /// The same under load, before the first disturbance: with the messages
-    /// that each request takes.
+    /// The same under load before the first fault, including the messages for each request.
     pub control_bytes_per_second_per_node_max: f64,
-    /// Broken promises by name.
+    /// Violations by name.
     pub violations_by_name: Violations,
-    /// Requests by the reason for which they were not run.
+    /// Requests that did not run, by reason.
     pub not_run_reasons: BTreeMap<String, usize>,
-    /// Requests by the reason for which their outcome is unknown.
+    /// Requests with an unknown outcome, by reason.
     pub unknown_reasons: BTreeMap<String, usize>,
-    /// The run in parts, each from one disturbance to the next.
+    /// The parts of the run between faults.
     pub phases: Vec<PhaseReport>,
 }
 
-/// One part of the run: requests by when they were due.
+/// A part of the run. Requests are assigned to parts by when they were due.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct PhaseReport {
-    /// What began it.
+    /// The event at its start.
     pub name: String,
     /// Requests that were due in it.
     pub requests: usize,
@@ -77,16 +76,16 @@
     pub not_run: usize,
     /// Of these, unknown.
     pub unknown: usize,
-    /// Median latency of the answered ones, in milliseconds.
+    /// Median latency of the answered requests, in milliseconds.
     pub latency_ms_p50: f64,
-    /// Their 99th percentile, in milliseconds.
+    /// 99th percentile of their latency, in milliseconds.
     pub latency_ms_p99: f64,
-    /// The longest, in milliseconds.
+    /// Maximum latency, in milliseconds.
     pub latency_ms_max: f64,
 }
 
 impl PhaseReport {
-    /// Sums up the requests that were due from `from` on and before `to`.
+    /// Summarizes the requests that were due from `from` (inclusive) to `to` (exclusive).
     pub fn of(name: &str, records: &[CallerRecord], from: Time, to: Time) -> PhaseReport {
         let due = records
             .iter()
@@ -107,14 +106,14 @@
     }
 }
 
-/// Outcomes, counted.
+/// Number of requests by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Answered requests.
     pub answered: usize,
-    /// Requests not run, by reason.
+    /// Requests that did not run, by reason.
     pub not_run_reasons: BTreeMap<String, usize>,
-    /// Requests with unknown outcome, by reason.
+    /// Requests with an unknown outcome, by reason.
     pub unknown_reasons: BTreeMap<String, usize>,
 }
 
@@ -140,30 +139,29 @@
         }
     }
 
-    /// Requests not run.
+    /// Number of requests that did not run.
     pub fn not_run(&self) -> usize {
         self.not_run_reasons.values().sum()
     }
 
-    /// Requests with unknown outcome.
+    /// Number of requests with an unknown outcome.
     pub fn unknown(&self) -> usize {
         self.unknown_reasons.values().sum()
     }
 }
 
-/// How long slices were unavailable after the loss of their owner.
+/// Unavailability of slices after the loss of their owner.
 #[derive(Clone, Debug, Default)]
 pub struct Unavailability {
-    /// For each slice that saw requests: until one was answered, or until the
-    /// end of the run.
+    /// For each slice that received requests: time until one was answered, or until the end of
+    /// the run.
     pub spans: Vec<Span>,
-    /// Slices for which none was answered.
+    /// Number of slices without any later answer.
     pub not_recovered: usize,
 }
 
 impl Unavailability {
-    /// The span that this share (0 to 1) of the slices stays within, in
-    /// milliseconds.
+    /// The quantile `share` (0 to 1) in milliseconds.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let mut latencies = Latencies::default();
         for span in &self.spans {
@@ -174,8 +172,7 @@
 }
 
 impl DemoReport {
-    /// Whether every request ended in exactly one outcome and no promise was
-    /// broken.
+    /// Whether every request has exactly one outcome and there is no violation.
     pub fn is_sound(&self) -> bool {
         let accounted = self.answered + self.not_run + self.unknown == self.requests;
         accounted && self.violations == 0
--- a/crates/ledgelead-lab/src/demo/server_endpoint.rs
+++ b/crates/ledgelead-lab/src/demo/server_endpoint.rs
@@ -1,6 +1,6 @@
-//! A back end on a real socket (`docs/server-interface.md`).
+//! A back end on a socket (`docs/server-interface.md`).
 //!
-//! One thread a server steps the pure stand-in
+//! A thread per server drives the state machine
 //! [`ServerState`](crate::standin::server::ServerState).
 
 use super::clock::WallClock;
@@ -22,28 +22,27 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{self, JoinHandle};
 
-/// Requests that a server lets wait for a slot.
+/// Maximum number of queued requests.
 const QUEUE: usize = 8;
-/// Requests sent past the router that a server lets wait: nobody else holds
-/// them back.
+/// Maximum number of queued requests that bypass the router, which nothing else throttles.
 const DIRECT_QUEUE: usize = 4_096;
 
-/// What a server endpoint is set up with.
+/// Settings of a server endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointSettings {
     /// The server.
     pub server: ServerId,
-    /// Requests that it executes at once.
+    /// Requests that it executes concurrently.
     pub slots: u16,
-    /// Whether its service is divided by key.
+    /// Whether its service is keyed.
     pub keyed: bool,
-    /// Time that it takes to execute a request.
+    /// Execution time of a request.
     pub service_time: Span,
-    /// Whether its connections can be cut; costs a relay.
+    /// Whether it can be killed, which requires a relay.
     pub killable: bool,
 }
 
-/// A server, listening until it is killed or dropped.
+/// A server that listens until it is killed or dropped.
 pub struct ServerEndpoint {
     settings: EndpointSettings,
     address: SocketAddr,
@@ -54,26 +53,26 @@
     stopped_at: Option<Time>,
 }
 
-/// What the serving thread and the owner of the endpoint share.
+/// State shared by the server thread and the owner of the endpoint.
 pub(super) struct Shared {
     /// The clock of all records.
     pub(super) clock: WallClock,
     states: Mutex<States>,
-    /// Set to end the thread.
+    /// Set to stop the thread.
     pub(super) stop: AtomicBool,
 }
 
-/// The states of a server: one for what nodes send, and one of the same size
-/// for what callers send directly, which carries no claims to check.
+/// States of a server: one for requests from nodes, and one of the same size for requests
+/// directly from callers, which carry no ownership claims to check.
 pub(super) struct States {
-    /// Of what nodes send.
+    /// For requests from nodes.
     pub(super) routed: ServerState,
     direct: ServerState,
     executions: Vec<Execution>,
 }
 
 impl ServerEndpoint {
-    /// Starts a server that holds nothing.
+    /// Starts a server without slices.
     pub fn start(clock: WallClock, settings: EndpointSettings) -> io::Result<ServerEndpoint> {
         let server = Arc::new(HttpListener::start()?);
         let relay = match settings.killable {
@@ -103,12 +102,12 @@
         })
     }
 
-    /// What it was set up with.
+    /// Its settings.
     pub fn settings(&self) -> &EndpointSettings {
         &self.settings
     }
 
-    /// Where it is reached.
+    /// Its address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -118,7 +117,7 @@
         self.stopped_at
     }
 
-    /// Slices for which it would start a request now; none once it is stopped.
+    /// Slices for which it would currently start a request; none once it is stopped.
     pub fn claimable(&self) -> Vec<GrantedSlice> {
         if self.stopped_at.is_some() {
             return Vec::new();
@@ -127,12 +126,12 @@
         self.shared.states().routed.claimable(now).to_vec()
     }
 
-    /// Asks its dispatcher, with the next renewal, to be drained.
+    /// Asks its dispatcher to be drained, with the next renewal.
     pub fn leave(&self) {
         self.shared.states().routed.set_leaving(true);
     }
 
-    /// Whether it was drained and nothing executes or waits any more.
+    /// Whether it is drained and no request is running or queued.
     pub fn is_drained(&self) -> bool {
         let now = Moment::exact(self.shared.clock.now());
         let states = self.shared.states();
@@ -141,14 +140,14 @@
             && states.routed.claimable(now).is_empty()
     }
 
-    /// Whether it executes a request now.
+    /// Whether it is executing a request.
     pub fn is_executing(&self) -> bool {
         let states = self.shared.states();
         !states.routed.is_idle() || !states.direct.is_idle()
     }
 
-    /// Ends it at once: every connection is closed, and what executes never
-    /// answers.
+    /// Ends it immediately: all connections are closed, and running requests are never
+    /// answered.
     pub fn kill(&mut self) {
         if let Some(relay) = &self.relay {
             relay.disconnect();
@@ -156,8 +155,7 @@
         self.stop_thread();
     }
 
-    /// Every execution that it started. What ran when it was stopped ended
-    /// then.
+    /// All executions that it started. Those running when it was stopped ended at that time.
     pub fn executions(&self) -> Vec<Execution> {
         let mut states = self.shared.states();
         states.collect_ended();
@@ -178,7 +176,7 @@
         self.shared.stop.store(true, Ordering::SeqCst);
         self.server.server().unblock();
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has said so on standard error.
+            // A panic of the thread has already been reported on standard error.
             let _ = thread.join();
         }
     }
@@ -227,7 +225,7 @@
         self.direct.take_executions();
     }
 
-    /// The state for requests of one kind of sender.
+    /// The state for requests of a kind of sender.
     pub(super) fn state(&mut self, sent_by: SentBy) -> &mut ServerState {
         match sent_by {
             SentBy::Node => &mut self.routed,
@@ -236,11 +234,11 @@
     }
 }
 
-/// Who sent a request to the server.
+/// Sender of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SentBy {
     /// A node.
     Node,
-    /// A caller, past the nodes.
+    /// A caller, directly.
     Caller,
 }
--- a/crates/ledgelead-lab/src/demo/server_request.rs
+++ b/crates/ledgelead-lab/src/demo/server_request.rs
@@ -1,4 +1,4 @@
-//! The headers of a request from a node to a server.
+//! Headers of requests from nodes to servers.
 
 use super::http::header_of;
 use crate::standin::execution::AttemptKey;
@@ -8,25 +8,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use tiny_http::Request;
 
-/// Names the attempt; the same name cancels it.
+/// Identifies the attempt, also for its cancellation.
 pub const ATTEMPT_HEADER: &str = "Ledgelead-Attempt";
 /// Token of the key's slice.
 pub const TOKEN_HEADER: &str = "Ledgelead-Token";
-/// Position of the key, in hexadecimal.
+/// Position of the key in hexadecimal.
 pub const POSITION_HEADER: &str = "Ledgelead-Position";
-/// Time left until the deadline, in milliseconds.
+/// Remaining time until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "Ledgelead-Deadline-Ms";
 /// Priority tier.
 pub const TIER_HEADER: &str = "Ledgelead-Tier";
-/// Load, in an answer.
+/// Load of the server, in a response.
 pub const LOAD_HEADER: &str = "Ledgelead-Load";
-/// Why a request was not started, in an answer.
+/// Why a request was not started, in a response.
 pub const REFUSED_HEADER: &str = "Ledgelead-Refused";
 
-/// Deadline of a request that names none.
+/// Deadline of a request without a deadline header.
 const DEFAULT_DEADLINE: Span = Span::from_seconds(30);
 
-/// What the request claims of its key's owner.
+/// The ownership claimed by the request.
 pub fn ownership(request: &Request) -> Option<OwnershipClaim> {
     let position = header_of(request, POSITION_HEADER)?;
     let token = header_of(request, TOKEN_HEADER)?;
@@ -36,7 +36,7 @@
     })
 }
 
-/// Time left until the request's deadline.
+/// Remaining time until the request's deadline.
 pub fn deadline(request: &Request) -> Span {
     header_of(request, DEADLINE_HEADER)
         .and_then(|value| value.parse().ok())
@@ -49,7 +49,7 @@
     TierId(tier.unwrap_or_default())
 }
 
-/// Name of a refusal, as the header shows it.
+/// Header value for a refusal.
 pub fn refusal_name(refusal: ServerRefusal) -> &'static str {
     match refusal {
         ServerRefusal::NotOwner => "not-owner",
@@ -61,10 +61,10 @@
     }
 }
 
-/// How many cancelled attempts that have not arrived yet are remembered.
+/// Maximum number of remembered cancellations of attempts that have not arrived yet.
 const MAX_REMEMBERED_CANCELLATIONS: usize = 256;
 
-/// Gives each open attempt a key of its own, whatever form its name has.
+/// Assigns a key to each open attempt, whatever the format of its name.
 #[derive(Debug, Default)]
 pub struct AttemptNames {
     next: u64,
@@ -73,7 +73,7 @@
 }
 
 impl AttemptNames {
-    /// A new key, for a name or for a request without one.
+    /// Assigns a new key, optionally with a name.
     pub fn name(&mut self, name: Option<&str>) -> AttemptKey {
         self.next += 1;
         let key = AttemptKey {
@@ -107,7 +107,7 @@
         self.cancelled.iter().any(|cancelled| cancelled == name)
     }
 
-    /// Forgets an attempt that has ended.
+    /// Removes an attempt that has ended.
     pub fn remove(&mut self, key: AttemptKey) {
         self.keys.retain(|_, known| *known != key);
     }
--- a/crates/ledgelead-lab/src/demo/server_thread.rs
+++ b/crates/ledgelead-lab/src/demo/server_thread.rs
@@ -1,5 +1,5 @@
-//! The thread of a back end on a real socket: takes requests and ends
-//! executions when their service time has passed.
+//! The thread of a back end on a socket, which accepts requests and completes executions when
+//! their service time has passed.
 
 use super::answer;
 use super::http::{self, HttpListener};
@@ -18,16 +18,16 @@
 use std::time::Duration;
 use tiny_http::Request;
 
-/// Longest wait for a request while nothing executes.
+/// Maximum wait for a request while nothing is executing.
 const IDLE_WAIT: Duration = Duration::from_millis(50);
 /// Path of lease renewals.
 const LEASE_PATH: &str = "/ledgelead/lease";
 /// Path of cancellations.
 const CANCEL_PATH: &str = "/ledgelead/cancel";
-/// Status of an order whose signature is missing or wrong.
+/// Status for control requests whose signature is missing or invalid.
 const UNSIGNED_STATUS: u16 = 403;
 
-/// A request whose answer is due.
+/// A request that has not been answered.
 struct OpenRequest {
     request: Request,
     sent_by: SentBy,
@@ -43,7 +43,7 @@
     sent_by: SentBy,
 }
 
-/// What the thread holds.
+/// State of the thread.
 pub(super) struct ServerThread {
     settings: EndpointSettings,
     shared: Arc<Shared>,
@@ -54,7 +54,7 @@
 }
 
 impl ServerThread {
-    /// A thread that takes orders of nodes that hold the key.
+    /// Creates a thread that accepts control requests signed with the key.
     pub(super) fn new(
         settings: EndpointSettings,
         shared: Arc<Shared>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Serves until the endpoint stops it.
+    /// Serves requests until the endpoint is stopped.
     pub(super) fn run(mut self, listening: &HttpListener) {
         let mut next_nudge = self.shared.clock.now();
         while !self.shared.stop.load(Ordering::SeqCst) {
@@ -126,7 +126,7 @@
         http::answer(request, 200, Vec::new(), &[]);
     }
 
-    /// Whether an order comes from a node.
+    /// Whether a control request comes from a node.
     fn is_signed(&self, request: &Request, attempt: &str, body: &[u8]) -> bool {
         let signature = http::header_of(request, headers::SIGNATURE).unwrap_or_default();
         let order = ControlRequest {
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Does what the state asks for, until it asks for nothing more: an
-    /// execution without service time ends at once and may start the next.
+    /// Carries out the actions of the state machine until there are none left. An execution
+    /// without service time ends immediately and may start the next.
     fn carry_out(&mut self, sent_by: SentBy) {
         loop {
             let actions = self.shared.states().state(sent_by).take_actions();
--- a/crates/ledgelead-lab/src/demo/workload.rs
+++ b/crates/ledgelead-lab/src/demo/workload.rs
@@ -1,4 +1,4 @@
-//! The planned load: which request is due when, drawn from a seed.
+//! Plans a random load: which requests are due when.
 
 use super::records::RequestNumber;
 use ledgelead_types::configuration::Partitioning;
@@ -6,42 +6,42 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Exponent of the popularity of keys.
+/// Zipf exponent of the popularity of keys.
 const ZIPF_EXPONENT: f64 = 0.9;
 
-/// What load to plan.
+/// Parameters of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadShape {
-    /// Requests a second, arriving at random moments (a Poisson process).
+    /// Requests per second (Poisson arrivals).
     pub requests_per_second: f64,
-    /// How long requests arrive.
+    /// Duration of the arrivals.
     pub duration: Span,
-    /// Share of requests to the service without keys, from 0 to 1.
+    /// Share of requests to the unkeyed service, from 0 to 1.
     pub unkeyed_share: f64,
     /// Share of requests that must run at most once, from 0 to 1.
     pub once_only_share: f64,
     /// Number of keys.
     pub keys: usize,
-    /// Number of callers; each has a credential of its own.
+    /// Number of callers, each with its own credential.
     pub callers: usize,
     /// First request number.
     pub first_request: RequestNumber,
-    /// Seed of every draw.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// One request that is due.
+/// A planned request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
     /// Its number.
     pub request: RequestNumber,
-    /// When it is due, from the start of the load.
+    /// When it is due, relative to the start of the load.
     pub due: Span,
-    /// Its key; `None` for the service without keys.
+    /// Its key; `None` for the unkeyed service.
     pub key: Option<String>,
     /// Whether it must run at most once.
     pub once_only: bool,
-    /// Which caller sends it.
+    /// Index of the caller that sends it.
     pub caller: usize,
     /// Its body; empty for a search.
     pub body: Vec<u8>,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Plans all requests of a load, in the order in which they are due.
+/// Plans all requests of a load in the order in which they are due.
 pub fn plan(shape: &LoadShape) -> Vec<PlannedRequest> {
     let mut random = Pcg64Mcg::seed_from_u64(shape.seed);
     let popularity = Zipf::new(shape.keys);
@@ -98,7 +98,7 @@
     }
 }
 
-/// An exponentially distributed number of mean 1.
+/// An exponentially distributed number with mean 1.
 fn exponential(random: &mut Pcg64Mcg) -> f64 {
     -(1.0 - random.random::<f64>()).ln()
 }
--- a/crates/ledgelead-lab/src/hollow/accounts.rs
+++ b/crates/ledgelead-lab/src/hollow/accounts.rs
@@ -1,22 +1,22 @@
-//! What each node sent, received and computed in a phase.
+//! Traffic and processor time of each node in a phase.
 
 use ledgelead_core::message::MessageKind;
 use ledgelead_types::NodeId;
 use std::collections::BTreeSet;
 
-/// Purpose of bytes.
+/// Purpose of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Traffic {
     /// Messages between nodes.
     Peer(MessageKind),
-    /// Renewals of servers' leases.
+    /// Lease renewals of servers.
     Lease,
     /// Calls to the platform.
     Platform,
 }
 
 impl Traffic {
-    /// Every purpose.
+    /// All purposes.
     pub const ALL: [Traffic; 7] = [
         Traffic::Peer(MessageKind::Membership),
         Traffic::Peer(MessageKind::Dissemination),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether it counts as control, apart from request traffic.
+    /// Whether it counts as control traffic rather than request traffic.
     pub fn is_control(self) -> bool {
         match self {
             Traffic::Peer(kind) => kind.is_control(),
@@ -50,7 +50,7 @@
     }
 }
 
-/// Bytes and messages of one purpose, by direction.
+/// Bytes and messages with the same purpose, by direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flow {
     /// Bytes sent.
@@ -70,7 +70,7 @@
     }
 }
 
-/// Direction of bytes, as the node sees it.
+/// Direction of traffic from the point of view of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// Sent.
@@ -79,19 +79,19 @@
     In,
 }
 
-/// What one node did since the last reset.
+/// Traffic and processor time of a node since the last reset.
 #[derive(Clone, Debug, Default)]
 pub struct NodeAccount {
     flows: [Flow; Traffic::ALL.len()],
-    /// Time in the decisions, in nanoseconds.
+    /// Time spent in the state machine, in nanoseconds.
     pub decision_nanos: u64,
-    /// Time in encoding, decoding and authenticating, in nanoseconds.
+    /// Time spent on encoding, decoding and authentication, in nanoseconds.
     pub codec_nanos: u64,
-    /// Control bytes in the present virtual second.
+    /// Control bytes in the current virtual second.
     pub second_bytes: u64,
-    /// Most control bytes in one virtual second.
+    /// Maximum control bytes in a virtual second.
     pub busiest_second_bytes: u64,
-    /// Nodes with which frames were exchanged.
+    /// Nodes with which the node exchanged frames.
     pub partners: BTreeSet<NodeId>,
 }
 
@@ -115,13 +115,13 @@
         }
     }
 
-    /// A virtual second has ended.
+    /// Ends a virtual second.
     pub fn end_second(&mut self) {
         self.busiest_second_bytes = self.busiest_second_bytes.max(self.second_bytes);
         self.second_bytes = 0;
     }
 
-    /// Counts of one purpose.
+    /// Traffic with one purpose.
     pub fn flow(&self, traffic: Traffic) -> Flow {
         self.flows[traffic.index()]
     }
--- a/crates/ledgelead-lab/src/hollow/calibration.rs
+++ b/crates/ledgelead-lab/src/hollow/calibration.rs
@@ -1,5 +1,4 @@
-//! What sockets and HTTP cost, measured on the loopback interface: the parts
-//! of a node that hollow nodes lack.
+//! Measures the cost of sockets and HTTP on the loopback interface, which hollow nodes lack.
 
 use super::cpu::thread_nanos;
 use std::io::{self, Read, Write};
@@ -7,45 +6,45 @@
 use std::thread;
 use ureq::Agent;
 
-/// Calls measured: enough that the kernel's account of the thread's time,
-/// which it may bring up to date a few milliseconds late, is precise.
+/// Number of calls measured. The kernel may update the thread's processor time a few
+/// milliseconds late, so the measurement must be long in comparison.
 const CALLS: u32 = 4_000;
-/// Frames measured, for the same reason.
+/// Number of frames measured, chosen for the same reason.
 const FRAMES: u32 = 50_000;
-/// Calls before the measurement, to open the connection.
+/// Calls before the measurement, which open the connection.
 const WARM_UP_CALLS: u32 = 20;
-/// Bytes of a renewal's body, about as without slices.
+/// Size of a renewal's body, approximately that of one without slices.
 const BODY_BYTES: usize = 90;
-/// Bytes of a common frame.
+/// Size of a typical frame.
 const FRAME_BYTES: usize = 110;
-/// An answer in the form that the HTTP server library of the stand-ins writes.
+/// Response head in the form written by the HTTP server library of the simulated services.
 const ANSWER_HEAD: &str = "HTTP/1.1 200 OK\r\n\
     Server: tiny-http (Rust)\r\n\
     Date: Wed, 02 Dec 2026 00:00:00 GMT\r\n\
     Content-Length: 90\r\n\r\n";
 
-/// Costs of one call and of one frame.
+/// Costs per call and per frame.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Costs {
-    /// Bytes of an HTTP request without its body.
+    /// Size of an HTTP request without its body.
     pub request_head_bytes: usize,
-    /// Bytes of an HTTP answer without its body.
+    /// Size of an HTTP response without its body.
     pub answer_head_bytes: usize,
-    /// Processor time of one HTTP call at the client, in nanoseconds.
+    /// Processor time of an HTTP call at the client, in nanoseconds.
     pub http_call_nanos: u64,
-    /// Processor time to write and read one frame on a connection, in
-    /// nanoseconds; a node does one of the two for each frame.
+    /// Processor time for writing and reading a frame on a connection, in nanoseconds. A node
+    /// does one of the two per frame.
     pub frame_pair_nanos: u64,
 }
 
 impl Costs {
-    /// Bytes that HTTP adds to a call's body and its answer's body.
+    /// Bytes that HTTP adds to the bodies of a call and its response.
     pub fn head_bytes(&self) -> usize {
         self.request_head_bytes + self.answer_head_bytes
     }
 }
 
-/// Measures the costs; takes about a second.
+/// Measures the costs, which takes about a second.
 pub fn measure() -> io::Result<Costs> {
     let (request_head_bytes, http_call_nanos) = measure_http()?;
     Ok(Costs {
@@ -87,8 +86,7 @@
     Ok(())
 }
 
-/// Answers a number of calls on one connection and returns the bytes of a
-/// request's head.
+/// Answers the given number of calls on one connection and returns the size of a request head.
 fn serve(listener: &TcpListener, calls: u32) -> io::Result<usize> {
     let (mut stream, _) = listener.accept()?;
     stream.set_nodelay(true)?;
--- a/crates/ledgelead-lab/src/hollow/cpu.rs
+++ b/crates/ledgelead-lab/src/hollow/cpu.rs
@@ -1,19 +1,18 @@
-//! Processor time of short pieces of work on the present thread.
+//! Measures the processor time of short operations on the current thread.
 //!
-//! Each piece is timed by the monotonic clock, which costs some ten
-//! nanoseconds. On a busy machine the thread may be preempted meanwhile, so
-//! after a long piece the time that the thread waited for a processor
-//! (`/proc/thread-self/schedstat`, second field) is taken out.
+//! Each operation is timed with the monotonic clock, which costs about ten nanoseconds. The
+//! thread may be preempted on a busy machine, so the time that it waited for a processor
+//! (`/proc/thread-self/schedstat`, second field) is subtracted after a long operation.
 
 use std::fs;
 use std::time::Instant;
 
-/// Pieces longer than this may hold a preemption, in nanoseconds.
+/// Operations longer than this may include a preemption, in nanoseconds.
 const PREEMPTIBLE_PIECE_NANOS: u64 = 100_000;
-/// Pieces between two looks at the waiting time.
+/// Number of operations between two readings of the waiting time.
 const PIECES_PER_CHECK: u32 = 256;
 
-/// Times pieces of work.
+/// Times operations.
 #[derive(Debug, Default)]
 pub struct Stopwatch {
     waited_before: u64,
@@ -21,8 +20,7 @@
 }
 
 impl Stopwatch {
-    /// Runs a piece of work and returns its result and its time in
-    /// nanoseconds.
+    /// Runs an operation and returns its result and its duration in nanoseconds.
     pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> (T, u64) {
         self.pieces += 1;
         if self.pieces >= PIECES_PER_CHECK {
@@ -42,7 +40,7 @@
     }
 }
 
-/// Processor time of this thread so far, in nanoseconds.
+/// Processor time used by this thread, in nanoseconds.
 pub fn thread_nanos() -> u64 {
     schedstat(0)
 }
@@ -51,8 +49,7 @@
     schedstat(1)
 }
 
-/// A field of this thread's scheduler statistics; 0 where the kernel keeps
-/// none.
+/// A field of this thread's scheduler statistics; 0 if the kernel does not keep them.
 fn schedstat(field: usize) -> u64 {
     let content = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let value = content.split_whitespace().nth(field);
--- a/crates/ledgelead-lab/src/hollow/deployment.rs
+++ b/crates/ledgelead-lab/src/hollow/deployment.rs
@@ -1,4 +1,4 @@
-//! The configuration of a hollow deployment.
+//! Configuration of a hollow deployment.
 
 use super::network::{ZONES, region_of};
 use super::options::Options;
@@ -9,34 +9,35 @@
     CallerId, ConfigurationVersion, GroupId, List, ServerId, ServiceId, Text, TierId,
 };
 
-/// Groups of one service at most.
+/// Maximum number of groups per service.
 const GROUPS_PER_SERVICE: usize = 8;
-/// Callers with a credential.
+/// Number of callers with a credential.
 pub const CALLERS: u32 = 200;
-/// Operators with a credential.
+/// Number of operators with a credential.
 const OPERATORS: u32 = 20;
-/// Requests that a server executes at once.
+/// Requests that a server executes concurrently.
 pub const SLOTS: u16 = 4;
-/// Connections that a server accepts.
+/// Maximum number of connections to a server.
 const CONNECTIONS: u16 = 130;
 /// Weights of the tiers.
 const TIER_WEIGHTS: [u32; 3] = [6, 3, 1];
-/// Name of the operator who sends commands.
+/// Name of the operator that sends commands.
 pub const OPERATOR: &str = "operator-1";
 
-/// Numbers of a deployment.
+/// Size of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeploymentShape {
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Groups of each service.
+    /// Groups per service.
     pub groups_per_service: usize,
     /// Servers over all services.
     pub servers: usize,
 }
 
 impl DeploymentShape {
-    /// The shape that options ask for: groups rounded up to whole services.
+    /// Derives the size from the options, with the number of groups rounded up to complete
+    /// services.
     pub fn new(options: &Options) -> DeploymentShape {
         let services = options.groups.div_ceil(GROUPS_PER_SERVICE);
         DeploymentShape {
@@ -51,8 +52,8 @@
         self.services * self.groups_per_service
     }
 
-    /// Service and zone of a server, by its index: the groups of a service get
-    /// servers in turn, and each group's servers go over the zones in turn.
+    /// Service and zone of the server with an index. Servers are assigned to the groups of a
+    /// service in rotation, and the servers of each group to the zones in rotation.
     pub fn location_of(&self, server: usize) -> ServerLocation {
         let round = server / self.groups();
         ServerLocation {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Every group.
+    /// All groups.
     pub fn group_ids(&self) -> impl Iterator<Item = GroupId> {
         let parts = self.groups_per_service as u16;
         (0..self.services).flat_map(move |service| {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Where a server belongs.
+/// Service and zone of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLocation {
     /// Its service.
@@ -87,7 +88,7 @@
     ServerId(index as u32 + 1)
 }
 
-/// A node of each zone that others ask first.
+/// Seed nodes, one in each zone.
 pub fn seeds(nodes: usize) -> Vec<SeedNode> {
     (0..nodes.min(ZONES))
         .map(|index| SeedNode {
@@ -97,7 +98,7 @@
         .collect()
 }
 
-/// The first configuration.
+/// The initial configuration.
 pub fn configuration(shape: &DeploymentShape) -> Configuration {
     Configuration {
         version: ConfigurationVersion(1),
@@ -160,7 +161,7 @@
     }
 }
 
-/// A caller with a limit on its rate.
+/// A caller with a rate limit.
 pub fn caller(number: u32, max_requests_per_second: u32) -> CallerConfiguration {
     CallerConfiguration {
         id: CallerId(number),
--- a/crates/ledgelead-lab/src/hollow/event.rs
+++ b/crates/ledgelead-lab/src/hollow/event.rs
@@ -1,4 +1,4 @@
-//! What can happen in a hollow deployment.
+//! Events of a hollow deployment.
 
 use crate::simulation::event::NodeRun;
 use crate::standin::platform::WatchId;
@@ -14,7 +14,7 @@
 pub enum Event {
     /// A node's process starts.
     StartNode(usize),
-    /// A node asked to be woken.
+    /// The requested wakeup of a node is due.
     Wake(NodeRun),
     /// A frame reaches a node.
     Frame {
@@ -29,14 +29,14 @@
     Renewal {
         /// The sender.
         from: NodeRun,
-        /// Names the answer.
+        /// Identifies the reply.
         call: CallId,
         /// Index of the server.
         server: usize,
         /// The renewal.
         renewal: Box<LeaseRenewal>,
     },
-    /// A renewal ended at the node.
+    /// A node receives the result of a renewal.
     Renewed {
         /// The node.
         to: NodeRun,
@@ -44,19 +44,19 @@
         call: CallId,
         /// The server.
         server: ServerId,
-        /// Its answer.
+        /// The reply, if any.
         reply: Option<Box<RenewalReply>>,
     },
     /// A call reaches the platform.
     PlatformCall {
         /// The caller.
         from: NodeRun,
-        /// Names the answer.
+        /// Identifies the reply.
         call: CallId,
         /// The call.
         request: PlatformCall,
     },
-    /// The platform's answer reaches a node.
+    /// A node receives a reply of the platform.
     PlatformReply {
         /// The node.
         to: NodeRun,
@@ -71,18 +71,18 @@
         to: NodeRun,
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// The result.
         result: AttemptResult,
     },
-    /// A watch has waited long enough.
+    /// A watch times out.
     WatchTimeout(WatchId),
     /// A virtual second has passed.
     EverySecond,
-    /// What a phase planned.
+    /// A planned action of a phase is due.
     Planned(Planned),
 }
 
-/// What a phase does to the deployment.
+/// An action of a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planned {
     /// A request arrives at a node.
@@ -91,10 +91,10 @@
     ChangeConfiguration,
     /// An operator moves a slice to another owner.
     MoveSlice,
-    /// A node is stopped as planned and starts again later.
+    /// A node is stopped as planned and restarts later.
     RestartNode(usize),
-    /// A node's process ends at once and starts again later.
+    /// A node is killed and restarts later.
     KillNode(usize),
-    /// Every node and server of a zone ends at once.
+    /// All nodes and servers of a zone are killed.
     LoseZone(usize),
 }
--- a/crates/ledgelead-lab/src/hollow/fit.rs
+++ b/crates/ledgelead-lab/src/hollow/fit.rs
@@ -1,19 +1,18 @@
-//! Least squares for a few regressors, by the normal equations.
+//! Linear least squares for a few regressors, solved with the normal equations.
 
-/// Smallest pivot that counts as different from zero.
+/// Pivots below this count as zero.
 const SMALLEST_PIVOT: f64 = 1e-9;
 
 /// A linear fit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fit {
-    /// One coefficient for each regressor; 0 for one that the points don't
-    /// determine.
+    /// One coefficient per regressor; 0 if the data does not determine it.
     pub coefficients: Vec<f64>,
-    /// Share of the variance that the fit explains.
+    /// Share of the variance explained by the fit.
     pub r_squared: f64,
 }
 
-/// Fits `values` by the regressors in `rows`, one row for each value.
+/// Fits `values` to the regressors in `rows`, with one row per value.
 pub fn least_squares(rows: &[Vec<f64>], values: &[f64]) -> Fit {
     let width = rows.first().map_or(0, Vec::len);
     let mut matrix = vec![vec![0.0; width + 1]; width];
--- a/crates/ledgelead-lab/src/hollow/lag.rs
+++ b/crates/ledgelead-lab/src/hollow/lag.rs
@@ -1,9 +1,9 @@
-//! How long news takes to be in force on all nodes.
+//! Measures how long changes take to reach all nodes.
 
 use ledgelead_types::{ConfigurationVersion, FencingToken, GroupId, PositionRange, Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A change of a slice's owner on its way to the gateways.
+/// A change of a slice's owner that is being distributed to the gateways.
 #[derive(Clone, Debug)]
 struct OwnerChange {
     token: FencingToken,
@@ -11,7 +11,7 @@
     reached: BTreeSet<usize>,
 }
 
-/// Times from a decision until the last node has it.
+/// Times from decisions until nodes apply them.
 #[derive(Debug, Default)]
 pub struct Lags {
     counted_since: Option<Time>,
@@ -26,7 +26,7 @@
 }
 
 impl Lags {
-    /// Begins to count; what happened before is left out.
+    /// Starts a measurement and discards earlier events.
     pub fn start(&mut self, now: Time) {
         self.counted_since = Some(now);
         self.stored.clear();
@@ -38,14 +38,14 @@
         self.assigned.clear();
     }
 
-    /// A configuration was stored in the platform.
+    /// The platform stored a configuration.
     pub fn stored(&mut self, now: Time, version: ConfigurationVersion) {
         if self.counted_since.is_some() {
             self.stored.insert(version, now);
         }
     }
 
-    /// A configuration is in force on a node.
+    /// A node applied a configuration.
     pub fn applied(&mut self, now: Time, node: usize, version: ConfigurationVersion) {
         let before = self.applied.insert(node, version);
         let Some(before) = before.filter(|before| *before < version) else {
@@ -56,12 +56,12 @@
         }
     }
 
-    /// A node's process ended; it starts afresh.
+    /// A node's process ended; it restarts without state.
     pub fn node_ended(&mut self, node: usize) {
         self.applied.remove(&node);
     }
 
-    /// A group gave a slice to an owner.
+    /// A group assigned a slice to a new owner.
     pub fn owner_changed(
         &mut self,
         now: Time,
@@ -83,7 +83,7 @@
             });
     }
 
-    /// A node received a group's routes of a version.
+    /// A node received a version of a group's routes.
     pub fn routes_reached(
         &mut self,
         now: Time,
@@ -103,22 +103,22 @@
         }
     }
 
-    /// Times from a stored configuration until it was in force on a node.
+    /// Times from the storage of a configuration until a node applied it.
     pub fn configuration(&self) -> LagSummary {
         LagSummary::of(&self.configuration_lags)
     }
 
-    /// Times from a new owner until a node had the routes.
+    /// Times from the assignment of an owner until a node had the routes.
     pub fn routes(&self) -> LagSummary {
         LagSummary::of(&self.routes_lags)
     }
 
-    /// Times from the start until a node had the routes of a new owner.
+    /// Times from the start of the measurement until a node had the routes of a new owner.
     pub fn reached_after(&self) -> LagSummary {
         LagSummary::of(&self.reached_after)
     }
 
-    /// When slices got owners, since the start.
+    /// Times at which slices were assigned, since the start of the measurement.
     pub fn assigned(&self) -> &[Time] {
         &self.assigned
     }
@@ -127,13 +127,13 @@
 /// Distribution of lags, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct LagSummary {
-    /// Number of nodes and changes counted.
+    /// Number of pairs of node and change.
     pub count: usize,
-    /// Half are shorter.
+    /// Median.
     pub p50_ms: f64,
-    /// 99 in 100 are shorter.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
--- a/crates/ledgelead-lab/src/hollow/mod.rs
+++ b/crates/ledgelead-lab/src/hollow/mod.rs
@@ -1,11 +1,10 @@
-//! Hollow nodes: the decisions of many nodes in one process, without sockets,
-//! in virtual time on one simulated network. They show what control costs a
-//! node at sizes that real processes can't reach on one machine.
+//! Hollow nodes: the state machines of many nodes in one process, without sockets, in virtual
+//! time on one simulated network. They show the cost of control traffic and decisions per node
+//! at sizes that real processes can't reach on one machine.
 //!
-//! What is real: every decision ([`ledgelead_core::NodeCore`]), every encoded
-//! and authenticated frame, every renewal and platform object in its encoded
-//! form. What is not: sockets, threads and HTTP, whose cost for each call and
-//! frame is measured on the loopback interface in the same run
+//! Every decision ([`ledgelead_core::NodeCore`]), every encoded and authenticated frame, and
+//! every encoded renewal and platform object is real. Sockets, threads and HTTP are not: their
+//! cost per call and frame is measured on the loopback interface in the same run
 //! ([`calibration`]) and multiplied by the counts.
 
 pub mod accounts;
@@ -30,7 +29,7 @@
 use std::process::ExitCode;
 use world::World;
 
-/// Runs the command `hollow`.
+/// Runs the `hollow` command.
 pub fn run_hollow(parser: &mut lexopt::Parser) -> ExitCode {
     let options = match options::parse(parser) {
         Ok(options) => options,
--- a/crates/ledgelead-lab/src/hollow/network.rs
+++ b/crates/ledgelead-lab/src/hollow/network.rs
@@ -1,20 +1,20 @@
-//! Delays between places of the simulated network.
+//! Delays between the zones of the simulated network.
 
 use crate::simulation::rng::RandomStream;
 use ledgelead_types::Span;
 
-/// Zones; the first three are one region.
+/// Number of zones; the first three form one region.
 pub const ZONES: usize = 5;
 /// Zones of the first region.
 const ZONES_OF_FIRST_REGION: usize = 3;
-/// One way within a zone, in milliseconds.
+/// One-way delay within a zone, in milliseconds.
 const WITHIN_ZONE_MS: f64 = 0.25;
-/// One way between zones of a region, in milliseconds: least and most.
+/// Minimum and maximum one-way delay between zones of a region, in milliseconds.
 const BETWEEN_ZONES_MS: (f64, f64) = (0.5, 1.0);
-/// One way between regions, in milliseconds: least and most.
+/// Minimum and maximum one-way delay between regions, in milliseconds.
 const BETWEEN_REGIONS_MS: (f64, f64) = (14.5, 15.5);
 
-/// Zone of a machine, by its number.
+/// Zone of the machine with an index.
 pub fn zone_of(index: usize) -> usize {
     index % ZONES
 }
@@ -24,7 +24,7 @@
     usize::from(zone >= ZONES_OF_FIRST_REGION)
 }
 
-/// Draws the delay of one message from a zone to another.
+/// Draws the delay of a message between two zones.
 pub fn delay(rng: &mut RandomStream, from: usize, to: usize) -> Span {
     let millis = if from == to {
         WITHIN_ZONE_MS
--- a/crates/ledgelead-lab/src/hollow/nodes.rs
+++ b/crates/ledgelead-lab/src/hollow/nodes.rs
@@ -1,4 +1,4 @@
-//! Hollow nodes: their processes, and what takes the place of sockets.
+//! Processes of hollow nodes, and the replacement of their sockets.
 
 use super::accounts::{Direction, Traffic};
 use super::deployment;
@@ -20,30 +20,30 @@
 use ledgelead_types::{GroupId, Incarnation, NodeId, Span, Time};
 use std::rc::Rc;
 
-/// How long a stopped or lost node's process is away.
+/// Downtime of a stopped or killed node.
 const RESTART_DELAY: Span = Span::from_seconds(2);
 
-/// A node: its machine, and its process while it runs.
+/// A node's machine, with its process while it is running.
 pub struct HollowNode {
     /// Index of its zone.
     pub zone: usize,
-    /// Its process.
+    /// Its process, if it is running.
     pub process: Option<HollowProcess>,
     /// Whether its machine is lost for the rest of the run.
     pub is_lost: bool,
     index: usize,
 }
 
-/// One run of a node's process.
+/// An incarnation of a node's process.
 pub struct HollowProcess {
-    /// The run.
+    /// Its index and incarnation.
     pub run: NodeRun,
     core: NodeCore,
     wakes_at: Time,
 }
 
 impl HollowNode {
-    /// A machine whose process has not started.
+    /// Creates a machine whose process is not running.
     pub fn new(index: usize) -> HollowNode {
         HollowNode {
             zone: zone_of(index),
@@ -53,26 +53,26 @@
         }
     }
 
-    /// What it can tell; `None` while it does not run.
+    /// A snapshot of the node's state; `None` while it is not running.
     pub fn view(&self, now: Time) -> Option<NodeView> {
         self.process.as_ref().map(|process| process.core.view(now))
     }
 
-    /// Its present run.
+    /// Its current incarnation.
     pub fn run(&self) -> Option<NodeRun> {
         self.process.as_ref().map(|process| process.run)
     }
 }
 
-/// Authenticates frames as the transport does. One session takes the place of
-/// all connections: what it costs does not depend on the connection.
+/// Authenticates frames as the transport does. A single session replaces all connections,
+/// since the cost does not depend on the connection.
 pub struct FrameSealer {
     session: Session,
     buffer: Vec<u8>,
 }
 
 impl FrameSealer {
-    /// A sealer under any key.
+    /// Creates a sealer with an arbitrary key.
     pub fn new() -> FrameSealer {
         let key = ClusterKey::new(b"hollow nodes");
         FrameSealer {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Bytes of the frame that carries a payload; `None` when it is too long.
+    /// Size of the frame for a payload; `None` if the payload is too long.
     fn seal(&mut self, payload: &[u8]) -> Option<usize> {
         self.buffer.clear();
         self.session
@@ -120,7 +120,7 @@
         self.step(run, |core, now| core.tick(now));
     }
 
-    /// Ends a node's process at once.
+    /// Ends a node's process immediately.
     pub(super) fn node_ends(&mut self, index: usize) {
         if self.nodes[index].process.take().is_some() {
             self.lags.node_ended(index);
@@ -167,8 +167,8 @@
         self.record_routes(to, &groups);
     }
 
-    /// Notes the routes that are in force on a node after a message that
-    /// brought some, whole or as a change.
+    /// Records the routes of a node after a message that contained some, complete or as a
+    /// delta.
     fn record_routes(&mut self, run: NodeRun, groups: &[GroupId]) {
         let now = self.now;
         for group in groups {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Gives an input to a node.
+    /// Passes an input to a node.
     pub(super) fn input(&mut self, run: NodeRun, input: Input) {
         self.step(run, |core, now| core.step(now, input));
     }
@@ -190,7 +190,7 @@
         process.filter(|process| process.run == run)
     }
 
-    /// Steps a node as its actor does, and carries out what it wants.
+    /// Steps a node as its actor does, and carries out its outputs.
     fn step(&mut self, run: NodeRun, step: impl FnOnce(&mut NodeCore, Time)) {
         let now = self.now;
         let process = self.nodes[run.index].process.as_mut();
@@ -306,13 +306,13 @@
         }
     }
 
-    /// Notes the state of a node's machine in the platform's list.
+    /// Updates the state of a node's machine in the platform's list.
     pub(super) fn list_machine(&mut self, index: usize, state: MachineState) {
         let zone = zone_id(self.nodes[index].zone);
         self.platform.list_machine(self.now, index, zone, state);
     }
 
-    /// Index of every node that runs in a zone.
+    /// Indexes of the nodes in a zone.
     pub(super) fn nodes_in(&self, zone: usize) -> Vec<usize> {
         let nodes = self.nodes.iter();
         nodes
@@ -322,7 +322,7 @@
     }
 }
 
-/// Whether the node's actor looks at the whole view after this output.
+/// Whether the node's actor reads the complete view after this output.
 fn changes_view(output: &Output) -> bool {
     matches!(
         output,
@@ -330,7 +330,7 @@
     )
 }
 
-/// The groups whose routes a message brings.
+/// The groups whose routes a message contains.
 fn groups_with_routes_in(message: &PeerMessage) -> Vec<GroupId> {
     let PeerMessage::Dissemination(message) = message else {
         return Vec::new();
--- a/crates/ledgelead-lab/src/hollow/options.rs
+++ b/crates/ledgelead-lab/src/hollow/options.rs
@@ -2,39 +2,39 @@
 
 use lexopt::prelude::*;
 
-/// Nodes when the command line names none.
+/// Default number of nodes.
 const DEFAULT_NODES: usize = 50;
-/// Nodes for each group when the command line names no number of groups.
+/// Nodes per group, if the number of groups is not given.
 const NODES_PER_GROUP: usize = 3;
-/// Servers for each node.
+/// Default number of servers per node.
 const DEFAULT_SERVERS_PER_NODE: usize = 4;
-/// Length of a phase in virtual seconds.
+/// Default length of a phase, in virtual seconds.
 const DEFAULT_SECONDS: u64 = 20;
-/// Shortest phase, in virtual seconds.
+/// Minimum length of a phase, in virtual seconds.
 const MIN_SECONDS: u64 = 5;
 
-/// What a run is asked for.
+/// Options of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     pub nodes: usize,
-    /// Groups over all services, at least.
+    /// Minimum number of groups over all services.
     pub groups: usize,
-    /// Servers for each node.
+    /// Servers per node.
     pub servers_per_node: usize,
     /// Length of a phase in virtual seconds.
     pub seconds: u64,
-    /// Seed of every random draw.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Whether the configuration is there before the nodes start, rather than
-    /// stored once all are live.
+    /// Whether the configuration exists before the nodes start, instead of being stored once
+    /// all nodes are live.
     pub configure_first: bool,
-    /// Whether to print one JSON object.
+    /// Whether to print a JSON object.
     pub json: bool,
 }
 
 impl Options {
-    /// A run of a size, with groups and servers in proportion.
+    /// Options for a number of nodes, with proportional numbers of groups and servers.
     pub fn for_nodes(nodes: usize) -> Options {
         Options {
             nodes,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads the arguments that follow the command.
+/// Parses the command line arguments.
 pub fn parse(parser: &mut lexopt::Parser) -> Result<Options, lexopt::Error> {
     let mut options = Options::for_nodes(DEFAULT_NODES);
     let mut groups = None;
--- a/crates/ledgelead-lab/src/hollow/phases.rs
+++ b/crates/ledgelead-lab/src/hollow/phases.rs
@@ -1,4 +1,5 @@
-//! The phases of a run: a start, calm, and one kind of event after the other.
+//! The phases of a run: the start, a phase without events, and one phase for each kind of
+//! event.
 
 use super::accounts::{Direction, NodeAccount};
 use super::deployment;
@@ -16,41 +17,41 @@
 use ledgelead_types::{List, Span, Text, Time};
 use std::io;
 
-/// Longest time that the start may take.
+/// Time limit of the start.
 const START_LIMIT: Span = Span::from_seconds(60);
-/// Quiet time after the start and between phases.
+/// Time without events after the start and between phases.
 const QUIET_TIME: Span = Span::from_seconds(10);
-/// Changes of the configuration a second in their phase.
+/// Configuration changes per second.
 const CHANGES_PER_SECOND: f64 = 0.5;
-/// Moved slices a second in their phase.
+/// Slice moves per second.
 const MOVES_PER_SECOND: f64 = 2.0;
-/// Restarts a second in their phase.
+/// Restarts per second.
 const RESTARTS_PER_SECOND: f64 = 0.5;
-/// Nodes lost at once in the phase of failures.
+/// Number of nodes killed in the phase of failures.
 const FAILURES: usize = 2;
 /// The zone that is lost.
 const LOST_ZONE: usize = ZONES - 1;
-/// Bytes of a megabyte in reports.
+/// Bytes per megabyte in reports.
 const BYTES_PER_MEGABYTE: u64 = 1_000_000;
-/// Rate that an operator sets in a change.
+/// Upper limit (exclusive) of the rate limits that operators set.
 const MAX_CHANGED_RATE: usize = 10_000;
 
-/// What a phase did.
+/// Kind of a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PhaseKind {
-    /// Nothing happened.
+    /// No events.
     Calm,
-    /// Operators changed the configuration.
+    /// Operators change the configuration.
     ConfigurationChanges,
-    /// Operators moved slices.
+    /// Operators move slices.
     Moves,
-    /// Nodes were stopped as planned and started again.
+    /// Nodes are stopped as planned and restarted.
     Restarts,
-    /// Nodes were lost and started again.
+    /// Nodes are killed and restarted.
     Failures,
-    /// Callers sent requests.
+    /// Callers send requests.
     Requests,
-    /// A zone was lost.
+    /// A zone is lost.
     ZoneLoss,
 }
 
@@ -69,36 +70,34 @@
     }
 }
 
-/// Measurements of one phase.
+/// Measurements of a phase.
 #[derive(Clone, Debug)]
 pub struct Phase {
-    /// What happened.
+    /// Its kind.
     pub kind: PhaseKind,
-    /// Events of the kind.
+    /// Number of events.
     pub events: usize,
     /// Its length in virtual time.
     pub length: Span,
-    /// Roles of each node at its end; `None` for one that does not run.
+    /// Roles of each node at its end; `None` for nodes that are not running.
     pub roles: Vec<Option<Roles>>,
-    /// What each node did.
+    /// Traffic and processor time of each node.
     pub accounts: Vec<NodeAccount>,
-    /// Times until configurations were in force.
+    /// Times until nodes applied configurations.
     pub configuration_lag: LagSummary,
-    /// Times until routes were everywhere.
+    /// Times until nodes had new routes.
     pub routes_lag: LagSummary,
-    /// Times from the phase's begin until a node had the routes of a new
-    /// owner.
+    /// Times from the start of the phase until a node had the routes of a new owner.
     pub reached_after: LagSummary,
-    /// New owners of slices.
+    /// Number of slices assigned to a new owner.
     pub owner_changes: usize,
-    /// Time from the phase's event until the last slice got a new owner, in
-    /// milliseconds.
+    /// Time from the start of the phase until the last slice was assigned, in milliseconds.
     pub last_assignment_ms: f64,
-    /// Requests of the run so far.
+    /// Requests since the start of the run.
     pub requests: RequestCounts,
     /// Commands that failed.
     pub failed_commands: u64,
-    /// What a node holds at its end.
+    /// State held by a node at its end.
     pub held: HeldState,
     /// Resident memory at its end, in bytes.
     pub resident_bytes: u64,
@@ -106,8 +105,7 @@
 
 /// Runs all phases.
 ///
-/// # Errors
-/// When the process's memory can't be read.
+/// # Errors Returns an error if the memory usage of the process can't be read.
 pub fn run_all(world: &mut World) -> io::Result<Vec<Phase>> {
     world.start_up();
     let length = Span::from_seconds(world.options.seconds);
@@ -124,14 +122,14 @@
     phases.push(world.phase(PhaseKind::Failures, &failures, length)?);
     let loss = [Planned::LoseZone(LOST_ZONE)];
     phases.push(world.phase(PhaseKind::ZoneLoss, &loss, length)?);
-    // Last, because the load makes groups move slices from then on.
+    // This phase is last because its load makes groups move slices from then on.
     let requests = world.plan_requests(seconds);
     phases.push(world.phase(PhaseKind::Requests, &requests, length)?);
     Ok(phases)
 }
 
 impl World {
-    /// Starts the nodes and forms the groups.
+    /// Starts the nodes and waits until the groups are formed.
     fn start_up(&mut self) {
         if self.options.configure_first {
             self.store_first_configuration();
@@ -155,8 +153,8 @@
         }
     }
 
-    /// Runs one phase: its events evenly over its first half, then time for
-    /// their consequences, then quiet time that does not count.
+    /// Runs a phase: its events are spread evenly over its first half, followed by time for
+    /// their effects and by quiet time that is not measured.
     fn phase(&mut self, kind: PhaseKind, events: &[Planned], length: Span) -> io::Result<Phase> {
         self.reset_accounts();
         self.lags.start(self.now);
@@ -190,7 +188,7 @@
         Ok(phase)
     }
 
-    /// Requests at nodes that run.
+    /// Plans requests at running nodes.
     fn plan_requests(&mut self, seconds: f64) -> Vec<Planned> {
         let running: Vec<usize> = self.running_nodes().collect();
         let rate = REQUESTS_PER_NODE_AND_SECOND * running.len() as f64;
@@ -247,7 +245,7 @@
         self.command(AdministrationAction::Configure(List(vec![change])));
     }
 
-    /// Moves one slice of a random group to another of its servers.
+    /// Moves a slice of a random group to another of its servers.
     fn move_slice(&mut self) {
         let Some(view) = self.nodes.iter().find_map(|node| node.view(self.now)) else {
             return;
@@ -292,8 +290,8 @@
 }
 
 impl Phase {
-    /// Tells on standard error that the phase is done, with its main figures:
-    /// at some hundred nodes a run takes minutes.
+    /// Prints a line with the main results of the phase to standard error, because a run with
+    /// hundreds of nodes takes minutes.
     fn show_progress(&self, now: Time) {
         let nodes: Vec<usize> = self.running().map(|(index, _)| index).collect();
         let count = nodes.len().max(1) as f64;
@@ -315,18 +313,18 @@
         );
     }
 
-    /// Processor time as a share of the phase's length, in percent.
+    /// Processor time as a percentage of the phase's length.
     fn percent_of(&self, nanos: u64) -> f64 {
         const NANOS_PER_PERCENT_SECOND: f64 = 1e7;
         nanos as f64 / NANOS_PER_PERCENT_SECOND / self.seconds()
     }
 
-    /// Control bytes a second of a node, in both directions.
+    /// Control bytes per second of a node, in both directions.
     pub fn bytes_per_second(&self, index: usize) -> f64 {
         self.accounts[index].control_bytes() as f64 / self.seconds()
     }
 
-    /// Control bytes a second of a node in one direction.
+    /// Control bytes per second of a node in one direction.
     pub fn bytes_per_second_of(&self, index: usize, direction: Direction) -> f64 {
         self.accounts[index].control_bytes_of(direction) as f64 / self.seconds()
     }
@@ -336,7 +334,7 @@
         self.length.as_millis() / 1_000.0
     }
 
-    /// Nodes that run at its end, with their roles.
+    /// Nodes that are running at its end, with their roles.
     pub fn running(&self) -> impl Iterator<Item = (usize, Roles)> {
         let roles = self.roles.iter().enumerate();
         roles.filter_map(|(index, roles)| roles.map(|roles| (index, roles)))
--- a/crates/ledgelead-lab/src/hollow/platform.rs
+++ b/crates/ledgelead-lab/src/hollow/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform of a hollow deployment.
+//! The simulated platform of a hollow deployment.
 
 use super::accounts::{Direction, Traffic};
 use super::calibration::Costs;
@@ -13,25 +13,25 @@
 use ledgelead_types::{Bytes, ConfigurationVersion, Span, Time, ZoneId};
 use std::collections::BTreeMap;
 
-/// How long the platform lets a watch wait: the node's default.
+/// How long the platform keeps a watch open; equals the node's default.
 const WATCH_TIMEOUT: Span = Span::from_seconds(5);
-/// One way between a node and the platform.
+/// One-way delay between a node and the platform.
 const DELAY: Span = Span::from_millis(3);
-/// How long a change of a machine takes to show in the list.
+/// Delay until a machine's change appears in the list.
 const MACHINE_LIST_LAG: Span = Span::from_seconds(8);
-/// Bytes of a machine in the list's JSON, with its brackets and commas.
+/// JSON size of a machine in the list, including brackets and commas.
 const MACHINE_JSON_BYTES: usize = 68;
 
-/// The platform and who waits for it.
+/// The platform and its pending watches.
 pub struct HollowPlatform {
-    /// What a call costs apart from its body.
+    /// Costs of a call apart from its body.
     pub costs: Costs,
     state: PlatformState,
     watchers: BTreeMap<WatchId, (NodeRun, CallId)>,
 }
 
 impl HollowPlatform {
-    /// A platform that holds nothing.
+    /// Creates a platform without objects.
     pub fn new(costs: Costs) -> HollowPlatform {
         HollowPlatform {
             costs,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Notes the state of a machine.
+    /// Updates the state of a machine.
     pub fn list_machine(&mut self, now: Time, index: usize, zone: ZoneId, state: MachineState) {
         let entry = MachineEntry {
             node: node_id(index),
@@ -53,7 +53,7 @@
 }
 
 impl World {
-    /// Stores the first configuration.
+    /// Stores the initial configuration.
     pub(super) fn store_first_configuration(&mut self) {
         let configuration = deployment::configuration(&self.shape);
         let value = serde_json::to_vec(&configuration).expect("a configuration is plain data");
@@ -88,7 +88,7 @@
         self.after_platform_step();
     }
 
-    /// Notes what was written and answers the watches that it ends.
+    /// Records writes and answers the watches that they end.
     fn after_platform_step(&mut self) {
         self.check_writes();
         for (watch, reply) in self.platform.state.take_ready_watches() {
--- a/crates/ledgelead-lab/src/hollow/report.rs
+++ b/crates/ledgelead-lab/src/hollow/report.rs
@@ -1,4 +1,4 @@
-//! What a run tells.
+//! The report of a run.
 
 use super::accounts::{Direction, Traffic};
 use super::calibration::Costs;
@@ -10,19 +10,19 @@
 use ledgelead_core::message::MessageKind;
 use serde_json::{Map, Value, json};
 
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 const NANOS_PER_SECOND: f64 = 1e9;
 
 /// Whether a node has a role.
 type HasRole = fn(&Roles) -> bool;
 
-/// The result of a run.
+/// The results of a run.
 pub struct Report {
     json: Value,
 }
 
 impl Report {
-    /// The report of a run.
+    /// Creates the report of a run.
     pub fn new(
         options: &Options,
         costs: Costs,
@@ -108,8 +108,8 @@
     })
 }
 
-/// Bytes and frames of the request path for each of the phase's events, each
-/// counted once at its sender.
+/// Bytes and frames on the request path per event of the phase. Each is counted once, at its
+/// sender.
 fn dispatch_per_event(phase: &Phase) -> Value {
     if phase.events == 0 {
         return Value::Null;
--- a/crates/ledgelead-lab/src/hollow/requests.rs
+++ b/crates/ledgelead-lab/src/hollow/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at hollow nodes: what one costs on the way of permits.
+//! Requests at hollow nodes, which show the cost of the permits on the request path.
 
 use super::deployment::{CALLERS, caller};
 use super::event::Event;
@@ -9,27 +9,27 @@
 use ledgelead_types::server::AttemptResult;
 use ledgelead_types::{Bytes, Outcome, RequestId, Span, Text};
 
-/// Requests a second at each node. Low against the servers' capacity, so that
-/// nothing waits for a slot.
+/// Requests per second and node. The rate is low compared to the capacity of the servers, so
+/// that no request waits for a slot.
 pub const REQUESTS_PER_NODE_AND_SECOND: f64 = 20.0;
-/// Time that a server takes.
+/// Execution time at a server.
 const SERVICE_TIME: Span = Span::from_millis(2);
 /// Deadline of each request.
 const DEADLINE: Span = Span::from_seconds(2);
 
-/// How requests ended.
+/// Outcomes of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct RequestCounts {
     /// Requests that arrived.
     pub arrived: u64,
     /// Requests that were answered.
     pub answered: u64,
-    /// Attempts at servers.
+    /// Attempts sent to servers.
     pub attempts: u64,
 }
 
 impl World {
-    /// A request arrives at a node, for a random key of a random service.
+    /// A request for a random key of a random service arrives at a node.
     pub(super) fn request_arrives(&mut self, index: usize) {
         let Some(run) = self.nodes[index].run() else {
             return;
@@ -50,7 +50,7 @@
         self.input(run, Input::RequestArrived(arrival));
     }
 
-    /// Carries an attempt to its server and back.
+    /// Simulates an attempt at a server.
     pub(super) fn forward(&mut self, run: NodeRun, forward: &Forward) {
         self.requests.attempts += 1;
         let node_zone = self.nodes[run.index].zone;
@@ -69,7 +69,7 @@
         self.after(way + SERVICE_TIME, event);
     }
 
-    /// Counts how a request ended.
+    /// Counts the outcome of a request.
     pub(super) fn responded(&mut self, outcome: Outcome) {
         if matches!(outcome, Outcome::Answered) {
             self.requests.answered += 1;
--- a/crates/ledgelead-lab/src/hollow/roles.rs
+++ b/crates/ledgelead-lab/src/hollow/roles.rs
@@ -1,4 +1,4 @@
-//! The roles that each node has, and what each costs.
+//! The roles of each node and the state that it holds.
 
 use super::accounts::Traffic;
 use super::world::World;
@@ -7,28 +7,28 @@
 use ledgelead_types::routes::ServerStatus;
 use serde::Serialize;
 
-/// Roles of one node, counted.
+/// Number of roles of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Roles {
-    /// Groups of which it is a replica.
+    /// Number of groups of which it is a replica.
     pub replicas: usize,
-    /// Groups that it leads.
+    /// Number of groups that it leads.
     pub led: usize,
-    /// Servers whose leases it renews.
+    /// Number of servers whose leases it renews.
     pub servers: usize,
-    /// Whether it reads the platform.
+    /// Whether it reads the configuration from the platform.
     pub reads_configuration: bool,
 }
 
 impl Roles {
-    /// Whether it is a gateway and nothing else.
+    /// Whether it is only a gateway.
     pub fn is_gateway_only(&self) -> bool {
         *self == Roles::default()
     }
 
-    /// Regressors of a fit over nodes: a constant and one for each role. The
-    /// followers of a group share its servers evenly, so what a followed group
-    /// costs and what its servers cost can't be told apart here.
+    /// Regressors of a fit over nodes: a constant and one per role. The followers of a group
+    /// share its servers evenly, so the costs of following a group and of its servers can't be
+    /// separated here.
     pub fn regressors(&self) -> Vec<f64> {
         vec![
             1.0,
@@ -38,13 +38,13 @@
         ]
     }
 
-    /// Groups of which it is a replica and not the leader.
+    /// Number of groups of which it is a replica but not the leader.
     pub fn followed(&self) -> usize {
         self.replicas - self.led
     }
 }
 
-/// What the regressors of a fit mean.
+/// Names of the regressors.
 pub const REGRESSOR_NAMES: [&str; 4] = [
     "any-node",
     "each-followed-group-with-its-servers",
@@ -52,25 +52,25 @@
     "configuration-reader",
 ];
 
-/// What one node holds, in the encoded form.
+/// State held by a node, with sizes in the encoded form.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct HeldState {
-    /// Bytes of the configuration.
+    /// Size of the configuration.
     pub configuration_bytes: usize,
-    /// Bytes of the routes of all groups.
+    /// Size of the routes of all groups.
     pub routes_bytes: usize,
-    /// Groups whose routes it holds.
+    /// Number of groups whose routes it holds.
     pub routes: usize,
-    /// Slices over all groups.
+    /// Number of slices over all groups.
     pub slices: usize,
-    /// Slices without an owner, or with one that is not active.
+    /// Slices without an owner or with an inactive one.
     pub unserved_slices: usize,
-    /// Live nodes that it knows.
+    /// Number of live nodes that it knows.
     pub live_nodes: usize,
 }
 
 impl World {
-    /// Roles of every node at present; `None` for one that does not run.
+    /// Current roles of every node; `None` for nodes that are not running.
     pub fn roles(&self) -> Vec<Option<Roles>> {
         let nodes = self.nodes.iter().enumerate();
         nodes
@@ -89,7 +89,7 @@
             .collect()
     }
 
-    /// What the first running node holds.
+    /// State held by the first running node.
     pub fn held_state(&self) -> HeldState {
         let Some(view) = self.nodes.iter().find_map(|node| node.view(self.now)) else {
             return HeldState::default();
--- a/crates/ledgelead-lab/src/hollow/servers.rs
+++ b/crates/ledgelead-lab/src/hollow/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers of a hollow deployment.
+//! Simulated servers of a hollow deployment.
 
 use super::accounts::{Direction, Traffic};
 use super::deployment::{SLOTS, server_id};
@@ -13,19 +13,19 @@
 use ledgelead_types::server::{LeaseRenewal, RenewalReply};
 use ledgelead_types::{ServerId, Span};
 
-/// How long a node waits for a server's answer to a renewal.
+/// How long a node waits for a reply to a renewal.
 const RENEWAL_TIMEOUT: Span = Span::from_millis(100);
 
-/// A server's machine and its process.
+/// A server's machine and process.
 pub struct HollowServer {
     /// Index of its zone.
     pub zone: usize,
-    /// Its process; `None` when the machine is lost.
+    /// Its process; `None` if the machine is lost.
     pub state: Option<ServerState>,
 }
 
 impl HollowServer {
-    /// A server that runs from the start.
+    /// Creates a running server.
     pub fn new(index: usize, zone: usize) -> HollowServer {
         let settings = ServerSettings {
             server: server_id(index),
--- a/crates/ledgelead-lab/src/hollow/world.rs
+++ b/crates/ledgelead-lab/src/hollow/world.rs
@@ -1,4 +1,4 @@
-//! A hollow deployment and its event loop.
+//! The simulation state and event loop of a hollow deployment.
 
 use super::accounts::NodeAccount;
 use super::calibration::Costs;
@@ -17,34 +17,34 @@
 use ledgelead_core::Input;
 use ledgelead_types::{Span, Time};
 
-/// Streams of random draws.
+/// Streams of random numbers.
 const NETWORK_STREAM: u64 = 1;
 const PROCESS_STREAM: u64 = 2;
 const PLAN_STREAM: u64 = 3;
-/// Time within which all nodes start.
+/// Time over which the starts of the nodes are spread.
 const START_SPREAD_SECONDS: f64 = 2.0;
-/// Length of the windows in which busy moments are looked for.
+/// Length of the windows for the maximum control traffic.
 const SECOND: Span = Span::from_seconds(1);
 
-/// The deployment.
+/// A hollow deployment.
 pub struct World {
-    /// What the run was asked for.
+    /// Options of the run.
     pub options: Options,
-    /// Its numbers.
+    /// Its size.
     pub shape: DeploymentShape,
-    /// Present virtual time.
+    /// Current virtual time.
     pub now: Time,
-    /// What is to happen.
+    /// Scheduled events.
     pub(super) events: EventQueue<Event>,
     /// Nodes by index.
     pub(super) nodes: Vec<HollowNode>,
-    /// What each node did in the present phase.
+    /// Traffic and processor time of each node in the current phase.
     pub(super) accounts: Vec<NodeAccount>,
     /// Servers by index.
     pub(super) servers: Vec<HollowServer>,
     /// The platform.
     pub(super) platform: HollowPlatform,
-    /// Lags of news.
+    /// Distribution lags of changes.
     pub lags: Lags,
     pub(super) stopwatch: Stopwatch,
     pub(super) sealer: FrameSealer,
@@ -52,17 +52,17 @@
     pub(super) process_rng: RandomStream,
     pub(super) plan_rng: RandomStream,
     pub(super) commands: u64,
-    /// Requests so far.
+    /// Requests since the start of the run.
     pub requests: RequestCounts,
-    /// When every group first had routes without gaps.
+    /// When all groups first had complete routes.
     pub started_after: Time,
-    /// Commands that ended otherwise than asked for.
+    /// Number of commands that failed.
     pub failed_commands: u64,
     events_handled: u64,
 }
 
 impl World {
-    /// A deployment whose nodes are about to start.
+    /// Creates a deployment whose nodes are scheduled to start.
     pub fn new(options: &Options, costs: Costs) -> World {
         let shape = DeploymentShape::new(options);
         let servers = (0..shape.servers)
@@ -111,22 +111,22 @@
         self.now = end;
     }
 
-    /// Events handled so far.
+    /// Number of events handled so far.
     pub fn events_handled(&self) -> u64 {
         self.events_handled
     }
 
-    /// Nodes whose process runs.
+    /// Nodes with a running process.
     pub fn running_nodes(&self) -> impl Iterator<Item = usize> {
         (0..self.nodes.len()).filter(|index| self.nodes[*index].process.is_some())
     }
 
-    /// Forgets what nodes did so far.
+    /// Resets the accounts of all nodes.
     pub fn reset_accounts(&mut self) {
         self.accounts.fill(NodeAccount::default());
     }
 
-    /// Costs that a node of this account has on sockets, in nanoseconds.
+    /// Estimated socket cost of a node with this account, in nanoseconds.
     pub fn socket_nanos(account: &NodeAccount, costs: &Costs) -> u64 {
         use super::accounts::Traffic;
         let calls = account.flow(Traffic::Lease).messages_out
--- a/crates/ledgelead-lab/src/lib.rs
+++ b/crates/ledgelead-lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, simulation in virtual time, load and experiments.
+//! Simulated services, simulations in virtual time, load generators and experiments.
 
 pub mod checker;
 pub mod demo;
--- a/crates/ledgelead-lab/src/main.rs
+++ b/crates/ledgelead-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the lab.
+//! Command line interface of the lab.
 
 use ledgelead_lab::simulation::command::{SimulateError, simulate};
 use ledgelead_lab::{demo, fleet, hollow, overload, processes};
--- a/crates/ledgelead-lab/src/processes/load.rs
+++ b/crates/ledgelead-lab/src/processes/load.rs
@@ -1,4 +1,4 @@
-//! A process with callers that load nodes in other processes.
+//! A process whose callers send load to nodes in other processes.
 
 use super::ProcessError;
 use super::options::LoadOptions;
@@ -14,22 +14,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests a second, about a third of the back ends' capacity.
+/// Requests per second, about a third of the back ends' capacity.
 const REQUESTS_PER_SECOND: f64 = 900.0;
-/// Seed of the planned load.
+/// Seed of the load.
 const SEED: u64 = 11;
-/// Keys that are asked for.
+/// Number of keys.
 const KEYS: usize = 2_000;
-/// Threads that send.
+/// Number of threads that send.
 const THREADS: usize = 64;
-/// Longest wait for the nodes to answer.
+/// Time limit until the nodes answer.
 const READY_LIMIT: Span = Span::from_seconds(30);
-/// Pause between two probes.
+/// Interval between probes.
 const READY_PAUSE: Duration = Duration::from_millis(100);
-/// Probes are numbered from here, beyond all requests of the load.
+/// First request number of probes, beyond all requests of the load.
 const FIRST_PROBE: u64 = 1 << 41;
 
-/// Sends load and reports; whether everything is sound.
+/// Sends the load and prints a report. Returns whether the results are sound.
 pub(super) fn run(options: &LoadOptions) -> Result<bool, ProcessError> {
     let clock = WallClock::start();
     wait_until_ready(clock, &options.nodes)?;
@@ -60,7 +60,7 @@
     LoadSettings::open_loop(&shape, Targets::Nodes(options.nodes.clone()), THREADS)
 }
 
-/// Waits until every node answers for the keyed service and for the other.
+/// Waits until every node answers for both services.
 fn wait_until_ready(clock: WallClock, nodes: &[SocketAddr]) -> Result<(), ProcessError> {
     let client = Client::new(&Targets::Nodes(nodes.to_vec()));
     let started = clock.now();
--- a/crates/ledgelead-lab/src/processes/mod.rs
+++ b/crates/ledgelead-lab/src/processes/mod.rs
@@ -1,6 +1,6 @@
-//! The parts of a deployment as separate processes on loopback: one with the
-//! stand-ins of platform and back ends, one with callers, and the node
-//! processes themselves, which `scripts/separate-processes` starts.
+//! The parts of a deployment as separate processes on the loopback interface: one with the
+//! simulated platform and back ends, one with callers, and the node processes, which
+//! `scripts/separate-processes` starts.
 
 mod load;
 mod options;
@@ -11,17 +11,17 @@
 use std::io;
 use std::process::ExitCode;
 
-/// Exit code for a command line that can't be read.
+/// Exit code for an invalid command line.
 const USAGE_ERROR: u8 = 2;
 
 /// Why a command of this module failed.
 #[derive(Debug)]
 pub enum ProcessError {
-    /// The command line can't be read.
+    /// The command line is invalid.
     Usage(lexopt::Error),
-    /// The system gave no socket or no thread.
+    /// A socket or thread could not be created.
     System(io::Error),
-    /// The nodes did not answer in time; says what was missing.
+    /// The nodes did not answer in time; contains what was missing.
     NotReady(String),
 }
 
@@ -49,14 +49,14 @@
     }
 }
 
-/// Runs `stand-ins` with the arguments that follow the command.
+/// Runs `stand-ins` with its command line arguments.
 pub fn run_stand_ins(parser: &mut lexopt::Parser) -> ExitCode {
     let result = options::stand_ins(parser).and_then(|options| stand_ins::run(&options));
     exit_code(result.map(|()| true))
 }
 
-/// Runs `load` with the arguments that follow the command. Fails when an
-/// answer was not the caller's own or a request is not accounted for.
+/// Runs `load` with its command line arguments. Fails if an answer did not belong to its
+/// request or a request has no outcome.
 pub fn run_load(parser: &mut lexopt::Parser) -> ExitCode {
     exit_code(options::load(parser).and_then(|options| load::run(&options)))
 }
--- a/crates/ledgelead-lab/src/processes/options.rs
+++ b/crates/ledgelead-lab/src/processes/options.rs
@@ -1,34 +1,34 @@
-//! Command lines of `stand-ins` and `load`.
+//! Command line options of `stand-ins` and `load`.
 
 use super::ProcessError;
 use ledgelead_types::Span;
 use lexopt::prelude::*;
 use std::net::SocketAddr;
 
-/// How long the stand-ins run when the command line does not say, in seconds.
+/// Default running time of the simulated services, in seconds.
 const DEFAULT_STAND_IN_SECONDS: u64 = 600;
-/// How long load is sent when the command line does not say, in seconds.
+/// Default duration of the load, in seconds.
 const DEFAULT_LOAD_SECONDS: u64 = 10;
 
 /// Options of `stand-ins`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StandInOptions {
-    /// How long they run at the most, so that none is ever left behind.
+    /// Maximum running time, so that the process is never left behind.
     pub(super) duration: Span,
 }
 
 /// Options of `load`.
 #[derive(Clone, Debug)]
 pub(super) struct LoadOptions {
-    /// Callers' addresses of the nodes.
+    /// Addresses of the nodes for callers.
     pub(super) nodes: Vec<SocketAddr>,
     /// How long load is sent.
     pub(super) duration: Span,
-    /// Whether to print one JSON object.
+    /// Whether to print a JSON object.
     pub(super) json: bool,
 }
 
-/// Reads the arguments of `stand-ins`.
+/// Parses the arguments of `stand-ins`.
 pub(super) fn stand_ins(parser: &mut lexopt::Parser) -> Result<StandInOptions, ProcessError> {
     let mut seconds = DEFAULT_STAND_IN_SECONDS;
     while let Some(argument) = parser.next()? {
@@ -42,7 +42,7 @@
     })
 }
 
-/// Reads the arguments of `load`.
+/// Parses the arguments of `load`.
 pub(super) fn load(parser: &mut lexopt::Parser) -> Result<LoadOptions, ProcessError> {
     let mut options = LoadOptions {
         nodes: Vec::new(),
--- a/crates/ledgelead-lab/src/processes/report.rs
+++ b/crates/ledgelead-lab/src/processes/report.rs
@@ -1,4 +1,4 @@
-//! What the callers' process reports.
+//! The report of the callers' process.
 
 use crate::demo::latency::Latencies;
 use crate::demo::records::CallerRecord;
@@ -14,7 +14,7 @@
     answered: usize,
     not_run: usize,
     unknown: usize,
-    /// Answers that were not whole or not to the request.
+    /// Answers that were incomplete or belonged to another request.
     mismatches: usize,
     latency_ms_p50: f64,
     latency_ms_p99: f64,
@@ -22,7 +22,7 @@
 }
 
 impl LoadReport {
-    /// The report of `planned` requests.
+    /// Creates the report of `planned` requests.
     pub(super) fn of(planned: usize, records: &[CallerRecord]) -> LoadReport {
         let latencies = Latencies::of(records);
         let counts = Counts::of(records);
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Whether every request has its outcome and every answer is its own.
+    /// Whether every request has an outcome and every answer belongs to its request.
     pub(super) fn is_sound(&self) -> bool {
         let ended = self.answered + self.not_run + self.unknown;
         self.answered > 0 && self.mismatches == 0 && ended == self.requests
     }
 }
 
-/// Reasons of all outcomes that are no answer, each with its outcome.
+/// Reasons of all outcomes without an answer, by outcome.
 fn reasons(counts: &Counts) -> BTreeMap<String, usize> {
     let not_run = counts.not_run_reasons.iter();
     let not_run = not_run.map(|(reason, count)| (format!("not-run: {reason}"), *count));
--- a/crates/ledgelead-lab/src/processes/stand_ins.rs
+++ b/crates/ledgelead-lab/src/processes/stand_ins.rs
@@ -1,4 +1,4 @@
-//! A process with the stand-ins of platform and back ends.
+//! A process with the simulated platform and back ends.
 
 use super::ProcessError;
 use super::options::StandInOptions;
@@ -14,15 +14,15 @@
     ..demonstration::SHAPE
 };
 
-/// What the process tells whoever started it.
+/// Addresses printed for the process that started this one.
 #[derive(Serialize)]
 struct Listening {
     platform: String,
     servers: Vec<String>,
 }
 
-/// Starts the stand-ins, tells where they listen as one line of JSON, and
-/// serves until the time is over or the process is ended.
+/// Starts the simulated services, prints their addresses as a line of JSON, and serves until
+/// the time is over or the process is killed.
 pub(super) fn run(options: &StandInOptions) -> Result<(), ProcessError> {
     let deployment = Deployment::start(&SHAPE)?;
     let servers = deployment.servers.iter();
