--- a/crates/ledgelead-lab/src/fleet/checker.rs
+++ b/crates/ledgelead-lab/src/fleet/checker.rs
@@ -15,7 +15,7 @@
     TokenRises,
     /// An incarnation received the keys of its predecessor from a node that knew of the new
     /// incarnation.
-    LivesApart,
+    DistinctIncarnations,
     /// Two live instances held the same key and both started requests for it.
     TwoOwnersServed,
     /// A request that may run at most once ran twice.
@@ -50,7 +50,7 @@
         match self {
             ViolationKind::SingleOwner => "single_owner",
             ViolationKind::TokenRises => "token_rises",
-            ViolationKind::LivesApart => "lives_apart",
+            ViolationKind::DistinctIncarnations => "lives_apart",
             ViolationKind::TwoOwnersServed => "two_owners_served",
             ViolationKind::OnceOnly => "once_only",
             ViolationKind::NotRunIsTrue => "not_run_is_true",
@@ -173,7 +173,7 @@
         let incarnation = incarnation.id();
         let what =
             format!("{incarnation} gets {range:?} under {fence} for {intended} from node {node}");
-        self.record_violation(ViolationKind::LivesApart, now, what);
+        self.record_violation(ViolationKind::DistinctIncarnations, now, what);
     }
 
     /// An instance started a request.
--- a/crates/ledgelead-lab/src/fleet/orders.rs
+++ b/crates/ledgelead-lab/src/fleet/orders.rs
@@ -486,7 +486,7 @@
     /// Suspends a machine. Its clock stops too if it does not count suspension.
     fn suspend(&mut self, index: usize, duration: Duration) {
         let until = self.now + duration;
-        let clock_runs_while_suspended = self.settings.clock == ClockSource::SinceBoot;
+        let clock_runs_while_suspended = self.settings.clock == ClockSource::Boottime;
         let simulated = &mut self.nodes[index];
         if simulated.frozen_until > self.now {
             return;
--- a/crates/ledgelead-lab/src/fleet/restarts.rs
+++ b/crates/ledgelead-lab/src/fleet/restarts.rs
@@ -62,7 +62,7 @@
             0 => self.start_time_rng.random_range(SET_BACK_MS),
             _ => 0,
         };
-        InstanceId::of_life(name, RUN_BEGINS_MS + elapsed - set_back)
+        InstanceId::with_start_time(name, RUN_BEGINS_MS + elapsed - set_back)
     }
 
     /// Crashes an instance, which restarts after `downtime`.
--- a/crates/ledgelead-lab/src/fleet/transport.rs
+++ b/crates/ledgelead-lab/src/fleet/transport.rs
@@ -41,8 +41,8 @@
     /// The settings that the production runtime uses for its connections.
     pub const RUNTIME: Transport = Transport {
         retransmits: true,
-        resets: transport::RESETS_BROKEN_OFF,
-        user_timeout: transport::USER_TIMEOUT,
+        resets: transport::RESET_ABORTED_EXCHANGES,
+        user_timeout: transport::TCP_USER_TIMEOUT,
     };
 }
 
--- a/crates/ledgelead-lab/tests/fleet.rs
+++ b/crates/ledgelead-lab/tests/fleet.rs
@@ -217,12 +217,12 @@
     let schedule = Schedule::one(seconds(12.0), seconds(10.0), FaultKind::AnswersLost);
     expect_protected(
         &schedule,
-        Protection::UnknownNotRepeated,
+        Protection::RetryOnlyIfNotRun,
         ViolationKind::OnceOnly,
     );
     expect_protected(
         &schedule,
-        Protection::HonestRefusal,
+        Protection::AccurateRefusal,
         ViolationKind::NotRunIsTrue,
     );
 }
--- a/crates/ledgelead-lab/tests/fleet_crashing.rs
+++ b/crates/ledgelead-lab/tests/fleet_crashing.rs
@@ -62,18 +62,18 @@
 
 #[gtest]
 fn checker_detects_crash_evidence_lost_with_all_nodes() {
-    let (forwarded, _) = count_violations(Protection::KeptEvidence, 225..=225);
+    let (forwarded, _) = count_violations(Protection::PersistedEvidence, 225..=225);
     expect_that!(forwarded, gt(0));
 }
 
 #[gtest]
 fn checker_detects_harmless_requests_still_suspected_after_a_response() {
-    let (_, refused_harmless) = count_violations(Protection::Acquittal, 10..=20);
+    let (_, refused_harmless) = count_violations(Protection::AnswerClearsSuspicion, 10..=20);
     expect_that!(refused_harmless, gt(0));
 }
 
 #[gtest]
 fn checker_detects_requests_identified_by_path_alone() {
-    let (_, refused_harmless) = count_violations(Protection::WholeIdentity, 1..=5);
+    let (_, refused_harmless) = count_violations(Protection::FullRequestIdentity, 1..=5);
     expect_that!(refused_harmless, gt(0));
 }
--- a/crates/ledgelead-lab/tests/fleet_eras.rs
+++ b/crates/ledgelead-lab/tests/fleet_eras.rs
@@ -26,7 +26,7 @@
 
 #[gtest]
 fn checker_detects_an_ignored_store_era() {
-    let protections = Protections::without(Protection::EraBound);
+    let protections = Protections::without(Protection::EraIsolation);
     let (report, _) = run_seeds(drawn_eras, 1..=10, NODES, protections, false);
     let violation_kinds = report.violations.iter().map(|found| found.kind);
     expect_that!(
--- a/crates/ledgelead-lab/tests/fleet_foreign.rs
+++ b/crates/ledgelead-lab/tests/fleet_foreign.rs
@@ -86,13 +86,13 @@
 
 #[gtest]
 fn checker_detects_store_answers_dropped_because_of_a_foreign_entry() {
-    let found = violation_kinds(Protection::ForeignApart);
+    let found = violation_kinds(Protection::IsolateUnreadable);
     expect_that!(found, contains(eq(&ViolationKind::NoNewWorkAfterLeave)));
 }
 
 #[gtest]
 fn checker_detects_requests_to_an_instance_with_a_foreign_entry() {
-    let found = violation_kinds(Protection::ForeignUnused);
+    let found = violation_kinds(Protection::ExcludeUnreadable);
     expect_that!(found, contains(eq(&ViolationKind::NoNewWorkAfterLeave)));
 }
 
--- a/crates/ledgelead-lab/tests/fleet_limits.rs
+++ b/crates/ledgelead-lab/tests/fleet_limits.rs
@@ -74,7 +74,7 @@
 
 #[gtest]
 fn checker_detects_an_ignored_rate_limit() {
-    let found = violation_kinds(Protection::HeededRateLimit);
+    let found = violation_kinds(Protection::HonorRateLimit);
     expect_that!(found, contains(eq(&ViolationKind::LimitKept)));
 }
 
--- a/crates/ledgelead-lab/tests/fleet_notices.rs
+++ b/crates/ledgelead-lab/tests/fleet_notices.rs
@@ -53,12 +53,12 @@
 
 #[gtest]
 fn checker_detects_ignored_leaving_notices() {
-    let found = violation_kinds(Protection::HeededLeaving);
+    let found = violation_kinds(Protection::HonorLeaving);
     expect_that!(found, contains(eq(&ViolationKind::LeavingHeeded)));
 }
 
 #[gtest]
 fn checker_detects_ignored_pauses() {
-    let found = violation_kinds(Protection::HeededBackoff);
+    let found = violation_kinds(Protection::HonorBackoff);
     expect_that!(found, contains(eq(&ViolationKind::PauseKept)));
 }
--- a/crates/ledgelead-lab/tests/fleet_restarts.rs
+++ b/crates/ledgelead-lab/tests/fleet_restarts.rs
@@ -18,7 +18,7 @@
 
 #[gtest]
 fn checker_detects_incarnations_that_are_not_distinguished() {
-    let sabotaged = Protections::without(Protection::LivesApart);
+    let sabotaged = Protections::without(Protection::DistinctIncarnations);
     let (_, lines) = run_seeds(drawn_restarts, 1..=4, NODES, sabotaged, false);
     expect_that!(lines, contains(contains_substring("lives_apart")));
 }
--- a/crates/ledgelead-lab/tests/fleet_suspended.rs
+++ b/crates/ledgelead-lab/tests/fleet_suspended.rs
@@ -29,7 +29,7 @@
 #[gtest]
 fn checker_detects_two_owners_if_the_clock_stops_during_suspension() {
     let report = World::new(FleetSettings {
-        clock: ClockSource::Steady,
+        clock: ClockSource::Monotonic,
         ..drawn_suspended(1_807, NODES, Protections::default())
     })
     .run();
--- a/crates/ledgelead-lab/tests/fleet_versions.rs
+++ b/crates/ledgelead-lab/tests/fleet_versions.rs
@@ -74,7 +74,7 @@
 
 #[gtest]
 fn checker_detects_versions_delayed_by_a_former_coordinator() {
-    let protections = Protections::without(Protection::NewestEpoch);
+    let protections = Protections::without(Protection::IgnoreOlderEpochs);
     let schedule = refusal(&[], ms(700), FaultKind::ConfigureLarge);
     let report = World::new(FleetSettings {
         schedule,
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -1,10 +1,10 @@
-//! Requests that crash instances: proof that an instance ended, news to the other nodes,
-//! and what the store keeps.
+//! Quarantine of requests that crash instances: detection of ended instances, exchange of
+//! evidence with other nodes, and storage of evidence in the store.
 
-mod keeping;
-mod news;
+mod persistence;
+mod sharing;
 
-pub(super) use news::EvidenceMessage;
+pub(super) use sharing::EvidenceMessage;
 
 use super::Node;
 use crate::Timestamp;
@@ -13,53 +13,54 @@
 use crate::io::{Action, ExchangeFailure, ExchangeId};
 use crate::protections::Protection;
 use crate::quarantine::{
-    CallerId, End, Evidence, QuarantineRecord, RecentAnswers, Suspects, UnconfirmedAnswers,
+    CallerId, Evidence, InstanceEnd, LostAttempts, QuarantineRecord, RecentAnswers,
+    UnconfirmedAnswers,
 };
 use crate::requests::RequestDigest;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Time for a probe's connection to come up.
+/// Timeout for connecting a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two looks at whether suspected instances have ended.
-const SUSPECTS_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between checks whether suspected instances have ended.
+const SUSPECT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// News that are sent again.
+/// Evidence that is sent to the other nodes again at a later time.
 #[derive(Debug)]
-struct Repeat {
+struct PendingRepeat {
     at: Timestamp,
     requests: BTreeSet<RequestDigest>,
     alive: BTreeSet<u64>,
 }
 
-/// What the store holds of a request.
+/// The evidence about a request that the store holds.
 #[derive(Debug)]
-struct Kept {
+struct StoredRecord {
     record: QuarantineRecord,
     revision: u64,
 }
 
-/// State of the quarantine at a node.
+/// State of the quarantine at this node.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
     pub(super) evidence: Evidence,
-    suspects: Suspects,
+    suspects: LostAttempts,
     recent: RecentAnswers,
     unconfirmed_answers: UnconfirmedAnswers,
     probes: HashMap<ExchangeId, InstanceId>,
-    next_look: Timestamp,
-    repeats: Vec<Repeat>,
+    next_suspect_check: Timestamp,
+    repeats: Vec<PendingRepeat>,
     next_sync: Timestamp,
-    kept: BTreeMap<RequestDigest, Kept>,
+    stored: BTreeMap<RequestDigest, StoredRecord>,
     is_writing: bool,
     next_write: Timestamp,
 }
 
 impl Quarantine {
-    /// The store came back from a copy, which lacks what was kept since: that is written again,
-    /// and its absence is no word of an operator.
+    /// The store was restored from an older copy and lacks the evidence stored since. This is
+    /// stored again, and its absence doesn't mean that an operator removed it.
     pub(super) fn begin_era(&mut self) {
-        self.kept.clear();
+        self.stored.clear();
         self.is_writing = false;
     }
 
@@ -67,13 +68,13 @@
         self.probes.contains_key(&exchange)
     }
 
-    /// Whether an instance is in question.
+    /// Whether any instance is suspected to have ended.
     pub(super) fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Requests that are held back, with their paths.
-    pub(super) fn held_back(&self) -> Vec<(RequestDigest, String)> {
+    /// Quarantined requests with their paths.
+    pub(super) fn quarantined_requests(&self) -> Vec<(RequestDigest, String)> {
         let held = self
             .evidence
             .iter()
@@ -83,10 +84,10 @@
     }
 
     fn next_deadline(&self) -> Option<Timestamp> {
-        let look = self.has_suspects().then_some(self.next_look);
+        let suspect_check = self.has_suspects().then_some(self.next_suspect_check);
         let repeat = self.repeats.iter().map(|repeat| repeat.at).min();
         [
-            look,
+            suspect_check,
             repeat,
             self.unconfirmed_answers.next_due(),
             self.evidence.next_review(),
@@ -98,9 +99,11 @@
 }
 
 impl Node {
-    /// When evidence is looked at next.
+    /// When evidence must be reviewed next.
     pub(super) fn quarantine_deadline(&self) -> Option<Timestamp> {
-        let write = self.may_keep().then_some(self.quarantine.next_write);
+        let write = self
+            .may_store_evidence()
+            .then_some(self.quarantine.next_write);
         self.quarantine
             .next_deadline()
             .into_iter()
@@ -108,77 +111,86 @@
             .min()
     }
 
-    /// Takes what the ends of attempts have shown.
+    /// Applies what the outcomes of attempts show about crashes of instances.
     pub(super) fn take_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let signs = self.requests.take_crash_signs();
-        for (instance, accusation) in signs.lost {
-            if self.quarantine.suspects.lost(&instance, accusation, now) {
+        for (instance, lost_attempt) in signs.lost {
+            if self
+                .quarantine
+                .suspects
+                .record(&instance, lost_attempt, now)
+            {
                 self.probe(instance, out);
             }
         }
-        for (instance, asked) in signs.answered {
-            if instance.born().is_none() {
-                self.instance_lives(&instance, asked, now);
-            } else if self.is_in_question(&instance, asked) {
+        for (instance, sent_at) in signs.answered {
+            if instance.start_ms().is_none() {
+                self.instance_is_alive(&instance, sent_at, now);
+            } else if self.is_answer_relevant(&instance, sent_at) {
                 self.quarantine
                     .unconfirmed_answers
-                    .answered(&instance, asked, now);
+                    .answered(&instance, sent_at, now);
             }
         }
-        for (request, caller) in signs.acquitted {
+        for (request, caller) in signs.completed {
             self.quarantine.recent.note(request, caller, now);
-            self.acquit_if_answered(request, caller, now);
+            self.clear_if_answered(request, caller, now);
         }
         for instance in signs.refused {
             self.instance_ended(&instance, now);
         }
     }
 
-    /// Whether an answer to what was asked at this time would show anything.
-    fn is_in_question(&self, instance: &InstanceId, asked: Timestamp) -> bool {
-        self.quarantine.suspects.contains(instance) || self.is_end_in_doubt(instance, asked)
+    /// Whether an answer to a request sent at this time would be relevant evidence.
+    fn is_answer_relevant(&self, instance: &InstanceId, sent_at: Timestamp) -> bool {
+        self.quarantine.suspects.contains(instance) || self.disproves_end(instance, sent_at)
     }
 
-    /// Whether an answer to what was asked at this time disproves an end.
-    fn is_end_in_doubt(&self, instance: &InstanceId, asked: Timestamp) -> bool {
+    /// Whether an answer to a request sent at this time disproves the reported end of an
+    /// instance.
+    fn disproves_end(&self, instance: &InstanceId, sent_at: Timestamp) -> bool {
         let evidence = &self.quarantine.evidence;
-        let ended = evidence.said_to_have_ended(instance.stable_hash());
-        // An answer to what was asked before may have been on its way.
-        ended.is_some_and(|at| at < asked)
+        let ended = evidence.reported_end(instance.stable_hash());
+        // An answer to an earlier request may have been in flight when the instance ended.
+        ended.is_some_and(|at| at < sent_at)
     }
 
-    /// An instance has answered what was asked at this time.
-    fn instance_lives(&mut self, instance: &InstanceId, asked: Timestamp, now: Timestamp) {
-        self.quarantine.suspects.answered(instance, asked);
-        if self.is_end_in_doubt(instance, asked) {
+    /// An instance has answered a request sent at this time, and so is alive.
+    fn instance_is_alive(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
+        self.quarantine.suspects.answered(instance, sent_at);
+        if self.disproves_end(instance, sent_at) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
-            self.quarantine.evidence.disprove(hash, now);
+            self.quarantine.evidence.disprove_end(hash, now);
         }
     }
 
-    /// Answers that a later life would be known to have given by now.
-    fn look_at_life_signs(&mut self, now: Timestamp) {
-        for (instance, asked) in self.quarantine.unconfirmed_answers.take_due(now) {
-            if self.directory.later_life(&instance).is_none() {
-                self.instance_lives(&instance, asked, now);
+    /// Applies answers that have been held back until a later incarnation of the instance
+    /// would be known. If one is known, the answers may be its own and prove nothing.
+    fn check_unconfirmed_answers(&mut self, now: Timestamp) {
+        for (instance, sent_at) in self.quarantine.unconfirmed_answers.take_due(now) {
+            if self.directory.later_incarnation(&instance).is_none() {
+                self.instance_is_alive(&instance, sent_at, now);
             }
         }
     }
 
-    /// A request that an instance has answered lately is harmless, whatever has ended.
-    fn acquit_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
-        let protects = self.settings.protections.has(Protection::Acquittal);
+    /// Clears a request that an instance has answered recently, whichever instance has ended.
+    fn clear_if_answered(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
+        let is_enabled = self
+            .settings
+            .protections
+            .has(Protection::AnswerClearsSuspicion);
         let quarantine = &mut self.quarantine;
-        if !protects || quarantine.evidence.is_empty() {
+        if !is_enabled || quarantine.evidence.is_empty() {
             return;
         }
-        if quarantine.recent.holds(request, caller) {
-            quarantine.evidence.acquit(request, caller, now);
-        } else if quarantine.recent.holds(request, CallerId::ALL) {
+        if quarantine.recent.contains(request, caller) {
+            quarantine.evidence.record_answer(request, caller, now);
+        } else if quarantine.recent.contains(request, CallerId::ALL) {
             quarantine
                 .evidence
-                .acquit(request, CallerId::SOME_OTHER, now);
+                .record_answer(request, CallerId::SOME_OTHER, now);
         }
     }
 
@@ -195,9 +207,9 @@
         self.quarantine.probes.insert(exchange, instance);
     }
 
-    /// A probe has ended. A connection that comes up proves nothing: another life of the
-    /// instance may listen there.
-    pub(super) fn probed(
+    /// Handles the result of a probe. An accepted connection proves nothing, since another
+    /// incarnation of the instance may be listening there.
+    pub(super) fn probe_ended(
         &mut self,
         exchange: ExchangeId,
         failure: Option<ExchangeFailure>,
@@ -209,48 +221,48 @@
         }
     }
 
-    /// An instance has ended: what was lost there is accused.
+    /// An instance has ended: the requests lost there are recorded as possible causes.
     fn instance_ended(&mut self, instance: &InstanceId, now: Timestamp) {
-        let accused = self.quarantine.suspects.ended(instance);
-        if accused.is_empty() {
+        let lost_attempts = self.quarantine.suspects.take_ended(instance);
+        if lost_attempts.is_empty() {
             return;
         }
-        let requests = accused.len();
+        let requests = lost_attempts.len();
         Event::InstanceEnded { instance, requests }.emit();
-        for accusation in accused {
-            let end = End {
-                caller: accusation.caller,
+        for lost_attempt in lost_attempts {
+            let end = InstanceEnd {
+                caller: lost_attempt.caller,
                 instance: instance.stable_hash(),
-                // Not earlier than what the others know to be lost at that moment.
-                at: accusation.at.min(now),
+                // Not earlier than the time at which the other nodes learn of the loss.
+                at: lost_attempt.at.min(now),
                 settled: false,
             };
             let evidence = &mut self.quarantine.evidence;
-            evidence.accuse(accusation.request, &accusation.path, end);
-            self.acquit_if_answered(accusation.request, accusation.caller, now);
+            evidence.record_end(lost_attempt.request, &lost_attempt.path, end);
+            self.clear_if_answered(lost_attempt.request, lost_attempt.caller, now);
         }
     }
 
-    /// Does what is due.
+    /// Performs the steps that are due.
     pub(super) fn review_quarantine(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if self.quarantine.has_suspects() && self.quarantine.next_look <= now {
-            self.quarantine.next_look = now + SUSPECTS_PAUSE;
-            self.look_at_suspects(now);
+        if self.quarantine.has_suspects() && self.quarantine.next_suspect_check <= now {
+            self.quarantine.next_suspect_check = now + SUSPECT_CHECK_INTERVAL;
+            self.check_suspects(now);
         }
-        self.look_at_life_signs(now);
-        self.judge(now);
-        self.send_news(now, out);
-        self.keep_evidence(now, out);
+        self.check_unconfirmed_answers(now);
+        self.review_evidence(now);
+        self.share_evidence(now, out);
+        self.store_evidence(now, out);
     }
 
-    /// Instances whose entries show that they have ended.
-    fn look_at_suspects(&mut self, now: Timestamp) {
+    /// Checks the directory entries of suspected instances for proof that they have ended.
+    fn check_suspects(&mut self, now: Timestamp) {
         self.quarantine.suspects.expire(now);
         let has_ended = |instance: &&InstanceId| {
             let known = self.directory.get(instance);
-            // One that said it leaves ends as planned.
+            // An instance that announced that it is leaving ends as planned.
             known.is_some_and(|known| {
-                known.ended || known.is_gone() && !self.directory.has_said_to_leave(known)
+                known.ended || known.is_gone() && !self.directory.has_announced_leaving(known)
             })
         };
         let suspects = self.quarantine.suspects.instances();
@@ -260,12 +272,12 @@
         }
     }
 
-    fn judge(&mut self, now: Timestamp) {
-        let verdicts = self.quarantine.evidence.review(now);
-        if !verdicts.0.is_empty() {
+    fn review_evidence(&mut self, now: Timestamp) {
+        let new_quarantines = self.quarantine.evidence.review(now);
+        if !new_quarantines.0.is_empty() {
             self.quarantine.next_write = now;
         }
-        for (request, caller) in verdicts.0 {
+        for (request, caller) in new_quarantines.0 {
             let Some(entry) = self.quarantine.evidence.get(&request) else {
                 continue;
             };
@@ -279,13 +291,13 @@
         }
     }
 
-    /// Forgets what is old.
+    /// Removes expired evidence.
     pub(super) fn expire_quarantine(&mut self, now: Timestamp) {
         self.quarantine.suspects.expire(now);
         self.quarantine.evidence.expire(now);
         let evidence = &self.quarantine.evidence;
         self.quarantine
-            .kept
+            .stored
             .retain(|request, _| evidence.get(request).is_some());
     }
 }
