--- a/crates/ledgelead-lab/src/demo/platform_endpoint.rs
+++ b/crates/ledgelead-lab/src/demo/platform_endpoint.rs
@@ -1,7 +1,7 @@
-//! The platform's object API on a real socket (`docs/platform-interface.md`).
+//! Serves the platform's object API on a socket (`docs/platform-interface.md`).
 
 use super::clock::WallClock;
-use super::http::{self, Listening};
+use super::http::{self, HttpListener};
 use crate::standin::platform::{PlatformResponse, PlatformState, WatchId};
 use ledgelead_types::platform::{
     MachineEntry, MachineState, ObjectVersion, PlatformCall, PlatformError, PlatformReply,
@@ -16,33 +16,33 @@
 use std::time::Duration;
 use tiny_http::{Method, Request};
 
-/// Longest time that a watch waits for a newer object.
+/// Maximum time that a watch waits for a newer object.
 const MAX_WATCH: Span = Span::from_seconds(30);
-/// How often the endpoint looks for watches that have waited long enough.
+/// Interval between checks for watches that have timed out.
 const IDLE_WAIT: Duration = Duration::from_millis(10);
 /// Path of the machine list.
 const MACHINES_PATH: &str = "/machines";
-/// Start of every object's path.
+/// Prefix of object paths.
 const OBJECTS_PATH: &str = "/objects/";
 /// Header with an object's version.
 const VERSION_HEADER: &str = "Object-Version";
 
-/// The platform, listening until it is dropped.
+/// The platform, which listens until it is dropped.
 pub struct PlatformEndpoint {
     state: Arc<Mutex<PlatformState>>,
     clock: WallClock,
-    server: Arc<Listening>,
+    server: Arc<HttpListener>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl PlatformEndpoint {
-    /// Starts an empty platform.
+    /// Starts a platform without objects.
     pub fn start(clock: WallClock) -> io::Result<PlatformEndpoint> {
-        let server = Arc::new(Listening::start()?);
+        let server = Arc::new(HttpListener::start()?);
         let state = Arc::new(Mutex::new(PlatformState::default()));
         let stop = Arc::new(AtomicBool::new(false));
-        let serving = Serving {
+        let serving = ServerThread {
             state: Arc::clone(&state),
             clock,
             watches: BTreeMap::new(),
@@ -60,12 +60,12 @@
         })
     }
 
-    /// Where it is reached.
+    /// Its address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Writes an object past the HTTP interface, before anybody reads it.
+    /// Writes an object without the HTTP interface, before it is read.
     pub fn put(&self, name: &str, value: Vec<u8>) {
         let call = PlatformCall::CompareAndSwap {
             name: Text::from(name),
@@ -76,7 +76,7 @@
         state.call(self.clock.now(), &call);
     }
 
-    /// Notes what the platform believes of a machine.
+    /// Updates the state of a machine.
     pub fn set_machine(&self, entry: MachineEntry) {
         let mut state = self.state.lock().expect("platform state");
         state.set_machine(self.clock.now(), entry);
@@ -88,32 +88,32 @@
         self.stop.store(true, Ordering::SeqCst);
         self.server.server().unblock();
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has said so on standard error.
+            // A panic of the thread has already been reported on standard error.
             let _ = thread.join();
         }
     }
 }
 
-/// A watch that waits for its object.
+/// A watch that waits for a newer object.
 struct PendingWatch {
     request: Request,
     until: Time,
 }
 
-struct Serving {
+struct ServerThread {
     state: Arc<Mutex<PlatformState>>,
     clock: WallClock,
     watches: BTreeMap<WatchId, PendingWatch>,
 }
 
-impl Serving {
-    fn run(mut self, listening: &Listening, stop: &AtomicBool) {
+impl ServerThread {
+    fn run(mut self, listening: &HttpListener, stop: &AtomicBool) {
         let mut next_nudge = self.clock.now();
         while !stop.load(Ordering::SeqCst) {
             let now = self.clock.now();
             if now >= next_nudge {
-                listening.nudge();
-                next_nudge = now + http::NUDGE_INTERVAL;
+                listening.wake_queued();
+                next_nudge = now + http::WAKE_INTERVAL;
             }
             match listening.server().recv_timeout(IDLE_WAIT) {
                 Ok(Some(request)) => self.serve(request),
@@ -145,8 +145,12 @@
     }
 
     fn answer_woken(&mut self) {
-        let woken = self.state.lock().expect("platform state").take_woken();
-        for (watch, result) in woken {
+        let ready = self
+            .state
+            .lock()
+            .expect("platform state")
+            .take_ready_watches();
+        for (watch, result) in ready {
             if let Some(pending) = self.watches.remove(&watch) {
                 answer(pending.request, result);
             }
@@ -170,13 +174,13 @@
     }
 }
 
-/// A call with the time that a watch may wait.
+/// A parsed call and the wait time of a watch.
 struct ReadCall {
     call: PlatformCall,
     wait: Span,
 }
 
-/// Reads a call; `None` when there is nothing of this kind.
+/// Parses a call; `None` if there is no such call.
 fn read_call(request: &mut Request) -> Option<ReadCall> {
     let url = request.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
@@ -232,8 +236,8 @@
             http::answer(request, 200, machine_list(&machines), &[]);
         }
         Err(PlatformError::Unavailable) => http::answer(request, 503, Vec::new(), &[]),
-        // The library answers 500 for a request that is dropped: the caller
-        // can't tell whether the call took effect.
+        // The library responds with status 500 to a dropped request, so the caller can't tell
+        // whether the call took effect.
         Err(PlatformError::AnswerLost) => drop(request),
     }
 }
--- a/crates/ledgelead-lab/src/demo/server_thread.rs
+++ b/crates/ledgelead-lab/src/demo/server_thread.rs
@@ -1,8 +1,8 @@
-//! The thread of a back end on a real socket: takes requests and ends
-//! executions when their service time has passed.
+//! The thread of a back end on a socket, which accepts requests and completes executions when
+//! their service time has passed.
 
 use super::answer;
-use super::http::{self, Listening};
+use super::http::{self, HttpListener};
 use super::records::RequestNumber;
 use super::server_endpoint::{EndpointSettings, SentBy, Shared};
 use super::server_request::{self, AttemptNames};
@@ -18,17 +18,17 @@
 use std::time::Duration;
 use tiny_http::Request;
 
-/// Longest wait for a request while nothing executes.
+/// Maximum wait for a request while nothing is executing.
 const IDLE_WAIT: Duration = Duration::from_millis(50);
 /// Path of lease renewals.
 const LEASE_PATH: &str = "/ledgelead/lease";
 /// Path of cancellations.
 const CANCEL_PATH: &str = "/ledgelead/cancel";
-/// Status of an order whose signature is missing or wrong.
-const UNSIGNED: u16 = 403;
+/// Status for control requests whose signature is missing or invalid.
+const UNSIGNED_STATUS: u16 = 403;
 
-/// A request whose answer is due.
-struct Open {
+/// A request that has not been answered.
+struct OpenRequest {
     request: Request,
     sent_by: SentBy,
     number: Option<RequestNumber>,
@@ -37,26 +37,30 @@
 
 /// An execution that ends at a known time.
 #[derive(Clone, Copy, Debug)]
-struct Due {
+struct DueExecution {
     at: Time,
     key: AttemptKey,
     sent_by: SentBy,
 }
 
-/// What the thread holds.
-pub(super) struct Serving {
+/// State of the thread.
+pub(super) struct ServerThread {
     settings: EndpointSettings,
     shared: Arc<Shared>,
     key: ServerKey,
     names: AttemptNames,
-    open: BTreeMap<AttemptKey, Open>,
-    due: Vec<Due>,
+    open: BTreeMap<AttemptKey, OpenRequest>,
+    due: Vec<DueExecution>,
 }
 
-impl Serving {
-    /// A thread that takes orders of nodes that hold the key.
-    pub(super) fn new(settings: EndpointSettings, shared: Arc<Shared>, key: ServerKey) -> Serving {
-        Serving {
+impl ServerThread {
+    /// Creates a thread that accepts control requests signed with the key.
+    pub(super) fn new(
+        settings: EndpointSettings,
+        shared: Arc<Shared>,
+        key: ServerKey,
+    ) -> ServerThread {
+        ServerThread {
             settings,
             shared,
             key,
@@ -66,14 +70,14 @@
         }
     }
 
-    /// Serves until the endpoint stops it.
-    pub(super) fn run(mut self, listening: &Listening) {
+    /// Serves requests until the endpoint is stopped.
+    pub(super) fn run(mut self, listening: &HttpListener) {
         let mut next_nudge = self.shared.clock.now();
         while !self.shared.stop.load(Ordering::SeqCst) {
             let now = self.shared.clock.now();
             if now >= next_nudge {
-                listening.nudge();
-                next_nudge = now + http::NUDGE_INTERVAL;
+                listening.wake_queued();
+                next_nudge = now + http::WAKE_INTERVAL;
             }
             match listening.server().recv_timeout(self.time_to_next_end()) {
                 Ok(Some(request)) => self.serve(request),
@@ -103,7 +107,7 @@
             return http::answer(request, 400, Vec::new(), &[]);
         };
         if !self.is_signed(&request, "", &body) {
-            return http::answer(request, UNSIGNED, Vec::new(), &[]);
+            return http::answer(request, UNSIGNED_STATUS, Vec::new(), &[]);
         }
         let Ok(renewal) = codec::decode::<LeaseRenewal>(&body) else {
             return http::answer(request, 400, Vec::new(), &[]);
@@ -116,13 +120,13 @@
     fn cancel(&mut self, request: Request) {
         let name = http::header_of(&request, server_request::ATTEMPT_HEADER).unwrap_or_default();
         if !self.is_signed(&request, name, &[]) {
-            return http::answer(request, UNSIGNED, Vec::new(), &[]);
+            return http::answer(request, UNSIGNED_STATUS, Vec::new(), &[]);
         }
         self.cancel_attempt(name);
         http::answer(request, 200, Vec::new(), &[]);
     }
 
-    /// Whether an order comes from a node.
+    /// Whether a control request comes from a node.
     fn is_signed(&self, request: &Request, attempt: &str, body: &[u8]) -> bool {
         let signature = http::header_of(request, headers::SIGNATURE).unwrap_or_default();
         let order = ControlRequest {
@@ -164,7 +168,7 @@
             tier: server_request::tier(&request),
             service_time: self.settings.service_time,
         };
-        let open = Open {
+        let open = OpenRequest {
             request,
             sent_by,
             number,
@@ -180,16 +184,16 @@
         let now = self.shared.clock.now();
         let (ended, due) = self.due.iter().partition(|due| due.at <= now);
         self.due = due;
-        let ended: Vec<Due> = ended;
-        for Due { key, sent_by, .. } in ended {
+        let ended: Vec<DueExecution> = ended;
+        for DueExecution { key, sent_by, .. } in ended {
             let now = Moment::exact(self.shared.clock.now());
             self.shared.states().state(sent_by).finish(now, key);
             self.carry_out(sent_by);
         }
     }
 
-    /// Does what the state asks for, until it asks for nothing more: an
-    /// execution without service time ends at once and may start the next.
+    /// Carries out the actions of the state machine until there are none left. An execution
+    /// without service time ends immediately and may start the next.
     fn carry_out(&mut self, sent_by: SentBy) {
         loop {
             let actions = self.shared.states().state(sent_by).take_actions();
@@ -205,20 +209,20 @@
     fn act(&mut self, sent_by: SentBy, action: ServerAction) {
         let now = self.shared.clock.now();
         match action {
-            ServerAction::Started { key, takes } if takes == Span::ZERO => {
+            ServerAction::Started { key, duration } if duration == Span::ZERO => {
                 let mut states = self.shared.states();
                 states.state(sent_by).finish(Moment::exact(now), key);
             }
-            ServerAction::Started { key, takes } => {
-                let at = now + takes;
-                self.due.push(Due { at, key, sent_by });
+            ServerAction::Started { key, duration } => {
+                let at = now + duration;
+                self.due.push(DueExecution { at, key, sent_by });
             }
             ServerAction::Ended { key, answer } => self.answer(key, answer),
         }
     }
 
     fn answer(&mut self, key: AttemptKey, ended: ServerAnswer) {
-        self.names.forget(key);
+        self.names.remove(key);
         let Some(open) = self.open.remove(&key) else {
             return;
         };
--- a/crates/ledgelead-lab/src/simulation/callers.rs
+++ b/crates/ledgelead-lab/src/simulation/callers.rs
@@ -1,45 +1,45 @@
-//! Callers: an open loop of Poisson arrivals for each service, with Zipf
-//! popularity, hot keys that move, tiers, and requests that may run once.
+//! Callers: open-loop Poisson arrivals per service, with Zipf-distributed key popularity,
+//! changing hot keys, tiers, and requests that may run at most once.
 
-use super::dice::{Dice, milliseconds};
 use super::event::NodeRun;
 use super::key_load::Popularity;
+use super::rng::{RandomStream, milliseconds};
 use crate::checker::requests::OnceKey;
 use crate::scenario::{Scenario, ServiceSection};
 use ledgelead_types::configuration::Partitioning;
 use ledgelead_types::{Bytes, Position, PositionRange, RequestId, Span, TierId, Time};
 use std::collections::BTreeMap;
 
-/// A request as its caller knows it.
+/// A request from the caller's point of view.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
     /// Index of the service.
     pub service: usize,
-    /// Key, for a service that is divided by key.
+    /// Its key, if the service is keyed.
     pub key: Option<Bytes>,
     /// Tier of the caller.
     pub tier: TierId,
-    /// Time that the caller gives it.
+    /// How long the caller allows the request to take.
     pub deadline: Span,
-    /// Time that a warm server needs.
+    /// Execution time on a warm server.
     pub service_time: Span,
-    /// What may run once, if anything.
+    /// What may run at most once, if anything.
     pub once: Option<OnceKey>,
     /// When it was sent.
     pub sent: Time,
-    /// The run of a node that accepted it, and its number there.
+    /// The node incarnation that accepted it, and its request number there.
     pub accepted: Option<(NodeRun, RequestId)>,
-    /// Slice that it probes, if it is a probe.
+    /// The probe that it belongs to, if any.
     pub probe: Option<usize>,
     /// Whether it counts in the measurements.
     pub counted: bool,
-    /// Whether it repeats an earlier request under its idempotency key.
-    pub is_repeat: bool,
-    /// Index of the server that it was last sent to.
+    /// Whether it retries an earlier request with the same idempotency key.
+    pub is_retry: bool,
+    /// Index of the server to which it was last sent.
     pub server: Option<usize>,
 }
 
-/// Keys and popularity of a service.
+/// Keys of a service and their popularity.
 pub struct ServiceLoad {
     pub(super) section: ServiceSection,
     pub(super) keyed: bool,
@@ -54,17 +54,17 @@
 pub struct Callers {
     /// Load of each service.
     pub services: Vec<ServiceLoad>,
-    /// Requests that have not ended for their callers.
+    /// Requests whose callers have not received an outcome, by the number in the body.
     pub open: BTreeMap<u64, CallerRequest>,
     tiers: Vec<f64>,
     last_body: u64,
     last_idempotency: u64,
-    /// Draws of the load.
-    pub dice: Dice,
+    /// Random numbers of the load.
+    pub rng: RandomStream,
 }
 
 impl ServiceLoad {
-    fn new(section: &ServiceSection, dice: &mut Dice) -> ServiceLoad {
+    fn new(section: &ServiceSection, rng: &mut RandomStream) -> ServiceLoad {
         let keyed = section.partitioning != Partitioning::None;
         let mut load = ServiceLoad {
             section: section.clone(),
@@ -75,16 +75,16 @@
             by_position: Vec::new(),
             popularity: Popularity::default(),
         };
-        shuffle(&mut load.order, dice);
+        shuffle(&mut load.order, rng);
         load.by_position = (0..section.load.keys)
             .map(|key| (load.position(key), key))
             .collect();
         load.by_position.sort_unstable();
-        load.move_hot_keys(dice);
+        load.move_hot_keys(rng);
         load
     }
 
-    /// The bytes of a key.
+    /// The bytes of the key with this number.
     fn key(&self, number: u32) -> Bytes {
         Bytes(format!("{number:08}-{}", self.section.name).into_bytes())
     }
@@ -93,8 +93,8 @@
         Position::of(&self.key(number).0, self.section.partitioning)
     }
 
-    /// Draws new hot keys, all at first, then as many as move at a time.
-    pub fn move_hot_keys(&mut self, dice: &mut Dice) {
+    /// Draws new hot keys: all of them initially, later as many as change at a time.
+    pub fn move_hot_keys(&mut self, rng: &mut RandomStream) {
         let load = &self.section.load;
         let keys = load.keys as usize;
         let moved = match load.hot_keys_moved {
@@ -102,29 +102,27 @@
             some => some.min(load.hot_keys),
         };
         if self.hot.is_empty() {
-            self.hot = (0..load.hot_keys)
-                .map(|_| dice.below(keys) as u32)
-                .collect();
+            self.hot = (0..load.hot_keys).map(|_| rng.below(keys) as u32).collect();
         } else {
-            // The longest hot cool down first.
+            // Drop the keys that have been hot the longest.
             self.hot.drain(..moved as usize);
-            self.hot.extend((0..moved).map(|_| dice.below(keys) as u32));
+            self.hot.extend((0..moved).map(|_| rng.below(keys) as u32));
         }
-        self.weigh_keys();
+        self.update_popularity();
     }
 
-    fn draw_key(&self, dice: &mut Dice) -> u32 {
-        if dice.chance(self.section.load.hot_percent / 100.0)
-            && let Some(hot) = dice.pick(&self.hot)
+    fn draw_key(&self, rng: &mut RandomStream) -> u32 {
+        if rng.chance(self.section.load.hot_percent / 100.0)
+            && let Some(hot) = rng.pick(&self.hot)
         {
             return hot;
         }
-        let point = dice.unit();
+        let point = rng.unit();
         let rank = self.cumulative.partition_point(|sum| *sum <= point);
         self.order[rank.min(self.order.len() - 1)]
     }
 
-    /// A key whose position lies in a range.
+    /// A key whose position is in the range.
     fn key_in(&self, range: PositionRange) -> Option<u32> {
         let first = self
             .by_position
@@ -133,28 +131,28 @@
         range.contains(*position).then_some(*key)
     }
 
-    /// Mean requests a second at the mean of the day.
+    /// Mean requests per second, averaged over the daily cycle.
     pub fn mean_rate(&self) -> f64 {
         let slots = f64::from(self.section.instances) * f64::from(self.section.slots);
         const MILLIS_PER_SECOND: f64 = 1_000.0;
         self.section.load.of_capacity * slots * MILLIS_PER_SECOND / self.section.service_ms
     }
 
-    fn draw_service_time(&self, dice: &mut Dice) -> Span {
+    fn draw_service_time(&self, rng: &mut RandomStream) -> Span {
         let variable = self.section.service_variable_share;
-        let factor = (1.0 - variable) + dice.exponential(variable);
+        let factor = (1.0 - variable) + rng.exponential(variable);
         milliseconds(self.section.service_ms * factor)
     }
 }
 
 impl Callers {
-    /// The callers of a scenario.
-    pub fn new(scenario: &Scenario, mut dice: Dice) -> Callers {
+    /// Creates the callers of a scenario.
+    pub fn new(scenario: &Scenario, mut rng: RandomStream) -> Callers {
         Callers {
             services: scenario
                 .services
                 .iter()
-                .map(|section| ServiceLoad::new(section, &mut dice))
+                .map(|section| ServiceLoad::new(section, &mut rng))
                 .collect(),
             open: BTreeMap::new(),
             tiers: scenario
@@ -164,19 +162,19 @@
                 .collect(),
             last_body: 0,
             last_idempotency: 0,
-            dice,
+            rng,
         }
     }
 
-    /// Draws a request of a service; returns the number in its body.
+    /// Draws a request for a service and returns the number in its body.
     pub fn draw(&mut self, service: usize, now: Time) -> u64 {
         let load = &self.services[service];
-        let key = load.keyed.then(|| load.key(load.draw_key(&mut self.dice)));
-        let service_time = load.draw_service_time(&mut self.dice);
+        let key = load.keyed.then(|| load.key(load.draw_key(&mut self.rng)));
+        let service_time = load.draw_service_time(&mut self.rng);
         let section = &load.section.load;
         let deadline = Span::from_millis(section.deadline_ms);
-        let is_once = self.dice.chance(section.once_only_percent / 100.0);
-        let has_idempotency_key = self.dice.chance(section.repeat_percent / 100.0);
+        let is_once = self.rng.chance(section.once_only_percent / 100.0);
+        let has_idempotency_key = self.rng.chance(section.repeat_percent / 100.0);
         let tier = self.draw_tier();
         let body = self.next_body();
         let once = is_once.then(|| {
@@ -198,27 +196,27 @@
             accepted: None,
             probe: None,
             counted: true,
-            is_repeat: false,
+            is_retry: false,
             server: None,
         };
         self.open.insert(body, request);
         body
     }
 
-    /// A caller's repeat of a request under its idempotency key.
-    pub fn repeat(&mut self, original: &CallerRequest, now: Time) -> u64 {
+    /// Creates a retry of a request with the same idempotency key.
+    pub fn retry(&mut self, original: &CallerRequest, now: Time) -> u64 {
         let body = self.next_body();
         let request = CallerRequest {
             sent: now,
             accepted: None,
-            is_repeat: true,
+            is_retry: true,
             ..original.clone()
         };
         self.open.insert(body, request);
         body
     }
 
-    /// A cheap request for a key in a range; `None` when no key lies there.
+    /// Creates a cheap request for a key in a range; `None` if the range contains no key.
     pub fn probe(
         &mut self,
         probe: usize,
@@ -242,7 +240,7 @@
             accepted: None,
             probe: Some(probe),
             counted: false,
-            is_repeat: false,
+            is_retry: false,
             server: None,
         };
         self.open.insert(body, request);
@@ -255,7 +253,7 @@
     }
 
     fn draw_tier(&mut self) -> TierId {
-        let mut point = self.dice.unit() * 100.0;
+        let mut point = self.rng.unit() * 100.0;
         for (index, share) in self.tiers.iter().enumerate() {
             if point < *share {
                 return TierId(index as u8);
@@ -266,7 +264,7 @@
     }
 }
 
-/// Cumulative popularity of ranks under a Zipf distribution.
+/// Cumulative popularity by rank under a Zipf distribution.
 fn zipf(count: u32, exponent: f64) -> Vec<f64> {
     let weights = (1..=count).map(|rank| f64::from(rank).powf(-exponent));
     let mut sum = 0.0;
@@ -279,8 +277,8 @@
     sums.into_iter().map(|partial| partial / sum).collect()
 }
 
-fn shuffle(items: &mut [u32], dice: &mut Dice) {
+fn shuffle(items: &mut [u32], rng: &mut RandomStream) {
     for last in (1..items.len()).rev() {
-        items.swap(last, dice.below(last + 1));
+        items.swap(last, rng.below(last + 1));
     }
 }
--- a/crates/ledgelead-lab/src/simulation/mod.rs
+++ b/crates/ledgelead-lab/src/simulation/mod.rs
@@ -1,12 +1,11 @@
-//! A whole deployment in virtual time: the node's actors over a simulated
-//! network, stand-in servers, platform, callers and operators, every process
-//! with a clock of its own. One seed gives one run.
+//! Simulation of a complete deployment in virtual time: the node actors run over a simulated
+//! network with simulated servers, platform, callers and operators. Every process has its own
+//! clock. A seed determines the whole run.
 
 pub mod callers;
 pub mod clock;
 pub mod command;
 pub mod deployment;
-pub mod dice;
 pub mod event;
 mod faults;
 pub mod key_load;
@@ -22,6 +21,7 @@
 pub mod queue;
 mod report;
 mod requests;
+pub mod rng;
 mod servers;
 mod session;
 pub mod timeline;
--- a/crates/ledgelead-lab/src/simulation/platform.rs
+++ b/crates/ledgelead-lab/src/simulation/platform.rs
@@ -1,8 +1,9 @@
-//! The platform in the world: calls, watches, lost and late answers.
+//! Calls and watches between nodes and the simulated platform, including lost and delayed
+//! answers.
 
 use super::deployment;
 use super::event::{Event, NodeRun, ToNode};
-use super::network::Place;
+use super::network::Endpoint;
 use super::world::World;
 use crate::scenario::Scenario;
 use crate::standin::platform::{PlatformCondition, PlatformResponse, PlatformState, WatchId};
@@ -12,12 +13,12 @@
 use ledgelead_types::{Bytes, ConfigurationVersion, Span, Time};
 use std::collections::BTreeMap;
 
-/// How long a node waits for the platform's answer, apart from watches.
+/// How long a node waits for a reply of the platform, except for watches.
 const CALL_TIMEOUT: Span = Span::from_seconds(3);
-/// How long the platform lets a watch wait.
+/// How long the platform keeps a watch open.
 const WATCH_TIMEOUT: Span = Span::from_seconds(10);
 
-/// The platform and who waits for it.
+/// The platform and its pending watches.
 pub struct PlatformProcess {
     /// Its state.
     pub state: PlatformState,
@@ -27,18 +28,18 @@
 }
 
 impl PlatformProcess {
-    /// A platform that holds nothing yet.
+    /// Creates a platform without objects.
     pub fn new(scenario: &Scenario) -> PlatformProcess {
         let lag = scenario.platform.machine_list_lag_seconds;
         PlatformProcess {
-            state: PlatformState::new(super::dice::seconds(lag)),
+            state: PlatformState::new(super::rng::seconds(lag)),
             watchers: BTreeMap::new(),
             disturbed: BTreeMap::new(),
             undisturbed_since: Time::ZERO,
         }
     }
 
-    /// Since when the platform has answered as usual: `now` while it doesn't.
+    /// Since when the platform has been undisturbed; `now` during a disturbance.
     pub fn undisturbed_since(&self, now: Time) -> Time {
         if self.disturbed.is_empty() {
             self.undisturbed_since
@@ -49,7 +50,7 @@
 }
 
 impl World<'_> {
-    /// Stores the first configuration.
+    /// Stores the initial configuration.
     pub(super) fn platform_starts(&mut self) {
         let configuration = deployment::configuration(self.scenario);
         let value = serde_json::to_vec(&configuration).expect("a configuration is plain data");
@@ -59,7 +60,7 @@
             value: Bytes(value),
         };
         self.platform.state.call(Time::ZERO, &create);
-        self.note_writes();
+        self.check_writes();
     }
 
     pub(super) fn call_platform(&mut self, run: NodeRun, call: CallId, request: PlatformCall) {
@@ -71,8 +72,8 @@
         } else {
             CALL_TIMEOUT
         };
-        let node = Place::Node(run.index);
-        let (delay, error) = match self.network.segment(node, Place::Platform) {
+        let node = Endpoint::Node(run.index);
+        let (delay, error) = match self.network.segment(node, Endpoint::Platform) {
             Some(delay) => (Some(delay), PlatformError::AnswerLost),
             None => (None, PlatformError::Unavailable),
         };
@@ -92,8 +93,8 @@
                 self.after(WATCH_TIMEOUT, Event::WatchTimeout(watch));
             }
         }
-        self.note_writes();
-        for (watch, reply) in self.platform.state.take_woken() {
+        self.check_writes();
+        for (watch, reply) in self.platform.state.take_ready_watches() {
             self.watch_ends(watch, reply);
         }
     }
@@ -104,8 +105,8 @@
         call: CallId,
         reply: Result<PlatformReply, PlatformError>,
     ) {
-        let node = Place::Node(run.index);
-        let Some(delay) = self.network.segment(Place::Platform, node) else {
+        let node = Endpoint::Node(run.index);
+        let Some(delay) = self.network.segment(Endpoint::Platform, node) else {
             return;
         };
         if let Ok(reply) = &reply {
@@ -129,7 +130,7 @@
         }
     }
 
-    fn note_writes(&mut self) {
+    fn check_writes(&mut self) {
         for write in self.platform.state.take_writes() {
             if &*write.name != CONFIGURATION_OBJECT {
                 continue;
@@ -142,12 +143,12 @@
                         .configuration
                         .written(write.at, &stored, &mut checker.violations);
                 }
-                Err(error) => log::error!("a node stored a broken configuration: {error}"),
+                Err(error) => log::error!("a node stored an invalid configuration: {error}"),
             }
         }
     }
 
-    /// Disturbs the platform for the length of a fault, or ends it.
+    /// Begins a disturbance of the platform by a fault, or ends it if there is no condition.
     pub(super) fn disturb_platform(&mut self, fault: usize, condition: Option<PlatformCondition>) {
         match condition {
             Some(condition) => {
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Notes the state of a node's machine in the platform's list.
+    /// Updates the state of a node's machine in the platform's list.
     pub(super) fn list_machine(&mut self, index: usize, state: MachineState) {
         let entry = MachineEntry {
             node: deployment::node_id(index),
