--- a/crates/ledgelead-node/src/administration.rs
+++ b/crates/ledgelead-node/src/administration.rs
@@ -5,7 +5,7 @@
 mod credentials;
 mod statements;
 
-use crate::callers::guard::Origins;
+use crate::callers::proxy::Origins;
 use crate::handle::NodeHandle;
 use crate::metrics::Metrics;
 use std::io::Cursor;
--- a/crates/ledgelead-node/src/administration/credentials.rs
+++ b/crates/ledgelead-node/src/administration/credentials.rs
@@ -2,7 +2,7 @@
 //! operators. The credential itself is never kept or logged.
 
 use super::Context;
-use crate::callers::classify::sha256_hex;
+use crate::callers::request_head::sha256_hex;
 use ledgelead_types::configuration::{Configuration, OperatorConfiguration, OperatorRole};
 
 use std::net::SocketAddr;
--- a/crates/ledgelead-node/src/callers/mod.rs
+++ b/crates/ledgelead-node/src/callers/mod.rs
@@ -1,10 +1,10 @@
 //! Callers' HTTP interface (`docs/caller-interface.md`).
 
-pub mod classify;
-pub mod guard;
 pub mod headers;
-pub mod kept_answers;
 pub mod open_requests;
+pub mod proxy;
+pub mod request_head;
 pub mod respond;
+pub mod response_cache;
 pub mod server;
 pub mod target;
--- a/crates/ledgelead-node/src/callers/open_requests.rs
+++ b/crates/ledgelead-node/src/callers/open_requests.rs
@@ -1,8 +1,8 @@
 //! Requests accepted and not yet answered, with what belongs to them outside
 //! the decisions: the caller's connection, the body, servers' answers.
 
-use super::classify::{CallerRequest, Classified};
-use super::kept_answers::KeptAnswers;
+use super::request_head::{CallerRequest, Classified};
+use super::response_cache::KeptAnswers;
 use crate::servers::exchange::WholeAnswer;
 use ledgelead_types::RequestId;
 use ledgelead_types::request::{AttemptId, RequestArrival};
--- a/crates/ledgelead-node/src/callers/guard/mod.rs
+++ b/crates/ledgelead-node/src/callers/proxy/mod.rs
@@ -8,14 +8,14 @@
 //! bodies and time, and notices callers that leave. One thread serves all
 //! connections.
 
-mod origins;
 mod pair;
 mod progress;
+mod remote_addresses;
 
 use crate::settings::Limits;
-pub use origins::Origins;
 use pair::{Pair, PairEnd, PairLimits, Side};
 pub use progress::{Excess, RequestProgress};
+pub use remote_addresses::Origins;
 use stakker_mio::mio::event::Event;
 use stakker_mio::mio::net::{TcpListener, TcpStream};
 use stakker_mio::mio::{Events, Interest, Poll, Registry, Token, Waker};
--- a/crates/ledgelead-node/src/callers/server.rs
+++ b/crates/ledgelead-node/src/callers/server.rs
@@ -1,8 +1,8 @@
 //! Reads callers' requests, by `tiny_http`, on a bounded pool of threads.
 
-use super::classify::{BadRequest, Classified, classify};
 use super::headers::HeaderLine;
 use super::open_requests::OpenRequests;
+use super::request_head::{BadRequest, Classified, classify};
 use super::respond;
 use crate::InputSink;
 use crate::metrics::Metrics;
--- a/crates/ledgelead-node/src/node/mod.rs
+++ b/crates/ledgelead-node/src/node/mod.rs
@@ -5,8 +5,8 @@
 mod serving;
 
 use crate::administration::AdministrationServer;
-use crate::callers::guard::CallerGuard;
 use crate::callers::open_requests::OpenRequests;
+use crate::callers::proxy::CallerGuard;
 use crate::callers::respond::{self, Ending};
 use crate::callers::server::CallerServer;
 use crate::file_limit;
--- a/crates/ledgelead-node/src/node/serving.rs
+++ b/crates/ledgelead-node/src/node/serving.rs
@@ -3,8 +3,8 @@
 use super::listeners::{Listeners, StartError, inner_address, inner_http_server};
 use super::node_thread::{Started, input_sink};
 use crate::administration::{self, AdministrationServer, Context};
-use crate::callers::guard::{CallerGuard, CallerLeft};
 use crate::callers::open_requests::OpenRequests;
+use crate::callers::proxy::{CallerGuard, CallerLeft};
 use crate::callers::server::CallerServer;
 use crate::handle::NodeHandle;
 use crate::logging::thread_name;
--- a/crates/ledgelead-node/src/peer/incoming.rs
+++ b/crates/ledgelead-node/src/peer/incoming.rs
@@ -1,7 +1,7 @@
 //! A connection from a sender: opens frames, and gives messages on.
 
+use super::close_reason::CloseReason;
 use super::counters::PeerCounters;
-use super::end::CloseReason;
 use super::frame::{self, Challenge, HELLO_BYTES, Session};
 use super::transport::{PeerSettings, Received};
 use ledgelead_types::codec;
--- a/crates/ledgelead-node/src/peer/mod.rs
+++ b/crates/ledgelead-node/src/peer/mod.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes over TCP.
 
+mod close_reason;
 mod counters;
-mod end;
 pub mod frame;
 mod incoming;
 mod outgoing;
--- a/crates/ledgelead-node/src/peer/outgoing.rs
+++ b/crates/ledgelead-node/src/peer/outgoing.rs
@@ -1,6 +1,6 @@
 //! A connection to a receiver: seals messages, within bounds.
 
-use super::end::{CloseReason, DropReason};
+use super::close_reason::{CloseReason, DropReason};
 use super::frame::{self, FrameError, Session};
 use super::transport::PeerSettings;
 use ledgelead_types::NodeId;
--- a/crates/ledgelead-node/src/peer/transport.rs
+++ b/crates/ledgelead-node/src/peer/transport.rs
@@ -4,8 +4,8 @@
 //! hold a bounded queue, and drop what does not fit: the protocols between
 //! nodes live with lost messages, not with late ones.
 
+use super::close_reason::{CloseReason, DropReason};
 use super::counters::{KindLabel, PeerCounters};
-use super::end::{CloseReason, DropReason};
 use super::frame::{self, ClusterKey};
 use super::incoming::Incoming;
 use super::outgoing::Outgoing;
--- a/crates/ledgelead-node/src/platform.rs
+++ b/crates/ledgelead-node/src/platform.rs
@@ -2,8 +2,8 @@
 
 use crate::InputSink;
 use crate::callers::headers::HeaderLine;
-use crate::servers::evidence::ExchangeControl;
 use crate::servers::exchange::{self, AgentLimits, ExchangeError, WholeAnswer};
+use crate::servers::write_tracking::ExchangeControl;
 use crate::settings::Limits;
 use crate::work_pool::{Rejected, WorkPool};
 use ledgelead_core::{CallId, Input};
--- a/crates/ledgelead-node/src/servers/cancel.rs
+++ b/crates/ledgelead-node/src/servers/cancel.rs
@@ -1,10 +1,10 @@
 //! Stops attempts and asks servers to cancel them.
 
-use super::evidence::ExchangeControl;
 use super::exchange;
 use super::renewal::control_agent;
 use super::signature::{ControlRequest, ServerKey};
 use super::wire::CANCEL_PATH;
+use super::write_tracking::ExchangeControl;
 use crate::callers::headers;
 use crate::work_pool::{Rejected, WorkPool};
 use ledgelead_types::Text;
--- a/crates/ledgelead-node/src/servers/exchange.rs
+++ b/crates/ledgelead-node/src/servers/exchange.rs
@@ -1,7 +1,7 @@
 //! One HTTP exchange with a server, by `ureq`, with the evidence of its end.
 
-use super::evidence::{EvidenceConnector, ExchangeControl, with_control};
 use super::resolver::AddressResolver;
+use super::write_tracking::{EvidenceConnector, ExchangeControl, with_control};
 use crate::callers::headers::HeaderLine;
 use std::io::{ErrorKind, Read};
 use std::sync::Arc;
--- a/crates/ledgelead-node/src/servers/forward.rs
+++ b/crates/ledgelead-node/src/servers/forward.rs
@@ -1,12 +1,12 @@
 //! Sends callers' requests to servers on a bounded pool of threads.
 
-use super::evidence::ExchangeControl;
 use super::exchange::{self, AgentLimits, ExchangeError, WholeAnswer};
 use super::wire::{self, AttemptSender};
+use super::write_tracking::ExchangeControl;
 use crate::InputSink;
-use crate::callers::classify::CallerRequest;
 use crate::callers::headers;
 use crate::callers::open_requests::OpenRequests;
+use crate::callers::request_head::CallerRequest;
 use crate::settings::Limits;
 use crate::work_pool::{Rejected, WorkPool};
 use ledgelead_core::Input;
--- a/crates/ledgelead-node/src/servers/renewal.rs
+++ b/crates/ledgelead-node/src/servers/renewal.rs
@@ -1,10 +1,10 @@
 //! Renews servers' leases on threads of their own, so that a renewal never
 //! waits behind requests.
 
-use super::evidence::ExchangeControl;
 use super::exchange::{self, AgentLimits};
 use super::signature::{ControlRequest, ServerKey};
 use super::wire::LEASE_PATH;
+use super::write_tracking::ExchangeControl;
 use crate::InputSink;
 use crate::callers::headers;
 use crate::metrics::{ControlKind, Metrics};
--- a/crates/ledgelead-node/src/servers/wire.rs
+++ b/crates/ledgelead-node/src/servers/wire.rs
@@ -2,8 +2,8 @@
 //! (`docs/server-interface.md`).
 
 use super::exchange::WholeAnswer;
-use crate::callers::classify::CallerRequest;
 use crate::callers::headers;
+use crate::callers::request_head::CallerRequest;
 use ledgelead_types::request::{AttemptId, Forward};
 use ledgelead_types::server::{AttemptResult, LoadReport, ServerRefusal};
 use ledgelead_types::{Incarnation, NodeId, Span};
--- a/crates/ledgelead-node/tests/callers.rs
+++ b/crates/ledgelead-node/tests/callers.rs
@@ -4,8 +4,8 @@
 use googletest::prelude::*;
 use ledgelead_core::Input;
 use ledgelead_node::InputSink;
-use ledgelead_node::callers::guard::CallerGuard;
 use ledgelead_node::callers::open_requests::OpenRequests;
+use ledgelead_node::callers::proxy::CallerGuard;
 use ledgelead_node::callers::respond::{self, Ending};
 use ledgelead_node::callers::server::CallerServer;
 use ledgelead_node::metrics::Metrics;
--- a/crates/ledgelead-node/tests/exchange.rs
+++ b/crates/ledgelead-node/tests/exchange.rs
@@ -3,12 +3,12 @@
 mod support;
 
 use googletest::prelude::*;
-use ledgelead_node::callers::classify::CallerRequest;
 use ledgelead_node::callers::headers::HeaderLine;
-use ledgelead_node::servers::evidence::ExchangeControl;
+use ledgelead_node::callers::request_head::CallerRequest;
 use ledgelead_node::servers::exchange::{self, AgentLimits, ExchangeError, WholeAnswer};
 use ledgelead_node::servers::resolver::AddressResolver;
 use ledgelead_node::servers::wire::{self, AttemptSender};
+use ledgelead_node::servers::write_tracking::ExchangeControl;
 use ledgelead_types::request::{AttemptId, Forward, OwnershipClaim};
 use ledgelead_types::server::{AttemptResult, LoadReport, ServerRefusal};
 use ledgelead_types::*;
