--- a/crates/ledgelead-node/src/actor.rs
+++ b/crates/ledgelead-node/src/actor.rs
@@ -52,14 +52,14 @@
             timer: FixedTimerKey::default(),
             armed_for: None,
         };
-        actor.settle(cx);
+        actor.perform_outputs(cx);
         Some(actor)
     }
 
     /// Takes in one event.
     pub fn input(&mut self, cx: CX![], input: Input) {
         self.core.step(self.ports.now(), input);
-        self.settle(cx);
+        self.perform_outputs(cx);
     }
 
     /// Takes in several events; their outputs are carried out together.
@@ -67,22 +67,22 @@
         for input in inputs {
             self.core.step(self.ports.now(), input);
         }
-        self.settle(cx);
+        self.perform_outputs(cx);
     }
 
-    /// Shows `look` what this node can tell an operator.
-    pub fn inspect(&mut self, _cx: CX![], look: impl FnOnce(NodeView)) {
-        look(self.core.view(self.ports.now()));
+    /// Shows `receive` what this node can tell an operator.
+    pub fn inspect(&mut self, _cx: CX![], receive: impl FnOnce(NodeView)) {
+        receive(self.core.view(self.ports.now()));
     }
 
     fn timer_fired(&mut self, cx: CX![]) {
         self.armed_for = None;
         self.core.tick(self.ports.now());
-        self.settle(cx);
+        self.perform_outputs(cx);
     }
 
     /// Carries out what the decisions want, and arms the timer.
-    fn settle(&mut self, cx: CX![]) {
+    fn perform_outputs(&mut self, cx: CX![]) {
         let mut view_changed = false;
         for output in self.core.take_outputs() {
             view_changed |= changes_view(&output);
--- a/crates/ledgelead-node/src/administration.rs
+++ b/crates/ledgelead-node/src/administration.rs
@@ -5,7 +5,7 @@
 mod credentials;
 mod statements;
 
-use crate::callers::proxy::Origins;
+use crate::callers::proxy::RemoteAddresses;
 use crate::handle::NodeHandle;
 use crate::metrics::Metrics;
 use std::io::Cursor;
@@ -19,9 +19,9 @@
 const THREADS: usize = 8;
 /// Statements that are carried out at once; the other threads stay free for
 /// health and metrics.
-const MAX_STATEMENTS: usize = THREADS - 2;
+const MAX_CONCURRENT_STATEMENTS: usize = THREADS - 2;
 /// How long the node may take to tell its view.
-const VIEW_TIME: Duration = Duration::from_secs(1);
+const VIEW_TIMEOUT: Duration = Duration::from_secs(1);
 /// Media type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// Media type of short answers.
@@ -36,7 +36,7 @@
     pub metrics: Metrics,
     /// Set when callers are served no more.
     pub callers_failed: Arc<AtomicBool>,
-    origins: Origins,
+    remote_addresses: RemoteAddresses,
     statements: Arc<AtomicUsize>,
     was_ready: Arc<AtomicBool>,
 }
@@ -47,13 +47,13 @@
         node: NodeHandle,
         metrics: Metrics,
         callers_failed: Arc<AtomicBool>,
-        origins: Origins,
+        remote_addresses: RemoteAddresses,
     ) -> Context {
         Context {
             node,
             metrics,
             callers_failed,
-            origins,
+            remote_addresses,
             statements: Arc::default(),
             was_ready: Arc::default(),
         }
@@ -128,7 +128,7 @@
     if context.callers_failed.load(Ordering::Acquire) {
         return Reply::text(503, "callers are not served\n");
     }
-    match context.node.view(VIEW_TIME) {
+    match context.node.view(VIEW_TIMEOUT) {
         Ok(_) => Reply::text(200, "ok\n"),
         Err(error) => Reply::text(503, format!("{error}\n")),
     }
@@ -141,7 +141,7 @@
     if context.callers_failed.load(Ordering::Acquire) {
         return Reply::text(503, "callers are not served\n");
     }
-    let view = match context.node.view(VIEW_TIME) {
+    let view = match context.node.view(VIEW_TIMEOUT) {
         Ok(view) => view,
         Err(error) => return Reply::text(503, format!("{error}\n")),
     };
@@ -166,7 +166,7 @@
 }
 
 fn metrics(context: &Context, _request: &mut Request) -> Reply {
-    if let Ok(view) = context.node.view(VIEW_TIME) {
+    if let Ok(view) = context.node.view(VIEW_TIMEOUT) {
         context.metrics.observe(&view);
     }
     Reply {
@@ -209,7 +209,7 @@
             let shared = shared.clone();
             thread::Builder::new()
                 .name(thread_name.to_owned())
-                .spawn(move || shared.work())?;
+                .spawn(move || shared.run_worker())?;
         }
         Ok(AdministrationServer { shared })
     }
@@ -230,7 +230,7 @@
 }
 
 impl Shared {
-    fn work(&self) {
+    fn run_worker(&self) {
         while !self.closed.load(Ordering::Acquire) {
             let Ok(mut request) = self.server.recv() else {
                 continue;
--- a/crates/ledgelead-node/src/administration/credentials.rs
+++ b/crates/ledgelead-node/src/administration/credentials.rs
@@ -43,8 +43,8 @@
     configuration: &Configuration,
 ) -> Result<OperatorConfiguration, Unauthorized> {
     let inner = request.remote_addr().copied();
-    let origin = inner.and_then(|inner| context.origins.of(inner));
-    operator_of(configuration, bearer(request), origin)
+    let remote_address = inner.and_then(|inner| context.remote_addresses.get(inner));
+    operator_of(configuration, bearer(request), remote_address)
 }
 
 /// The operator with a credential. While the configuration names no
@@ -53,10 +53,10 @@
 pub(super) fn operator_of(
     configuration: &Configuration,
     credential: Option<&str>,
-    origin: Option<SocketAddr>,
+    remote_address: Option<SocketAddr>,
 ) -> Result<OperatorConfiguration, Unauthorized> {
     if configuration.operators.is_empty() {
-        return bootstrap(origin);
+        return bootstrap(remote_address);
     }
     let credential = credential.ok_or(Unauthorized::NoCredential)?;
     let digest = sha256_hex(credential.as_bytes());
@@ -67,8 +67,10 @@
     operator.cloned().ok_or(Unauthorized::UnknownCredential)
 }
 
-fn bootstrap(origin: Option<SocketAddr>) -> Result<OperatorConfiguration, Unauthorized> {
-    if !origin.is_some_and(|origin| origin.ip().to_canonical().is_loopback()) {
+fn bootstrap(remote_address: Option<SocketAddr>) -> Result<OperatorConfiguration, Unauthorized> {
+    if !remote_address
+        .is_some_and(|remote_address| remote_address.ip().to_canonical().is_loopback())
+    {
         return Err(Unauthorized::NotLocal);
     }
     Ok(OperatorConfiguration {
--- a/crates/ledgelead-node/src/administration/credentials_tests.rs
+++ b/crates/ledgelead-node/src/administration/credentials_tests.rs
@@ -18,10 +18,10 @@
 fn name(
     configuration: &Configuration,
     credential: Option<&str>,
-    origin: &str,
+    remote_address: &str,
 ) -> std::result::Result<String, Unauthorized> {
-    let origin = origin.parse().ok();
-    operator_of(configuration, credential, origin).map(|operator| operator.name.0)
+    let remote_address = remote_address.parse().ok();
+    operator_of(configuration, credential, remote_address).map(|operator| operator.name.0)
 }
 
 #[gtest]
--- a/crates/ledgelead-node/src/administration/statements.rs
+++ b/crates/ledgelead-node/src/administration/statements.rs
@@ -2,7 +2,7 @@
 
 use super::answers::{accepted, error, refused, tables};
 use super::credentials::{Unauthorized, authenticate};
-use super::{Context, MAX_STATEMENTS, Reply, VIEW_TIME};
+use super::{Context, MAX_CONCURRENT_STATEMENTS, Reply, VIEW_TIMEOUT};
 use crate::handle::NodeHandle;
 use crate::logging::{EVENT_TARGET, JsonFields};
 use ledgelead_query::{CommandRequest, Deployment, NoAnswer, run_command, run_query};
@@ -21,13 +21,13 @@
 /// Longest body.
 const MAX_BODY_BYTES: u64 = 256 * 1024;
 /// How long the other nodes may take to tell their parts of a view.
-const INQUIRY_TIME: Duration = Duration::from_secs(2);
+const INQUIRY_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a command may take.
-const COMMAND_TIME: Duration = Duration::from_secs(10);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long newer configurations are waited for, for one request.
-const WAIT_TIME: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between two looks at which nodes have a configuration.
-const WAIT_PAUSE: Duration = Duration::from_millis(50);
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Body of `POST /v1/query`.
 #[derive(Deserialize)]
@@ -53,7 +53,11 @@
     serve(context, request, |request, operator| {
         let as_text = wants_text(request);
         let body: QueryBody = read(request)?;
-        let answer = run_query(&body.text, operator, &mut Reached::through(&context.node));
+        let answer = run_query(
+            &body.text,
+            operator,
+            &mut NodeDeployment::new(&context.node),
+        );
         Ok(match answer {
             Ok(answer) => tables(&answer, as_text),
             Err(refusal) => refused(&refusal, &body.text),
@@ -71,7 +75,7 @@
             if_version: body.if_version.map(ConfigurationVersion),
             wait: body.wait,
         };
-        let answer = run_command(&command, operator, &mut Reached::through(&context.node));
+        let answer = run_command(&command, operator, &mut NodeDeployment::new(&context.node));
         let reply = match &answer {
             Ok(answer) => accepted(&command.id, answer),
             Err(refusal) => refused(refusal, &command.text),
@@ -98,10 +102,10 @@
     request: &mut Request,
     carry_out: impl FnOnce(&mut Request, &OperatorConfiguration) -> Result<Reply, Reply>,
 ) -> Reply {
-    let Some(_place) = Place::take(&context.statements) else {
+    let Some(_slot) = StatementSlot::acquire(&context.statements) else {
         return error(503, "busy", "too many statements at once; try again");
     };
-    let view = match context.node.view(VIEW_TIME) {
+    let view = match context.node.view(VIEW_TIMEOUT) {
         Ok(view) => view,
         Err(failure) => return error(503, "node-unavailable", &failure.to_string()),
     };
@@ -143,50 +147,50 @@
 }
 
 /// One of the places for statements; given back when dropped.
-struct Place<'a>(&'a AtomicUsize);
+struct StatementSlot<'a>(&'a AtomicUsize);
 
-impl<'a> Place<'a> {
-    fn take(taken: &'a AtomicUsize) -> Option<Place<'a>> {
-        let place = Place(taken);
+impl<'a> StatementSlot<'a> {
+    fn acquire(running: &'a AtomicUsize) -> Option<StatementSlot<'a>> {
+        let slot = StatementSlot(running);
         // Dropping the place gives it back also when it was one too many.
-        (taken.fetch_add(1, Ordering::AcqRel) < MAX_STATEMENTS).then_some(place)
+        (running.fetch_add(1, Ordering::AcqRel) < MAX_CONCURRENT_STATEMENTS).then_some(slot)
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for StatementSlot<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// The deployment through this node.
-struct Reached<'a> {
+struct NodeDeployment<'a> {
     node: &'a NodeHandle,
     wait_until: Instant,
 }
 
-impl<'a> Reached<'a> {
-    fn through(node: &'a NodeHandle) -> Reached<'a> {
-        Reached {
+impl<'a> NodeDeployment<'a> {
+    fn new(node: &'a NodeHandle) -> NodeDeployment<'a> {
+        NodeDeployment {
             node,
-            wait_until: Instant::now() + WAIT_TIME,
+            wait_until: Instant::now() + WAIT_TIMEOUT,
         }
     }
 }
 
-impl Deployment for Reached<'_> {
+impl Deployment for NodeDeployment<'_> {
     fn view(&mut self) -> Result<NodeView, NoAnswer> {
-        let view = self.node.view(VIEW_TIME);
+        let view = self.node.view(VIEW_TIMEOUT);
         view.map_err(|failure| NoAnswer(failure.to_string()))
     }
 
     fn whole_view(&mut self) -> Result<NodeView, NoAnswer> {
-        let view = self.node.inquire(INQUIRY_TIME);
+        let view = self.node.inquire(INQUIRY_TIMEOUT);
         view.map_err(|failure| NoAnswer(failure.to_string()))
     }
 
     fn command(&mut self, command: AdministrationCommand) -> Result<CommandResult, NoAnswer> {
-        let result = self.node.command(command, COMMAND_TIME);
+        let result = self.node.command(command, COMMAND_TIMEOUT);
         result.map_err(|failure| NoAnswer(failure.to_string()))
     }
 
@@ -194,7 +198,7 @@
         if Instant::now() >= self.wait_until {
             return false;
         }
-        thread::sleep(WAIT_PAUSE);
+        thread::sleep(WAIT_POLL_INTERVAL);
         true
     }
 }
--- a/crates/ledgelead-node/src/callers/headers.rs
+++ b/crates/ledgelead-node/src/callers/headers.rs
@@ -36,7 +36,7 @@
 pub const LOAD: &str = "Ledgelead-Load";
 
 /// Prefix of the protocol's own headers.
-const OWN_PREFIX: &str = "ledgelead";
+const PROTOCOL_PREFIX: &str = "ledgelead";
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1), and
 /// those that both ends' libraries write themselves.
@@ -80,9 +80,9 @@
 
 /// Whether a name, in lower case, is one of the protocol's own. Some servers
 /// read `_` as `-`.
-fn is_own(name: &str) -> bool {
-    let behind = name.strip_prefix(OWN_PREFIX);
-    behind.is_some_and(|rest| rest.starts_with(['-', '_']))
+fn is_protocol_header(name: &str) -> bool {
+    let suffix = name.strip_prefix(PROTOCOL_PREFIX);
+    suffix.is_some_and(|suffix| suffix.starts_with(['-', '_']))
 }
 
 /// Names that a `Connection` header lists: they concern the connection, too.
@@ -105,7 +105,7 @@
         if header.is(KEY) || header.is(REQUEST_ID) {
             return true;
         }
-        !is_own(&name)
+        !is_protocol_header(&name)
             && !header.is(AUTHORIZATION)
             && !HOP_BY_HOP.contains(&name.as_str())
             && !listed.contains(&name)
@@ -119,7 +119,9 @@
     let listed = connection_tokens(headers);
     let passes = |header: &&HeaderLine| {
         let name = header.name.to_ascii_lowercase();
-        !is_own(&name) && !HOP_BY_HOP.contains(&name.as_str()) && !listed.contains(&name)
+        !is_protocol_header(&name)
+            && !HOP_BY_HOP.contains(&name.as_str())
+            && !listed.contains(&name)
     };
     headers.iter().filter(passes).cloned().collect()
 }
--- a/crates/ledgelead-node/src/callers/open_requests.rs
+++ b/crates/ledgelead-node/src/callers/open_requests.rs
@@ -1,9 +1,9 @@
 //! Requests accepted and not yet answered, with what belongs to them outside
 //! the decisions: the caller's connection, the body, servers' answers.
 
-use super::request_head::{CallerRequest, Classified};
-use super::response_cache::KeptAnswers;
-use crate::servers::exchange::WholeAnswer;
+use super::request_head::{CallerRequest, ParsedRequest};
+use super::response_cache::ResponseCache;
+use crate::servers::exchange::BufferedResponse;
 use ledgelead_types::RequestId;
 use ledgelead_types::request::{AttemptId, RequestArrival};
 use std::collections::HashMap;
@@ -14,9 +14,9 @@
 /// All open requests of one node.
 pub struct OpenRequests {
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
-    kept: Mutex<KeptAnswers>,
+    cached: Mutex<ResponseCache>,
     next: AtomicU64,
-    most: usize,
+    max_open: usize,
     /// The first request after which every answer is the last on its
     /// connection; the highest number while that is not so.
     closing_from: AtomicU64,
@@ -29,29 +29,29 @@
     /// What a server gets.
     pub request: Arc<CallerRequest>,
     /// The caller's own identifier.
-    pub echo: Option<String>,
+    pub caller_request_id: Option<String>,
     /// Whether its answer is the last on the connection.
-    pub is_last: bool,
+    pub closes_connection: bool,
     /// Whole answers so far, by attempt.
-    answers: Vec<KeptAnswer>,
+    answers: Vec<AttemptResponse>,
 }
 
-struct KeptAnswer {
+struct AttemptResponse {
     attempt: AttemptId,
-    answer: WholeAnswer,
+    answer: BufferedResponse,
 }
 
 /// The node holds as many requests as it may; the connection comes back.
-pub struct TooMany(pub tiny_http::Request);
+pub struct TooManyRequests(pub tiny_http::Request);
 
 impl OpenRequests {
-    /// None yet; at most `most` at once.
-    pub fn new(most: usize) -> OpenRequests {
+    /// None yet; at max_open `max_open` at once.
+    pub fn new(max_open: usize) -> OpenRequests {
         OpenRequests {
             requests: Mutex::default(),
-            kept: Mutex::default(),
+            cached: Mutex::default(),
             next: AtomicU64::new(1),
-            most,
+            max_open,
             closing_from: AtomicU64::new(u64::MAX),
         }
     }
@@ -60,19 +60,19 @@
     pub fn open(
         &self,
         connection: tiny_http::Request,
-        classified: Classified,
-    ) -> Result<RequestArrival, Box<TooMany>> {
+        classified: ParsedRequest,
+    ) -> Result<RequestArrival, Box<TooManyRequests>> {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
         let open = OpenRequest {
             connection,
             request: Arc::new(classified.request),
-            echo: classified.echo,
+            caller_request_id: classified.caller_request_id,
             answers: Vec::new(),
-            is_last: false,
+            closes_connection: false,
         };
         let mut requests = self.lock();
-        if requests.len() >= self.most {
-            return Err(Box::new(TooMany(open.connection)));
+        if requests.len() >= self.max_open {
+            return Err(Box::new(TooManyRequests(open.connection)));
         }
         requests.insert(id, open);
         Ok(RequestArrival {
@@ -88,41 +88,41 @@
 
     /// Keeps a server's whole answer until the decisions say which one is
     /// passed on. Dropped when the request is no longer open.
-    pub fn keep_answer(&self, attempt: AttemptId, answer: WholeAnswer) {
+    pub fn store_response(&self, attempt: AttemptId, answer: BufferedResponse) {
         if let Some(open) = self.lock().get_mut(&attempt.request) {
-            open.answers.push(KeptAnswer { attempt, answer });
+            open.answers.push(AttemptResponse { attempt, answer });
         }
     }
 
     /// Holds a copy of an open request's answer beyond the request's end.
-    pub fn hold_answer(&self, attempt: AttemptId) {
+    pub fn cache_response(&self, attempt: AttemptId) {
         let answer = self
             .lock()
             .get(&attempt.request)
             .and_then(|open| open.answer(attempt).cloned());
         if let Some(answer) = answer {
-            self.lock_kept().keep(attempt, answer);
+            self.lock_cache().insert(attempt, answer);
         }
     }
 
     /// Drops a copy held.
-    pub fn forget_answer(&self, attempt: AttemptId) {
-        self.lock_kept().forget(attempt);
+    pub fn evict_response(&self, attempt: AttemptId) {
+        self.lock_cache().remove(attempt);
     }
 
     /// A copy held, if it still is.
-    pub fn held_answer(&self, attempt: AttemptId) -> Option<WholeAnswer> {
-        self.lock_kept().get(attempt)
+    pub fn cached_response(&self, attempt: AttemptId) -> Option<BufferedResponse> {
+        self.lock_cache().get(attempt)
     }
 
-    fn lock_kept(&self) -> MutexGuard<'_, KeptAnswers> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_cache(&self) -> MutexGuard<'_, ResponseCache> {
+        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes a request out, to answer its caller.
     pub fn close(&self, id: RequestId) -> Option<OpenRequest> {
         let mut open = self.lock().remove(&id)?;
-        open.is_last = self.is_closing();
+        open.closes_connection = self.is_closing();
         Some(open)
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Open requests of one inner connection.
-    pub fn of_connection(&self, address: SocketAddr) -> Vec<RequestId> {
+    pub fn on_connection(&self, address: SocketAddr) -> Vec<RequestId> {
         let mut requests: Vec<RequestId> = self
             .lock()
             .iter()
@@ -163,7 +163,7 @@
 
     /// Whether as many are open as may be.
     pub fn is_full(&self) -> bool {
-        self.count() >= self.most
+        self.count() >= self.max_open
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, OpenRequest>> {
@@ -173,23 +173,23 @@
 
 impl OpenRequest {
     /// The answer of one attempt.
-    fn answer(&self, attempt: AttemptId) -> Option<&WholeAnswer> {
+    fn answer(&self, attempt: AttemptId) -> Option<&BufferedResponse> {
         let mut answers = self.answers.iter();
-        let kept = answers.find(|kept| kept.attempt == attempt)?;
-        Some(&kept.answer)
+        let cached = answers.find(|cached| cached.attempt == attempt)?;
+        Some(&cached.answer)
     }
 
     /// Gives it the answer of another request's attempt, to be passed on.
-    pub fn give_answer(&mut self, attempt: AttemptId, answer: WholeAnswer) {
-        self.answers.push(KeptAnswer { attempt, answer });
+    pub fn add_response(&mut self, attempt: AttemptId, answer: BufferedResponse) {
+        self.answers.push(AttemptResponse { attempt, answer });
     }
 
     /// Takes the answer of one attempt.
-    pub fn take_answer(&mut self, attempt: AttemptId) -> Option<WholeAnswer> {
+    pub fn take_response(&mut self, attempt: AttemptId) -> Option<BufferedResponse> {
         let index = self
             .answers
             .iter()
-            .position(|kept| kept.attempt == attempt)?;
+            .position(|cached| cached.attempt == attempt)?;
         Some(self.answers.swap_remove(index).answer)
     }
 }
--- a/crates/ledgelead-node/src/callers/proxy/mod.rs
+++ b/crates/ledgelead-node/src/callers/proxy/mod.rs
@@ -13,9 +13,9 @@
 mod remote_addresses;
 
 use crate::settings::Limits;
-use pair::{Pair, PairEnd, PairLimits, Side};
-pub use progress::{Excess, RequestProgress};
-pub use remote_addresses::Origins;
+use pair::{ConnectionPair, PairCloseReason, PairLimits, Side};
+pub use progress::{ExceededLimit, RequestProgress};
+pub use remote_addresses::RemoteAddresses;
 use stakker_mio::mio::event::Event;
 use stakker_mio::mio::net::{TcpListener, TcpStream};
 use stakker_mio::mio::{Events, Interest, Poll, Registry, Token, Waker};
@@ -31,16 +31,16 @@
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a new inner connection may stay unanswered before the HTTP
 /// server's pool is nudged.
-const NUDGE_AFTER: Duration = Duration::from_millis(5);
+const POOL_WAKE_DELAY: Duration = Duration::from_millis(5);
 /// Longest pause between nudges for one connection; the pause doubles.
-const MAX_NUDGE_PAUSE: Duration = Duration::from_millis(640);
-/// How long a guard that finishes keeps quiet connections: a caller that is
+const MAX_POOL_WAKE_PAUSE: Duration = Duration::from_millis(640);
+/// How long a guard that finishes keeps idle connections: a caller that is
 /// about to write is then refused, rather than cut with an unknown outcome.
-const LINGER: Duration = Duration::from_millis(500);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
 /// Bytes read at once.
-const SCRATCH_BYTES: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Events taken at once.
-const EVENTS: usize = 1_024;
+const MAX_EVENTS: usize = 1_024;
 const WAKER: Token = Token(0);
 const LISTENER: Token = Token(1);
 /// Tokens of connections: two each, the caller's even, the inner one odd.
@@ -59,10 +59,10 @@
 /// What the guard is asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-enum Wish {
+enum ShutdownStage {
     Run,
     /// Accept nothing more.
-    Refuse,
+    RefuseNew,
     /// End once every answer was passed on.
     Finish,
     /// Drop every socket.
@@ -73,14 +73,14 @@
 pub type CallerLeft = Box<dyn Fn(SocketAddr) + Send>;
 
 /// The guard's thread.
-pub struct CallerGuard {
-    wish: Arc<AtomicU8>,
+pub struct CallerProxy {
+    stage: Arc<AtomicU8>,
     waker: Waker,
-    origins: Origins,
+    remote_addresses: RemoteAddresses,
     thread: Option<JoinHandle<()>>,
 }
 
-impl CallerGuard {
+impl CallerProxy {
     /// Starts the guard between a listener and the HTTP server's address.
     ///
     /// # Errors
@@ -91,21 +91,21 @@
         server: SocketAddr,
         limits: &Limits,
         caller_left: CallerLeft,
-    ) -> io::Result<CallerGuard> {
+    ) -> io::Result<CallerProxy> {
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKER)?;
         listener.set_nonblocking(true)?;
         let mut listener = TcpListener::from_std(listener);
         poll.registry()
             .register(&mut listener, LISTENER, Interest::READABLE)?;
-        let wish = Arc::new(AtomicU8::new(Wish::Run as u8));
-        let origins = Origins::default();
-        let guard = Guard {
+        let stage = Arc::new(AtomicU8::new(ShutdownStage::Run as u8));
+        let remote_addresses = RemoteAddresses::default();
+        let proxy = ProxyThread {
             poll,
-            origins: origins.clone(),
+            remote_addresses: remote_addresses.clone(),
             listener: Some(listener),
             server,
-            most: limits.max_connections,
+            max_pairs: limits.max_connections,
             limits: PairLimits {
                 max_header_bytes: limits.max_header_bytes,
                 max_body_bytes: limits.max_body_bytes,
@@ -114,48 +114,48 @@
             },
             caller_left,
             pairs: BTreeMap::new(),
-            unproved: BTreeSet::new(),
+            unanswered: BTreeSet::new(),
             next: FIRST_PAIR,
-            wish: wish.clone(),
-            accept_again: None,
-            scratch: vec![0; SCRATCH_BYTES],
+            stage: stage.clone(),
+            retry_accept_at: None,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         };
         let thread = thread::Builder::new()
             .name(thread_name.to_owned())
-            .spawn(move || guard.run())?;
-        Ok(CallerGuard {
-            wish,
+            .spawn(move || proxy.run())?;
+        Ok(CallerProxy {
+            stage,
             waker,
-            origins,
+            remote_addresses,
             thread: Some(thread),
         })
     }
 
     /// Where the connections come from.
-    pub fn origins(&self) -> Origins {
-        self.origins.clone()
+    pub fn remote_addresses(&self) -> RemoteAddresses {
+        self.remote_addresses.clone()
     }
 
     /// Accepts no more connections from now on.
     pub fn refuse_new(&self) {
-        self.ask(Wish::Refuse);
+        self.advance_to(ShutdownStage::RefuseNew);
     }
 
     /// Keeps connections for a little, passes on what is left to callers, for
-    /// as long as the callers' time at most, and ends.
+    /// as long as the callers' time at max_pairs, and ends.
     pub fn finish(&mut self) {
-        self.ask(Wish::Finish);
+        self.advance_to(ShutdownStage::Finish);
         self.join();
     }
 
     /// Drops every caller's connection at once.
     pub fn drop_all(&mut self) {
-        self.ask(Wish::Drop);
+        self.advance_to(ShutdownStage::Drop);
         self.join();
     }
 
-    fn ask(&self, wish: Wish) {
-        self.wish.fetch_max(wish as u8, Ordering::AcqRel);
+    fn advance_to(&self, stage: ShutdownStage) {
+        self.stage.fetch_max(stage as u8, Ordering::AcqRel);
         if let Err(error) = self.waker.wake() {
             log::error!(target: "callers", "the guard can't be woken: {error}");
         }
@@ -170,41 +170,41 @@
     }
 }
 
-impl Drop for CallerGuard {
+impl Drop for CallerProxy {
     fn drop(&mut self) {
         self.drop_all();
     }
 }
 
-struct Guard {
+struct ProxyThread {
     poll: Poll,
-    origins: Origins,
+    remote_addresses: RemoteAddresses,
     listener: Option<TcpListener>,
     server: SocketAddr,
-    most: usize,
+    max_pairs: usize,
     limits: PairLimits,
     caller_left: CallerLeft,
-    pairs: BTreeMap<usize, GuardedPair>,
+    pairs: BTreeMap<usize, ProxiedPair>,
     /// The pairs whose inner connection was never answered; those may need a
     /// nudge.
-    unproved: BTreeSet<usize>,
+    unanswered: BTreeSet<usize>,
     next: usize,
-    wish: Arc<AtomicU8>,
+    stage: Arc<AtomicU8>,
     /// Set after a failed accept: when to try again.
-    accept_again: Option<Instant>,
-    scratch: Vec<u8>,
+    retry_accept_at: Option<Instant>,
+    read_buffer: Vec<u8>,
 }
 
-struct GuardedPair {
-    pair: Pair,
+struct ProxiedPair {
+    pair: ConnectionPair,
     /// When the HTTP server's pool is nudged next, if it never answered.
-    nudge_at: Instant,
-    nudge_pause: Duration,
+    wake_pool_at: Instant,
+    wake_pool_pause: Duration,
 }
 
-impl Guard {
+impl ProxyThread {
     fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         let mut next_sweep = Instant::now() + SWEEP_INTERVAL;
         let mut finishing_since = None;
         loop {
@@ -216,24 +216,26 @@
             }
             let now = Instant::now();
             self.handle(&events, now);
-            self.nudge(now);
+            self.wake_pool(now);
             if now >= next_sweep {
                 next_sweep = now + SWEEP_INTERVAL;
                 self.sweep(now);
             }
-            let wish = self.wish.load(Ordering::Acquire);
-            if wish >= Wish::Refuse as u8 {
+            let stage = self.stage.load(Ordering::Acquire);
+            if stage >= ShutdownStage::RefuseNew as u8 {
                 self.listener = None;
             }
-            if wish == Wish::Drop as u8 {
+            if stage == ShutdownStage::Drop as u8 {
                 return;
             }
-            if wish == Wish::Finish as u8 {
+            if stage == ShutdownStage::Finish as u8 {
                 let since = *finishing_since.get_or_insert(now);
-                if now >= since + LINGER {
-                    self.drop_quiet(now);
+                if now >= since + IDLE_CLOSE_DELAY {
+                    self.close_idle(now);
                 }
-                if self.pairs.is_empty() || now >= since + LINGER + self.limits.caller_time {
+                if self.pairs.is_empty()
+                    || now >= since + IDLE_CLOSE_DELAY + self.limits.caller_time
+                {
                     return;
                 }
             }
@@ -242,13 +244,13 @@
 
     fn wait(&self, next_sweep: Instant) -> Duration {
         let wait = next_sweep.saturating_duration_since(Instant::now());
-        let unproved = self
-            .unproved
+        let unanswered = self
+            .unanswered
             .iter()
             .filter_map(|token| self.pairs.get(token))
-            .filter(|guarded| guarded.pair.is_unproved());
-        match unproved.map(|guarded| guarded.nudge_at).min() {
-            Some(nudge_at) => wait.min(nudge_at.saturating_duration_since(Instant::now())),
+            .filter(|entry| entry.pair.awaits_first_response());
+        match unanswered.map(|entry| entry.wake_pool_at).min() {
+            Some(wake_pool_at) => wait.min(wake_pool_at.saturating_duration_since(Instant::now())),
             None => wait,
         }
     }
@@ -272,32 +274,32 @@
             Side::Inner
         };
         let closing = event.is_read_closed() || event.is_error();
-        if let Some(guarded) = self.pairs.get_mut(&pair)
+        if let Some(entry) = self.pairs.get_mut(&pair)
             && (event.is_readable() || closing)
         {
-            guarded.pair.readable(side, closing);
+            entry.pair.readable(side, closing);
         }
         self.pump(pair, now);
     }
 
     fn accept(&mut self, now: Instant) {
-        self.accept_again = None;
+        self.retry_accept_at = None;
         while let Some(listener) = &self.listener {
             match listener.accept() {
-                Ok((caller, origin)) => self.open(caller, origin, now),
+                Ok((caller, remote_address)) => self.open(caller, remote_address, now),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => {}
                 Err(error) => {
                     log::warn!(target: "callers", "accept failed: {error}");
-                    self.accept_again = Some(now + SWEEP_INTERVAL);
+                    self.retry_accept_at = Some(now + SWEEP_INTERVAL);
                     return;
                 }
             }
         }
     }
 
-    fn open(&mut self, mut caller: TcpStream, origin: SocketAddr, now: Instant) {
-        if self.pairs.len() >= self.most {
+    fn open(&mut self, mut caller: TcpStream, remote_address: SocketAddr, now: Instant) {
+        if self.pairs.len() >= self.max_pairs {
             // A fresh socket takes these few bytes at once, or nobody reads.
             let _ = caller.write(TOO_MANY_CONNECTIONS);
             return;
@@ -307,23 +309,24 @@
         match self.connect(caller, token) {
             Ok(streams) => {
                 // Before any byte is passed on, so that no request is without.
-                self.origins.opened(streams.inner.local_addr().ok(), origin);
-                let pair = Pair::new(streams.caller, streams.inner, self.limits, now);
-                let guarded = GuardedPair {
+                self.remote_addresses
+                    .insert(streams.inner.local_addr().ok(), remote_address);
+                let pair = ConnectionPair::new(streams.caller, streams.inner, self.limits, now);
+                let entry = ProxiedPair {
                     pair,
-                    nudge_at: now + NUDGE_AFTER,
-                    nudge_pause: NUDGE_AFTER,
+                    wake_pool_at: now + POOL_WAKE_DELAY,
+                    wake_pool_pause: POOL_WAKE_DELAY,
                 };
-                self.pairs.insert(token, guarded);
-                self.unproved.insert(token);
+                self.pairs.insert(token, entry);
+                self.unanswered.insert(token);
                 self.pump(token, now);
             }
             Err(error) => log::warn!(target: "callers", "a caller was not connected: {error}"),
         }
     }
 
-    fn connect(&self, caller: TcpStream, token: usize) -> io::Result<Streams> {
-        let mut streams = Streams {
+    fn connect(&self, caller: TcpStream, token: usize) -> io::Result<PairStreams> {
+        let mut streams = PairStreams {
             caller,
             inner: TcpStream::connect(self.server)?,
         };
@@ -337,67 +340,67 @@
     }
 
     fn pump(&mut self, token: usize, now: Instant) {
-        let Some(guarded) = self.pairs.get_mut(&token) else {
+        let Some(entry) = self.pairs.get_mut(&token) else {
             return;
         };
-        let result = guarded.pair.pump(now, &mut self.scratch);
-        if guarded.pair.is_answered() {
-            self.unproved.remove(&token);
+        let result = entry.pair.pump(now, &mut self.read_buffer);
+        if entry.pair.is_answered() {
+            self.unanswered.remove(&token);
         }
-        self.settle(token, result);
+        self.handle_result(token, result);
     }
 
-    fn settle(&mut self, token: usize, result: Result<(), PairEnd>) {
-        let Some(guarded) = self.pairs.get_mut(&token) else {
+    fn handle_result(&mut self, token: usize, result: Result<(), PairCloseReason>) {
+        let Some(entry) = self.pairs.get_mut(&token) else {
             return;
         };
-        let refusal = guarded.pair.take_refusal();
-        if refusal == Some(Excess::Header) {
-            guarded.pair.write_last(HEADER_TOO_LONG);
-            self.close(token, PairEnd::Finished);
+        let exceeded = entry.pair.take_exceeded_limit();
+        if exceeded == Some(ExceededLimit::Header) {
+            entry.pair.write_last(HEADER_TOO_LONG);
+            self.close(token, PairCloseReason::Finished);
         } else if let Err(end) = result {
             self.close(token, end);
         }
     }
 
-    fn close(&mut self, token: usize, end: PairEnd) {
-        let Some(mut guarded) = self.pairs.remove(&token) else {
+    fn close(&mut self, token: usize, end: PairCloseReason) {
+        let Some(mut entry) = self.pairs.remove(&token) else {
             return;
         };
-        self.unproved.remove(&token);
-        deregister(self.poll.registry(), &mut guarded.pair);
+        self.unanswered.remove(&token);
+        deregister(self.poll.registry(), &mut entry.pair);
         log::trace!(target: "callers", "a caller's connection ended: {end:?}");
-        if let Ok(address) = guarded.pair.inner.local_addr() {
-            self.origins.closed(address);
-            if end != PairEnd::Finished {
+        if let Ok(address) = entry.pair.inner.local_addr() {
+            self.remote_addresses.remove(address);
+            if end != PairCloseReason::Finished {
                 (self.caller_left)(address);
             }
         }
     }
 
     fn sweep(&mut self, now: Instant) {
-        if self.accept_again.is_some_and(|again| now >= again) {
+        if self.retry_accept_at.is_some_and(|again| now >= again) {
             self.accept(now);
         }
         let tokens: Vec<usize> = self.pairs.keys().copied().collect();
         for token in tokens {
-            if let Some(guarded) = self.pairs.get_mut(&token) {
-                let result = guarded.pair.check_time(now, &mut self.scratch);
-                self.settle(token, result);
+            if let Some(entry) = self.pairs.get_mut(&token) {
+                let result = entry.pair.check_time(now, &mut self.read_buffer);
+                self.handle_result(token, result);
             }
         }
     }
 
-    fn drop_quiet(&mut self, now: Instant) {
+    fn close_idle(&mut self, now: Instant) {
         let tokens: Vec<usize> = self.pairs.keys().copied().collect();
         for token in tokens {
             self.pump(token, now);
-            let quiet = self
+            let idle = self
                 .pairs
                 .get(&token)
-                .is_some_and(|guarded| guarded.pair.is_quiet());
-            if quiet {
-                self.close(token, PairEnd::Finished);
+                .is_some_and(|entry| entry.pair.is_idle());
+            if idle {
+                self.close(token, PairCloseReason::Finished);
             }
         }
     }
@@ -408,16 +411,16 @@
     /// would wait until some connection ends. A connection that ends at once
     /// makes the pool add a thread, which then takes what is queued; unless it
     /// is queued itself, so this is repeated until the first answer.
-    fn nudge(&mut self, now: Instant) {
-        for token in &self.unproved {
-            let Some(guarded) = self.pairs.get_mut(token) else {
+    fn wake_pool(&mut self, now: Instant) {
+        for token in &self.unanswered {
+            let Some(entry) = self.pairs.get_mut(token) else {
                 continue;
             };
-            if !guarded.pair.is_unproved() || now < guarded.nudge_at {
+            if !entry.pair.awaits_first_response() || now < entry.wake_pool_at {
                 continue;
             }
-            guarded.nudge_pause = (guarded.nudge_pause * 2).min(MAX_NUDGE_PAUSE);
-            guarded.nudge_at = now + guarded.nudge_pause;
+            entry.wake_pool_pause = (entry.wake_pool_pause * 2).min(MAX_POOL_WAKE_PAUSE);
+            entry.wake_pool_at = now + entry.wake_pool_pause;
             if let Err(error) = TcpStream::connect(self.server) {
                 log::debug!(target: "callers", "no nudge: {error}");
             }
@@ -425,12 +428,12 @@
     }
 }
 
-struct Streams {
+struct PairStreams {
     caller: TcpStream,
     inner: TcpStream,
 }
 
-fn deregister(registry: &Registry, pair: &mut Pair) {
+fn deregister(registry: &Registry, pair: &mut ConnectionPair) {
     let caller = registry.deregister(&mut pair.caller);
     let inner = registry.deregister(&mut pair.inner);
     if let Err(error) = caller.and(inner) {
--- a/crates/ledgelead-node/src/callers/proxy/pair.rs
+++ b/crates/ledgelead-node/src/callers/proxy/pair.rs
@@ -1,7 +1,7 @@
 //! One caller's connection and the inner connection to the HTTP server that
 //! belongs to it.
 
-use super::progress::{Excess, RequestProgress};
+use super::progress::{ExceededLimit, RequestProgress};
 use stakker_mio::mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
@@ -27,7 +27,7 @@
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PairEnd {
+pub enum PairCloseReason {
     /// All was answered and one side closed.
     Finished,
     /// The caller's connection failed.
@@ -48,7 +48,7 @@
 }
 
 /// What a read gave.
-enum ReadEnd {
+enum ReadOutcome {
     Progress { count: usize },
     Blocked,
     Ended,
@@ -75,7 +75,7 @@
 }
 
 /// The two connections.
-pub struct Pair {
+pub struct ConnectionPair {
     /// The caller's connection.
     pub caller: TcpStream,
     /// The connection to the HTTP server.
@@ -88,7 +88,7 @@
     inner_ready: Readiness,
     caller_ended: bool,
     inner_ended: bool,
-    inner_shut: bool,
+    inner_write_closed: bool,
     /// Since when a request is incomplete.
     incomplete_since: Option<Instant>,
     /// Since when bytes wait for the caller, and how many it took since.
@@ -99,7 +99,7 @@
     forwarded: bool,
     /// Whether the HTTP server ever answered on the inner connection.
     answered: bool,
-    refused: Option<Excess>,
+    exceeded_limit: Option<ExceededLimit>,
 }
 
 impl Readiness {
@@ -111,16 +111,16 @@
         }
     }
 
-    fn event(&mut self, closing: bool) {
+    fn record_event(&mut self, closing: bool) {
         self.readable = true;
         self.closing |= closing;
     }
 
     /// A read that filled less than it could has taken all that was there;
     /// what comes later comes with an event.
-    fn after_read(&mut self, read: &io::Result<ReadEnd>, capacity: usize) {
+    fn after_read(&mut self, read: &io::Result<ReadOutcome>, capacity: usize) {
         self.readable = match read {
-            Ok(ReadEnd::Progress { count }) => self.closing || *count == capacity,
+            Ok(ReadOutcome::Progress { count }) => self.closing || *count == capacity,
             _ => false,
         };
     }
@@ -136,16 +136,16 @@
     }
 
     /// Reads once.
-    fn fill(&mut self, source: &mut TcpStream, scratch: &mut [u8]) -> io::Result<ReadEnd> {
+    fn fill(&mut self, source: &mut TcpStream, read_buffer: &mut [u8]) -> io::Result<ReadOutcome> {
         self.bytes.drain(..self.sent);
         self.sent = 0;
-        match retry(|| source.read(scratch)) {
-            Ok(0) => Ok(ReadEnd::Ended),
+        match retry_interrupted(|| source.read(read_buffer)) {
+            Ok(0) => Ok(ReadOutcome::Ended),
             Ok(count) => {
-                self.bytes.extend_from_slice(&scratch[..count]);
-                Ok(ReadEnd::Progress { count })
+                self.bytes.extend_from_slice(&read_buffer[..count]);
+                Ok(ReadOutcome::Progress { count })
             }
-            Err(error) if would_block(&error) => Ok(ReadEnd::Blocked),
+            Err(error) if would_block(&error) => Ok(ReadOutcome::Blocked),
             Err(error) => Err(error),
         }
     }
@@ -154,7 +154,7 @@
     fn flush(&mut self, sink: &mut TcpStream) -> io::Result<usize> {
         let before = self.sent;
         while !self.is_empty() {
-            match retry(|| sink.write(&self.bytes[self.sent..])) {
+            match retry_interrupted(|| sink.write(&self.bytes[self.sent..])) {
                 Ok(count) => self.sent += count,
                 Err(error) if would_block(&error) => break,
                 Err(error) => return Err(error),
@@ -164,10 +164,15 @@
     }
 }
 
-impl Pair {
+impl ConnectionPair {
     /// A new connection of a caller.
-    pub fn new(caller: TcpStream, inner: TcpStream, limits: PairLimits, now: Instant) -> Pair {
-        Pair {
+    pub fn new(
+        caller: TcpStream,
+        inner: TcpStream,
+        limits: PairLimits,
+        now: Instant,
+    ) -> ConnectionPair {
+        ConnectionPair {
             caller,
             inner,
             to_inner: Buffer::default(),
@@ -178,14 +183,14 @@
             inner_ready: Readiness::new(),
             caller_ended: false,
             inner_ended: false,
-            inner_shut: false,
+            inner_write_closed: false,
             incomplete_since: None,
             unsent_since: None,
             taken_since: 0,
             last_activity: now,
             forwarded: false,
             answered: false,
-            refused: None,
+            exceeded_limit: None,
         }
     }
 
@@ -193,16 +198,16 @@
     /// or its other end is `closing`.
     pub fn readable(&mut self, side: Side, closing: bool) {
         match side {
-            Side::Caller => self.caller_ready.event(closing),
-            Side::Inner => self.inner_ready.event(closing),
+            Side::Caller => self.caller_ready.record_event(closing),
+            Side::Inner => self.inner_ready.record_event(closing),
         }
     }
 
     /// Moves bytes both ways until both are blocked.
-    pub fn pump(&mut self, now: Instant, scratch: &mut [u8]) -> Result<(), PairEnd> {
+    pub fn pump(&mut self, now: Instant, read_buffer: &mut [u8]) -> Result<(), PairCloseReason> {
         loop {
-            let inward = self.pump_inward(now, scratch)?;
-            let outward = self.pump_outward(now, scratch)?;
+            let inward = self.pump_inward(now, read_buffer)?;
+            let outward = self.pump_outward(now, read_buffer)?;
             if inward || outward {
                 self.last_activity = now;
                 continue;
@@ -212,7 +217,7 @@
     }
 
     /// Whether bytes went to the HTTP server and it never answered.
-    pub fn is_unproved(&self) -> bool {
+    pub fn awaits_first_response(&self) -> bool {
         self.forwarded && !self.answered
     }
 
@@ -222,71 +227,79 @@
     }
 
     /// Whether nothing is under way.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.to_caller.is_empty() && self.to_inner.is_empty() && !self.progress.is_incomplete()
     }
 
     /// Enforces the limits of time.
-    pub fn check_time(&mut self, now: Instant, scratch: &mut [u8]) -> Result<(), PairEnd> {
+    pub fn check_time(
+        &mut self,
+        now: Instant,
+        read_buffer: &mut [u8],
+    ) -> Result<(), PairCloseReason> {
         let over = |since: Option<Instant>, limit: Duration| {
             since.is_some_and(|since| now.saturating_duration_since(since) > limit)
         };
         if over(self.unsent_since, self.limits.caller_time) {
-            return Err(PairEnd::TooSlow);
+            return Err(PairCloseReason::TooSlow);
         }
         if over(Some(self.last_activity), self.limits.idle_time) {
-            return Err(PairEnd::Idle);
+            return Err(PairCloseReason::Idle);
         }
         if over(self.incomplete_since, self.limits.caller_time) {
             // The reader of the request sees its end, and refuses it.
             self.stop_reading_caller();
-            return self.pump(now, scratch);
+            return self.pump(now, read_buffer);
         }
         Ok(())
     }
 
     /// The limit that the caller broke, once, with nothing left to be passed
     /// on before an answer to it.
-    pub fn take_refusal(&mut self) -> Option<Excess> {
-        self.refused.take()
+    pub fn take_exceeded_limit(&mut self) -> Option<ExceededLimit> {
+        self.exceeded_limit.take()
     }
 
     /// Writes a last answer as far as the socket takes it.
     pub fn write_last(&mut self, answer: &[u8]) {
-        let _ = retry(|| self.caller.write(answer));
+        let _ = retry_interrupted(|| self.caller.write(answer));
     }
 
-    fn pump_inward(&mut self, now: Instant, scratch: &mut [u8]) -> Result<bool, PairEnd> {
+    fn pump_inward(
+        &mut self,
+        now: Instant,
+        read_buffer: &mut [u8],
+    ) -> Result<bool, PairCloseReason> {
         let mut moved = false;
         if self.caller_ready.readable && !self.caller_ended && self.to_inner.has_room() {
             let known = self.to_inner.bytes.len() - self.to_inner.sent;
-            let read = self.to_inner.fill(&mut self.caller, scratch);
-            self.caller_ready.after_read(&read, scratch.len());
-            match read.map_err(|_| PairEnd::CallerLeft)? {
-                ReadEnd::Progress { .. } => {
+            let read = self.to_inner.fill(&mut self.caller, read_buffer);
+            self.caller_ready.after_read(&read, read_buffer.len());
+            match read.map_err(|_| PairCloseReason::CallerLeft)? {
+                ReadOutcome::Progress { .. } => {
                     moved = true;
-                    self.follow(known, now);
+                    self.track_request(known, now);
                 }
-                ReadEnd::Blocked => {}
-                ReadEnd::Ended => self.caller_ended = true,
+                ReadOutcome::Blocked => {}
+                ReadOutcome::Ended => self.caller_ended = true,
             }
         }
         let flushed = self.to_inner.flush(&mut self.inner);
-        if flushed.map_err(|_| PairEnd::ServerLeft)? > 0 {
+        if flushed.map_err(|_| PairCloseReason::ServerLeft)? > 0 {
             self.forwarded = true;
             moved = true;
         }
-        if self.caller_ended && self.to_inner.is_empty() && !self.inner_shut {
-            self.inner_shut = true;
+        if self.caller_ended && self.to_inner.is_empty() && !self.inner_write_closed {
+            self.inner_write_closed = true;
             let _ = self.inner.shutdown(Shutdown::Write);
         }
         Ok(moved)
     }
 
     /// Follows the bytes of the caller that came behind the first `known`.
-    fn follow(&mut self, known: usize, now: Instant) {
-        if let Err(excess) = self.progress.received(&self.to_inner.bytes[known..]) {
-            self.refused = Some(excess);
+    fn track_request(&mut self, known: usize, now: Instant) {
+        if let Err(exceeded) = self.progress.record_received(&self.to_inner.bytes[known..]) {
+            self.exceeded_limit = Some(exceeded);
             self.to_inner.bytes.truncate(known);
             self.stop_reading_caller();
         }
@@ -302,31 +315,35 @@
         self.incomplete_since = None;
     }
 
-    fn pump_outward(&mut self, now: Instant, scratch: &mut [u8]) -> Result<bool, PairEnd> {
+    fn pump_outward(
+        &mut self,
+        now: Instant,
+        read_buffer: &mut [u8],
+    ) -> Result<bool, PairCloseReason> {
         let mut moved = false;
         if self.inner_ready.readable && !self.inner_ended && self.to_caller.has_room() {
-            let read = self.to_caller.fill(&mut self.inner, scratch);
-            self.inner_ready.after_read(&read, scratch.len());
-            match read.map_err(|_| PairEnd::ServerLeft)? {
-                ReadEnd::Progress { .. } => {
+            let read = self.to_caller.fill(&mut self.inner, read_buffer);
+            self.inner_ready.after_read(&read, read_buffer.len());
+            match read.map_err(|_| PairCloseReason::ServerLeft)? {
+                ReadOutcome::Progress { .. } => {
                     moved = true;
                     self.answered = true;
-                    self.progress.answered();
+                    self.progress.response_started();
                 }
-                ReadEnd::Blocked => {}
-                ReadEnd::Ended => self.inner_ended = true,
+                ReadOutcome::Blocked => {}
+                ReadOutcome::Ended => self.inner_ended = true,
             }
         }
         let taken = self
             .to_caller
             .flush(&mut self.caller)
-            .map_err(|_| PairEnd::CallerLeft)?;
+            .map_err(|_| PairCloseReason::CallerLeft)?;
         moved |= taken > 0;
-        self.follow_taken(taken, now);
+        self.track_response(taken, now);
         Ok(moved)
     }
 
-    fn follow_taken(&mut self, taken: usize, now: Instant) {
+    fn track_response(&mut self, taken: usize, now: Instant) {
         self.taken_since += taken;
         if self.to_caller.is_empty() {
             self.unsent_since = None;
@@ -337,9 +354,9 @@
         }
     }
 
-    fn check_ended(&self) -> Result<(), PairEnd> {
+    fn check_ended(&self) -> Result<(), PairCloseReason> {
         if self.inner_ended && self.to_caller.is_empty() {
-            return Err(PairEnd::Finished);
+            return Err(PairCloseReason::Finished);
         }
         Ok(())
     }
@@ -353,7 +370,7 @@
     )
 }
 
-fn retry<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+fn retry_interrupted<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match operation() {
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
--- a/crates/ledgelead-node/src/callers/proxy/progress.rs
+++ b/crates/ledgelead-node/src/callers/proxy/progress.rs
@@ -20,7 +20,7 @@
 
 /// Limits that a connection can break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Excess {
+pub enum ExceededLimit {
     /// The header is longer than the limit.
     Header,
     /// The body is longer than the limit, and still being sent.
@@ -53,7 +53,7 @@
     }
 
     /// Takes in bytes of the caller.
-    pub fn received(&mut self, mut bytes: &[u8]) -> Result<(), Excess> {
+    pub fn record_received(&mut self, mut bytes: &[u8]) -> Result<(), ExceededLimit> {
         while !bytes.is_empty() {
             bytes = match self.state {
                 State::Header => self.received_header(bytes)?,
@@ -66,13 +66,13 @@
 
     /// Bytes of an answer came: a chunked body has ended, or nobody reads the
     /// rest of it.
-    pub fn answered(&mut self) {
+    pub fn response_started(&mut self) {
         if let State::Chunked { .. } = self.state {
             self.state = State::Header;
         }
     }
 
-    fn received_header<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], Excess> {
+    fn received_header<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], ExceededLimit> {
         let searched = self.header.len().saturating_sub(HEADER_END.len() - 1);
         let known = self.header.len();
         let room = (self.max_header_bytes + 1).saturating_sub(known);
@@ -81,7 +81,7 @@
         let end = find(&self.header[searched..], HEADER_END);
         let Some(end) = end.map(|offset| searched + offset + HEADER_END.len()) else {
             if self.header.len() > self.max_header_bytes {
-                return Err(Excess::Header);
+                return Err(ExceededLimit::Header);
             }
             return Ok(&bytes[taken..]);
         };
@@ -101,12 +101,16 @@
         &bytes[taken as usize..]
     }
 
-    fn received_chunks<'a>(&mut self, bytes: &'a [u8], received: u64) -> Result<&'a [u8], Excess> {
+    fn received_chunks<'a>(
+        &mut self,
+        bytes: &'a [u8],
+        received: u64,
+    ) -> Result<&'a [u8], ExceededLimit> {
         let received = received + bytes.len() as u64;
         // Chunk sizes and line ends take room as well: at worst one byte in
         // six is content.
         if received > self.max_body_bytes.saturating_mul(6) + self.max_header_bytes as u64 {
-            return Err(Excess::Body);
+            return Err(ExceededLimit::Body);
         }
         self.state = State::Chunked { received };
         Ok(&[])
--- a/crates/ledgelead-node/src/callers/proxy/remote_addresses.rs
+++ b/crates/ledgelead-node/src/callers/proxy/remote_addresses.rs
@@ -5,25 +5,25 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The origin of each open connection, by its inner address; clones see the
+/// The remote of each open connection, by its inner address; clones see the
 /// same.
 #[derive(Clone, Debug, Default)]
-pub struct Origins(Arc<Mutex<HashMap<SocketAddr, SocketAddr>>>);
+pub struct RemoteAddresses(Arc<Mutex<HashMap<SocketAddr, SocketAddr>>>);
 
-impl Origins {
+impl RemoteAddresses {
     /// Who is at the other end of the connection that the HTTP server knows
     /// under this address.
-    pub fn of(&self, inner: SocketAddr) -> Option<SocketAddr> {
+    pub fn get(&self, inner: SocketAddr) -> Option<SocketAddr> {
         self.lock().get(&inner).copied()
     }
 
-    pub(super) fn opened(&self, inner: Option<SocketAddr>, origin: SocketAddr) {
+    pub(super) fn insert(&self, inner: Option<SocketAddr>, remote: SocketAddr) {
         if let Some(inner) = inner {
-            self.lock().insert(inner, origin);
+            self.lock().insert(inner, remote);
         }
     }
 
-    pub(super) fn closed(&self, inner: SocketAddr) {
+    pub(super) fn remove(&self, inner: SocketAddr) {
         self.lock().remove(&inner);
     }
 
--- a/crates/ledgelead-node/src/callers/request_head.rs
+++ b/crates/ledgelead-node/src/callers/request_head.rs
@@ -18,7 +18,7 @@
 pub struct CallerRequest {
     /// HTTP method.
     pub method: String,
-    /// Path and query behind the service's name, with the leading slash.
+    /// Path and query remainder the service's name, with the leading slash.
     pub target: String,
     /// Headers that are passed on.
     pub headers: Vec<HeaderLine>,
@@ -28,13 +28,13 @@
 
 /// What the head of a request says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Classified {
+pub struct ParsedRequest {
     /// For the decisions; its identifier is still to be given.
     pub arrival: RequestArrival,
     /// For the server; its body is still to be read.
     pub request: CallerRequest,
-    /// The caller's own identifier, to echo.
-    pub echo: Option<String>,
+    /// The caller's own identifier, to caller_request_id.
+    pub caller_request_id: Option<String>,
 }
 
 /// Why a request is not one of this protocol.
@@ -43,9 +43,9 @@
     /// The path is not `/v1/SERVICE...`.
     NoService,
     /// The path is one that nodes alone may ask servers for.
-    ControlPath,
+    ReservedPath,
     /// A header that may come once came with different values.
-    Contradictory(&'static str),
+    ConflictingHeader(&'static str),
     /// A header's value can't be read.
     BadValue(&'static str),
     /// The body is longer than this node takes.
@@ -54,18 +54,18 @@
         limit: usize,
     },
     /// The body ended early, or came too slowly.
-    BodyCut,
+    BodyTruncated,
 }
 
 impl std::fmt::Display for BadRequest {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             BadRequest::NoService => write!(formatter, "expected a path like /v1/SERVICE/..."),
-            BadRequest::ControlPath => write!(
+            BadRequest::ReservedPath => write!(
                 formatter,
                 "paths under /ledgelead are reserved, and so are forms that could stand for one"
             ),
-            BadRequest::Contradictory(name) => {
+            BadRequest::ConflictingHeader(name) => {
                 write!(
                     formatter,
                     "{name} came more than once with different values"
@@ -77,7 +77,7 @@
             BadRequest::BodyTooLong { limit } => {
                 write!(formatter, "the body is longer than {limit} bytes")
             }
-            BadRequest::BodyCut => write!(formatter, "the body ended early"),
+            BadRequest::BodyTruncated => write!(formatter, "the body ended early"),
         }
     }
 }
@@ -85,15 +85,15 @@
 impl std::error::Error for BadRequest {}
 
 /// Reads the head of a request.
-pub fn classify(
+pub fn parse_head(
     method: &str,
     target: &str,
     lines: &[HeaderLine],
     max_deadline: Duration,
-) -> Result<Classified, BadRequest> {
-    let (service, rest) = split_target(target).ok_or(BadRequest::NoService)?;
+) -> Result<ParsedRequest, BadRequest> {
+    let (service, rest) = split_service(target).ok_or(BadRequest::NoService)?;
     if may_be_control_path(&rest) {
-        return Err(BadRequest::ControlPath);
+        return Err(BadRequest::ReservedPath);
     }
     let key = single(lines, headers::KEY)?.filter(|key| key.len() <= MAX_KEY_BYTES);
     if key.is_none() && single(lines, headers::KEY)?.is_some() {
@@ -113,7 +113,7 @@
         repeatable: repeatable(method, lines, idempotency_key.is_some())?,
         idempotency_key: idempotency_key.map(Text::from),
     };
-    Ok(Classified {
+    Ok(ParsedRequest {
         arrival,
         request: CallerRequest {
             method: method.to_owned(),
@@ -121,7 +121,7 @@
             headers: passed_to_server(lines),
             body: Vec::new(),
         },
-        echo: single(lines, headers::REQUEST_ID)?.map(str::to_owned),
+        caller_request_id: single(lines, headers::REQUEST_ID)?.map(str::to_owned),
     })
 }
 
@@ -135,10 +135,10 @@
 }
 
 /// Splits `/v1/SERVICE/rest?query` into the service and `/rest?query`.
-fn split_target(target: &str) -> Option<(&str, String)> {
-    let behind = target.strip_prefix(PATH_PREFIX)?;
-    let end = behind.find(['/', '?']).unwrap_or(behind.len());
-    let (service, rest) = behind.split_at(end);
+fn split_service(target: &str) -> Option<(&str, String)> {
+    let remainder = target.strip_prefix(PATH_PREFIX)?;
+    let end = remainder.find(['/', '?']).unwrap_or(remainder.len());
+    let (service, rest) = remainder.split_at(end);
     if service.is_empty() {
         return None;
     }
@@ -156,7 +156,7 @@
         .map(|line| line.value.as_str());
     let first = values.next();
     if values.any(|value| Some(value) != first) {
-        return Err(BadRequest::Contradictory(name));
+        return Err(BadRequest::ConflictingHeader(name));
     }
     Ok(first)
 }
@@ -171,7 +171,7 @@
         return Err(BadRequest::BadValue(CONTENT_LENGTH));
     }
     if length.is_some() && encoding.is_some() {
-        return Err(BadRequest::Contradictory(CONTENT_LENGTH));
+        return Err(BadRequest::ConflictingHeader(CONTENT_LENGTH));
     }
     if encoding.is_some_and(|encoding| !encoding.eq_ignore_ascii_case("chunked")) {
         return Err(BadRequest::BadValue(TRANSFER_ENCODING));
--- a/crates/ledgelead-node/src/callers/respond.rs
+++ b/crates/ledgelead-node/src/callers/respond.rs
@@ -2,7 +2,7 @@
 
 use super::headers::{self, HeaderLine, passed_to_caller};
 use super::open_requests::OpenRequest;
-use crate::servers::exchange::WholeAnswer;
+use crate::servers::exchange::BufferedResponse;
 use crate::work_pool::WorkPool;
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{NotRunReason, Outcome, Span, UnknownReason};
@@ -15,7 +15,7 @@
 const DEFAULT_RETRY_AFTER: Span = Span::from_millis(1_000);
 
 /// The end of a request, to be written to its caller.
-pub struct Ending {
+pub struct CompletedRequest {
     /// The request.
     pub request: OpenRequest,
     /// What the caller is told.
@@ -30,36 +30,45 @@
 ///
 /// # Errors
 /// When the system gives no more threads.
-pub fn start(thread_name: &str, capacity: usize) -> std::io::Result<WorkPool<Ending>> {
-    WorkPool::start(thread_name, THREADS, capacity, write_ending)
+pub fn start(thread_name: &str, capacity: usize) -> std::io::Result<WorkPool<CompletedRequest>> {
+    WorkPool::start(thread_name, THREADS, capacity, write_completed)
 }
 
-fn write_ending(mut ending: Ending) {
+fn write_completed(mut ending: CompletedRequest) {
     let answer = ending
         .attempt
-        .and_then(|attempt| ending.request.take_answer(attempt));
-    let echo = ending.request.echo.take();
+        .and_then(|attempt| ending.request.take_response(attempt));
+    let caller_request_id = ending.request.caller_request_id.take();
     let connection = ending.request.connection;
-    let last = ending.request.is_last;
+    let last = ending.request.closes_connection;
     let response = match (ending.outcome, answer) {
-        (Outcome::Answered, Some(answer)) => answered(answer, echo.as_deref()),
+        (Outcome::Answered, Some(answer)) => answered(answer, caller_request_id.as_deref()),
         // Without the answer itself, nobody can say more than this.
         (Outcome::Answered, None) => refusal(
             Outcome::Unknown(UnknownReason::BadAnswer),
             "",
             None,
-            echo.as_deref(),
+            caller_request_id.as_deref(),
+        ),
+        (outcome, _) => refusal(
+            outcome,
+            "",
+            ending.retry_after,
+            caller_request_id.as_deref(),
         ),
-        (outcome, _) => refusal(outcome, "", ending.retry_after, echo.as_deref()),
     };
     write(connection, response, last);
 }
 
 /// Writes a response, which may be the last on its connection; a caller that
 /// left is no fault of the node.
-pub fn write(connection: tiny_http::Request, response: Response<Cursor<Vec<u8>>>, is_last: bool) {
-    let written = if is_last {
-        write_last(connection, response)
+pub fn write(
+    connection: tiny_http::Request,
+    response: Response<Cursor<Vec<u8>>>,
+    closes_connection: bool,
+) {
+    let written = if closes_connection {
+        write_closing(connection, response)
     } else {
         connection.respond(response)
     };
@@ -70,7 +79,7 @@
 
 /// Writes a response that tells the caller to open a new connection for its
 /// next request. `tiny_http` lets nobody set that header.
-fn write_last(
+fn write_closing(
     connection: tiny_http::Request,
     response: Response<Cursor<Vec<u8>>>,
 ) -> io::Result<()> {
@@ -87,7 +96,10 @@
     writer.flush()
 }
 
-fn answered(answer: WholeAnswer, echo: Option<&str>) -> Response<Cursor<Vec<u8>>> {
+fn answered(
+    answer: BufferedResponse,
+    caller_request_id: Option<&str>,
+) -> Response<Cursor<Vec<u8>>> {
     let declared = answer
         .header("Content-Length")
         .and_then(|length| length.parse().ok());
@@ -98,7 +110,7 @@
         Some(declared) if answer.body.is_empty() => declared,
         _ => answer.body.len(),
     };
-    build(answer.status, lines, answer.body, length, echo)
+    build(answer.status, lines, answer.body, length, caller_request_id)
 }
 
 /// A response that says how a request ended without an answer.
@@ -106,7 +118,7 @@
     outcome: Outcome,
     explanation: &str,
     retry_after: Option<Span>,
-    echo: Option<&str>,
+    caller_request_id: Option<&str>,
 ) -> Response<Cursor<Vec<u8>>> {
     let (name, reason) = match outcome {
         Outcome::Answered => ("answered", ""),
@@ -129,7 +141,7 @@
     let separator = if explanation.is_empty() { "" } else { ": " };
     let body = format!("{outcome}{separator}{explanation}\n").into_bytes();
     let length = body.len();
-    build(status, lines, body, length, echo)
+    build(status, lines, body, length, caller_request_id)
 }
 
 /// HTTP status of an outcome without an answer.
@@ -164,12 +176,13 @@
     lines: Vec<HeaderLine>,
     body: Vec<u8>,
     length: usize,
-    echo: Option<&str>,
+    caller_request_id: Option<&str>,
 ) -> Response<Cursor<Vec<u8>>> {
-    let echo = echo.map(|echo| HeaderLine::new(headers::REQUEST_ID, echo));
+    let caller_request_id = caller_request_id
+        .map(|caller_request_id| HeaderLine::new(headers::REQUEST_ID, caller_request_id));
     let lines = lines
         .into_iter()
-        .chain(echo)
+        .chain(caller_request_id)
         .filter_map(|line| Header::from_bytes(line.name.as_bytes(), line.value.as_bytes()).ok())
         .collect();
     let response = Response::new(
--- a/crates/ledgelead-node/src/callers/server.rs
+++ b/crates/ledgelead-node/src/callers/server.rs
@@ -2,7 +2,7 @@
 
 use super::headers::HeaderLine;
 use super::open_requests::OpenRequests;
-use super::request_head::{BadRequest, Classified, classify};
+use super::request_head::{BadRequest, ParsedRequest, parse_head};
 use super::respond;
 use crate::InputSink;
 use crate::metrics::Metrics;
@@ -61,7 +61,7 @@
             let shared = shared.clone();
             thread::Builder::new()
                 .name(thread_name.to_owned())
-                .spawn(move || shared.work())?;
+                .spawn(move || shared.run_worker())?;
         }
         Ok(CallerServer { shared, threads })
     }
@@ -87,17 +87,17 @@
 }
 
 impl Shared {
-    fn work(&self) {
+    fn run_worker(&self) {
         while !self.closed.load(Ordering::Acquire) {
             match self.server.recv() {
-                Ok(request) => self.take(request),
-                Err(error) => self.not_received(&error),
+                Ok(request) => self.handle_request(request),
+                Err(error) => self.handle_receive_error(&error),
             }
         }
     }
 
     /// No request came: the server was closed, or has failed for good.
-    fn not_received(&self, error: &std::io::Error) {
+    fn handle_receive_error(&self, error: &std::io::Error) {
         if self.closed.load(Ordering::Acquire) {
             return;
         }
@@ -106,7 +106,7 @@
     }
 
     /// Reads one request whole and hands it to the decisions.
-    fn take(&self, mut connection: Request) {
+    fn handle_request(&self, mut connection: Request) {
         if self.open_requests.is_full() {
             self.refuse(
                 connection,
@@ -134,11 +134,11 @@
         }
     }
 
-    fn read(&self, connection: &mut Request) -> Result<Classified, BadRequest> {
+    fn read(&self, connection: &mut Request) -> Result<ParsedRequest, BadRequest> {
         let lines = header_lines(connection);
         let method = connection.method().as_str().to_owned();
         let target = connection.url().to_owned();
-        let mut classified = classify(&method, &target, &lines, self.limits.max_deadline)?;
+        let mut classified = parse_head(&method, &target, &lines, self.limits.max_deadline)?;
         classified.request.body = read_body(connection, self.limits.max_body_bytes)?;
         Ok(classified)
     }
@@ -183,12 +183,12 @@
         .as_reader()
         .take(limit as u64 + 1)
         .read_to_end(&mut body)
-        .map_err(|_| BadRequest::BodyCut)?;
+        .map_err(|_| BadRequest::BodyTruncated)?;
     if body.len() > limit {
         return Err(BadRequest::BodyTooLong { limit });
     }
     if declared.is_some_and(|length| length != body.len()) {
-        return Err(BadRequest::BodyCut);
+        return Err(BadRequest::BodyTruncated);
     }
     Ok(body)
 }
--- a/crates/ledgelead-node/src/callers/target.rs
+++ b/crates/ledgelead-node/src/callers/target.rs
@@ -17,7 +17,7 @@
     let end = target.find(['?', '#']).unwrap_or(target.len());
     let mut path = target.as_bytes()[..end].to_vec();
     for _ in 0..MAX_DECODINGS {
-        if passes_control_segment(&path) {
+        if enters_control_path(&path) {
             return true;
         }
         let decoded = percent_decoded(&path);
@@ -32,7 +32,7 @@
 /// Follows the path's segments. Empty ones and `.` are skipped and `..` goes
 /// back; a path that is below `/ledgelead` at any time counts, for a server
 /// that does not resolve `..`.
-fn passes_control_segment(path: &[u8]) -> bool {
+fn enters_control_path(path: &[u8]) -> bool {
     let mut depth = 0_usize;
     for segment in path.split(|byte| matches!(byte, b'/' | b'\\')) {
         match segment_name(segment) {
@@ -59,13 +59,13 @@
 fn percent_decoded(path: &[u8]) -> Vec<u8> {
     let mut decoded = Vec::with_capacity(path.len());
     let mut rest = path;
-    while let Some((&first, behind)) = rest.split_first() {
-        let byte = match behind {
+    while let Some((&first, after)) = rest.split_first() {
+        let byte = match after {
             [high, low, ..] if first == b'%' => hex_byte(*high, *low),
             _ => None,
         };
         decoded.push(byte.unwrap_or(first));
-        rest = if byte.is_some() { &behind[2..] } else { behind };
+        rest = if byte.is_some() { &after[2..] } else { after };
     }
     decoded
 }
--- a/crates/ledgelead-node/src/command_line.rs
+++ b/crates/ledgelead-node/src/command_line.rs
@@ -4,7 +4,7 @@
 mod operator;
 
 pub use completion::Shell;
-pub use operator::{Job, OperatorError, OperatorInvocation};
+pub use operator::{OperatorAction, OperatorError, OperatorInvocation};
 
 use crate::settings::finding::Findings;
 use crate::settings::{Overrides, Settings};
@@ -163,10 +163,10 @@
         Some(Value(command)) => match command.string()?.as_str() {
             "node" => parse_node(parser),
             "check" => parse_check(parser),
-            "query" => operator_invocation(parser, Job::Query),
-            "command" => operator_invocation(parser, Job::Command),
-            "status" => operator_invocation(parser, Job::Status),
-            "watch" => operator_invocation(parser, Job::Watch),
+            "query" => operator_invocation(parser, OperatorAction::Query),
+            "command" => operator_invocation(parser, OperatorAction::Command),
+            "status" => operator_invocation(parser, OperatorAction::Status),
+            "watch" => operator_invocation(parser, OperatorAction::Watch),
             "completion" => parse_completion(parser),
             "help" => Ok(Invocation::Help),
             other => Err(RunError::Usage(format!("no command {other:?}"))),
@@ -210,8 +210,11 @@
     Ok(Invocation::Check { file })
 }
 
-fn operator_invocation(parser: lexopt::Parser, job: Job) -> Result<Invocation, RunError> {
-    Ok(match operator::parse(parser, job)? {
+fn operator_invocation(
+    parser: lexopt::Parser,
+    action: OperatorAction,
+) -> Result<Invocation, RunError> {
+    Ok(match operator::parse(parser, action)? {
         Some(invocation) => Invocation::Operator(invocation),
         None => Invocation::Help,
     })
--- a/crates/ledgelead-node/src/command_line/operator.rs
+++ b/crates/ledgelead-node/src/command_line/operator.rs
@@ -6,7 +6,7 @@
 mod show;
 
 use super::RunError;
-use client::{Client, Wanted};
+use client::{Client, ResponseFormat};
 pub use error::OperatorError;
 use lexopt::prelude::*;
 use std::io::{IsTerminal, Write};
@@ -18,14 +18,14 @@
 const CREDENTIAL_VARIABLE: &str = "LEDGELEAD_OPERATOR_TOKEN";
 /// What `status` asks.
 const STATUS: &str = "show configuration; show nodes; show groups; show servers";
-/// Pause between two looks of `watch`, in seconds.
+/// Pause between two polls of `watch`, in seconds.
 const DEFAULT_INTERVAL: u64 = 2;
 /// Clears a terminal and goes to its first line.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
 /// What an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Job {
+pub enum OperatorAction {
     /// Ask once.
     Query,
     /// Give a command.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorInvocation {
     /// What is wanted.
-    pub job: Job,
+    pub action: OperatorAction,
     /// `IP:port` of the node's administration interface.
     pub address: String,
     /// Whether JSON is wanted.
@@ -53,19 +53,19 @@
     pub if_version: Option<u64>,
     /// Whether to wait until the change is in force everywhere.
     pub wait: bool,
-    /// Seconds between two looks.
+    /// Seconds between two polls.
     pub interval: u64,
-    /// Number of looks.
+    /// Number of polls.
     pub count: Option<u64>,
 }
 
 /// Reads the flags; `None` when help is asked for.
 pub(super) fn parse(
     mut parser: lexopt::Parser,
-    job: Job,
+    action: OperatorAction,
 ) -> Result<Option<OperatorInvocation>, RunError> {
     let mut invocation = OperatorInvocation {
-        job,
+        action,
         address: DEFAULT_ADDRESS.to_owned(),
         json: false,
         text: None,
@@ -80,16 +80,20 @@
             Long("help") | Short('h') => return Ok(None),
             Long("address") => invocation.address = parser.value()?.string()?,
             Long("json") => invocation.json = true,
-            Long("id") if job == Job::Command => invocation.id = Some(parser.value()?.string()?),
-            Long("if-version") if job == Job::Command => {
+            Long("id") if action == OperatorAction::Command => {
+                invocation.id = Some(parser.value()?.string()?)
+            }
+            Long("if-version") if action == OperatorAction::Command => {
                 invocation.if_version = Some(parser.value()?.parse()?);
             }
-            Long("wait") if job == Job::Command => invocation.wait = true,
-            Long("interval") if job == Job::Watch => {
+            Long("wait") if action == OperatorAction::Command => invocation.wait = true,
+            Long("interval") if action == OperatorAction::Watch => {
                 invocation.interval = parser.value()?.parse()?
             }
-            Long("count") if job == Job::Watch => invocation.count = Some(parser.value()?.parse()?),
-            Value(value) if job != Job::Status && invocation.text.is_none() => {
+            Long("count") if action == OperatorAction::Watch => {
+                invocation.count = Some(parser.value()?.parse()?)
+            }
+            Value(value) if action != OperatorAction::Status && invocation.text.is_none() => {
                 invocation.text = Some(value.string()?);
             }
             other => return Err(other.unexpected().into()),
@@ -105,14 +109,14 @@
 ) -> Result<(), OperatorError> {
     let credential = std::env::var(CREDENTIAL_VARIABLE).ok();
     let client = Client::new(&invocation.address, credential);
-    match invocation.job {
-        Job::Query => {
+    match invocation.action {
+        OperatorAction::Query => {
             let text = statement(invocation.text)?;
             query(&client, &text, invocation.json, output)
         }
-        Job::Status => query(&client, STATUS, invocation.json, output),
-        Job::Watch => watch(&client, &invocation, output),
-        Job::Command => command(&client, invocation, output),
+        OperatorAction::Status => query(&client, STATUS, invocation.json, output),
+        OperatorAction::Watch => watch(&client, &invocation, output),
+        OperatorAction::Command => command(&client, invocation, output),
     }
 }
 
@@ -131,12 +135,16 @@
     json: bool,
     output: &mut impl Write,
 ) -> Result<(), OperatorError> {
-    let answer = client.query(text, wanted(json))?;
+    let answer = client.query(text, response_format(json))?;
     print(output, &answer)
 }
 
-fn wanted(json: bool) -> Wanted {
-    if json { Wanted::Json } else { Wanted::Text }
+fn response_format(json: bool) -> ResponseFormat {
+    if json {
+        ResponseFormat::Json
+    } else {
+        ResponseFormat::Text
+    }
 }
 
 /// Asks again and again. A look that fails is told, and the next may succeed;
@@ -147,18 +155,18 @@
     output: &mut impl Write,
 ) -> Result<(), OperatorError> {
     let text = invocation.text.as_deref().unwrap_or(STATUS);
-    let clears = !invocation.json && std::io::stdout().is_terminal();
-    let mut looks = 0;
+    let clears_screen = !invocation.json && std::io::stdout().is_terminal();
+    let mut polls = 0;
     loop {
-        let answer = client.query(text, wanted(invocation.json));
-        looks += 1;
-        let is_last = invocation.count.is_some_and(|count| looks >= count);
-        if clears {
+        let answer = client.query(text, response_format(invocation.json));
+        polls += 1;
+        let is_last = invocation.count.is_some_and(|count| polls >= count);
+        if clears_screen {
             print(output, CLEAR_SCREEN)?;
         }
         match answer {
             Ok(answer) => print(output, &answer)?,
-            Err(error) if is_last || !error.may_pass() => return Err(error),
+            Err(error) if is_last || !error.is_transient() => return Err(error),
             Err(error) => eprint!("{error}"),
         }
         if is_last {
--- a/crates/ledgelead-node/src/command_line/operator/client.rs
+++ b/crates/ledgelead-node/src/command_line/operator/client.rs
@@ -14,7 +14,7 @@
 
 /// The form of a query's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Wanted {
+pub(super) enum ResponseFormat {
     /// Aligned tables.
     Text,
     /// JSON.
@@ -57,10 +57,14 @@
     }
 
     /// Asks; the answer is to be printed as it is.
-    pub(super) fn query(&self, text: &str, wanted: Wanted) -> Result<String, OperatorError> {
-        let accept = match wanted {
-            Wanted::Text => "text/plain",
-            Wanted::Json => "application/json",
+    pub(super) fn query(
+        &self,
+        text: &str,
+        format: ResponseFormat,
+    ) -> Result<String, OperatorError> {
+        let accept = match format {
+            ResponseFormat::Text => "text/plain",
+            ResponseFormat::Json => "application/json",
         };
         let answer = self.post("/v1/query", accept, &json!({"text": text}));
         let answer = answer.map_err(|failure| OperatorError::Failed(failure.message))?;
@@ -134,7 +138,7 @@
         let error = &body["error"];
         let message = error["message"].as_str().unwrap_or(&self.body).to_owned();
         match self.status {
-            422 => OperatorError::Mistakes(rendered(error, text).unwrap_or(message)),
+            422 => OperatorError::InvalidStatement(rendered(error, text).unwrap_or(message)),
             401 => {
                 let message =
                     format!("{message}\nthe credential is taken from {CREDENTIAL_VARIABLE}");
--- a/crates/ledgelead-node/src/command_line/operator/error.rs
+++ b/crates/ledgelead-node/src/command_line/operator/error.rs
@@ -8,7 +8,7 @@
     /// The node can't be reached or did not understand.
     Failed(String),
     /// The statement is wrong; the mistakes, rendered.
-    Mistakes(String),
+    InvalidStatement(String),
     /// No credential, or not allowed.
     Forbidden(String),
     /// Refused as things are now.
@@ -33,7 +33,7 @@
     }
 
     /// Whether the same query may succeed later.
-    pub(super) fn may_pass(&self) -> bool {
+    pub(super) fn is_transient(&self) -> bool {
         matches!(
             self,
             OperatorError::Failed(_) | OperatorError::Unavailable(_)
@@ -44,7 +44,7 @@
     pub fn exit_code(&self) -> u8 {
         match self {
             OperatorError::Failed(_) => 1,
-            OperatorError::Mistakes(_) => 2,
+            OperatorError::InvalidStatement(_) => 2,
             OperatorError::Forbidden(_) => 3,
             OperatorError::Refused(_) => 4,
             OperatorError::Unavailable(_) => 5,
@@ -57,7 +57,7 @@
 impl fmt::Display for OperatorError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OperatorError::Mistakes(rendered) => formatter.write_str(rendered),
+            OperatorError::InvalidStatement(rendered) => formatter.write_str(rendered),
             OperatorError::Failed(message)
             | OperatorError::Forbidden(message)
             | OperatorError::Refused(message)
--- a/crates/ledgelead-node/src/file_limit.rs
+++ b/crates/ledgelead-node/src/file_limit.rs
@@ -16,20 +16,20 @@
 const MIN_CONNECTIONS: usize = 16;
 
 /// Lowers `max_connections` to what the process may open.
-pub(crate) fn fit(limits: &mut Limits) {
+pub(crate) fn lower_connection_limit(limits: &mut Limits) {
     let text = std::fs::read_to_string(LIMITS_FILE).unwrap_or_default();
     let Some(files) = soft_limit(&text) else {
         return;
     };
-    let fitting = files.saturating_sub(OTHER_FILES) / FILES_PER_CONNECTION;
-    let fitting = fitting.max(MIN_CONNECTIONS);
-    if fitting < limits.max_connections {
+    let allowed = files.saturating_sub(OTHER_FILES) / FILES_PER_CONNECTION;
+    let allowed = allowed.max(MIN_CONNECTIONS);
+    if allowed < limits.max_connections {
         log::warn!(
             target: "node",
-            "limits.max-connections lowered from {} to {fitting}: only {files} open files",
+            "limits.max-connections lowered from {} to {allowed}: only {files} open files",
             limits.max_connections
         );
-        limits.max_connections = fitting;
+        limits.max_connections = allowed;
     }
 }
 
--- a/crates/ledgelead-node/src/node/mod.rs
+++ b/crates/ledgelead-node/src/node/mod.rs
@@ -6,8 +6,8 @@
 
 use crate::administration::AdministrationServer;
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::proxy::CallerGuard;
-use crate::callers::respond::{self, Ending};
+use crate::callers::proxy::CallerProxy;
+use crate::callers::respond::{self, CompletedRequest};
 use crate::callers::server::CallerServer;
 use crate::file_limit;
 use crate::handle::NodeHandle;
@@ -31,7 +31,7 @@
 use std::time::{Duration, Instant};
 
 /// Pause between two looks whether a stopping node has answered everything.
-const ANSWER_CHECK_PAUSE: Duration = Duration::from_millis(2);
+const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Starts nodes.
 pub struct Node;
@@ -40,7 +40,7 @@
 pub struct RunningNode {
     /// Where callers' requests are accepted.
     pub http_address: SocketAddr,
-    /// Where operators are served.
+    /// Where operators are interfaces.
     pub administration_address: SocketAddr,
     /// Where other nodes are listened to.
     pub peer_address: SocketAddr,
@@ -55,12 +55,12 @@
 
 /// What has to be ended.
 struct Parts {
-    guard: CallerGuard,
+    proxy: CallerProxy,
     callers: CallerServer,
     administration: AdministrationServer,
-    administration_guard: CallerGuard,
+    administration_proxy: CallerProxy,
     forwarder: Arc<Forwarder>,
-    responders: Arc<WorkPool<Ending>>,
+    responders: Arc<WorkPool<CompletedRequest>>,
     open_requests: Arc<OpenRequests>,
     thread: Option<JoinHandle<()>>,
 }
@@ -71,7 +71,7 @@
     /// # Errors
     /// When an address is taken or the system gives no more threads.
     pub fn start(mut settings: Settings) -> Result<RunningNode, StartError> {
-        file_limit::fit(&mut settings.limits);
+        file_limit::lower_connection_limit(&mut settings.limits);
         let listeners = Listeners::bind(&settings)?;
         let http_address = listeners.callers.local_addr()?;
         let administration_address = listeners.administration.local_addr()?;
@@ -81,9 +81,9 @@
         let name = |job: &str| thread_name(settings.node, job);
 
         let metrics = Metrics::new();
-        let most = settings.limits.max_open_requests;
-        let open_requests = Arc::new(OpenRequests::new(most));
-        let responders = Arc::new(respond::start(&name("respond"), most)?);
+        let max_open_requests = settings.limits.max_open_requests;
+        let open_requests = Arc::new(OpenRequests::new(max_open_requests));
+        let responders = Arc::new(respond::start(&name("respond"), max_open_requests)?);
         let (stopped, stop_complete) = mpsc::channel();
         let setup = ThreadSetup {
             node,
@@ -96,9 +96,9 @@
         };
         let (thread, started) = start_thread(&name("actor"), setup)?;
 
-        let served = serve(&settings, listeners, &started, &open_requests, &metrics);
-        let served = match served {
-            Ok(served) => served,
+        let interfaces = serve(&settings, listeners, &started, &open_requests, &metrics);
+        let interfaces = match interfaces {
+            Ok(interfaces) => interfaces,
             Err(error) => {
                 started.handle.kill();
                 join(thread);
@@ -115,10 +115,10 @@
             stopped: stop_complete,
             stop_time: settings.limits.stop_time,
             parts: Parts {
-                guard: served.guard,
-                callers: served.callers,
-                administration: served.administration,
-                administration_guard: served.administration_guard,
+                proxy: interfaces.proxy,
+                callers: interfaces.callers,
+                administration: interfaces.administration,
+                administration_proxy: interfaces.administration_proxy,
                 forwarder: started.forwarder,
                 responders,
                 open_requests,
@@ -143,13 +143,13 @@
     /// finished, roles are handed over. Returns once that is done, or the
     /// settings' time for it is over; true when all was finished.
     pub fn stop(mut self) -> bool {
-        self.parts.guard.refuse_new();
+        self.parts.proxy.refuse_new();
         self.parts.open_requests.close_connections();
         self.handle.input(Input::Stop);
         let deadline = Instant::now() + self.stop_time;
         let finished = self.stopped.recv_timeout(self.stop_time).is_ok();
         let answered = self.parts.wait_for_answers(deadline);
-        self.parts.guard.finish();
+        self.parts.proxy.finish();
         self.end();
         finished && answered
     }
@@ -169,8 +169,8 @@
 
     fn end(&mut self) {
         self.handle.kill();
-        self.parts.guard.drop_all();
-        self.parts.administration_guard.drop_all();
+        self.parts.proxy.drop_all();
+        self.parts.administration_proxy.drop_all();
         self.parts.callers.close();
         self.parts.administration.close();
         self.parts.forwarder.close();
@@ -193,7 +193,7 @@
             if Instant::now() >= deadline {
                 return false;
             }
-            thread::sleep(ANSWER_CHECK_PAUSE);
+            thread::sleep(COMPLETION_POLL_INTERVAL);
         }
         self.responders.wait_until_idle(deadline)
     }
--- a/crates/ledgelead-node/src/node/node_thread.rs
+++ b/crates/ledgelead-node/src/node/node_thread.rs
@@ -4,13 +4,13 @@
 use crate::InputSink;
 use crate::actor::NodeActor;
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::respond::Ending;
+use crate::callers::respond::CompletedRequest;
 use crate::clock::ProcessClock;
 use crate::handle::{NodeHandle, PendingTickets, Request};
 use crate::logging::thread_name;
 use crate::metrics::Metrics;
 use crate::peer::frame::ClusterKey;
-use crate::peer::{PeerSettings, PeerTransport, Received};
+use crate::peer::{PeerSettings, PeerTransport, ReceivedMessage};
 use crate::platform::{PlatformClient, PlatformSettings};
 use crate::ports::SocketPorts;
 use crate::servers::cancel::Canceller;
@@ -44,7 +44,7 @@
     pub(super) settings: Settings,
     pub(super) metrics: Metrics,
     pub(super) open_requests: Arc<OpenRequests>,
-    pub(super) responders: Arc<WorkPool<Ending>>,
+    pub(super) responders: Arc<WorkPool<CompletedRequest>>,
     pub(super) listener: TcpListener,
     pub(super) stopped: Sender<()>,
 }
@@ -94,28 +94,28 @@
 /// The node's thread: one `Stakker`, polled until the node ends.
 fn run_thread(setup: ThreadSetup, report: &SyncSender<io::Result<Started>>) {
     let mut stakker = Stakker::new(Instant::now());
-    let assembled = assemble(&mut stakker, setup);
-    let mut assembly = match assembled {
-        Ok(assembly) => assembly,
+    let runtime = build_runtime(&mut stakker, setup);
+    let mut runtime = match runtime {
+        Ok(runtime) => runtime,
         Err(error) => {
             let _ = report.send(Err(error));
             return;
         }
     };
-    if let Some(started) = assembly.started.take() {
+    if let Some(started) = runtime.started.take() {
         let _ = report.send(Ok(started));
     }
-    if let Err(error) = poll_until_shutdown(&mut stakker, &assembly.poll) {
+    if let Err(error) = poll_until_shutdown(&mut stakker, &runtime.poll) {
         log::error!(target: "node", "polling failed: {error}");
     }
     // Dropping an actor's owner only queues its end, and with it the end of
     // its sockets; one more run carries it out.
-    drop(assembly);
+    drop(runtime);
     stakker.run(Instant::now(), false);
 }
 
 /// What lives as long as the node's thread.
-struct Assembly {
+struct NodeRuntime {
     poll: MioPoll,
     started: Option<Started>,
     _actors: Actors,
@@ -129,8 +129,8 @@
 }
 
 impl NodeActor<SocketPorts> {
-    fn received(&mut self, cx: CX![], received: Received) {
-        let Received { from, message } = received;
+    fn received(&mut self, cx: CX![], received: ReceivedMessage) {
+        let ReceivedMessage { from, message } = received;
         self.input(cx, Input::Peer { from, message });
     }
 
@@ -146,7 +146,7 @@
     }
 }
 
-fn assemble(stakker: &mut Stakker, setup: ThreadSetup) -> io::Result<Assembly> {
+fn build_runtime(stakker: &mut Stakker, setup: ThreadSetup) -> io::Result<NodeRuntime> {
     let poll = MioPoll::new(
         stakker,
         Poll::new()?,
@@ -154,7 +154,7 @@
         WAKER_PRIORITY,
     )?;
     let node = actor_new!(stakker, NodeActor<SocketPorts>, ret_nop!());
-    let received = fwd_to!([node], received() as (Received));
+    let received = fwd_to!([node], received() as (ReceivedMessage));
     let requests = fwd_to!([node], serve() as (Request));
     let (channel, guard) = Channel::new(stakker, requests);
     let pending = Arc::new(PendingTickets::default());
@@ -214,7 +214,7 @@
     };
     let node_settings = setup.node;
     call!([node], <NodeActor<SocketPorts>>::init(node_settings, ports));
-    Ok(Assembly {
+    Ok(NodeRuntime {
         poll,
         started: Some(Started { handle, forwarder }),
         _actors: Actors {
--- a/crates/ledgelead-node/src/node/serving.rs
+++ b/crates/ledgelead-node/src/node/serving.rs
@@ -4,7 +4,7 @@
 use super::node_thread::{Started, input_sink};
 use crate::administration::{self, AdministrationServer, Context};
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::proxy::{CallerGuard, CallerLeft};
+use crate::callers::proxy::{CallerLeft, CallerProxy};
 use crate::callers::server::CallerServer;
 use crate::handle::NodeHandle;
 use crate::logging::thread_name;
@@ -17,11 +17,11 @@
 const MAX_ADMINISTRATION_CONNECTIONS: usize = 64;
 
 /// The parts that serve callers and operators.
-pub(super) struct Served {
-    pub(super) guard: CallerGuard,
+pub(super) struct Interfaces {
+    pub(super) proxy: CallerProxy,
     pub(super) callers: CallerServer,
     pub(super) administration: AdministrationServer,
-    pub(super) administration_guard: CallerGuard,
+    pub(super) administration_proxy: CallerProxy,
 }
 
 pub(super) fn serve(
@@ -30,7 +30,7 @@
     started: &Started,
     open_requests: &Arc<OpenRequests>,
     metrics: &Metrics,
-) -> Result<Served, StartError> {
+) -> Result<Interfaces, StartError> {
     let name = |job: &str| thread_name(settings.node, job);
     let server = inner_http_server()?;
     let server_address = inner_address(&server)?;
@@ -42,7 +42,7 @@
         metrics.clone(),
         input_sink(&started.handle),
     )?;
-    let guard = CallerGuard::start(
+    let proxy = CallerProxy::start(
         &name("guard"),
         listeners.callers,
         server_address,
@@ -50,7 +50,7 @@
         caller_left(open_requests.clone(), &started.handle),
     )?;
     let server = inner_http_server()?;
-    let administration_guard = CallerGuard::start(
+    let administration_proxy = CallerProxy::start(
         &name("administration-guard"),
         listeners.administration,
         inner_address(&server)?,
@@ -64,7 +64,7 @@
         started.handle.clone(),
         metrics.clone(),
         callers.failed(),
-        administration_guard.origins(),
+        administration_proxy.remote_addresses(),
     );
     let administration = AdministrationServer::start(
         &name("administration"),
@@ -72,18 +72,18 @@
         administration::routes(),
         context,
     )?;
-    Ok(Served {
-        guard,
+    Ok(Interfaces {
+        proxy,
         callers,
         administration,
-        administration_guard,
+        administration_proxy,
     })
 }
 
 fn caller_left(open_requests: Arc<OpenRequests>, handle: &NodeHandle) -> CallerLeft {
     let handle = handle.clone();
     Box::new(move |connection| {
-        for request in open_requests.of_connection(connection) {
+        for request in open_requests.on_connection(connection) {
             handle.input(Input::CallerLeft(request));
         }
     })
--- a/crates/ledgelead-node/src/peer/close_reason.rs
+++ b/crates/ledgelead-node/src/peer/close_reason.rs
@@ -11,7 +11,7 @@
     Message(codec::DecodeError),
     Socket(io::Error),
     Ended,
-    Stuck,
+    Stalled,
 }
 
 impl std::fmt::Display for CloseReason {
@@ -21,7 +21,7 @@
             CloseReason::Message(error) => error.fmt(formatter),
             CloseReason::Socket(error) => error.fmt(formatter),
             CloseReason::Ended => formatter.write_str("the other end closed"),
-            CloseReason::Stuck => formatter.write_str("no progress"),
+            CloseReason::Stalled => formatter.write_str("no progress"),
         }
     }
 }
--- a/crates/ledgelead-node/src/peer/frame.rs
+++ b/crates/ledgelead-node/src/peer/frame.rs
@@ -101,8 +101,8 @@
 
 /// Reads a greeting; `None` while bytes are missing.
 pub fn read_greeting(bytes: &[u8]) -> Result<Option<Challenge>, FrameError> {
-    let known = bytes.len().min(MAGIC.len());
-    if bytes[..known] != MAGIC[..known] {
+    let available = bytes.len().min(MAGIC.len());
+    if bytes[..available] != MAGIC[..available] {
         return Err(FrameError::BadGreeting);
     }
     let Some(challenge) = bytes.get(MAGIC.len()..GREETING_BYTES) else {
@@ -202,9 +202,9 @@
     }
 
     fn seal(&mut self, payload: &[u8]) -> [u8; TAG_BYTES] {
-        let whole = self.authenticate(payload).finalize().into_bytes();
+        let full_tag = self.authenticate(payload).finalize().into_bytes();
         let mut tag = [0; TAG_BYTES];
-        tag.copy_from_slice(&whole[..TAG_BYTES]);
+        tag.copy_from_slice(&full_tag[..TAG_BYTES]);
         self.next_number += 1;
         tag
     }
--- a/crates/ledgelead-node/src/peer/incoming.rs
+++ b/crates/ledgelead-node/src/peer/incoming.rs
@@ -3,7 +3,7 @@
 use super::close_reason::CloseReason;
 use super::counters::PeerCounters;
 use super::frame::{self, Challenge, HELLO_BYTES, Session};
-use super::transport::{PeerSettings, Received};
+use super::transport::{PeerSettings, ReceivedMessage};
 use ledgelead_types::codec;
 use stakker::Fwd;
 use stakker_mio::{ReadStatus, TcpStreamBuf};
@@ -36,7 +36,7 @@
         now: Instant,
         settings: &PeerSettings,
         counters: &PeerCounters,
-        received: &Fwd<Received>,
+        received: &Fwd<ReceivedMessage>,
     ) -> Result<(), CloseReason> {
         loop {
             let before = self.stream.wr - self.stream.rd;
@@ -57,7 +57,7 @@
         now: Instant,
         settings: &PeerSettings,
         counters: &PeerCounters,
-        received: &Fwd<Received>,
+        received: &Fwd<ReceivedMessage>,
     ) -> Result<(), CloseReason> {
         let mut progress = false;
         loop {
@@ -80,7 +80,7 @@
             self.stream.rd += opened.consumed;
             progress = true;
             counters.messages_in.inc();
-            received.fwd(Received { from, message });
+            received.fwd(ReceivedMessage { from, message });
         }
         if progress {
             self.incomplete_since = None;
--- a/crates/ledgelead-node/src/peer/mod.rs
+++ b/crates/ledgelead-node/src/peer/mod.rs
@@ -8,4 +8,4 @@
 mod transport;
 
 pub use counters::{KindLabel, PeerCounters};
-pub use transport::{PeerSettings, PeerTransport, Received};
+pub use transport::{PeerSettings, PeerTransport, ReceivedMessage};
--- a/crates/ledgelead-node/src/peer/outgoing.rs
+++ b/crates/ledgelead-node/src/peer/outgoing.rs
@@ -11,7 +11,7 @@
 /// Unsent bytes that a connection holds before messages are dropped.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
 /// Messages kept while a connection is being opened.
-const MAX_OPENING_MESSAGES: usize = 256;
+const MAX_MESSAGES_BEFORE_HANDSHAKE: usize = 256;
 
 /// A connection to a receiver.
 pub(super) struct Outgoing {
@@ -20,9 +20,9 @@
     pub(super) stream: TcpStreamBuf,
     /// `None` until the receiver's greeting came.
     pub(super) session: Option<Session>,
-    pub(super) waiting: Vec<Vec<u8>>,
+    pub(super) queued_messages: Vec<Vec<u8>>,
     /// Since when bytes or messages wait, for the search of stuck connections.
-    pub(super) busy_since: Option<Instant>,
+    pub(super) pending_since: Option<Instant>,
     /// Set after a failure: no new try before.
     pub(super) retry_at: Option<Instant>,
 }
@@ -34,10 +34,10 @@
             return Err(DropReason::TooLong);
         }
         let Some(session) = &mut self.session else {
-            if self.waiting.len() >= MAX_OPENING_MESSAGES {
+            if self.queued_messages.len() >= MAX_MESSAGES_BEFORE_HANDSHAKE {
                 return Err(DropReason::QueueFull);
             }
-            self.waiting.push(payload);
+            self.queued_messages.push(payload);
             return Ok(());
         };
         if self.stream.out.len() + payload.len() > MAX_QUEUED_BYTES {
@@ -49,7 +49,7 @@
     }
 
     /// Answers the receiver's greeting with the hello and what waited for it.
-    pub(super) fn greet(
+    pub(super) fn complete_handshake(
         &mut self,
         settings: &PeerSettings,
         receiver: NodeId,
@@ -65,7 +65,7 @@
         log::debug!(target: "peer", "connected to {receiver} at {}", self.address);
         let mut session = Session::new(settings.key.clone(), challenge, settings.node, receiver);
         session.seal_hello(&mut self.stream.out);
-        for payload in self.waiting.drain(..) {
+        for payload in self.queued_messages.drain(..) {
             session
                 .seal_frame(&payload, &mut self.stream.out)
                 .map_err(CloseReason::Frame)?;
--- a/crates/ledgelead-node/src/peer/transport.rs
+++ b/crates/ledgelead-node/src/peer/transport.rs
@@ -24,7 +24,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a connection may take to be opened, to take bytes that wait, or to
 /// complete a frame that it began.
-const STUCK_AFTER: Duration = Duration::from_secs(5);
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long to wait after a failed connection before the next try.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 /// Incoming connections held at once.
@@ -43,7 +43,7 @@
 
 /// A message received from another node, authenticated.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedMessage {
     /// The sender.
     pub from: NodeId,
     /// The message.
@@ -55,7 +55,7 @@
     settings: PeerSettings,
     counters: PeerCounters,
     listener: MioSource<TcpListener>,
-    received: Fwd<Received>,
+    received: Fwd<ReceivedMessage>,
     addresses: BTreeMap<NodeId, SocketAddr>,
     outgoing: BTreeMap<NodeId, Outgoing>,
     incoming: BTreeMap<u64, Incoming>,
@@ -70,7 +70,7 @@
         settings: PeerSettings,
         counters: PeerCounters,
         listener: std::net::TcpListener,
-        received: Fwd<Received>,
+        received: Fwd<ReceivedMessage>,
     ) -> Option<Self> {
         let listener = TcpListener::from_std(listener);
         let accept = fwd_to!([cx], accept() as (Ready));
@@ -127,7 +127,7 @@
         self.connect_if_needed(cx, to, address)?;
         let outgoing = self.outgoing.get_mut(&to).ok_or(DropReason::NotConnected)?;
         outgoing.push(payload)?;
-        outgoing.busy_since.get_or_insert(cx.now());
+        outgoing.pending_since.get_or_insert(cx.now());
         self.counters.messages_out.inc();
         self.flush_later(cx);
         Ok(())
@@ -156,8 +156,8 @@
             address,
             stream: TcpStreamBuf::new(),
             session: None,
-            waiting: Vec::new(),
-            busy_since: None,
+            queued_messages: Vec::new(),
+            pending_since: None,
             retry_at: None,
         };
         let ready = fwd_to!([cx], outgoing_ready(to, connection) as (Ready));
@@ -217,10 +217,10 @@
         let written = before - outgoing.stream.out.len();
         self.counters.bytes_out.inc_by(written as u64);
         if written > 0 {
-            outgoing.busy_since = None;
+            outgoing.pending_since = None;
         }
         if !outgoing.stream.out.is_empty() {
-            outgoing.busy_since.get_or_insert(cx.now());
+            outgoing.pending_since.get_or_insert(cx.now());
         }
         if let Err(error) = result
             && error.kind() != ErrorKind::NotConnected
@@ -251,7 +251,7 @@
             return;
         };
         let result = outgoing.read_all();
-        let result = result.and_then(|()| outgoing.greet(&self.settings, node));
+        let result = result.and_then(|()| outgoing.complete_handshake(&self.settings, node));
         if let Err(reason) = result {
             self.close_outgoing(cx, node, reason);
             return;
@@ -264,18 +264,20 @@
             return;
         };
         log::debug!(target: "peer", "connection to {node} closed: {reason}");
-        self.counters.dropped.inc_by(outgoing.waiting.len() as u64);
+        self.counters
+            .dropped
+            .inc_by(outgoing.queued_messages.len() as u64);
         outgoing.stream = TcpStreamBuf::new();
-        outgoing.waiting.clear();
+        outgoing.queued_messages.clear();
         outgoing.session = None;
-        outgoing.busy_since = None;
+        outgoing.pending_since = None;
         outgoing.retry_at = Some(cx.now() + RECONNECT_PAUSE);
     }
 
     fn accept(&mut self, cx: CX![], _ready: Ready) {
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => self.greet_incoming(cx, stream),
+                Ok((stream, _)) => self.add_incoming(cx, stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => continue,
                 Err(error) => {
@@ -286,7 +288,7 @@
         }
     }
 
-    fn greet_incoming(&mut self, cx: CX![], stream: TcpStream) {
+    fn add_incoming(&mut self, cx: CX![], stream: TcpStream) {
         if self.incoming.len() >= MAX_INCOMING {
             log::warn!(target: "peer", "too many connections of other nodes, one refused");
             return;
@@ -313,14 +315,14 @@
         let greeting = frame::greeting(&incoming.challenge);
         incoming.stream.out.extend_from_slice(&greeting);
         self.incoming.insert(connection, incoming);
-        self.incoming_ready_again(cx, connection);
+        self.serve_incoming(cx, connection);
     }
 
     fn incoming_ready(&mut self, cx: CX![], connection: u64, _ready: Ready) {
-        self.incoming_ready_again(cx, connection);
+        self.serve_incoming(cx, connection);
     }
 
-    fn incoming_ready_again(&mut self, cx: CX![], connection: u64) {
+    fn serve_incoming(&mut self, cx: CX![], connection: u64) {
         let Some(incoming) = self.incoming.get_mut(&connection) else {
             return;
         };
@@ -352,15 +354,16 @@
     /// Closes connections that make no progress.
     fn sweep(&mut self, cx: CX![]) {
         let now = cx.now();
-        let stuck = |since: &Option<Instant>| since.is_some_and(|since| now > since + STUCK_AFTER);
+        let stuck =
+            |since: &Option<Instant>| since.is_some_and(|since| now > since + STALL_TIMEOUT);
         let receivers: Vec<NodeId> = self
             .outgoing
             .iter()
-            .filter(|(_, outgoing)| stuck(&outgoing.busy_since))
+            .filter(|(_, outgoing)| stuck(&outgoing.pending_since))
             .map(|(node, _)| *node)
             .collect();
         for node in receivers {
-            self.close_outgoing(cx, node, CloseReason::Stuck);
+            self.close_outgoing(cx, node, CloseReason::Stalled);
         }
         let senders: Vec<u64> = self
             .incoming
@@ -369,7 +372,7 @@
             .map(|(connection, _)| *connection)
             .collect();
         for connection in senders {
-            self.close_incoming(connection, CloseReason::Stuck);
+            self.close_incoming(connection, CloseReason::Stalled);
         }
         after!(SWEEP_INTERVAL, [cx], sweep());
     }
--- a/crates/ledgelead-node/src/platform.rs
+++ b/crates/ledgelead-node/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::InputSink;
 use crate::callers::headers::HeaderLine;
-use crate::servers::exchange::{self, AgentLimits, ExchangeError, WholeAnswer};
+use crate::servers::exchange::{self, AgentLimits, BufferedResponse, ExchangeError};
 use crate::servers::write_tracking::ExchangeControl;
 use crate::settings::Limits;
 use crate::work_pool::{Rejected, WorkPool};
@@ -23,7 +23,7 @@
 /// Most bytes of an object.
 const MAX_OBJECT_BYTES: usize = 16 * 1024 * 1024;
 /// How long a connection may be idle.
-const IDLE_TIME: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Header that holds an object's version.
 const OBJECT_VERSION: &str = "Object-Version";
 
@@ -112,7 +112,7 @@
     pub fn new(settings: PlatformSettings) -> PlatformCaller {
         let agent = exchange::agent(AgentLimits {
             idle_connections: THREADS,
-            idle_time: IDLE_TIME,
+            idle_time: IDLE_TIMEOUT,
             connect_time: settings.connect_time,
         });
         PlatformCaller { settings, agent }
@@ -176,7 +176,7 @@
         request: Builder,
         body: Vec<u8>,
         time: Duration,
-    ) -> Result<WholeAnswer, PlatformError> {
+    ) -> Result<BufferedResponse, PlatformError> {
         let request = request.body(body).map_err(|_| PlatformError::Unavailable)?;
         let control = Arc::new(ExchangeControl::default());
         let answer = exchange::exchange(&self.agent, request, time, MAX_OBJECT_BYTES, &control);
@@ -201,7 +201,7 @@
         .ok_or(PlatformError::AnswerLost)
 }
 
-fn read_object(answer: WholeAnswer) -> Result<PlatformReply, PlatformError> {
+fn read_object(answer: BufferedResponse) -> Result<PlatformReply, PlatformError> {
     match answer.status {
         200 => Ok(PlatformReply::Object {
             version: version_of(&answer.headers)?,
@@ -213,7 +213,7 @@
     }
 }
 
-fn read_swap(answer: &WholeAnswer) -> Result<PlatformReply, PlatformError> {
+fn read_swap(answer: &BufferedResponse) -> Result<PlatformReply, PlatformError> {
     match answer.status {
         200 => version_of(&answer.headers).map(|version| PlatformReply::Swapped { version }),
         412 => version_of(&answer.headers).map(|version| PlatformReply::Conflict { version }),
@@ -240,7 +240,7 @@
     Gone,
 }
 
-fn read_machines(answer: &WholeAnswer) -> Result<PlatformReply, PlatformError> {
+fn read_machines(answer: &BufferedResponse) -> Result<PlatformReply, PlatformError> {
     if answer.status != 200 {
         return Err(PlatformError::AnswerLost);
     }
--- a/crates/ledgelead-node/src/ports.rs
+++ b/crates/ledgelead-node/src/ports.rs
@@ -3,7 +3,7 @@
 
 use crate::actor::Ports;
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::respond::Ending;
+use crate::callers::respond::CompletedRequest;
 use crate::clock::ProcessClock;
 use crate::event_log;
 use crate::handle::PendingTickets;
@@ -11,7 +11,7 @@
 use crate::peer::PeerTransport;
 use crate::platform::PlatformClient;
 use crate::servers::cancel::{Cancellation, Canceller};
-use crate::servers::forward::{ConnectionShare, Forwarder};
+use crate::servers::forward::{ConnectionLimit, Forwarder};
 use crate::servers::renewal::{RenewalCall, Renewer};
 use crate::servers::wire::AttemptSender;
 use crate::work_pool::WorkPool;
@@ -42,7 +42,7 @@
     /// Requests that wait for their end.
     pub open_requests: Arc<OpenRequests>,
     /// Writes to callers.
-    pub responders: Arc<WorkPool<Ending>>,
+    pub responders: Arc<WorkPool<CompletedRequest>>,
     /// Operators' commands and inquiries that wait for their end.
     pub pending: Arc<PendingTickets>,
     /// Metrics.
@@ -78,8 +78,8 @@
             Output::CancelAttempt {
                 attempt, address, ..
             } => self.cancel(attempt, address),
-            Output::KeepAnswer(attempt) => self.open_requests.hold_answer(attempt),
-            Output::ForgetAnswer(attempt) => self.open_requests.forget_answer(attempt),
+            Output::KeepAnswer(attempt) => self.open_requests.cache_response(attempt),
+            Output::ForgetAnswer(attempt) => self.open_requests.evict_response(attempt),
             Output::Respond {
                 request,
                 outcome,
@@ -103,7 +103,8 @@
 
     fn observe(&mut self, view: &NodeView) {
         self.metrics.observe(view);
-        self.forwarder.set_shares(&connection_shares(view));
+        self.forwarder
+            .set_connection_limits(&connection_limits(view));
     }
 }
 
@@ -139,12 +140,12 @@
         };
         let mut outcome = outcome;
         if let Some(first) = attempt.filter(|attempt| attempt.request != request) {
-            match self.open_requests.held_answer(first) {
-                Some(answer) => open.give_answer(first, answer),
+            match self.open_requests.cached_response(first) {
+                Some(answer) => open.add_response(first, answer),
                 None => outcome = Outcome::Unknown(UnknownReason::AnswerNotHeld),
             }
         }
-        let ending = Ending {
+        let ending = CompletedRequest {
             request: open,
             outcome,
             attempt,
@@ -157,12 +158,12 @@
 }
 
 /// Divides each server's connections among the live nodes.
-fn connection_shares(view: &NodeView) -> Vec<ConnectionShare> {
+fn connection_limits(view: &NodeView) -> Vec<ConnectionLimit> {
     let live = view.nodes.iter().filter(|node| node.live).count().max(1);
     view.configuration
         .servers
         .iter()
-        .map(|server| ConnectionShare {
+        .map(|server| ConnectionLimit {
             server: server.id,
             connections: (usize::from(server.max_connections) / live).max(1),
         })
--- a/crates/ledgelead-node/src/servers/cancel.rs
+++ b/crates/ledgelead-node/src/servers/cancel.rs
@@ -13,7 +13,7 @@
 use ureq::http::Request;
 
 /// How long a cancellation may take.
-const CANCEL_TIME: Duration = Duration::from_millis(100);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
 /// Threads for cancellations.
 const THREADS: usize = 4;
 /// Cancellations that may wait for a thread.
@@ -42,12 +42,12 @@
     /// # Errors
     /// When the system gives no more threads.
     pub fn start(thread_name: &str, key: Option<ServerKey>) -> std::io::Result<Canceller> {
-        let agent = control_agent(CANCEL_TIME);
+        let agent = control_agent(CANCEL_TIMEOUT);
         let run = move |cancellation: Cancellation| {
             if let Ok(request) = cancel_request(key.as_ref(), &cancellation) {
                 let control = Arc::default();
                 let _ =
-                    exchange::exchange(&agent, request, CANCEL_TIME, MAX_ANSWER_BYTES, &control);
+                    exchange::exchange(&agent, request, CANCEL_TIMEOUT, MAX_ANSWER_BYTES, &control);
             }
             // The server answers the attempt before the cancellation, so what
             // it says of the attempt has arrived or never will.
--- a/crates/ledgelead-node/src/servers/exchange.rs
+++ b/crates/ledgelead-node/src/servers/exchange.rs
@@ -1,7 +1,7 @@
 //! One HTTP exchange with a server, by `ureq`, with the evidence of its end.
 
 use super::resolver::AddressResolver;
-use super::write_tracking::{EvidenceConnector, ExchangeControl, with_control};
+use super::write_tracking::{ExchangeControl, WriteTrackingConnector, with_control};
 use crate::callers::headers::HeaderLine;
 use std::io::{ErrorKind, Read};
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 /// Most bytes of an answer's header; each connection holds as many.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
 /// Bytes of a request that are written at once; each connection holds as many.
-const WRITE_BYTES: usize = 16 * 1024;
+const WRITE_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A server's whole answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers, as sent.
@@ -25,7 +25,7 @@
     pub body: Vec<u8>,
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     /// The first header of this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
@@ -75,9 +75,9 @@
         .no_delay(true)
         .input_buffer_size(MAX_HEADER_BYTES)
         .max_response_header_size(MAX_HEADER_BYTES)
-        .output_buffer_size(WRITE_BYTES)
+        .output_buffer_size(WRITE_BUFFER_BYTES)
         .build();
-    Agent::with_parts(config, EvidenceConnector, AddressResolver)
+    Agent::with_parts(config, WriteTrackingConnector, AddressResolver)
 }
 
 /// Sends a request and reads its whole answer.
@@ -90,15 +90,15 @@
     time: Duration,
     max_answer_bytes: usize,
     control: &Arc<ExchangeControl>,
-) -> Result<WholeAnswer, ExchangeError> {
+) -> Result<BufferedResponse, ExchangeError> {
     if control.is_cancelled() || time.is_zero() {
         return Err(ExchangeError::NotSent);
     }
     with_control(control, || {
         let head_only = request.method() == ureq::http::Method::HEAD;
         let response = send(agent, request, time);
-        let response = response.map_err(|error| judge(&error, control))?;
-        read_whole(response, head_only, max_answer_bytes)
+        let response = response.map_err(|error| classify_error(&error, control))?;
+        read_response(response, head_only, max_answer_bytes)
     })
 }
 
@@ -125,7 +125,7 @@
 }
 
 /// What a failure before the answer's body proves.
-fn judge(error: &ureq::Error, control: &ExchangeControl) -> ExchangeError {
+fn classify_error(error: &ureq::Error, control: &ExchangeControl) -> ExchangeError {
     if !control.writing_began() {
         return ExchangeError::NotSent;
     }
@@ -137,11 +137,11 @@
     }
 }
 
-fn read_whole(
+fn read_response(
     response: Response<Body>,
     head_only: bool,
     max_answer_bytes: usize,
-) -> Result<WholeAnswer, ExchangeError> {
+) -> Result<BufferedResponse, ExchangeError> {
     let (parts, body) = response.into_parts();
     let status = parts.status.as_u16();
     let bodiless = head_only || status == 204 || status == 304;
@@ -158,7 +158,7 @@
         headers.push(HeaderLine::new(name.as_str(), value));
     }
     let body = read_body(body, max_answer_bytes)?;
-    Ok(WholeAnswer {
+    Ok(BufferedResponse {
         status,
         headers,
         body,
--- a/crates/ledgelead-node/src/servers/forward.rs
+++ b/crates/ledgelead-node/src/servers/forward.rs
@@ -1,6 +1,6 @@
 //! Sends callers' requests to servers on a bounded pool of threads.
 
-use super::exchange::{self, AgentLimits, ExchangeError, WholeAnswer};
+use super::exchange::{self, AgentLimits, BufferedResponse, ExchangeError};
 use super::wire::{self, AttemptSender};
 use super::write_tracking::ExchangeControl;
 use crate::InputSink;
@@ -40,7 +40,7 @@
 struct ServerConnections {
     address: Text,
     agent: Agent,
-    most: usize,
+    max_connections: usize,
     in_use: usize,
 }
 
@@ -53,7 +53,7 @@
 
 /// How many connections this node may hold to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConnectionShare {
+pub struct ConnectionLimit {
     /// The server.
     pub server: ServerId,
     /// Connections, at least 1.
@@ -115,23 +115,23 @@
     }
 
     /// Sets how many connections this node may hold to each server.
-    pub fn set_shares(&self, shares: &[ConnectionShare]) {
+    pub fn set_connection_limits(&self, server_limits: &[ConnectionLimit]) {
         let mut servers = self.shared.servers();
-        for share in shares {
-            if let Some(server) = servers.get_mut(&share.server)
-                && server.most != share.connections
+        for limit in server_limits {
+            if let Some(server) = servers.get_mut(&limit.server)
+                && server.max_connections != limit.connections
             {
-                server.most = share.connections;
-                server.agent = self.shared.agent(share.connections);
+                server.max_connections = limit.connections;
+                server.agent = self.shared.agent(limit.connections);
             }
         }
         servers.retain(|server, connections| {
-            connections.in_use > 0 || shares.iter().any(|share| share.server == *server)
+            connections.in_use > 0 || server_limits.iter().any(|limit| limit.server == *server)
         });
-        for share in shares {
+        for limit in server_limits {
             servers
-                .entry(share.server)
-                .or_insert_with(|| self.shared.new_connections(share.connections));
+                .entry(limit.server)
+                .or_insert_with(|| self.shared.new_connections(limit.connections));
         }
     }
 
@@ -148,18 +148,18 @@
 impl Shared {
     fn run(&self, job: Job) {
         let attempt = job.forward.attempt;
-        let Some(agent) = self.take_connection(&job.forward) else {
+        let Some(agent) = self.acquire_connection(&job.forward) else {
             self.end(attempt, AttemptResult::NotSent, None);
             return;
         };
         let ended = self.exchange(&agent, &job);
-        self.give_connection_back(job.forward.server);
+        self.release_connection(job.forward.server);
         match ended {
             Ok(answer) => {
-                let result = wire::result_of(&answer);
+                let result = wire::attempt_result(&answer);
                 let load = answer.header(headers::LOAD).and_then(wire::parse_load);
                 if matches!(result, AttemptResult::Answered { .. }) {
-                    self.open_requests.keep_answer(attempt, answer);
+                    self.open_requests.store_response(attempt, answer);
                 }
                 self.end(attempt, result, load);
             }
@@ -167,9 +167,9 @@
         }
     }
 
-    fn exchange(&self, agent: &Agent, job: &Job) -> Result<WholeAnswer, ExchangeError> {
-        let left = job.until.saturating_duration_since(Instant::now());
-        let time_left = Span::from_micros(left.as_micros() as u64);
+    fn exchange(&self, agent: &Agent, job: &Job) -> Result<BufferedResponse, ExchangeError> {
+        let remaining = job.until.saturating_duration_since(Instant::now());
+        let time_left = Span::from_micros(remaining.as_micros() as u64);
         let request = wire::server_request(&job.forward, &job.request, time_left, &self.sender);
         let request = request.map_err(|error| {
             log::warn!(target: "forward", "request can't be sent as HTTP: {error}");
@@ -178,30 +178,30 @@
         exchange::exchange(
             agent,
             request,
-            left,
+            remaining,
             self.limits.max_answer_bytes,
             &job.control,
         )
     }
 
     /// Takes one of this node's connections to the server, when one is free.
-    fn take_connection(&self, forward: &Forward) -> Option<Agent> {
+    fn acquire_connection(&self, forward: &Forward) -> Option<Agent> {
         let mut servers = self.servers();
         let server = servers
             .entry(forward.server)
             .or_insert_with(|| self.new_connections(DEFAULT_CONNECTIONS));
         if server.address != forward.address {
             server.address = forward.address.clone();
-            server.agent = self.agent(server.most);
+            server.agent = self.agent(server.max_connections);
         }
-        if server.in_use >= server.most {
+        if server.in_use >= server.max_connections {
             return None;
         }
         server.in_use += 1;
         Some(server.agent.clone())
     }
 
-    fn give_connection_back(&self, server: ServerId) {
+    fn release_connection(&self, server: ServerId) {
         if let Some(server) = self.servers().get_mut(&server) {
             server.in_use -= 1;
         }
@@ -216,11 +216,11 @@
         });
     }
 
-    fn new_connections(&self, most: usize) -> ServerConnections {
+    fn new_connections(&self, max_connections: usize) -> ServerConnections {
         ServerConnections {
             address: Text::default(),
-            agent: self.agent(most),
-            most,
+            agent: self.agent(max_connections),
+            max_connections,
             in_use: 0,
         }
     }
--- a/crates/ledgelead-node/src/servers/renewal.rs
+++ b/crates/ledgelead-node/src/servers/renewal.rs
@@ -18,9 +18,9 @@
 use ureq::http::Request;
 
 /// How long a renewal may take, with what it waits for a thread.
-const RENEWAL_TIME: Duration = Duration::from_millis(100);
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long a connection for renewals may be idle: several renewals.
-const IDLE_TIME: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Most bytes of a reply.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
 /// Renewals that may wait for a thread.
@@ -64,7 +64,7 @@
         metrics: Metrics,
         inputs: InputSink,
     ) -> std::io::Result<Renewer> {
-        let agent = control_agent(RENEWAL_TIME);
+        let agent = control_agent(RENEWAL_TIMEOUT);
         let sink = inputs.clone();
         let pool = WorkPool::start(thread_name, threads, MAX_WAITING, move |job: Job| {
             let reply = renew(&agent, key.as_ref(), &metrics, &job);
@@ -79,7 +79,7 @@
 
     /// Starts a renewal; its end comes as [`Input::ServerReplied`].
     pub fn renew(&self, call: RenewalCall) {
-        let until = Instant::now() + RENEWAL_TIME;
+        let until = Instant::now() + RENEWAL_TIMEOUT;
         if let Err(Rejected(job)) = self.pool.submit(Job { call, until }) {
             (self.inputs)(Input::ServerReplied {
                 call: job.call.call,
@@ -99,7 +99,7 @@
 pub(super) fn control_agent(connect_time: Duration) -> Agent {
     exchange::agent(AgentLimits {
         idle_connections: MAX_IDLE_CONNECTIONS,
-        idle_time: IDLE_TIME,
+        idle_time: IDLE_TIMEOUT,
         connect_time,
     })
 }
@@ -123,9 +123,9 @@
         request = request.header(headers::SIGNATURE, signature);
     }
     let request = request.body(body).ok()?;
-    let left = job.until.saturating_duration_since(Instant::now());
+    let remaining = job.until.saturating_duration_since(Instant::now());
     let control = Arc::new(ExchangeControl::default());
-    let answer = exchange::exchange(agent, request, left, MAX_REPLY_BYTES, &control).ok()?;
+    let answer = exchange::exchange(agent, request, remaining, MAX_REPLY_BYTES, &control).ok()?;
     metrics.count_control_in(ControlKind::Renewal, answer.body.len());
     if answer.status != 200 {
         return None;
--- a/crates/ledgelead-node/src/servers/wire.rs
+++ b/crates/ledgelead-node/src/servers/wire.rs
@@ -1,7 +1,7 @@
 //! The HTTP form of what nodes and servers tell each other
 //! (`docs/server-interface.md`).
 
-use super::exchange::WholeAnswer;
+use super::exchange::BufferedResponse;
 use crate::callers::headers;
 use crate::callers::request_head::CallerRequest;
 use ledgelead_types::request::{AttemptId, Forward};
@@ -74,7 +74,7 @@
 }
 
 /// What a server's whole answer proves.
-pub fn result_of(answer: &WholeAnswer) -> AttemptResult {
+pub fn attempt_result(answer: &BufferedResponse) -> AttemptResult {
     if let Some(refusal) = refusal_of(answer) {
         return AttemptResult::Refused(refusal);
     }
@@ -83,7 +83,7 @@
     }
 }
 
-fn refusal_of(answer: &WholeAnswer) -> Option<ServerRefusal> {
+fn refusal_of(answer: &BufferedResponse) -> Option<ServerRefusal> {
     if !matches!(answer.status, 409 | 503) {
         return None;
     }
--- a/crates/ledgelead-node/src/servers/write_tracking.rs
+++ b/crates/ledgelead-node/src/servers/write_tracking.rs
@@ -78,16 +78,16 @@
 
 /// The wrapping connector.
 #[derive(Debug, Default)]
-pub struct EvidenceConnector;
+pub struct WriteTrackingConnector;
 
-impl Connector for EvidenceConnector {
-    type Out = EvidenceTransport;
+impl Connector for WriteTrackingConnector {
+    type Out = WriteTrackingTransport;
 
     fn connect(
         &self,
         details: &ConnectionDetails,
         _chained: Option<()>,
-    ) -> Result<Option<EvidenceTransport>, Error> {
+    ) -> Result<Option<WriteTrackingTransport>, Error> {
         let socket = Arc::new(Mutex::new(None));
         let seen = socket.clone();
         let register = details.register_shutdown.clone();
@@ -111,7 +111,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        Ok(transport.map(|transport| EvidenceTransport {
+        Ok(transport.map(|transport| WriteTrackingTransport {
             inner: Box::new(transport),
             socket,
         }))
@@ -120,12 +120,12 @@
 
 /// The wrapping transport.
 #[derive(Debug)]
-pub struct EvidenceTransport {
+pub struct WriteTrackingTransport {
     inner: Box<dyn Transport>,
     socket: Option<Weak<dyn ShutdownHandle>>,
 }
 
-impl Transport for EvidenceTransport {
+impl Transport for WriteTrackingTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.inner.buffers()
     }
--- a/crates/ledgelead-node/src/settings/finding.rs
+++ b/crates/ledgelead-node/src/settings/finding.rs
@@ -8,7 +8,7 @@
 
 /// Where a mistake is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Location {
     /// Bytes of the file.
     InFile {
         /// First byte and the one behind the last.
@@ -21,10 +21,10 @@
     },
 }
 
-impl Place {
+impl Location {
     /// Bytes of the file.
-    pub fn in_file(bytes: Range<usize>) -> Place {
-        Place::InFile { bytes }
+    pub fn in_file(bytes: Range<usize>) -> Location {
+        Location::InFile { bytes }
     }
 }
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What is wrong, and what was expected.
     pub message: String,
 }
@@ -67,23 +67,23 @@
     }
 
     /// Adds a mistake.
-    pub fn add(&mut self, place: Place, message: String) {
-        self.findings.push(Finding { place, message });
+    pub fn add(&mut self, location: Location, message: String) {
+        self.findings.push(Finding { location, message });
     }
 
     /// Adds an error of the file's syntax. One can cause others behind it, so
     /// only the first of a line is kept, and the first few of the file.
     pub fn add_syntax_error(&mut self, bytes: Range<usize>, message: String) {
         let line = self.locate(bytes.start).line;
-        let same_line = self.findings.iter().any(|finding| match &finding.place {
-            Place::InFile { bytes } => self.locate(bytes.start).line == line,
-            Place::Flag { .. } => false,
+        let same_line = self.findings.iter().any(|finding| match &finding.location {
+            Location::InFile { bytes } => self.locate(bytes.start).line == line,
+            Location::Flag { .. } => false,
         });
         if same_line || self.syntax_errors >= MAX_SYNTAX_ERRORS {
             return;
         }
         self.syntax_errors += 1;
-        self.add(Place::InFile { bytes }, message);
+        self.add(Location::InFile { bytes }, message);
     }
 
     /// Whether the file's syntax is wrong.
@@ -103,10 +103,11 @@
 
     /// The same, in the order of their places; flags last.
     pub fn sorted(mut self) -> Findings {
-        self.findings.sort_by_key(|finding| match &finding.place {
-            Place::InFile { bytes } => (0, bytes.start),
-            Place::Flag { .. } => (1, 0),
-        });
+        self.findings
+            .sort_by_key(|finding| match &finding.location {
+                Location::InFile { bytes } => (0, bytes.start),
+                Location::Flag { .. } => (1, 0),
+            });
         self.findings.dedup();
         self
     }
@@ -129,12 +130,12 @@
 impl fmt::Display for Findings {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for finding in &self.findings {
-            match &finding.place {
-                Place::InFile { bytes } => {
+            match &finding.location {
+                Location::InFile { bytes } => {
                     let LineColumn { line, column } = self.locate(bytes.start);
                     write!(formatter, "{}:{line}:{column}: ", self.file)?;
                 }
-                Place::Flag { name } => write!(formatter, "--{name}: ")?,
+                Location::Flag { name } => write!(formatter, "--{name}: ")?,
             }
             writeln!(formatter, "{}", finding.message)?;
         }
--- a/crates/ledgelead-node/src/settings/mod.rs
+++ b/crates/ledgelead-node/src/settings/mod.rs
@@ -1,12 +1,12 @@
 //! Settings of a node: a TOML file, overridden by flags.
 //!
-//! Every mistake is collected with its place and reported together
+//! Every mistake is collected with its location and reported together
 //! ([`finding::Findings`]); nothing is started on a file with a mistake.
 
 pub mod finding;
 mod reader;
 
-use finding::{Findings, Place};
+use finding::{Findings, Location};
 use ledgelead_core::SeedNode;
 use ledgelead_types::{NodeId, Text, ZoneId};
 use reader::Section;
@@ -120,7 +120,7 @@
         Secret(secret.into())
     }
 
-    /// The secret itself, for the one place that uses it.
+    /// The secret itself, for the one location that uses it.
     pub fn expose(&self) -> &str {
         &self.0
     }
@@ -235,11 +235,15 @@
 }
 
 /// A key that is long enough to be a secret.
-fn secret_key(name: &str, key: Option<(String, Place)>, findings: &mut Findings) -> Option<Secret> {
-    let (key, place) = key?;
+fn secret_key(
+    name: &str,
+    key: Option<(String, Location)>,
+    findings: &mut Findings,
+) -> Option<Secret> {
+    let (key, location) = key?;
     if key.len() < MIN_KEY_BYTES {
         let expected = format!("expected a secret of {MIN_KEY_BYTES} bytes or more");
-        findings.add(place, format!("{name} is too short: {expected}"));
+        findings.add(location, format!("{name} is too short: {expected}"));
     }
     Some(Secret::new(key))
 }
@@ -294,10 +298,10 @@
         ("stop-time-ms", &mut limits.stop_time),
     ];
     /// An hour: nothing here should take longer.
-    const LONGEST_MS: u64 = 3_600_000;
+    const MAX_MS: u64 = 3_600_000;
     for (name, value) in times {
         names.push(name);
-        if let Some(number) = section.optional_number(name, 1..=LONGEST_MS, findings) {
+        if let Some(number) = section.optional_number(name, 1..=MAX_MS, findings) {
             *value = Duration::from_millis(number);
         }
     }
--- a/crates/ledgelead-node/src/settings/reader.rs
+++ b/crates/ledgelead-node/src/settings/reader.rs
@@ -1,6 +1,6 @@
 //! Typed reading of TOML tables that collects mistakes and goes on.
 
-use super::finding::{Findings, Place, nearest};
+use super::finding::{Findings, Location, nearest};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use toml::Spanned;
@@ -11,13 +11,13 @@
 /// Names of the log levels.
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-/// A table of the file, or the place where one is missing.
+/// A table of the file, or the location where one is missing.
 pub struct Section<'a> {
     name: String,
     table: Option<&'a DeTable<'a>>,
     /// Where to report what is missing; `None` when that was reported, or
     /// when nothing is required.
-    place: Option<Place>,
+    location: Option<Location>,
 }
 
 impl<'a> Section<'a> {
@@ -26,7 +26,7 @@
         Section {
             name: String::new(),
             table: Some(table),
-            place: Some(Place::in_file(0..0)),
+            location: Some(Location::in_file(0..0)),
         }
     }
 
@@ -35,7 +35,7 @@
         let section = self.optional_section(name, findings);
         if section.table.is_none() && self.get(name).is_none() {
             return Section {
-                place: Some(Place::in_file(0..0)),
+                location: Some(Location::in_file(0..0)),
                 ..section
             };
         }
@@ -47,7 +47,7 @@
         let mut section = Section {
             name: self.path(name),
             table: None,
-            place: None,
+            location: None,
         };
         let Some(value) = self.get(name) else {
             return section;
@@ -55,11 +55,14 @@
         match value.get_ref() {
             DeValue::Table(table) => {
                 section.table = Some(table);
-                section.place = Some(place_of(value));
+                section.location = Some(location_of(value));
             }
             other => findings.add(
-                place_of(value),
-                format!("{name} is {}: expected a table [{name}]", kind(other)),
+                location_of(value),
+                format!(
+                    "{name} is {}: expected a table [{name}]",
+                    describe_value(other)
+                ),
             ),
         }
         section
@@ -73,10 +76,10 @@
         let path = self.path(name);
         let DeValue::Array(items) = value.get_ref() else {
             findings.add(
-                place_of(value),
+                location_of(value),
                 format!(
                     "{path} is {}: expected an array of tables",
-                    kind(value.get_ref())
+                    describe_value(value.get_ref())
                 ),
             );
             return Vec::new();
@@ -87,11 +90,11 @@
                 DeValue::Table(table) => sections.push(Section {
                     name: path.clone(),
                     table: Some(table),
-                    place: Some(place_of(item)),
+                    location: Some(location_of(item)),
                 }),
                 other => findings.add(
-                    place_of(item),
-                    format!("{path} holds {}: expected tables", kind(other)),
+                    location_of(item),
+                    format!("{path} holds {}: expected tables", describe_value(other)),
                 ),
             }
         }
@@ -109,8 +112,8 @@
                 Some(near) => format!("did you mean {near}?"),
                 None => format!("expected one of {}", valid.join(", ")),
             };
-            let place = Place::in_file(name.span());
-            findings.add(place, format!("{path} is not a setting: {hint}"));
+            let location = Location::in_file(name.span());
+            findings.add(location, format!("{path} is not a setting: {hint}"));
         }
     }
 
@@ -126,8 +129,8 @@
         if let Some(text) = flag {
             let number = text.parse().ok().filter(|number| range.contains(number));
             if number.is_none() {
-                let place = Place::Flag { name };
-                findings.add(place, format!("{text:?} is no such number: {expected}"));
+                let location = Location::Flag { name };
+                findings.add(location, format!("{text:?} is no such number: {expected}"));
             }
             return number;
         }
@@ -177,8 +180,8 @@
             let address = text.parse().ok();
             if address.is_none() {
                 let name = if name == "address" { "platform" } else { name };
-                let place = Place::Flag { name };
-                findings.add(place, format!("{text:?} is no address: {EXPECTED}"));
+                let location = Location::Flag { name };
+                findings.add(location, format!("{text:?} is no address: {EXPECTED}"));
             }
             return address;
         }
@@ -200,22 +203,22 @@
         address
     }
 
-    /// A text that must be given, and its place.
-    pub fn text(&self, name: &str, findings: &mut Findings) -> Option<(String, Place)> {
+    /// A text that must be given, and its location.
+    pub fn text(&self, name: &str, findings: &mut Findings) -> Option<(String, Location)> {
         if self.get(name).is_none() {
             self.missing(name, "expected a text", findings);
         }
         self.optional_text(name, findings)
     }
 
-    /// A text that may be absent, and its place.
-    pub fn optional_text(&self, name: &str, findings: &mut Findings) -> Option<(String, Place)> {
+    /// A text that may be absent, and its location.
+    pub fn optional_text(&self, name: &str, findings: &mut Findings) -> Option<(String, Location)> {
         let value = self.get(name)?;
         let text = value.get_ref().as_str();
         if text.is_none() {
             self.mismatch(name, value, "expected a text", findings);
         }
-        text.map(|text| (text.to_owned(), place_of(value)))
+        text.map(|text| (text.to_owned(), location_of(value)))
     }
 
     /// A log level; `info` when absent.
@@ -228,8 +231,8 @@
         let expected = format!("expected one of {}", LOG_LEVELS.join(", "));
         if let Some(text) = flag {
             return text.parse().unwrap_or_else(|_| {
-                let place = Place::Flag { name: "log-level" };
-                findings.add(place, format!("{text:?} is no level: {expected}"));
+                let location = Location::Flag { name: "log-level" };
+                findings.add(location, format!("{text:?} is no level: {expected}"));
                 log::LevelFilter::Info
             });
         }
@@ -259,9 +262,9 @@
             // What seems to be missing may stand behind the error.
             return;
         }
-        if let Some(place) = &self.place {
+        if let Some(location) = &self.location {
             findings.add(
-                place.clone(),
+                location.clone(),
                 format!("{} is missing: {expected}", self.path(name)),
             );
         }
@@ -275,13 +278,16 @@
         findings: &mut Findings,
     ) {
         let path = self.path(name);
-        let kind = kind(value.get_ref());
-        findings.add(place_of(value), format!("{path} is {kind}: {expected}"));
+        let describe_value = describe_value(value.get_ref());
+        findings.add(
+            location_of(value),
+            format!("{path} is {describe_value}: {expected}"),
+        );
     }
 }
 
-fn place_of<T>(value: &Spanned<T>) -> Place {
-    Place::in_file(value.span())
+fn location_of<T>(value: &Spanned<T>) -> Location {
+    Location::in_file(value.span())
 }
 
 fn describe(range: &RangeInclusive<u64>) -> String {
@@ -289,7 +295,7 @@
 }
 
 /// Type and, where it is short, value. Never called with the cluster's key.
-fn kind(value: &DeValue<'_>) -> String {
+fn describe_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) if text.chars().count() <= MAX_SHOWN_CHARS => format!("{text:?}"),
         DeValue::String(_) => "a long text".to_owned(),
--- a/crates/ledgelead-node/src/work_pool.rs
+++ b/crates/ledgelead-node/src/work_pool.rs
@@ -12,8 +12,8 @@
 
 struct Shared<J> {
     queue: Mutex<Queue<J>>,
-    changed: Condvar,
-    became_idle: Condvar,
+    job_available: Condvar,
+    all_idle: Condvar,
 }
 
 struct Queue<J> {
@@ -49,8 +49,8 @@
                     idle: 0,
                     closed: false,
                 }),
-                changed: Condvar::new(),
-                became_idle: Condvar::new(),
+                job_available: Condvar::new(),
+                all_idle: Condvar::new(),
             }),
         };
         let run = Arc::new(run);
@@ -59,7 +59,7 @@
             let run = run.clone();
             thread::Builder::new()
                 .name(name.to_owned())
-                .spawn(move || shared.work(&*run))?;
+                .spawn(move || shared.run_worker(&*run))?;
         }
         Ok(pool)
     }
@@ -72,7 +72,7 @@
         }
         queue.jobs.push_back(job);
         drop(queue);
-        self.shared.changed.notify_one();
+        self.shared.job_available.notify_one();
         Ok(())
     }
 }
@@ -85,7 +85,7 @@
         queue.closed = true;
         queue.jobs.clear();
         drop(queue);
-        self.shared.changed.notify_all();
+        self.shared.job_available.notify_all();
     }
 }
 
@@ -97,11 +97,11 @@
             if queue.jobs.is_empty() && queue.idle == queue.threads {
                 return true;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let wait = self.shared.became_idle.wait_timeout(queue, left);
+            let wait = self.shared.all_idle.wait_timeout(queue, remaining);
             queue = wait.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -114,13 +114,13 @@
 }
 
 impl<J> Shared<J> {
-    fn work(&self, run: &dyn Fn(J)) {
-        while let Some(job) = self.next() {
+    fn run_worker(&self, run: &dyn Fn(J)) {
+        while let Some(job) = self.next_job() {
             run(job);
         }
     }
 
-    fn next(&self) -> Option<J> {
+    fn next_job(&self) -> Option<J> {
         let mut queue = self.lock();
         loop {
             if let Some(job) = queue.jobs.pop_front() {
@@ -131,10 +131,10 @@
             }
             queue.idle += 1;
             if queue.idle == queue.threads {
-                self.became_idle.notify_all();
+                self.all_idle.notify_all();
             }
             queue = self
-                .changed
+                .job_available
                 .wait(queue)
                 .unwrap_or_else(PoisonError::into_inner);
             queue.idle -= 1;
--- a/crates/ledgelead-node/tests/callers.rs
+++ b/crates/ledgelead-node/tests/callers.rs
@@ -5,8 +5,8 @@
 use ledgelead_core::Input;
 use ledgelead_node::InputSink;
 use ledgelead_node::callers::open_requests::OpenRequests;
-use ledgelead_node::callers::proxy::CallerGuard;
-use ledgelead_node::callers::respond::{self, Ending};
+use ledgelead_node::callers::proxy::CallerProxy;
+use ledgelead_node::callers::respond::{self, CompletedRequest};
 use ledgelead_node::callers::server::CallerServer;
 use ledgelead_node::metrics::Metrics;
 use ledgelead_node::settings::Limits;
@@ -27,7 +27,7 @@
     address: SocketAddr,
     arrivals: Mutex<Receiver<RequestArrival>>,
     left: Mutex<Receiver<RequestId>>,
-    _guard: CallerGuard,
+    _guard: CallerProxy,
     _server: CallerServer,
 }
 
@@ -57,7 +57,7 @@
         if !answered {
             return;
         }
-        let ending = Ending {
+        let ending = CompletedRequest {
             request: open.close(id).expect("open"),
             outcome: Outcome::NotRun(NotRunReason::NoServer),
             attempt: None,
@@ -78,11 +78,11 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let caller_left = Box::new(move |connection| {
-        for id in open_requests.of_connection(connection) {
+        for id in open_requests.on_connection(connection) {
             let _ = leaving.send(id);
         }
     });
-    let guard = CallerGuard::start("guard", listener, inner, limits, caller_left);
+    let guard = CallerProxy::start("guard", listener, inner, limits, caller_left);
     Front {
         address,
         arrivals: Mutex::new(arrivals),
--- a/crates/ledgelead-node/tests/command_line.rs
+++ b/crates/ledgelead-node/tests/command_line.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use ledgelead_node::command_line::{
-    EXIT_FAILED, EXIT_USAGE, Invocation, Job, OperatorInvocation, parse, run,
+    EXIT_FAILED, EXIT_USAGE, Invocation, OperatorAction, OperatorInvocation, parse, run,
 };
 use ledgelead_node::settings::Overrides;
 use std::ffi::OsString;
@@ -35,7 +35,7 @@
     expect_that!(parsed("--version"), ok(eq(&Invocation::Version)));
     let query = parsed("query --address 10.0.0.1:1 servers");
     let expected = pat!(Invocation::Operator(pat!(OperatorInvocation {
-        job: eq(&Job::Query),
+        action: eq(&OperatorAction::Query),
         address: eq("10.0.0.1:1"),
         text: some(eq("servers")),
         ..
--- a/crates/ledgelead-node/tests/exchange.rs
+++ b/crates/ledgelead-node/tests/exchange.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use ledgelead_node::callers::headers::HeaderLine;
 use ledgelead_node::callers::request_head::CallerRequest;
-use ledgelead_node::servers::exchange::{self, AgentLimits, ExchangeError, WholeAnswer};
+use ledgelead_node::servers::exchange::{self, AgentLimits, BufferedResponse, ExchangeError};
 use ledgelead_node::servers::resolver::AddressResolver;
 use ledgelead_node::servers::wire::{self, AttemptSender};
 use ledgelead_node::servers::write_tracking::ExchangeControl;
@@ -58,7 +58,7 @@
     address: SocketAddr,
     method: &str,
     time: Duration,
-) -> std::result::Result<WholeAnswer, ExchangeError> {
+) -> std::result::Result<BufferedResponse, ExchangeError> {
     let request = CallerRequest {
         method: method.to_owned(),
         target: "/a/b?c=d".to_owned(),
@@ -80,7 +80,7 @@
     exchange::exchange(&agent(), request, time, MAX_ANSWER_BYTES, &control)
 }
 
-fn end_of(script: Script) -> std::result::Result<WholeAnswer, ExchangeError> {
+fn end_of(script: Script) -> std::result::Result<BufferedResponse, ExchangeError> {
     let server = RawServer::start(vec![script]);
     let end = send(server.address, "GET", AMPLE);
     server.finish();
@@ -203,29 +203,29 @@
 
 #[gtest]
 fn refusals_and_load_are_read() {
-    let refusal = WholeAnswer {
+    let refusal = BufferedResponse {
         status: 503,
         headers: vec![HeaderLine::new("ledgelead-refused", "not-owner")],
         body: Vec::new(),
     };
     expect_that!(
-        wire::result_of(&refusal),
+        wire::attempt_result(&refusal),
         eq(AttemptResult::Refused(ServerRefusal::NotOwner))
     );
-    let plain_failure = WholeAnswer {
+    let plain_failure = BufferedResponse {
         status: 503,
-        ..WholeAnswer::default()
+        ..BufferedResponse::default()
     };
     expect_that!(
-        wire::result_of(&plain_failure),
+        wire::attempt_result(&plain_failure),
         eq(AttemptResult::Answered { failure: true })
     );
-    let disguised = WholeAnswer {
+    let disguised = BufferedResponse {
         status: 200,
         ..refusal
     };
     expect_that!(
-        wire::result_of(&disguised),
+        wire::attempt_result(&disguised),
         eq(AttemptResult::Answered { failure: false })
     );
     let load = wire::parse_load("executing=1, waiting=2,utilization=7.5,cold=1,new=x");
