--- a/crates/ledgelead-node/src/actor.rs
+++ b/crates/ledgelead-node/src/actor.rs
@@ -1,7 +1,7 @@
-//! The node's actor: owns the decisions and steps them.
+//! The node's actor, which owns and drives the core's state machine.
 //!
-//! No sockets and no clock here: both are behind [`Ports`], so that the
-//! simulation runs this very actor over simulated ports and a virtual clock.
+//! The actor has neither sockets nor a clock: both are behind [`Ports`], so that the
+//! simulation can run the same actor with simulated ports and a virtual clock.
 
 use ledgelead_core::{Input, NodeCore, NodeSettings, Output};
 use ledgelead_types::event::Event;
@@ -10,28 +10,27 @@
 use stakker::{CX, FixedTimerKey, at};
 use std::time::Duration;
 
-/// What the actor needs of the world around it.
+/// The environment of the actor: its clock and the execution of outputs.
 pub trait Ports: 'static {
-    /// The present time on this process's monotonic clock.
+    /// The current time on this process's monotonic clock.
     fn now(&self) -> Time;
 
-    /// Carries out one output. Must not block.
+    /// Executes one output. Must not block.
     fn perform(&mut self, output: Output);
 
-    /// The node's view after a change of the configuration or of the live
+    /// Called with the node's view after a change of the configuration or of the live
     /// nodes.
     fn observe(&mut self, _view: &NodeView) {}
 
-    /// How long the actor's timers must wait until this process's clock has
-    /// advanced by `span`. A simulated clock that runs fast or slow answers
-    /// with another length.
+    /// How long the actor's timers have to wait until this process's clock has advanced
+    /// by `span`. A simulated clock that runs fast or slow returns a different duration.
     fn timer_delay(&self, span: Span) -> Duration {
         span.to_std()
     }
 }
 
-/// Added to every timer, so that rounding can't make it fire before its time
-/// and spin.
+/// Added to every timer. Without it, rounding could make a timer fire early and be
+/// armed again in a busy loop.
 const TIMER_ROUNDING: Duration = Duration::from_micros(1);
 
 /// The actor.
@@ -43,7 +42,7 @@
 }
 
 impl<P: Ports> NodeActor<P> {
-    /// Starts the node's decisions.
+    /// Starts the core.
     pub fn init(cx: CX![], settings: NodeSettings, ports: P) -> Option<Self> {
         let core = NodeCore::new(settings, ports.now());
         let mut actor = NodeActor {
@@ -56,13 +55,13 @@
         Some(actor)
     }
 
-    /// Takes in one event.
+    /// Handles one event.
     pub fn input(&mut self, cx: CX![], input: Input) {
         self.core.step(self.ports.now(), input);
         self.perform_outputs(cx);
     }
 
-    /// Takes in several events; their outputs are carried out together.
+    /// Handles several events; their outputs are executed together.
     pub fn inputs(&mut self, cx: CX![], inputs: Vec<Input>) {
         for input in inputs {
             self.core.step(self.ports.now(), input);
@@ -70,7 +69,7 @@
         self.perform_outputs(cx);
     }
 
-    /// Shows `receive` what this node can tell an operator.
+    /// Calls `receive` with this node's view for operators.
     pub fn inspect(&mut self, _cx: CX![], receive: impl FnOnce(NodeView)) {
         receive(self.core.view(self.ports.now()));
     }
@@ -81,7 +80,7 @@
         self.perform_outputs(cx);
     }
 
-    /// Carries out what the decisions want, and arms the timer.
+    /// Executes the core's outputs and arms the timer.
     fn perform_outputs(&mut self, cx: CX![]) {
         let mut view_changed = false;
         for output in self.core.take_outputs() {
--- a/crates/ledgelead-node/src/administration.rs
+++ b/crates/ledgelead-node/src/administration.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface: health, readiness, metrics, queries and
+//! The HTTP interface for operators: health, readiness, metrics, queries and
 //! commands (`docs/operations/administration.md`).
 
 mod answers;
@@ -15,26 +15,26 @@
 use std::time::Duration;
 use tiny_http::{Header, Method, Request, Response, Server, StatusCode};
 
-/// Threads that serve operators.
+/// Threads that serve operators' requests.
 const THREADS: usize = 8;
-/// Statements that are carried out at once; the other threads stay free for
-/// health and metrics.
+/// Statements that run at the same time; the other threads stay free for health and
+/// metrics.
 const MAX_CONCURRENT_STATEMENTS: usize = THREADS - 2;
-/// How long the node may take to tell its view.
+/// How long the node may take to return its view.
 const VIEW_TIMEOUT: Duration = Duration::from_secs(1);
 /// Media type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Media type of short answers.
+/// Media type of plain text responses.
 const TEXT_TYPE: &str = "text/plain; charset=utf-8";
 
-/// What routes work with.
+/// The data that routes have access to.
 #[derive(Clone)]
 pub struct Context {
     /// The node.
     pub node: NodeHandle,
-    /// Its metrics.
+    /// The node's metrics.
     pub metrics: Metrics,
-    /// Set when callers are served no more.
+    /// Set when callers' requests are no longer served.
     pub callers_failed: Arc<AtomicBool>,
     remote_addresses: RemoteAddresses,
     statements: Arc<AtomicUsize>,
@@ -42,7 +42,7 @@
 }
 
 impl Context {
-    /// What routes of a node work with.
+    /// The context of a node's routes.
     pub fn new(
         node: NodeHandle,
         metrics: Metrics,
@@ -60,7 +60,7 @@
     }
 }
 
-/// An answer to an operator.
+/// A response to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// HTTP status.
@@ -72,7 +72,7 @@
 }
 
 impl Reply {
-    /// A short answer in plain text.
+    /// A response in plain text.
     pub fn text(status: u16, body: impl Into<String>) -> Reply {
         Reply {
             status,
@@ -88,7 +88,7 @@
     pub method: Method,
     /// Path, without a query.
     pub path: &'static str,
-    /// Answers a request; it may read the body.
+    /// Handles a request; it may read the body.
     pub handle: fn(&Context, &mut Request) -> Reply,
 }
 
@@ -123,7 +123,7 @@
     ]
 }
 
-/// The process answers, and so does its actor.
+/// Healthy if the HTTP server for callers works and the node's actor responds.
 fn health(context: &Context, _request: &mut Request) -> Reply {
     if context.callers_failed.load(Ordering::Acquire) {
         return Reply::text(503, "callers are not served\n");
@@ -134,9 +134,9 @@
     }
 }
 
-/// The node serves callers, has a configuration and knows routes of all
-/// groups. Once it has been ready, a group that is new or being rebuilt does
-/// not make it unready: its other services are served.
+/// Ready if the node serves callers, has a configuration and has routes of all groups.
+/// Once it was ready, a group without routes, which is new or being rebuilt, does not
+/// make it unready, since the services of the other groups are served.
 fn readiness(context: &Context, _request: &mut Request) -> Reply {
     if context.callers_failed.load(Ordering::Acquire) {
         return Reply::text(503, "callers are not served\n");
@@ -189,10 +189,10 @@
 }
 
 impl AdministrationServer {
-    /// Starts the threads on a server that listens.
+    /// Starts the threads on a listening server.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         thread_name: &str,
         server: Server,
@@ -214,7 +214,7 @@
         Ok(AdministrationServer { shared })
     }
 
-    /// Ends the threads.
+    /// Stops the threads.
     pub fn close(&self) {
         self.shared.closed.store(true, Ordering::Release);
         for _ in 0..THREADS {
@@ -266,6 +266,6 @@
         None,
     );
     if let Err(error) = request.respond(response) {
-        log::debug!(target: "administration", "answer not written: {error}");
+        log::debug!(target: "administration", "writing a response failed: {error}");
     }
 }
--- a/crates/ledgelead-node/src/administration/answers.rs
+++ b/crates/ledgelead-node/src/administration/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to operators as JSON.
+//! JSON responses to operators.
 
 use super::Reply;
 use ledgelead_query::{Accepted, QueryAnswer, Refusal};
@@ -6,10 +6,10 @@
 use ledgelead_types::administration::CommandRejection;
 use serde_json::{Value, json};
 
-/// Media type of answers.
+/// Media type of the responses.
 const JSON_TYPE: &str = "application/json";
 
-/// A JSON answer.
+/// A JSON response.
 pub(super) fn json(status: u16, body: &Value) -> Reply {
     Reply {
         status,
@@ -18,7 +18,7 @@
     }
 }
 
-/// A refusal with a code for programs and words for people.
+/// A refusal with a machine-readable code and a message.
 pub(super) fn error(status: u16, code: &str, message: &str) -> Reply {
     json(
         status,
@@ -26,7 +26,7 @@
     )
 }
 
-/// The tables, for people when text is wanted.
+/// The response to a query: tables as text, or as JSON.
 pub(super) fn tables(answer: &QueryAnswer, as_text: bool) -> Reply {
     if as_text {
         let tables: Vec<String> = answer
@@ -49,7 +49,7 @@
     json(200, &body)
 }
 
-/// A command that took effect.
+/// The response to a command that took effect.
 pub(super) fn accepted(id: &str, accepted: &Accepted) -> Reply {
     let body = match accepted {
         Accepted::Configured {
@@ -71,7 +71,7 @@
     json(200, &body)
 }
 
-/// A statement that was not carried out.
+/// The response to a statement that was not executed.
 pub(super) fn refused(refusal: &Refusal, text: &str) -> Reply {
     match refusal {
         Refusal::Mistakes(findings) => {
--- a/crates/ledgelead-node/src/administration/credentials.rs
+++ b/crates/ledgelead-node/src/administration/credentials.rs
@@ -1,5 +1,5 @@
-//! Who asks: the credential of a request against the configuration's
-//! operators. The credential itself is never kept or logged.
+//! Authentication: checks a request's credential against the operators of the
+//! configuration. The credential itself is never stored or logged.
 
 use super::Context;
 use crate::callers::request_head::sha256_hex;
@@ -10,17 +10,17 @@
 
 /// Scheme of the `Authorization` header.
 const SCHEME: &str = "bearer";
-/// Name under which commands run before there are operators.
+/// Operator name for commands that run before operators are configured.
 const BOOTSTRAP_OPERATOR: &str = "bootstrap";
 
-/// Why a request was not taken for an operator's.
+/// Why a request was not authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unauthorized {
-    /// It has no credential.
+    /// The request has no credential.
     NoCredential,
-    /// No operator has its credential.
+    /// No operator has this credential.
     UnknownCredential,
-    /// There are no operators yet, and it did not come from this machine.
+    /// There are no operators yet, and the request does not come from this machine.
     NotLocal,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The operator who asks.
+/// The operator that sent a request.
 pub(super) fn authenticate(
     context: &Context,
     request: &Request,
@@ -47,9 +47,9 @@
     operator_of(configuration, bearer(request), remote_address)
 }
 
-/// The operator with a credential. While the configuration names no
-/// operators, anybody on the node's own machine may do everything, so that the
-/// first operator can be created.
+/// The operator with a credential. While the configuration has no operators, every
+/// request from the node's own machine has all permissions, so that the first operator
+/// can be created.
 pub(super) fn operator_of(
     configuration: &Configuration,
     credential: Option<&str>,
--- a/crates/ledgelead-node/src/administration/credentials_tests.rs
+++ b/crates/ledgelead-node/src/administration/credentials_tests.rs
@@ -1,4 +1,4 @@
-//! Who is taken for an operator.
+//! Authentication of operators.
 
 use super::*;
 use googletest::prelude::*;
@@ -25,7 +25,7 @@
 }
 
 #[gtest]
-fn an_operator_is_known_by_its_credential_alone() {
+fn operators_are_authenticated_by_credential_only() {
     let configuration = with_operator("secret");
     let ada = Ok("ada".to_owned());
     let far = "10.1.2.3:999";
@@ -46,11 +46,11 @@
 }
 
 #[gtest]
-fn without_operators_only_the_own_machine_may_begin() {
+fn without_operators_only_local_requests_are_accepted() {
     let empty = Configuration::default();
-    let begun = Ok(BOOTSTRAP_OPERATOR.to_owned());
+    let bootstrap = Ok(BOOTSTRAP_OPERATOR.to_owned());
     for local in ["127.0.0.1:999", "[::1]:999", "[::ffff:127.0.0.1]:999"] {
-        expect_that!(name(&empty, None, local), eq(&begun));
+        expect_that!(name(&empty, None, local), eq(&bootstrap));
     }
     for far in ["10.1.2.3:999", "[fe80::1]:999", "unknown"] {
         expect_that!(
--- a/crates/ledgelead-node/src/administration/statements.rs
+++ b/crates/ledgelead-node/src/administration/statements.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/query` and `POST /v1/command`.
+//! The routes `POST /v1/query` and `POST /v1/command`.
 
 use super::answers::{accepted, error, refused, tables};
 use super::credentials::{Unauthorized, authenticate};
@@ -18,15 +18,15 @@
 use std::time::{Duration, Instant};
 use tiny_http::Request;
 
-/// Longest body.
+/// Longest body, in bytes.
 const MAX_BODY_BYTES: u64 = 256 * 1024;
-/// How long the other nodes may take to tell their parts of a view.
+/// How long the other nodes may take to return their parts of a view.
 const INQUIRY_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a command may take.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long newer configurations are waited for, for one request.
+/// How long one request may wait for newer configurations to take effect.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two looks at which nodes have a configuration.
+/// How often a waiting request checks which nodes have a configuration.
 const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Body of `POST /v1/query`.
@@ -48,7 +48,7 @@
     wait: bool,
 }
 
-/// Answers queries.
+/// Runs a query.
 pub(super) fn query(context: &Context, request: &mut Request) -> Reply {
     serve(context, request, |request, operator| {
         let as_text = wants_text(request);
@@ -65,7 +65,7 @@
     })
 }
 
-/// Carries out commands.
+/// Runs a command.
 pub(super) fn command(context: &Context, request: &mut Request) -> Reply {
     serve(context, request, |request, operator| {
         let body: CommandBody = read(request)?;
@@ -85,8 +85,8 @@
     })
 }
 
-/// Who asked for what and how it ended; the text may hold what belongs to a
-/// team and is not logged.
+/// Logs the operator, the command's identifier and the status. The command's text is
+/// not logged, since it may contain data of a team.
 fn log_command(operator: &OperatorConfiguration, id: &str, status: u16) {
     let fields = JsonFields::new()
         .text("event", "operator-command")
@@ -96,7 +96,7 @@
     log::info!(target: EVENT_TARGET, "{fields}");
 }
 
-/// Bounds how many statements run at once, and finds out who asks.
+/// Limits the number of concurrent statements and authenticates the operator.
 fn serve(
     context: &Context,
     request: &mut Request,
@@ -130,7 +130,7 @@
     })
 }
 
-/// Reads a JSON body; the reply says what is wrong with it.
+/// Parses a JSON body; the error is the reply to the operator.
 fn read<T: DeserializeOwned>(request: &mut Request) -> Result<T, Reply> {
     let mut bytes = Vec::new();
     let mut body = request.as_reader().take(MAX_BODY_BYTES + 1);
@@ -146,13 +146,13 @@
     })
 }
 
-/// One of the places for statements; given back when dropped.
+/// A slot for a running statement, released when dropped.
 struct StatementSlot<'a>(&'a AtomicUsize);
 
 impl<'a> StatementSlot<'a> {
     fn acquire(running: &'a AtomicUsize) -> Option<StatementSlot<'a>> {
         let slot = StatementSlot(running);
-        // Dropping the place gives it back also when it was one too many.
+        // A slot above the limit is dropped here, which releases it again.
         (running.fetch_add(1, Ordering::AcqRel) < MAX_CONCURRENT_STATEMENTS).then_some(slot)
     }
 }
@@ -163,7 +163,7 @@
     }
 }
 
-/// The deployment through this node.
+/// Access to the deployment through this node.
 struct NodeDeployment<'a> {
     node: &'a NodeHandle,
     wait_until: Instant,
--- a/crates/ledgelead-node/src/callers/headers.rs
+++ b/crates/ledgelead-node/src/callers/headers.rs
@@ -1,34 +1,34 @@
-//! Names of the protocol's headers, and which headers are passed on.
+//! Names of the protocol's headers, and the rules by which headers are forwarded.
 
-/// Key of the request, for a service that is divided by key.
+/// Key of the request, for a service that is partitioned by key.
 pub const KEY: &str = "Ledgelead-Key";
 /// Milliseconds until the caller's deadline.
 pub const DEADLINE_MS: &str = "Ledgelead-Deadline-Ms";
-/// The caller's own identifier, echoed in the answer.
+/// The caller's own identifier, repeated in the response.
 pub const REQUEST_ID: &str = "Ledgelead-Request-Id";
-/// Whether running the request more than once does no harm.
+/// Whether the request is safe to run more than once.
 pub const REPEATABLE: &str = "Ledgelead-Repeatable";
 /// The caller's idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 /// The caller's credential.
 pub const AUTHORIZATION: &str = "Authorization";
-/// How the request ended.
+/// Outcome of the request.
 pub const OUTCOME: &str = "Ledgelead-Outcome";
-/// Why the request was not run, or why that is unknown.
+/// Why the request was not run, or why it is unknown whether it was run.
 pub const REASON: &str = "Ledgelead-Reason";
-/// Milliseconds after which the caller may try again.
+/// Milliseconds after which the caller may retry.
 pub const RETRY_AFTER_MS: &str = "Ledgelead-Retry-After-Ms";
-/// Seconds after which the caller may try again.
+/// Seconds after which the caller may retry.
 pub const RETRY_AFTER: &str = "Retry-After";
-/// Token of the slice on which a request to a server relies.
+/// Fencing token of the slice that the request's key belongs to.
 pub const TOKEN: &str = "Ledgelead-Token";
-/// Position of the request's key, in hexadecimal.
+/// Hash position of the request's key, in hexadecimal.
 pub const POSITION: &str = "Ledgelead-Position";
-/// Names one attempt of a request.
+/// Name of one attempt of a request.
 pub const ATTEMPT: &str = "Ledgelead-Attempt";
 /// Tier of the request's caller.
 pub const TIER: &str = "Ledgelead-Tier";
-/// Signature of what a node orders of a server.
+/// Signature of a control request of a node to a server.
 pub const SIGNATURE: &str = "Ledgelead-Signature";
 /// A server's refusal: the request was not started.
 pub const REFUSED: &str = "Ledgelead-Refused";
@@ -38,8 +38,8 @@
 /// Prefix of the protocol's own headers.
 const PROTOCOL_PREFIX: &str = "ledgelead";
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and
-/// those that both ends' libraries write themselves.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), and
+/// those that the HTTP libraries at both ends write themselves.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "content-length",
@@ -54,12 +54,12 @@
     "upgrade",
 ];
 
-/// One header of a request or an answer.
+/// One header of a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderLine {
-    /// Name, as sent.
+    /// Name, as received.
     pub name: String,
-    /// Value, as sent.
+    /// Value, as received.
     pub value: String,
 }
 
@@ -78,14 +78,14 @@
     }
 }
 
-/// Whether a name, in lower case, is one of the protocol's own. Some servers
-/// read `_` as `-`.
+/// Whether a lower-case name belongs to the protocol. Some servers treat `_` as
+/// `-`, so both separators match.
 fn is_protocol_header(name: &str) -> bool {
     let suffix = name.strip_prefix(PROTOCOL_PREFIX);
     suffix.is_some_and(|suffix| suffix.starts_with(['-', '_']))
 }
 
-/// Names that a `Connection` header lists: they concern the connection, too.
+/// Names that a `Connection` header lists; they apply to the connection only, too.
 pub fn connection_tokens(headers: &[HeaderLine]) -> Vec<String> {
     headers
         .iter()
@@ -95,9 +95,9 @@
         .collect()
 }
 
-/// The caller's headers that a server gets: all but those of the connection,
-/// the caller's credential, and the protocol's own except the key and the
-/// caller's request identifier.
+/// The caller's headers that are forwarded to a server: all but the hop-by-hop
+/// headers, the caller's credential, and the protocol's headers other than the
+/// key and the caller's request identifier.
 pub fn passed_to_server(headers: &[HeaderLine]) -> Vec<HeaderLine> {
     let listed = connection_tokens(headers);
     let passes = |header: &&HeaderLine| {
@@ -113,8 +113,8 @@
     headers.iter().filter(passes).cloned().collect()
 }
 
-/// A server's headers that the caller gets: all but those of the connection
-/// and the protocol's own.
+/// A server's headers that are forwarded to the caller: all but the hop-by-hop
+/// headers and the protocol's own.
 pub fn passed_to_caller(headers: &[HeaderLine]) -> Vec<HeaderLine> {
     let listed = connection_tokens(headers);
     let passes = |header: &&HeaderLine| {
--- a/crates/ledgelead-node/src/callers/mod.rs
+++ b/crates/ledgelead-node/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP interface (`docs/caller-interface.md`).
+//! The HTTP interface for callers (`docs/caller-interface.md`).
 
 pub mod headers;
 pub mod open_requests;
--- a/crates/ledgelead-node/src/callers/open_requests.rs
+++ b/crates/ledgelead-node/src/callers/open_requests.rs
@@ -1,5 +1,5 @@
-//! Requests accepted and not yet answered, with what belongs to them outside
-//! the decisions: the caller's connection, the body, servers' answers.
+//! Requests accepted and not yet answered, with the data that the core does not
+//! hold: the caller's connection, the body, the servers' responses.
 
 use super::request_head::{CallerRequest, ParsedRequest};
 use super::response_cache::ResponseCache;
@@ -17,8 +17,8 @@
     cached: Mutex<ResponseCache>,
     next: AtomicU64,
     max_open: usize,
-    /// The first request after which every answer is the last on its
-    /// connection; the highest number while that is not so.
+    /// The first identifier from which on each response closes its connection;
+    /// `u64::MAX` while connections stay open.
     closing_from: AtomicU64,
 }
 
@@ -26,13 +26,13 @@
 pub struct OpenRequest {
     /// The caller's connection.
     pub connection: tiny_http::Request,
-    /// What a server gets.
+    /// The request to forward to a server.
     pub request: Arc<CallerRequest>,
     /// The caller's own identifier.
     pub caller_request_id: Option<String>,
-    /// Whether its answer is the last on the connection.
+    /// Whether the response closes the connection.
     pub closes_connection: bool,
-    /// Whole answers so far, by attempt.
+    /// Complete responses received so far, by attempt.
     answers: Vec<AttemptResponse>,
 }
 
@@ -41,11 +41,11 @@
     answer: BufferedResponse,
 }
 
-/// The node holds as many requests as it may; the connection comes back.
+/// The limit of open requests is reached; the connection is handed back.
 pub struct TooManyRequests(pub tiny_http::Request);
 
 impl OpenRequests {
-    /// None yet; at max_open `max_open` at once.
+    /// An empty set that holds at most `max_open` requests at once.
     pub fn new(max_open: usize) -> OpenRequests {
         OpenRequests {
             requests: Mutex::default(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Opens a request under a new identifier.
+    /// Adds a request under a new identifier.
     pub fn open(
         &self,
         connection: tiny_http::Request,
@@ -81,20 +81,20 @@
         })
     }
 
-    /// What a server gets of an open request.
+    /// The part of an open request that is forwarded to a server.
     pub fn request(&self, id: RequestId) -> Option<Arc<CallerRequest>> {
         self.lock().get(&id).map(|open| open.request.clone())
     }
 
-    /// Keeps a server's whole answer until the decisions say which one is
-    /// passed on. Dropped when the request is no longer open.
+    /// Stores a server's complete response until the core decides which one is
+    /// forwarded to the caller. Dropped if the request is no longer open.
     pub fn store_response(&self, attempt: AttemptId, answer: BufferedResponse) {
         if let Some(open) = self.lock().get_mut(&attempt.request) {
             open.answers.push(AttemptResponse { attempt, answer });
         }
     }
 
-    /// Holds a copy of an open request's answer beyond the request's end.
+    /// Caches a copy of an open request's response past the end of the request.
     pub fn cache_response(&self, attempt: AttemptId) {
         let answer = self
             .lock()
@@ -105,12 +105,12 @@
         }
     }
 
-    /// Drops a copy held.
+    /// Drops a cached response.
     pub fn evict_response(&self, attempt: AttemptId) {
         self.lock_cache().remove(attempt);
     }
 
-    /// A copy held, if it still is.
+    /// A cached response, unless it was evicted.
     pub fn cached_response(&self, attempt: AttemptId) -> Option<BufferedResponse> {
         self.lock_cache().get(attempt)
     }
@@ -119,32 +119,33 @@
         self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a request out, to answer its caller.
+    /// Removes a request, so that its caller can be answered.
     pub fn close(&self, id: RequestId) -> Option<OpenRequest> {
         let mut open = self.lock().remove(&id)?;
         open.closes_connection = self.is_closing();
         Some(open)
     }
 
-    /// From now on each answer is the last on its connection, and says so.
+    /// From now on each response closes its connection and announces it with
+    /// `Connection: close`.
     pub fn close_connections(&self) {
         let next = self.next.load(Ordering::Acquire);
         self.closing_from.fetch_min(next, Ordering::AcqRel);
     }
 
-    /// Whether answers are the last on their connections.
+    /// Whether responses close their connections.
     pub fn is_closing(&self) -> bool {
         self.closing_from.load(Ordering::Acquire) != u64::MAX
     }
 
-    /// Open requests that came before [`OpenRequests::close_connections`].
-    /// Later ones are refused as they come, so they don't count as unfinished.
+    /// Open requests that arrived before [`OpenRequests::close_connections`].
+    /// Later ones are refused on arrival, so they don't count as unfinished.
     pub fn count_before_closing(&self) -> usize {
         let first = RequestId(self.closing_from.load(Ordering::Acquire));
         self.lock().keys().filter(|id| **id < first).count()
     }
 
-    /// Open requests of one inner connection.
+    /// Open requests of the proxy's connection with this address.
     pub fn on_connection(&self, address: SocketAddr) -> Vec<RequestId> {
         let mut requests: Vec<RequestId> = self
             .lock()
@@ -161,7 +162,7 @@
         self.lock().len()
     }
 
-    /// Whether as many are open as may be.
+    /// Whether the limit of open requests is reached.
     pub fn is_full(&self) -> bool {
         self.count() >= self.max_open
     }
@@ -172,19 +173,19 @@
 }
 
 impl OpenRequest {
-    /// The answer of one attempt.
+    /// The response of one attempt.
     fn answer(&self, attempt: AttemptId) -> Option<&BufferedResponse> {
         let mut answers = self.answers.iter();
         let cached = answers.find(|cached| cached.attempt == attempt)?;
         Some(&cached.answer)
     }
 
-    /// Gives it the answer of another request's attempt, to be passed on.
+    /// Adds the response of another request's attempt, to be sent to the caller.
     pub fn add_response(&mut self, attempt: AttemptId, answer: BufferedResponse) {
         self.answers.push(AttemptResponse { attempt, answer });
     }
 
-    /// Takes the answer of one attempt.
+    /// Removes and returns the response of one attempt.
     pub fn take_response(&mut self, attempt: AttemptId) -> Option<BufferedResponse> {
         let index = self
             .answers
--- a/crates/ledgelead-node/src/callers/proxy/mod.rs
+++ b/crates/ledgelead-node/src/callers/proxy/mod.rs
@@ -1,12 +1,12 @@
-//! Stands between callers and the HTTP server, and bounds what callers can
-//! make it hold.
+//! A TCP proxy in front of the HTTP server that bounds the resources callers can
+//! occupy.
 //!
-//! `tiny_http` takes one thread a connection, waits for ever for a slow
-//! caller's bytes, reads headers of any length, and ends its accept loop at the
-//! first error. The guard owns the public port. It passes bytes between each
-//! caller and an inner connection on the loopback, caps connections, headers,
-//! bodies and time, and notices callers that leave. One thread serves all
-//! connections.
+//! `tiny_http` uses one thread per connection, waits without a timeout for the
+//! bytes of a slow caller, accepts headers of any length, and ends its accept loop
+//! at the first error. The proxy therefore owns the public port. It copies bytes
+//! between each caller's connection and an inner connection to the HTTP server on
+//! the loopback interface, limits connections, header and body sizes and times, and
+//! reports callers that disconnect. One thread serves all connections.
 
 mod pair;
 mod progress;
@@ -27,52 +27,56 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How often limits of time are checked.
+/// How often time limits are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a new inner connection may stay unanswered before the HTTP
-/// server's pool is nudged.
+/// How long a new inner connection may stay without a response before
+/// [`ProxyThread::wake_pool`] first makes the HTTP server add a thread.
 const POOL_WAKE_DELAY: Duration = Duration::from_millis(5);
-/// Longest pause between nudges for one connection; the pause doubles.
+/// Upper bound of the pause between two wake-ups for one connection; the pause
+/// doubles each time.
 const MAX_POOL_WAKE_PAUSE: Duration = Duration::from_millis(640);
-/// How long a guard that finishes keeps idle connections: a caller that is
-/// about to write is then refused, rather than cut with an unknown outcome.
+/// How long a finishing proxy keeps idle connections open. A caller that is about
+/// to send a request gets a refusal in that time; on a closed connection the
+/// outcome would be unknown to it.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Bytes read at once.
+/// Bytes read in one call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Events taken at once.
+/// Events taken from the poller in one call.
 const MAX_EVENTS: usize = 1_024;
 const WAKER: Token = Token(0);
 const LISTENER: Token = Token(1);
-/// Tokens of connections: two each, the caller's even, the inner one odd.
+/// Token of the first pair. Each pair has two tokens: an even one for the caller's
+/// connection, and the next one for the inner connection.
 const FIRST_PAIR: usize = 2;
 
-/// Answer to a connection above the limit.
+/// Response to a connection above the limit.
 const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
 Ledgelead-Outcome: not-run\r\nLedgelead-Reason: overloaded\r\n\
 Retry-After: 1\r\nLedgelead-Retry-After-Ms: 1000\r\n\
 Content-Length: 0\r\nConnection: close\r\n\r\n";
-/// Answer to a header above the limit.
+/// Response to a header above the limit.
 const HEADER_TOO_LONG: &[u8] = b"HTTP/1.1 431 Request Header Fields Too Large\r\n\
 Ledgelead-Outcome: not-run\r\nLedgelead-Reason: bad-request\r\n\
 Content-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// What the guard is asked to do.
+/// What the proxy has been told to do. The stage only ever advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum ShutdownStage {
     Run,
-    /// Accept nothing more.
+    /// Accept no more connections.
     RefuseNew,
-    /// End once every answer was passed on.
+    /// End once every response was forwarded.
     Finish,
-    /// Drop every socket.
+    /// Drop all sockets.
     Drop,
 }
 
-/// Told the inner address of a caller that left before its answer.
+/// Called with the inner connection's address when a caller's connection ends
+/// other than by [`PairCloseReason::Finished`].
 pub type CallerLeft = Box<dyn Fn(SocketAddr) + Send>;
 
-/// The guard's thread.
+/// The proxy, running on a thread of its own.
 pub struct CallerProxy {
     stage: Arc<AtomicU8>,
     waker: Waker,
@@ -81,10 +85,10 @@
 }
 
 impl CallerProxy {
-    /// Starts the guard between a listener and the HTTP server's address.
+    /// Starts the proxy between a listener and the HTTP server's address.
     ///
     /// # Errors
-    /// When the system gives no poller or thread.
+    /// When the system can't create a poller or thread.
     pub fn start(
         thread_name: &str,
         listener: std::net::TcpListener,
@@ -131,7 +135,7 @@
         })
     }
 
-    /// Where the connections come from.
+    /// The callers' addresses of the open connections.
     pub fn remote_addresses(&self) -> RemoteAddresses {
         self.remote_addresses.clone()
     }
@@ -141,14 +145,15 @@
         self.advance_to(ShutdownStage::RefuseNew);
     }
 
-    /// Keeps connections for a little, passes on what is left to callers, for
-    /// as long as the callers' time at max_pairs, and ends.
+    /// Stops the proxy once all responses were forwarded. Idle connections are kept
+    /// for [`IDLE_CLOSE_DELAY`]; after that, the rest may take as long as the
+    /// callers' time limit.
     pub fn finish(&mut self) {
         self.advance_to(ShutdownStage::Finish);
         self.join();
     }
 
-    /// Drops every caller's connection at once.
+    /// Drops every caller's connection immediately.
     pub fn drop_all(&mut self) {
         self.advance_to(ShutdownStage::Drop);
         self.join();
@@ -157,7 +162,7 @@
     fn advance_to(&self, stage: ShutdownStage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
         if let Err(error) = self.waker.wake() {
-            log::error!(target: "callers", "the guard can't be woken: {error}");
+            log::error!(target: "callers", "waking the proxy failed: {error}");
         }
     }
 
@@ -165,7 +170,7 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            log::error!(target: "callers", "the guard panicked");
+            log::error!(target: "callers", "the proxy thread panicked");
         }
     }
 }
@@ -185,19 +190,19 @@
     limits: PairLimits,
     caller_left: CallerLeft,
     pairs: BTreeMap<usize, ProxiedPair>,
-    /// The pairs whose inner connection was never answered; those may need a
-    /// nudge.
+    /// The pairs without a response so far; the HTTP server may have no thread for
+    /// them yet.
     unanswered: BTreeSet<usize>,
     next: usize,
     stage: Arc<AtomicU8>,
-    /// Set after a failed accept: when to try again.
+    /// When to accept again after a failed accept.
     retry_accept_at: Option<Instant>,
     read_buffer: Vec<u8>,
 }
 
 struct ProxiedPair {
     pair: ConnectionPair,
-    /// When the HTTP server's pool is nudged next, if it never answered.
+    /// When to wake the HTTP server's pool next, unless a response has come.
     wake_pool_at: Instant,
     wake_pool_pause: Duration,
 }
@@ -211,7 +216,7 @@
             if let Err(error) = self.poll.poll(&mut events, Some(self.wait(next_sweep)))
                 && error.kind() != ErrorKind::Interrupted
             {
-                log::error!(target: "callers", "polling failed: {error}");
+                log::error!(target: "callers", "the proxy's poller failed, all its connections are dropped: {error}");
                 return;
             }
             let now = Instant::now();
@@ -265,7 +270,7 @@
         }
     }
 
-    /// An event of one connection; the inner one has the odd token.
+    /// Handles an event of one connection; inner connections have odd tokens.
     fn take_event(&mut self, token: usize, event: &Event, now: Instant) {
         let pair = token & !1;
         let side = if token == pair {
@@ -300,7 +305,8 @@
 
     fn open(&mut self, mut caller: TcpStream, remote_address: SocketAddr, now: Instant) {
         if self.pairs.len() >= self.max_pairs {
-            // A fresh socket takes these few bytes at once, or nobody reads.
+            // The send buffer of a new socket is empty, so a single write takes
+            // these few bytes unless the caller has disconnected.
             let _ = caller.write(TOO_MANY_CONNECTIONS);
             return;
         }
@@ -308,7 +314,8 @@
         self.next += 2;
         match self.connect(caller, token) {
             Ok(streams) => {
-                // Before any byte is passed on, so that no request is without.
+                // Recorded before any byte is forwarded, so that the address is known
+                // for every request.
                 self.remote_addresses
                     .insert(streams.inner.local_addr().ok(), remote_address);
                 let pair = ConnectionPair::new(streams.caller, streams.inner, self.limits, now);
@@ -321,7 +328,9 @@
                 self.unanswered.insert(token);
                 self.pump(token, now);
             }
-            Err(error) => log::warn!(target: "callers", "a caller was not connected: {error}"),
+            Err(error) => {
+                log::warn!(target: "callers", "connecting a caller to the HTTP server failed: {error}")
+            }
         }
     }
 
@@ -369,7 +378,7 @@
         };
         self.unanswered.remove(&token);
         deregister(self.poll.registry(), &mut entry.pair);
-        log::trace!(target: "callers", "a caller's connection ended: {end:?}");
+        log::trace!(target: "callers", "caller's connection closed: {end:?}");
         if let Ok(address) = entry.pair.inner.local_addr() {
             self.remote_addresses.remove(address);
             if end != PairCloseReason::Finished {
@@ -405,12 +414,12 @@
         }
     }
 
-    /// Works round a race of `tiny_http` 0.12: its pool counts a thread as
-    /// waiting until it has woken, so of two connections that come together
-    /// the second can be queued behind a thread that the first then keeps. It
-    /// would wait until some connection ends. A connection that ends at once
-    /// makes the pool add a thread, which then takes what is queued; unless it
-    /// is queued itself, so this is repeated until the first answer.
+    /// Works around a race in `tiny_http` 0.12: its pool counts a thread as waiting
+    /// until that thread has woken up. Of two connections that arrive together the
+    /// second can therefore be queued for a thread that the first one occupies, and
+    /// stays queued until some connection ends. Another connection, closed at once,
+    /// makes the pool add a thread, which takes the queued connection. The extra
+    /// connection may be queued itself, so this is repeated until the first response.
     fn wake_pool(&mut self, now: Instant) {
         for token in &self.unanswered {
             let Some(entry) = self.pairs.get_mut(token) else {
@@ -422,7 +431,7 @@
             entry.wake_pool_pause = (entry.wake_pool_pause * 2).min(MAX_POOL_WAKE_PAUSE);
             entry.wake_pool_at = now + entry.wake_pool_pause;
             if let Err(error) = TcpStream::connect(self.server) {
-                log::debug!(target: "callers", "no nudge: {error}");
+                log::debug!(target: "callers", "waking the HTTP server's pool failed: {error}");
             }
         }
     }
@@ -437,6 +446,6 @@
     let caller = registry.deregister(&mut pair.caller);
     let inner = registry.deregister(&mut pair.inner);
     if let Err(error) = caller.and(inner) {
-        log::debug!(target: "callers", "a closed connection was not deregistered: {error}");
+        log::debug!(target: "callers", "deregistering a closed connection failed: {error}");
     }
 }
--- a/crates/ledgelead-node/src/callers/proxy/pair.rs
+++ b/crates/ledgelead-node/src/callers/proxy/pair.rs
@@ -1,5 +1,5 @@
-//! One caller's connection and the inner connection to the HTTP server that
-//! belongs to it.
+//! A caller's connection and the inner connection to the HTTP server to which its
+//! bytes are copied.
 
 use super::progress::{ExceededLimit, RequestProgress};
 use stakker_mio::mio::net::TcpStream;
@@ -7,61 +7,63 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Bytes held in each direction before reading pauses.
+/// Bytes buffered in each direction before reading pauses.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// Bytes of an answer that a caller must take within the caller's time.
+/// Bytes of a response that a caller must take within `caller_time` to be granted
+/// another `caller_time`.
 const MIN_PROGRESS: usize = 64 * 1024;
 
 /// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct PairLimits {
-    /// Bytes of a header.
+    /// Limit of a request's header in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a body.
+    /// Limit of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// How long a request may take to be sent, and an answer to be taken.
+    /// How long a caller may take to send a request, and to take each
+    /// [`MIN_PROGRESS`] bytes of a response.
     pub caller_time: Duration,
-    /// How long nothing may happen at all.
+    /// How long a connection may be without any traffic.
     pub idle_time: Duration,
 }
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PairCloseReason {
-    /// All was answered and one side closed.
+    /// The HTTP server closed and all its bytes were forwarded.
     Finished,
     /// The caller's connection failed.
     CallerLeft,
-    /// The HTTP server's end failed.
+    /// The inner connection failed.
     ServerLeft,
-    /// The caller takes its answer too slowly.
+    /// The caller takes its response too slowly.
     TooSlow,
-    /// Nothing happened for too long.
+    /// There was no traffic for too long.
     Idle,
 }
 
-/// Bytes on their way in one direction.
+/// Bytes read and not yet written, in one direction.
 #[derive(Default)]
 struct Buffer {
     bytes: Vec<u8>,
     sent: usize,
 }
 
-/// What a read gave.
+/// The outcome of one read.
 enum ReadOutcome {
     Progress { count: usize },
     Blocked,
     Ended,
 }
 
-/// What the poller has said of one connection. Its events come once for each
-/// change, so a connection is read until it has no more, and then not again
+/// Readiness of one connection as reported by the poller. Events are
+/// edge-triggered, so a connection is read until it is drained, and not again
 /// before the next event.
 #[derive(Clone, Copy, Debug)]
 struct Readiness {
-    /// Bytes may be there.
+    /// Bytes may be available.
     readable: bool,
-    /// The other end has closed: its end of stream must be read, too.
+    /// The other end has closed; reading continues up to the end of the stream.
     closing: bool,
 }
 
@@ -74,7 +76,7 @@
     Inner,
 }
 
-/// The two connections.
+/// The two connections and the bytes in transit between them.
 pub struct ConnectionPair {
     /// The caller's connection.
     pub caller: TcpStream,
@@ -91,11 +93,11 @@
     inner_write_closed: bool,
     /// Since when a request is incomplete.
     incomplete_since: Option<Instant>,
-    /// Since when bytes wait for the caller, and how many it took since.
+    /// Since when bytes are unsent to the caller, and how many it has taken since.
     unsent_since: Option<Instant>,
     taken_since: usize,
     last_activity: Instant,
-    /// Whether bytes went to the HTTP server.
+    /// Whether bytes were sent to the HTTP server.
     forwarded: bool,
     /// Whether the HTTP server ever answered on the inner connection.
     answered: bool,
@@ -103,7 +105,7 @@
 }
 
 impl Readiness {
-    /// Of a connection that was never read.
+    /// Readiness of a connection that was never read.
     fn new() -> Readiness {
         Readiness {
             readable: true,
@@ -116,8 +118,8 @@
         self.closing |= closing;
     }
 
-    /// A read that filled less than it could has taken all that was there;
-    /// what comes later comes with an event.
+    /// A read that did not fill its buffer has drained the socket; bytes that arrive
+    /// later are announced by an event.
     fn after_read(&mut self, read: &io::Result<ReadOutcome>, capacity: usize) {
         self.readable = match read {
             Ok(ReadOutcome::Progress { count }) => self.closing || *count == capacity,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Writes what the sink takes; how many bytes.
+    /// Writes as much as the sink takes and returns the number of bytes.
     fn flush(&mut self, sink: &mut TcpStream) -> io::Result<usize> {
         let before = self.sent;
         while !self.is_empty() {
@@ -165,7 +167,7 @@
 }
 
 impl ConnectionPair {
-    /// A new connection of a caller.
+    /// A pair on which nothing was transferred yet.
     pub fn new(
         caller: TcpStream,
         inner: TcpStream,
@@ -194,8 +196,8 @@
         }
     }
 
-    /// Takes in that the poller has an event for a connection: it can be read,
-    /// or its other end is `closing`.
+    /// Records an event of the poller: the connection is readable, or its other end
+    /// is `closing`.
     pub fn readable(&mut self, side: Side, closing: bool) {
         match side {
             Side::Caller => self.caller_ready.record_event(closing),
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Moves bytes both ways until both are blocked.
+    /// Copies bytes in both directions until both block.
     pub fn pump(&mut self, now: Instant, read_buffer: &mut [u8]) -> Result<(), PairCloseReason> {
         loop {
             let inward = self.pump_inward(now, read_buffer)?;
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Whether bytes went to the HTTP server and it never answered.
+    /// Whether bytes were sent to the HTTP server and it has never answered.
     pub fn awaits_first_response(&self) -> bool {
         self.forwarded && !self.answered
     }
@@ -226,12 +228,12 @@
         self.answered
     }
 
-    /// Whether nothing is under way.
+    /// Whether no request, response or unsent byte is in progress.
     pub fn is_idle(&self) -> bool {
         self.to_caller.is_empty() && self.to_inner.is_empty() && !self.progress.is_incomplete()
     }
 
-    /// Enforces the limits of time.
+    /// Enforces the time limits.
     pub fn check_time(
         &mut self,
         now: Instant,
@@ -247,20 +249,20 @@
             return Err(PairCloseReason::Idle);
         }
         if over(self.incomplete_since, self.limits.caller_time) {
-            // The reader of the request sees its end, and refuses it.
+            // The HTTP server sees the end of the stream and refuses the request.
             self.stop_reading_caller();
             return self.pump(now, read_buffer);
         }
         Ok(())
     }
 
-    /// The limit that the caller broke, once, with nothing left to be passed
-    /// on before an answer to it.
+    /// Takes the limit that the caller exceeded; `None` on later calls. The bytes
+    /// above the limit were not forwarded.
     pub fn take_exceeded_limit(&mut self) -> Option<ExceededLimit> {
         self.exceeded_limit.take()
     }
 
-    /// Writes a last answer as far as the socket takes it.
+    /// Writes a final response, as much of it as the socket takes.
     pub fn write_last(&mut self, answer: &[u8]) {
         let _ = retry_interrupted(|| self.caller.write(answer));
     }
@@ -296,7 +298,8 @@
         Ok(moved)
     }
 
-    /// Follows the bytes of the caller that came behind the first `known`.
+    /// Tracks the request through the buffered bytes after the first `known`, which
+    /// were tracked before.
     fn track_request(&mut self, known: usize, now: Instant) {
         if let Err(exceeded) = self.progress.record_received(&self.to_inner.bytes[known..]) {
             self.exceeded_limit = Some(exceeded);
@@ -363,7 +366,7 @@
 }
 
 fn would_block(error: &io::Error) -> bool {
-    // A connection that is still being opened says NotConnected.
+    // A connection that is still being established returns NotConnected.
     matches!(
         error.kind(),
         ErrorKind::WouldBlock | ErrorKind::NotConnected
--- a/crates/ledgelead-node/src/callers/proxy/progress.rs
+++ b/crates/ledgelead-node/src/callers/proxy/progress.rs
@@ -1,24 +1,24 @@
-//! Follows where in a caller's stream of requests a connection is, as far as
-//! limits need it: how long a header is, and whether a request is incomplete.
+//! Tracks the position in a caller's stream of requests as far as the limits need
+//! it: the length of the header, and whether a request is incomplete.
 //!
-//! The requests themselves are read by `tiny_http`; a stream that it reads
-//! otherwise than this module only meets other limits.
+//! The requests themselves are parsed by `tiny_http`. Where it parses a stream
+//! differently from this module, only the limits apply differently.
 
-/// Ends a header.
+/// Terminates a header.
 const HEADER_END: &[u8] = b"\r\n\r\n";
 
-/// Where in the stream of requests a connection is.
+/// Position in the stream of requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// In a header, or between requests when no byte of it came.
+    /// In a header, or between requests while it has no byte yet.
     Header,
-    /// In a body of declared length.
+    /// In a body with a declared length.
     Body { left: u64 },
-    /// In a chunked body; its end is taken from the answer.
+    /// In a chunked body; it is taken to end when the response begins.
     Chunked { received: u64 },
 }
 
-/// Limits that a connection can break.
+/// Limits that a connection can exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExceededLimit {
     /// The header is longer than the limit.
@@ -27,7 +27,7 @@
     Body,
 }
 
-/// Follows one connection.
+/// Tracks one connection.
 #[derive(Clone, Debug)]
 pub struct RequestProgress {
     state: State,
@@ -37,7 +37,7 @@
 }
 
 impl RequestProgress {
-    /// A connection on which nothing was sent yet.
+    /// Starts with a connection that has received nothing.
     pub fn new(max_header_bytes: usize, max_body_bytes: usize) -> RequestProgress {
         RequestProgress {
             state: State::Header,
@@ -52,7 +52,7 @@
         self.state != State::Header || !self.header.is_empty()
     }
 
-    /// Takes in bytes of the caller.
+    /// Processes bytes from the caller.
     pub fn record_received(&mut self, mut bytes: &[u8]) -> Result<(), ExceededLimit> {
         while !bytes.is_empty() {
             bytes = match self.state {
@@ -64,8 +64,8 @@
         Ok(())
     }
 
-    /// Bytes of an answer came: a chunked body has ended, or nobody reads the
-    /// rest of it.
+    /// Records that bytes of a response came: a chunked body has ended, or the rest
+    /// of it is not read.
     pub fn response_started(&mut self) {
         if let State::Chunked { .. } = self.state {
             self.state = State::Header;
@@ -107,8 +107,8 @@
         received: u64,
     ) -> Result<&'a [u8], ExceededLimit> {
         let received = received + bytes.len() as u64;
-        // Chunk sizes and line ends take room as well: at worst one byte in
-        // six is content.
+        // Chunk sizes and line ends count as well: in the worst case one byte in six
+        // is content.
         if received > self.max_body_bytes.saturating_mul(6) + self.max_header_bytes as u64 {
             return Err(ExceededLimit::Body);
         }
--- a/crates/ledgelead-node/src/callers/proxy/remote_addresses.rs
+++ b/crates/ledgelead-node/src/callers/proxy/remote_addresses.rs
@@ -1,18 +1,18 @@
-//! Where the connections behind the guard come from: the HTTP server sees the
-//! guard's own address only.
+//! Callers' addresses of the proxy's connections; the HTTP server itself only sees
+//! the proxy's own address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The remote of each open connection, by its inner address; clones see the
-/// same.
+/// The remote address of each open connection, by the address of its inner
+/// connection. Clones share the same map.
 #[derive(Clone, Debug, Default)]
 pub struct RemoteAddresses(Arc<Mutex<HashMap<SocketAddr, SocketAddr>>>);
 
 impl RemoteAddresses {
-    /// Who is at the other end of the connection that the HTTP server knows
-    /// under this address.
+    /// The remote address of the caller whose connection the HTTP server sees under
+    /// this inner address.
     pub fn get(&self, inner: SocketAddr) -> Option<SocketAddr> {
         self.lock().get(&inner).copied()
     }
--- a/crates/ledgelead-node/src/callers/request_head.rs
+++ b/crates/ledgelead-node/src/callers/request_head.rs
@@ -1,4 +1,5 @@
-//! From a caller's HTTP request to the request that the decisions see.
+//! Parses the head of a caller's HTTP request into the [`RequestArrival`] that
+//! the core works on and the part that is forwarded to a server.
 
 use super::headers::{self, HeaderLine, passed_to_server};
 use super::target::may_be_control_path;
@@ -8,52 +9,52 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// First part of every request's path.
+/// Prefix of the path of every request.
 const PATH_PREFIX: &str = "/v1/";
 /// Longest key and idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 4_096;
 
-/// The part of a caller's request that a server gets, whole and unchanged.
+/// The part of a caller's request that is forwarded to a server unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerRequest {
     /// HTTP method.
     pub method: String,
-    /// Path and query remainder the service's name, with the leading slash.
+    /// Path and query after the service's name, with the leading slash.
     pub target: String,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: Vec<HeaderLine>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// What the head of a request says.
+/// The parsed head of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedRequest {
-    /// For the decisions; its identifier is still to be given.
+    /// Input of the core; its identifier is assigned later.
     pub arrival: RequestArrival,
-    /// For the server; its body is still to be read.
+    /// The request for the server; its body is read later.
     pub request: CallerRequest,
-    /// The caller's own identifier, to caller_request_id.
+    /// The caller's own identifier, repeated in the response.
     pub caller_request_id: Option<String>,
 }
 
-/// Why a request is not one of this protocol.
+/// Why a request does not conform to the caller protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BadRequest {
     /// The path is not `/v1/SERVICE...`.
     NoService,
-    /// The path is one that nodes alone may ask servers for.
+    /// The path is reserved for requests of nodes to servers.
     ReservedPath,
-    /// A header that may come once came with different values.
+    /// A header that allows one value has several different ones.
     ConflictingHeader(&'static str),
-    /// A header's value can't be read.
+    /// The value of a header is invalid.
     BadValue(&'static str),
-    /// The body is longer than this node takes.
+    /// The body is longer than this node accepts.
     BodyTooLong {
         /// The limit in bytes.
         limit: usize,
     },
-    /// The body ended early, or came too slowly.
+    /// The body ended early or arrived too slowly.
     BodyTruncated,
 }
 
@@ -84,7 +85,7 @@
 
 impl std::error::Error for BadRequest {}
 
-/// Reads the head of a request.
+/// Parses the head of a request. A deadline above `max_deadline` is lowered to it.
 pub fn parse_head(
     method: &str,
     target: &str,
@@ -110,7 +111,7 @@
         key: key.map(|key| Bytes(key.as_bytes().to_vec())),
         credential_sha256: credential(lines)?,
         deadline: deadline(lines, max_deadline)?,
-        repeatable: repeatable(method, lines, idempotency_key.is_some())?,
+        repeatable: is_repeatable(method, lines, idempotency_key.is_some())?,
         idempotency_key: idempotency_key.map(Text::from),
     };
     Ok(ParsedRequest {
@@ -125,7 +126,7 @@
     })
 }
 
-/// SHA-256 in hexadecimal, as the configuration holds credentials.
+/// SHA-256 in hexadecimal, the form in which the configuration holds credentials.
 pub fn sha256_hex(secret: &[u8]) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(secret) {
@@ -148,7 +149,8 @@
     Some((service, format!("/{rest}")))
 }
 
-/// The value of a header that may come once.
+/// The value of a header that allows one value. Repetitions of the same value
+/// are accepted.
 fn single<'a>(lines: &'a [HeaderLine], name: &'static str) -> Result<Option<&'a str>, BadRequest> {
     let mut values = lines
         .iter()
@@ -161,7 +163,8 @@
     Ok(first)
 }
 
-/// Refuses what could make two readers disagree where the request ends.
+/// Rejects length headers that two parsers could interpret differently, so that
+/// they would disagree where the request ends (request smuggling).
 fn check_length_headers(lines: &[HeaderLine]) -> Result<(), BadRequest> {
     const CONTENT_LENGTH: &str = "Content-Length";
     const TRANSFER_ENCODING: &str = "Transfer-Encoding";
@@ -207,12 +210,12 @@
     Ok(Some(Span::from_millis(millis.min(max.as_millis() as u64))))
 }
 
-fn repeatable(method: &str, lines: &[HeaderLine], once_only: bool) -> Result<bool, BadRequest> {
-    let asked = match single(lines, headers::REPEATABLE)? {
+fn is_repeatable(method: &str, lines: &[HeaderLine], once_only: bool) -> Result<bool, BadRequest> {
+    let declared = match single(lines, headers::REPEATABLE)? {
         None => matches!(method, "GET" | "HEAD" | "OPTIONS"),
         Some("yes") => true,
         Some("no") => false,
         Some(_) => return Err(BadRequest::BadValue(headers::REPEATABLE)),
     };
-    Ok(asked && !once_only)
+    Ok(declared && !once_only)
 }
--- a/crates/ledgelead-node/src/callers/respond.rs
+++ b/crates/ledgelead-node/src/callers/respond.rs
@@ -1,4 +1,4 @@
-//! Writes answers and refusals to callers.
+//! Writes servers' responses and refusals to callers.
 
 use super::headers::{self, HeaderLine, passed_to_caller};
 use super::open_requests::OpenRequest;
@@ -11,39 +11,39 @@
 
 /// Threads that write to callers.
 const THREADS: usize = 16;
-/// Told to a caller when nothing better is known.
+/// Retry delay in a refusal for which the core gives none.
 const DEFAULT_RETRY_AFTER: Span = Span::from_millis(1_000);
 
-/// The end of a request, to be written to its caller.
+/// A request that has ended; its outcome is to be written to the caller.
 pub struct CompletedRequest {
     /// The request.
     pub request: OpenRequest,
-    /// What the caller is told.
+    /// The outcome that the caller is told.
     pub outcome: Outcome,
-    /// The attempt whose answer is passed on.
+    /// The attempt whose response is forwarded.
     pub attempt: Option<AttemptId>,
-    /// When the caller may try again.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Span>,
 }
 
 /// Starts the threads that write to callers.
 ///
 /// # Errors
-/// When the system gives no more threads.
+/// When the system can't create more threads.
 pub fn start(thread_name: &str, capacity: usize) -> std::io::Result<WorkPool<CompletedRequest>> {
     WorkPool::start(thread_name, THREADS, capacity, write_completed)
 }
 
-fn write_completed(mut ending: CompletedRequest) {
-    let answer = ending
+fn write_completed(mut completed: CompletedRequest) {
+    let answer = completed
         .attempt
-        .and_then(|attempt| ending.request.take_response(attempt));
-    let caller_request_id = ending.request.caller_request_id.take();
-    let connection = ending.request.connection;
-    let last = ending.request.closes_connection;
-    let response = match (ending.outcome, answer) {
+        .and_then(|attempt| completed.request.take_response(attempt));
+    let caller_request_id = completed.request.caller_request_id.take();
+    let connection = completed.request.connection;
+    let closes_connection = completed.request.closes_connection;
+    let response = match (completed.outcome, answer) {
         (Outcome::Answered, Some(answer)) => answered(answer, caller_request_id.as_deref()),
-        // Without the answer itself, nobody can say more than this.
+        // A server answered, but its response is not available here.
         (Outcome::Answered, None) => refusal(
             Outcome::Unknown(UnknownReason::BadAnswer),
             "",
@@ -53,15 +53,15 @@
         (outcome, _) => refusal(
             outcome,
             "",
-            ending.retry_after,
+            completed.retry_after,
             caller_request_id.as_deref(),
         ),
     };
-    write(connection, response, last);
+    write(connection, response, closes_connection);
 }
 
-/// Writes a response, which may be the last on its connection; a caller that
-/// left is no fault of the node.
+/// Writes a response and closes the connection if asked to. A failed write is
+/// logged at debug level only: the caller has disconnected.
 pub fn write(
     connection: tiny_http::Request,
     response: Response<Cursor<Vec<u8>>>,
@@ -73,12 +73,13 @@
         connection.respond(response)
     };
     if let Err(error) = written {
-        log::debug!(target: "callers", "answer not written: {error}");
+        log::debug!(target: "callers", "writing a response failed: {error}");
     }
 }
 
-/// Writes a response that tells the caller to open a new connection for its
-/// next request. `tiny_http` lets nobody set that header.
+/// Writes a response with `Connection: close`, which makes the caller open a new
+/// connection for its next request. `tiny_http` doesn't let applications set that
+/// header, so it is inserted into the serialized response.
 fn write_closing(
     connection: tiny_http::Request,
     response: Response<Cursor<Vec<u8>>>,
@@ -89,8 +90,8 @@
     let mut bytes = Vec::new();
     response.raw_print(&mut bytes, version, connection.headers(), head_only, None)?;
     let status_end = bytes.iter().position(|byte| *byte == b'\n');
-    let behind_status = status_end.map_or(0, |end| end + 1);
-    bytes.splice(behind_status..behind_status, CLOSE.iter().copied());
+    let after_status = status_end.map_or(0, |end| end + 1);
+    bytes.splice(after_status..after_status, CLOSE.iter().copied());
     let mut writer = connection.into_writer();
     writer.write_all(&bytes)?;
     writer.flush()
@@ -105,7 +106,7 @@
         .and_then(|length| length.parse().ok());
     let mut lines = passed_to_caller(&answer.headers);
     lines.push(HeaderLine::new(headers::OUTCOME, "answered"));
-    // The answer to HEAD declares a length and has no body.
+    // The response to HEAD declares a length and has no body.
     let length = match declared {
         Some(declared) if answer.body.is_empty() => declared,
         _ => answer.body.len(),
@@ -113,7 +114,7 @@
     build(answer.status, lines, answer.body, length, caller_request_id)
 }
 
-/// A response that says how a request ended without an answer.
+/// A response that reports how a request ended without a server's response.
 pub fn refusal(
     outcome: Outcome,
     explanation: &str,
@@ -144,7 +145,7 @@
     build(status, lines, body, length, caller_request_id)
 }
 
-/// HTTP status of an outcome without an answer.
+/// HTTP status of an outcome without a server's response.
 pub fn status_of(outcome: Outcome) -> u16 {
     match outcome {
         Outcome::Answered => 200,
@@ -192,6 +193,6 @@
         Some(length),
         None,
     );
-    // The whole body is at hand, so its length is always declared.
+    // The body is complete, so its length is always declared.
     response.with_chunked_threshold(usize::MAX)
 }
--- a/crates/ledgelead-node/src/callers/response_cache.rs
+++ b/crates/ledgelead-node/src/callers/response_cache.rs
@@ -1,16 +1,16 @@
-//! Copies of answers for repeats under the same idempotency key, bounded in
-//! bytes. The decisions say which to hold and which to forget; the oldest go
-//! first when they need too much space.
+//! Copies of responses for retries under the same idempotency key, bounded in
+//! bytes. The core decides which are cached and which are dropped; above the
+//! bound the oldest are evicted first.
 
 use crate::servers::exchange::BufferedResponse;
 use ledgelead_types::request::AttemptId;
 use std::collections::{HashMap, VecDeque};
 
-/// Bytes of all copies, and of one.
+/// Bytes of all copies, and of a single one.
 const MAX_TOTAL_BYTES: usize = 32 << 20;
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Answers held.
+/// The cached responses.
 #[derive(Default)]
 pub struct ResponseCache {
     answers: HashMap<AttemptId, BufferedResponse>,
@@ -19,7 +19,7 @@
 }
 
 impl ResponseCache {
-    /// Holds an answer, unless it is too large.
+    /// Caches a response, unless it is too large.
     pub fn insert(&mut self, attempt: AttemptId, answer: BufferedResponse) {
         let size = response_size(&answer);
         if size > MAX_RESPONSE_BYTES || self.answers.contains_key(&attempt) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Drops an answer.
+    /// Drops a response.
     pub fn remove(&mut self, attempt: AttemptId) {
         if let Some(answer) = self.answers.remove(&attempt) {
             self.bytes -= response_size(&answer);
@@ -48,12 +48,12 @@
         }
     }
 
-    /// A copy of an answer, if it is held.
+    /// A copy of a response, if it is cached.
     pub fn get(&self, attempt: AttemptId) -> Option<BufferedResponse> {
         self.answers.get(&attempt).cloned()
     }
 
-    /// Bytes held.
+    /// Bytes of all cached responses.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/ledgelead-node/src/callers/server.rs
+++ b/crates/ledgelead-node/src/callers/server.rs
@@ -1,4 +1,4 @@
-//! Reads callers' requests, by `tiny_http`, on a bounded pool of threads.
+//! Reads callers' requests with `tiny_http` on a fixed number of threads.
 
 use super::headers::HeaderLine;
 use super::open_requests::OpenRequests;
@@ -15,7 +15,7 @@
 use std::thread;
 use tiny_http::{Request, Server};
 
-/// HTTP status of a body above the limit.
+/// HTTP status for a body above the limit.
 const PAYLOAD_TOO_LARGE: u16 = 413;
 
 /// The threads that read requests.
@@ -35,10 +35,10 @@
 }
 
 impl CallerServer {
-    /// Starts the threads on a server that listens.
+    /// Starts the threads on a listening server.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         thread_name: &str,
         server: Server,
@@ -66,12 +66,12 @@
         Ok(CallerServer { shared, threads })
     }
 
-    /// Set when the HTTP server has failed for good.
+    /// Set when the HTTP server has failed permanently.
     pub fn failed(&self) -> Arc<AtomicBool> {
         self.shared.failed.clone()
     }
 
-    /// Ends the threads. Requests that were read are still answered.
+    /// Stops the threads. Requests already read are still answered.
     pub fn close(&self) {
         self.shared.closed.store(true, Ordering::Release);
         for _ in 0..self.threads {
@@ -96,16 +96,17 @@
         }
     }
 
-    /// No request came: the server was closed, or has failed for good.
+    /// Handles a receive without a request: the server was closed or has failed
+    /// permanently.
     fn handle_receive_error(&self, error: &std::io::Error) {
         if self.closed.load(Ordering::Acquire) {
             return;
         }
-        log::error!(target: "callers", "the HTTP server accepts no more: {error}");
+        log::error!(target: "callers", "the HTTP server failed and accepts no more requests: {error}");
         self.failed.store(true, Ordering::Release);
     }
 
-    /// Reads one request whole and hands it to the decisions.
+    /// Reads one complete request and passes it to the core.
     fn handle_request(&self, mut connection: Request) {
         if self.open_requests.is_full() {
             self.refuse(
@@ -172,7 +173,7 @@
         .collect()
 }
 
-/// Reads the body, and stops one byte above the limit.
+/// Reads the body, at most one byte more than the limit.
 fn read_body(connection: &mut Request, limit: usize) -> Result<Vec<u8>, BadRequest> {
     let declared = connection.body_length();
     if declared.is_some_and(|length| length > limit) {
--- a/crates/ledgelead-node/src/callers/target.rs
+++ b/crates/ledgelead-node/src/callers/target.rs
@@ -1,17 +1,17 @@
-//! Keeps callers away from the paths on which servers take orders of nodes.
+//! Detects paths that a server could interpret as one of its control paths.
 //!
-//! A server answers lease renewals and cancellations on the port of its
-//! service. A caller whose path were passed on to one of these could forge a
-//! renewal, so every path that some server could read as one of them is
-//! refused, however it is written.
+//! A server accepts lease renewals and cancellations on the port of its service.
+//! A caller whose request reached one of these paths could forge a renewal, so
+//! every path that some server could resolve to one of them is refused, however
+//! it is encoded.
 
-/// First segment of the paths that nodes alone may ask for.
+/// First segment of the paths that only nodes may request.
 const CONTROL_SEGMENT: &str = "ledgelead";
-/// Times that percent encoding is undone: servers undo it once or twice. A
-/// path that is encoded more often is refused, which also bounds the work.
+/// How often percent-encoding is decoded; servers decode it once or twice. A path
+/// that is encoded more often is refused, which also bounds the work.
 const MAX_DECODINGS: usize = 4;
 
-/// Whether a server could read `target`, a path with its query, as a path
+/// Whether a server could interpret `target`, a path with its query, as a path
 /// under `/ledgelead`.
 pub fn may_be_control_path(target: &str) -> bool {
     let end = target.find(['?', '#']).unwrap_or(target.len());
@@ -29,9 +29,9 @@
     true
 }
 
-/// Follows the path's segments. Empty ones and `.` are skipped and `..` goes
-/// back; a path that is below `/ledgelead` at any time counts, for a server
-/// that does not resolve `..`.
+/// Whether any step of the path is below `/ledgelead`. Empty segments and `.` are
+/// skipped and `..` goes up one level. A path that leaves `/ledgelead` again counts
+/// as well, since a server may not resolve `..`.
 fn enters_control_path(path: &[u8]) -> bool {
     let mut depth = 0_usize;
     for segment in path.split(|byte| matches!(byte, b'/' | b'\\')) {
@@ -47,15 +47,15 @@
     false
 }
 
-/// A segment without its parameters, a query that was encoded, and what C
-/// strings and line-based readers would cut off.
+/// A segment without its parameters, without an encoded query or fragment, and up
+/// to the first control character, where C strings and line-based parsers end.
 fn segment_name(segment: &[u8]) -> &[u8] {
     let cut = |byte: &u8| matches!(byte, b';' | b'?' | b'#') || byte.is_ascii_control();
     let end = segment.iter().position(cut).unwrap_or(segment.len());
     segment[..end].trim_ascii()
 }
 
-/// Undoes percent encoding once; what is no encoding stays.
+/// Decodes percent-encoding once; invalid sequences stay as they are.
 fn percent_decoded(path: &[u8]) -> Vec<u8> {
     let mut decoded = Vec::with_capacity(path.len());
     let mut rest = path;
--- a/crates/ledgelead-node/src/clock.rs
+++ b/crates/ledgelead-node/src/clock.rs
@@ -1,9 +1,9 @@
-//! The process's clock, which counts suspensions of the machine.
+//! The process's clock, which includes the time in which the machine is suspended.
 
 use ledgelead_runtime::clock;
 use ledgelead_types::Time;
 
-/// Counts from its creation. All parts of one node share one.
+/// A clock that starts at its creation. All parts of a node share one.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock(clock::ProcessClock);
 
@@ -13,7 +13,7 @@
         ProcessClock(clock::ProcessClock::start())
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Time {
         Time(self.0.now().as_micros() as u64)
     }
--- a/crates/ledgelead-node/src/command_line.rs
+++ b/crates/ledgelead-node/src/command_line.rs
@@ -16,11 +16,11 @@
 use std::fmt;
 use std::io::Write;
 
-/// Exit code of a run that did what was asked.
+/// Exit code of a successful run.
 pub const EXIT_OK: u8 = 0;
-/// Exit code of a run that failed while it ran.
+/// Exit code of a run that failed after it started.
 pub const EXIT_FAILED: u8 = 1;
-/// Exit code of wrong settings, a wrong command line or a wrong statement;
+/// Exit code for invalid settings, an invalid command line or an invalid statement;
 /// nothing was started or changed.
 pub const EXIT_USAGE: u8 = 2;
 
@@ -30,45 +30,45 @@
 
 Usage:
   ledgelead node --config FILE [FLAGS]   run a node
-  ledgelead check FILE                   report every mistake in a settings file
-  ledgelead query [FLAGS] [TEXT]         ask a node; TEXT or standard input
-  ledgelead command [FLAGS] [TEXT]       give a node a command; same
-  ledgelead status [FLAGS]               configuration, nodes, groups and servers
-  ledgelead watch [FLAGS] [TEXT]         ask again and again; without TEXT, status
+  ledgelead check FILE                   report all errors in a settings file
+  ledgelead query [FLAGS] [TEXT]         run a query, from TEXT or standard input
+  ledgelead command [FLAGS] [TEXT]       run a command, from TEXT or standard input
+  ledgelead status [FLAGS]               show configuration, nodes, groups and servers
+  ledgelead watch [FLAGS] [TEXT]         repeat a query; without TEXT, show the status
   ledgelead completion bash|zsh          print a completion script
   ledgelead --help | --version
 
 Flags of node override the file:
-  --node NUMBER            this machine
-  --zone NUMBER            its zone
-  --callers IP:PORT        where callers' requests are accepted
-  --administration IP:PORT where operators are served
-  --peers IP:PORT          where other nodes are listened to
-  --platform IP:PORT       the platform's object API
+  --node NUMBER            number of this node
+  --zone NUMBER            zone of this node
+  --callers IP:PORT        address for callers' requests
+  --administration IP:PORT address of the administration interface
+  --peers IP:PORT          address for connections of other nodes
+  --platform IP:PORT       address of the platform's object API
   --log-level LEVEL        off, error, warn, info, debug or trace
 
 Flags of query, command, status and watch:
   --address IP:PORT        the node's administration address (127.0.0.1:9080)
   --json                   print JSON instead of tables
 Flags of command:
-  --id ID                  the command's identifier; the same for a repeat
-  --if-version NUMBER      only if the configuration has this version
-  --wait                   wait until it is in force at every live node
+  --id ID                  the command's identifier; use the same for a retry
+  --if-version NUMBER      apply only if the configuration has this version
+  --wait                   wait until the change is in force at every live node
 Flags of watch:
-  --interval SECONDS       pause between two looks (2)
-  --count NUMBER           looks before it ends (without end)
+  --interval SECONDS       pause between two queries (2)
+  --count NUMBER           number of queries (unlimited)
 
-The operator's credential is taken from the variable LEDGELEAD_OPERATOR_TOKEN.
+The operator's credential is read from the variable LEDGELEAD_OPERATOR_TOKEN.
 Example: ledgelead query 'show servers where load > 0.8 order by load desc'
 
 Exit codes:
-  0  done
-  1  failed: the node can't be reached, or did not understand
-  2  wrong settings, command line or statement; nothing was changed
+  0  success
+  1  failed: the node can't be reached, or returned an unexpected response
+  2  invalid settings, command line or statement; nothing was changed
   3  no credential, or not allowed; nothing was changed
-  4  refused: the version differs, or it can't be applied as things are now
-  5  not possible at present; nothing was changed; the same again may succeed
-  6  may or may not have taken effect; the same again under the same --id tells
+  4  refused: the version differs, or the command can't be applied at present
+  5  unavailable at present; nothing was changed; a retry may succeed
+  6  may or may not have taken effect; a retry with the same --id tells
   7  in force, but not yet at every live node
 ";
 
@@ -79,7 +79,7 @@
     Node {
         /// Path of the settings file.
         file: String,
-        /// Flags over the file.
+        /// Flags that override the file.
         overrides: Overrides,
     },
     /// Check a settings file.
@@ -87,7 +87,7 @@
         /// Its path.
         file: String,
     },
-    /// Ask a running node or give it a command.
+    /// Send a query or a command to a running node.
     Operator(OperatorInvocation),
     /// Print a completion script.
     Completion(Shell),
@@ -100,22 +100,22 @@
 /// Why a run failed.
 #[derive(Debug)]
 pub enum RunError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
-    /// The settings are wrong.
+    /// The settings are invalid.
     Settings(Findings),
     /// A file can't be read.
     File {
         /// Its path.
         file: String,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The node did not start.
+    /// The node failed to start.
     Start(crate::StartError),
     /// The stop did not finish in time.
     StopTimedOut,
-    /// The node that was asked did not answer, or refused.
+    /// The node did not answer the operator's request, or refused it.
     Operator(OperatorError),
 }
 
@@ -137,7 +137,10 @@
             RunError::Settings(findings) => write!(formatter, "{findings}"),
             RunError::File { file, source } => writeln!(formatter, "{file}: {source}"),
             RunError::Start(error) => writeln!(formatter, "{error}"),
-            RunError::StopTimedOut => writeln!(formatter, "not everything in flight was finished"),
+            RunError::StopTimedOut => writeln!(
+                formatter,
+                "the node stopped before everything in flight was finished"
+            ),
             RunError::Operator(error) => write!(formatter, "{error}"),
         }
     }
@@ -151,7 +154,7 @@
     }
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
 /// [`RunError::Usage`].
@@ -169,7 +172,7 @@
             "watch" => operator_invocation(parser, OperatorAction::Watch),
             "completion" => parse_completion(parser),
             "help" => Ok(Invocation::Help),
-            other => Err(RunError::Usage(format!("no command {other:?}"))),
+            other => Err(RunError::Usage(format!("unknown command {other:?}"))),
         },
         Some(other) => Err(other.unexpected().into()),
     }
@@ -193,7 +196,7 @@
         };
         *slot = Some(parser.value()?.string()?);
     }
-    let file = file.ok_or_else(|| RunError::Usage("node needs --config FILE".to_owned()))?;
+    let file = file.ok_or_else(|| RunError::Usage("node requires --config FILE".to_owned()))?;
     Ok(Invocation::Node { file, overrides })
 }
 
@@ -206,7 +209,7 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let file = file.ok_or_else(|| RunError::Usage("check needs FILE".to_owned()))?;
+    let file = file.ok_or_else(|| RunError::Usage("check requires FILE".to_owned()))?;
     Ok(Invocation::Check { file })
 }
 
@@ -221,7 +224,7 @@
 }
 
 fn parse_completion(mut parser: lexopt::Parser) -> Result<Invocation, RunError> {
-    let usage = || RunError::Usage("completion needs bash or zsh".to_owned());
+    let usage = || RunError::Usage("completion requires bash or zsh".to_owned());
     let Some(Value(shell)) = parser.next()? else {
         return Err(usage());
     };
@@ -229,10 +232,10 @@
     Ok(Invocation::Completion(shell))
 }
 
-/// Carries out what the command line asks for.
+/// Runs what the command line asks for.
 ///
 /// # Errors
-/// Why it failed, with its exit code.
+/// The cause of the failure, which has an exit code.
 pub fn run(invocation: Invocation, output: &mut impl Write) -> Result<(), RunError> {
     match invocation {
         Invocation::Help => print(output, HELP),
@@ -242,7 +245,7 @@
         ),
         Invocation::Check { file } => {
             read_settings(&file, &Overrides::default())?;
-            print(output, &format!("{file}: no mistakes\n"))
+            print(output, &format!("{file}: no errors\n"))
         }
         Invocation::Node { file, overrides } => run_node(read_settings(&file, &overrides)?),
         Invocation::Operator(invocation) => {
@@ -253,7 +256,7 @@
 }
 
 fn print(output: &mut impl Write, text: &str) -> Result<(), RunError> {
-    // A reader that closed the pipe wants no more.
+    // A failed write is ignored: the reader has closed the pipe.
     let _ = output.write_all(text.as_bytes());
     Ok(())
 }
@@ -274,13 +277,13 @@
     let node = Node::start(settings).map_err(RunError::Start)?;
     log::info!(
         target: "node",
-        "listening: callers {}, administration {}, peers {}",
+        "listening on {} for callers, {} for administration, {} for peers",
         node.http_address,
         node.administration_address,
         node.peer_address
     );
     let signal = signals.forever().next();
-    log::info!(target: "node", "signal {signal:?}: stopping");
+    log::info!(target: "node", "stopping after signal {signal:?}");
     if node.stop() {
         return Ok(());
     }
--- a/crates/ledgelead-node/src/command_line/completion.rs
+++ b/crates/ledgelead-node/src/command_line/completion.rs
@@ -1,6 +1,6 @@
-//! Completion scripts.
+//! Shell completion scripts.
 
-/// A shell that completes words.
+/// A shell with a completion script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Shell {
@@ -9,7 +9,7 @@
 }
 
 impl Shell {
-    /// The shell of this name.
+    /// The shell with this name.
     pub fn named(name: &str) -> Option<Shell> {
         match name {
             "bash" => Some(Shell::Bash),
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The script that the shell reads.
+    /// The shell's completion script.
     pub fn script(self) -> &'static str {
         match self {
             Shell::Bash => BASH,
--- a/crates/ledgelead-node/src/command_line/operator.rs
+++ b/crates/ledgelead-node/src/command_line/operator.rs
@@ -1,4 +1,4 @@
-//! `query`, `command`, `status` and `watch`: thin clients of a node's
+//! The commands `query`, `command`, `status` and `watch`: thin clients of a node's
 //! administration interface.
 
 mod client;
@@ -16,50 +16,50 @@
 const DEFAULT_ADDRESS: &str = "127.0.0.1:9080";
 /// Environment variable that holds an operator's credential.
 const CREDENTIAL_VARIABLE: &str = "LEDGELEAD_OPERATOR_TOKEN";
-/// What `status` asks.
+/// The statements that `status` runs.
 const STATUS: &str = "show configuration; show nodes; show groups; show servers";
-/// Pause between two polls of `watch`, in seconds.
+/// Pause between two queries of `watch`, in seconds.
 const DEFAULT_INTERVAL: u64 = 2;
-/// Clears a terminal and goes to its first line.
+/// Escape sequence that clears the terminal and moves the cursor to the first line.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// What an operator wants.
+/// The action of an operator's command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorAction {
-    /// Ask once.
+    /// Run a query once.
     Query,
-    /// Give a command.
+    /// Run a command.
     Command,
-    /// Ask for an overview.
+    /// Show an overview.
     Status,
-    /// Ask again and again.
+    /// Repeat a query.
     Watch,
 }
 
 /// An operator's command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorInvocation {
-    /// What is wanted.
+    /// The action.
     pub action: OperatorAction,
     /// `IP:port` of the node's administration interface.
     pub address: String,
-    /// Whether JSON is wanted.
+    /// Whether to print JSON.
     pub json: bool,
-    /// The statement; `None` to read standard input, or for the overview.
+    /// The statement; `None` to read it from standard input, or for the overview.
     pub text: Option<String>,
-    /// The command's identifier; drawn when `None`.
+    /// The command's identifier; random if `None`.
     pub id: Option<String>,
-    /// The version that the command relies on.
+    /// The configuration's version that the command requires.
     pub if_version: Option<u64>,
     /// Whether to wait until the change is in force everywhere.
     pub wait: bool,
-    /// Seconds between two polls.
+    /// Seconds between two queries.
     pub interval: u64,
-    /// Number of polls.
+    /// Number of queries; unlimited if `None`.
     pub count: Option<u64>,
 }
 
-/// Reads the flags; `None` when help is asked for.
+/// Parses the flags; `None` if help is asked for.
 pub(super) fn parse(
     mut parser: lexopt::Parser,
     action: OperatorAction,
@@ -102,7 +102,7 @@
     Ok(Some(invocation))
 }
 
-/// Asks the node and prints what it answers.
+/// Sends the request to the node and prints the response.
 pub(super) fn run(
     invocation: OperatorInvocation,
     output: &mut impl Write,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The statement, from standard input when none is given.
+/// The statement, read from standard input if none is given.
 fn statement(text: Option<String>) -> Result<String, OperatorError> {
     match text {
         Some(text) => Ok(text),
@@ -147,8 +147,8 @@
     }
 }
 
-/// Asks again and again. A look that fails is told, and the next may succeed;
-/// a statement that is wrong or not allowed ends it.
+/// Repeats a query. A transient failure is printed and the query repeated; an invalid
+/// or forbidden statement ends the loop.
 fn watch(
     client: &Client,
     invocation: &OperatorInvocation,
@@ -198,7 +198,8 @@
     }
 }
 
-/// A reader that closed the pipe wants no more; `watch` ends then.
+/// Writes and flushes `text`. The write fails once the reader has closed the pipe, which
+/// ends `watch`.
 fn print(output: &mut impl Write, text: &str) -> Result<(), OperatorError> {
     let written = output
         .write_all(text.as_bytes())
--- a/crates/ledgelead-node/src/command_line/operator/client.rs
+++ b/crates/ledgelead-node/src/command_line/operator/client.rs
@@ -1,4 +1,4 @@
-//! HTTP to the administration interface.
+//! HTTP client of the administration interface.
 
 use super::{CREDENTIAL_VARIABLE, OperatorError};
 use ledgelead_query::Findings;
@@ -6,13 +6,13 @@
 use std::io::{ErrorKind, IsTerminal, Read};
 use std::time::Duration;
 
-/// Longest wait for an answer; above what a node takes for a command and the
-/// wait behind it.
+/// Longest wait for a response. It exceeds the time that a node takes for a command and
+/// the wait that follows it.
 const ANSWER_TIME: Duration = Duration::from_secs(40);
-/// Variable that forbids colour, by the convention of <https://no-color.org>.
+/// Environment variable that disables colour, see <https://no-color.org>.
 const NO_COLOUR_VARIABLE: &str = "NO_COLOR";
 
-/// The form of a query's answer.
+/// The format of a query's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseFormat {
     /// Aligned tables.
@@ -28,16 +28,16 @@
     credential: Option<String>,
 }
 
-/// An answer as it came.
+/// A response as received.
 struct Answer {
     status: u16,
     body: String,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 struct PostFailure {
     message: String,
-    /// Whether the node may have read the request.
+    /// Whether the node may have received the request.
     was_sent: bool,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Asks; the answer is to be printed as it is.
+    /// Runs a query; the response is to be printed unchanged.
     pub(super) fn query(
         &self,
         text: &str,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Gives a command.
+    /// Runs a command.
     pub(super) fn command(
         &self,
         text: &str,
@@ -141,7 +141,7 @@
             422 => OperatorError::InvalidStatement(rendered(error, text).unwrap_or(message)),
             401 => {
                 let message =
-                    format!("{message}\nthe credential is taken from {CREDENTIAL_VARIABLE}");
+                    format!("{message}\nthe credential is read from {CREDENTIAL_VARIABLE}");
                 OperatorError::Forbidden(message)
             }
             403 => OperatorError::Forbidden(message),
@@ -156,7 +156,7 @@
     }
 }
 
-/// The mistakes under the text, in colour on a terminal.
+/// The errors rendered below the statement's text, in colour on a terminal.
 fn rendered(error: &Value, text: &str) -> Option<String> {
     let colour = std::io::stderr().is_terminal() && std::env::var_os(NO_COLOUR_VARIABLE).is_none();
     let findings: Findings = serde_json::from_value(error["findings"].clone()).ok()?;
--- a/crates/ledgelead-node/src/command_line/operator/error.rs
+++ b/crates/ledgelead-node/src/command_line/operator/error.rs
@@ -1,23 +1,23 @@
-//! Why an operator did not get what was asked for, and the exit code.
+//! Failures of operators' requests, and their exit codes.
 
 use std::fmt;
 
-/// Why an operator did not get what was asked for.
+/// Why an operator's request failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorError {
-    /// The node can't be reached or did not understand.
+    /// The node can't be reached, or returned an unexpected response.
     Failed(String),
-    /// The statement is wrong; the mistakes, rendered.
+    /// The statement is invalid; the rendered errors.
     InvalidStatement(String),
     /// No credential, or not allowed.
     Forbidden(String),
-    /// Refused as things are now.
+    /// Refused: the version differs, or the command can't be applied at present.
     Refused(String),
-    /// Not possible at present; nothing was changed.
+    /// Unavailable at present; nothing was changed.
     Unavailable(String),
-    /// It may or may not have taken effect under this identifier.
+    /// The command may or may not have taken effect under this identifier.
     Unknown {
-        /// What was said.
+        /// The node's message, or the failure of the request.
         message: String,
         /// The command's identifier.
         id: String,
@@ -27,12 +27,12 @@
 }
 
 impl OperatorError {
-    /// The node can't be reached or did not understand.
+    /// Creates [`OperatorError::Failed`].
     pub(super) fn failed(message: impl Into<String>) -> OperatorError {
         OperatorError::Failed(message.into())
     }
 
-    /// Whether the same query may succeed later.
+    /// Whether a retry of the same query may succeed.
     pub(super) fn is_transient(&self) -> bool {
         matches!(
             self,
@@ -40,7 +40,7 @@
         )
     }
 
-    /// The exit code, as `--help` has it.
+    /// The exit code, as documented in `--help`.
     pub fn exit_code(&self) -> u8 {
         match self {
             OperatorError::Failed(_) => 1,
@@ -63,7 +63,7 @@
             | OperatorError::Refused(message)
             | OperatorError::Unavailable(message) => writeln!(formatter, "{message}"),
             OperatorError::Unknown { message, id } => {
-                writeln!(formatter, "{message}\nrepeat the command with: --id {id}")
+                writeln!(formatter, "{message}\nretry the command with: --id {id}")
             }
             OperatorError::Lagging(nodes) => writeln!(formatter, "not yet in force at {nodes}"),
         }
--- a/crates/ledgelead-node/src/command_line/operator/show.rs
+++ b/crates/ledgelead-node/src/command_line/operator/show.rs
@@ -1,8 +1,8 @@
-//! A command's answer for people.
+//! Text output for a command's response.
 
 use serde_json::Value;
 
-/// What took effect.
+/// Describes the change that took effect.
 pub(super) fn accepted(answer: &Value) -> String {
     let repeated = answer["repeated"].as_bool().unwrap_or_default();
     let again = if repeated { " before" } else { "" };
@@ -18,7 +18,7 @@
     format!("accepted{again}: version {version}{everywhere}\n")
 }
 
-/// The nodes where a change that was waited for is not in force.
+/// The nodes at which the change was not in force when the wait ended.
 pub(super) fn lagging(answer: &Value) -> Option<String> {
     let nodes = answer["lagging"].as_array()?;
     let names: Vec<&str> = nodes.iter().filter_map(Value::as_str).collect();
--- a/crates/ledgelead-node/src/event_log.rs
+++ b/crates/ledgelead-node/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Writes events of the decisions as log records.
+//! Writes the core's events as log records.
 
 use crate::logging::{EVENT_TARGET, JsonFields};
 use ledgelead_types::Outcome;
--- a/crates/ledgelead-node/src/handle.rs
+++ b/crates/ledgelead-node/src/handle.rs
@@ -1,4 +1,4 @@
-//! Asks a running node from other threads.
+//! Access to a running node from other threads.
 
 use ledgelead_core::{Input, TicketId};
 use ledgelead_types::administration::{AdministrationCommand, CommandResult};
@@ -10,22 +10,22 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What other threads ask of the node's thread.
+/// Requests of other threads to the node's thread.
 pub(crate) enum Request {
-    /// Something happened.
+    /// Handle an event.
     Input(Input),
-    /// The node's view is wanted.
+    /// Send back the node's view.
     View(SyncSender<NodeView>),
-    /// End at once.
+    /// End immediately.
     Kill,
 }
 
-/// Why a node did not answer.
+/// Why a node did not respond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandleError {
     /// The node has ended.
     Ended,
-    /// The time ran out. A command may or may not have taken effect.
+    /// The timeout expired. A command may or may not have taken effect.
     TimedOut,
 }
 
@@ -40,7 +40,7 @@
 
 impl std::error::Error for HandleError {}
 
-/// A handle to a running node; clones reach the same node.
+/// A handle to a running node; clones refer to the same node.
 #[derive(Clone)]
 pub struct NodeHandle {
     channel: Channel<Request>,
@@ -52,10 +52,10 @@
         NodeHandle { channel, pending }
     }
 
-    /// What the node can tell an operator.
+    /// The node's view for operators.
     ///
     /// # Errors
-    /// When the node has ended or does not answer in time.
+    /// When the node has ended or does not respond in time.
     pub fn view(&self, time: Duration) -> Result<NodeView, HandleError> {
         let (answer, answered) = mpsc::sync_channel(1);
         if !self.channel.send(Request::View(answer)) {
@@ -64,12 +64,11 @@
         answered.recv_timeout(time).map_err(HandleError::from)
     }
 
-    /// Gives the node an operator's command, checked and typed, and waits for
-    /// its end.
+    /// Passes an operator's validated command to the node and waits for its result.
     ///
     /// # Errors
-    /// When the node has ended or does not answer in time; asking again under
-    /// the same command identifier is safe.
+    /// When the node has ended or does not respond in time. A retry under the same
+    /// command identifier is safe.
     pub fn command(
         &self,
         command: AdministrationCommand,
@@ -87,10 +86,10 @@
         result
     }
 
-    /// What the whole deployment knows: this node asks the others, too.
+    /// The view of the whole deployment, for which this node queries the other nodes.
     ///
     /// # Errors
-    /// When the node has ended or does not answer in time.
+    /// When the node has ended or does not respond in time.
     pub fn inquire(&self, time: Duration) -> Result<NodeView, HandleError> {
         let (finish, finished) = mpsc::sync_channel(1);
         let ticket = self.pending.open(Pending::Inquiry(finish));
@@ -103,7 +102,7 @@
         result.map(|view| *view)
     }
 
-    /// Tells the node what happened; false when it has ended.
+    /// Sends an event to the node; false if the node has ended.
     pub(crate) fn input(&self, input: Input) -> bool {
         self.channel.send(Request::Input(input))
     }
@@ -122,13 +121,13 @@
     }
 }
 
-/// Who waits for a ticket's end.
+/// The waiting requester of a ticket.
 enum Pending {
     Command(SyncSender<CommandResult>),
     Inquiry(SyncSender<Box<NodeView>>),
 }
 
-/// Commands and inquiries given to the decisions and not yet finished.
+/// Commands and inquiries passed to the core and not yet finished.
 #[derive(Default)]
 pub(crate) struct PendingTickets {
     waiting: Mutex<HashMap<TicketId, Pending>>,
@@ -148,7 +147,7 @@
 
     pub(crate) fn finish_command(&self, ticket: TicketId, result: CommandResult) {
         if let Some(Pending::Command(finish)) = self.lock().remove(&ticket) {
-            // Whoever asked may have stopped waiting.
+            // The requester may have stopped waiting.
             let _ = finish.try_send(result);
         }
     }
--- a/crates/ledgelead-node/src/lib.rs
+++ b/crates/ledgelead-node/src/lib.rs
@@ -1,8 +1,8 @@
 //! The node process: actors, sockets, settings, logs, metrics, command line.
 //!
-//! [`Node::start`] starts one node; many can run in one process. The decisions
-//! are `ledgelead-core`'s; this crate carries them out over sockets
-//! (`docs/design/node.md`).
+//! [`Node::start`] starts one node; many can run in one process. `ledgelead-core`
+//! decides, without performing any input or output; this crate executes its outputs over
+//! sockets (`docs/design/node.md`).
 
 pub mod actor;
 pub mod administration;
@@ -30,6 +30,6 @@
 use ledgelead_core::Input;
 use std::sync::Arc;
 
-/// Where threads that do input and output send what happened. Never blocks;
-/// inputs sent after the node ended are dropped.
+/// Sends inputs from I/O threads to the core. Never blocks; inputs sent after the node
+/// has ended are dropped.
 pub type InputSink = Arc<dyn Fn(Input) + Send + Sync>;
--- a/crates/ledgelead-node/src/logging.rs
+++ b/crates/ledgelead-node/src/logging.rs
@@ -1,15 +1,15 @@
-//! Logs as JSON lines, by `log` and `fern`.
+//! Log output as JSON lines, by `log` and `fern`.
 //!
 //! Every line has `time` (seconds since the epoch), `level`, `node`, `module`
-//! and either `event` with its fields or `message`. The node is known from the
-//! name of the thread that logs, since many nodes can run in one process.
+//! and either `event` with its fields or `message`. Many nodes can run in one process,
+//! so the node is taken from the name of the thread that logs.
 
 use std::fmt::{self, Display, Write};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Target of records that hold JSON fields instead of a message.
+/// Target of records that contain JSON fields instead of a message.
 pub const EVENT_TARGET: &str = "event";
-/// Separates the node from the thread's job in a thread's name.
+/// Separates the node from the thread's task in the name of a thread.
 const NAME_SEPARATOR: char = '/';
 
 /// Fields of a JSON object, without its braces.
@@ -17,18 +17,18 @@
 pub struct JsonFields(String);
 
 impl JsonFields {
-    /// None yet.
+    /// No fields.
     pub fn new() -> JsonFields {
         JsonFields::default()
     }
 
-    /// Adds a text.
+    /// Adds a string.
     pub fn text(self, name: &str, value: impl Display) -> JsonFields {
         let value = serde_json::Value::String(value.to_string());
         self.raw(name, &value.to_string())
     }
 
-    /// Adds a text, or `null`.
+    /// Adds a string, or `null`.
     pub fn optional_text(self, name: &str, value: Option<&impl Display>) -> JsonFields {
         match value {
             Some(value) => self.text(name, value),
@@ -64,12 +64,12 @@
     format!("{node}{NAME_SEPARATOR}{job}")
 }
 
-/// Sends log records to standard error as JSON lines. Lines of threads that
-/// belong to no node, like the main one, carry this process's `node`. Libraries may warn, no
-/// more: their debug lines hold callers' headers.
+/// Sends log records to standard error as JSON lines. Lines from threads that belong to
+/// no node, such as the main thread, have the given `node`. Records of libraries below
+/// the level of warnings are dropped, since their debug records contain callers' headers.
 ///
 /// # Errors
-/// When the process logs already.
+/// When a logger is already installed.
 pub fn start(
     level: log::LevelFilter,
     node: ledgelead_types::NodeId,
@@ -97,7 +97,7 @@
         .apply()
 }
 
-/// One line for one record.
+/// Formats one record as a line.
 pub fn json_line(
     thread: Option<&str>,
     time: SystemTime,
--- a/crates/ledgelead-node/src/metrics.rs
+++ b/crates/ledgelead-node/src/metrics.rs
@@ -12,13 +12,13 @@
 use prometheus_client::registry::{Registry, Unit};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// How many latency buckets; each is twice the one before, from half a
+/// Number of latency buckets. Each bound is twice the one before, from half a
 /// millisecond to about 16 s.
 const LATENCY_BUCKETS: u16 = 16;
 /// Upper bound of the first latency bucket, in seconds.
 const FIRST_LATENCY_BUCKET: f64 = 0.000_5;
 
-/// Labels of a request's end.
+/// Labels of an ended request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RequestLabels {
     outcome: &'static str,
@@ -26,45 +26,45 @@
     tier: u8,
 }
 
-/// Label of a tier.
+/// Label for a tier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TierLabel {
     tier: u8,
 }
 
-/// Label of a reason.
+/// Label for the reason of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabel {
     reason: &'static str,
 }
 
-/// Label of a group.
+/// Label for a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct GroupLabel {
     group: String,
 }
 
-/// Label of an owner change.
+/// Labels of an owner change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OwnerChangeLabel {
     group: String,
     after_loss: &'static str,
 }
 
-/// What control bytes are for.
+/// Kind of a control message to servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum ControlKind {
-    /// Renewals of servers' leases, HTTP headers not counted.
+    /// Renewals of servers' leases; HTTP headers are not counted.
     Renewal,
 }
 
-/// Label of control bytes.
+/// Label for the kind of a control message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ControlLabel {
     kind: ControlKind,
 }
 
-/// All metrics of one node; clones share them.
+/// All metrics of one node; clones share the same values.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
@@ -85,7 +85,7 @@
     requests_in_flight: Gauge,
     platform_reachable: Gauge,
     imbalance: Family<GroupLabel, Gauge<f64, std::sync::atomic::AtomicU64>>,
-    /// What the transport between nodes counts.
+    /// Counters of the transport between nodes.
     pub peer: PeerCounters,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl Metrics {
-    /// All at zero, and registered.
+    /// Registers all metrics, with value zero.
     pub fn new() -> Metrics {
         let metrics = Metrics {
             registry: Arc::new(Mutex::new(Registry::with_prefix("ledgelead"))),
@@ -341,7 +341,7 @@
         }
     }
 
-    /// Takes over what the node's view says.
+    /// Updates the gauges from the node's view.
     pub fn observe(&self, view: &NodeView) {
         let live = view.nodes.iter().filter(|node| node.live).count();
         self.live_nodes.set(live as i64);
@@ -362,7 +362,7 @@
         }
     }
 
-    /// Counts a request refused before the decisions saw it.
+    /// Counts a request refused before it reached the core.
     pub fn count_refused_unread(&self, reason: NotRunReason) {
         let label = ReasonLabel {
             reason: reason.name(),
@@ -370,19 +370,19 @@
         self.refused_unread.get_or_create(&label).inc();
     }
 
-    /// Counts bytes of a control message to a server.
+    /// Counts the bytes of a control message to a server.
     pub fn count_control_out(&self, kind: ControlKind, bytes: usize) {
         let label = ControlLabel { kind };
         self.control_out.get_or_create(&label).inc_by(bytes as u64);
     }
 
-    /// Counts bytes of a control message from a server.
+    /// Counts the bytes of a control message from a server.
     pub fn count_control_in(&self, kind: ControlKind, bytes: usize) {
         let label = ControlLabel { kind };
         self.control_in.get_or_create(&label).inc_by(bytes as u64);
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn render(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut output = String::new();
--- a/crates/ledgelead-node/src/node/listeners.rs
+++ b/crates/ledgelead-node/src/node/listeners.rs
@@ -5,19 +5,19 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 
-/// Why a node did not start. Nothing is left running.
+/// Why a node failed to start. None of its threads is left running.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     Listen {
-        /// What for.
+        /// Interface that the address is for.
         purpose: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// The system gave no thread or no poller.
+    /// The system could not create a thread or a poller.
     System(io::Error),
 }
 
@@ -30,9 +30,9 @@
                 source,
             } => write!(
                 formatter,
-                "can't listen on {address} for {purpose}: {source}"
+                "listening on {address} for {purpose} failed: {source}"
             ),
-            StartError::System(source) => write!(formatter, "can't start: {source}"),
+            StartError::System(source) => write!(formatter, "starting the node failed: {source}"),
         }
     }
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Listeners bound before anything is started.
+/// Listeners, bound before any thread is started.
 pub(super) struct Listeners {
     pub(super) callers: TcpListener,
     pub(super) administration: TcpListener,
@@ -70,8 +70,9 @@
     })
 }
 
-/// An HTTP server whose connections send each answer's last bytes at once: on
-/// Linux an accepted socket inherits this option from the listener's.
+/// An HTTP server whose connections have `TCP_NODELAY` set, so that the last bytes
+/// of a response are sent immediately. On Linux an accepted socket inherits this
+/// option from the listener.
 fn http_server(listener: TcpListener) -> Result<tiny_http::Server, StartError> {
     let socket = TcpStream::from(OwnedFd::from(listener));
     socket.set_nodelay(true)?;
@@ -80,10 +81,10 @@
         .map_err(|error| StartError::System(io::Error::other(error.to_string())))
 }
 
-/// The HTTP server behind the guard, on any port of the loopback.
+/// The HTTP server behind the proxy, on any free port of the loopback interface.
 pub(super) fn inner_http_server() -> Result<tiny_http::Server, StartError> {
     let loopback = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    http_server(listen("callers, behind the guard", loopback)?)
+    http_server(listen("callers, behind the proxy", loopback)?)
 }
 
 pub(super) fn inner_address(server: &tiny_http::Server) -> Result<SocketAddr, StartError> {
--- a/crates/ledgelead-node/src/node/mod.rs
+++ b/crates/ledgelead-node/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Starts and ends a node.
+//! Starts and stops a node.
 
 mod listeners;
 mod node_thread;
@@ -30,21 +30,21 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Pause between two looks whether a stopping node has answered everything.
+/// How often a stopping node checks whether every request was answered.
 const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Starts nodes.
 pub struct Node;
 
-/// A node that runs. Dropping it kills it.
+/// A running node. Dropping it kills it.
 pub struct RunningNode {
-    /// Where callers' requests are accepted.
+    /// Address on which callers' requests are accepted.
     pub http_address: SocketAddr,
-    /// Where operators are interfaces.
+    /// Address of the administration interface.
     pub administration_address: SocketAddr,
-    /// Where other nodes are listened to.
+    /// Address on which connections of other nodes are accepted.
     pub peer_address: SocketAddr,
-    /// This run.
+    /// Identifies this run of the node.
     pub incarnation: Incarnation,
     handle: NodeHandle,
     metrics: Metrics,
@@ -53,7 +53,7 @@
     parts: Parts,
 }
 
-/// What has to be ended.
+/// The parts that are closed when the node ends.
 struct Parts {
     proxy: CallerProxy,
     callers: CallerServer,
@@ -66,10 +66,10 @@
 }
 
 impl Node {
-    /// Starts a node. All its ports listen when this returns.
+    /// Starts a node. All its ports are open when this returns.
     ///
     /// # Errors
-    /// When an address is taken or the system gives no more threads.
+    /// When an address is in use or the system can't create more threads.
     pub fn start(mut settings: Settings) -> Result<RunningNode, StartError> {
         file_limit::lower_connection_limit(&mut settings.limits);
         let listeners = Listeners::bind(&settings)?;
@@ -129,7 +129,7 @@
 }
 
 impl RunningNode {
-    /// Asks the node from other threads.
+    /// A handle to the node for other threads.
     pub fn handle(&self) -> NodeHandle {
         self.handle.clone()
     }
@@ -139,9 +139,9 @@
         &self.metrics
     }
 
-    /// Asks the node to stop: nothing new is accepted, what is in flight is
-    /// finished, roles are handed over. Returns once that is done, or the
-    /// settings' time for it is over; true when all was finished.
+    /// Stops the node gracefully: new connections are refused, requests in flight are
+    /// finished, and roles are handed over. Returns when that is done or the stop time
+    /// of the settings has passed; true if everything was finished.
     pub fn stop(mut self) -> bool {
         self.parts.proxy.refuse_new();
         self.parts.open_requests.close_connections();
@@ -154,13 +154,13 @@
         finished && answered
     }
 
-    /// Ends the node at once, as a crash would: sockets are dropped, nothing
+    /// Ends the node immediately, as a crash would: sockets are dropped, and nothing
     /// is finished or handed over.
     pub fn kill(mut self) {
         self.end();
     }
 
-    /// Waits until the node has ended by itself.
+    /// Waits until the node's thread has ended.
     pub fn wait(&mut self) {
         if let Some(thread) = self.parts.thread.take() {
             join(thread);
@@ -186,8 +186,8 @@
 }
 
 impl Parts {
-    /// Waits until every request that came before the stop was answered to its
-    /// caller's connection.
+    /// Waits until the response to every request that arrived before the stop was
+    /// written to its caller's connection; false if `deadline` passes first.
     fn wait_for_answers(&self, deadline: Instant) -> bool {
         while self.open_requests.count_before_closing() > 0 {
             if Instant::now() >= deadline {
--- a/crates/ledgelead-node/src/node/node_thread.rs
+++ b/crates/ledgelead-node/src/node/node_thread.rs
@@ -1,4 +1,4 @@
-//! The node's thread: the actors, and the poller that wakes them.
+//! The node's thread: runs the actors and the poller that wakes them.
 
 use super::listeners::StartError;
 use crate::InputSink;
@@ -33,12 +33,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::Instant;
 
-/// Events taken from the poller at once.
+/// Events taken from the poller in one call.
 const POLL_EVENTS: usize = 1_024;
-/// Priority of inputs of other threads in the poller.
+/// Priority in the poller of inputs from other threads.
 const WAKER_PRIORITY: u32 = 5;
 
-/// What the node's thread needs.
+/// What the node's thread is created with.
 pub(super) struct ThreadSetup {
     pub(super) node: NodeSettings,
     pub(super) settings: Settings,
@@ -49,7 +49,7 @@
     pub(super) stopped: Sender<()>,
 }
 
-/// What the node's thread gives back once it runs.
+/// What the node's thread returns when it has started.
 pub(super) struct Started {
     pub(super) handle: NodeHandle,
     pub(super) forwarder: Arc<Forwarder>,
@@ -106,15 +106,15 @@
         let _ = report.send(Ok(started));
     }
     if let Err(error) = poll_until_shutdown(&mut stakker, &runtime.poll) {
-        log::error!(target: "node", "polling failed: {error}");
+        log::error!(target: "node", "the poller failed, the node ends: {error}");
     }
-    // Dropping an actor's owner only queues its end, and with it the end of
-    // its sockets; one more run carries it out.
+    // Dropping the owner of an actor only queues the actor's termination, which
+    // closes its sockets; one more run executes it.
     drop(runtime);
     stakker.run(Instant::now(), false);
 }
 
-/// What lives as long as the node's thread.
+/// The values that live as long as the node's thread.
 struct NodeRuntime {
     poll: MioPoll,
     started: Option<Started>,
@@ -138,7 +138,7 @@
         match request {
             Request::Input(input) => self.input(cx, input),
             Request::View(answer) => self.inspect(cx, |view| {
-                // Whoever asked may have stopped waiting.
+                // The requester may have stopped waiting.
                 let _ = answer.try_send(view);
             }),
             Request::Kill => cx.shutdown(StopCause::Stopped),
--- a/crates/ledgelead-node/src/node/serving.rs
+++ b/crates/ledgelead-node/src/node/serving.rs
@@ -1,4 +1,4 @@
-//! The parts of a node that serve callers and operators.
+//! The interfaces of a node for callers and operators.
 
 use super::listeners::{Listeners, StartError, inner_address, inner_http_server};
 use super::node_thread::{Started, input_sink};
@@ -13,10 +13,10 @@
 use ledgelead_core::Input;
 use std::sync::Arc;
 
-/// Operators' connections at once.
+/// Operators' connections open at the same time.
 const MAX_ADMINISTRATION_CONNECTIONS: usize = 64;
 
-/// The parts that serve callers and operators.
+/// The running interfaces for callers and operators.
 pub(super) struct Interfaces {
     pub(super) proxy: CallerProxy,
     pub(super) callers: CallerServer,
--- a/crates/ledgelead-node/src/peer/close_reason.rs
+++ b/crates/ledgelead-node/src/peer/close_reason.rs
@@ -1,4 +1,4 @@
-//! Why messages are dropped and connections closed.
+//! The reasons for which messages are dropped and connections closed.
 
 use super::frame::FrameError;
 use ledgelead_types::codec;
@@ -20,8 +20,8 @@
             CloseReason::Frame(error) => error.fmt(formatter),
             CloseReason::Message(error) => error.fmt(formatter),
             CloseReason::Socket(error) => error.fmt(formatter),
-            CloseReason::Ended => formatter.write_str("the other end closed"),
-            CloseReason::Stalled => formatter.write_str("no progress"),
+            CloseReason::Ended => formatter.write_str("closed by the other end"),
+            CloseReason::Stalled => formatter.write_str("stalled"),
         }
     }
 }
@@ -38,10 +38,10 @@
 impl std::fmt::Display for DropReason {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
-            DropReason::NoAddress => "no address",
+            DropReason::NoAddress => "the receiver's address is unknown",
             DropReason::NotConnected => "not connected",
-            DropReason::QueueFull => "queue full",
-            DropReason::TooLong => "too long",
+            DropReason::QueueFull => "the queue is full",
+            DropReason::TooLong => "the message is too long",
         })
     }
 }
--- a/crates/ledgelead-node/src/peer/counters.rs
+++ b/crates/ledgelead-node/src/peer/counters.rs
@@ -1,17 +1,17 @@
-//! What the transport counts.
+//! Counters of the transport between nodes.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 
-/// Label of messages of one kind.
+/// Label for the kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabel {
     /// Name of the kind (`MessageKind::name`).
     pub kind: &'static str,
 }
 
-/// What the transport counts.
+/// Counters of the transport.
 #[derive(Clone, Debug, Default)]
 pub struct PeerCounters {
     /// Bytes written to other nodes.
@@ -24,7 +24,7 @@
     pub messages_out: Counter,
     /// Messages read.
     pub messages_in: Counter,
-    /// Messages dropped because the receiver was not reached or too slow.
+    /// Messages dropped because the receiver was unreachable or too slow.
     pub dropped: Counter,
     /// Connections closed because of a bad frame.
     pub bad_frames: Counter,
--- a/crates/ledgelead-node/src/peer/frame.rs
+++ b/crates/ledgelead-node/src/peer/frame.rs
@@ -3,10 +3,11 @@
 //! The receiver opens each connection with a greeting that holds a random
 //! challenge. The sender answers with a hello that names itself and the
 //! receiver. Every message that follows is a frame: its length, a tag, the
-//! message. The tag is HMAC-SHA256 under the cluster key, cut to 16 bytes, over
-//! challenge, sender, receiver, the frame's number on this connection and the
-//! message. The challenge keeps a recorded frame from being played back on
-//! another connection, the number from being repeated or reordered on the same.
+//! message. The tag is HMAC-SHA256 under the cluster key, truncated to 16 bytes,
+//! over challenge, sender, receiver, the frame's number on this connection and the
+//! message. The challenge prevents a recorded frame from being replayed on another
+//! connection; the number prevents it from being replayed or reordered on the same
+//! one.
 //!
 //! Nothing is decoded before its tag is verified.
 
@@ -22,13 +23,13 @@
 pub const HEADER_BYTES: usize = 4 + TAG_BYTES;
 /// Bytes of a connection's challenge.
 pub const CHALLENGE_BYTES: usize = 16;
-/// Opens every greeting: protocol and version.
+/// First bytes of every greeting: protocol and version.
 const MAGIC: [u8; 4] = *b"LLP1";
 /// Bytes of a greeting.
 pub const GREETING_BYTES: usize = MAGIC.len() + CHALLENGE_BYTES;
 /// Bytes of a hello.
 pub const HELLO_BYTES: usize = 4 + 4 + TAG_BYTES;
-/// Number of the hello; frames count from the next.
+/// Number of the hello; frames are numbered from the next one.
 const HELLO_NUMBER: u64 = 0;
 
 /// Random bytes drawn by the receiver for one connection.
@@ -37,26 +38,33 @@
 /// Why the bytes of a connection were refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The greeting is not one of this protocol.
+    /// The greeting does not belong to this protocol.
     BadGreeting,
-    /// The hello is meant for another node.
+    /// The hello is addressed to another node.
     WrongReceiver,
     /// The declared length is above [`MAX_PAYLOAD`].
     TooLong {
         /// The declared length in bytes.
         length: usize,
     },
-    /// The tag does not match: another key, or bytes changed on the way.
+    /// The tag does not match: the sender has another key, or bytes were modified.
     BadTag,
 }
 
 impl std::fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            FrameError::BadGreeting => formatter.write_str("greeting of another protocol"),
-            FrameError::WrongReceiver => formatter.write_str("meant for another node"),
-            FrameError::TooLong { length } => write!(formatter, "declared length {length}"),
-            FrameError::BadTag => formatter.write_str("tag does not match"),
+            FrameError::BadGreeting => {
+                formatter.write_str("the greeting does not belong to this protocol")
+            }
+            FrameError::WrongReceiver => {
+                formatter.write_str("the hello is addressed to another node")
+            }
+            FrameError::TooLong { length } => write!(
+                formatter,
+                "the declared frame length {length} exceeds the limit"
+            ),
+            FrameError::BadTag => formatter.write_str("the authentication tag does not match"),
         }
     }
 }
@@ -68,7 +76,7 @@
 pub struct ClusterKey(Hmac<Sha256>);
 
 impl ClusterKey {
-    /// Derives the key from the secret of the settings.
+    /// Creates the key from the secret in the settings.
     pub fn new(secret: &[u8]) -> ClusterKey {
         ClusterKey(Hmac::new_from_slice(secret).expect("HMAC takes keys of any length"))
     }
@@ -91,7 +99,7 @@
     next_number: u64,
 }
 
-/// The bytes that open a connection.
+/// The greeting with which the receiver opens a connection.
 pub fn greeting(challenge: &Challenge) -> [u8; GREETING_BYTES] {
     let mut bytes = [0; GREETING_BYTES];
     bytes[..MAGIC.len()].copy_from_slice(&MAGIC);
@@ -99,7 +107,7 @@
     bytes
 }
 
-/// Reads a greeting; `None` while bytes are missing.
+/// Parses a greeting; `None` while bytes are missing.
 pub fn read_greeting(bytes: &[u8]) -> Result<Option<Challenge>, FrameError> {
     let available = bytes.len().min(MAGIC.len());
     if bytes[..available] != MAGIC[..available] {
@@ -113,7 +121,7 @@
     Ok(Some(copy))
 }
 
-/// Reads a hello at its receiver; `None` while bytes are missing.
+/// Parses and verifies a hello at its receiver; `None` while bytes are missing.
 pub fn read_hello(
     bytes: &[u8],
     key: &ClusterKey,
@@ -132,17 +140,17 @@
     Ok(Some(session))
 }
 
-/// One message found in a connection's bytes.
+/// A verified frame.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OpenedFrame<'a> {
     /// The message.
     pub payload: &'a [u8],
-    /// Bytes that the frame took.
+    /// Length of the whole frame in bytes.
     pub consumed: usize,
 }
 
 impl Session {
-    /// A session whose hello is still to be sealed or verified.
+    /// A session whose hello was not sealed or verified yet.
     pub fn new(key: ClusterKey, challenge: Challenge, sender: NodeId, receiver: NodeId) -> Session {
         Session {
             key,
@@ -158,7 +166,7 @@
         self.sender
     }
 
-    /// Appends the hello; must come before any frame.
+    /// Appends the hello, which has to precede all frames.
     pub fn seal_hello(&mut self, output: &mut Vec<u8>) {
         output.extend_from_slice(&self.sender.0.to_le_bytes());
         output.extend_from_slice(&self.receiver.0.to_le_bytes());
@@ -169,7 +177,7 @@
     /// Appends a frame.
     ///
     /// # Errors
-    /// [`FrameError::TooLong`], and nothing is appended.
+    /// [`FrameError::TooLong`]; nothing is appended then.
     pub fn seal_frame(&mut self, payload: &[u8], output: &mut Vec<u8>) -> Result<(), FrameError> {
         check_length(payload.len())?;
         output.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -179,10 +187,10 @@
         Ok(())
     }
 
-    /// Reads the next frame; `None` while bytes are missing.
+    /// Parses and verifies the next frame; `None` while bytes are missing.
     ///
     /// # Errors
-    /// The connection must be closed: nothing behind the fault can be trusted.
+    /// The connection must be closed: nothing after the invalid frame can be trusted.
     pub fn open_frame<'a>(
         &mut self,
         bytes: &'a [u8],
--- a/crates/ledgelead-node/src/peer/incoming.rs
+++ b/crates/ledgelead-node/src/peer/incoming.rs
@@ -1,4 +1,5 @@
-//! A connection from a sender: opens frames, and gives messages on.
+//! A connection from a sender: verifies and decodes frames and delivers their
+//! messages.
 
 use super::close_reason::CloseReason;
 use super::counters::PeerCounters;
@@ -16,9 +17,9 @@
 pub(super) struct Incoming {
     pub(super) stream: TcpStreamBuf,
     pub(super) challenge: Challenge,
-    /// `None` until the sender's hello came.
+    /// `None` until the sender's hello was verified.
     pub(super) session: Option<Session>,
-    /// Since when a frame, or the hello, is incomplete.
+    /// Since when a frame or the hello is incomplete.
     pub(super) incomplete_since: Option<Instant>,
 }
 
--- a/crates/ledgelead-node/src/peer/outgoing.rs
+++ b/crates/ledgelead-node/src/peer/outgoing.rs
@@ -1,4 +1,4 @@
-//! A connection to a receiver: seals messages, within bounds.
+//! A connection to a receiver: seals messages into frames and bounds its queue.
 
 use super::close_reason::{CloseReason, DropReason};
 use super::frame::{self, FrameError, Session};
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Unsent bytes that a connection holds before messages are dropped.
+/// Unsent bytes above which a connection drops messages.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
-/// Messages kept while a connection is being opened.
+/// Messages queued until the receiver's greeting arrives; later ones are dropped.
 const MAX_MESSAGES_BEFORE_HANDSHAKE: usize = 256;
 
 /// A connection to a receiver.
@@ -18,17 +18,18 @@
     pub(super) connection: u64,
     pub(super) address: SocketAddr,
     pub(super) stream: TcpStreamBuf,
-    /// `None` until the receiver's greeting came.
+    /// `None` until the receiver's greeting arrived.
     pub(super) session: Option<Session>,
     pub(super) queued_messages: Vec<Vec<u8>>,
-    /// Since when bytes or messages wait, for the search of stuck connections.
+    /// Since when bytes or messages are unsent without progress; used to detect stalled
+    /// connections.
     pub(super) pending_since: Option<Instant>,
-    /// Set after a failure: no new try before.
+    /// Set after a failure: the earliest time for the next attempt to connect.
     pub(super) retry_at: Option<Instant>,
 }
 
 impl Outgoing {
-    /// Seals a message, or keeps it until the greeting came.
+    /// Seals a message, or queues it until the receiver's greeting arrives.
     pub(super) fn push(&mut self, payload: Vec<u8>) -> Result<(), DropReason> {
         if payload.len() > frame::MAX_PAYLOAD {
             return Err(DropReason::TooLong);
@@ -48,7 +49,8 @@
             .map_err(|_| DropReason::TooLong)
     }
 
-    /// Answers the receiver's greeting with the hello and what waited for it.
+    /// Answers the receiver's greeting with the hello and the queued messages. Does
+    /// nothing while the greeting is incomplete.
     pub(super) fn complete_handshake(
         &mut self,
         settings: &PeerSettings,
@@ -74,8 +76,7 @@
         Ok(())
     }
 
-    /// Reads until the socket has no more: the receiver says no more than its
-    /// greeting.
+    /// Reads until the socket is drained. The receiver sends nothing but its greeting.
     pub(super) fn read_all(&mut self) -> Result<(), CloseReason> {
         let stream = &mut self.stream;
         loop {
--- a/crates/ledgelead-node/src/peer/transport.rs
+++ b/crates/ledgelead-node/src/peer/transport.rs
@@ -1,8 +1,8 @@
 //! The transport's actor: one listener, one connection to each receiver.
 //!
-//! Connections carry messages one way. They are opened at the first message,
-//! hold a bounded queue, and drop what does not fit: the protocols between
-//! nodes live with lost messages, not with late ones.
+//! Each connection carries messages in one direction. It is opened for the first
+//! message, has a bounded queue, and drops messages that don't fit: the protocols
+//! between nodes tolerate lost messages, but not late ones.
 
 use super::close_reason::{CloseReason, DropReason};
 use super::counters::{KindLabel, PeerCounters};
@@ -20,19 +20,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How often stuck connections are looked for.
+/// How often stalled connections are looked for.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may take to be opened, to take bytes that wait, or to
-/// complete a frame that it began.
+/// How long a connection may take to be established, to accept unsent bytes, or to
+/// complete a frame that it has begun.
 const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long to wait after a failed connection before the next try.
+/// Pause between a failed connection and the next attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// Incoming connections held at once.
+/// Incoming connections open at the same time.
 const MAX_INCOMING: usize = 2_048;
 /// Priority of socket events in the poller.
 const POLL_PRIORITY: u32 = 5;
 
-/// What the transport knows from the settings.
+/// The settings of the transport.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
     /// This node.
@@ -41,7 +41,7 @@
     pub key: ClusterKey,
 }
 
-/// A message received from another node, authenticated.
+/// An authenticated message from another node.
 #[derive(Debug)]
 pub struct ReceivedMessage {
     /// The sender.
@@ -64,7 +64,7 @@
 }
 
 impl PeerTransport {
-    /// Starts the transport on a listener that is already bound.
+    /// Starts the transport on a bound listener.
     pub fn init(
         cx: CX![],
         settings: PeerSettings,
@@ -77,7 +77,7 @@
         let poll = cx.anymap_get::<MioPoll>();
         let listener = poll
             .add(listener, Interest::READABLE, POLL_PRIORITY, accept)
-            .inspect_err(|error| log::error!(target: "peer", "listener not polled: {error}"))
+            .inspect_err(|error| log::error!(target: "peer", "registering the listener with the poller failed: {error}"))
             .ok()?;
         after!(SWEEP_INTERVAL, [cx], sweep());
         Some(PeerTransport {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// From now on the node is reached at this address.
+    /// Sets the address of a node. An open connection to another address is dropped.
     pub fn set_address(&mut self, _cx: CX![], node: NodeId, address: SocketAddr) {
         let before = self.addresses.insert(node, address);
         if before.is_some_and(|before| before != address) {
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Sends a message, or drops it when the receiver can't take it.
+    /// Sends a message, or drops it if the receiver has no address, is not connected
+    /// or its queue is full.
     pub fn send(&mut self, cx: CX![], to: NodeId, message: PeerMessage) {
         let payload = codec::encode(&message);
         let bytes = (frame::HEADER_BYTES + payload.len()) as u64;
@@ -174,7 +175,7 @@
                 Ok(())
             }
             Err(error) => {
-                log::debug!(target: "peer", "no connection to {to} at {address}: {error}");
+                log::debug!(target: "peer", "connecting to {to} at {address} failed: {error}");
                 outgoing.retry_at = Some(cx.now() + RECONNECT_PAUSE);
                 self.outgoing.insert(to, outgoing);
                 Err(DropReason::NotConnected)
@@ -187,7 +188,7 @@
         self.next_connection
     }
 
-    /// Flushes once after the present batch of calls.
+    /// Flushes once after the current batch of calls.
     fn flush_later(&mut self, cx: CX![]) {
         if !self.flush_pending {
             self.flush_pending = true;
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Reads what the receiver says: its greeting, and nothing else ever.
+    /// Reads the receiver's greeting, the only bytes that it ever sends.
     fn read_greeting(&mut self, cx: CX![], node: NodeId) {
         let Some(outgoing) = self.outgoing.get_mut(&node) else {
             return;
@@ -290,7 +291,7 @@
 
     fn add_incoming(&mut self, cx: CX![], stream: TcpStream) {
         if self.incoming.len() >= MAX_INCOMING {
-            log::warn!(target: "peer", "too many connections of other nodes, one refused");
+            log::warn!(target: "peer", "refused a node's connection: too many are open");
             return;
         }
         let connection = self.new_connection();
@@ -300,7 +301,7 @@
         let stream = match poll.add(stream, interest, POLL_PRIORITY, ready) {
             Ok(stream) => stream,
             Err(error) => {
-                log::warn!(target: "peer", "connection not polled: {error}");
+                log::warn!(target: "peer", "registering a connection with the poller failed: {error}");
                 return;
             }
         };
--- a/crates/ledgelead-node/src/platform.rs
+++ b/crates/ledgelead-node/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API over HTTP, by `ureq`.
+//! Client of the platform's object API over HTTP, by `ureq`.
 
 use crate::InputSink;
 use crate::callers::headers::HeaderLine;
@@ -16,32 +16,32 @@
 use ureq::Agent;
 use ureq::http::{Request, request::Builder};
 
-/// Threads for calls: a few, for the platform bears few readers.
+/// Threads for calls; there are few, since the platform supports few concurrent readers.
 const THREADS: usize = 8;
-/// Calls that may wait for a thread.
+/// Calls that may be queued.
 const MAX_WAITING: usize = 64;
-/// Most bytes of an object.
+/// Longest object, in bytes.
 const MAX_OBJECT_BYTES: usize = 16 * 1024 * 1024;
-/// How long a connection may be idle.
+/// How long a connection may stay idle before it is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Header that holds an object's version.
+/// Header with an object's version.
 const OBJECT_VERSION: &str = "Object-Version";
 
-/// What the client is made with.
+/// Settings of the client.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
     /// `IP:port` of the platform.
     pub address: SocketAddr,
     /// How long a call may take.
     pub call_time: Duration,
-    /// How long a watch waits at the platform.
+    /// How long the platform may hold a watch until there is a change.
     pub watch_time: Duration,
-    /// How long a connection may take to be opened.
+    /// How long a connection may take to be established.
     pub connect_time: Duration,
 }
 
 impl PlatformSettings {
-    /// As the settings say.
+    /// Takes the times from the node's limits.
     pub fn new(address: SocketAddr, limits: &Limits) -> PlatformSettings {
         PlatformSettings {
             address,
@@ -57,7 +57,7 @@
     request: PlatformCall,
 }
 
-/// The client's pool.
+/// A client that runs calls on a thread pool.
 pub struct PlatformClient {
     pool: WorkPool<Job>,
     inputs: InputSink,
@@ -67,7 +67,7 @@
     /// Starts the pool.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         thread_name: &str,
         settings: PlatformSettings,
@@ -85,7 +85,7 @@
         Ok(PlatformClient { pool, inputs })
     }
 
-    /// Starts a call; its end comes as [`Input::PlatformReplied`].
+    /// Starts a call; its end is reported as [`Input::PlatformReplied`].
     pub fn call(&self, call: CallId, request: PlatformCall) {
         if let Err(Rejected(job)) = self.pool.submit(Job { call, request }) {
             (self.inputs)(Input::PlatformReplied {
@@ -95,20 +95,20 @@
         }
     }
 
-    /// Ends the threads.
+    /// Stops the threads.
     pub fn close(&self) {
         self.pool.close();
     }
 }
 
-/// Carries out calls one at a time.
+/// Runs calls synchronously.
 pub struct PlatformCaller {
     settings: PlatformSettings,
     agent: Agent,
 }
 
 impl PlatformCaller {
-    /// A caller.
+    /// Creates a caller with its own connections.
     pub fn new(settings: PlatformSettings) -> PlatformCaller {
         let agent = exchange::agent(AgentLimits {
             idle_connections: THREADS,
@@ -118,11 +118,11 @@
         PlatformCaller { settings, agent }
     }
 
-    /// Carries out a call.
+    /// Runs a call.
     ///
     /// # Errors
-    /// [`PlatformError::Unavailable`] only when the platform changed nothing
-    /// for certain; a call that only reads never can.
+    /// [`PlatformError::Unavailable`] only if the platform has certainly changed nothing,
+    /// which holds for every call that only reads.
     pub fn call(&self, call: &PlatformCall) -> Result<PlatformReply, PlatformError> {
         let reply = self.carry_out(call);
         match call {
@@ -222,7 +222,7 @@
     }
 }
 
-/// A machine as the platform lists it, in JSON.
+/// A machine in the platform's list, in JSON.
 #[derive(Deserialize)]
 struct MachineLine {
     node: u32,
@@ -231,7 +231,7 @@
     state: MachineStateName,
 }
 
-/// What the platform believes of a machine, in JSON.
+/// The state of a machine as reported by the platform, in JSON.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum MachineStateName {
--- a/crates/ledgelead-node/src/ports.rs
+++ b/crates/ledgelead-node/src/ports.rs
@@ -1,5 +1,5 @@
-//! The actor's ports over real sockets: each output goes to the part that
-//! carries it out, none of which blocks.
+//! The actor's ports over real sockets: each output is passed to the part of the node
+//! that executes it. None of these parts blocks.
 
 use crate::actor::Ports;
 use crate::callers::open_requests::OpenRequests;
@@ -23,31 +23,31 @@
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
 
-/// The ports.
+/// Ports that execute outputs over sockets.
 pub(crate) struct SocketPorts {
     /// The process's clock.
     pub clock: ProcessClock,
-    /// Names attempts.
+    /// This node as the sender of attempts, which determines their names.
     pub sender: AttemptSender,
-    /// Messages between nodes.
+    /// Sends messages to other nodes.
     pub peers: Actor<PeerTransport>,
-    /// Requests to servers.
+    /// Forwards requests to servers.
     pub forwarder: Arc<Forwarder>,
-    /// Leases of servers.
+    /// Renews servers' leases.
     pub renewer: Renewer,
-    /// Cancellations at servers.
+    /// Cancels attempts at servers.
     pub canceller: Canceller,
-    /// The platform.
+    /// Calls the platform.
     pub platform: PlatformClient,
-    /// Requests that wait for their end.
+    /// Requests that were not answered yet.
     pub open_requests: Arc<OpenRequests>,
-    /// Writes to callers.
+    /// Writes responses to callers.
     pub responders: Arc<WorkPool<CompletedRequest>>,
-    /// Operators' commands and inquiries that wait for their end.
+    /// Operators' commands and inquiries that were not finished yet.
     pub pending: Arc<PendingTickets>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Told once the stop is complete.
+    /// Notified once the stop is complete.
     pub stopped: Sender<()>,
 }
 
@@ -95,7 +95,7 @@
                 event_log::write(&event);
             }
             Output::Stopped => {
-                // Whoever waits may have given up.
+                // The receiver may have stopped waiting.
                 let _ = self.stopped.send(());
             }
         }
@@ -112,7 +112,7 @@
     fn set_peer_address(&mut self, node: NodeId, address: &Text) {
         match address.parse() {
             Ok(address) => call!([self.peers], set_address(node, address)),
-            Err(_) => log::warn!(target: "peer", "address of {node} is no IP:port: {address}"),
+            Err(_) => log::warn!(target: "peer", "address of {node} is not an IP:port: {address}"),
         }
     }
 
@@ -135,7 +135,7 @@
         retry_after: Option<Span>,
     ) {
         let Some(mut open) = self.open_requests.close(request) else {
-            log::error!(target: "callers", "{request} was to be answered and is not open");
+            log::error!(target: "callers", "the core answered {request}, which is not open");
             return;
         };
         let mut outcome = outcome;
@@ -152,12 +152,12 @@
             retry_after,
         };
         if self.responders.submit(ending).is_err() {
-            log::debug!(target: "callers", "a caller's connection was dropped at the end");
+            log::debug!(target: "callers", "a response was dropped: the queue of the responders is full or closed");
         }
     }
 }
 
-/// Divides each server's connections among the live nodes.
+/// Divides each server's connection limit among the live nodes.
 fn connection_limits(view: &NodeView) -> Vec<ConnectionLimit> {
     let live = view.nodes.iter().filter(|node| node.live).count().max(1);
     view.configuration
--- a/crates/ledgelead-node/src/servers/cancel.rs
+++ b/crates/ledgelead-node/src/servers/cancel.rs
@@ -1,4 +1,4 @@
-//! Stops attempts and asks servers to cancel them.
+//! Cancels attempts, here and at their servers.
 
 use super::exchange;
 use super::renewal::control_agent;
@@ -12,26 +12,26 @@
 use std::time::Duration;
 use ureq::http::Request;
 
-/// How long a cancellation may take.
+/// How long a cancellation request may take.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
-/// Threads for cancellations.
+/// Threads that send cancellations.
 const THREADS: usize = 4;
-/// Cancellations that may wait for a thread.
+/// Cancellations that may be queued.
 const MAX_WAITING: usize = 1_024;
-/// Most bytes of a cancellation's answer.
+/// Longest response to a cancellation, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024;
 
-/// One cancellation.
+/// An attempt to cancel.
 pub struct Cancellation {
     /// The attempt's name at the server.
     pub name: String,
     /// The server's `IP:port`.
     pub address: Text,
-    /// The attempt, here.
+    /// Control of the attempt's exchange.
     pub control: Arc<ExchangeControl>,
 }
 
-/// The cancelling pool.
+/// The thread pool that sends cancellations.
 pub struct Canceller {
     pool: WorkPool<Cancellation>,
 }
@@ -40,7 +40,7 @@
     /// Starts the pool.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(thread_name: &str, key: Option<ServerKey>) -> std::io::Result<Canceller> {
         let agent = control_agent(CANCEL_TIMEOUT);
         let run = move |cancellation: Cancellation| {
@@ -49,15 +49,15 @@
                 let _ =
                     exchange::exchange(&agent, request, CANCEL_TIMEOUT, MAX_ANSWER_BYTES, &control);
             }
-            // The server answers the attempt before the cancellation, so what
-            // it says of the attempt has arrived or never will.
+            // The server answers the attempt before the cancellation, so the
+            // attempt's response has arrived by now or never will.
             cancellation.control.close_socket();
         };
         let pool = WorkPool::start(thread_name, THREADS, MAX_WAITING, run)?;
         Ok(Canceller { pool })
     }
 
-    /// Stops an attempt; its end is reported by the forwarder.
+    /// Cancels an attempt; the forwarder reports its end.
     pub fn cancel(&self, cancellation: Cancellation) {
         cancellation.control.cancel();
         if let Err(Rejected(cancellation)) = self.pool.submit(cancellation) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Ends the threads.
+    /// Stops the threads.
     pub fn close(&self) {
         self.pool.close();
     }
--- a/crates/ledgelead-node/src/servers/exchange.rs
+++ b/crates/ledgelead-node/src/servers/exchange.rs
@@ -1,4 +1,5 @@
-//! One HTTP exchange with a server, by `ureq`, with the evidence of its end.
+//! One HTTP exchange with a server, by `ureq`, whose errors tell whether the server
+//! can have received the request.
 
 use super::resolver::AddressResolver;
 use super::write_tracking::{ExchangeControl, WriteTrackingConnector, with_control};
@@ -9,24 +10,26 @@
 use ureq::http::{Request, Response, header};
 use ureq::{Agent, Body};
 
-/// Most bytes of an answer's header; each connection holds as many.
+/// Longest header of a response, in bytes; each connection has an input buffer of
+/// this size.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
-/// Bytes of a request that are written at once; each connection holds as many.
+/// Bytes of a request written in one call; each connection has an output buffer of
+/// this size.
 const WRITE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A server's whole answer.
+/// A server's complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BufferedResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers, as sent.
+    /// Headers, as received.
     pub headers: Vec<HeaderLine>,
     /// Body, without transfer encoding.
     pub body: Vec<u8>,
 }
 
 impl BufferedResponse {
-    /// The first header of this name.
+    /// The value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -35,29 +38,30 @@
     }
 }
 
-/// How an exchange failed, as far as evidence goes.
+/// How an exchange failed, and whether the server can have received the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// Nothing was written.
+    /// Nothing was written: the server has not received the request.
     NotSent,
-    /// The connection failed, or the time ran out, after writing began.
+    /// The connection failed or timed out after writing began.
     Lost,
-    /// The answer was cut, malformed or too large.
+    /// The response was truncated, malformed or too large.
     BadAnswer,
 }
 
-/// What an agent of a server is made with.
+/// Connection limits of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentLimits {
-    /// Kept-alive connections that may be idle.
+    /// Largest number of idle keep-alive connections.
     pub idle_connections: usize,
-    /// How long a connection may be idle.
+    /// How long a connection may stay idle before it is closed.
     pub idle_time: Duration,
-    /// How long a connection may take to be opened.
+    /// How long a connection may take to be established.
     pub connect_time: Duration,
 }
 
-/// An agent that adds nothing of its own: no proxy, no redirects, no headers.
+/// An agent that sends requests unchanged: no proxy, no redirects, no headers of its
+/// own.
 pub fn agent(limits: AgentLimits) -> Agent {
     let config = Agent::config_builder()
         .proxy(None)
@@ -80,10 +84,10 @@
     Agent::with_parts(config, WriteTrackingConnector, AddressResolver)
 }
 
-/// Sends a request and reads its whole answer.
+/// Sends a request and reads the complete response.
 ///
 /// # Errors
-/// What the failure proves.
+/// [`ExchangeError`], which tells whether the server can have received the request.
 pub fn exchange(
     agent: &Agent,
     request: Request<Vec<u8>>,
@@ -124,7 +128,7 @@
     agent.run(request.timeout_global(Some(time)).build())
 }
 
-/// What a failure before the answer's body proves.
+/// Classifies a failure before the response's body by whether writing began.
 fn classify_error(error: &ureq::Error, control: &ExchangeControl) -> ExchangeError {
     if !control.writing_began() {
         return ExchangeError::NotSent;
@@ -148,8 +152,8 @@
     let delimited = parts.headers.contains_key(header::CONTENT_LENGTH)
         || parts.headers.contains_key(header::TRANSFER_ENCODING);
     if !bodiless && !delimited {
-        // Only the connection's end would tell the body's end, and a cut
-        // would look the same.
+        // Such a body ends with the connection, so a truncated body could not be
+        // detected.
         return Err(ExchangeError::BadAnswer);
     }
     let mut headers = Vec::with_capacity(parts.headers.len());
--- a/crates/ledgelead-node/src/servers/forward.rs
+++ b/crates/ledgelead-node/src/servers/forward.rs
@@ -1,4 +1,4 @@
-//! Sends callers' requests to servers on a bounded pool of threads.
+//! Forwards callers' requests to servers on a bounded pool of threads.
 
 use super::exchange::{self, AgentLimits, BufferedResponse, ExchangeError};
 use super::wire::{self, AttemptSender};
@@ -18,10 +18,10 @@
 use std::time::Instant;
 use ureq::Agent;
 
-/// Connections to a server while its configuration is not known yet.
+/// Connection limit for a server whose configured limit was not received yet.
 const DEFAULT_CONNECTIONS: usize = 16;
 
-/// The forwarding pool.
+/// The thread pool that forwards requests.
 pub struct Forwarder {
     pool: WorkPool<Job>,
     shared: Arc<Shared>,
@@ -51,12 +51,12 @@
     until: Instant,
 }
 
-/// How many connections this node may hold to a server.
+/// Limit of this node's connections to one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimit {
     /// The server.
     pub server: ServerId,
-    /// Connections, at least 1.
+    /// Largest number of connections, at least 1.
     pub connections: usize,
 }
 
@@ -64,7 +64,7 @@
     /// Starts the pool.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         thread_name: &str,
         sender: AttemptSender,
@@ -87,7 +87,7 @@
         Ok(Forwarder { pool, shared })
     }
 
-    /// Starts an attempt; its end comes as [`Input::AttemptEnded`].
+    /// Starts an attempt; its end is reported as [`Input::AttemptEnded`].
     pub fn forward(&self, forward: Forward) {
         let attempt = forward.attempt;
         let Some(request) = self.shared.open_requests.request(attempt.request) else {
@@ -109,12 +109,13 @@
         }
     }
 
-    /// The control of an attempt that has not ended.
+    /// The control of an attempt, or `None` if it has ended.
     pub fn control(&self, attempt: AttemptId) -> Option<Arc<ExchangeControl>> {
         self.shared.controls().get(&attempt).cloned()
     }
 
-    /// Sets how many connections this node may hold to each server.
+    /// Sets the limits of this node's connections to each server. Servers without a
+    /// limit are dropped once they have no connection in use.
     pub fn set_connection_limits(&self, server_limits: &[ConnectionLimit]) {
         let mut servers = self.shared.servers();
         for limit in server_limits {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Ends the threads; attempts that run are cut.
+    /// Stops the threads; running attempts are cancelled and their sockets closed.
     pub fn close(&self) {
         self.pool.close();
         for control in self.shared.controls().values() {
@@ -172,7 +173,7 @@
         let time_left = Span::from_micros(remaining.as_micros() as u64);
         let request = wire::server_request(&job.forward, &job.request, time_left, &self.sender);
         let request = request.map_err(|error| {
-            log::warn!(target: "forward", "request can't be sent as HTTP: {error}");
+            log::warn!(target: "forward", "request can't be represented as HTTP/1.1: {error}");
             ExchangeError::NotSent
         })?;
         exchange::exchange(
@@ -184,7 +185,8 @@
         )
     }
 
-    /// Takes one of this node's connections to the server, when one is free.
+    /// Reserves one of this node's connections to the server; `None` when all are in
+    /// use.
     fn acquire_connection(&self, forward: &Forward) -> Option<Agent> {
         let mut servers = self.servers();
         let server = servers
--- a/crates/ledgelead-node/src/servers/mod.rs
+++ b/crates/ledgelead-node/src/servers/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to servers: forwarded requests, lease renewals, cancellations.
+//! Requests to servers: forwarded requests, lease renewals, cancellations.
 
 pub mod cancel;
 pub mod exchange;
--- a/crates/ledgelead-node/src/servers/renewal.rs
+++ b/crates/ledgelead-node/src/servers/renewal.rs
@@ -1,5 +1,5 @@
-//! Renews servers' leases on threads of their own, so that a renewal never
-//! waits behind requests.
+//! Renews servers' leases on separate threads, so that a renewal never waits for
+//! forwarded requests.
 
 use super::exchange::{self, AgentLimits};
 use super::signature::{ControlRequest, ServerKey};
@@ -17,21 +17,21 @@
 use ureq::Agent;
 use ureq::http::Request;
 
-/// How long a renewal may take, with what it waits for a thread.
+/// How long a renewal may take, including the time in the queue.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long a connection for renewals may be idle: several renewals.
+/// How long a connection for renewals may stay idle; it covers several renewals.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most bytes of a reply.
+/// Longest reply, in bytes.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
-/// Renewals that may wait for a thread.
+/// Renewals that may be queued.
 const MAX_WAITING: usize = 1_024;
-/// Idle connections over all servers.
+/// Idle connections to all servers together.
 const MAX_IDLE_CONNECTIONS: usize = 1_024;
 
-/// One renewal to carry out.
+/// One renewal to send.
 #[derive(Debug)]
 pub struct RenewalCall {
-    /// Names the answer.
+    /// Identifies the call in the reply.
     pub call: CallId,
     /// The server.
     pub server: ServerId,
@@ -46,7 +46,7 @@
     until: Instant,
 }
 
-/// The renewal pool.
+/// The thread pool that renews leases.
 pub struct Renewer {
     pool: WorkPool<Job>,
     inputs: InputSink,
@@ -56,7 +56,7 @@
     /// Starts the pool.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         thread_name: &str,
         threads: usize,
@@ -77,7 +77,7 @@
         Ok(Renewer { pool, inputs })
     }
 
-    /// Starts a renewal; its end comes as [`Input::ServerReplied`].
+    /// Starts a renewal; its end is reported as [`Input::ServerReplied`].
     pub fn renew(&self, call: RenewalCall) {
         let until = Instant::now() + RENEWAL_TIMEOUT;
         if let Err(Rejected(job)) = self.pool.submit(Job { call, until }) {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Ends the threads.
+    /// Stops the threads.
     pub fn close(&self) {
         self.pool.close();
     }
 }
 
-/// An agent for small calls to many servers.
+/// An agent for short control requests to many servers.
 pub(super) fn control_agent(connect_time: Duration) -> Agent {
     exchange::agent(AgentLimits {
         idle_connections: MAX_IDLE_CONNECTIONS,
--- a/crates/ledgelead-node/src/servers/resolver.rs
+++ b/crates/ledgelead-node/src/servers/resolver.rs
@@ -1,9 +1,9 @@
-//! Takes addresses as they are.
+//! Resolver that parses IP addresses and never looks up names.
 //!
-//! `ureq` resolves a host at each request, also for a connection that it keeps,
-//! and starts a thread for that when the request has a time limit, although
-//! the host is an IP number. A new thread waits for a processor behind all that
-//! run, for several milliseconds on a busy machine, and each request with it.
+//! `ureq` resolves the host of every request, even for a pooled connection, and
+//! starts a thread for that if the request has a timeout, although the host is an IP
+//! address. On a busy machine a new thread is scheduled only after several
+//! milliseconds, which would delay each request as much.
 
 use std::net::{IpAddr, SocketAddr};
 use ureq::Error;
@@ -12,7 +12,7 @@
 use ureq::unversioned::resolver::{ResolvedSocketAddrs, Resolver};
 use ureq::unversioned::transport::NextTimeout;
 
-/// Resolves IP numbers with a port, and nothing else.
+/// Resolves IP addresses with a port, and nothing else.
 #[derive(Debug, Default)]
 pub struct AddressResolver;
 
--- a/crates/ledgelead-node/src/servers/signature.rs
+++ b/crates/ledgelead-node/src/servers/signature.rs
@@ -1,12 +1,12 @@
-//! Signs what servers do only for nodes: lease renewals and cancellations
-//! (`docs/server-interface.md`).
+//! Signs the control requests that servers accept from nodes only: lease renewals
+//! and cancellations (`docs/server-interface.md`).
 
 use crate::settings::Secret;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use std::fmt::Write;
 
-/// Separates the signed parts; neither a path nor an attempt's name has one.
+/// Separates the signed parts; neither a path nor an attempt's name contains it.
 const SEPARATOR: &[u8] = b"\n";
 
 /// What a signature covers.
@@ -14,25 +14,25 @@
 pub struct ControlRequest<'a> {
     /// Path.
     pub path: &'a str,
-    /// The attempt's name, or nothing.
+    /// The attempt's name; empty if the request is not about an attempt.
     pub attempt: &'a str,
     /// Body.
     pub body: &'a [u8],
 }
 
-/// The secret that nodes share with servers. It is not the cluster's key:
-/// servers must not be able to speak as nodes.
+/// The secret that nodes share with servers. It differs from the cluster key, since
+/// servers must not be able to impersonate nodes.
 #[derive(Clone)]
 pub struct ServerKey(Hmac<Sha256>);
 
 impl ServerKey {
-    /// Takes the secret in.
+    /// Creates the key from the secret.
     pub fn new(secret: &Secret) -> ServerKey {
         let secret = secret.expose().as_bytes();
         ServerKey(Hmac::new_from_slice(secret).expect("HMAC takes keys of any length"))
     }
 
-    /// HMAC-SHA256 in hexadecimal.
+    /// The request's HMAC-SHA256 in hexadecimal.
     pub fn sign(&self, request: ControlRequest<'_>) -> String {
         let signature = self.authenticate(request).finalize().into_bytes();
         let mut text = String::with_capacity(2 * signature.len());
@@ -42,8 +42,8 @@
         text
     }
 
-    /// Whether `signature` is that of the request; takes the same time for
-    /// every wrong one of the right form.
+    /// Whether `signature` is the request's signature. The comparison takes the same
+    /// time for every well-formed wrong signature.
     pub fn verifies(&self, request: ControlRequest<'_>, signature: &str) -> bool {
         let Some(bytes) = bytes_of_hex(signature) else {
             return false;
--- a/crates/ledgelead-node/src/servers/wire.rs
+++ b/crates/ledgelead-node/src/servers/wire.rs
@@ -1,4 +1,4 @@
-//! The HTTP form of what nodes and servers tell each other
+//! HTTP encoding of the messages between nodes and servers
 //! (`docs/server-interface.md`).
 
 use super::exchange::BufferedResponse;
@@ -9,12 +9,12 @@
 use ledgelead_types::{Incarnation, NodeId, Span};
 use ureq::http::Request;
 
-/// Path of a lease renewal.
+/// Path for lease renewals.
 pub const LEASE_PATH: &str = "/ledgelead/lease";
-/// Path of a cancellation.
+/// Path for cancellations.
 pub const CANCEL_PATH: &str = "/ledgelead/cancel";
 
-/// Names of the refusals, as [`headers::REFUSED`] carries them.
+/// Names of the refusals in the header [`headers::REFUSED`].
 const REFUSALS: [(&str, ServerRefusal); 6] = [
     ("not-owner", ServerRefusal::NotOwner),
     ("lease-expired", ServerRefusal::LeaseExpired),
@@ -24,17 +24,19 @@
     ("deadline-passed", ServerRefusal::DeadlinePassed),
 ];
 
-/// Who sends an attempt: makes its name unique over nodes and runs.
+/// The sender of an attempt, which makes the attempt's name unique across nodes and
+/// their restarts.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptSender {
     /// This node.
     pub node: NodeId,
-    /// This run.
+    /// Identifies this run of the node.
     pub incarnation: Incarnation,
 }
 
 impl AttemptSender {
-    /// `NODE-INCARNATION-REQUEST-N`, the incarnation in hexadecimal.
+    /// The attempt's name, `NODE-INCARNATION-REQUEST-N`, with the incarnation in
+    /// hexadecimal.
     pub fn name(&self, attempt: AttemptId) -> String {
         format!(
             "{}-{:x}-{}-{}",
@@ -43,7 +45,7 @@
     }
 }
 
-/// The request to a server.
+/// Builds the request to a server.
 ///
 /// # Errors
 /// When the caller's method, path or headers can't be sent as HTTP/1.1.
@@ -73,7 +75,7 @@
     builder.body(request.body.clone())
 }
 
-/// What a server's whole answer proves.
+/// Derives the result of an attempt from the server's response.
 pub fn attempt_result(answer: &BufferedResponse) -> AttemptResult {
     if let Some(refusal) = refusal_of(answer) {
         return AttemptResult::Refused(refusal);
@@ -94,8 +96,8 @@
         .map(|(_, refusal)| *refusal)
 }
 
-/// Reads `executing=1,waiting=0,utilization=0.5,cold=0`; fields may come in
-/// any order, unknown ones are skipped.
+/// Parses `executing=1,waiting=0,utilization=0.5,cold=0`. Fields may have any order,
+/// unknown ones are skipped.
 pub fn parse_load(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for field in text.split(',') {
@@ -111,7 +113,7 @@
     Some(report)
 }
 
-/// A number that is finite, brought into the range from 0 to 1.
+/// Parses a finite number and clamps it to the range from 0 to 1.
 fn parse_share(text: &str) -> Option<f64> {
     let share: f64 = text.parse().ok()?;
     share.is_finite().then(|| share.clamp(0.0, 1.0))
--- a/crates/ledgelead-node/src/servers/write_tracking.rs
+++ b/crates/ledgelead-node/src/servers/write_tracking.rs
@@ -1,9 +1,9 @@
-//! Knows whether a byte of a request was handed to the socket.
+//! Tracks whether any byte of a request was written to the socket.
 //!
-//! `ureq` reports how an exchange failed, not whether the server can have seen
-//! any of it. This connector wraps the TCP transport and notes, for the
-//! exchange that runs on the present thread, that writing began. Without that
-//! note a failed request was certainly not run; with it, it may have been.
+//! `ureq` reports how an exchange failed, but not whether the server can have
+//! received any part of it. This connector wraps the TCP transport and records, for
+//! the exchange on the current thread, that writing began. If it did not, a failed
+//! request was certainly not run; if it did, the request may have been run.
 
 use std::cell::RefCell;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,7 @@
     Buffers, ConnectionDetails, Connector, NextTimeout, ShutdownHandle, TcpConnector, Transport,
 };
 
-/// What is known of one exchange while it runs; shared with who may cancel it.
+/// State of a running exchange, shared with the code that may cancel it.
 #[derive(Default)]
 pub struct ExchangeControl {
     writing_began: AtomicBool,
@@ -32,13 +32,13 @@
 }
 
 impl ExchangeControl {
-    /// Whether a byte may have reached the server.
+    /// Whether a byte of the request may have reached the server.
     pub fn writing_began(&self) -> bool {
         self.writing_began.load(Ordering::Acquire)
     }
 
-    /// Asks that the exchange be given up. One that has written nothing yet
-    /// never will.
+    /// Marks the exchange as cancelled. An exchange that has not started yet won't
+    /// write anything.
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Release);
     }
@@ -48,8 +48,8 @@
         self.cancelled.load(Ordering::Acquire)
     }
 
-    /// Closes the exchange's socket, so that its thread stops waiting. Bytes
-    /// that have arrived can still be read.
+    /// Shuts down the exchange's socket, so that its thread stops waiting. Bytes that
+    /// have already arrived can still be read.
     pub fn close_socket(&self) {
         let socket = self.lock_socket().clone();
         if let Some(socket) = socket.and_then(|socket| socket.upgrade()) {
@@ -63,11 +63,11 @@
 }
 
 thread_local! {
-    /// The exchange that the present thread runs.
+    /// The exchange that runs on the current thread.
     static CURRENT: RefCell<Option<Arc<ExchangeControl>>> = const { RefCell::new(None) };
 }
 
-/// Runs one exchange under a control.
+/// Runs one exchange that reports to `control`.
 pub fn with_control<T>(control: &Arc<ExchangeControl>, run: impl FnOnce() -> T) -> T {
     CURRENT.with(|current| *current.borrow_mut() = Some(control.clone()));
     let result = run();
@@ -76,7 +76,7 @@
     result
 }
 
-/// The wrapping connector.
+/// Connector whose transports report writes to the current exchange's control.
 #[derive(Debug, Default)]
 pub struct WriteTrackingConnector;
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// The wrapping transport.
+/// Transport that reports writes to the current exchange's control.
 #[derive(Debug)]
 pub struct WriteTrackingTransport {
     inner: Box<dyn Transport>,
--- a/crates/ledgelead-node/src/settings/finding.rs
+++ b/crates/ledgelead-node/src/settings/finding.rs
@@ -1,17 +1,17 @@
-//! Mistakes with their places.
+//! Errors in settings, with their locations.
 
 use std::fmt;
 use std::ops::Range;
 
-/// Errors of syntax that are reported at once.
+/// Syntax errors that are reported together.
 const MAX_SYNTAX_ERRORS: usize = 5;
 
-/// Where a mistake is.
+/// Where an error is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Location {
     /// Bytes of the file.
     InFile {
-        /// First byte and the one behind the last.
+        /// First byte, and the one after the last.
         bytes: Range<usize>,
     },
     /// A flag of the command line.
@@ -28,7 +28,7 @@
     }
 }
 
-/// One mistake: what is wrong and what was expected.
+/// One error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Where.
@@ -37,7 +37,7 @@
     pub message: String,
 }
 
-/// Mistakes of one file and the flags that override it.
+/// Errors of one file and the flags that override it.
 #[derive(Clone, Debug)]
 pub struct Findings {
     file: String,
@@ -56,7 +56,7 @@
 }
 
 impl Findings {
-    /// No mistakes yet.
+    /// A list without errors.
     pub fn new(file: &str, text: &str) -> Findings {
         Findings {
             file: file.to_owned(),
@@ -66,13 +66,14 @@
         }
     }
 
-    /// Adds a mistake.
+    /// Adds an error.
     pub fn add(&mut self, location: Location, message: String) {
         self.findings.push(Finding { location, message });
     }
 
-    /// Adds an error of the file's syntax. One can cause others behind it, so
-    /// only the first of a line is kept, and the first few of the file.
+    /// Adds a syntax error of the file. A syntax error can cause further ones after it,
+    /// so only the first of a line is kept, and the first [`MAX_SYNTAX_ERRORS`] of the
+    /// file.
     pub fn add_syntax_error(&mut self, bytes: Range<usize>, message: String) {
         let line = self.locate(bytes.start).line;
         let same_line = self.findings.iter().any(|finding| match &finding.location {
@@ -86,22 +87,22 @@
         self.add(Location::InFile { bytes }, message);
     }
 
-    /// Whether the file's syntax is wrong.
+    /// Whether the file has syntax errors.
     pub fn has_syntax_errors(&self) -> bool {
         self.syntax_errors > 0
     }
 
-    /// Whether there is none.
+    /// Whether there are no errors.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The mistakes.
+    /// The errors.
     pub fn all(&self) -> &[Finding] {
         &self.findings
     }
 
-    /// The same, in the order of their places; flags last.
+    /// The errors in the order of their locations, without duplicates; flags come last.
     pub fn sorted(mut self) -> Findings {
         self.findings
             .sort_by_key(|finding| match &finding.location {
@@ -145,7 +146,7 @@
 
 impl std::error::Error for Findings {}
 
-/// The valid name nearest to a wrong one, when one is near enough to be meant.
+/// The valid name most similar to a wrong one, if any is similar enough.
 pub fn nearest<'a>(wrong: &str, valid: &[&'a str]) -> Option<&'a str> {
     let limit = (wrong.chars().count() / 2).max(2);
     valid
--- a/crates/ledgelead-node/src/settings/mod.rs
+++ b/crates/ledgelead-node/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! Settings of a node: a TOML file, overridden by flags.
 //!
-//! Every mistake is collected with its location and reported together
-//! ([`finding::Findings`]); nothing is started on a file with a mistake.
+//! All errors are collected with their locations and reported together
+//! ([`finding::Findings`]); nothing is started while a file has errors.
 
 pub mod finding;
 mod reader;
@@ -19,50 +19,51 @@
 /// All settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This machine.
+    /// This node.
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Where callers' requests are accepted; port 0 for any.
+    /// Address on which callers' requests are accepted; port 0 for any free port.
     pub callers_address: SocketAddr,
-    /// Where operators are served; port 0 for any.
+    /// Address of the administration interface; port 0 for any free port.
     pub administration_address: SocketAddr,
-    /// Where other nodes are listened to; port 0 for any.
+    /// Address on which connections of other nodes are accepted; port 0 for any free
+    /// port.
     pub peer_address: SocketAddr,
-    /// `IP:port` under which other nodes reach this one, when it is not the
-    /// address listened on.
+    /// `IP:port` under which other nodes reach this one, if it differs from the address
+    /// listened on.
     pub advertised_peer_address: Option<SocketAddr>,
-    /// Nodes to ask first.
+    /// Nodes that this node contacts first to join the cluster.
     pub seeds: Vec<SeedNode>,
-    /// Secret shared by all nodes of the cluster.
+    /// Secret shared by all nodes of the cluster, which authenticates their messages.
     pub cluster_key: Secret,
-    /// Secret shared with all servers, which signs lease renewals and
-    /// cancellations; unsigned when absent.
+    /// Secret shared with all servers, which signs lease renewals and cancellations.
+    /// They are unsigned if it is absent.
     pub server_key: Option<Secret>,
     /// `IP:port` of the platform's object API.
     pub platform_address: SocketAddr,
-    /// Seed of the random decisions; drawn at random when absent.
+    /// Seed of the node's random number generator; random if absent.
     pub random_seed: Option<u64>,
     /// Limits of memory, threads and time.
     pub limits: Limits,
-    /// Least level that is logged.
+    /// Least severe level that is logged.
     pub log_level: log::LevelFilter,
 }
 
-/// Bounds of what callers, servers and the platform can make a node hold.
+/// Limits of the resources that callers, servers and the platform can occupy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Callers' connections at once.
+    /// Callers' connections open at the same time.
     pub max_connections: usize,
-    /// Requests accepted and not yet answered at once.
+    /// Requests accepted and not yet answered.
     pub max_open_requests: usize,
     /// Bytes of a request's line and headers.
     pub max_header_bytes: usize,
     /// Bytes of a request's body.
     pub max_body_bytes: usize,
-    /// Bytes of a server's answer.
+    /// Bytes of a server's response.
     pub max_answer_bytes: usize,
-    /// How long a caller may take to send a request, and to take its answer.
+    /// How long a caller may take to send a request, and to receive its response.
     pub caller_time: Duration,
     /// How long a caller's connection may stay idle between requests.
     pub caller_idle_time: Duration,
@@ -70,20 +71,20 @@
     pub max_deadline: Duration,
     /// Threads that read callers' requests.
     pub reading_threads: usize,
-    /// Threads that send requests to servers: the most that are in flight.
+    /// Threads that forward requests to servers, which limits the requests in flight.
     pub forwarding_threads: usize,
     /// Threads that renew servers' leases.
     pub renewal_threads: usize,
-    /// How long a connection to a server may take to be opened.
+    /// How long a connection to a server may take to be established.
     pub connect_time: Duration,
-    /// How long a server's kept-alive connection may stay idle; keep it below
-    /// the server's own limit.
+    /// How long a keep-alive connection to a server may stay idle; keep it below the
+    /// server's own limit.
     pub server_idle_time: Duration,
     /// How long a call to the platform may take.
     pub platform_time: Duration,
-    /// How long a watch waits at the platform.
+    /// How long the platform may hold a watch until there is a change.
     pub platform_watch_time: Duration,
-    /// How long a stop waits for what is in flight.
+    /// How long a stop waits for requests in flight.
     pub stop_time: Duration,
 }
 
@@ -110,7 +111,7 @@
     }
 }
 
-/// A secret that no log line can show.
+/// A secret that does not appear in debug output.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
@@ -120,7 +121,7 @@
         Secret(secret.into())
     }
 
-    /// The secret itself, for the one location that uses it.
+    /// The secret itself, for the code that uses it.
     pub fn expose(&self) -> &str {
         &self.0
     }
@@ -152,10 +153,10 @@
 }
 
 impl Settings {
-    /// Reads settings from the text of a file, as overridden by flags.
+    /// Parses settings from the text of a file and the flags that override it.
     ///
     /// # Errors
-    /// Every mistake found, in the order of their places.
+    /// All errors found, in the order of their locations.
     pub fn parse(file: &str, text: &str, overrides: &Overrides) -> Result<Settings, Findings> {
         let mut findings = Findings::new(file, text);
         let settings = parse_document(text, overrides, &mut findings);
@@ -170,7 +171,7 @@
     let (document, errors) = toml::de::DeTable::parse_recoverable(text);
     for error in errors {
         let bytes = error.span().unwrap_or(0..0);
-        findings.add_syntax_error(bytes, format!("not TOML: {}", error.message()));
+        findings.add_syntax_error(bytes, format!("invalid TOML: {}", error.message()));
     }
     let root = Section::root(document.get_ref());
     root.expect_only(
@@ -234,7 +235,7 @@
     })
 }
 
-/// A key that is long enough to be a secret.
+/// Checks that a secret key is long enough.
 fn secret_key(
     name: &str,
     key: Option<(String, Location)>,
@@ -297,7 +298,7 @@
         ("platform-watch-time-ms", &mut limits.platform_watch_time),
         ("stop-time-ms", &mut limits.stop_time),
     ];
-    /// An hour: nothing here should take longer.
+    /// One hour; none of these times should be longer.
     const MAX_MS: u64 = 3_600_000;
     for (name, value) in times {
         names.push(name);
--- a/crates/ledgelead-node/src/settings/reader.rs
+++ b/crates/ledgelead-node/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Typed reading of TOML tables that collects mistakes and goes on.
+//! Typed reading of TOML tables that collects errors and continues.
 
 use super::finding::{Findings, Location, nearest};
 use std::net::SocketAddr;
@@ -6,17 +6,17 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// Longest text that a finding repeats.
+/// Longest text that an error message quotes.
 const MAX_SHOWN_CHARS: usize = 40;
 /// Names of the log levels.
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-/// A table of the file, or the location where one is missing.
+/// A table of the file, or the location at which one is missing.
 pub struct Section<'a> {
     name: String,
     table: Option<&'a DeTable<'a>>,
-    /// Where to report what is missing; `None` when that was reported, or
-    /// when nothing is required.
+    /// Where missing fields are reported; `None` if the error was reported already or
+    /// nothing is required.
     location: Option<Location>,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A table that must be there unless flags give all it needs.
+    /// A table that is required unless flags provide all its required fields.
     pub fn section(&self, name: &str, findings: &mut Findings) -> Section<'a> {
         let section = self.optional_section(name, findings);
         if section.table.is_none() && self.get(name).is_none() {
@@ -101,7 +101,7 @@
         sections
     }
 
-    /// Reports every field that has another name than these.
+    /// Reports every field whose name is not in `valid`.
     pub fn expect_only(&self, valid: &[&str], findings: &mut Findings) {
         for name in self.table.iter().flat_map(|table| table.keys()) {
             if valid.contains(&name.get_ref().as_ref()) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A whole number that must be given by the file or a flag.
+    /// A whole number that is required in the file or as a flag.
     pub fn number(
         &self,
         name: &'static str,
@@ -125,12 +125,15 @@
         range: RangeInclusive<u64>,
         findings: &mut Findings,
     ) -> Option<u64> {
-        let expected = format!("expected {}", describe(&range));
+        let expected = format!("expected {}", describe_range(&range));
         if let Some(text) = flag {
             let number = text.parse().ok().filter(|number| range.contains(number));
             if number.is_none() {
                 let location = Location::Flag { name };
-                findings.add(location, format!("{text:?} is no such number: {expected}"));
+                findings.add(
+                    location,
+                    format!("{text:?} is not a valid number: {expected}"),
+                );
             }
             return number;
         }
@@ -161,14 +164,14 @@
             self.mismatch(
                 name,
                 value,
-                &format!("expected {}", describe(&range)),
+                &format!("expected {}", describe_range(&range)),
                 findings,
             );
         }
         number
     }
 
-    /// An `IP:port` that must be given by the file or a flag.
+    /// An `IP:port` that is required in the file or as a flag.
     pub fn address(
         &self,
         name: &'static str,
@@ -181,7 +184,7 @@
             if address.is_none() {
                 let name = if name == "address" { "platform" } else { name };
                 let location = Location::Flag { name };
-                findings.add(location, format!("{text:?} is no address: {EXPECTED}"));
+                findings.add(location, format!("{text:?} is not an address: {EXPECTED}"));
             }
             return address;
         }
@@ -203,20 +206,20 @@
         address
     }
 
-    /// A text that must be given, and its location.
+    /// A required string, and its location.
     pub fn text(&self, name: &str, findings: &mut Findings) -> Option<(String, Location)> {
         if self.get(name).is_none() {
-            self.missing(name, "expected a text", findings);
+            self.missing(name, "expected a string", findings);
         }
         self.optional_text(name, findings)
     }
 
-    /// A text that may be absent, and its location.
+    /// A string that may be absent, and its location.
     pub fn optional_text(&self, name: &str, findings: &mut Findings) -> Option<(String, Location)> {
         let value = self.get(name)?;
         let text = value.get_ref().as_str();
         if text.is_none() {
-            self.mismatch(name, value, "expected a text", findings);
+            self.mismatch(name, value, "expected a string", findings);
         }
         text.map(|text| (text.to_owned(), location_of(value)))
     }
@@ -232,7 +235,7 @@
         if let Some(text) = flag {
             return text.parse().unwrap_or_else(|_| {
                 let location = Location::Flag { name: "log-level" };
-                findings.add(location, format!("{text:?} is no level: {expected}"));
+                findings.add(location, format!("{text:?} is not a log level: {expected}"));
                 log::LevelFilter::Info
             });
         }
@@ -259,7 +262,7 @@
 
     fn missing(&self, name: &str, expected: &str, findings: &mut Findings) {
         if findings.has_syntax_errors() {
-            // What seems to be missing may stand behind the error.
+            // The field may be in the part of the file that was not parsed.
             return;
         }
         if let Some(location) = &self.location {
@@ -278,10 +281,10 @@
         findings: &mut Findings,
     ) {
         let path = self.path(name);
-        let describe_value = describe_value(value.get_ref());
+        let description = describe_value(value.get_ref());
         findings.add(
             location_of(value),
-            format!("{path} is {describe_value}: {expected}"),
+            format!("{path} is {description}: {expected}"),
         );
     }
 }
@@ -290,15 +293,15 @@
     Location::in_file(value.span())
 }
 
-fn describe(range: &RangeInclusive<u64>) -> String {
+fn describe_range(range: &RangeInclusive<u64>) -> String {
     format!("a whole number from {} to {}", range.start(), range.end())
 }
 
-/// Type and, where it is short, value. Never called with the cluster's key.
+/// The type and, if it is short, the value. Never called with the string of a secret.
 fn describe_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) if text.chars().count() <= MAX_SHOWN_CHARS => format!("{text:?}"),
-        DeValue::String(_) => "a long text".to_owned(),
+        DeValue::String(_) => "a long string".to_owned(),
         DeValue::Integer(integer) => format!("the number {}", integer.as_str()),
         DeValue::Float(float) => format!("the number {}", float.as_str()),
         DeValue::Boolean(flag) => format!("the boolean {flag}"),
--- a/crates/ledgelead-node/src/work_pool.rs
+++ b/crates/ledgelead-node/src/work_pool.rs
@@ -1,11 +1,11 @@
-//! A bounded pool of threads for blocking calls.
+//! A thread pool with a bounded queue, for blocking calls.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Instant;
 
-/// Threads that run jobs of one kind, oldest first.
+/// A pool of threads that run jobs of one kind in the order of submission.
 pub struct WorkPool<J> {
     shared: Arc<Shared<J>>,
 }
@@ -24,16 +24,16 @@
     closed: bool,
 }
 
-/// The pool's queue is full, or the pool is closed; the job comes back.
+/// The pool's queue is full or the pool is closed; the job is handed back.
 #[derive(Debug)]
 pub struct Rejected<J>(pub J);
 
 impl<J: Send + 'static> WorkPool<J> {
-    /// Starts `threads` threads that call `run` for each job. At most
-    /// `capacity` jobs wait.
+    /// Starts `threads` threads that call `run` for each job. At most `capacity` jobs
+    /// are queued beyond the idle threads.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         name: &str,
         threads: usize,
@@ -78,8 +78,7 @@
 }
 
 impl<J> WorkPool<J> {
-    /// Ends the threads once the jobs that run have ended; jobs that wait are
-    /// dropped.
+    /// Stops each thread after its running job; queued jobs are dropped.
     pub fn close(&self) {
         let mut queue = self.shared.lock();
         queue.closed = true;
@@ -90,7 +89,7 @@
 }
 
 impl<J> WorkPool<J> {
-    /// Waits until no job waits or runs; false when `deadline` came before.
+    /// Waits until no job is queued or running; false if `deadline` passes first.
     pub fn wait_until_idle(&self, deadline: Instant) -> bool {
         let mut queue = self.shared.lock();
         loop {
@@ -141,7 +140,8 @@
         }
     }
 
-    /// No step under the lock can panic, so a poisoned lock is sound.
+    /// Nothing can panic while the lock is held, so the data of a poisoned lock is
+    /// consistent.
     fn lock(&self) -> MutexGuard<'_, Queue<J>> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
