--- a/crates/ledgelead-node/tests/callers.rs
+++ b/crates/ledgelead-node/tests/callers.rs
@@ -1,5 +1,5 @@
-//! Callers of every kind, against the guard and the HTTP server. The decisions
-//! are played by a function that answers every request at once, or never.
+//! Callers of every kind against the proxy and the HTTP server. A function replaces the
+//! core: it answers each request immediately, or never for one service.
 
 use googletest::prelude::*;
 use ledgelead_core::Input;
@@ -18,16 +18,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Ends a test that would hang.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// A path on which the played decisions never answer.
-const NEVER_ANSWERED: &str = "never";
+/// Timeout of reads and waits, so that a test can't hang.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Service whose requests are never answered.
+const UNANSWERED_SERVICE: &str = "never";
 
-struct Front {
+struct TestServer {
     address: SocketAddr,
     arrivals: Mutex<Receiver<RequestArrival>>,
-    left: Mutex<Receiver<RequestId>>,
-    _guard: CallerProxy,
+    disconnected: Mutex<Receiver<RequestId>>,
+    _proxy: CallerProxy,
     _server: CallerServer,
 }
 
@@ -40,11 +40,11 @@
     }
 }
 
-fn start(limits: &Limits) -> Front {
+fn start(limits: &Limits) -> TestServer {
     let open_requests = Arc::new(OpenRequests::new(limits.max_open_requests));
     let responders = respond::start("respond", 100).expect("threads");
     let (arrived, arrivals) = mpsc::channel();
-    let (leaving, left) = mpsc::channel();
+    let (disconnect_sender, disconnected) = mpsc::channel();
     let open = open_requests.clone();
     let arrived = Mutex::new(arrived);
     let sink: InputSink = Arc::new(move |input| {
@@ -52,18 +52,18 @@
             return;
         };
         let id = arrival.request;
-        let answered = &*arrival.service != NEVER_ANSWERED;
+        let answered = &*arrival.service != UNANSWERED_SERVICE;
         let _ = arrived.lock().expect("sender").send(arrival);
         if !answered {
             return;
         }
-        let ending = CompletedRequest {
+        let completed = CompletedRequest {
             request: open.close(id).expect("open"),
             outcome: Outcome::NotRun(NotRunReason::NoServer),
             attempt: None,
             retry_after: Some(Span::from_millis(1_200)),
         };
-        assert!(responders.submit(ending).is_ok(), "a free place");
+        assert!(responders.submit(completed).is_ok(), "a free place");
     });
     let server = tiny_http::Server::http("127.0.0.1:0").expect("a free port");
     let inner = server.server_addr().to_ip().expect("an IP address");
@@ -79,31 +79,31 @@
     let address = listener.local_addr().expect("an address");
     let caller_left = Box::new(move |connection| {
         for id in open_requests.on_connection(connection) {
-            let _ = leaving.send(id);
+            let _ = disconnect_sender.send(id);
         }
     });
-    let guard = CallerProxy::start("guard", listener, inner, limits, caller_left);
-    Front {
+    let proxy = CallerProxy::start("guard", listener, inner, limits, caller_left);
+    TestServer {
         address,
         arrivals: Mutex::new(arrivals),
-        left: Mutex::new(left),
-        _guard: guard.expect("a guard"),
+        disconnected: Mutex::new(disconnected),
+        _proxy: proxy.expect("the proxy"),
         _server: server.expect("a server"),
     }
 }
 
-fn connect(front: &Front) -> TcpStream {
-    let stream = TcpStream::connect(front.address).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+fn connect(server: &TestServer) -> TcpStream {
+    let stream = TcpStream::connect(server.address).expect("connected");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     stream
 }
 
-/// Writes what the other end takes; it may close in the middle.
+/// Writes as much as the other end takes; it may close the connection meanwhile.
 fn write(stream: &mut TcpStream, bytes: &[u8]) {
     let _ = stream.write_all(bytes);
 }
 
-/// Reads one answer with its declared body.
+/// Reads one response with its declared body.
 fn read_answer(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut byte = [0];
@@ -122,13 +122,13 @@
     header + &String::from_utf8_lossy(&body)
 }
 
-fn ask(front: &Front, request: &[u8]) -> String {
-    let mut stream = connect(front);
+fn request_once(server: &TestServer, request: &[u8]) -> String {
+    let mut stream = connect(server);
     write(&mut stream, request);
     read_answer(&mut stream)
 }
 
-/// Waits until the connection ends, and gives what came before.
+/// Reads until the connection ends.
 fn read_to_end(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
@@ -136,10 +136,10 @@
 }
 
 #[gtest]
-fn a_refusal_tells_outcome_reason_and_when_to_come_back() {
-    let front = start(&limits());
-    let answer = ask(
-        &front,
+fn refusals_state_outcome_reason_and_retry_delay() {
+    let server = start(&limits());
+    let answer = request_once(
+        &server,
         b"GET /v1/vacantes/x HTTP/1.1\r\nHost: a\r\nLedgelead-Request-Id: r7\r\n\r\n",
     );
     let mut lines: Vec<&str> = answer
@@ -151,8 +151,8 @@
 }
 
 #[gtest]
-fn requests_that_are_not_of_the_protocol_are_refused() {
-    let front = start(&limits());
+fn requests_that_violate_the_protocol_are_refused() {
+    let server = start(&limits());
     let cases: [(&[u8], &str); 9] = [
         (b"GET /elsewhere HTTP/1.1\r\n\r\n", "404"),
         (
@@ -177,7 +177,7 @@
         (b"GET /v1/s HTTP/7.1\r\n\r\n", "400"),
     ];
     for (request, status) in cases {
-        let answer = ask(&front, request);
+        let answer = request_once(&server, request);
         let text = String::from_utf8_lossy(request);
         expect_that!(answer, starts_with(format!("HTTP/1.1 {status}")), "{text}");
     }
@@ -187,16 +187,19 @@
         chunked.extend_from_slice(&[b'a'; 1_000]);
         chunked.extend_from_slice(b"\r\n");
     }
-    expect_that!(ask(&front, &chunked), starts_with("HTTP/1.1 413"));
+    expect_that!(request_once(&server, &chunked), starts_with("HTTP/1.1 413"));
     let mut long_header = b"GET /v1/s HTTP/1.1\r\nX: ".to_vec();
     long_header.extend_from_slice(&[b'a'; 100_000]);
-    expect_that!(ask(&front, &long_header), starts_with("HTTP/1.1 431"));
+    expect_that!(
+        request_once(&server, &long_header),
+        starts_with("HTTP/1.1 431")
+    );
 }
 
 #[gtest]
-fn a_caller_that_closed_its_sending_side_gets_its_answer() {
-    let front = start(&limits());
-    let mut stream = connect(&front);
+fn a_caller_that_half_closed_its_connection_gets_its_response() {
+    let server = start(&limits());
+    let mut stream = connect(&server);
     write(
         &mut stream,
         b"POST /v1/s HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
@@ -206,13 +209,13 @@
 }
 
 #[gtest]
-fn slow_callers_are_cut_and_others_served_meanwhile() {
+fn slow_callers_time_out_while_others_are_served() {
     let limits = Limits {
         caller_time: Duration::from_millis(300),
         ..limits()
     };
-    let front = start(&limits);
-    let mut slow: Vec<TcpStream> = (0..8).map(|_| connect(&front)).collect();
+    let server = start(&limits);
+    let mut slow: Vec<TcpStream> = (0..8).map(|_| connect(&server)).collect();
     for (index, stream) in slow.iter_mut().enumerate() {
         let part: &[u8] = match index % 2 {
             0 => b"POST /v1/s HTTP/1.1\r\nContent-Length: 2000\r\n\r\nab",
@@ -221,7 +224,7 @@
         write(stream, part);
     }
     expect_that!(
-        ask(&front, b"GET /v1/s HTTP/1.1\r\n\r\n"),
+        request_once(&server, b"GET /v1/s HTTP/1.1\r\n\r\n"),
         contains_substring("no-server")
     );
     for (index, stream) in slow.iter_mut().enumerate() {
@@ -235,16 +238,16 @@
 }
 
 #[gtest]
-fn many_connections_at_once_are_all_answered() {
-    let front = start(&limits());
-    let mut streams: Vec<TcpStream> = (0..200).map(|_| connect(&front)).collect();
+fn many_simultaneous_connections_are_all_answered() {
+    let server = start(&limits());
+    let mut streams: Vec<TcpStream> = (0..200).map(|_| connect(&server)).collect();
     for stream in &mut streams {
         write(stream, b"GET /v1/s HTTP/1.1\r\n\r\n");
     }
     for stream in &mut streams {
         expect_that!(read_answer(stream), contains_substring("no-server"));
     }
-    // All are still open, and serve again.
+    // All connections are still open and can be used again.
     for stream in &mut streams {
         write(stream, b"GET /v1/s HTTP/1.1\r\n\r\n");
         expect_that!(read_answer(stream), contains_substring("no-server"));
@@ -257,30 +260,33 @@
         max_connections: 2,
         ..limits()
     };
-    let front = start(&limits);
-    let mut kept: Vec<TcpStream> = (0..2).map(|_| connect(&front)).collect();
+    let server = start(&limits);
+    let mut kept: Vec<TcpStream> = (0..2).map(|_| connect(&server)).collect();
     for stream in &mut kept {
         write(stream, b"GET /v1/s HTTP/1.1\r\n\r\n");
         read_answer(stream);
     }
-    let refused = read_to_end(&mut connect(&front));
+    let refused = read_to_end(&mut connect(&server));
     expect_that!(refused, starts_with("HTTP/1.1 503"));
     expect_that!(refused, contains_substring("Ledgelead-Outcome: not-run"));
 }
 
 #[gtest]
 fn a_caller_that_resets_its_connection_is_reported() {
-    let front = start(&limits());
-    let mut stream = connect(&front);
-    // The first answer stays unread, so closing resets the connection.
+    let server = start(&limits());
+    let mut stream = connect(&server);
+    // The rest of the first response stays unread, so closing resets the connection.
     write(&mut stream, b"GET /v1/s HTTP/1.1\r\n\r\n");
     let mut first_byte = [0];
     stream.read_exact(&mut first_byte).expect("an answer");
     write(&mut stream, b"GET /v1/never HTTP/1.1\r\n\r\n");
-    let arrivals = front.arrivals.lock().expect("receiver");
-    arrivals.recv_timeout(PATIENCE).expect("the first");
-    let waiting = arrivals.recv_timeout(PATIENCE).expect("the second");
+    let arrivals = server.arrivals.lock().expect("receiver");
+    arrivals.recv_timeout(TEST_TIMEOUT).expect("the first");
+    let waiting = arrivals.recv_timeout(TEST_TIMEOUT).expect("the second");
     drop(stream);
-    let left = front.left.lock().expect("receiver");
-    expect_that!(left.recv_timeout(PATIENCE), ok(eq(waiting.request)));
+    let disconnected = server.disconnected.lock().expect("receiver");
+    expect_that!(
+        disconnected.recv_timeout(TEST_TIMEOUT),
+        ok(eq(waiting.request))
+    );
 }
--- a/crates/ledgelead-node/tests/command_line.rs
+++ b/crates/ledgelead-node/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: what it asks for, and with which exit code it fails.
+//! Parsing of the command line, and the exit codes of failures.
 
 use googletest::prelude::*;
 use ledgelead_node::command_line::{
@@ -13,7 +13,7 @@
 }
 
 #[gtest]
-fn a_node_takes_flags_over_its_file() {
+fn node_flags_override_the_file() {
     let invocation = parsed("node --node 3 --config a.toml --callers=127.0.0.1:0");
     let overrides = Overrides {
         node: Some("3".to_owned()),
@@ -25,7 +25,7 @@
 }
 
 #[gtest]
-fn other_commands_are_read() {
+fn other_commands_are_parsed() {
     let check = Invocation::Check {
         file: "a.toml".to_owned(),
     };
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn mistakes_are_told_with_a_pointer_to_the_help() {
+fn usage_errors_refer_to_the_help() {
     let lines = [
         "node",
         "node --config",
@@ -64,14 +64,14 @@
 }
 
 #[gtest]
-fn exit_codes_tell_wrong_input_from_failure() {
+fn exit_codes_distinguish_invalid_input_from_failure() {
     let mut output = Vec::new();
     let check = Invocation::Check {
         file: "no/such/file.toml".to_owned(),
     };
     let error = run(check, &mut output).expect_err("no file");
     expect_that!(error.exit_code(), eq(EXIT_USAGE));
-    // Port 1 is reserved and never listened on here.
+    // Port 1 is reserved, and nothing listens on it here.
     let query = parsed("query --address 127.0.0.1:1 servers").expect("right");
     let error = run(query, &mut output).expect_err("no node");
     expect_that!(error.exit_code(), eq(EXIT_FAILED));
--- a/crates/ledgelead-node/tests/exchange.rs
+++ b/crates/ledgelead-node/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! What the end of an exchange with a server proves.
+//! The outcomes of exchanges with servers: whether a server can have received the request.
 
 mod support;
 
@@ -19,16 +19,16 @@
 use ureq::unversioned::resolver::Resolver;
 use ureq::unversioned::transport::NextTimeout;
 
-/// Longest answer that these tests take.
+/// Longest response in these tests.
 const MAX_ANSWER_BYTES: usize = 1_000;
-/// Ample for every exchange that ends by itself.
-const AMPLE: Duration = Duration::from_secs(30);
+/// A timeout that no exchange in these tests reaches.
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn agent() -> ureq::Agent {
     exchange::agent(AgentLimits {
         idle_connections: 4,
-        idle_time: AMPLE,
-        connect_time: AMPLE,
+        idle_time: LONG_TIMEOUT,
+        connect_time: LONG_TIMEOUT,
     })
 }
 
@@ -80,27 +80,27 @@
     exchange::exchange(&agent(), request, time, MAX_ANSWER_BYTES, &control)
 }
 
-fn end_of(script: Script) -> std::result::Result<BufferedResponse, ExchangeError> {
+fn outcome_of(script: Script) -> std::result::Result<BufferedResponse, ExchangeError> {
     let server = RawServer::start(vec![script]);
-    let end = send(server.address, "GET", AMPLE);
+    let outcome = send(server.address, "GET", LONG_TIMEOUT);
     server.finish();
-    end
+    outcome
 }
 
 #[gtest]
-fn refused_connection_proves_that_nothing_was_sent() {
-    let end = send(closed_address(), "POST", AMPLE);
-    expect_that!(end, eq(&Err(ExchangeError::NotSent)));
+fn refused_connections_are_reported_as_not_sent() {
+    let outcome = send(closed_address(), "POST", LONG_TIMEOUT);
+    expect_that!(outcome, eq(&Err(ExchangeError::NotSent)));
 }
 
 #[gtest]
-fn names_are_not_resolved() {
+fn host_names_are_not_resolved() {
     let agent = agent();
     let request = ureq::http::Request::get("http://localhost:1/").body(Vec::new());
     let request = request.expect("a valid request");
     let control = Arc::default();
-    let end = exchange::exchange(&agent, request, AMPLE, MAX_ANSWER_BYTES, &control);
-    expect_that!(end, eq(&Err(ExchangeError::NotSent)));
+    let outcome = exchange::exchange(&agent, request, LONG_TIMEOUT, MAX_ANSWER_BYTES, &control);
+    expect_that!(outcome, eq(&Err(ExchangeError::NotSent)));
     let details = |uri: &str| {
         let uri = uri.parse().expect("a URI");
         let addresses = AddressResolver.resolve(&uri, agent.config(), NextTimeout::default());
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn cancelled_and_late_exchanges_are_not_sent() {
+fn exchanges_without_time_left_are_not_sent() {
     expect_that!(
         send(closed_address(), "GET", Duration::ZERO),
         eq(&Err(ExchangeError::NotSent))
@@ -123,12 +123,18 @@
 }
 
 #[gtest]
-fn connection_that_fails_after_writing_proves_nothing() {
-    expect_that!(end_of(Script::CloseAtOnce), eq(&Err(ExchangeError::Lost)));
-    expect_that!(end_of(Script::Answer(b"")), eq(&Err(ExchangeError::Lost)));
+fn connections_that_fail_after_writing_are_reported_as_lost() {
+    expect_that!(
+        outcome_of(Script::CloseAtOnce),
+        eq(&Err(ExchangeError::Lost))
+    );
+    expect_that!(
+        outcome_of(Script::Answer(b"")),
+        eq(&Err(ExchangeError::Lost))
+    );
     let half_header = Script::Answer(b"HTTP/1.1 200 OK\r\nContent-Le");
     expect_that!(
-        end_of(half_header),
+        outcome_of(half_header),
         any![
             eq(&Err(ExchangeError::Lost)),
             eq(&Err(ExchangeError::BadAnswer))
@@ -137,15 +143,15 @@
 }
 
 #[gtest]
-fn silent_server_is_given_up_at_the_deadline() {
+fn exchanges_without_a_response_are_lost_at_the_deadline() {
     let server = RawServer::start(vec![Script::Silence]);
-    let end = send(server.address, "GET", Duration::from_millis(50));
-    expect_that!(end, eq(&Err(ExchangeError::Lost)));
+    let outcome = send(server.address, "GET", Duration::from_millis(50));
+    expect_that!(outcome, eq(&Err(ExchangeError::Lost)));
     server.finish();
 }
 
 #[gtest]
-fn answers_that_are_not_whole_are_never_passed_on() {
+fn truncated_and_malformed_responses_are_rejected() {
     let bad: [&[u8]; 6] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
@@ -155,17 +161,17 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n",
     ];
     for bytes in bad {
-        let end = end_of(Script::Answer(bytes));
+        let outcome = outcome_of(Script::Answer(bytes));
         let text = String::from_utf8_lossy(bytes).into_owned();
-        expect_that!(end, eq(&Err(ExchangeError::BadAnswer)), "{text}");
+        expect_that!(outcome, eq(&Err(ExchangeError::BadAnswer)), "{text}");
     }
-    let end = end_of(Script::Answer(b"no HTTP at all\r\n\r\n"));
-    expect_that!(end, eq(&Err(ExchangeError::BadAnswer)));
+    let outcome = outcome_of(Script::Answer(b"no HTTP at all\r\n\r\n"));
+    expect_that!(outcome, eq(&Err(ExchangeError::BadAnswer)));
 }
 
 #[gtest]
-fn whole_answers_pass_with_status_headers_and_body() {
-    let answer = end_of(Script::Answer(
+fn complete_responses_keep_status_headers_and_body() {
+    let answer = outcome_of(Script::Answer(
         b"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nX-Twice: 1\r\nX-Twice: 2\r\nContent-Length: 4\r\n\r\nmove",
     ));
     let answer = answer.expect("a whole answer");
@@ -179,22 +185,22 @@
         .collect();
     expect_that!(twice, elements_are![eq(&"1"), eq(&"2")]);
 
-    let chunked = end_of(Script::Answer(
+    let chunked = outcome_of(Script::Answer(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
     ));
     expect_that!(chunked.expect("whole").body, eq(&b"hello".to_vec()));
-    let empty = end_of(Script::Answer(b"HTTP/1.1 204 No Content\r\n\r\n"));
+    let empty = outcome_of(Script::Answer(b"HTTP/1.1 204 No Content\r\n\r\n"));
     expect_that!(empty.expect("whole").status, eq(204));
 }
 
 #[gtest]
-fn server_gets_the_request_whole_with_what_the_node_adds() {
+fn servers_receive_the_request_and_the_headers_added_by_the_node() {
     let server = RawServer::start(vec![Script::Answer(
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     )]);
     let address = server.address.to_string();
-    let end = send(server.address, "POST", AMPLE);
-    expect_that!(end.is_ok(), eq(true));
+    let outcome = send(server.address, "POST", LONG_TIMEOUT);
+    expect_that!(outcome.is_ok(), eq(true));
     let request = server.finish().remove(0).replace(&address, "ADDRESS");
     let mut lines: Vec<&str> = request.lines().collect();
     lines[1..].sort_unstable();
@@ -202,7 +208,7 @@
 }
 
 #[gtest]
-fn refusals_and_load_are_read() {
+fn refusals_and_load_reports_are_parsed() {
     let refusal = BufferedResponse {
         status: 503,
         headers: vec![HeaderLine::new("ledgelead-refused", "not-owner")],
@@ -220,12 +226,12 @@
         wire::attempt_result(&plain_failure),
         eq(AttemptResult::Answered { failure: true })
     );
-    let disguised = BufferedResponse {
+    let refusal_with_status_200 = BufferedResponse {
         status: 200,
         ..refusal
     };
     expect_that!(
-        wire::attempt_result(&disguised),
+        wire::attempt_result(&refusal_with_status_200),
         eq(AttemptResult::Answered { failure: false })
     );
     let load = wire::parse_load("executing=1, waiting=2,utilization=7.5,cold=1,new=x");
--- a/crates/ledgelead-node/tests/forwarding.rs
+++ b/crates/ledgelead-node/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! What of a caller's request reaches servers, and what of an answer reaches
-//! callers.
+//! Which paths and headers of a caller's request are forwarded to servers, and which
+//! headers of a response to callers.
 
 use googletest::prelude::*;
 use ledgelead_node::callers::headers::{HeaderLine, passed_to_caller, passed_to_server};
@@ -7,9 +7,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Writes a byte plainly, encoded, or encoded twice.
-fn written(byte: u8, way: u8) -> String {
-    match way {
+/// Writes a byte unchanged, in upper case, percent-encoded, or percent-encoded twice.
+fn encode_byte(byte: u8, encoding: u8) -> String {
+    match encoding {
         0 => char::from(byte).to_string(),
         1 => char::from(byte.to_ascii_uppercase()).to_string(),
         2 => format!("%{byte:02x}"),
@@ -26,21 +26,21 @@
     })]
 
     #[test]
-    fn a_control_path_is_known_however_it_is_written(
-        ways in prop::collection::vec(0_u8..4, 32),
-        before in prop::sample::select(vec!["/", "//", "/./", "/a/../", "/a/b/../../", "/../", "\\", "/;x/"]),
-        behind in prop::sample::select(vec!["", "?q=1", ";a=b", "#f", "/", "/../x"]),
+    fn control_paths_are_detected_in_every_encoding(
+        encodings in prop::collection::vec(0_u8..4, 32),
+        prefix in prop::sample::select(vec!["/", "//", "/./", "/a/../", "/a/b/../../", "/../", "\\", "/;x/"]),
+        suffix in prop::sample::select(vec!["", "?q=1", ";a=b", "#f", "/", "/../x"]),
         path in prop::sample::select(vec!["ledgelead/lease", "ledgelead/cancel", "ledgelead"]),
     ) {
-        let bytes = before.bytes().chain(path.bytes());
-        let mut target: String = bytes.zip(ways).map(|(byte, way)| written(byte, way)).collect();
-        target.push_str(behind);
+        let bytes = prefix.bytes().chain(path.bytes());
+        let mut target: String = bytes.zip(encodings).map(|(byte, encoding)| encode_byte(byte, encoding)).collect();
+        target.push_str(suffix);
         prop_assert!(may_be_control_path(&target), "{}", target);
     }
 }
 
 #[gtest]
-fn other_paths_pass() {
+fn other_paths_are_accepted() {
     let paths = [
         "/",
         "/vacantes/ledgelead/lease",
@@ -53,12 +53,12 @@
     for path in paths {
         expect_that!(may_be_control_path(path), eq(false), "{path}");
     }
-    let encoded_without_end = format!("/{}41", "%25".to_owned() + &"25".repeat(2_000));
-    expect_that!(may_be_control_path(&encoded_without_end), eq(true));
+    let encoded_too_often = format!("/{}41", "%25".to_owned() + &"25".repeat(2_000));
+    expect_that!(may_be_control_path(&encoded_too_often), eq(true));
 }
 
 #[gtest]
-fn headers_of_the_protocol_are_not_passed_on() {
+fn protocol_headers_are_not_forwarded() {
     let internal = [
         "Ledgelead-Token",
         "ledgelead-position",
--- a/crates/ledgelead-node/tests/frames.rs
+++ b/crates/ledgelead-node/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes survive any bytes.
+//! The frame parser against arbitrary, incomplete and modified bytes.
 
 use googletest::prelude::*;
 use ledgelead_node::peer::frame::*;
@@ -23,7 +23,7 @@
     ClusterKey::new(b"a key for tests only")
 }
 
-/// A sender that has said hello, and the hello.
+/// A sender's session after its hello, and the bytes of the hello.
 fn sender() -> (Session, Vec<u8>) {
     let mut session = Session::new(key(), CHALLENGE, SENDER, RECEIVER);
     let mut bytes = Vec::new();
@@ -41,7 +41,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn arbitrary_bytes_are_refused_or_awaited(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_refused_or_incomplete(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = read_greeting(&bytes);
         if let Ok(Some(_)) = read_hello(&bytes, &key(), CHALLENGE, RECEIVER) {
             prop_assert!(false, "a hello was forged");
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn frames_open_in_order_and_wait_for_missing_bytes(
+    fn frames_open_in_order_and_only_when_complete(
         payloads in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..5),
         cut in any::<prop::sample::Index>(),
     ) {
@@ -72,34 +72,37 @@
     }
 
     #[test]
-    fn any_changed_bit_is_noticed(
+    fn every_changed_bit_is_detected(
         payload in prop::collection::vec(any::<u8>(), 0..100),
-        place in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
         bit in 0..8_u8,
     ) {
         let (mut sealing, hello) = sender();
         let mut opening = receiver(&hello);
         let mut bytes = Vec::new();
         sealing.seal_frame(&payload, &mut bytes).expect("short enough");
-        bytes[place.index(HEADER_BYTES + payload.len())] ^= 1 << bit;
+        bytes[position.index(HEADER_BYTES + payload.len())] ^= 1 << bit;
         prop_assert!(!matches!(opening.open_frame(&bytes), Ok(Some(_))));
     }
 }
 
 #[gtest]
-fn frames_of_another_key_receiver_or_connection_are_refused() {
+fn frames_for_another_key_receiver_or_connection_are_refused() {
     let (_, hello) = sender();
     let other_key = ClusterKey::new(b"another key of tests");
     let with_other_key = read_hello(&hello, &other_key, CHALLENGE, RECEIVER);
     expect_that!(with_other_key.err(), some(eq(FrameError::BadTag)));
-    let elsewhere = read_hello(&hello, &key(), CHALLENGE, NodeId(3));
-    expect_that!(elsewhere.err(), some(eq(FrameError::WrongReceiver)));
-    let played_back = read_hello(&hello, &key(), [8; CHALLENGE_BYTES], RECEIVER);
-    expect_that!(played_back.err(), some(eq(FrameError::BadTag)));
+    let with_other_receiver = read_hello(&hello, &key(), CHALLENGE, NodeId(3));
+    expect_that!(
+        with_other_receiver.err(),
+        some(eq(FrameError::WrongReceiver))
+    );
+    let replayed = read_hello(&hello, &key(), [8; CHALLENGE_BYTES], RECEIVER);
+    expect_that!(replayed.err(), some(eq(FrameError::BadTag)));
 }
 
 #[gtest]
-fn huge_lengths_are_refused_before_their_bytes_come() {
+fn excessive_lengths_are_refused_before_the_payload_arrives() {
     let (_, hello) = sender();
     let huge = u32::MAX.to_le_bytes();
     let refused = receiver(&hello).open_frame(&huge).err();
--- a/crates/ledgelead-node/tests/logging.rs
+++ b/crates/ledgelead-node/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines are JSON with a stable set of fields.
+//! Log lines are JSON objects with a fixed set of fields.
 
 use googletest::prelude::*;
 use ledgelead_node::logging::{EVENT_TARGET, JsonFields, json_line};
@@ -15,7 +15,7 @@
 }
 
 #[gtest]
-fn messages_of_any_text_stay_one_object() {
+fn any_message_is_logged_as_one_json_object() {
     let line = line("peer", "a \"quoted\"\nline \u{1}");
     expect_that!(line["time"].as_f64(), some(eq(1.5)));
     expect_that!(line["level"].as_str(), some(eq("warn")));
--- a/crates/ledgelead-node/tests/node.rs
+++ b/crates/ledgelead-node/tests/node.rs
@@ -1,4 +1,4 @@
-//! A whole node on real sockets.
+//! A complete node on real sockets.
 
 mod support;
 
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn administration_tells_health_and_metrics() {
+fn administration_serves_health_and_metrics() {
     let node = start();
     let address = node.administration_address;
     expect_that!(get(address, "/healthz"), eq(&(200, "ok\n".to_owned())));
@@ -43,16 +43,16 @@
 }
 
 #[gtest]
-fn a_stop_with_nothing_in_flight_is_complete() {
+fn a_stop_without_requests_in_flight_succeeds() {
     let node = start();
     let address = node.http_address;
     expect_that!(node.stop(), eq(true));
     expect_that!(std::net::TcpStream::connect(address).is_err(), eq(true));
 }
 
-/// Asks on a kept-alive connection and gives the answer's header; empty when
-/// the connection ended.
-fn ask_again(connection: &mut BufReader<TcpStream>) -> String {
+/// Sends a request on a keep-alive connection and returns the header of the response,
+/// or an empty string if the connection has ended.
+fn request_again(connection: &mut BufReader<TcpStream>) -> String {
     let request = b"HEAD /v1/none HTTP/1.1\r\nHost: a\r\n\r\n";
     let _ = connection.get_mut().write_all(request);
     let mut header = String::new();
@@ -65,16 +65,16 @@
 }
 
 #[gtest]
-fn a_stopping_node_tells_callers_to_close_before_it_does() {
+fn a_stopping_node_announces_that_it_closes_connections() {
     let node = start();
     let stream = TcpStream::connect(node.http_address).expect("connected");
     let mut connection = BufReader::new(stream);
-    let first = ask_again(&mut connection);
+    let first = request_again(&mut connection);
     expect_that!(first, contains_substring("Ledgelead-Outcome: not-run"));
     expect_that!(first, not(contains_substring("Connection: close")));
     let stopping = std::thread::spawn(move || node.stop());
     let last = loop {
-        let header = ask_again(&mut connection);
+        let header = request_again(&mut connection);
         if header.is_empty() || header.contains("Connection: close") {
             break header;
         }
--- a/crates/ledgelead-node/tests/operators.rs
+++ b/crates/ledgelead-node/tests/operators.rs
@@ -1,5 +1,5 @@
-//! The administration interface of a real node without a platform, and the
-//! command line as its client.
+//! The administration interface of a running node without a platform, and the command
+//! line as its client.
 
 mod support;
 
@@ -21,7 +21,7 @@
     (response.status().as_u16(), body)
 }
 
-/// What a command line prints, or why it fails with which exit code.
+/// The output of a command line, or its exit code and error message.
 fn run(address: &str, words: &[&str]) -> std::result::Result<String, (u8, String)> {
     let flags = ["--address", address];
     let words = words.iter().chain(&flags).map(Into::into).collect();
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn queries_and_commands_have_their_statuses() {
+fn queries_and_commands_return_their_status_codes() {
     let node = start();
     let (status, body) = post(&node, "/v1/query", r#"{"text": "show nodes; show tiers"}"#);
     expect_that!(status, eq(200));
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn the_command_line_has_its_exit_codes() {
+fn command_line_failures_have_their_exit_codes() {
     let node = start();
     let address = node.administration_address.to_string();
     let tables = run(&address, &["status"]).expect("an answer");
@@ -99,9 +99,9 @@
     }
 }
 
-/// Answers of other nodes, each with the exit code that it means.
+/// Each response of a server under the test's control leads to its exit code.
 #[gtest]
-fn answers_have_their_exit_codes() {
+fn responses_are_mapped_to_exit_codes() {
     let answers: [(&'static [u8], u8); 5] = [
         (
             b"HTTP/1.1 401 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
@@ -119,7 +119,7 @@
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"version\":4,\"lagging\":[\"node-3\"]}",
             7,
         ),
-        // The connection ends without an answer: it may have taken effect.
+        // The connection ends without a response: the command may have taken effect.
         (b"", 6),
     ];
     let server = RawServer::start(
--- a/crates/ledgelead-node/tests/platform.rs
+++ b/crates/ledgelead-node/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's client tells what changed nothing from what may have.
+//! The platform's client distinguishes failures that changed nothing from those that may
+//! have taken effect.
 
 mod support;
 
@@ -43,7 +44,7 @@
 type Result<T, E> = std::result::Result<T, E>;
 
 #[gtest]
-fn a_swap_is_unavailable_only_when_it_changed_nothing() {
+fn a_swap_is_unavailable_only_if_nothing_was_changed() {
     let cases: [(&[u8], Result<PlatformReply, PlatformError>); 7] = [
         (
             b"HTTP/1.1 200 OK\r\nObject-Version: 5\r\nContent-Length: 0\r\n\r\n",
@@ -94,7 +95,7 @@
 }
 
 #[gtest]
-fn reads_give_objects_and_are_never_lost_answers() {
+fn failed_reads_are_unavailable_and_never_answer_lost() {
     let object =
         Script::Answer(b"HTTP/1.1 200 OK\r\nObject-Version: 7\r\nContent-Length: 3\r\n\r\nabc");
     let expected = PlatformReply::Object {
@@ -104,9 +105,12 @@
     expect_that!(reply_to(&get(), object), eq(&Ok(expected)));
     let missing = Script::Answer(b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n");
     expect_that!(reply_to(&get(), missing), eq(&Ok(PlatformReply::NotFound)));
-    let cut =
+    let truncated =
         Script::Answer(b"HTTP/1.1 200 OK\r\nObject-Version: 7\r\nContent-Length: 30\r\n\r\nabc");
-    expect_that!(reply_to(&get(), cut), eq(&Err(PlatformError::Unavailable)));
+    expect_that!(
+        reply_to(&get(), truncated),
+        eq(&Err(PlatformError::Unavailable))
+    );
 
     let watch = PlatformCall::Watch {
         name: Text::from("configuration"),
--- a/crates/ledgelead-node/tests/settings.rs
+++ b/crates/ledgelead-node/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings are read whole, and every mistake is reported with its place.
+//! Settings are parsed completely, and every error is reported with its location.
 
 use googletest::prelude::*;
 use ledgelead_node::Settings;
 use ledgelead_node::settings::Overrides;
 use std::time::Duration;
 
-const RIGHT: &str = r#"
+const VALID: &str = r#"
 [node]
 id = 3
 zone = 2
@@ -25,7 +25,7 @@
 level = "debug"
 "#;
 
-const WRONG: &str = r#"
+const INVALID: &str = r#"
 [node]
 id = -3
 zon = 2
@@ -49,13 +49,13 @@
 }
 
 #[gtest]
-fn right_settings_are_read_and_flags_override_them() {
+fn valid_settings_are_parsed_and_flags_override_them() {
     let overrides = Overrides {
         node: Some("9".to_owned()),
         peer_address: Some("127.0.0.1:0".to_owned()),
         ..Overrides::default()
     };
-    let settings = Settings::parse("node.toml", RIGHT, &overrides).expect("no mistakes");
+    let settings = Settings::parse("node.toml", VALID, &overrides).expect("no mistakes");
     expect_that!(settings.node.0, eq(9));
     expect_that!(settings.zone.0, eq(2));
     expect_that!(settings.peer_address.port(), eq(0));
@@ -70,29 +70,29 @@
 }
 
 #[gtest]
-fn all_mistakes_are_reported_together() {
-    insta::assert_snapshot!(findings(WRONG, &Overrides::default()));
+fn all_errors_are_reported_together() {
+    insta::assert_snapshot!(findings(INVALID, &Overrides::default()));
 }
 
 #[gtest]
 fn empty_and_broken_files_are_reported() {
     insta::assert_snapshot!("empty", findings("", &Overrides::default()));
-    let broken = RIGHT
+    let broken = VALID
         .replace("zone = 2", "zone = ")
         .replace("level = \"debug\"", "level = debug");
     insta::assert_snapshot!("broken", findings(&broken, &Overrides::default()));
-    let unclosed = RIGHT.replace("id = 3", "id = [");
+    let unclosed = VALID.replace("id = 3", "id = [");
     insta::assert_snapshot!("unclosed", findings(&unclosed, &Overrides::default()));
 }
 
 #[gtest]
-fn wrong_flags_are_reported_with_the_file() {
+fn invalid_flags_are_reported_after_the_errors_of_the_file() {
     let overrides = Overrides {
         zone: Some("kennedy".to_owned()),
         platform_address: Some("platform:80".to_owned()),
         log_level: Some("all".to_owned()),
         ..Overrides::default()
     };
-    let text = RIGHT.replace("id = 3", "id = 3.5");
+    let text = VALID.replace("id = 3", "id = 3.5");
     insta::assert_snapshot!(findings(&text, &overrides));
 }
--- a/crates/ledgelead-node/tests/support/mod.rs
+++ b/crates/ledgelead-node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A raw TCP server that answers with given bytes, whatever HTTP says.
+//! A TCP server that responds with given bytes, which need not be valid HTTP.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -16,11 +16,11 @@
     CloseAtOnce,
     /// Reads a request, writes these bytes, closes.
     Answer(&'static [u8]),
-    /// Reads a request and never answers, until the other end closes.
+    /// Reads a request and sends nothing until the other end closes.
     Silence,
 }
 
-/// The server; each connection takes the next script.
+/// The server; each connection runs the next script.
 pub struct RawServer {
     /// Where it listens.
     pub address: SocketAddr,
@@ -29,16 +29,16 @@
 }
 
 impl RawServer {
-    /// Starts a server for as many connections as there are scripts.
+    /// Starts a server that accepts one connection per script.
     pub fn start(scripts: Vec<Script>) -> RawServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
         let requests = Arc::new(Mutex::new(Vec::new()));
-        let seen = requests.clone();
+        let received = requests.clone();
         let thread = thread::spawn(move || {
             for script in scripts {
                 let (stream, _) = listener.accept().expect("a connection");
-                play(stream, script, &seen);
+                run_script(stream, script, &received);
             }
         });
         RawServer {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The requests that came, once all scripts were played.
+    /// Waits for all scripts to end and returns the requests received.
     pub fn finish(mut self) -> Vec<String> {
         if let Some(thread) = self.thread.take() {
             thread.join().expect("the server ends");
@@ -57,17 +57,19 @@
     }
 }
 
-fn play(mut stream: TcpStream, script: Script, seen: &Mutex<Vec<String>>) {
+fn run_script(mut stream: TcpStream, script: Script, received: &Mutex<Vec<String>>) {
     match script {
         Script::CloseAtOnce => {}
         Script::Answer(bytes) => {
-            seen.lock()
+            received
+                .lock()
                 .expect("requests")
                 .push(read_request(&mut stream));
             stream.write_all(bytes).expect("written");
         }
         Script::Silence => {
-            seen.lock()
+            received
+                .lock()
                 .expect("requests")
                 .push(read_request(&mut stream));
             let mut rest = Vec::new();
@@ -76,7 +78,7 @@
     }
 }
 
-/// Reads a header and a body of declared length.
+/// Reads a header and a body of the declared length.
 fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut byte = [0];
@@ -98,8 +100,8 @@
     header + &String::from_utf8(body).expect("a text body")
 }
 
-/// An address on which nothing listens: the port is reserved, and free ports
-/// are never given out below 1024.
+/// An address on which nothing listens: the port is reserved, and the system assigns no
+/// free ports below 1024.
 pub fn closed_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/ledgelead-node/tests/support/running_node.rs
+++ b/crates/ledgelead-node/tests/support/running_node.rs
@@ -1,9 +1,9 @@
-//! A whole node on any free ports, whose platform can't be reached.
+//! A complete node on any free ports, whose platform is unreachable.
 
 use ledgelead_node::settings::Overrides;
 use ledgelead_node::{Node, RunningNode, Settings};
 
-/// Its settings.
+/// Settings of the node.
 pub const SETTINGS: &str = r#"
 [node]
 id = 1
--- a/crates/ledgelead-node/tests/threads.rs
+++ b/crates/ledgelead-node/tests/threads.rs
@@ -1,5 +1,5 @@
-//! Nodes that ended leave no thread behind. Alone in its file: it counts the
-//! threads of its process.
+//! A node that has ended leaves no threads running. The test is the only one in its file,
+//! because it counts the threads of its process.
 
 #![cfg(target_os = "linux")]
 
@@ -11,11 +11,11 @@
 use std::time::{Duration, Instant};
 use support::running_node::start;
 
-/// The HTTP library's idle threads end after 5 s.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for the node's threads to end; idle threads of the HTTP library end after 5 s.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Equal readings in a row that count as the end. One is not enough: the list
-/// of tasks is read entry by entry, and may miss one while others go.
+/// Consecutive equal readings that count as the end. One is not enough: the list of tasks
+/// is read entry by entry and may miss a task while others end.
 const SETTLED_READINGS: u32 = 1_000;
 
 fn threads() -> usize {
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn a_node_that_ended_leaves_no_thread() {
+fn an_ended_node_leaves_no_thread() {
     let before = threads();
     let node = start();
     let mut callers: Vec<TcpStream> = (0..20)
@@ -36,7 +36,7 @@
     }
     expect_that!(threads(), gt(before));
     node.kill();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let mut settled = 0;
     while settled < SETTLED_READINGS && Instant::now() < until {
         settled = if threads() == before { settled + 1 } else { 0 };
