--- a/crates/ledgelead-node/src/callers/guard/pair.rs
+++ b/crates/ledgelead-node/src/callers/proxy/pair.rs
@@ -1,67 +1,69 @@
-//! One caller's connection and the inner connection to the HTTP server that
-//! belongs to it.
+//! A caller's connection and the inner connection to the HTTP server to which its
+//! bytes are copied.
 
-use super::progress::{Excess, RequestProgress};
+use super::progress::{ExceededLimit, RequestProgress};
 use stakker_mio::mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Bytes held in each direction before reading pauses.
+/// Bytes buffered in each direction before reading pauses.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// Bytes of an answer that a caller must take within the caller's time.
+/// Bytes of a response that a caller must take within `caller_time` to be granted
+/// another `caller_time`.
 const MIN_PROGRESS: usize = 64 * 1024;
 
 /// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct PairLimits {
-    /// Bytes of a header.
+    /// Limit of a request's header in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a body.
+    /// Limit of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// How long a request may take to be sent, and an answer to be taken.
+    /// How long a caller may take to send a request, and to take each
+    /// [`MIN_PROGRESS`] bytes of a response.
     pub caller_time: Duration,
-    /// How long nothing may happen at all.
+    /// How long a connection may be without any traffic.
     pub idle_time: Duration,
 }
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PairEnd {
-    /// All was answered and one side closed.
+pub enum PairCloseReason {
+    /// The HTTP server closed and all its bytes were forwarded.
     Finished,
     /// The caller's connection failed.
     CallerLeft,
-    /// The HTTP server's end failed.
+    /// The inner connection failed.
     ServerLeft,
-    /// The caller takes its answer too slowly.
+    /// The caller takes its response too slowly.
     TooSlow,
-    /// Nothing happened for too long.
+    /// There was no traffic for too long.
     Idle,
 }
 
-/// Bytes on their way in one direction.
+/// Bytes read and not yet written, in one direction.
 #[derive(Default)]
 struct Buffer {
     bytes: Vec<u8>,
     sent: usize,
 }
 
-/// What a read gave.
-enum ReadEnd {
+/// The outcome of one read.
+enum ReadOutcome {
     Progress { count: usize },
     Blocked,
     Ended,
 }
 
-/// What the poller has said of one connection. Its events come once for each
-/// change, so a connection is read until it has no more, and then not again
+/// Readiness of one connection as reported by the poller. Events are
+/// edge-triggered, so a connection is read until it is drained, and not again
 /// before the next event.
 #[derive(Clone, Copy, Debug)]
 struct Readiness {
-    /// Bytes may be there.
+    /// Bytes may be available.
     readable: bool,
-    /// The other end has closed: its end of stream must be read, too.
+    /// The other end has closed; reading continues up to the end of the stream.
     closing: bool,
 }
 
@@ -74,8 +76,8 @@
     Inner,
 }
 
-/// The two connections.
-pub struct Pair {
+/// The two connections and the bytes in transit between them.
+pub struct ConnectionPair {
     /// The caller's connection.
     pub caller: TcpStream,
     /// The connection to the HTTP server.
@@ -88,22 +90,22 @@
     inner_ready: Readiness,
     caller_ended: bool,
     inner_ended: bool,
-    inner_shut: bool,
+    inner_write_closed: bool,
     /// Since when a request is incomplete.
     incomplete_since: Option<Instant>,
-    /// Since when bytes wait for the caller, and how many it took since.
+    /// Since when bytes are unsent to the caller, and how many it has taken since.
     unsent_since: Option<Instant>,
     taken_since: usize,
     last_activity: Instant,
-    /// Whether bytes went to the HTTP server.
+    /// Whether bytes were sent to the HTTP server.
     forwarded: bool,
     /// Whether the HTTP server ever answered on the inner connection.
     answered: bool,
-    refused: Option<Excess>,
+    exceeded_limit: Option<ExceededLimit>,
 }
 
 impl Readiness {
-    /// Of a connection that was never read.
+    /// Readiness of a connection that was never read.
     fn new() -> Readiness {
         Readiness {
             readable: true,
@@ -111,16 +113,16 @@
         }
     }
 
-    fn event(&mut self, closing: bool) {
+    fn record_event(&mut self, closing: bool) {
         self.readable = true;
         self.closing |= closing;
     }
 
-    /// A read that filled less than it could has taken all that was there;
-    /// what comes later comes with an event.
-    fn after_read(&mut self, read: &io::Result<ReadEnd>, capacity: usize) {
+    /// A read that did not fill its buffer has drained the socket; bytes that arrive
+    /// later are announced by an event.
+    fn after_read(&mut self, read: &io::Result<ReadOutcome>, capacity: usize) {
         self.readable = match read {
-            Ok(ReadEnd::Progress { count }) => self.closing || *count == capacity,
+            Ok(ReadOutcome::Progress { count }) => self.closing || *count == capacity,
             _ => false,
         };
     }
@@ -136,25 +138,25 @@
     }
 
     /// Reads once.
-    fn fill(&mut self, source: &mut TcpStream, scratch: &mut [u8]) -> io::Result<ReadEnd> {
+    fn fill(&mut self, source: &mut TcpStream, read_buffer: &mut [u8]) -> io::Result<ReadOutcome> {
         self.bytes.drain(..self.sent);
         self.sent = 0;
-        match retry(|| source.read(scratch)) {
-            Ok(0) => Ok(ReadEnd::Ended),
+        match retry_interrupted(|| source.read(read_buffer)) {
+            Ok(0) => Ok(ReadOutcome::Ended),
             Ok(count) => {
-                self.bytes.extend_from_slice(&scratch[..count]);
-                Ok(ReadEnd::Progress { count })
+                self.bytes.extend_from_slice(&read_buffer[..count]);
+                Ok(ReadOutcome::Progress { count })
             }
-            Err(error) if would_block(&error) => Ok(ReadEnd::Blocked),
+            Err(error) if would_block(&error) => Ok(ReadOutcome::Blocked),
             Err(error) => Err(error),
         }
     }
 
-    /// Writes what the sink takes; how many bytes.
+    /// Writes as much as the sink takes and returns the number of bytes.
     fn flush(&mut self, sink: &mut TcpStream) -> io::Result<usize> {
         let before = self.sent;
         while !self.is_empty() {
-            match retry(|| sink.write(&self.bytes[self.sent..])) {
+            match retry_interrupted(|| sink.write(&self.bytes[self.sent..])) {
                 Ok(count) => self.sent += count,
                 Err(error) if would_block(&error) => break,
                 Err(error) => return Err(error),
@@ -164,10 +166,15 @@
     }
 }
 
-impl Pair {
-    /// A new connection of a caller.
-    pub fn new(caller: TcpStream, inner: TcpStream, limits: PairLimits, now: Instant) -> Pair {
-        Pair {
+impl ConnectionPair {
+    /// A pair on which nothing was transferred yet.
+    pub fn new(
+        caller: TcpStream,
+        inner: TcpStream,
+        limits: PairLimits,
+        now: Instant,
+    ) -> ConnectionPair {
+        ConnectionPair {
             caller,
             inner,
             to_inner: Buffer::default(),
@@ -178,31 +185,31 @@
             inner_ready: Readiness::new(),
             caller_ended: false,
             inner_ended: false,
-            inner_shut: false,
+            inner_write_closed: false,
             incomplete_since: None,
             unsent_since: None,
             taken_since: 0,
             last_activity: now,
             forwarded: false,
             answered: false,
-            refused: None,
+            exceeded_limit: None,
         }
     }
 
-    /// Takes in that the poller has an event for a connection: it can be read,
-    /// or its other end is `closing`.
+    /// Records an event of the poller: the connection is readable, or its other end
+    /// is `closing`.
     pub fn readable(&mut self, side: Side, closing: bool) {
         match side {
-            Side::Caller => self.caller_ready.event(closing),
-            Side::Inner => self.inner_ready.event(closing),
+            Side::Caller => self.caller_ready.record_event(closing),
+            Side::Inner => self.inner_ready.record_event(closing),
         }
     }
 
-    /// Moves bytes both ways until both are blocked.
-    pub fn pump(&mut self, now: Instant, scratch: &mut [u8]) -> Result<(), PairEnd> {
+    /// Copies bytes in both directions until both block.
+    pub fn pump(&mut self, now: Instant, read_buffer: &mut [u8]) -> Result<(), PairCloseReason> {
         loop {
-            let inward = self.pump_inward(now, scratch)?;
-            let outward = self.pump_outward(now, scratch)?;
+            let inward = self.pump_inward(now, read_buffer)?;
+            let outward = self.pump_outward(now, read_buffer)?;
             if inward || outward {
                 self.last_activity = now;
                 continue;
@@ -211,8 +218,8 @@
         }
     }
 
-    /// Whether bytes went to the HTTP server and it never answered.
-    pub fn is_unproved(&self) -> bool {
+    /// Whether bytes were sent to the HTTP server and it has never answered.
+    pub fn awaits_first_response(&self) -> bool {
         self.forwarded && !self.answered
     }
 
@@ -221,72 +228,81 @@
         self.answered
     }
 
-    /// Whether nothing is under way.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether no request, response or unsent byte is in progress.
+    pub fn is_idle(&self) -> bool {
         self.to_caller.is_empty() && self.to_inner.is_empty() && !self.progress.is_incomplete()
     }
 
-    /// Enforces the limits of time.
-    pub fn check_time(&mut self, now: Instant, scratch: &mut [u8]) -> Result<(), PairEnd> {
+    /// Enforces the time limits.
+    pub fn check_time(
+        &mut self,
+        now: Instant,
+        read_buffer: &mut [u8],
+    ) -> Result<(), PairCloseReason> {
         let over = |since: Option<Instant>, limit: Duration| {
             since.is_some_and(|since| now.saturating_duration_since(since) > limit)
         };
         if over(self.unsent_since, self.limits.caller_time) {
-            return Err(PairEnd::TooSlow);
+            return Err(PairCloseReason::TooSlow);
         }
         if over(Some(self.last_activity), self.limits.idle_time) {
-            return Err(PairEnd::Idle);
+            return Err(PairCloseReason::Idle);
         }
         if over(self.incomplete_since, self.limits.caller_time) {
-            // The reader of the request sees its end, and refuses it.
+            // The HTTP server sees the end of the stream and refuses the request.
             self.stop_reading_caller();
-            return self.pump(now, scratch);
+            return self.pump(now, read_buffer);
         }
         Ok(())
     }
 
-    /// The limit that the caller broke, once, with nothing left to be passed
-    /// on before an answer to it.
-    pub fn take_refusal(&mut self) -> Option<Excess> {
-        self.refused.take()
+    /// Takes the limit that the caller exceeded; `None` on later calls. The bytes
+    /// above the limit were not forwarded.
+    pub fn take_exceeded_limit(&mut self) -> Option<ExceededLimit> {
+        self.exceeded_limit.take()
     }
 
-    /// Writes a last answer as far as the socket takes it.
+    /// Writes a final response, as much of it as the socket takes.
     pub fn write_last(&mut self, answer: &[u8]) {
-        let _ = retry(|| self.caller.write(answer));
+        let _ = retry_interrupted(|| self.caller.write(answer));
     }
 
-    fn pump_inward(&mut self, now: Instant, scratch: &mut [u8]) -> Result<bool, PairEnd> {
+    fn pump_inward(
+        &mut self,
+        now: Instant,
+        read_buffer: &mut [u8],
+    ) -> Result<bool, PairCloseReason> {
         let mut moved = false;
         if self.caller_ready.readable && !self.caller_ended && self.to_inner.has_room() {
             let known = self.to_inner.bytes.len() - self.to_inner.sent;
-            let read = self.to_inner.fill(&mut self.caller, scratch);
-            self.caller_ready.after_read(&read, scratch.len());
-            match read.map_err(|_| PairEnd::CallerLeft)? {
-                ReadEnd::Progress { .. } => {
+            let read = self.to_inner.fill(&mut self.caller, read_buffer);
+            self.caller_ready.after_read(&read, read_buffer.len());
+            match read.map_err(|_| PairCloseReason::CallerLeft)? {
+                ReadOutcome::Progress { .. } => {
                     moved = true;
-                    self.follow(known, now);
+                    self.track_request(known, now);
                 }
-                ReadEnd::Blocked => {}
-                ReadEnd::Ended => self.caller_ended = true,
+                ReadOutcome::Blocked => {}
+                ReadOutcome::Ended => self.caller_ended = true,
             }
         }
         let flushed = self.to_inner.flush(&mut self.inner);
-        if flushed.map_err(|_| PairEnd::ServerLeft)? > 0 {
+        if flushed.map_err(|_| PairCloseReason::ServerLeft)? > 0 {
             self.forwarded = true;
             moved = true;
         }
-        if self.caller_ended && self.to_inner.is_empty() && !self.inner_shut {
-            self.inner_shut = true;
+        if self.caller_ended && self.to_inner.is_empty() && !self.inner_write_closed {
+            self.inner_write_closed = true;
             let _ = self.inner.shutdown(Shutdown::Write);
         }
         Ok(moved)
     }
 
-    /// Follows the bytes of the caller that came behind the first `known`.
-    fn follow(&mut self, known: usize, now: Instant) {
-        if let Err(excess) = self.progress.received(&self.to_inner.bytes[known..]) {
-            self.refused = Some(excess);
+    /// Tracks the request through the buffered bytes after the first `known`, which
+    /// were tracked before.
+    fn track_request(&mut self, known: usize, now: Instant) {
+        if let Err(exceeded) = self.progress.record_received(&self.to_inner.bytes[known..]) {
+            self.exceeded_limit = Some(exceeded);
             self.to_inner.bytes.truncate(known);
             self.stop_reading_caller();
         }
@@ -302,31 +318,35 @@
         self.incomplete_since = None;
     }
 
-    fn pump_outward(&mut self, now: Instant, scratch: &mut [u8]) -> Result<bool, PairEnd> {
+    fn pump_outward(
+        &mut self,
+        now: Instant,
+        read_buffer: &mut [u8],
+    ) -> Result<bool, PairCloseReason> {
         let mut moved = false;
         if self.inner_ready.readable && !self.inner_ended && self.to_caller.has_room() {
-            let read = self.to_caller.fill(&mut self.inner, scratch);
-            self.inner_ready.after_read(&read, scratch.len());
-            match read.map_err(|_| PairEnd::ServerLeft)? {
-                ReadEnd::Progress { .. } => {
+            let read = self.to_caller.fill(&mut self.inner, read_buffer);
+            self.inner_ready.after_read(&read, read_buffer.len());
+            match read.map_err(|_| PairCloseReason::ServerLeft)? {
+                ReadOutcome::Progress { .. } => {
                     moved = true;
                     self.answered = true;
-                    self.progress.answered();
+                    self.progress.response_started();
                 }
-                ReadEnd::Blocked => {}
-                ReadEnd::Ended => self.inner_ended = true,
+                ReadOutcome::Blocked => {}
+                ReadOutcome::Ended => self.inner_ended = true,
             }
         }
         let taken = self
             .to_caller
             .flush(&mut self.caller)
-            .map_err(|_| PairEnd::CallerLeft)?;
+            .map_err(|_| PairCloseReason::CallerLeft)?;
         moved |= taken > 0;
-        self.follow_taken(taken, now);
+        self.track_response(taken, now);
         Ok(moved)
     }
 
-    fn follow_taken(&mut self, taken: usize, now: Instant) {
+    fn track_response(&mut self, taken: usize, now: Instant) {
         self.taken_since += taken;
         if self.to_caller.is_empty() {
             self.unsent_since = None;
@@ -337,23 +357,23 @@
         }
     }
 
-    fn check_ended(&self) -> Result<(), PairEnd> {
+    fn check_ended(&self) -> Result<(), PairCloseReason> {
         if self.inner_ended && self.to_caller.is_empty() {
-            return Err(PairEnd::Finished);
+            return Err(PairCloseReason::Finished);
         }
         Ok(())
     }
 }
 
 fn would_block(error: &io::Error) -> bool {
-    // A connection that is still being opened says NotConnected.
+    // A connection that is still being established returns NotConnected.
     matches!(
         error.kind(),
         ErrorKind::WouldBlock | ErrorKind::NotConnected
     )
 }
 
-fn retry<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+fn retry_interrupted<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match operation() {
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
--- a/crates/ledgelead-node/src/callers/classify.rs
+++ b/crates/ledgelead-node/src/callers/request_head.rs
@@ -1,4 +1,5 @@
-//! From a caller's HTTP request to the request that the decisions see.
+//! Parses the head of a caller's HTTP request into the [`RequestArrival`] that
+//! the core works on and the part that is forwarded to a server.
 
 use super::headers::{self, HeaderLine, passed_to_server};
 use super::target::may_be_control_path;
@@ -8,64 +9,64 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// First part of every request's path.
+/// Prefix of the path of every request.
 const PATH_PREFIX: &str = "/v1/";
 /// Longest key and idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 4_096;
 
-/// The part of a caller's request that a server gets, whole and unchanged.
+/// The part of a caller's request that is forwarded to a server unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerRequest {
     /// HTTP method.
     pub method: String,
-    /// Path and query behind the service's name, with the leading slash.
+    /// Path and query after the service's name, with the leading slash.
     pub target: String,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: Vec<HeaderLine>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// What the head of a request says.
+/// The parsed head of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Classified {
-    /// For the decisions; its identifier is still to be given.
+pub struct ParsedRequest {
+    /// Input of the core; its identifier is assigned later.
     pub arrival: RequestArrival,
-    /// For the server; its body is still to be read.
+    /// The request for the server; its body is read later.
     pub request: CallerRequest,
-    /// The caller's own identifier, to echo.
-    pub echo: Option<String>,
+    /// The caller's own identifier, repeated in the response.
+    pub caller_request_id: Option<String>,
 }
 
-/// Why a request is not one of this protocol.
+/// Why a request does not conform to the caller protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BadRequest {
     /// The path is not `/v1/SERVICE...`.
     NoService,
-    /// The path is one that nodes alone may ask servers for.
-    ControlPath,
-    /// A header that may come once came with different values.
-    Contradictory(&'static str),
-    /// A header's value can't be read.
+    /// The path is reserved for requests of nodes to servers.
+    ReservedPath,
+    /// A header that allows one value has several different ones.
+    ConflictingHeader(&'static str),
+    /// The value of a header is invalid.
     BadValue(&'static str),
-    /// The body is longer than this node takes.
+    /// The body is longer than this node accepts.
     BodyTooLong {
         /// The limit in bytes.
         limit: usize,
     },
-    /// The body ended early, or came too slowly.
-    BodyCut,
+    /// The body ended early or arrived too slowly.
+    BodyTruncated,
 }
 
 impl std::fmt::Display for BadRequest {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             BadRequest::NoService => write!(formatter, "expected a path like /v1/SERVICE/..."),
-            BadRequest::ControlPath => write!(
+            BadRequest::ReservedPath => write!(
                 formatter,
                 "paths under /ledgelead are reserved, and so are forms that could stand for one"
             ),
-            BadRequest::Contradictory(name) => {
+            BadRequest::ConflictingHeader(name) => {
                 write!(
                     formatter,
                     "{name} came more than once with different values"
@@ -77,23 +78,23 @@
             BadRequest::BodyTooLong { limit } => {
                 write!(formatter, "the body is longer than {limit} bytes")
             }
-            BadRequest::BodyCut => write!(formatter, "the body ended early"),
+            BadRequest::BodyTruncated => write!(formatter, "the body ended early"),
         }
     }
 }
 
 impl std::error::Error for BadRequest {}
 
-/// Reads the head of a request.
-pub fn classify(
+/// Parses the head of a request. A deadline above `max_deadline` is lowered to it.
+pub fn parse_head(
     method: &str,
     target: &str,
     lines: &[HeaderLine],
     max_deadline: Duration,
-) -> Result<Classified, BadRequest> {
-    let (service, rest) = split_target(target).ok_or(BadRequest::NoService)?;
+) -> Result<ParsedRequest, BadRequest> {
+    let (service, rest) = split_service(target).ok_or(BadRequest::NoService)?;
     if may_be_control_path(&rest) {
-        return Err(BadRequest::ControlPath);
+        return Err(BadRequest::ReservedPath);
     }
     let key = single(lines, headers::KEY)?.filter(|key| key.len() <= MAX_KEY_BYTES);
     if key.is_none() && single(lines, headers::KEY)?.is_some() {
@@ -110,10 +111,10 @@
         key: key.map(|key| Bytes(key.as_bytes().to_vec())),
         credential_sha256: credential(lines)?,
         deadline: deadline(lines, max_deadline)?,
-        repeatable: repeatable(method, lines, idempotency_key.is_some())?,
+        repeatable: is_repeatable(method, lines, idempotency_key.is_some())?,
         idempotency_key: idempotency_key.map(Text::from),
     };
-    Ok(Classified {
+    Ok(ParsedRequest {
         arrival,
         request: CallerRequest {
             method: method.to_owned(),
@@ -121,11 +122,11 @@
             headers: passed_to_server(lines),
             body: Vec::new(),
         },
-        echo: single(lines, headers::REQUEST_ID)?.map(str::to_owned),
+        caller_request_id: single(lines, headers::REQUEST_ID)?.map(str::to_owned),
     })
 }
 
-/// SHA-256 in hexadecimal, as the configuration holds credentials.
+/// SHA-256 in hexadecimal, the form in which the configuration holds credentials.
 pub fn sha256_hex(secret: &[u8]) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(secret) {
@@ -135,10 +136,10 @@
 }
 
 /// Splits `/v1/SERVICE/rest?query` into the service and `/rest?query`.
-fn split_target(target: &str) -> Option<(&str, String)> {
-    let behind = target.strip_prefix(PATH_PREFIX)?;
-    let end = behind.find(['/', '?']).unwrap_or(behind.len());
-    let (service, rest) = behind.split_at(end);
+fn split_service(target: &str) -> Option<(&str, String)> {
+    let remainder = target.strip_prefix(PATH_PREFIX)?;
+    let end = remainder.find(['/', '?']).unwrap_or(remainder.len());
+    let (service, rest) = remainder.split_at(end);
     if service.is_empty() {
         return None;
     }
@@ -148,7 +149,8 @@
     Some((service, format!("/{rest}")))
 }
 
-/// The value of a header that may come once.
+/// The value of a header that allows one value. Repetitions of the same value
+/// are accepted.
 fn single<'a>(lines: &'a [HeaderLine], name: &'static str) -> Result<Option<&'a str>, BadRequest> {
     let mut values = lines
         .iter()
@@ -156,12 +158,13 @@
         .map(|line| line.value.as_str());
     let first = values.next();
     if values.any(|value| Some(value) != first) {
-        return Err(BadRequest::Contradictory(name));
+        return Err(BadRequest::ConflictingHeader(name));
     }
     Ok(first)
 }
 
-/// Refuses what could make two readers disagree where the request ends.
+/// Rejects length headers that two parsers could interpret differently, so that
+/// they would disagree where the request ends (request smuggling).
 fn check_length_headers(lines: &[HeaderLine]) -> Result<(), BadRequest> {
     const CONTENT_LENGTH: &str = "Content-Length";
     const TRANSFER_ENCODING: &str = "Transfer-Encoding";
@@ -171,7 +174,7 @@
         return Err(BadRequest::BadValue(CONTENT_LENGTH));
     }
     if length.is_some() && encoding.is_some() {
-        return Err(BadRequest::Contradictory(CONTENT_LENGTH));
+        return Err(BadRequest::ConflictingHeader(CONTENT_LENGTH));
     }
     if encoding.is_some_and(|encoding| !encoding.eq_ignore_ascii_case("chunked")) {
         return Err(BadRequest::BadValue(TRANSFER_ENCODING));
@@ -207,12 +210,12 @@
     Ok(Some(Span::from_millis(millis.min(max.as_millis() as u64))))
 }
 
-fn repeatable(method: &str, lines: &[HeaderLine], once_only: bool) -> Result<bool, BadRequest> {
-    let asked = match single(lines, headers::REPEATABLE)? {
+fn is_repeatable(method: &str, lines: &[HeaderLine], once_only: bool) -> Result<bool, BadRequest> {
+    let declared = match single(lines, headers::REPEATABLE)? {
         None => matches!(method, "GET" | "HEAD" | "OPTIONS"),
         Some("yes") => true,
         Some("no") => false,
         Some(_) => return Err(BadRequest::BadValue(headers::REPEATABLE)),
     };
-    Ok(asked && !once_only)
+    Ok(declared && !once_only)
 }
--- a/crates/ledgelead-node/src/peer/transport.rs
+++ b/crates/ledgelead-node/src/peer/transport.rs
@@ -1,11 +1,11 @@
 //! The transport's actor: one listener, one connection to each receiver.
 //!
-//! Connections carry messages one way. They are opened at the first message,
-//! hold a bounded queue, and drop what does not fit: the protocols between
-//! nodes live with lost messages, not with late ones.
+//! Each connection carries messages in one direction. It is opened for the first
+//! message, has a bounded queue, and drops messages that don't fit: the protocols
+//! between nodes tolerate lost messages, but not late ones.
 
+use super::close_reason::{CloseReason, DropReason};
 use super::counters::{KindLabel, PeerCounters};
-use super::end::{CloseReason, DropReason};
 use super::frame::{self, ClusterKey};
 use super::incoming::Incoming;
 use super::outgoing::Outgoing;
@@ -20,19 +20,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How often stuck connections are looked for.
+/// How often stalled connections are looked for.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may take to be opened, to take bytes that wait, or to
-/// complete a frame that it began.
-const STUCK_AFTER: Duration = Duration::from_secs(5);
-/// How long to wait after a failed connection before the next try.
+/// How long a connection may take to be established, to accept unsent bytes, or to
+/// complete a frame that it has begun.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between a failed connection and the next attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// Incoming connections held at once.
+/// Incoming connections open at the same time.
 const MAX_INCOMING: usize = 2_048;
 /// Priority of socket events in the poller.
 const POLL_PRIORITY: u32 = 5;
 
-/// What the transport knows from the settings.
+/// The settings of the transport.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
     /// This node.
@@ -41,9 +41,9 @@
     pub key: ClusterKey,
 }
 
-/// A message received from another node, authenticated.
+/// An authenticated message from another node.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedMessage {
     /// The sender.
     pub from: NodeId,
     /// The message.
@@ -55,7 +55,7 @@
     settings: PeerSettings,
     counters: PeerCounters,
     listener: MioSource<TcpListener>,
-    received: Fwd<Received>,
+    received: Fwd<ReceivedMessage>,
     addresses: BTreeMap<NodeId, SocketAddr>,
     outgoing: BTreeMap<NodeId, Outgoing>,
     incoming: BTreeMap<u64, Incoming>,
@@ -64,20 +64,20 @@
 }
 
 impl PeerTransport {
-    /// Starts the transport on a listener that is already bound.
+    /// Starts the transport on a bound listener.
     pub fn init(
         cx: CX![],
         settings: PeerSettings,
         counters: PeerCounters,
         listener: std::net::TcpListener,
-        received: Fwd<Received>,
+        received: Fwd<ReceivedMessage>,
     ) -> Option<Self> {
         let listener = TcpListener::from_std(listener);
         let accept = fwd_to!([cx], accept() as (Ready));
         let poll = cx.anymap_get::<MioPoll>();
         let listener = poll
             .add(listener, Interest::READABLE, POLL_PRIORITY, accept)
-            .inspect_err(|error| log::error!(target: "peer", "listener not polled: {error}"))
+            .inspect_err(|error| log::error!(target: "peer", "registering the listener with the poller failed: {error}"))
             .ok()?;
         after!(SWEEP_INTERVAL, [cx], sweep());
         Some(PeerTransport {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// From now on the node is reached at this address.
+    /// Sets the address of a node. An open connection to another address is dropped.
     pub fn set_address(&mut self, _cx: CX![], node: NodeId, address: SocketAddr) {
         let before = self.addresses.insert(node, address);
         if before.is_some_and(|before| before != address) {
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Sends a message, or drops it when the receiver can't take it.
+    /// Sends a message, or drops it if the receiver has no address, is not connected
+    /// or its queue is full.
     pub fn send(&mut self, cx: CX![], to: NodeId, message: PeerMessage) {
         let payload = codec::encode(&message);
         let bytes = (frame::HEADER_BYTES + payload.len()) as u64;
@@ -127,7 +128,7 @@
         self.connect_if_needed(cx, to, address)?;
         let outgoing = self.outgoing.get_mut(&to).ok_or(DropReason::NotConnected)?;
         outgoing.push(payload)?;
-        outgoing.busy_since.get_or_insert(cx.now());
+        outgoing.pending_since.get_or_insert(cx.now());
         self.counters.messages_out.inc();
         self.flush_later(cx);
         Ok(())
@@ -156,8 +157,8 @@
             address,
             stream: TcpStreamBuf::new(),
             session: None,
-            waiting: Vec::new(),
-            busy_since: None,
+            queued_messages: Vec::new(),
+            pending_since: None,
             retry_at: None,
         };
         let ready = fwd_to!([cx], outgoing_ready(to, connection) as (Ready));
@@ -174,7 +175,7 @@
                 Ok(())
             }
             Err(error) => {
-                log::debug!(target: "peer", "no connection to {to} at {address}: {error}");
+                log::debug!(target: "peer", "connecting to {to} at {address} failed: {error}");
                 outgoing.retry_at = Some(cx.now() + RECONNECT_PAUSE);
                 self.outgoing.insert(to, outgoing);
                 Err(DropReason::NotConnected)
@@ -187,7 +188,7 @@
         self.next_connection
     }
 
-    /// Flushes once after the present batch of calls.
+    /// Flushes once after the current batch of calls.
     fn flush_later(&mut self, cx: CX![]) {
         if !self.flush_pending {
             self.flush_pending = true;
@@ -217,10 +218,10 @@
         let written = before - outgoing.stream.out.len();
         self.counters.bytes_out.inc_by(written as u64);
         if written > 0 {
-            outgoing.busy_since = None;
+            outgoing.pending_since = None;
         }
         if !outgoing.stream.out.is_empty() {
-            outgoing.busy_since.get_or_insert(cx.now());
+            outgoing.pending_since.get_or_insert(cx.now());
         }
         if let Err(error) = result
             && error.kind() != ErrorKind::NotConnected
@@ -245,13 +246,13 @@
         }
     }
 
-    /// Reads what the receiver says: its greeting, and nothing else ever.
+    /// Reads the receiver's greeting, the only bytes that it ever sends.
     fn read_greeting(&mut self, cx: CX![], node: NodeId) {
         let Some(outgoing) = self.outgoing.get_mut(&node) else {
             return;
         };
         let result = outgoing.read_all();
-        let result = result.and_then(|()| outgoing.greet(&self.settings, node));
+        let result = result.and_then(|()| outgoing.complete_handshake(&self.settings, node));
         if let Err(reason) = result {
             self.close_outgoing(cx, node, reason);
             return;
@@ -264,18 +265,20 @@
             return;
         };
         log::debug!(target: "peer", "connection to {node} closed: {reason}");
-        self.counters.dropped.inc_by(outgoing.waiting.len() as u64);
+        self.counters
+            .dropped
+            .inc_by(outgoing.queued_messages.len() as u64);
         outgoing.stream = TcpStreamBuf::new();
-        outgoing.waiting.clear();
+        outgoing.queued_messages.clear();
         outgoing.session = None;
-        outgoing.busy_since = None;
+        outgoing.pending_since = None;
         outgoing.retry_at = Some(cx.now() + RECONNECT_PAUSE);
     }
 
     fn accept(&mut self, cx: CX![], _ready: Ready) {
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => self.greet_incoming(cx, stream),
+                Ok((stream, _)) => self.add_incoming(cx, stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => continue,
                 Err(error) => {
@@ -286,9 +289,9 @@
         }
     }
 
-    fn greet_incoming(&mut self, cx: CX![], stream: TcpStream) {
+    fn add_incoming(&mut self, cx: CX![], stream: TcpStream) {
         if self.incoming.len() >= MAX_INCOMING {
-            log::warn!(target: "peer", "too many connections of other nodes, one refused");
+            log::warn!(target: "peer", "refused a node's connection: too many are open");
             return;
         }
         let connection = self.new_connection();
@@ -298,7 +301,7 @@
         let stream = match poll.add(stream, interest, POLL_PRIORITY, ready) {
             Ok(stream) => stream,
             Err(error) => {
-                log::warn!(target: "peer", "connection not polled: {error}");
+                log::warn!(target: "peer", "registering a connection with the poller failed: {error}");
                 return;
             }
         };
@@ -313,14 +316,14 @@
         let greeting = frame::greeting(&incoming.challenge);
         incoming.stream.out.extend_from_slice(&greeting);
         self.incoming.insert(connection, incoming);
-        self.incoming_ready_again(cx, connection);
+        self.serve_incoming(cx, connection);
     }
 
     fn incoming_ready(&mut self, cx: CX![], connection: u64, _ready: Ready) {
-        self.incoming_ready_again(cx, connection);
+        self.serve_incoming(cx, connection);
     }
 
-    fn incoming_ready_again(&mut self, cx: CX![], connection: u64) {
+    fn serve_incoming(&mut self, cx: CX![], connection: u64) {
         let Some(incoming) = self.incoming.get_mut(&connection) else {
             return;
         };
@@ -352,15 +355,16 @@
     /// Closes connections that make no progress.
     fn sweep(&mut self, cx: CX![]) {
         let now = cx.now();
-        let stuck = |since: &Option<Instant>| since.is_some_and(|since| now > since + STUCK_AFTER);
+        let stuck =
+            |since: &Option<Instant>| since.is_some_and(|since| now > since + STALL_TIMEOUT);
         let receivers: Vec<NodeId> = self
             .outgoing
             .iter()
-            .filter(|(_, outgoing)| stuck(&outgoing.busy_since))
+            .filter(|(_, outgoing)| stuck(&outgoing.pending_since))
             .map(|(node, _)| *node)
             .collect();
         for node in receivers {
-            self.close_outgoing(cx, node, CloseReason::Stuck);
+            self.close_outgoing(cx, node, CloseReason::Stalled);
         }
         let senders: Vec<u64> = self
             .incoming
@@ -369,7 +373,7 @@
             .map(|(connection, _)| *connection)
             .collect();
         for connection in senders {
-            self.close_incoming(connection, CloseReason::Stuck);
+            self.close_incoming(connection, CloseReason::Stalled);
         }
         after!(SWEEP_INTERVAL, [cx], sweep());
     }
--- a/crates/ledgelead-node/src/ports.rs
+++ b/crates/ledgelead-node/src/ports.rs
@@ -1,9 +1,9 @@
-//! The actor's ports over real sockets: each output goes to the part that
-//! carries it out, none of which blocks.
+//! The actor's ports over real sockets: each output is passed to the part of the node
+//! that executes it. None of these parts blocks.
 
 use crate::actor::Ports;
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::respond::Ending;
+use crate::callers::respond::CompletedRequest;
 use crate::clock::ProcessClock;
 use crate::event_log;
 use crate::handle::PendingTickets;
@@ -11,7 +11,7 @@
 use crate::peer::PeerTransport;
 use crate::platform::PlatformClient;
 use crate::servers::cancel::{Cancellation, Canceller};
-use crate::servers::forward::{ConnectionShare, Forwarder};
+use crate::servers::forward::{ConnectionLimit, Forwarder};
 use crate::servers::renewal::{RenewalCall, Renewer};
 use crate::servers::wire::AttemptSender;
 use crate::work_pool::WorkPool;
@@ -23,31 +23,31 @@
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
 
-/// The ports.
+/// Ports that execute outputs over sockets.
 pub(crate) struct SocketPorts {
     /// The process's clock.
     pub clock: ProcessClock,
-    /// Names attempts.
+    /// This node as the sender of attempts, which determines their names.
     pub sender: AttemptSender,
-    /// Messages between nodes.
+    /// Sends messages to other nodes.
     pub peers: Actor<PeerTransport>,
-    /// Requests to servers.
+    /// Forwards requests to servers.
     pub forwarder: Arc<Forwarder>,
-    /// Leases of servers.
+    /// Renews servers' leases.
     pub renewer: Renewer,
-    /// Cancellations at servers.
+    /// Cancels attempts at servers.
     pub canceller: Canceller,
-    /// The platform.
+    /// Calls the platform.
     pub platform: PlatformClient,
-    /// Requests that wait for their end.
+    /// Requests that were not answered yet.
     pub open_requests: Arc<OpenRequests>,
-    /// Writes to callers.
-    pub responders: Arc<WorkPool<Ending>>,
-    /// Operators' commands and inquiries that wait for their end.
+    /// Writes responses to callers.
+    pub responders: Arc<WorkPool<CompletedRequest>>,
+    /// Operators' commands and inquiries that were not finished yet.
     pub pending: Arc<PendingTickets>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Told once the stop is complete.
+    /// Notified once the stop is complete.
     pub stopped: Sender<()>,
 }
 
@@ -78,8 +78,8 @@
             Output::CancelAttempt {
                 attempt, address, ..
             } => self.cancel(attempt, address),
-            Output::KeepAnswer(attempt) => self.open_requests.hold_answer(attempt),
-            Output::ForgetAnswer(attempt) => self.open_requests.forget_answer(attempt),
+            Output::KeepAnswer(attempt) => self.open_requests.cache_response(attempt),
+            Output::ForgetAnswer(attempt) => self.open_requests.evict_response(attempt),
             Output::Respond {
                 request,
                 outcome,
@@ -95,7 +95,7 @@
                 event_log::write(&event);
             }
             Output::Stopped => {
-                // Whoever waits may have given up.
+                // The receiver may have stopped waiting.
                 let _ = self.stopped.send(());
             }
         }
@@ -103,7 +103,8 @@
 
     fn observe(&mut self, view: &NodeView) {
         self.metrics.observe(view);
-        self.forwarder.set_shares(&connection_shares(view));
+        self.forwarder
+            .set_connection_limits(&connection_limits(view));
     }
 }
 
@@ -111,7 +112,7 @@
     fn set_peer_address(&mut self, node: NodeId, address: &Text) {
         match address.parse() {
             Ok(address) => call!([self.peers], set_address(node, address)),
-            Err(_) => log::warn!(target: "peer", "address of {node} is no IP:port: {address}"),
+            Err(_) => log::warn!(target: "peer", "address of {node} is not an IP:port: {address}"),
         }
     }
 
@@ -134,35 +135,35 @@
         retry_after: Option<Span>,
     ) {
         let Some(mut open) = self.open_requests.close(request) else {
-            log::error!(target: "callers", "{request} was to be answered and is not open");
+            log::error!(target: "callers", "the core answered {request}, which is not open");
             return;
         };
         let mut outcome = outcome;
         if let Some(first) = attempt.filter(|attempt| attempt.request != request) {
-            match self.open_requests.held_answer(first) {
-                Some(answer) => open.give_answer(first, answer),
+            match self.open_requests.cached_response(first) {
+                Some(answer) => open.add_response(first, answer),
                 None => outcome = Outcome::Unknown(UnknownReason::AnswerNotHeld),
             }
         }
-        let ending = Ending {
+        let ending = CompletedRequest {
             request: open,
             outcome,
             attempt,
             retry_after,
         };
         if self.responders.submit(ending).is_err() {
-            log::debug!(target: "callers", "a caller's connection was dropped at the end");
+            log::debug!(target: "callers", "a response was dropped: the queue of the responders is full or closed");
         }
     }
 }
 
-/// Divides each server's connections among the live nodes.
-fn connection_shares(view: &NodeView) -> Vec<ConnectionShare> {
+/// Divides each server's connection limit among the live nodes.
+fn connection_limits(view: &NodeView) -> Vec<ConnectionLimit> {
     let live = view.nodes.iter().filter(|node| node.live).count().max(1);
     view.configuration
         .servers
         .iter()
-        .map(|server| ConnectionShare {
+        .map(|server| ConnectionLimit {
             server: server.id,
             connections: (usize::from(server.max_connections) / live).max(1),
         })
--- a/crates/ledgelead-node/src/work_pool.rs
+++ b/crates/ledgelead-node/src/work_pool.rs
@@ -1,19 +1,19 @@
-//! A bounded pool of threads for blocking calls.
+//! A thread pool with a bounded queue, for blocking calls.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Instant;
 
-/// Threads that run jobs of one kind, oldest first.
+/// A pool of threads that run jobs of one kind in the order of submission.
 pub struct WorkPool<J> {
     shared: Arc<Shared<J>>,
 }
 
 struct Shared<J> {
     queue: Mutex<Queue<J>>,
-    changed: Condvar,
-    became_idle: Condvar,
+    job_available: Condvar,
+    all_idle: Condvar,
 }
 
 struct Queue<J> {
@@ -24,16 +24,16 @@
     closed: bool,
 }
 
-/// The pool's queue is full, or the pool is closed; the job comes back.
+/// The pool's queue is full or the pool is closed; the job is handed back.
 #[derive(Debug)]
 pub struct Rejected<J>(pub J);
 
 impl<J: Send + 'static> WorkPool<J> {
-    /// Starts `threads` threads that call `run` for each job. At most
-    /// `capacity` jobs wait.
+    /// Starts `threads` threads that call `run` for each job. At most `capacity` jobs
+    /// are queued beyond the idle threads.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         name: &str,
         threads: usize,
@@ -49,8 +49,8 @@
                     idle: 0,
                     closed: false,
                 }),
-                changed: Condvar::new(),
-                became_idle: Condvar::new(),
+                job_available: Condvar::new(),
+                all_idle: Condvar::new(),
             }),
         };
         let run = Arc::new(run);
@@ -59,7 +59,7 @@
             let run = run.clone();
             thread::Builder::new()
                 .name(name.to_owned())
-                .spawn(move || shared.work(&*run))?;
+                .spawn(move || shared.run_worker(&*run))?;
         }
         Ok(pool)
     }
@@ -72,36 +72,35 @@
         }
         queue.jobs.push_back(job);
         drop(queue);
-        self.shared.changed.notify_one();
+        self.shared.job_available.notify_one();
         Ok(())
     }
 }
 
 impl<J> WorkPool<J> {
-    /// Ends the threads once the jobs that run have ended; jobs that wait are
-    /// dropped.
+    /// Stops each thread after its running job; queued jobs are dropped.
     pub fn close(&self) {
         let mut queue = self.shared.lock();
         queue.closed = true;
         queue.jobs.clear();
         drop(queue);
-        self.shared.changed.notify_all();
+        self.shared.job_available.notify_all();
     }
 }
 
 impl<J> WorkPool<J> {
-    /// Waits until no job waits or runs; false when `deadline` came before.
+    /// Waits until no job is queued or running; false if `deadline` passes first.
     pub fn wait_until_idle(&self, deadline: Instant) -> bool {
         let mut queue = self.shared.lock();
         loop {
             if queue.jobs.is_empty() && queue.idle == queue.threads {
                 return true;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let wait = self.shared.became_idle.wait_timeout(queue, left);
+            let wait = self.shared.all_idle.wait_timeout(queue, remaining);
             queue = wait.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -114,13 +113,13 @@
 }
 
 impl<J> Shared<J> {
-    fn work(&self, run: &dyn Fn(J)) {
-        while let Some(job) = self.next() {
+    fn run_worker(&self, run: &dyn Fn(J)) {
+        while let Some(job) = self.next_job() {
             run(job);
         }
     }
 
-    fn next(&self) -> Option<J> {
+    fn next_job(&self) -> Option<J> {
         let mut queue = self.lock();
         loop {
             if let Some(job) = queue.jobs.pop_front() {
@@ -131,17 +130,18 @@
             }
             queue.idle += 1;
             if queue.idle == queue.threads {
-                self.became_idle.notify_all();
+                self.all_idle.notify_all();
             }
             queue = self
-                .changed
+                .job_available
                 .wait(queue)
                 .unwrap_or_else(PoisonError::into_inner);
             queue.idle -= 1;
         }
     }
 
-    /// No step under the lock can panic, so a poisoned lock is sound.
+    /// Nothing can panic while the lock is held, so the data of a poisoned lock is
+    /// consistent.
     fn lock(&self) -> MutexGuard<'_, Queue<J>> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
