--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -214,7 +214,7 @@
         let datagram = |entries: &[DigestEntry]| {
             encode(&PeerMessage::LoadDigest {
                 zones,
-                rest_limit_ms: u16::try_from(limit.as_millis()).unwrap_or(u16::MAX),
+                idle_limit_ms: u16::try_from(limit.as_millis()).unwrap_or(u16::MAX),
                 entries: List(entries.to_vec()),
             })
         };
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -302,10 +302,10 @@
             }
             PeerMessage::OpenRequestCounts {
                 incarnation,
-                rest_limit_ms,
+                idle_limit_ms,
                 changes,
             } => {
-                self.follow_rest_limit(rest_limit_ms, now);
+                self.follow_rest_limit(idle_limit_ms, now);
                 if self.has_hub(self.zone_peers().count()) {
                     self.load_hub.reported_by(from, now);
                 }
@@ -315,10 +315,10 @@
             }
             PeerMessage::LoadDigest {
                 zones,
-                rest_limit_ms,
+                idle_limit_ms,
                 entries,
             } => {
-                self.follow_rest_limit(rest_limit_ms, now);
+                self.follow_rest_limit(idle_limit_ms, now);
                 self.digest_received(from, zones, &entries, now, out);
             }
             PeerMessage::ZoneSums { sums } => self.shared.record_zone_sums(from, &sums, now),
--- a/crates/ledgelead-router/src/node/open_requests.rs
+++ b/crates/ledgelead-router/src/node/open_requests.rs
@@ -152,7 +152,7 @@
         let idle_limit = self.requests.idle_limit(now).unwrap_or(Duration::ZERO);
         encode(&PeerMessage::OpenRequestCounts {
             incarnation: self.settings.identity.incarnation,
-            rest_limit_ms: u16::try_from(idle_limit.as_millis()).unwrap_or(u16::MAX),
+            idle_limit_ms: u16::try_from(idle_limit.as_millis()).unwrap_or(u16::MAX),
             changes: List(counts.iter().map(|(_, open)| *open).collect()),
         })
     }
--- a/crates/ledgelead-router/src/ownership/coordinator/mod.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/mod.rs
@@ -92,7 +92,7 @@
     /// A shard keeps its index; shards that are split off are appended.
     shards: Vec<Shard>,
     /// Shards with an unanswered order, by exchange.
-    orders_out: HashMap<ExchangeId, usize>,
+    pending_orders: HashMap<ExchangeId, usize>,
     /// Change counter of the directory at the last review of all owners, and when the next
     /// review is due without a change.
     owners_reviewed: Option<u64>,
@@ -175,7 +175,7 @@
             next_fence: record.next_fence,
             record,
             shards,
-            orders_out: HashMap::new(),
+            pending_orders: HashMap::new(),
             owners_reviewed: None,
             next_owner_review: now,
             loads: BTreeMap::new(),
@@ -203,7 +203,7 @@
     pub fn with_unknown_holds(mut self, until: Timestamp) -> Coordinator {
         self.unknown_holds_until = until;
         for shard in &mut self.shards {
-            shard.wait_out(until);
+            shard.block_until(until);
         }
         self
     }
--- a/crates/ledgelead-router/src/ownership/coordinator/orders.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/orders.rs
@@ -14,7 +14,7 @@
 /// Maximum number of unanswered orders. After a takeover the coordinator grants all ranges
 /// again; thousands of grants sent at once would wait for the processor beyond the timeout of
 /// a single grant.
-const MAX_ORDERS_OUT: usize = 256;
+const MAX_PENDING_ORDERS: usize = 256;
 /// Interval between two reviews of all owners without a change of the directory. Conditions
 /// that depend on time alone, such as the end of a warm-up, are noticed with this delay.
 const OWNER_REVIEW_INTERVAL: Duration = Duration::from_millis(200);
@@ -66,7 +66,7 @@
             };
             let exchange = context.exchanges.next_id();
             *order = Some(exchange);
-            self.orders_out.insert(exchange, index);
+            self.pending_orders.insert(exchange, index);
             // The token of the next owner, or a lower one. It makes the instance reject grants
             // of this range that are still in transit.
             let fence = self.next_fence;
@@ -97,7 +97,7 @@
             };
             let exchange = context.exchanges.next_id();
             shard.lease.granting(exchange);
-            self.orders_out.insert(exchange, index);
+            self.pending_orders.insert(exchange, index);
             commands.orders.push(OutgoingOrder {
                 exchange,
                 instance: instance.record.id.clone(),
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Indices of shards whose grants are due, limited to `MAX_ORDERS_OUT` unanswered orders.
+    /// Indices of shards whose grants are due, limited to `MAX_PENDING_ORDERS` unanswered
+    /// orders.
     fn due_grants(&self, now: Timestamp) -> Vec<usize> {
         let is_due = |shard: &Shard| {
             let wanted = match &shard.state {
@@ -127,7 +128,7 @@
         let mut due: Vec<usize> = indices
             .filter(|index| is_due(&self.shards[*index]))
             .collect();
-        let room = MAX_ORDERS_OUT.saturating_sub(self.orders_out.len());
+        let room = MAX_PENDING_ORDERS.saturating_sub(self.pending_orders.len());
         if due.len() > room {
             due.sort_by_key(|index| self.shards[*index].lease.next_grant);
             due.truncate(room);
@@ -150,7 +151,7 @@
         now: Timestamp,
     ) {
         let interval = self.renewal_interval();
-        let index = self.orders_out.remove(&exchange);
+        let index = self.pending_orders.remove(&exchange);
         let Some(shard) = index.and_then(|index| self.shards.get_mut(index)) else {
             return;
         };
@@ -180,7 +181,7 @@
                 continue;
             }
             if let Some(later) = context.directory.later_incarnation(owner) {
-                if shard.has_order_out() {
+                if shard.has_pending_order() {
                     // Review again as soon as that order has ended.
                     self.owners_reviewed = None;
                 }
--- a/crates/ledgelead-router/src/ownership/coordinator/placement.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/placement.rs
@@ -55,7 +55,7 @@
 }
 
 impl RegistrationWindow {
-    pub(super) fn is_over(&self, demand: bool, now: Timestamp) -> bool {
+    pub(super) fn is_closed(&self, demand: bool, now: Timestamp) -> bool {
         let waited = now.saturating_sub(self.opened_at);
         let settled = now >= self.grew_at + REGISTRATION_SETTLED;
         let wanted = demand && waited >= REGISTRATION_MIN_WAIT;
@@ -73,7 +73,7 @@
         self.next_plan = context.now + PLAN_INTERVAL;
         self.work.decay(context.now);
         self.long_window_work.decay(context.now);
-        self.follow_contended(context);
+        self.update_long_window_loads(context);
         self.overloads.clear();
         // A range that is released while the record cannot be written stays without an owner
         // until it can.
@@ -100,7 +100,7 @@
 
     /// Keeps counts over several seconds for contended services: their load comes so close to
     /// capacity that owners of unequal speed must be filled evenly.
-    fn follow_contended(&mut self, context: &Context<'_>) {
+    fn update_long_window_loads(&mut self, context: &Context<'_>) {
         let contended = match context.mechanisms.has(Mechanism::LongWindowBalance) {
             true => {
                 let mut contended = context.configuration.contended_services();
@@ -289,7 +289,7 @@
                 window.grew_at = context.now;
             }
             let demand = self.loads.contains_key(service);
-            if !window.is_over(demand, context.now) {
+            if !window.is_closed(demand, context.now) {
                 continue;
             }
             for (range, owner) in equal_ranges(owners.len()).into_iter().zip(owners) {
--- a/crates/ledgelead-router/src/ownership/coordinator/shard.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/shard.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether an order to the owner has no answer yet.
-    pub(super) fn has_order_out(&self) -> bool {
+    pub(super) fn has_pending_order(&self) -> bool {
         self.lease.order.is_some() || self.release_order().is_some()
     }
 
@@ -89,7 +89,7 @@
     /// in effect, except for the later incarnation itself: it can get the keys with a higher
     /// token at once, and then rejects the earlier grants.
     pub(super) fn hand_to_later_incarnation(&mut self, later: Option<InstanceId>, now: Timestamp) {
-        if self.has_order_out() {
+        if self.has_pending_order() {
             return;
         }
         match (&self.state, later) {
@@ -111,7 +111,7 @@
     }
 
     /// Grants the keys to nobody before this time, whoever holds them.
-    pub(super) fn wait_out(&mut self, until: Timestamp) {
+    pub(super) fn block_until(&mut self, until: Timestamp) {
         self.lease = Lease::given_up(until);
         self.state = State::Releasing {
             target: self.owner.clone(),
--- a/crates/ledgelead-router/src/ownership/coordinator/writes.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/writes.rs
@@ -52,8 +52,8 @@
                 .lease
                 .has_expired(self.protections, context.now);
             if preferred.is_none() && !is_expired {
-                // The range was fenced by an owner that has left since and may still hold the
-                // keys.
+                // The owner rejected a grant because of its token and has left since; it may
+                // still hold the keys.
                 self.shards[index].state = State::Releasing {
                     target: None,
                     order: None,
--- a/crates/ledgelead-router/src/ownership/next_owner.rs
+++ b/crates/ledgelead-router/src/ownership/next_owner.rs
@@ -12,7 +12,7 @@
 /// The same as a multiple of the mean utilisation, where that is higher: load that exceeds the
 /// capacity of all instances is shared among them instead of staying without an owner.
 const MAX_PLACED_IMBALANCE: f64 = 1.5;
-/// Least share of an instance's capacity for which a range is split.
+/// Least spare share of an instance's capacity for which a range is split.
 const MIN_SPARE_SHARE: f64 = 0.05;
 
 /// An instance that can be given ranges.
@@ -100,7 +100,7 @@
             } else {
                 self.front(range, room)
             };
-            parts.push(self.give(least, taken));
+            parts.push(self.place(least, taken));
             left = rest;
         }
         parts
@@ -130,7 +130,7 @@
         (front, range.without(front).pop())
     }
 
-    fn give(&mut self, index: usize, range: KeyRange) -> RangePlacement {
+    fn place(&mut self, index: usize, range: KeyRange) -> RangePlacement {
         let rate = self.rate(range);
         let instance = &mut self.instances[index];
         instance.rate += rate;
--- a/crates/ledgelead-router/src/ownership/planner.rs
+++ b/crates/ledgelead-router/src/ownership/planner.rs
@@ -8,9 +8,9 @@
 use crate::dialect::KeyRange;
 use crate::identity::InstanceId;
 
-/// Least utilisation at which keys are moved away.
+/// Utilisation above which keys are moved away.
 const BUSY_UTILISATION: f64 = 0.5;
-/// Least ratio of an instance's utilisation to the mean at which keys are moved away.
+/// Ratio of an instance's utilisation to the mean above which keys are moved away.
 const MIN_IMBALANCE: f64 = 1.25;
 /// The same for counts over several seconds, which separate lasting differences from random
 /// ones. Near capacity, a tenth too much load is enough to build up a queue.
@@ -53,7 +53,7 @@
     /// Whether the random deviation of the counts is subtracted before an owner counts as
     /// busy.
     pub noise_margin: bool,
-    /// Least ratio of an owner's utilisation to the mean.
+    /// Ratio of an owner's utilisation to the mean above which it counts as busy.
     pub min_imbalance: f64,
     /// Seconds of requests that the rates cover.
     pub window_seconds: f64,
--- a/crates/ledgelead-router/src/peers/change_log.rs
+++ b/crates/ledgelead-router/src/peers/change_log.rs
@@ -1,4 +1,4 @@
-//! The max_items recent changes of one kind, lists by a coordinator for nodes that missed some.
+//! The most recent changes of one kind, kept by a coordinator for nodes that missed some.
 
 use std::collections::VecDeque;
 
@@ -21,7 +21,7 @@
 }
 
 impl<T: Clone> ChangeLog<T> {
-    /// An empty log that keeps at max_items `capacity` lists.
+    /// An empty log that keeps at most `capacity` lists.
     pub fn new(capacity: usize) -> ChangeLog<T> {
         ChangeLog {
             lists: VecDeque::new(),
@@ -45,8 +45,8 @@
     }
 
     /// All changes after a revision. None if the log does not reach back that far, has no
-    /// later changes, or has more than `max_items`: hundreds of nodes may request more changes than
-    /// datagrams can carry.
+    /// later changes, or has more than `max_items`: hundreds of nodes may request more changes
+    /// than datagrams can carry.
     pub fn since(&self, revision: u64, max_items: usize) -> Option<Changes<T>> {
         let first = self.lists.front()?;
         let last = self.lists.back()?;
--- a/crates/ledgelead-router/src/peers/delay.rs
+++ b/crates/ledgelead-router/src/peers/delay.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DelayEstimate {
     epoch: u64,
-    /// The min_difference difference between arrival and sending time, in milliseconds.
+    /// The smallest difference between arrival and sending time, in milliseconds.
     min_difference: Option<i128>,
 }
 
--- a/crates/ledgelead-router/src/peers/message.rs
+++ b/crates/ledgelead-router/src/peers/message.rs
@@ -413,7 +413,7 @@
         /// The sender's incarnation; counts of an earlier one are discarded.
         incarnation: u64,
         /// How long the sender keeps idle connections, in milliseconds; 0 without a limit.
-        rest_limit_ms: u16,
+        idle_limit_ms: u16,
         /// The changed counts.
         changes: List<OpenRequests>,
     },
@@ -422,7 +422,7 @@
         /// The number of zones whose requests are included.
         zones: u8,
         /// How long idle connections may be kept, in milliseconds; 0 without a limit.
-        rest_limit_ms: u16,
+        idle_limit_ms: u16,
         /// The changed entries; at intervals all of them.
         entries: List<DigestEntry>,
     },
--- a/crates/ledgelead-router/src/quarantine/entry.rs
+++ b/crates/ledgelead-router/src/quarantine/entry.rs
@@ -99,9 +99,9 @@
         let before = self.ends.len();
         self.ends.retain(|end| end.instance != instance);
         if self.ends.len() < before && !self.quarantined.is_empty() {
-            let held = std::mem::take(&mut self.quarantined);
+            let quarantined = std::mem::take(&mut self.quarantined);
             let callers = self.callers_to_quarantine();
-            let still = held
+            let still = quarantined
                 .into_iter()
                 .filter(|(caller, _)| callers.contains(caller));
             self.quarantined = still.collect();
@@ -121,17 +121,17 @@
 
     /// Whether a caller's request is quarantined.
     pub fn is_quarantined_for(&self, caller: CallerId) -> bool {
-        let held = |by: CallerId| {
+        let is_active = |by: CallerId| {
             let since = self.quarantined.get(&by);
             since.is_some_and(|since| !self.is_voided(caller, *since))
         };
-        held(caller) || held(CallerId::ALL)
+        is_active(caller) || is_active(CallerId::ALL)
     }
 
     /// Whether any caller's request is quarantined.
     pub fn is_quarantined(&self) -> bool {
-        let held = |(caller, since): (&CallerId, &Timestamp)| !self.is_voided(*caller, *since);
-        self.quarantined.iter().any(held)
+        let is_active = |(caller, since): (&CallerId, &Timestamp)| !self.is_voided(*caller, *since);
+        self.quarantined.iter().any(is_active)
     }
 
     /// Number of instances that ended during a caller's request.
@@ -178,9 +178,9 @@
     }
 }
 
-/// Whether instances ended during the requests of several callers, with at least `MIN_ENDS_ALONE`
-/// of them during each one's requests alone. Of callers with requests at the same ended
-/// instance, one may be harmless.
+/// Whether instances ended during the requests of several callers, with at least
+/// `MIN_ENDS_ALONE` of them during each one's requests alone. Of callers with requests at the
+/// same ended instance, one may be harmless.
 fn affects_all_callers(by_caller: &BTreeMap<CallerId, BTreeSet<u64>>) -> bool {
     let is_alone_at = |instance: &&u64| {
         let there = by_caller.values().filter(|ends| ends.contains(*instance));
--- a/crates/ledgelead-router/src/quarantine/evidence.rs
+++ b/crates/ledgelead-router/src/quarantine/evidence.rs
@@ -175,9 +175,9 @@
                 if end.settled {
                     continue;
                 }
-                let settles_at = end.at + SETTLE_TIME;
-                if settles_at > now {
-                    next = Some(next.map_or(settles_at, |at: Timestamp| at.min(settles_at)));
+                let settled_at = end.at + SETTLE_TIME;
+                if settled_at > now {
+                    next = Some(next.map_or(settled_at, |at: Timestamp| at.min(settled_at)));
                     continue;
                 }
                 end.settled = !ended_with_others(&self.ended, &self.alive, &involved, end.at);
@@ -215,8 +215,9 @@
             .fold(0, |sum, (request, entry)| sum ^ entry.checksum(request))
     }
 
-    /// Removes old evidence, except if it led to a quarantine. If there is too much, the rest
-    /// is removed from the oldest on.
+    /// Removes old evidence, except if it led to a quarantine. If there are too many entries,
+    /// the oldest are removed first: those that need no broadcast before the others, and
+    /// quarantines last.
     pub fn expire(&mut self, now: Timestamp) {
         let is_recent = |at: Timestamp| at + RETENTION > now;
         self.entries
@@ -245,7 +246,7 @@
         ended.len() >= 2 || !self.quarantined.is_empty()
     }
 
-    /// Excludes times, which differ by some milliseconds between nodes.
+    /// A checksum without the times, which differ by some milliseconds between nodes.
     fn checksum(&self, request: &RequestDigest) -> u64 {
         let mut facts: Vec<u64> = Vec::new();
         let mut ends: Vec<(u64, u64)> = Vec::new();
--- a/crates/ledgelead-router/src/quarantine/record.rs
+++ b/crates/ledgelead-router/src/quarantine/record.rs
@@ -22,11 +22,11 @@
         let counts = |end: &&InstanceEnd| !entry.is_voided(end.caller, end.at);
         let end = |end: &InstanceEnd| (hex(end.caller.0), hex(end.instance));
         let quarantined = entry.quarantined.keys();
-        let held = quarantined.filter(|caller| entry.is_quarantined_for(**caller));
+        let active = quarantined.filter(|caller| entry.is_quarantined_for(**caller));
         QuarantineRecord {
             path: entry.path.clone(),
             ends: entry.ends.iter().filter(counts).map(end).collect(),
-            quarantined: held.map(|caller| hex(caller.0)).collect(),
+            quarantined: active.map(|caller| hex(caller.0)).collect(),
         }
     }
 
@@ -40,12 +40,12 @@
                 settled: true,
             })
         };
-        let held = self.quarantined.iter();
-        let held = held.filter_map(|caller| Some((CallerId(number(caller)?), now)));
+        let active = self.quarantined.iter();
+        let active = active.filter_map(|caller| Some((CallerId(number(caller)?), now)));
         Entry {
             path: self.path.clone(),
             ends: self.ends.iter().filter_map(end).collect(),
-            quarantined: held.collect(),
+            quarantined: active.collect(),
             ..Entry::default()
         }
     }
--- a/crates/ledgelead-router/src/rate_limit/failover.rs
+++ b/crates/ledgelead-router/src/rate_limit/failover.rs
@@ -15,7 +15,7 @@
 /// Interval between two probes of the primary limiter.
 const PROBE_PAUSE: Duration = Duration::from_secs(1);
 /// Time without a request in place of the primary limiter after which its silence is measured
-/// new_entry, since no node needed it.
+/// from the start, since no node needed it.
 const UNASKED_TTL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/ledgelead-router/src/rate_limit/limiter.rs
+++ b/crates/ledgelead-router/src/rate_limit/limiter.rs
@@ -93,7 +93,7 @@
     /// Decides about a token for one request to an instance with this limit.
     pub fn request_token(
         &mut self,
-        asker: SocketAddr,
+        requester: SocketAddr,
         instance: u64,
         limit: RateLimit,
         role: LimiterRole,
@@ -117,7 +117,7 @@
             return TokenStatus::Granted;
         }
         self.counters.refused += 1;
-        TokenStatus::Refused(bucket.refuse(asker, rate, now))
+        TokenStatus::Refused(bucket.refuse(requester, rate, now))
     }
 
     /// Removes unused buckets.
@@ -136,11 +136,11 @@
         self.used_at = now;
     }
 
-    /// How long the asker has to wait. Each node is given the time of a different token, so
+    /// How long the requester has to wait. Each node is given the time of a different token, so
     /// that they do not all return for the same one.
-    fn refuse(&mut self, asker: SocketAddr, rate: f64, now: Timestamp) -> Duration {
+    fn refuse(&mut self, requester: SocketAddr, rate: f64, now: Timestamp) -> Duration {
         self.retry_at.retain(|_, at| *at > now);
-        if let Some(known) = self.retry_at.get(&asker) {
+        if let Some(known) = self.retry_at.get(&requester) {
             return *known - now + ROUNDING;
         }
         let seconds = |seconds: f64| Duration::try_from_secs_f64(seconds).unwrap_or(MAX_WAIT);
@@ -148,7 +148,7 @@
         let next = last.map_or(Timestamp::ZERO, |last| *last + seconds(1.0 / rate));
         let free_at = now + seconds((1.0 - self.tokens) / rate);
         let retry_at = free_at.max(next).min(now + MAX_WAIT);
-        self.retry_at.insert(asker, retry_at);
+        self.retry_at.insert(requester, retry_at);
         retry_at - now + ROUNDING
     }
 }
--- a/crates/ledgelead-router/src/store/era.rs
+++ b/crates/ledgelead-router/src/store/era.rs
@@ -50,9 +50,9 @@
     // An object with an invalid revision is marked unreadable; the other objects are kept.
     let with_era_revision = |object: Object| match number(object.revision) {
         Ok(revision) => Object { revision, ..object },
-        Err(finding) => Object {
+        Err(error) => Object {
             revision: first_in_era(era.min(MAX_ERA)),
-            content: Err(finding),
+            content: Err(error),
             ..object
         },
     };
--- a/crates/ledgelead-router/tests/local_view.rs
+++ b/crates/ledgelead-router/tests/local_view.rs
@@ -662,7 +662,7 @@
             .into_iter()
             .map(|(instance, count)| OpenRequests { instance, count, answered: 3, busy_ms: 40, slowness: 100 })
             .collect();
-        let message = PeerMessage::OpenRequestCounts { incarnation: 5, rest_limit_ms: 0, changes };
+        let message = PeerMessage::OpenRequestCounts { incarnation: 5, idle_limit_ms: 0, changes };
         prop_assert_eq!(decode(&encode(&message).bytes).ok(), Some(message));
         let _ = decode(&noise);
     }
--- a/crates/ledgelead-router/tests/node/arbitrary_input.rs
+++ b/crates/ledgelead-router/tests/node/arbitrary_input.rs
@@ -350,14 +350,14 @@
         (number(), short(), short_list(open)).prop_map(|(incarnation, rest_limit_ms, changes)| {
             PeerMessage::OpenRequestCounts {
                 incarnation,
-                rest_limit_ms,
+                idle_limit_ms: rest_limit_ms,
                 changes,
             }
         }),
         (any::<u8>(), short(), short_list(digest)).prop_map(|(zones, rest_limit_ms, entries)| {
             PeerMessage::LoadDigest {
                 zones,
-                rest_limit_ms,
+                idle_limit_ms: rest_limit_ms,
                 entries,
             }
         }),
--- a/crates/ledgelead-router/tests/node/open_requests.rs
+++ b/crates/ledgelead-router/tests/node/open_requests.rs
@@ -108,7 +108,7 @@
     };
     PeerMessage::LoadDigest {
         zones: 3,
-        rest_limit_ms: 0,
+        idle_limit_ms: 0,
         entries: List(vec![entry]),
     }
 }
@@ -143,7 +143,7 @@
     let mut fixture = node_with_hub(40, 1, |_| {});
     let open = |count| PeerMessage::OpenRequestCounts {
         incarnation: 1,
-        rest_limit_ms: 0,
+        idle_limit_ms: 0,
         changes: List(vec![OpenRequests {
             instance: counted,
             count,
@@ -234,7 +234,7 @@
     fixture.run_until(ms(200));
     let open = |instance, count| PeerMessage::OpenRequestCounts {
         incarnation: 1,
-        rest_limit_ms: 0,
+        idle_limit_ms: 0,
         changes: List(vec![OpenRequests {
             instance,
             count,
--- a/crates/ledgelead-router/tests/node/overload.rs
+++ b/crates/ledgelead-router/tests/node/overload.rs
@@ -190,7 +190,7 @@
     };
     let message = PeerMessage::LoadDigest {
         zones: 1,
-        rest_limit_ms: 0,
+        idle_limit_ms: 0,
         entries: List(vec![entry]),
     };
     fixture.receive(node_address(1), &message);
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -50,7 +50,7 @@
 fn receive_digest(fixture: &mut Fixture) {
     let digest = PeerMessage::LoadDigest {
         zones: 1,
-        rest_limit_ms: 0,
+        idle_limit_ms: 0,
         entries: List(Vec::new()),
     };
     fixture.receive(node_address(1), &digest);
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -118,7 +118,7 @@
     );
 }
 
-/// A range of a hundred_keys keys with this index.
+/// A range of a hundred keys with this index.
 fn hundred_keys(index: u16) -> KeyRange {
     KeyRange {
         first: index * 100,
