--- a/crates/ledgelead-node/src/callers/proxy/mod.rs
+++ b/crates/ledgelead-node/src/callers/proxy/mod.rs
@@ -74,7 +74,7 @@
 
 /// Called with the inner connection's address when a caller's connection ends
 /// other than by [`PairCloseReason::Finished`].
-pub type CallerLeft = Box<dyn Fn(SocketAddr) + Send>;
+pub type DisconnectHandler = Box<dyn Fn(SocketAddr) + Send>;
 
 /// The proxy, running on a thread of its own.
 pub struct CallerProxy {
@@ -94,7 +94,7 @@
         listener: std::net::TcpListener,
         server: SocketAddr,
         limits: &Limits,
-        caller_left: CallerLeft,
+        on_disconnect: DisconnectHandler,
     ) -> io::Result<CallerProxy> {
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKER)?;
@@ -116,7 +116,7 @@
                 caller_time: limits.caller_time,
                 idle_time: limits.caller_idle_time + limits.max_deadline,
             },
-            caller_left,
+            on_disconnect,
             pairs: BTreeMap::new(),
             unanswered: BTreeSet::new(),
             next: FIRST_PAIR,
@@ -188,7 +188,7 @@
     server: SocketAddr,
     max_pairs: usize,
     limits: PairLimits,
-    caller_left: CallerLeft,
+    on_disconnect: DisconnectHandler,
     pairs: BTreeMap<usize, ProxiedPair>,
     /// The pairs without a response so far; the HTTP server may have no thread for
     /// them yet.
@@ -382,7 +382,7 @@
         if let Ok(address) = entry.pair.inner.local_addr() {
             self.remote_addresses.remove(address);
             if end != PairCloseReason::Finished {
-                (self.caller_left)(address);
+                (self.on_disconnect)(address);
             }
         }
     }
--- a/crates/ledgelead-node/src/callers/proxy/pair.rs
+++ b/crates/ledgelead-node/src/callers/proxy/pair.rs
@@ -33,9 +33,9 @@
     /// The HTTP server closed and all its bytes were forwarded.
     Finished,
     /// The caller's connection failed.
-    CallerLeft,
+    CallerDisconnected,
     /// The inner connection failed.
-    ServerLeft,
+    ServerDisconnected,
     /// The caller takes its response too slowly.
     TooSlow,
     /// There was no traffic for too long.
@@ -93,9 +93,9 @@
     inner_write_closed: bool,
     /// Since when a request is incomplete.
     incomplete_since: Option<Instant>,
-    /// Since when bytes are unsent to the caller, and how many it has taken since.
+    /// Since when bytes for the caller are unsent, and how many were sent since.
     unsent_since: Option<Instant>,
-    taken_since: usize,
+    sent_since: usize,
     last_activity: Instant,
     /// Whether bytes were sent to the HTTP server.
     forwarded: bool,
@@ -129,7 +129,7 @@
 }
 
 impl Buffer {
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         self.bytes.len() - self.sent < BUFFER_BYTES
     }
 
@@ -188,7 +188,7 @@
             inner_write_closed: false,
             incomplete_since: None,
             unsent_since: None,
-            taken_since: 0,
+            sent_since: 0,
             last_activity: now,
             forwarded: false,
             answered: false,
@@ -239,16 +239,16 @@
         now: Instant,
         read_buffer: &mut [u8],
     ) -> Result<(), PairCloseReason> {
-        let over = |since: Option<Instant>, limit: Duration| {
+        let is_over_limit = |since: Option<Instant>, limit: Duration| {
             since.is_some_and(|since| now.saturating_duration_since(since) > limit)
         };
-        if over(self.unsent_since, self.limits.caller_time) {
+        if is_over_limit(self.unsent_since, self.limits.caller_time) {
             return Err(PairCloseReason::TooSlow);
         }
-        if over(Some(self.last_activity), self.limits.idle_time) {
+        if is_over_limit(Some(self.last_activity), self.limits.idle_time) {
             return Err(PairCloseReason::Idle);
         }
-        if over(self.incomplete_since, self.limits.caller_time) {
+        if is_over_limit(self.incomplete_since, self.limits.caller_time) {
             // The HTTP server sees the end of the stream and refuses the request.
             self.stop_reading_caller();
             return self.pump(now, read_buffer);
@@ -273,21 +273,21 @@
         read_buffer: &mut [u8],
     ) -> Result<bool, PairCloseReason> {
         let mut moved = false;
-        if self.caller_ready.readable && !self.caller_ended && self.to_inner.has_room() {
-            let known = self.to_inner.bytes.len() - self.to_inner.sent;
+        if self.caller_ready.readable && !self.caller_ended && self.to_inner.has_capacity() {
+            let tracked = self.to_inner.bytes.len() - self.to_inner.sent;
             let read = self.to_inner.fill(&mut self.caller, read_buffer);
             self.caller_ready.after_read(&read, read_buffer.len());
-            match read.map_err(|_| PairCloseReason::CallerLeft)? {
+            match read.map_err(|_| PairCloseReason::CallerDisconnected)? {
                 ReadOutcome::Progress { .. } => {
                     moved = true;
-                    self.track_request(known, now);
+                    self.track_request(tracked, now);
                 }
                 ReadOutcome::Blocked => {}
                 ReadOutcome::Ended => self.caller_ended = true,
             }
         }
         let flushed = self.to_inner.flush(&mut self.inner);
-        if flushed.map_err(|_| PairCloseReason::ServerLeft)? > 0 {
+        if flushed.map_err(|_| PairCloseReason::ServerDisconnected)? > 0 {
             self.forwarded = true;
             moved = true;
         }
@@ -298,12 +298,15 @@
         Ok(moved)
     }
 
-    /// Tracks the request through the buffered bytes after the first `known`, which
+    /// Tracks the request through the buffered bytes after the first `tracked`, which
     /// were tracked before.
-    fn track_request(&mut self, known: usize, now: Instant) {
-        if let Err(exceeded) = self.progress.record_received(&self.to_inner.bytes[known..]) {
+    fn track_request(&mut self, tracked: usize, now: Instant) {
+        if let Err(exceeded) = self
+            .progress
+            .record_received(&self.to_inner.bytes[tracked..])
+        {
             self.exceeded_limit = Some(exceeded);
-            self.to_inner.bytes.truncate(known);
+            self.to_inner.bytes.truncate(tracked);
             self.stop_reading_caller();
         }
         if self.progress.is_incomplete() {
@@ -324,10 +327,10 @@
         read_buffer: &mut [u8],
     ) -> Result<bool, PairCloseReason> {
         let mut moved = false;
-        if self.inner_ready.readable && !self.inner_ended && self.to_caller.has_room() {
+        if self.inner_ready.readable && !self.inner_ended && self.to_caller.has_capacity() {
             let read = self.to_caller.fill(&mut self.inner, read_buffer);
             self.inner_ready.after_read(&read, read_buffer.len());
-            match read.map_err(|_| PairCloseReason::ServerLeft)? {
+            match read.map_err(|_| PairCloseReason::ServerDisconnected)? {
                 ReadOutcome::Progress { .. } => {
                     moved = true;
                     self.answered = true;
@@ -337,23 +340,23 @@
                 ReadOutcome::Ended => self.inner_ended = true,
             }
         }
-        let taken = self
+        let sent = self
             .to_caller
             .flush(&mut self.caller)
-            .map_err(|_| PairCloseReason::CallerLeft)?;
-        moved |= taken > 0;
-        self.track_response(taken, now);
+            .map_err(|_| PairCloseReason::CallerDisconnected)?;
+        moved |= sent > 0;
+        self.track_response(sent, now);
         Ok(moved)
     }
 
-    fn track_response(&mut self, taken: usize, now: Instant) {
-        self.taken_since += taken;
+    fn track_response(&mut self, sent: usize, now: Instant) {
+        self.sent_since += sent;
         if self.to_caller.is_empty() {
             self.unsent_since = None;
-            self.taken_since = 0;
-        } else if self.unsent_since.is_none() || self.taken_since >= MIN_PROGRESS {
+            self.sent_since = 0;
+        } else if self.unsent_since.is_none() || self.sent_since >= MIN_PROGRESS {
             self.unsent_since = Some(now);
-            self.taken_since = 0;
+            self.sent_since = 0;
         }
     }
 
--- a/crates/ledgelead-node/src/callers/proxy/progress.rs
+++ b/crates/ledgelead-node/src/callers/proxy/progress.rs
@@ -13,8 +13,8 @@
     /// In a header, or between requests while it has no byte yet.
     Header,
     /// In a body with a declared length.
-    Body { left: u64 },
-    /// In a chunked body; it is taken to end when the response begins.
+    Body { remaining: u64 },
+    /// In a chunked body; its end is assumed when the response begins.
     Chunked { received: u64 },
 }
 
@@ -57,7 +57,7 @@
         while !bytes.is_empty() {
             bytes = match self.state {
                 State::Header => self.received_header(bytes)?,
-                State::Body { left } => self.received_body(bytes, left),
+                State::Body { remaining } => self.received_body(bytes, remaining),
                 State::Chunked { received } => self.received_chunks(bytes, received)?,
             };
         }
@@ -74,31 +74,31 @@
 
     fn received_header<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], ExceededLimit> {
         let searched = self.header.len().saturating_sub(HEADER_END.len() - 1);
-        let known = self.header.len();
-        let room = (self.max_header_bytes + 1).saturating_sub(known);
-        let taken = bytes.len().min(room);
-        self.header.extend_from_slice(&bytes[..taken]);
+        let buffered = self.header.len();
+        let capacity = (self.max_header_bytes + 1).saturating_sub(buffered);
+        let consumed = bytes.len().min(capacity);
+        self.header.extend_from_slice(&bytes[..consumed]);
         let end = find(&self.header[searched..], HEADER_END);
         let Some(end) = end.map(|offset| searched + offset + HEADER_END.len()) else {
             if self.header.len() > self.max_header_bytes {
                 return Err(ExceededLimit::Header);
             }
-            return Ok(&bytes[taken..]);
+            return Ok(&bytes[consumed..]);
         };
         self.state = state_after_header(&self.header[..end]);
         self.header.clear();
-        Ok(&bytes[end - known..])
+        Ok(&bytes[end - buffered..])
     }
 
-    fn received_body<'a>(&mut self, bytes: &'a [u8], left: u64) -> &'a [u8] {
-        let taken = left.min(bytes.len() as u64);
-        let left = left - taken;
-        self.state = if left == 0 {
+    fn received_body<'a>(&mut self, bytes: &'a [u8], remaining: u64) -> &'a [u8] {
+        let consumed = remaining.min(bytes.len() as u64);
+        let remaining = remaining - consumed;
+        self.state = if remaining == 0 {
             State::Header
         } else {
-            State::Body { left }
+            State::Body { remaining }
         };
-        &bytes[taken as usize..]
+        &bytes[consumed as usize..]
     }
 
     fn received_chunks<'a>(
@@ -142,5 +142,5 @@
     if length == 0 {
         return State::Header;
     }
-    State::Body { left: length }
+    State::Body { remaining: length }
 }
--- a/crates/ledgelead-node/src/node/mod.rs
+++ b/crates/ledgelead-node/src/node/mod.rs
@@ -50,11 +50,11 @@
     metrics: Metrics,
     stopped: Receiver<()>,
     stop_time: Duration,
-    parts: Parts,
+    parts: NodeParts,
 }
 
 /// The parts that are closed when the node ends.
-struct Parts {
+struct NodeParts {
     proxy: CallerProxy,
     callers: CallerServer,
     administration: AdministrationServer,
@@ -114,7 +114,7 @@
             metrics,
             stopped: stop_complete,
             stop_time: settings.limits.stop_time,
-            parts: Parts {
+            parts: NodeParts {
                 proxy: interfaces.proxy,
                 callers: interfaces.callers,
                 administration: interfaces.administration,
@@ -185,7 +185,7 @@
     }
 }
 
-impl Parts {
+impl NodeParts {
     /// Waits until the response to every request that arrived before the stop was
     /// written to its caller's connection; false if `deadline` passes first.
     fn wait_for_answers(&self, deadline: Instant) -> bool {
--- a/crates/ledgelead-node/src/node/serving.rs
+++ b/crates/ledgelead-node/src/node/serving.rs
@@ -4,7 +4,7 @@
 use super::node_thread::{Started, input_sink};
 use crate::administration::{self, AdministrationServer, Context};
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::proxy::{CallerLeft, CallerProxy};
+use crate::callers::proxy::{CallerProxy, DisconnectHandler};
 use crate::callers::server::CallerServer;
 use crate::handle::NodeHandle;
 use crate::logging::thread_name;
@@ -47,7 +47,7 @@
         listeners.callers,
         server_address,
         &settings.limits,
-        caller_left(open_requests.clone(), &started.handle),
+        disconnect_handler(open_requests.clone(), &started.handle),
     )?;
     let server = inner_http_server()?;
     let administration_proxy = CallerProxy::start(
@@ -80,7 +80,7 @@
     })
 }
 
-fn caller_left(open_requests: Arc<OpenRequests>, handle: &NodeHandle) -> CallerLeft {
+fn disconnect_handler(open_requests: Arc<OpenRequests>, handle: &NodeHandle) -> DisconnectHandler {
     let handle = handle.clone();
     Box::new(move |connection| {
         for request in open_requests.on_connection(connection) {
--- a/crates/ledgelead-node/src/peer/transport.rs
+++ b/crates/ledgelead-node/src/peer/transport.rs
@@ -355,12 +355,12 @@
     /// Closes connections that make no progress.
     fn sweep(&mut self, cx: CX![]) {
         let now = cx.now();
-        let stuck =
+        let is_stalled =
             |since: &Option<Instant>| since.is_some_and(|since| now > since + STALL_TIMEOUT);
         let receivers: Vec<NodeId> = self
             .outgoing
             .iter()
-            .filter(|(_, outgoing)| stuck(&outgoing.pending_since))
+            .filter(|(_, outgoing)| is_stalled(&outgoing.pending_since))
             .map(|(node, _)| *node)
             .collect();
         for node in receivers {
@@ -369,7 +369,7 @@
         let senders: Vec<u64> = self
             .incoming
             .iter()
-            .filter(|(_, incoming)| stuck(&incoming.incomplete_since))
+            .filter(|(_, incoming)| is_stalled(&incoming.incomplete_since))
             .map(|(connection, _)| *connection)
             .collect();
         for connection in senders {
--- a/crates/ledgelead-node/src/servers/wire.rs
+++ b/crates/ledgelead-node/src/servers/wire.rs
@@ -92,7 +92,7 @@
     let name = answer.header(headers::REFUSED)?;
     REFUSALS
         .iter()
-        .find(|(known, _)| *known == name)
+        .find(|(refusal_name, _)| *refusal_name == name)
         .map(|(_, refusal)| *refusal)
 }
 
--- a/crates/ledgelead-node/src/servers/write_tracking.rs
+++ b/crates/ledgelead-node/src/servers/write_tracking.rs
@@ -89,7 +89,7 @@
         _chained: Option<()>,
     ) -> Result<Option<WriteTrackingTransport>, Error> {
         let socket = Arc::new(Mutex::new(None));
-        let seen = socket.clone();
+        let registered = socket.clone();
         let register = details.register_shutdown.clone();
         let details = ConnectionDetails {
             uri: details.uri,
@@ -102,7 +102,7 @@
             current_time: details.current_time.clone(),
             run_connector: details.run_connector.clone(),
             register_shutdown: Arc::new(move |handle: Weak<dyn ShutdownHandle>| {
-                *seen.lock().unwrap_or_else(PoisonError::into_inner) = Some(handle.clone());
+                *registered.lock().unwrap_or_else(PoisonError::into_inner) = Some(handle.clone());
                 register(handle)
             }),
         };
--- a/crates/ledgelead-node/tests/callers.rs
+++ b/crates/ledgelead-node/tests/callers.rs
@@ -77,12 +77,12 @@
     );
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let caller_left = Box::new(move |connection| {
+    let on_disconnect = Box::new(move |connection| {
         for id in open_requests.on_connection(connection) {
             let _ = disconnect_sender.send(id);
         }
     });
-    let proxy = CallerProxy::start("guard", listener, inner, limits, caller_left);
+    let proxy = CallerProxy::start("guard", listener, inner, limits, on_disconnect);
     TestServer {
         address,
         arrivals: Mutex::new(arrivals),
