--- a/crates/ledgelead-node/src/callers/open_requests.rs
+++ b/crates/ledgelead-node/src/callers/open_requests.rs
@@ -14,8 +14,8 @@
 /// All open requests of one node.
 pub struct OpenRequests {
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
-    cached: Mutex<ResponseCache>,
-    next: AtomicU64,
+    cache: Mutex<ResponseCache>,
+    next_id: AtomicU64,
     max_open: usize,
     /// The first identifier from which on each response closes its connection;
     /// `u64::MAX` while connections stay open.
@@ -33,12 +33,12 @@
     /// Whether the response closes the connection.
     pub closes_connection: bool,
     /// Complete responses received so far, by attempt.
-    answers: Vec<AttemptResponse>,
+    responses: Vec<AttemptResponse>,
 }
 
 struct AttemptResponse {
     attempt: AttemptId,
-    answer: BufferedResponse,
+    response: BufferedResponse,
 }
 
 /// The limit of open requests is reached; the connection is handed back.
@@ -49,8 +49,8 @@
     pub fn new(max_open: usize) -> OpenRequests {
         OpenRequests {
             requests: Mutex::default(),
-            cached: Mutex::default(),
-            next: AtomicU64::new(1),
+            cache: Mutex::default(),
+            next_id: AtomicU64::new(1),
             max_open,
             closing_from: AtomicU64::new(u64::MAX),
         }
@@ -60,14 +60,14 @@
     pub fn open(
         &self,
         connection: tiny_http::Request,
-        classified: ParsedRequest,
+        parsed: ParsedRequest,
     ) -> Result<RequestArrival, Box<TooManyRequests>> {
-        let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
+        let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let open = OpenRequest {
             connection,
-            request: Arc::new(classified.request),
-            caller_request_id: classified.caller_request_id,
-            answers: Vec::new(),
+            request: Arc::new(parsed.request),
+            caller_request_id: parsed.caller_request_id,
+            responses: Vec::new(),
             closes_connection: false,
         };
         let mut requests = self.lock();
@@ -77,7 +77,7 @@
         requests.insert(id, open);
         Ok(RequestArrival {
             request: id,
-            ..classified.arrival
+            ..parsed.arrival
         })
     }
 
@@ -88,20 +88,20 @@
 
     /// Stores a server's complete response until the core decides which one is
     /// forwarded to the caller. Dropped if the request is no longer open.
-    pub fn store_response(&self, attempt: AttemptId, answer: BufferedResponse) {
+    pub fn store_response(&self, attempt: AttemptId, response: BufferedResponse) {
         if let Some(open) = self.lock().get_mut(&attempt.request) {
-            open.answers.push(AttemptResponse { attempt, answer });
+            open.responses.push(AttemptResponse { attempt, response });
         }
     }
 
     /// Caches a copy of an open request's response past the end of the request.
     pub fn cache_response(&self, attempt: AttemptId) {
-        let answer = self
+        let response = self
             .lock()
             .get(&attempt.request)
-            .and_then(|open| open.answer(attempt).cloned());
-        if let Some(answer) = answer {
-            self.lock_cache().insert(attempt, answer);
+            .and_then(|open| open.response(attempt).cloned());
+        if let Some(response) = response {
+            self.lock_cache().insert(attempt, response);
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     fn lock_cache(&self) -> MutexGuard<'_, ResponseCache> {
-        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
+        self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Removes a request, so that its caller can be answered.
@@ -129,7 +129,7 @@
     /// From now on each response closes its connection and announces it with
     /// `Connection: close`.
     pub fn close_connections(&self) {
-        let next = self.next.load(Ordering::Acquire);
+        let next = self.next_id.load(Ordering::Acquire);
         self.closing_from.fetch_min(next, Ordering::AcqRel);
     }
 
@@ -174,23 +174,23 @@
 
 impl OpenRequest {
     /// The response of one attempt.
-    fn answer(&self, attempt: AttemptId) -> Option<&BufferedResponse> {
-        let mut answers = self.answers.iter();
-        let cached = answers.find(|cached| cached.attempt == attempt)?;
-        Some(&cached.answer)
+    fn response(&self, attempt: AttemptId) -> Option<&BufferedResponse> {
+        let mut responses = self.responses.iter();
+        let entry = responses.find(|entry| entry.attempt == attempt)?;
+        Some(&entry.response)
     }
 
     /// Adds the response of another request's attempt, to be sent to the caller.
-    pub fn add_response(&mut self, attempt: AttemptId, answer: BufferedResponse) {
-        self.answers.push(AttemptResponse { attempt, answer });
+    pub fn add_response(&mut self, attempt: AttemptId, response: BufferedResponse) {
+        self.responses.push(AttemptResponse { attempt, response });
     }
 
     /// Removes and returns the response of one attempt.
     pub fn take_response(&mut self, attempt: AttemptId) -> Option<BufferedResponse> {
         let index = self
-            .answers
+            .responses
             .iter()
-            .position(|cached| cached.attempt == attempt)?;
-        Some(self.answers.swap_remove(index).answer)
+            .position(|entry| entry.attempt == attempt)?;
+        Some(self.responses.swap_remove(index).response)
     }
 }
--- a/crates/ledgelead-node/src/callers/proxy/mod.rs
+++ b/crates/ledgelead-node/src/callers/proxy/mod.rs
@@ -216,7 +216,7 @@
             if let Err(error) = self.poll.poll(&mut events, Some(self.wait(next_sweep)))
                 && error.kind() != ErrorKind::Interrupted
             {
-                log::error!(target: "callers", "the proxy's poller failed, all its connections are dropped: {error}");
+                log::error!(target: "callers", "polling failed, the proxy ends: {error}");
                 return;
             }
             let now = Instant::now();
@@ -329,7 +329,7 @@
                 self.pump(token, now);
             }
             Err(error) => {
-                log::warn!(target: "callers", "connecting a caller to the HTTP server failed: {error}")
+                log::warn!(target: "callers", "connecting to the HTTP server failed: {error}")
             }
         }
     }
--- a/crates/ledgelead-node/src/callers/respond.rs
+++ b/crates/ledgelead-node/src/callers/respond.rs
@@ -60,8 +60,9 @@
     write(connection, response, closes_connection);
 }
 
-/// Writes a response and closes the connection if asked to. A failed write is
-/// logged at debug level only: the caller has disconnected.
+/// Writes a response, with `Connection: close` if `closes_connection` is set. A failed
+/// write is not a fault of the node, since the caller has disconnected, and is logged at
+/// debug level only.
 pub fn write(
     connection: tiny_http::Request,
     response: Response<Cursor<Vec<u8>>>,
--- a/crates/ledgelead-node/src/callers/response_cache.rs
+++ b/crates/ledgelead-node/src/callers/response_cache.rs
@@ -13,20 +13,20 @@
 /// The cached responses.
 #[derive(Default)]
 pub struct ResponseCache {
-    answers: HashMap<AttemptId, BufferedResponse>,
+    responses: HashMap<AttemptId, BufferedResponse>,
     insertion_order: VecDeque<AttemptId>,
     bytes: usize,
 }
 
 impl ResponseCache {
     /// Caches a response, unless it is too large.
-    pub fn insert(&mut self, attempt: AttemptId, answer: BufferedResponse) {
-        let size = response_size(&answer);
-        if size > MAX_RESPONSE_BYTES || self.answers.contains_key(&attempt) {
+    pub fn insert(&mut self, attempt: AttemptId, response: BufferedResponse) {
+        let size = response_size(&response);
+        if size > MAX_RESPONSE_BYTES || self.responses.contains_key(&attempt) {
             return;
         }
         self.bytes += size;
-        self.answers.insert(attempt, answer);
+        self.responses.insert(attempt, response);
         self.insertion_order.push_back(attempt);
         while self.bytes > MAX_TOTAL_BYTES {
             let Some(oldest) = self.insertion_order.front().copied() else {
@@ -38,11 +38,11 @@
 
     /// Drops a response.
     pub fn remove(&mut self, attempt: AttemptId) {
-        if let Some(answer) = self.answers.remove(&attempt) {
-            self.bytes -= response_size(&answer);
+        if let Some(response) = self.responses.remove(&attempt) {
+            self.bytes -= response_size(&response);
         }
         while let Some(oldest) = self.insertion_order.front()
-            && !self.answers.contains_key(oldest)
+            && !self.responses.contains_key(oldest)
         {
             self.insertion_order.pop_front();
         }
@@ -50,7 +50,7 @@
 
     /// A copy of a response, if it is cached.
     pub fn get(&self, attempt: AttemptId) -> Option<BufferedResponse> {
-        self.answers.get(&attempt).cloned()
+        self.responses.get(&attempt).cloned()
     }
 
     /// Bytes of all cached responses.
@@ -59,8 +59,8 @@
     }
 }
 
-fn response_size(answer: &BufferedResponse) -> usize {
-    let headers = answer.headers.iter();
+fn response_size(response: &BufferedResponse) -> usize {
+    let headers = response.headers.iter();
     let header_bytes: usize = headers.map(|line| line.name.len() + line.value.len()).sum();
-    size_of::<BufferedResponse>() + header_bytes + answer.body.len()
+    size_of::<BufferedResponse>() + header_bytes + response.body.len()
 }
--- a/crates/ledgelead-node/src/callers/server.rs
+++ b/crates/ledgelead-node/src/callers/server.rs
@@ -102,7 +102,7 @@
         if self.closed.load(Ordering::Acquire) {
             return;
         }
-        log::error!(target: "callers", "the HTTP server failed and accepts no more requests: {error}");
+        log::error!(target: "callers", "the HTTP server accepts no more requests: {error}");
         self.failed.store(true, Ordering::Release);
     }
 
@@ -116,14 +116,14 @@
             );
             return;
         }
-        let classified = match self.read(&mut connection) {
-            Ok(classified) => classified,
+        let parsed = match self.read(&mut connection) {
+            Ok(parsed) => parsed,
             Err(bad) => {
                 self.refuse_bad(connection, &bad);
                 return;
             }
         };
-        match self.open_requests.open(connection, classified) {
+        match self.open_requests.open(connection, parsed) {
             Ok(arrival) => (self.inputs)(Input::RequestArrived(arrival)),
             Err(too_many) => {
                 self.refuse(
@@ -139,9 +139,9 @@
         let lines = header_lines(connection);
         let method = connection.method().as_str().to_owned();
         let target = connection.url().to_owned();
-        let mut classified = parse_head(&method, &target, &lines, self.limits.max_deadline)?;
-        classified.request.body = read_body(connection, self.limits.max_body_bytes)?;
-        Ok(classified)
+        let mut parsed = parse_head(&method, &target, &lines, self.limits.max_deadline)?;
+        parsed.request.body = read_body(connection, self.limits.max_body_bytes)?;
+        Ok(parsed)
     }
 
     fn refuse(&self, connection: Request, reason: NotRunReason, explanation: &str) {
--- a/crates/ledgelead-node/src/file_limit.rs
+++ b/crates/ledgelead-node/src/file_limit.rs
@@ -27,7 +27,7 @@
     if allowed < limits.max_connections {
         log::warn!(
             target: "node",
-            "limits.max-connections lowered from {} to {allowed}: the limit of open files is {files}",
+            "limits.max-connections lowered from {} to {allowed}: at most {files} open files",
             limits.max_connections
         );
         limits.max_connections = allowed;
--- a/crates/ledgelead-node/src/node/node_thread.rs
+++ b/crates/ledgelead-node/src/node/node_thread.rs
@@ -106,7 +106,7 @@
         let _ = report.send(Ok(started));
     }
     if let Err(error) = poll_until_shutdown(&mut stakker, &runtime.poll) {
-        log::error!(target: "node", "the poller failed, the node ends: {error}");
+        log::error!(target: "node", "polling failed, the node ends: {error}");
     }
     // Dropping the owner of an actor only queues the actor's termination, which
     // closes its sockets; one more run executes it.
--- a/crates/ledgelead-node/src/peer/transport.rs
+++ b/crates/ledgelead-node/src/peer/transport.rs
@@ -77,7 +77,9 @@
         let poll = cx.anymap_get::<MioPoll>();
         let listener = poll
             .add(listener, Interest::READABLE, POLL_PRIORITY, accept)
-            .inspect_err(|error| log::error!(target: "peer", "registering the listener with the poller failed: {error}"))
+            .inspect_err(
+                |error| log::error!(target: "peer", "registering the listener failed: {error}"),
+            )
             .ok()?;
         after!(SWEEP_INTERVAL, [cx], sweep());
         Some(PeerTransport {
@@ -301,7 +303,7 @@
         let stream = match poll.add(stream, interest, POLL_PRIORITY, ready) {
             Ok(stream) => stream,
             Err(error) => {
-                log::warn!(target: "peer", "registering a connection with the poller failed: {error}");
+                log::warn!(target: "peer", "registering a connection failed: {error}");
                 return;
             }
         };
--- a/crates/ledgelead-node/src/ports.rs
+++ b/crates/ledgelead-node/src/ports.rs
@@ -145,14 +145,14 @@
                 None => outcome = Outcome::Unknown(UnknownReason::AnswerNotHeld),
             }
         }
-        let ending = CompletedRequest {
+        let completed = CompletedRequest {
             request: open,
             outcome,
             attempt,
             retry_after,
         };
-        if self.responders.submit(ending).is_err() {
-            log::debug!(target: "callers", "a response was dropped: the queue of the responders is full or closed");
+        if self.responders.submit(completed).is_err() {
+            log::debug!(target: "callers", "response dropped: the queue is full or closed");
         }
     }
 }
