--- a/crates/ledgelead-lab/src/demo/demonstration.rs
+++ b/crates/ledgelead-lab/src/demo/demonstration.rs
@@ -1,6 +1,6 @@
-//! Runs a demonstration: the same load straight to the back ends and through
-//! the nodes, with a server killed, a server stopped as planned and a node
-//! stopped while the load runs.
+//! Runs a demonstration: the same load is sent directly to the back ends and through the
+//! nodes. During the latter, a server is killed, a server leaves as planned and a node is
+//! stopped.
 
 use super::checker::{self, Departure, Evidence, NodeDeparture};
 use super::configuration;
@@ -21,7 +21,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What is deployed.
+/// Size of the deployment.
 pub const SHAPE: DeploymentShape = DeploymentShape {
     nodes: 3,
     keyed_servers: 6,
@@ -31,38 +31,38 @@
     killable: true,
 };
 
-/// Requests a second: about a third of the back ends' capacity.
+/// Requests per second, about a third of the back ends' capacity.
 const REQUESTS_PER_SECOND: f64 = 900.0;
-/// Threads that send: enough for the requests that wait while a slice has no
-/// owner.
+/// Number of threads that send, which must be enough for the requests that wait while a slice
+/// has no owner.
 const SENDING_THREADS: usize = 256;
 /// Number of keys.
 const KEYS: usize = 5_000;
 /// Seed of the load.
 const SEED: u64 = 20_260;
-/// Share of the whole time in which load goes straight to the back ends.
+/// Share of the duration in which the load goes directly to the back ends.
 const DIRECT_SHARE: f64 = 0.2;
-/// When, as a share of the load through the nodes, a server is killed.
+/// When a server is killed, as a share of the load through the nodes.
 const KILL_AT: f64 = 0.33;
-/// When a server wishes to leave.
+/// When a server asks to leave, as a share of the same load.
 const LEAVE_AT: f64 = 0.55;
-/// When a node is stopped.
+/// When a node is stopped, as a share of the same load.
 const NODE_STOP_AT: f64 = 0.78;
-/// Pause between two looks at what is due.
+/// Interval between checks for due actions.
 const TICK: Duration = Duration::from_millis(5);
-/// Longest wait, after the load, for the end of a node's stop.
-const NODE_STOP_PATIENCE: Duration = Duration::from_secs(5);
-/// How often the live summary is printed.
+/// Maximum time to wait for the end of a node's stop after the load.
+const NODE_STOP_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval of the live summary.
 const LIVE_INTERVAL: Span = Span::from_seconds(1);
 
-/// Why a demonstration gave no result.
+/// Why a demonstration failed.
 #[derive(Debug)]
 pub enum DemoError {
-    /// The system gave no socket or no thread.
+    /// A socket or thread could not be created.
     System(io::Error),
-    /// The deployment was not ready in time; says what was missing.
+    /// The deployment was not ready in time; contains what was missing.
     NotReady(String),
-    /// No back end owned anything to lose.
+    /// No suitable back end owns slices.
     NoOwner,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// Runs a demonstration and sums it up.
+/// Runs a demonstration and summarizes it.
 pub fn run(options: &Options) -> Result<DemoReport, DemoError> {
     let deployment = Deployment::start(&SHAPE)?;
     let ready = deployment.wait_until_ready().map_err(DemoError::NotReady)?;
@@ -96,7 +96,7 @@
     let idle_traffic = ControlTraffic::start(&deployment);
     let direct = Load::start(deployment.clock, direct)?.finish();
     let idle_bytes_per_second = idle_traffic.bytes_per_second(&deployment);
-    live::print(options, || "straight to the back ends: done".to_owned());
+    live::print(options, || "direct load on the back ends: done".to_owned());
 
     let routed_time = options.duration.less(direct_time);
     let first_request = direct.len() as u64 + 1;
@@ -123,7 +123,7 @@
     LoadSettings::open_loop(&shape, targets, SENDING_THREADS)
 }
 
-/// Load through the nodes, with what is done meanwhile.
+/// The load through the nodes and the faults during it.
 struct Run {
     deployment: Deployment,
     load: Load,
@@ -136,7 +136,7 @@
     undisturbed_control_bytes_per_second: f64,
 }
 
-/// A server that was killed, and what it owned.
+/// A killed server and the slices that it owned.
 struct Kill {
     departure: Departure,
     slices: Vec<GrantedSlice>,
@@ -148,7 +148,7 @@
     handed_over: Option<Time>,
 }
 
-/// A node that is being stopped.
+/// A node that is stopping.
 struct NodeStop {
     departure: NodeDeparture,
     node: String,
@@ -170,12 +170,12 @@
         })
     }
 
-    /// Does what is due until every request has its outcome.
+    /// Carries out due actions until every request has an outcome.
     fn drive(&mut self, options: &Options) -> Result<(), DemoError> {
         let mut next_live = self.started + LIVE_INTERVAL;
         while !self.load.is_finished() {
             let now = self.deployment.clock.now();
-            self.disturb(now, options)?;
+            self.inject_faults(now, options)?;
             if now >= next_live {
                 next_live = next_live + LIVE_INTERVAL;
                 live::print(options, || live::summary(&self.deployment, self.load.log()));
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    fn disturb(&mut self, now: Time, options: &Options) -> Result<(), DemoError> {
+    fn inject_faults(&mut self, now: Time, options: &Options) -> Result<(), DemoError> {
         let share = now.since(self.started).as_seconds() / self.duration.as_seconds();
         if self.kill.is_none() && share >= KILL_AT {
             self.undisturbed_control_bytes_per_second =
@@ -202,42 +202,40 @@
         }
         if self.leave.is_none() && share >= LEAVE_AT {
             let leave = self.ask_server_to_leave()?;
-            live::print(options, || {
-                format!("{} wishes to leave", leave.departure.server)
-            });
+            live::print(options, || format!("{} is leaving", leave.departure.server));
             self.leave = Some(leave);
         }
         if self.node_stop.is_none() && share >= NODE_STOP_AT {
             self.node_stop = self.stop_node()?;
-            live::print(options, || "a node stops".to_owned());
+            live::print(options, || "stopping a node".to_owned());
         }
         self.stop_drained_server();
         Ok(())
     }
 
-    /// A back end that owns slices and was left alone so far.
+    /// A back end that owns slices and has not been killed.
     fn owner(&self) -> Result<ServerId, DemoError> {
-        let touched = self.kill.as_ref().map(|kill| kill.departure.server);
+        let killed = self.kill.as_ref().map(|kill| kill.departure.server);
         self.deployment
             .servers
             .iter()
             .filter(|server| !server.claimable().is_empty())
             .map(|server| server.settings().server)
-            .find(|server| Some(*server) != touched)
+            .find(|server| Some(*server) != killed)
             .ok_or(DemoError::NoOwner)
     }
 
     fn kill_server(&mut self) -> Result<Kill, DemoError> {
-        let victim = self.owner()?;
+        let server_id = self.owner()?;
         let server = self
             .deployment
-            .server_mut(victim)
+            .server_mut(server_id)
             .ok_or(DemoError::NoOwner)?;
         let slices = server.claimable();
         server.kill();
         let at = server.stopped_at().ok_or(DemoError::NoOwner)?;
         let departure = Departure {
-            server: victim,
+            server: server_id,
             at,
             planned: false,
         };
@@ -245,15 +243,15 @@
     }
 
     fn ask_server_to_leave(&mut self) -> Result<Leave, DemoError> {
-        let leaver = self.owner()?;
+        let server_id = self.owner()?;
         let at = self.deployment.clock.now();
         let server = self
             .deployment
-            .server_mut(leaver)
+            .server_mut(server_id)
             .ok_or(DemoError::NoOwner)?;
         server.leave();
         let departure = Departure {
-            server: leaver,
+            server: server_id,
             at,
             planned: true,
         };
@@ -263,7 +261,7 @@
         })
     }
 
-    /// Ends the leaving server's process once it has nothing left to do.
+    /// Ends the process of the leaving server once it is drained.
     fn stop_drained_server(&mut self) {
         let Some(leave) = self
             .leave
@@ -299,7 +297,7 @@
             .name("lab-stop-node".to_owned())
             .spawn(move || {
                 running.stop();
-                // Whoever waits may have given up.
+                // The receiver may have given up waiting.
                 let _ = stop.send(clock.now());
             })?;
         Ok(Some(NodeStop {
@@ -320,7 +318,7 @@
         let departures = kill.into_iter().chain(leave).collect::<Vec<_>>();
         let node_departures = self.node_stop.iter().map(|stop| stop.departure);
         let node_departures = node_departures.collect::<Vec<_>>();
-        let violations = checker::judge(&Evidence {
+        let violations = checker::check(&Evidence {
             callers: &records,
             executions: &executions,
             departures: &departures,
@@ -367,7 +365,7 @@
         }
     }
 
-    /// The run in parts, each from one disturbance to the next.
+    /// The parts of the run between faults.
     fn phases(&self, end: Time) -> Vec<Phase> {
         let mut starts = vec![("undisturbed".to_owned(), self.started)];
         if let Some(kill) = &self.kill {
@@ -388,7 +386,7 @@
     }
 }
 
-/// Part of a run.
+/// A part of the run.
 struct Phase {
     name: String,
     from: Time,
@@ -403,14 +401,14 @@
 }
 
 impl NodeStop {
-    /// How long the stop took; `None` while it lasts.
+    /// Duration of the stop; `None` if it has not ended in time.
     fn duration_ms(&self) -> Option<f64> {
-        let stopped = self.stopped.recv_timeout(NODE_STOP_PATIENCE).ok()?;
+        let stopped = self.stopped.recv_timeout(NODE_STOP_TIMEOUT).ok()?;
         Some(stopped.since(self.departure.at).as_millis())
     }
 }
 
-/// Control traffic of all nodes from a point in time on.
+/// Control traffic of all nodes since a point in time.
 struct ControlTraffic {
     started: Time,
     bytes: Vec<u64>,
@@ -424,7 +422,7 @@
         }
     }
 
-    /// Bytes a second, of the node with the most.
+    /// Bytes per second of the node with the highest traffic.
     fn bytes_per_second(&self, deployment: &Deployment) -> f64 {
         let seconds = deployment.clock.now().since(self.started).as_seconds();
         let most = control_bytes(deployment)
--- a/crates/ledgelead-lab/src/overload/models.rs
+++ b/crates/ledgelead-lab/src/overload/models.rs
@@ -1,26 +1,26 @@
-//! Models of other ways to divide the servers' slots among gateways, under
-//! the arrivals and service times of a run.
+//! Models of other methods to share the servers' slots among gateways, which replay the
+//! arrivals and service times of a run.
 //!
-//! A model has stations with slots and a queue in front of them; a job reaches
-//! its station one hop after its arrival, and its answer takes one hop back.
+//! A model has stations with slots and a queue each. A job reaches its station one hop after
+//! its arrival, and its answer takes another hop back.
 
 use ledgelead_types::{Span, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How a request finds its server, and in what order servers work.
+/// Determines to which server a request goes, and in which order servers execute requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Model {
-    /// Each gateway takes turns over the servers, which queue without tiers.
-    /// A key's requests go to its owner.
+    /// Each gateway uses the servers in rotation; servers queue without tiers. Requests with a
+    /// key go to the owner of the key.
     RoundRobin,
-    /// Each gateway sends to the server with the fewest of its own requests,
-    /// which queues without tiers. A key's requests go to its owner.
+    /// Each gateway uses the server with the fewest of its own requests in flight; servers
+    /// queue without tiers. Requests with a key go to the owner of the key.
     LeastInFlight,
-    /// One queue an owner with full knowledge, in strict order of tiers: the
-    /// limit for a service that is divided by key as it is.
+    /// One queue per owner with complete knowledge and strict tier priority: the upper bound
+    /// for a keyed service with the given owners.
     IdealByOwner,
-    /// One queue over all servers with full knowledge, in strict order of
-    /// tiers: the limit.
+    /// A single queue for all servers with complete knowledge and strict tier priority: the
+    /// upper bound.
     Ideal,
 }
 
@@ -35,20 +35,20 @@
         }
     }
 
-    /// Whether it knows tiers, and what can't end in time.
+    /// Whether the model knows tiers and drops requests that can't finish in time.
     fn is_ideal(self) -> bool {
         matches!(self, Model::IdealByOwner | Model::Ideal)
     }
 }
 
-/// A request of the run.
+/// A request of the run to replay.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// When its caller sent it.
     pub arrived: Time,
     /// Index of its tier; the first is the highest.
     pub tier: usize,
-    /// Time that a server needs.
+    /// Execution time at a server.
     pub service_time: Span,
     /// When its caller gives up.
     pub deadline: Time,
@@ -58,18 +58,18 @@
     pub owner: Option<usize>,
 }
 
-/// The service that a model serves.
+/// Size of the simulated service.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    /// Servers.
+pub struct ServiceShape {
+    /// Number of servers.
     pub servers: usize,
-    /// Slots of each.
+    /// Slots per server.
     pub slots: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Tiers.
+    /// Number of tiers.
     pub tiers: usize,
-    /// From caller to server, one way, through a gateway.
+    /// One-way time from caller to server through a gateway.
     pub hop: Span,
 }
 
@@ -77,10 +77,10 @@
 struct Station {
     slots: usize,
     busy: usize,
-    waiting: Vec<VecDeque<usize>>,
+    queues: Vec<VecDeque<usize>>,
 }
 
-/// Arrivals at a station come before departures of the same moment.
+/// Arrivals at a station are processed before departures at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrives,
@@ -90,19 +90,19 @@
 struct Run<'a> {
     model: Model,
     jobs: &'a [Job],
-    shape: Shape,
+    shape: ServiceShape,
     stations: Vec<Station>,
     steps: BTreeSet<(Time, Step, usize)>,
     station_of: Vec<usize>,
-    turns: Vec<usize>,
-    /// Requests of each gateway at each server.
+    rotation: Vec<usize>,
+    /// Requests in flight, by gateway and server.
     in_flight: Vec<Vec<usize>>,
     ends: Vec<Option<Time>>,
 }
 
-/// When each job's caller has its answer; `None` for one that is dropped or
-/// answered after its deadline. `jobs` are in the order of their arrival.
-pub fn answers(model: Model, jobs: &[Job], shape: Shape) -> Vec<Option<Time>> {
+/// Times at which the callers receive their answers; `None` for jobs that are dropped or
+/// answered after their deadline. `jobs` must be in order of arrival.
+pub fn answers(model: Model, jobs: &[Job], shape: ServiceShape) -> Vec<Option<Time>> {
     let mut run = Run::new(model, jobs, shape);
     for (job, planned) in jobs.iter().enumerate() {
         while run
@@ -121,7 +121,7 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(model: Model, jobs: &'a [Job], shape: Shape) -> Run<'a> {
+    fn new(model: Model, jobs: &'a [Job], shape: ServiceShape) -> Run<'a> {
         let (count, slots) = match model {
             Model::Ideal => (1, shape.servers * shape.slots),
             _ => (shape.servers, shape.slots),
@@ -130,7 +130,7 @@
         let station = Station {
             slots,
             busy: 0,
-            waiting: vec![VecDeque::new(); queues],
+            queues: vec![VecDeque::new(); queues],
         };
         Run {
             model,
@@ -139,7 +139,7 @@
             stations: vec![station; count],
             steps: BTreeSet::new(),
             station_of: vec![0; jobs.len()],
-            turns: (0..shape.gateways).collect(),
+            rotation: (0..shape.gateways).collect(),
             in_flight: vec![vec![0; shape.servers]; shape.gateways],
             ends: vec![None; jobs.len()],
         }
@@ -160,19 +160,19 @@
         match (self.model, owner) {
             (Model::Ideal, _) => 0,
             (_, Some(owner)) => owner,
-            (Model::LeastInFlight, None) => self.fewest_of(gateway),
-            (_, None) => self.take_turn(gateway),
+            (Model::LeastInFlight, None) => self.least_loaded_server(gateway),
+            (_, None) => self.next_in_rotation(gateway),
         }
     }
 
-    fn take_turn(&mut self, gateway: usize) -> usize {
-        self.turns[gateway] = (self.turns[gateway] + 1) % self.shape.servers;
-        self.turns[gateway]
+    fn next_in_rotation(&mut self, gateway: usize) -> usize {
+        self.rotation[gateway] = (self.rotation[gateway] + 1) % self.shape.servers;
+        self.rotation[gateway]
     }
 
-    /// The server with the fewest of a gateway's requests; ties in turn.
-    fn fewest_of(&mut self, gateway: usize) -> usize {
-        let start = self.take_turn(gateway);
+    /// The server with the fewest requests of a gateway; ties are broken in rotation.
+    fn least_loaded_server(&mut self, gateway: usize) -> usize {
+        let start = self.next_in_rotation(gateway);
         let counts = &self.in_flight[gateway];
         (0..self.shape.servers)
             .map(|offset| (start + offset) % self.shape.servers)
@@ -192,14 +192,14 @@
                 } else {
                     0
                 };
-                self.stations[station].waiting[tier].push_back(job);
+                self.stations[station].queues[tier].push_back(job);
             }
             Step::Departs => {
                 self.stations[station].busy -= 1;
                 self.leave(job);
             }
         }
-        self.start_waiting(now, station);
+        self.start_queued(now, station);
     }
 
     fn leave(&mut self, job: usize) {
@@ -208,18 +208,18 @@
         }
     }
 
-    fn start_waiting(&mut self, now: Time, station: usize) {
+    fn start_queued(&mut self, now: Time, station: usize) {
         while self.stations[station].busy < self.stations[station].slots {
-            let waiting = &mut self.stations[station].waiting;
-            let Some(job) = waiting.iter_mut().find_map(VecDeque::pop_front) else {
+            let queues = &mut self.stations[station].queues;
+            let Some(job) = queues.iter_mut().find_map(VecDeque::pop_front) else {
                 return;
             };
             self.start(now, station, job);
         }
     }
 
-    /// A server drops what is past its deadline; the ideal queue also what
-    /// can't end before it.
+    /// Servers drop requests whose deadline has passed; the ideal queues also those that can't
+    /// finish in time.
     fn start(&mut self, now: Time, station: usize, job: usize) {
         let Job {
             service_time,
@@ -227,14 +227,18 @@
             ..
         } = self.jobs[job];
         let end = now + service_time;
-        let told = end + self.shape.hop;
-        let latest = if self.model.is_ideal() { told } else { now };
+        let answered_at = end + self.shape.hop;
+        let latest = if self.model.is_ideal() {
+            answered_at
+        } else {
+            now
+        };
         if latest > deadline {
             self.leave(job);
             return;
         }
         self.stations[station].busy += 1;
         self.steps.insert((end, Step::Departs, job));
-        self.ends[job] = (told <= deadline).then_some(told);
+        self.ends[job] = (answered_at <= deadline).then_some(answered_at);
     }
 }
--- a/crates/ledgelead-lab/src/simulation/nodes.rs
+++ b/crates/ledgelead-lab/src/simulation/nodes.rs
@@ -1,10 +1,10 @@
-//! The system's own processes: start, stop, loss, pauses, and what their
-//! input and output do between the decisions and the world.
+//! Node processes: start, stop, loss and pauses, and the input and output between their state
+//! machines and the simulated network.
 
 use super::clock::{NodeClock, SkewedClock};
 use super::deployment;
 use super::event::{Event, NodeRun, ToNode, ToServer};
-use super::network::Place;
+use super::network::Endpoint;
 
 use super::ports::SimulatedPorts;
 use super::world::World;
@@ -21,46 +21,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How long a node waits for a server's answer to a renewal.
+/// How long a node waits for a reply to a renewal.
 const RENEWAL_TIMEOUT: Span = Span::from_millis(300);
-/// How long a node may take over a planned stop.
+/// Time limit of a planned stop.
 const STOP_TIMEOUT: Span = Span::from_seconds(20);
 
-/// A node: its machine, and its process while it runs.
+/// A node's machine, with its process while it is running.
 pub struct NodeProcess {
     /// Its identifier.
     pub node: NodeId,
     /// Index of its zone.
     pub zone: usize,
     index: usize,
-    /// Its process.
+    /// Its process, if it is running.
     pub process: Option<RunningNode>,
 }
 
-/// One run of a node's process.
+/// An incarnation of a node's process.
 pub struct RunningNode {
     actor: ActorOwn<NodeActor<SimulatedPorts>>,
-    /// Its run.
+    /// Its index and incarnation.
     pub run: NodeRun,
     /// Its clock.
     pub clock: Rc<NodeClock>,
-    held: Vec<ToNode>,
+    queued_events: Vec<ToNode>,
     /// Attempts that have not ended.
     pub attempts: BTreeMap<AttemptId, OpenAttempt>,
-    /// Numbers in the whole answers of attempts.
+    /// Numbers in the complete answers, by attempt.
     pub answers: BTreeMap<AttemptId, u64>,
-    /// Numbers in the requests' bodies.
+    /// Numbers in the request bodies.
     pub bodies: BTreeMap<RequestId, u64>,
     /// Requests that have not been answered.
     pub open: BTreeSet<RequestId>,
     calls: BTreeSet<CallId>,
-    /// Connections to servers that are open and unused, by server index.
+    /// Open but unused connections, by server index.
     pub idle_connections: BTreeMap<usize, u32>,
     /// Number of the last request.
     pub last_request: u64,
 }
 
-/// An attempt that a node's input and output carry out.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenAttempt {
     /// Index of the server.
@@ -70,7 +70,7 @@
 }
 
 impl NodeProcess {
-    /// A machine whose process has not started.
+    /// Creates a machine whose process is not running.
     pub fn new(index: usize, zone: usize) -> NodeProcess {
         NodeProcess {
             node: deployment::node_id(index),
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Its present run.
+    /// Its current incarnation.
     pub fn run(&self) -> Option<NodeRun> {
         self.process.as_ref().map(|process| process.run)
     }
 
-    /// Whether its process runs and is not paused.
+    /// Whether its process is running and not paused.
     pub fn is_active(&self) -> bool {
         self.process
             .as_ref()
@@ -100,10 +100,10 @@
         }
         let run = NodeRun {
             index,
-            incarnation: Incarnation(self.process_dice.number()),
+            incarnation: Incarnation(self.process_rng.number()),
         };
         let drift = self.scenario.nodes.clock_drift_ppm;
-        let skew = SkewedClock::draw(&mut self.process_dice, drift);
+        let skew = SkewedClock::draw(&mut self.process_rng, drift);
         let clock = Rc::new(NodeClock::new(self.run_clock.clone(), skew));
         let ports = SimulatedPorts {
             run,
@@ -120,7 +120,7 @@
             actor,
             run,
             clock,
-            held: Vec::new(),
+            queued_events: Vec::new(),
             attempts: BTreeMap::new(),
             answers: BTreeMap::new(),
             bodies: BTreeMap::new(),
@@ -133,7 +133,7 @@
         self.checker
             .configuration
             .started(deployment::node_id(index), now);
-        self.note_reachability(index);
+        self.update_reachability(index);
         self.list_machine(index, MachineState::Live);
     }
 
@@ -151,7 +151,7 @@
             zone: deployment::zone_id(self.nodes[run.index].zone),
             address: deployment::node_address(run.index),
             seeds,
-            random_seed: self.process_dice.number(),
+            random_seed: self.process_rng.number(),
             protections: self.protections,
             assigner: self.assigner,
         }
@@ -161,11 +161,11 @@
         self.scenario.zones.len() * self.scenario.nodes.per_zone as usize
     }
 
-    /// Ends a node's process at once: callers lose their connections, and the
-    /// replicas' memory is lost.
+    /// Kills a node's process: callers lose their connections, and the memory of its replicas
+    /// is lost.
     pub(super) fn node_dies(&mut self, index: usize) {
         if self.nodes[index].process.is_some() {
-            self.note_node_lost(index);
+            self.record_node_loss(index);
             self.node_ends(index);
         }
     }
@@ -189,7 +189,7 @@
         self.list_machine(index, MachineState::Gone);
     }
 
-    /// Asks a node to stop as planned.
+    /// Tells a node to stop as planned.
     pub(super) fn node_stops(&mut self, index: usize) {
         let Some(run) = self.nodes[index].run() else {
             return;
@@ -201,17 +201,17 @@
 
     pub(super) fn stop_times_out(&mut self, run: NodeRun) {
         if self.is_present(run) {
-            self.note_cut_requests(run);
+            self.report_interrupted_requests(run);
             self.node_dies(run.index);
         }
     }
 
-    fn node_has_stopped(&mut self, run: NodeRun) {
-        self.note_cut_requests(run);
+    fn node_stopped(&mut self, run: NodeRun) {
+        self.report_interrupted_requests(run);
         self.node_ends(run.index);
     }
 
-    fn note_cut_requests(&mut self, run: NodeRun) {
+    fn report_interrupted_requests(&mut self, run: NodeRun) {
         let now = self.now();
         let open = self.nodes[run.index]
             .process
@@ -223,7 +223,7 @@
             .stopped(now, "a node", open, &mut checker.violations);
     }
 
-    /// Pauses a node's process; what reaches it meanwhile waits.
+    /// Pauses a node's process; events that reach it meanwhile are queued.
     pub(super) fn node_pauses(&mut self, index: usize, length: Span) {
         let until = self.now() + length;
         let Some(process) = &self.nodes[index].process else {
@@ -234,7 +234,7 @@
         }
         process.clock.pause(until);
         self.events.add(until, Event::ResumeNode(index));
-        self.note_reachability(index);
+        self.update_reachability(index);
     }
 
     pub(super) fn node_resumes(&mut self, index: usize) {
@@ -247,23 +247,24 @@
         }
         process.clock.resume();
         let run = process.run;
-        for event in std::mem::take(&mut process.held) {
+        for event in std::mem::take(&mut process.queued_events) {
             self.reach_node(run, event);
             self.run_actors();
         }
-        self.note_reachability(index);
+        self.update_reachability(index);
     }
 
-    /// Tells the checker whether a node is connected at present.
-    pub(super) fn note_reachability(&mut self, index: usize) {
-        let reachable = self.nodes[index].is_active() && !self.network.is_cut(Place::Node(index));
+    /// Informs the checker whether a node is currently connected.
+    pub(super) fn update_reachability(&mut self, index: usize) {
+        let reachable =
+            self.nodes[index].is_active() && !self.network.is_cut(Endpoint::Node(index));
         let since = reachable.then_some(self.now());
         self.checker
             .configuration
             .connected(self.nodes[index].node, since);
     }
 
-    /// Gives an input to a node's actor.
+    /// Passes an input to a node's actor.
     pub(super) fn input(&mut self, run: NodeRun, input: Input) {
         let Some(process) = &self.nodes[run.index].process else {
             return;
@@ -273,7 +274,7 @@
         }
     }
 
-    /// What a node can tell; `None` while it does not run.
+    /// A snapshot of the node's state; `None` while it is not running.
     pub fn view(&mut self, index: usize) -> Option<NodeView> {
         let seen = Rc::new(RefCell::new(None));
         let process = self.nodes[index].process.as_ref()?;
@@ -292,7 +293,7 @@
             return;
         };
         if process.clock.paused_until().is_some() {
-            process.held.push(event);
+            process.queued_events.push(event);
             return;
         }
         match event {
@@ -320,7 +321,7 @@
         }
     }
 
-    /// Carries out one output of a node.
+    /// Carries out an output of a node.
     pub(super) fn perform(&mut self, run: NodeRun, output: Output) {
         if !self.is_present(run) {
             return;
@@ -335,14 +336,14 @@
                 ..
             } => self.renew(run, call, server, renewal),
             Output::CallPlatform { call, request } => {
-                self.note_call(run, call);
+                self.register_call(run, call);
                 self.call_platform(run, call, request);
             }
             Output::Forward(forward) => self.forward(run, &forward),
             Output::CancelAttempt {
                 attempt, server, ..
             } => self.cancel_attempt(run, attempt, server),
-            // Every answer is held here until it is to be forgotten.
+            // Every answer is kept until it is forgotten.
             Output::KeepAnswer(_) => {}
             Output::ForgetAnswer(attempt) => self.forget_answer(run, attempt),
             Output::Respond {
@@ -353,7 +354,7 @@
             } => self.respond(run, request, outcome, attempt),
             Output::CommandFinished { ticket, result } => self.command_finished(ticket, result),
             Output::Record(event) => self.recorded(run, &event),
-            Output::Stopped => self.node_has_stopped(run),
+            Output::Stopped => self.node_stopped(run),
         }
     }
 
@@ -363,7 +364,7 @@
         }
     }
 
-    pub(super) fn note_call(&mut self, run: NodeRun, call: CallId) {
+    pub(super) fn register_call(&mut self, run: NodeRun, call: CallId) {
         if let Some(process) = &mut self.nodes[run.index].process {
             process.calls.insert(call);
         }
@@ -379,7 +380,7 @@
             .peer_message(now, run.index, index, &message);
         let delays = self
             .network
-            .datagram(Place::Node(run.index), Place::Node(index));
+            .datagram(Endpoint::Node(run.index), Endpoint::Node(index));
         let Some(receiver) = self.nodes[index].run() else {
             return;
         };
@@ -397,7 +398,7 @@
     }
 
     fn renew(&mut self, run: NodeRun, call: CallId, server: ServerId, renewal: LeaseRenewal) {
-        self.note_call(run, call);
+        self.register_call(run, call);
         let now = self.now();
         self.measurements.renewal(now, run.index, &renewal);
         let timeout = ToNode::Renewed(call, server, None);
@@ -405,15 +406,15 @@
         let Some(index) = self.server_index(server) else {
             return;
         };
-        let (node, place) = (Place::Node(run.index), Place::Server(index));
-        let Some(delay) = self.network.segment(node, place) else {
+        let (node, endpoint) = (Endpoint::Node(run.index), Endpoint::Server(index));
+        let Some(delay) = self.network.segment(node, endpoint) else {
             return;
         };
         if self.servers[index].process.is_none() {
             let refused = ToNode::Renewed(call, server, None);
             return self.after(delay + delay, Event::ToNode(run, refused));
         }
-        let probe = super::dice::milliseconds(self.scenario.network.probe_ms);
+        let probe = super::rng::milliseconds(self.scenario.network.probe_ms);
         let event = ToServer::Renewal(run, call, Box::new(renewal));
         self.after(
             delay + probe,
@@ -438,7 +439,7 @@
         self.session.recorded(now, node, event);
     }
 
-    /// The member of a run.
+    /// The member identity of a node incarnation.
     pub(super) fn member(&self, run: NodeRun) -> Member {
         Member {
             node: self.nodes[run.index].node,
@@ -446,7 +447,7 @@
         }
     }
 
-    /// Index of the node of this identifier.
+    /// Index of the node with this identifier.
     pub(super) fn index_of(&self, node: NodeId) -> usize {
         debug_assert_eq!(self.nodes[node.0 as usize - 1].index, node.0 as usize - 1);
         node.0 as usize - 1
--- a/crates/ledgelead-lab/src/simulation/servers.rs
+++ b/crates/ledgelead-lab/src/simulation/servers.rs
@@ -1,9 +1,9 @@
-//! Servers: their processes, and what passes between them and nodes.
+//! Server processes, and the messages between them and nodes.
 
 use super::clock::SkewedClock;
 use super::deployment::{self, ServerPlan};
 use super::event::{Event, NodeRun, ToNode, ToServer};
-use super::network::Place;
+use super::network::Endpoint;
 use super::nodes::NodeProcess;
 use super::world::World;
 use crate::checker::ownership::Claim;
@@ -15,38 +15,38 @@
 use ledgelead_types::server::{LeaseRenewal, RenewalReply, RenewalVerdict};
 use ledgelead_types::{ServerId, Span, Time};
 
-/// How often a leaving server looks whether it may stop.
+/// Interval at which a leaving server checks whether it may stop.
 const LEAVING_CHECK: Span = Span::from_millis(100);
-/// How long a leaving server waits to be drained before it stops anyway.
+/// How long a leaving server waits to be drained before it stops regardless.
 const LEAVING_GRACE: Span = Span::from_seconds(20);
 
-/// A server: its machine, and its process while it runs.
+/// A server's machine, with its process while it is running.
 pub struct ServerProcess {
-    /// Its place in the scenario.
+    /// The server in the scenario.
     pub plan: ServerPlan,
     /// Its clock.
     pub clock: SkewedClock,
     /// Its process.
     pub process: Option<ServerState>,
-    /// Counts its processes.
+    /// Number of processes started so far.
     pub run: u64,
-    /// Since when it has run without a fault; `None` while it has one.
+    /// Since when it has been running without a fault; `None` during a fault.
     pub healthy_since: Option<Time>,
-    /// Connections that are open.
+    /// Number of open connections.
     pub connections: u32,
-    /// Requests that it started in the present measuring window.
+    /// Requests started in the current measurement window.
     pub started_in_window: u64,
     /// When it asked to be drained.
     pub leaving_since: Option<Time>,
-    /// When the first node heard of it.
-    pub leaving_told: bool,
+    /// Whether a node has been told that it wants to leave.
+    pub leaving_reported: bool,
     max_connections: u32,
     frozen: bool,
-    held: Vec<ToServer>,
+    queued_events: Vec<ToServer>,
 }
 
 impl ServerProcess {
-    /// A machine whose process has not started.
+    /// Creates a machine whose process is not running.
     pub fn new(plan: ServerPlan, clock: SkewedClock) -> ServerProcess {
         ServerProcess {
             plan,
@@ -57,10 +57,10 @@
             connections: 0,
             started_in_window: 0,
             leaving_since: None,
-            leaving_told: false,
+            leaving_reported: false,
             max_connections: 0,
             frozen: false,
-            held: Vec::new(),
+            queued_events: Vec::new(),
         }
     }
 
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Whether it accepts one more connection.
+    /// Whether it accepts another connection.
     pub fn may_connect(&self) -> bool {
         self.connections < self.max_connections
     }
 }
 
 impl World<'_> {
-    /// Index of a server of this identifier.
+    /// Index of the server with this identifier.
     pub(super) fn server_index(&self, server: ServerId) -> Option<usize> {
         let index = (server.0 as usize).checked_sub(1)?;
         (index < self.servers.len()).then_some(index)
@@ -96,7 +96,7 @@
             slots: section.slots,
             queue: usize::from(section.slots),
             keyed: section.partitioning != Partitioning::None,
-            cold_for: super::dice::seconds(section.cold_seconds),
+            cold_for: super::rng::seconds(section.cold_seconds),
             cold_factor: section.cold_factor,
             protections: self.protections,
         };
@@ -107,25 +107,25 @@
         server.process = Some(ServerState::new(settings, server.run, moment));
         server.healthy_since = Some(now);
         server.leaving_since = None;
-        server.leaving_told = false;
+        server.leaving_reported = false;
         self.checker.leaving.returned(plan.server);
     }
 
-    /// Ends a server's process at once.
+    /// Kills a server's process.
     pub(super) fn server_dies(&mut self, index: usize) {
         let server = &mut self.servers[index];
         if server.process.take().is_none() {
             return;
         }
         server.frozen = false;
-        server.held.clear();
+        server.queued_events.clear();
         server.healthy_since = None;
         let id = server.plan.server;
         self.checker.ownership.died(id);
         self.break_connections(index);
     }
 
-    /// Nodes see their connections to a dead server break.
+    /// Breaks the nodes' connections to a dead server.
     fn break_connections(&mut self, index: usize) {
         for node in 0..self.nodes.len() {
             let Some(process) = &mut self.nodes[node].process else {
@@ -141,7 +141,7 @@
                 .map(|(attempt, _)| *attempt)
                 .collect::<Vec<_>>();
             for attempt in broken {
-                let (from, to) = (Place::Server(index), Place::Node(node));
+                let (from, to) = (Endpoint::Server(index), Endpoint::Node(node));
                 if let Some(delay) = self.network.segment(from, to) {
                     self.after(delay, Event::ToNode(run, ToNode::AttemptLost(attempt)));
                 }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Lets a server stand still for a time.
+    /// Freezes a server for a time.
     pub(super) fn server_freezes(&mut self, index: usize, length: Span) {
         let server = &mut self.servers[index];
         if server.process.is_none() || server.frozen {
@@ -158,7 +158,7 @@
         server.frozen = true;
         server.healthy_since = None;
         let id = server.plan.server;
-        self.checker.ownership.excuse(id);
+        self.checker.ownership.allow_loss(id);
         self.after(length, Event::ResumeServer(index));
     }
 
@@ -169,7 +169,7 @@
             return;
         }
         server.healthy_since = Some(now);
-        for event in std::mem::take(&mut server.held) {
+        for event in std::mem::take(&mut server.queued_events) {
             self.reach_server(index, None, event);
         }
     }
@@ -180,7 +180,7 @@
             return;
         }
         if server.frozen {
-            server.held.push(event);
+            server.queued_events.push(event);
             return;
         }
         match event {
@@ -208,7 +208,7 @@
         self.send_to_gateway(index, request.key, event);
     }
 
-    /// Steps a server and carries out what it wants.
+    /// Steps a server's state machine and carries out its actions.
     fn at_server(&mut self, index: usize, step: impl FnOnce(&mut ServerState, Moment)) {
         let now = self.now();
         let server = &mut self.servers[index];
@@ -223,9 +223,9 @@
         }
         for action in state.take_actions() {
             match action {
-                ServerAction::Started { key, takes } => self.started(index, key, takes),
+                ServerAction::Started { key, duration } => self.started(index, key, duration),
                 ServerAction::Ended { key, answer } => {
-                    let cut = self.measurements_cut(answer);
+                    let cut = self.draw_answer_cut(answer);
                     let event = ToNode::AttemptAnswered {
                         attempt: key.attempt,
                         answer,
@@ -238,20 +238,20 @@
         }
     }
 
-    /// Whether an answer is cut on its way, as happens on a bad network.
-    fn measurements_cut(&mut self, answer: ServerAnswer) -> bool {
-        const CUT_SHARE_OF_LOSS: f64 = 0.1;
-        let probability = self.network.degradation().loss * CUT_SHARE_OF_LOSS;
-        matches!(answer, ServerAnswer::Done { .. }) && self.fault_dice.chance(probability)
+    /// Whether an answer is truncated in transit, which happens on a degraded network.
+    fn draw_answer_cut(&mut self, answer: ServerAnswer) -> bool {
+        const CUT_ANSWERS_PER_LOSS: f64 = 0.1;
+        let probability = self.network.degradation().loss * CUT_ANSWERS_PER_LOSS;
+        matches!(answer, ServerAnswer::Done { .. }) && self.fault_rng.chance(probability)
     }
 
-    fn started(&mut self, index: usize, key: AttemptKey, takes: Span) {
+    fn started(&mut self, index: usize, key: AttemptKey, duration: Span) {
         let now = self.now();
         let server = &mut self.servers[index];
         server.started_in_window += 1;
         let plan = server.plan;
         let run = server.run;
-        let takes = server.clock.run_span(takes);
+        let duration = server.clock.run_span(duration);
         let started = server
             .process
             .iter()
@@ -272,7 +272,7 @@
                 .started(now, plan.server, &mut checker.violations);
         }
         self.after(
-            takes,
+            duration,
             Event::ToServer {
                 index,
                 run: Some(run),
@@ -287,7 +287,7 @@
             index: node,
             incarnation: key.gateway.incarnation,
         };
-        let (from, to) = (Place::Server(index), Place::Node(node));
+        let (from, to) = (Endpoint::Server(index), Endpoint::Node(node));
         if let Some(delay) = self.network.segment(from, to) {
             self.after(delay, Event::ToNode(run, event));
         }
@@ -320,14 +320,14 @@
                 .ownership
                 .renewed(now, id, claim, &mut checker.violations);
         }
-        let (from, to) = (Place::Server(index), Place::Node(node.index));
+        let (from, to) = (Endpoint::Server(index), Endpoint::Node(node.index));
         if let Some(delay) = self.network.segment(from, to) {
             let event = ToNode::Renewed(call, id, Some(reply));
             self.after(delay, Event::ToNode(node, event));
         }
     }
 
-    /// A renewal's end reached a node.
+    /// A node receives the result of a renewal.
     pub(super) fn renewed(
         &mut self,
         run: NodeRun,
@@ -338,7 +338,7 @@
         if let Some(reply) = &reply {
             let now = self.now();
             self.measurements.renewal_reply(now, run.index, reply);
-            self.note_told_leaving(server, reply);
+            self.record_reported_leaving(server, reply);
         }
         self.input(
             run,
@@ -350,19 +350,19 @@
         );
     }
 
-    fn note_told_leaving(&mut self, server: ServerId, reply: &RenewalReply) {
+    fn record_reported_leaving(&mut self, server: ServerId, reply: &RenewalReply) {
         let now = self.now();
         let Some(index) = self.server_index(server).filter(|_| reply.leaving) else {
             return;
         };
         let process = &mut self.servers[index];
-        if process.leaving_since.is_some() && !process.leaving_told {
-            process.leaving_told = true;
-            self.checker.leaving.told(now, server);
+        if process.leaving_since.is_some() && !process.leaving_reported {
+            process.leaving_reported = true;
+            self.checker.leaving.leave_announced(now, server);
         }
     }
 
-    /// A server asks to be drained, and stops when it may.
+    /// A server asks to be drained and stops when it is.
     pub(super) fn server_leaves(&mut self, index: usize) {
         let now = self.now();
         let server = &mut self.servers[index];
@@ -372,7 +372,7 @@
         state.set_leaving(true);
         server.leaving_since = Some(now);
         let id = server.plan.server;
-        self.checker.ownership.excuse(id);
+        self.checker.ownership.allow_loss(id);
         self.after(LEAVING_CHECK, Event::CheckLeaving(index));
     }
 
@@ -395,7 +395,7 @@
         self.server_dies(index);
     }
 
-    /// Servers of a service that have run without a fault since a time.
+    /// Servers of a service that have been running without a fault since the given time.
     pub(super) fn healthy_servers(&self, service: usize, since: Time) -> Vec<usize> {
         (0..self.servers.len())
             .filter(|index| {
@@ -407,7 +407,7 @@
             .collect()
     }
 
-    /// Nodes whose process runs.
+    /// Nodes with a running process.
     pub(super) fn running_nodes(&self) -> Vec<usize> {
         let running = |node: &NodeProcess| node.process.is_some();
         (0..self.nodes.len())
