--- a/crates/ledgelead-node/src/node/mod.rs
+++ b/crates/ledgelead-node/src/node/mod.rs
@@ -44,7 +44,7 @@
     pub administration_address: SocketAddr,
     /// Address on which connections of other nodes are accepted.
     pub peer_address: SocketAddr,
-    /// Identifies this run of the node.
+    /// Incarnation of this run of the node.
     pub incarnation: Incarnation,
     handle: NodeHandle,
     metrics: Metrics,
--- a/crates/ledgelead-node/src/servers/wire.rs
+++ b/crates/ledgelead-node/src/servers/wire.rs
@@ -30,7 +30,7 @@
 pub struct AttemptSender {
     /// This node.
     pub node: NodeId,
-    /// Identifies this run of the node.
+    /// Incarnation of this run of the node.
     pub incarnation: Incarnation,
 }
 
