--- a/crates/ledgelead-node/src/servers/wire.rs
+++ b/crates/ledgelead-node/src/servers/wire.rs
@@ -30,7 +30,7 @@
 pub struct AttemptSender {
     /// This node.
     pub node: NodeId,
-    /// Identifies this run of the node.
+    /// Incarnation of this run of the node.
     pub incarnation: Incarnation,
 }
 
@@ -92,7 +92,7 @@
     let name = answer.header(headers::REFUSED)?;
     REFUSALS
         .iter()
-        .find(|(known, _)| *known == name)
+        .find(|(refusal_name, _)| *refusal_name == name)
         .map(|(_, refusal)| *refusal)
 }
 
