--- a/crates/ledgelead-lab/src/overload/report.rs
+++ b/crates/ledgelead-lab/src/overload/report.rs
@@ -1,35 +1,35 @@
-//! Figures of the experiment.
+//! Results of the overload experiment.
 
 use ledgelead_types::{Outcome, Span, Time};
 use serde::Serialize;
 
-/// How one request ended.
+/// The completion of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     /// Index of its tier.
     pub tier: usize,
     /// When it was sent.
     pub sent: Time,
-    /// When its caller heard the end.
+    /// When its caller received the outcome or gave up.
     pub ended: Time,
-    /// How; `None` when the caller heard nothing.
+    /// The outcome; `None` if the caller received none.
     pub outcome: Option<Outcome>,
-    /// Whether it repeats another under its idempotency key. It counts only
-    /// as work that was done.
-    pub is_repeat: bool,
+    /// Whether it retries another request with the same idempotency key. Retries count only as
+    /// server load.
+    pub is_retry: bool,
 }
 
-/// Part of a run over which requests count.
+/// The measured part of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// First moment.
+    /// Start.
     pub from: Time,
-    /// Last moment.
+    /// End (exclusive).
     pub until: Time,
 }
 
 impl Window {
-    fn holds(&self, at: Time) -> bool {
+    fn contains(&self, at: Time) -> bool {
         self.from <= at && at < self.until
     }
 
@@ -54,41 +54,41 @@
     pub p99_ms: f64,
 }
 
-/// One service under one load by one kind of dispatch.
+/// Results of a service under one load with one dispatch method.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// Name of the service.
     pub service: String,
-    /// Load offered, as a share of the capacity.
+    /// Offered load, as a share of the capacity.
     pub load: f64,
-    /// Kind of dispatch.
+    /// Dispatch method.
     pub dispatch: &'static str,
-    /// Requests answered in the window over what the servers can serve.
+    /// Requests answered in the window divided by the number that the servers can execute.
     pub goodput: f64,
-    /// Requests sent in the window that were told "not run", as a share.
+    /// Share of the requests sent in the window whose outcome was "not run".
     pub refused: f64,
-    /// Requests sent in the window whose end is unknown, as a share.
+    /// Share of the requests sent in the window with an unknown outcome.
     pub unknown: f64,
     /// Median over all tiers, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile over all tiers, in milliseconds.
     pub p99_ms: f64,
-    /// The tiers, the highest first.
+    /// Results by tier, highest first.
     pub tiers: Vec<TierRow>,
 }
 
-/// A target and what was measured.
+/// A target and the measured value.
 #[derive(Clone, Debug, Serialize)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// What is compared.
+    /// Description of the target.
     pub target: &'static str,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
     /// Its bound.
     pub bound: f64,
-    /// Whether the figure keeps the bound.
+    /// Whether the value meets the bound.
     pub met: bool,
 }
 
@@ -99,17 +99,17 @@
     pub scenario: String,
     /// Seed of the run.
     pub seed: u64,
-    /// Virtual seconds measured at each load.
+    /// Length of the measurement at each load, in virtual seconds.
     pub measured_seconds: f64,
-    /// Broken promises over all loads.
+    /// Number of violations over all loads.
     pub violations: u64,
     /// Results by service, load and dispatch.
     pub rows: Vec<Row>,
-    /// Targets, where the loads that they need were run.
+    /// Targets for which the required loads were run.
     pub targets: Vec<Target>,
 }
 
-/// Name of the row of the system itself.
+/// Dispatch name of the real system.
 pub const PERMITS: &str = "permits";
 
 fn percentiles(spans: &mut [Span]) -> (f64, f64) {
@@ -122,8 +122,7 @@
 }
 
 impl Row {
-    /// Counts the ends of a service's requests. `capacity` is in requests a
-    /// second.
+    /// Summarizes the completed requests of a service. `capacity` is in requests per second.
     pub fn count(
         (service, load, dispatch): (&str, f64, &'static str),
         ended: &[Ended],
@@ -135,11 +134,11 @@
         let answered_in_window = ended
             .iter()
             .filter(is_answer)
-            .filter(|end| window.holds(end.ended))
+            .filter(|end| window.contains(end.ended))
             .count();
         let sent: Vec<&Ended> = ended
             .iter()
-            .filter(|end| window.holds(end.sent) && !end.is_repeat)
+            .filter(|end| window.contains(end.sent) && !end.is_retry)
             .collect();
         let share = |count: usize| count as f64 / sent.len().max(1) as f64;
         let refused = sent
@@ -180,12 +179,12 @@
 }
 
 impl OverloadReport {
-    /// Fills in the targets that the rows allow to judge.
-    pub fn judge(&mut self) {
+    /// Evaluates the targets for which the rows are available.
+    pub fn evaluate_targets(&mut self) {
         let mut services: Vec<String> = self.rows.iter().map(|row| row.service.clone()).collect();
         services.dedup();
         for service in services {
-            self.judge_service(&service);
+            self.evaluate_service_targets(&service);
         }
     }
 
@@ -196,12 +195,12 @@
         self.rows.iter().find(is_wanted)
     }
 
-    fn judge_service(&mut self, service: &str) {
+    fn evaluate_service_targets(&mut self, service: &str) {
         const HIGH: f64 = 0.8;
         const TWICE: f64 = 2.0;
         let high = self.row(service, HIGH, PERMITS);
         let twice = self.row(service, TWICE, PERMITS);
-        let mut judged = Vec::new();
+        let mut evaluated = Vec::new();
         for (ideal, target) in [
             ("ideal", "p99 at 0.8 over the ideal queue's"),
             (
@@ -210,17 +209,17 @@
             ),
         ] {
             if let (Some(high), Some(ideal)) = (high, self.row(service, HIGH, ideal)) {
-                judged.push((target, high.p99_ms / ideal.p99_ms, 1.3, false));
+                evaluated.push((target, high.p99_ms / ideal.p99_ms, 1.3, false));
             }
         }
         if let Some(twice) = twice {
-            judged.push(("goodput at 2", twice.goodput, 0.95, true));
+            evaluated.push(("goodput at 2", twice.goodput, 0.95, true));
         }
         if let (Some(high), Some(twice)) = (high, twice) {
             let ratio = twice.tiers[0].p99_ms / high.tiers[0].p99_ms;
-            judged.push(("top tier's p99 at 2 over that at 0.8", ratio, 1.5, false));
+            evaluated.push(("top tier's p99 at 2 over that at 0.8", ratio, 1.5, false));
         }
-        let targets = judged
+        let targets = evaluated
             .into_iter()
             .map(|(target, value, bound, least)| Target {
                 service: service.to_owned(),
@@ -236,7 +235,7 @@
         self.targets.extend(targets);
     }
 
-    /// The tables in Markdown.
+    /// Prints the results as Markdown tables.
     pub fn print(&self) {
         println!(
             "| service | load | dispatch | goodput | refused | unknown | p50 ms | p99 ms | p99 ms by tier |"
@@ -273,6 +272,6 @@
                 if target.met { "yes" } else { "no" },
             );
         }
-        println!("\nbroken promises: {}", self.violations);
+        println!("\nviolations: {}", self.violations);
     }
 }
--- a/crates/ledgelead-lab/src/standin/server.rs
+++ b/crates/ledgelead-lab/src/standin/server.rs
@@ -1,11 +1,11 @@
-//! A back end that obeys the server interface
-//! ([`ledgelead_types::server`]): leases with fencing, admission, execution in
-//! slots, draining, cancellation, deadlines, cold starts and load reports.
+//! A simulated back end that implements the server interface ([`ledgelead_types::server`]):
+//! leases with fencing, admission, execution in slots, draining, cancellation, deadlines, cold
+//! starts and load reports.
 //!
-//! Invariant: a request for a key starts only while the server's lease is
-//! unexpired on its own clock and the request carries the token under which
-//! the server holds the slice. Both are checked when the execution starts, so
-//! a server that was frozen starts nothing it no longer owns.
+//! Invariant: a request for a key starts only while the server's lease is unexpired on its own
+//! clock and the request carries the token under which the server holds the slice. Both are
+//! checked when the execution starts, so that a server that was frozen starts nothing that it
+//! no longer owns.
 
 use super::Moment;
 use super::execution::*;
@@ -15,36 +15,36 @@
 use ledgelead_types::{FencingToken, List, ServerId, Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a server is set up with.
+/// Settings of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSettings {
     /// Its identifier.
     pub server: ServerId,
-    /// Requests that it executes at once.
+    /// Requests that it executes concurrently.
     pub slots: u16,
-    /// Requests that may wait for a slot.
+    /// Maximum number of queued requests.
     pub queue: usize,
-    /// Whether its service is divided by key.
+    /// Whether its service is keyed.
     pub keyed: bool,
-    /// How long it stays cold after its start.
+    /// How long it is cold after its start.
     pub cold_for: Span,
-    /// Factor on service times while it is cold.
+    /// Factor by which service times are longer while it is cold.
     pub cold_factor: f64,
-    /// Protections; all on, except for a proof of the checker.
+    /// Enabled protections. Some are disabled only to test the checker.
     pub protections: Protections,
 }
 
-/// How a server misreports its load.
+/// Replaces the load that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LoadLie {
-    /// It tells the truth.
+pub enum LoadOverride {
+    /// Reports the actual load.
     #[default]
     None,
-    /// It reports this, whatever happens.
+    /// Always reports this load.
     Fixed(LoadReport),
 }
 
-/// One run of a back end's process.
+/// The state of one incarnation of a back end's process.
 #[derive(Clone, Debug)]
 pub struct ServerState {
     settings: ServerSettings,
@@ -57,22 +57,22 @@
     releasing: Vec<GrantedSlice>,
     draining: bool,
     leaving: bool,
-    lie: LoadLie,
+    load_override: LoadOverride,
     executing: BTreeMap<AttemptKey, Execution>,
-    waiting: VecDeque<Waiting>,
+    queued: VecDeque<QueuedRequest>,
     finished: Vec<Execution>,
     actions: Vec<ServerAction>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct QueuedRequest {
     request: ServerRequest,
     deadline: Time,
 }
 
 impl ServerState {
-    /// A process that has just started and holds nothing. `run` differs from
-    /// that of every earlier process of this server.
+    /// Creates a newly started process without slices. `run` must differ from that of all
+    /// earlier processes of this server.
     pub fn new(settings: ServerSettings, run: u64, now: Moment) -> ServerState {
         ServerState {
             settings,
@@ -85,31 +85,31 @@
             releasing: Vec::new(),
             draining: false,
             leaving: false,
-            lie: LoadLie::None,
+            load_override: LoadOverride::None,
             executing: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             finished: Vec::new(),
             actions: Vec::new(),
         }
     }
 
-    /// What it was set up with.
+    /// Its settings.
     pub fn settings(&self) -> &ServerSettings {
         &self.settings
     }
 
-    /// Takes or refuses a renewal of its lease.
+    /// Accepts or rejects a renewal of its lease.
     pub fn renew(&mut self, now: Moment, renewal: &LeaseRenewal) -> RenewalReply {
-        let verdict = self.judge(now, renewal);
+        let verdict = self.apply_renewal(now, renewal);
         self.drop_finished_releases();
-        let tell_held = verdict != RenewalVerdict::Taken;
+        let include_held = verdict != RenewalVerdict::Taken;
         RenewalReply {
             stamp: now.local,
             run: self.run,
             verdict,
             holding: self.holding,
             releasing: List(self.releasing.clone()),
-            held: List(if tell_held {
+            held: List(if include_held {
                 self.held.clone()
             } else {
                 Vec::new()
@@ -119,7 +119,7 @@
         }
     }
 
-    fn judge(&mut self, now: Moment, renewal: &LeaseRenewal) -> RenewalVerdict {
+    fn apply_renewal(&mut self, now: Moment, renewal: &LeaseRenewal) -> RenewalVerdict {
         if renewal.authority < self.highest && self.checks_tokens() {
             return RenewalVerdict::Fenced {
                 highest: self.highest,
@@ -133,7 +133,7 @@
             return RenewalVerdict::StampOnly;
         };
         match &renewal.slices {
-            Some(slices) => self.hold(&slices.0, renewal.unchanged_since),
+            Some(slices) => self.set_held(&slices.0, renewal.unchanged_since),
             None if renewal.unchanged_since != self.holding => return RenewalVerdict::SetUnknown,
             None => {}
         }
@@ -142,21 +142,21 @@
         RenewalVerdict::Taken
     }
 
-    /// A stamp of an earlier process would let a grant outlive the restart
-    /// that has forgotten it.
+    /// Accepting a stamp of a previous process would keep a grant valid across a restart,
+    /// although the restart lost it.
     fn is_own(&self, stamp: Time, now: Moment) -> bool {
         self.started <= stamp && stamp <= now.local
     }
 
-    fn hold(&mut self, slices: &[GrantedSlice], unchanged_since: FencingToken) {
-        let given_up = self.held.iter().filter(|old| !slices.contains(old));
-        self.releasing.extend(given_up.copied());
+    fn set_held(&mut self, slices: &[GrantedSlice], unchanged_since: FencingToken) {
+        let released = self.held.iter().filter(|old| !slices.contains(old));
+        self.releasing.extend(released.copied());
         self.held = slices.to_vec();
         self.releasing.retain(|slice| !slices.contains(slice));
         self.holding = unchanged_since;
     }
 
-    /// A slice is released when nothing executes under its token any more.
+    /// A slice is released when no execution under its token is left.
     fn drop_finished_releases(&mut self) {
         let executing = &self.executing;
         self.releasing.retain(|slice| {
@@ -167,7 +167,7 @@
         });
     }
 
-    /// Admits a request: starts it, lets it wait, or refuses it.
+    /// Starts, queues or refuses a request.
     pub fn request(&mut self, now: Moment, request: ServerRequest) {
         self.refuse_expired(now);
         if let Some(refusal) = self.refusal(now, request.ownership) {
@@ -179,61 +179,59 @@
         if self.has_free_slot() {
             return self.start(now, request);
         }
-        if self.waiting.len() >= self.settings.queue {
+        if self.queued.len() >= self.settings.queue {
             return self.refuse(request.key, ServerRefusal::Busy);
         }
         let deadline = now.local + request.deadline;
-        self.waiting.push_back(Waiting { request, deadline });
+        self.queued.push_back(QueuedRequest { request, deadline });
     }
 
-    /// Ends an execution whose time has passed; unknown attempts are ignored.
+    /// Completes an execution; unknown attempts are ignored.
     pub fn finish(&mut self, now: Moment, key: AttemptKey) {
         let Some(body) = self.end_execution(now, key) else {
             return;
         };
         self.end(key, ServerAnswer::Done { body });
-        self.start_waiting(now);
+        self.start_queued(now);
     }
 
-    /// Cancels an attempt: one that waits is not run, one that executes is
-    /// cut short.
+    /// Cancels an attempt: a queued one is not run, a running one is aborted.
     pub fn cancel(&mut self, now: Moment, key: AttemptKey) {
-        let waiting_before = self.waiting.len();
-        self.waiting.retain(|waiting| waiting.request.key != key);
-        if self.waiting.len() < waiting_before {
+        let queued_before = self.queued.len();
+        self.queued.retain(|queued| queued.request.key != key);
+        if self.queued.len() < queued_before {
             self.refuse(key, ServerRefusal::Cancelled);
         }
         if self.end_execution(now, key).is_some() {
             self.end(key, ServerAnswer::Aborted);
-            self.start_waiting(now);
+            self.start_queued(now);
         }
     }
 
-    /// Announces in its renewal replies that it wants to leave, or takes it
-    /// back.
+    /// Sets whether its renewal replies announce that it wants to leave.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Lets it misreport its load from now on.
-    pub fn set_lie(&mut self, lie: LoadLie) {
-        self.lie = lie;
+    /// Sets the load that it reports from now on.
+    pub fn set_load_override(&mut self, load_override: LoadOverride) {
+        self.load_override = load_override;
     }
 
-    /// Load as it reports it, which may be a lie.
+    /// The load that it reports, which may be overridden.
     pub fn load(&self, now: Moment) -> LoadReport {
-        if let LoadLie::Fixed(report) = self.lie {
+        if let LoadOverride::Fixed(report) = self.load_override {
             return report;
         }
         LoadReport {
             executing: self.executing.len() as u16,
-            waiting: self.waiting.len() as u16,
+            waiting: self.queued.len() as u16,
             utilization: self.executing.len() as f64 / f64::from(self.settings.slots.max(1)),
             cold: self.is_cold(now),
         }
     }
 
-    /// Slices for which it would start a request now.
+    /// Slices for which it would currently start a request.
     pub fn claimable(&self, now: Moment) -> &[GrantedSlice] {
         if now.local < self.lease_until {
             &self.held
@@ -242,37 +240,37 @@
         }
     }
 
-    /// Slices that it holds, whether or not its lease runs.
+    /// Slices that it holds, even if its lease has expired.
     pub fn held(&self) -> &[GrantedSlice] {
         &self.held
     }
 
-    /// Until when, on its own clock, its lease runs.
+    /// End of its lease on its own clock.
     pub fn lease_until(&self) -> Time {
         self.lease_until
     }
 
-    /// Whether it was told to take no new work.
+    /// Whether it was told to accept no new requests.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether nothing executes or waits.
+    /// Whether no request is running or queued.
     pub fn is_idle(&self) -> bool {
-        self.executing.is_empty() && self.waiting.is_empty()
+        self.executing.is_empty() && self.queued.is_empty()
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the actions since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<ServerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Executions that ended since the last call.
+    /// Takes the executions that ended since the last call.
     pub fn take_executions(&mut self) -> Vec<Execution> {
         std::mem::take(&mut self.finished)
     }
 
-    /// Executions that have started and not ended, as when the process dies.
+    /// Executions that have not ended, for example because the process died.
     pub fn unfinished(&self) -> impl Iterator<Item = &Execution> {
         self.executing.values()
     }
@@ -331,14 +329,14 @@
         self.executing.insert(request.key, execution);
         self.actions.push(ServerAction::Started {
             key: request.key,
-            takes: request.service_time.times(factor),
+            duration: request.service_time.times(factor),
         });
     }
 
-    fn start_waiting(&mut self, now: Moment) {
+    fn start_queued(&mut self, now: Moment) {
         self.refuse_expired(now);
         while self.has_free_slot() {
-            let Some(next) = self.waiting.pop_front() else {
+            let Some(next) = self.queued.pop_front() else {
                 return;
             };
             match self.refusal(now, next.request.ownership) {
@@ -349,12 +347,12 @@
     }
 
     fn refuse_expired(&mut self, now: Moment) {
-        let (expired, waiting) = std::mem::take(&mut self.waiting)
+        let (expired, queued) = std::mem::take(&mut self.queued)
             .into_iter()
-            .partition::<VecDeque<_>, _>(|waiting| waiting.deadline <= now.local);
-        self.waiting = waiting;
-        for waiting in expired {
-            self.refuse(waiting.request.key, ServerRefusal::DeadlinePassed);
+            .partition::<VecDeque<_>, _>(|queued| queued.deadline <= now.local);
+        self.queued = queued;
+        for queued in expired {
+            self.refuse(queued.request.key, ServerRefusal::DeadlinePassed);
         }
     }
 
--- a/crates/ledgelead-node/src/callers/server.rs
+++ b/crates/ledgelead-node/src/callers/server.rs
@@ -1,8 +1,8 @@
-//! Reads callers' requests, by `tiny_http`, on a bounded pool of threads.
+//! Reads callers' requests with `tiny_http` on a fixed number of threads.
 
-use super::classify::{BadRequest, Classified, classify};
 use super::headers::HeaderLine;
 use super::open_requests::OpenRequests;
+use super::request_head::{BadRequest, ParsedRequest, parse_head};
 use super::respond;
 use crate::InputSink;
 use crate::metrics::Metrics;
@@ -15,7 +15,7 @@
 use std::thread;
 use tiny_http::{Request, Server};
 
-/// HTTP status of a body above the limit.
+/// HTTP status for a body above the limit.
 const PAYLOAD_TOO_LARGE: u16 = 413;
 
 /// The threads that read requests.
@@ -35,10 +35,10 @@
 }
 
 impl CallerServer {
-    /// Starts the threads on a server that listens.
+    /// Starts the threads on a listening server.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         thread_name: &str,
         server: Server,
@@ -61,17 +61,17 @@
             let shared = shared.clone();
             thread::Builder::new()
                 .name(thread_name.to_owned())
-                .spawn(move || shared.work())?;
+                .spawn(move || shared.run_worker())?;
         }
         Ok(CallerServer { shared, threads })
     }
 
-    /// Set when the HTTP server has failed for good.
+    /// Set when the HTTP server has failed permanently.
     pub fn failed(&self) -> Arc<AtomicBool> {
         self.shared.failed.clone()
     }
 
-    /// Ends the threads. Requests that were read are still answered.
+    /// Stops the threads. Requests already read are still answered.
     pub fn close(&self) {
         self.shared.closed.store(true, Ordering::Release);
         for _ in 0..self.threads {
@@ -87,26 +87,27 @@
 }
 
 impl Shared {
-    fn work(&self) {
+    fn run_worker(&self) {
         while !self.closed.load(Ordering::Acquire) {
             match self.server.recv() {
-                Ok(request) => self.take(request),
-                Err(error) => self.not_received(&error),
+                Ok(request) => self.handle_request(request),
+                Err(error) => self.handle_receive_error(&error),
             }
         }
     }
 
-    /// No request came: the server was closed, or has failed for good.
-    fn not_received(&self, error: &std::io::Error) {
+    /// Handles a receive without a request: the server was closed or has failed
+    /// permanently.
+    fn handle_receive_error(&self, error: &std::io::Error) {
         if self.closed.load(Ordering::Acquire) {
             return;
         }
-        log::error!(target: "callers", "the HTTP server accepts no more: {error}");
+        log::error!(target: "callers", "the HTTP server failed and accepts no more requests: {error}");
         self.failed.store(true, Ordering::Release);
     }
 
-    /// Reads one request whole and hands it to the decisions.
-    fn take(&self, mut connection: Request) {
+    /// Reads one complete request and passes it to the core.
+    fn handle_request(&self, mut connection: Request) {
         if self.open_requests.is_full() {
             self.refuse(
                 connection,
@@ -134,11 +135,11 @@
         }
     }
 
-    fn read(&self, connection: &mut Request) -> Result<Classified, BadRequest> {
+    fn read(&self, connection: &mut Request) -> Result<ParsedRequest, BadRequest> {
         let lines = header_lines(connection);
         let method = connection.method().as_str().to_owned();
         let target = connection.url().to_owned();
-        let mut classified = classify(&method, &target, &lines, self.limits.max_deadline)?;
+        let mut classified = parse_head(&method, &target, &lines, self.limits.max_deadline)?;
         classified.request.body = read_body(connection, self.limits.max_body_bytes)?;
         Ok(classified)
     }
@@ -172,7 +173,7 @@
         .collect()
 }
 
-/// Reads the body, and stops one byte above the limit.
+/// Reads the body, at most one byte more than the limit.
 fn read_body(connection: &mut Request, limit: usize) -> Result<Vec<u8>, BadRequest> {
     let declared = connection.body_length();
     if declared.is_some_and(|length| length > limit) {
@@ -183,12 +184,12 @@
         .as_reader()
         .take(limit as u64 + 1)
         .read_to_end(&mut body)
-        .map_err(|_| BadRequest::BodyCut)?;
+        .map_err(|_| BadRequest::BodyTruncated)?;
     if body.len() > limit {
         return Err(BadRequest::BodyTooLong { limit });
     }
     if declared.is_some_and(|length| length != body.len()) {
-        return Err(BadRequest::BodyCut);
+        return Err(BadRequest::BodyTruncated);
     }
     Ok(body)
 }
--- a/crates/ledgelead-node/src/servers/forward.rs
+++ b/crates/ledgelead-node/src/servers/forward.rs
@@ -1,12 +1,12 @@
-//! Sends callers' requests to servers on a bounded pool of threads.
+//! Forwards callers' requests to servers on a bounded pool of threads.
 
-use super::evidence::ExchangeControl;
-use super::exchange::{self, AgentLimits, ExchangeError, WholeAnswer};
+use super::exchange::{self, AgentLimits, BufferedResponse, ExchangeError};
 use super::wire::{self, AttemptSender};
+use super::write_tracking::ExchangeControl;
 use crate::InputSink;
-use crate::callers::classify::CallerRequest;
 use crate::callers::headers;
 use crate::callers::open_requests::OpenRequests;
+use crate::callers::request_head::CallerRequest;
 use crate::settings::Limits;
 use crate::work_pool::{Rejected, WorkPool};
 use ledgelead_core::Input;
@@ -18,10 +18,10 @@
 use std::time::Instant;
 use ureq::Agent;
 
-/// Connections to a server while its configuration is not known yet.
+/// Connection limit for a server whose configured limit was not received yet.
 const DEFAULT_CONNECTIONS: usize = 16;
 
-/// The forwarding pool.
+/// The thread pool that forwards requests.
 pub struct Forwarder {
     pool: WorkPool<Job>,
     shared: Arc<Shared>,
@@ -40,7 +40,7 @@
 struct ServerConnections {
     address: Text,
     agent: Agent,
-    most: usize,
+    max_connections: usize,
     in_use: usize,
 }
 
@@ -51,12 +51,12 @@
     until: Instant,
 }
 
-/// How many connections this node may hold to a server.
+/// Limit of this node's connections to one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConnectionShare {
+pub struct ConnectionLimit {
     /// The server.
     pub server: ServerId,
-    /// Connections, at least 1.
+    /// Largest number of connections, at least 1.
     pub connections: usize,
 }
 
@@ -64,7 +64,7 @@
     /// Starts the pool.
     ///
     /// # Errors
-    /// When the system gives no more threads.
+    /// When the system can't create more threads.
     pub fn start(
         thread_name: &str,
         sender: AttemptSender,
@@ -87,7 +87,7 @@
         Ok(Forwarder { pool, shared })
     }
 
-    /// Starts an attempt; its end comes as [`Input::AttemptEnded`].
+    /// Starts an attempt; its end is reported as [`Input::AttemptEnded`].
     pub fn forward(&self, forward: Forward) {
         let attempt = forward.attempt;
         let Some(request) = self.shared.open_requests.request(attempt.request) else {
@@ -109,33 +109,34 @@
         }
     }
 
-    /// The control of an attempt that has not ended.
+    /// The control of an attempt, or `None` if it has ended.
     pub fn control(&self, attempt: AttemptId) -> Option<Arc<ExchangeControl>> {
         self.shared.controls().get(&attempt).cloned()
     }
 
-    /// Sets how many connections this node may hold to each server.
-    pub fn set_shares(&self, shares: &[ConnectionShare]) {
+    /// Sets the limits of this node's connections to each server. Servers without a
+    /// limit are dropped once they have no connection in use.
+    pub fn set_connection_limits(&self, server_limits: &[ConnectionLimit]) {
         let mut servers = self.shared.servers();
-        for share in shares {
-            if let Some(server) = servers.get_mut(&share.server)
-                && server.most != share.connections
+        for limit in server_limits {
+            if let Some(server) = servers.get_mut(&limit.server)
+                && server.max_connections != limit.connections
             {
-                server.most = share.connections;
-                server.agent = self.shared.agent(share.connections);
+                server.max_connections = limit.connections;
+                server.agent = self.shared.agent(limit.connections);
             }
         }
         servers.retain(|server, connections| {
-            connections.in_use > 0 || shares.iter().any(|share| share.server == *server)
+            connections.in_use > 0 || server_limits.iter().any(|limit| limit.server == *server)
         });
-        for share in shares {
+        for limit in server_limits {
             servers
-                .entry(share.server)
-                .or_insert_with(|| self.shared.new_connections(share.connections));
+                .entry(limit.server)
+                .or_insert_with(|| self.shared.new_connections(limit.connections));
         }
     }
 
-    /// Ends the threads; attempts that run are cut.
+    /// Stops the threads; running attempts are cancelled and their sockets closed.
     pub fn close(&self) {
         self.pool.close();
         for control in self.shared.controls().values() {
@@ -148,18 +149,18 @@
 impl Shared {
     fn run(&self, job: Job) {
         let attempt = job.forward.attempt;
-        let Some(agent) = self.take_connection(&job.forward) else {
+        let Some(agent) = self.acquire_connection(&job.forward) else {
             self.end(attempt, AttemptResult::NotSent, None);
             return;
         };
         let ended = self.exchange(&agent, &job);
-        self.give_connection_back(job.forward.server);
+        self.release_connection(job.forward.server);
         match ended {
             Ok(answer) => {
-                let result = wire::result_of(&answer);
+                let result = wire::attempt_result(&answer);
                 let load = answer.header(headers::LOAD).and_then(wire::parse_load);
                 if matches!(result, AttemptResult::Answered { .. }) {
-                    self.open_requests.keep_answer(attempt, answer);
+                    self.open_requests.store_response(attempt, answer);
                 }
                 self.end(attempt, result, load);
             }
@@ -167,41 +168,42 @@
         }
     }
 
-    fn exchange(&self, agent: &Agent, job: &Job) -> Result<WholeAnswer, ExchangeError> {
-        let left = job.until.saturating_duration_since(Instant::now());
-        let time_left = Span::from_micros(left.as_micros() as u64);
+    fn exchange(&self, agent: &Agent, job: &Job) -> Result<BufferedResponse, ExchangeError> {
+        let remaining = job.until.saturating_duration_since(Instant::now());
+        let time_left = Span::from_micros(remaining.as_micros() as u64);
         let request = wire::server_request(&job.forward, &job.request, time_left, &self.sender);
         let request = request.map_err(|error| {
-            log::warn!(target: "forward", "request can't be sent as HTTP: {error}");
+            log::warn!(target: "forward", "request can't be represented as HTTP/1.1: {error}");
             ExchangeError::NotSent
         })?;
         exchange::exchange(
             agent,
             request,
-            left,
+            remaining,
             self.limits.max_answer_bytes,
             &job.control,
         )
     }
 
-    /// Takes one of this node's connections to the server, when one is free.
-    fn take_connection(&self, forward: &Forward) -> Option<Agent> {
+    /// Reserves one of this node's connections to the server; `None` when all are in
+    /// use.
+    fn acquire_connection(&self, forward: &Forward) -> Option<Agent> {
         let mut servers = self.servers();
         let server = servers
             .entry(forward.server)
             .or_insert_with(|| self.new_connections(DEFAULT_CONNECTIONS));
         if server.address != forward.address {
             server.address = forward.address.clone();
-            server.agent = self.agent(server.most);
+            server.agent = self.agent(server.max_connections);
         }
-        if server.in_use >= server.most {
+        if server.in_use >= server.max_connections {
             return None;
         }
         server.in_use += 1;
         Some(server.agent.clone())
     }
 
-    fn give_connection_back(&self, server: ServerId) {
+    fn release_connection(&self, server: ServerId) {
         if let Some(server) = self.servers().get_mut(&server) {
             server.in_use -= 1;
         }
@@ -216,11 +218,11 @@
         });
     }
 
-    fn new_connections(&self, most: usize) -> ServerConnections {
+    fn new_connections(&self, max_connections: usize) -> ServerConnections {
         ServerConnections {
             address: Text::default(),
-            agent: self.agent(most),
-            most,
+            agent: self.agent(max_connections),
+            max_connections,
             in_use: 0,
         }
     }
