--- a/crates/ledgelead-lab/src/demo/http.rs
+++ b/crates/ledgelead-lab/src/demo/http.rs
@@ -27,7 +27,7 @@
 pub struct HttpListener {
     server: Server,
     address: SocketAddr,
-    _held: Vec<TcpStream>,
+    _pool_connections: Vec<TcpStream>,
 }
 
 impl HttpListener {
@@ -45,7 +45,7 @@
         Ok(HttpListener {
             server,
             address,
-            _held: held,
+            _pool_connections: held,
         })
     }
 
--- a/crates/ledgelead-lab/src/demo/platform_endpoint.rs
+++ b/crates/ledgelead-lab/src/demo/platform_endpoint.rs
@@ -108,19 +108,19 @@
 
 impl ServerThread {
     fn run(mut self, listening: &HttpListener, stop: &AtomicBool) {
-        let mut next_nudge = self.clock.now();
+        let mut next_wake = self.clock.now();
         while !stop.load(Ordering::SeqCst) {
             let now = self.clock.now();
-            if now >= next_nudge {
+            if now >= next_wake {
                 listening.wake_queued();
-                next_nudge = now + http::WAKE_INTERVAL;
+                next_wake = now + http::WAKE_INTERVAL;
             }
             match listening.server().recv_timeout(IDLE_WAIT) {
                 Ok(Some(request)) => self.serve(request),
                 Ok(None) => {}
                 Err(error) => log::warn!("the platform's socket failed: {error}"),
             }
-            self.answer_woken();
+            self.answer_ready_watches();
             self.end_old_watches();
         }
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    fn answer_woken(&mut self) {
+    fn answer_ready_watches(&mut self) {
         let ready = self
             .state
             .lock()
--- a/crates/ledgelead-lab/src/demo/process_usage.rs
+++ b/crates/ledgelead-lab/src/demo/process_usage.rs
@@ -37,8 +37,8 @@
         resident_bytes: resident_bytes(&fs::read_to_string("/proc/self/status")?),
         ..ProcessUsage::default()
     };
-    if let Some(whole) = parse_stat(&fs::read_to_string("/proc/self/stat")?) {
-        usage.cpu_seconds = whole.cpu_seconds;
+    if let Some(process) = parse_stat(&fs::read_to_string("/proc/self/stat")?) {
+        usage.cpu_seconds = process.cpu_seconds;
     }
     for task in fs::read_dir("/proc/self/task")? {
         // A thread may end after it was listed.
--- a/crates/ledgelead-lab/src/demo/server_thread.rs
+++ b/crates/ledgelead-lab/src/demo/server_thread.rs
@@ -72,12 +72,12 @@
 
     /// Serves requests until the endpoint is stopped.
     pub(super) fn run(mut self, listening: &HttpListener) {
-        let mut next_nudge = self.shared.clock.now();
+        let mut next_wake = self.shared.clock.now();
         while !self.shared.stop.load(Ordering::SeqCst) {
             let now = self.shared.clock.now();
-            if now >= next_nudge {
+            if now >= next_wake {
                 listening.wake_queued();
-                next_nudge = now + http::WAKE_INTERVAL;
+                next_wake = now + http::WAKE_INTERVAL;
             }
             match listening.server().recv_timeout(self.time_to_next_end()) {
                 Ok(Some(request)) => self.serve(request),
--- a/crates/ledgelead-lab/src/fleet/checker.rs
+++ b/crates/ledgelead-lab/src/fleet/checker.rs
@@ -255,9 +255,9 @@
     }
 
     /// A client received a response.
-    pub fn answered(&mut self, asked: u64, carried: Option<u64>, now: Duration) {
-        if carried != Some(asked) {
-            let what = format!("request {asked} got the answer to {carried:?}");
+    pub fn answered(&mut self, asked: u64, answered_attempt: Option<u64>, now: Duration) {
+        if answered_attempt != Some(asked) {
+            let what = format!("request {asked} got the answer to {answered_attempt:?}");
             self.record_violation(ViolationKind::AnswerMatchesRequest, now, what);
         }
     }
--- a/crates/ledgelead-lab/src/fleet/clients.rs
+++ b/crates/ledgelead-lab/src/fleet/clients.rs
@@ -138,8 +138,9 @@
         match response.status {
             200 => {
                 self.report.answered += 1;
-                let carried = response.headers.number("attempt");
-                self.checker.answered(request.attempt, carried, self.now);
+                let answered_attempt = response.headers.number("attempt");
+                self.checker
+                    .answered(request.attempt, answered_attempt, self.now);
             }
             503 => {
                 if response.body == QUARANTINED_BODY {
--- a/crates/ledgelead-lab/src/fleet/event.rs
+++ b/crates/ledgelead-lab/src/fleet/event.rs
@@ -25,7 +25,7 @@
     /// A call reaches the store.
     StoreCall(Caller, ExchangeId, Box<StoreCall>),
     /// The wait time of a watch is over.
-    WatchOver(Caller, ExchangeId),
+    WatchTimeout(Caller, ExchangeId),
     /// The store carries out a write whose response was lost.
     LateWrite(Box<StoreCall>),
     /// A request reaches an instance.
--- a/crates/ledgelead-lab/src/fleet/foreign.rs
+++ b/crates/ledgelead-lab/src/fleet/foreign.rs
@@ -45,9 +45,9 @@
             self.store.write_unreadable(kind, "foreign");
         }
         let instance = &mut self.instances[index];
-        let is_well = instance.alive && !instance.unresponsive && instance.heartbeats;
-        let is_away = self.store_faults.silent + self.store_faults.refusing > 0;
-        if is_well && !instance.record.draining && !is_away {
+        let is_healthy = instance.alive && !instance.unresponsive && instance.heartbeats;
+        let is_unavailable = self.store_faults.silent + self.store_faults.refusing > 0;
+        if is_healthy && !instance.record.draining && !is_unavailable {
             instance.heartbeats = false;
             let name = instance.id().to_string();
             self.store.write_unreadable(ObjectKind::Instances, &name);
--- a/crates/ledgelead-lab/src/fleet/orders.rs
+++ b/crates/ledgelead-lab/src/fleet/orders.rs
@@ -601,8 +601,8 @@
     /// Removes the entry of an instance permanently while the instance keeps serving.
     fn leave_unannounced(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        let well = instance.alive && !instance.unresponsive && instance.heartbeats;
-        if !well
+        let healthy = instance.alive && !instance.unresponsive && instance.heartbeats;
+        if !healthy
             || instance.record.draining
             || self.store_faults.silent + self.store_faults.refusing > 0
         {
--- a/crates/ledgelead-lab/src/fleet/store_traffic.rs
+++ b/crates/ledgelead-lab/src/fleet/store_traffic.rs
@@ -43,7 +43,7 @@
                     kind,
                     revision,
                 });
-                self.schedule(wait, Event::WatchOver(caller, exchange));
+                self.schedule(wait, Event::WatchTimeout(caller, exchange));
             }
         }
         self.answer_watches();
@@ -68,7 +68,7 @@
     }
 
     /// Answers a pending watch whose wait time is over.
-    pub(super) fn watch_over(&mut self, caller: Caller, exchange: ExchangeId) {
+    pub(super) fn watch_times_out(&mut self, caller: Caller, exchange: ExchangeId) {
         let position = self
             .store
             .pending_watches
--- a/crates/ledgelead-lab/src/fleet/transport.rs
+++ b/crates/ledgelead-lab/src/fleet/transport.rs
@@ -70,11 +70,11 @@
     pub(super) fn retransmit_order(&mut self, held: BlockedOrder) {
         let transport = self.settings.transport;
         let (index, incarnation) = held.caller;
-        let lives =
+        let is_running =
             self.nodes[index].incarnation == incarnation && self.nodes[index].node.is_some();
         let is_open = self.pending.contains_key(&(held.caller, held.exchange));
         // Only a running process can reset its connections.
-        let was_reset = transport.resets && lives && !is_open;
+        let was_reset = transport.resets && is_running && !is_open;
         let is_over = |limit: Duration| held.sent + limit <= self.now;
         if was_reset || transport.user_timeout.is_some_and(is_over) {
             return;
--- a/crates/ledgelead-lab/src/fleet/versions.rs
+++ b/crates/ledgelead-lab/src/fleet/versions.rs
@@ -144,11 +144,11 @@
             store_faults.recovered_at,
             store_faults.answers_lost_until,
         ];
-        let is_calm = disturbed_until
+        let is_undisturbed = disturbed_until
             .into_iter()
             .all(|until| until + CONTACT_TIME <= self.now);
         runs && !is_cut
-            && is_calm
+            && is_undisturbed
             && store_faults.silent + store_faults.refusing + store_faults.losing_answers == 0
     }
 }
--- a/crates/ledgelead-lab/src/fleet/world.rs
+++ b/crates/ledgelead-lab/src/fleet/world.rs
@@ -355,7 +355,7 @@
                 }
             }
             Event::StoreCall(caller, exchange, call) => self.store_call(caller, exchange, &call),
-            Event::WatchOver(caller, exchange) => self.watch_over(caller, exchange),
+            Event::WatchTimeout(caller, exchange) => self.watch_times_out(caller, exchange),
             Event::LateWrite(call) => {
                 self.store.call(&call);
                 self.answer_watches();
--- a/crates/ledgelead-lab/src/overload/experiment.rs
+++ b/crates/ledgelead-lab/src/overload/experiment.rs
@@ -186,8 +186,8 @@
         }
     }
     let job = |request: &TracedRequest| {
-        let here = request.server.map(|server| server - first);
-        if let (Some(key), Some(server)) = (&request.key, here) {
+        let server_index = request.server.map(|server| server - first);
+        if let (Some(key), Some(server)) = (&request.key, server_index) {
             owners.insert(key.clone(), server);
         }
         let known = request
--- a/crates/ledgelead-lab/src/simulation/nodes.rs
+++ b/crates/ledgelead-lab/src/simulation/nodes.rs
@@ -200,7 +200,7 @@
     }
 
     pub(super) fn stop_times_out(&mut self, run: NodeRun) {
-        if self.is_present(run) {
+        if self.is_current(run) {
             self.report_interrupted_requests(run);
             self.node_dies(run.index);
         }
@@ -279,14 +279,14 @@
         let seen = Rc::new(RefCell::new(None));
         let process = self.nodes[index].process.as_ref()?;
         let answer = seen.clone();
-        let look = move |view: NodeView| *answer.borrow_mut() = Some(view);
-        call!([process.actor], inspect(look));
+        let capture = move |view: NodeView| *answer.borrow_mut() = Some(view);
+        call!([process.actor], inspect(capture));
         self.run_actors();
         seen.take()
     }
 
     pub(super) fn reach_node(&mut self, run: NodeRun, event: ToNode) {
-        if !self.is_present(run) {
+        if !self.is_current(run) {
             return;
         }
         let Some(process) = &mut self.nodes[run.index].process else {
@@ -323,7 +323,7 @@
 
     /// Carries out an output of a node.
     pub(super) fn perform(&mut self, run: NodeRun, output: Output) {
-        if !self.is_present(run) {
+        if !self.is_current(run) {
             return;
         }
         match output {
--- a/crates/ledgelead-lab/src/simulation/world.rs
+++ b/crates/ledgelead-lab/src/simulation/world.rs
@@ -309,7 +309,7 @@
     }
 
     /// Whether a node incarnation is the current one.
-    pub(super) fn is_present(&self, run: NodeRun) -> bool {
+    pub(super) fn is_current(&self, run: NodeRun) -> bool {
         self.nodes[run.index].run() == Some(run)
     }
 }
--- a/crates/ledgelead-lab/tests/fleet.rs
+++ b/crates/ledgelead-lab/tests/fleet.rs
@@ -54,7 +54,7 @@
     report.store_calls
 }
 
-fn calm(nodes: usize, datagram_loss: f64) -> FleetSettings {
+fn fault_free(nodes: usize, datagram_loss: f64) -> FleetSettings {
     FleetSettings {
         nodes,
         datagram_loss,
@@ -63,8 +63,8 @@
     }
 }
 
-fn calm_calls(nodes: usize, datagram_loss: f64) -> u64 {
-    calls(calm(nodes, datagram_loss))
+fn fault_free_calls(nodes: usize, datagram_loss: f64) -> u64 {
+    calls(fault_free(nodes, datagram_loss))
 }
 
 #[gtest]
@@ -83,7 +83,7 @@
     let busy = |nodes| FleetSettings {
         hot_from: Some(seconds(12.0)),
         schedule: schedule.clone(),
-        ..calm(nodes, 0.0)
+        ..fault_free(nodes, 0.0)
     };
     let added = calls(busy(12)) - calls(busy(6));
     expect_that!(added, le(6 * 7));
@@ -93,17 +93,20 @@
 fn nodes_following_a_coordinator_make_few_store_calls() {
     // A node only needs its startup calls: four lists, most of them cheap because they may be
     // stale, and its registration.
-    let added = calm_calls(12, 0.0) - calm_calls(6, 0.0);
+    let added = fault_free_calls(12, 0.0) - fault_free_calls(6, 0.0);
     expect_that!(added, le(6 * 6));
 }
 
 #[gtest]
 fn lost_datagrams_only_add_store_calls() {
-    let added = calm_calls(12, 0.05) - calm_calls(6, 0.05);
+    let added = fault_free_calls(12, 0.05) - fault_free_calls(6, 0.05);
     expect_that!(added, le(6 * 10));
     // Three heartbeats in a row are often lost, after which nodes use the store again.
     for nodes in [6, 12] {
-        expect_that!(calm_calls(nodes, 0.4), gt(calm_calls(nodes, 0.05)));
+        expect_that!(
+            fault_free_calls(nodes, 0.4),
+            gt(fault_free_calls(nodes, 0.05))
+        );
     }
 }
 
@@ -333,9 +336,9 @@
 #[gtest]
 fn coordinator_survives_a_store_outage() {
     let schedule = Schedule::one(seconds(15.0), seconds(6.0), FaultKind::StoreSilent);
-    let calm = run(Schedule::default(), Protections::default());
+    let fault_free = run(Schedule::default(), Protections::default());
     let report = run(schedule, Protections::default());
-    expect_that!(report.epochs, eq(calm.epochs));
+    expect_that!(report.epochs, eq(fault_free.epochs));
 }
 
 #[gtest]
--- a/crates/ledgelead-lab/tests/fleet_foreign.rs
+++ b/crates/ledgelead-lab/tests/fleet_foreign.rs
@@ -65,11 +65,11 @@
 
 #[gtest]
 fn foreign_entry_does_not_affect_other_instances() {
-    let calm = drawn(4, Protections::default());
+    let fault_free = drawn(4, Protections::default());
     let run = |schedule| {
         World::new(FleetSettings {
             schedule,
-            ..calm.clone()
+            ..fault_free.clone()
         })
         .run()
     };
@@ -77,11 +77,11 @@
     // An unsharded instance: three others of its service can take over its requests.
     let foreign = FaultKind::ForeignEntry(7);
     let at = Duration::from_secs(15);
-    let beside = run(Schedule::one(at, Duration::from_secs(20), foreign));
-    expect_that!(beside.violations, is_empty());
-    expect_that!(beside.unserved.0, is_empty());
+    let with_entry = run(Schedule::one(at, Duration::from_secs(20), foreign));
+    expect_that!(with_entry.violations, is_empty());
+    expect_that!(with_entry.unserved.0, is_empty());
     let lost = |report: &ledgelead_lab::fleet::FleetReport| report.requests - report.answered;
-    expect_that!(lost(&beside), le(lost(&without) + 20));
+    expect_that!(lost(&with_entry), le(lost(&without) + 20));
 }
 
 #[gtest]
