--- a/crates/ledgelead-router/src/requests/lifecycle/retries.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/retries.rs
@@ -17,7 +17,7 @@
 const SENT_NOT_RUN: &str = "sent_not_run";
 /// Metric label of a retry of a request that may have run.
 const SENT_MAY_HAVE_RUN: &str = "sent_in_doubt";
-/// Metric label of a retry that was refused in favour of more valuable ones.
+/// Metric label of a retry that was refused in favor of more valuable ones.
 const HELD_BACK: &str = "kept_back";
 /// Metric label of a retry for which the budget was exhausted.
 const EXHAUSTED: &str = "used_up";
@@ -27,18 +27,19 @@
     pub(super) fn can_retry(&self, open: &OpenRequest, context: &RequestContext<'_>) -> bool {
         let nodes = context.registry.len();
         let expected = open.route.target_latency / 2;
-        let facts = RetryCandidate {
+        let candidate = RetryCandidate {
             not_run: false,
             ..self.retry_candidate(open, expected, context)
         };
         let by_value = self.mechanisms.has(Mechanism::RepeatValue);
-        let wins = !by_value
+        let is_worthwhile = !by_value
             || self
                 .budget
-                .is_worthwhile(&open.service, &facts, nodes, context.now);
-        wins && self
-            .budget
-            .has_retry_left(&open.service, nodes, context.now)
+                .is_worthwhile(&open.service, &candidate, nodes, context.now);
+        is_worthwhile
+            && self
+                .budget
+                .has_retry_left(&open.service, nodes, context.now)
     }
 
     /// Takes a retry from the budget for a request whose next response is expected after
@@ -53,23 +54,23 @@
             return false;
         };
         let nodes = context.registry.len();
-        let facts = self.retry_candidate(open, expected, context);
-        let drawn = if self.mechanisms.has(Mechanism::RepeatValue) {
+        let candidate = self.retry_candidate(open, expected, context);
+        let decision = if self.mechanisms.has(Mechanism::RepeatValue) {
             self.budget
-                .try_acquire_for(&open.service, &facts, nodes, context.now)
+                .try_acquire_for(&open.service, &candidate, nodes, context.now)
         } else if self.budget.try_acquire(&open.service, nodes, context.now) {
             RetryDecision::Granted
         } else {
             RetryDecision::Exhausted
         };
-        let name = match drawn {
-            RetryDecision::Granted if facts.not_run => SENT_NOT_RUN,
+        let name = match decision {
+            RetryDecision::Granted if candidate.not_run => SENT_NOT_RUN,
             RetryDecision::Granted => SENT_MAY_HAVE_RUN,
             RetryDecision::HeldBack => HELD_BACK,
             RetryDecision::Exhausted => EXHAUSTED,
         };
-        *self.counters.repeats.entry(name).or_default() += 1;
-        drawn == RetryDecision::Granted
+        *self.counters.retries.entry(name).or_default() += 1;
+        decision == RetryDecision::Granted
     }
 
     fn retry_candidate(
@@ -89,7 +90,7 @@
 
     /// Records an instance's response, and why it rejected the request if it did. Returns
     /// whether a rejection counts as a failure of this instance.
-    pub(super) fn note_rejection(
+    pub(super) fn record_rejection(
         &mut self,
         attempt: &Attempt,
         cause: Option<RejectionCause>,
@@ -104,12 +105,12 @@
             return false;
         }
         let service = &instance.record.service;
-        let declined = cause == Some(RejectionCause::FreeSlots);
+        let has_free_slots = cause == Some(RejectionCause::FreeSlots);
         let now = context.now;
         self.common_rejections
-            .record(service, &attempt.instance, declined, now);
+            .record(service, &attempt.instance, has_free_slots, now);
         self.rejections.received(service, now);
-        if declined {
+        if has_free_slots {
             self.rejections.refused(service, now);
         }
         if !self.mechanisms.has(Mechanism::RejectionCause) {
@@ -125,7 +126,7 @@
     }
 
     /// Whether the instances of a service reject some requests although they have free slots.
-    pub(super) fn rejects_with_room(
+    pub(super) fn rejects_with_free_slots(
         &self,
         service: &ServiceName,
         context: &RequestContext<'_>,
