--- a/crates/ledgelead-router/examples/dispatch_bench.rs
+++ b/crates/ledgelead-router/examples/dispatch_bench.rs
@@ -1,6 +1,6 @@
 //! Time of a dispatcher's decision with many requests in its queue.
 //!
-//! `cargo run --release -p ledgelead-router --example dispatch_bench`: nanoseconds for an ask
+//! `cargo run --release -p ledgelead-router --example dispatch_bench`: nanoseconds for a request
 //! that is queued, and for the return of a permit that hands it to the next. Each is the
 //! median of the rounds; compare them within one run, not between machines.
 
@@ -16,7 +16,7 @@
 /// Work of a request.
 const WORK: Duration = Duration::from_millis(100);
 
-fn ask(number: u64) -> DispatchRequest {
+fn request(number: u64) -> DispatchRequest {
     DispatchRequest {
         queue: 1,
         kind: QueueKind::Owner,
@@ -55,12 +55,12 @@
     let mut number = 0;
     while number < waiting + 3 {
         number += 1;
-        let decided = dispatcher.ask(&ask(number), server, now);
+        let decided = dispatcher.request_permit(&request(number), server, now);
         let granted = decided.into_iter().flatten();
-        let granted = granted.filter(|one| matches!(one.verdict, Admission::Granted(_)));
+        let granted = granted.filter(|one| matches!(one.admission, Admission::Granted(_)));
         out.extend(granted.map(|one| one.requester));
     }
-    let mut asks = Vec::with_capacity(ROUNDS);
+    let mut requests = Vec::with_capacity(ROUNDS);
     let mut returns = Vec::with_capacity(ROUNDS);
     for _ in 0..ROUNDS {
         let Some(ended) = out.pop_front() else {
@@ -71,16 +71,16 @@
             load: None,
         };
         let began = Instant::now();
-        let decided = dispatcher.returned(1, ended, outcome, now);
+        let decided = dispatcher.return_permit(1, ended, outcome, now);
         returns.push(began.elapsed().as_nanos());
         out.extend(decided.iter().map(|one| one.requester));
         number += 1;
-        let next = ask(number);
+        let next = request(number);
         let began = Instant::now();
-        dispatcher.ask(&next, server, now);
-        asks.push(began.elapsed().as_nanos());
+        dispatcher.request_permit(&next, server, now);
+        requests.push(began.elapsed().as_nanos());
     }
-    (median(asks), median(returns))
+    (median(requests), median(returns))
 }
 
 fn main() {
--- a/crates/ledgelead-router/src/configuration.rs
+++ b/crates/ledgelead-router/src/configuration.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a request may be executed more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatability {
-    /// It may be executed several times.
+    /// It may run several times.
     Idempotent,
-    /// At most once.
+    /// It must not run twice.
     Once,
 }
 
@@ -34,7 +34,7 @@
     pub prefix: String,
     /// The services, at least one.
     pub targets: Vec<RouteTarget>,
-    /// Whether its requests may be executed more than once.
+    /// Whether its requests may run more than once.
     pub repeatability: Repeatability,
     /// The longest time for which a request is held.
     pub timeout: Duration,
--- a/crates/ledgelead-router/src/dialect.rs
+++ b/crates/ledgelead-router/src/dialect.rs
@@ -125,7 +125,7 @@
         kind: ObjectKind,
         /// The last name of the previous page.
         after: Option<String>,
-        /// Whether the list may be some seconds old, which is cheaper.
+        /// Whether the list may be a few seconds old, which is cheaper.
         stale: bool,
     },
     /// Waits for changes after a revision.
@@ -293,7 +293,7 @@
     pub target_instance: String,
     /// Numbers of running requests, waiting requests and slots of an instance.
     pub load: String,
-    /// The instance did not execute the request.
+    /// The instance did not run the request.
     pub not_executed: String,
     /// The instance that answers.
     pub instance: String,
--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -72,16 +72,16 @@
         self.changes
     }
 
-    /// Notes that the store could not be reached until now. Missing entries may have expired
+    /// Records that the store could not be reached until now. Missing entries may have expired
     /// only because nobody could rewrite them.
-    pub fn note_store_outage(&mut self, now: Timestamp) {
+    pub fn record_store_outage(&mut self, now: Timestamp) {
         self.defer_removals_until(now + ENTRY_REWRITE_TIME);
     }
 
-    /// Notes that the store was restored from an older copy, whose entries may predate an
-    /// instance's announcement that it leaves. Such an entry doesn't revoke the announcement.
+    /// Handles a restore of the store from a backup, whose entries may predate an instance's
+    /// announcement that it leaves. Such an entry doesn't revoke the announcement.
     pub fn begin_era(&mut self, now: Timestamp) {
-        self.note_store_outage(now);
+        self.record_store_outage(now);
         for (id, instance) in &self.instances {
             if let Presence::Draining { since } = instance.presence {
                 self.announced_leaving.entry(id.clone()).or_insert(since);
@@ -108,10 +108,10 @@
         self.complete && self.absence_conclusive_at <= now
     }
 
-    /// Notes that the store has continuously served another node since `since`. Any running
-    /// instance could write its entry since then, whatever kept this node from reaching the
-    /// store.
-    pub fn store_served_since(&mut self, since: Timestamp) {
+    /// Records that the store has served another node continuously since `since`. Any running
+    /// instance has been able to write its entry since then, whatever kept this node from
+    /// reaching the store.
+    pub fn record_store_served_since(&mut self, since: Timestamp) {
         let until = since + ENTRY_REWRITE_TIME;
         self.defer_removals_until = self.defer_removals_until.min(until);
         for deferred_until in self.deferred_removals.values_mut() {
@@ -131,9 +131,9 @@
         self.is_confirmed().then_some(self.current_at)
     }
 
-    /// Notes that everything that the store acknowledged before `at` is known here. Anything
+    /// Records that everything that the store acknowledged before `at` is known here. Anything
     /// learned later has happened since.
-    pub fn note_current(&mut self, at: Timestamp) {
+    pub fn record_current(&mut self, at: Timestamp) {
         self.current_at = self.current_at.max(at);
     }
 
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Notes that this incarnation announced in a response at `at` that it leaves. Returns
+    /// Records that this incarnation announced in a response at `at` that it leaves. Returns
     /// whether it was in use until now.
     pub fn mark_leaving(&mut self, id: &InstanceId, at: Timestamp) -> bool {
         let Some(instance) = self.instances.get_mut(id) else {
@@ -364,7 +364,7 @@
         instance.record.draining || self.announced_leaving.contains_key(&instance.record.id)
     }
 
-    /// Notes that this incarnation is proved to have ended.
+    /// Records that this incarnation is proved to have ended.
     pub fn mark_ended(&mut self, id: &InstanceId) {
         if let Some(instance) = self.instances.get_mut(id) {
             self.changes += u64::from(!instance.ended);
--- a/crates/ledgelead-router/src/dispatch/dispatcher.rs
+++ b/crates/ledgelead-router/src/dispatch/dispatcher.rs
@@ -36,7 +36,7 @@
     /// The permit request that was decided on.
     pub requester: PermitId,
     /// The decision.
-    pub verdict: Admission,
+    pub admission: Admission,
     /// When the caller may retry, if it is refused.
     pub retry_after: Duration,
 }
@@ -135,65 +135,66 @@
     /// Decides on a permit request, and on others that can be decided as a result. `None` if
     /// there are too many queues or the owner isn't known yet, so that another dispatcher has
     /// to decide. `servers` returns the instances behind the queue according to the directory.
-    pub fn ask<S>(
+    pub fn request_permit<S>(
         &mut self,
-        ask: &DispatchRequest,
+        request: &DispatchRequest,
         servers: impl FnOnce() -> S,
         now: Timestamp,
     ) -> Option<Vec<DispatchDecision>>
     where
         S: IntoIterator<Item = Server>,
     {
-        let entry = self.queues.get(&ask.queue);
+        let entry = self.queues.get(&request.queue);
         let is_current = entry.is_some_and(|queue| queue.read_at + POOL_TTL > now);
         if !is_current {
-            self.read_servers(ask, servers(), now)?;
+            self.read_servers(request, servers(), now)?;
         }
-        let queue = self.queues.get_mut(&ask.queue)?;
-        queue.refusals.received(now);
-        let entry = self.callers.take(ask.caller, now);
+        let queue = self.queues.get_mut(&request.queue)?;
+        queue.refusals.record_request(now);
+        let entry = self.callers.take(request.caller, now);
         let is_early = entry.is_some_and(|entry| now < entry.not_before);
         self.counters.early += u64::from(is_early);
-        let target = now + ask.to_target;
+        let target = now + request.to_target;
         let target = entry.map_or(target, |entry| target.min(entry.target));
         let permit = AdmissionRequest {
-            requester: ask.requester,
-            urgency: ask.urgency,
+            requester: request.requester,
+            urgency: request.urgency,
             to_target: target.saturating_sub(now),
             is_early,
-            is_cold: ask.is_cold,
-            tried: ask.tried,
+            is_cold: request.is_cold,
+            tried: request.tried,
         };
         let caller = Caller {
-            hash: ask.caller,
-            urgency: ask.urgency,
+            hash: request.caller,
+            urgency: request.urgency,
             target,
-            left_until: now + ask.left,
+            left_until: now + request.left,
         };
-        let verdict = queue.permits.ask(permit, now);
-        if verdict == Admission::Queued {
-            queue.waiting.insert(ask.requester, caller);
+        let admission = queue.permits.request_permit(permit, now);
+        if admission == Admission::Queued {
+            queue.waiting.insert(request.requester, caller);
         }
-        let mut decisions = vec![self.decision(ask.queue, ask.requester, verdict, caller, now)];
-        decisions.extend(self.advance(ask.queue, now));
+        let mut decisions =
+            vec![self.decision(request.queue, request.requester, admission, caller, now)];
+        decisions.extend(self.advance(request.queue, now));
         Some(decisions)
     }
 
     /// Updates the instances behind a queue, and creates the queue if it is new.
     fn read_servers(
         &mut self,
-        ask: &DispatchRequest,
+        request: &DispatchRequest,
         servers: impl IntoIterator<Item = Server>,
         now: Timestamp,
     ) -> Option<()> {
         let mut servers = servers.into_iter().peekable();
-        let is_unknown = ask.kind == QueueKind::Owner && servers.peek().is_none();
-        let is_new = !self.queues.contains_key(&ask.queue);
+        let is_unknown = request.kind == QueueKind::Owner && servers.peek().is_none();
+        let is_new = !self.queues.contains_key(&request.queue);
         if is_unknown || is_new && self.queues.len() >= MAX_QUEUES {
             return None;
         }
-        let queue = self.queues.entry(ask.queue).or_insert_with(|| Queue {
-            permits: match ask.kind {
+        let queue = self.queues.entry(request.queue).or_insert_with(|| Queue {
+            permits: match request.kind {
                 QueueKind::Owner => PermitQueue::of_owner(now),
                 QueueKind::Pool => PermitQueue::of_pool(now),
             },
@@ -209,7 +210,7 @@
 
     /// Handles a returned permit, or the withdrawal of a waiting request. Returns the
     /// decisions that follow for other requests.
-    pub fn returned(
+    pub fn return_permit(
         &mut self,
         queue: u64,
         requester: PermitId,
@@ -220,7 +221,7 @@
             return Vec::new();
         };
         entry.waiting.remove(&requester);
-        entry.permits.returned(requester, outcome, now);
+        entry.permits.return_permit(requester, outcome, now);
         self.advance(queue, now)
     }
 
@@ -261,12 +262,12 @@
         };
         let admissions = entry.permits.advance(now);
         let mut decisions = Vec::new();
-        for (requester, verdict) in admissions {
+        for (requester, admission) in admissions {
             let waited = self.queues.get_mut(&queue);
             let Some(caller) = waited.and_then(|entry| entry.waiting.remove(&requester)) else {
                 continue;
             };
-            decisions.push(self.decision(queue, requester, verdict, caller, now));
+            decisions.push(self.decision(queue, requester, admission, caller, now));
         }
         self.reschedule(queue);
         decisions
@@ -276,12 +277,12 @@
         &mut self,
         queue: u64,
         requester: PermitId,
-        verdict: Admission,
+        admission: Admission,
         caller: Caller,
         now: Timestamp,
     ) -> DispatchDecision {
         let mut retry_after = Duration::ZERO;
-        match verdict {
+        match admission {
             Admission::Granted(_) => self.counters.granted += 1,
             Admission::Queued => self.counters.queued += 1,
             Admission::Refused => {
@@ -292,7 +293,7 @@
         DispatchDecision {
             queue,
             requester,
-            verdict,
+            admission,
             retry_after,
         }
     }
@@ -301,7 +302,7 @@
     /// refused, and earlier for more urgent ones.
     fn refuse(&mut self, queue: u64, caller: Caller, now: Timestamp) -> Duration {
         let share = self.queues.get_mut(&queue).map_or(0.0, |entry| {
-            entry.refusals.refused(now);
+            entry.refusals.record_refusal(now);
             entry.refusals.share(now)
         });
         let rank = f64::from(caller.urgency.min(MAX_RANK));
--- a/crates/ledgelead-router/src/dispatch/queue.rs
+++ b/crates/ledgelead-router/src/dispatch/queue.rs
@@ -219,34 +219,34 @@
 
     /// Decides on a permit request. A request that is already known is a resent message and
     /// gets the same decision.
-    pub fn ask(&mut self, ask: AdmissionRequest, now: Timestamp) -> Admission {
+    pub fn request_permit(&mut self, request: AdmissionRequest, now: Timestamp) -> Admission {
         self.used_at = now;
-        if let Some(permit) = self.outstanding.get(&ask.requester) {
+        if let Some(permit) = self.outstanding.get(&request.requester) {
             return Admission::Granted(permit.server);
         }
-        if self.waiting.contains_key(&ask.requester) {
+        if self.waiting.contains_key(&request.requester) {
             return Admission::Queued;
         }
-        let request = self.request(&ask, now);
-        let can_wait = self.can_wait(&ask, request.class);
+        let waiting = self.waiting_request(&request, now);
+        let can_wait = self.can_wait(&request, waiting.class);
         if self.waiting.is_empty() {
             // Such a request is only granted a free slot, which takes no other request's
             // place.
-            let needs_slot = request.class.needs_idle_slot() || !can_wait;
-            if let Some(server) = self.servers.select(ask.tried, needs_slot, now) {
-                return self.grant(ask.requester, request.class, server, now);
+            let needs_slot = waiting.class.needs_idle_slot() || !can_wait;
+            if let Some(server) = self.servers.select(request.tried, needs_slot, now) {
+                return self.grant(request.requester, waiting.class, server, now);
             }
         }
         if !can_wait || self.waiting.len() >= MAX_WAITING {
             return Admission::Refused;
         }
-        self.enqueue(ask.requester, request);
+        self.enqueue(request.requester, waiting);
         Admission::Queued
     }
 
     /// Handles a returned permit, or the withdrawal of a waiting request. Returns whether it
     /// was known.
-    pub fn returned(
+    pub fn return_permit(
         &mut self,
         requester: PermitId,
         outcome: PermitOutcome,
@@ -263,7 +263,8 @@
             PermitOutcome::Answered { took, load } => {
                 let service_time = took.div_f64(permit.load.max(1.0));
                 let service_time = Some(service_time).filter(|_| permit.has_usual_service_time);
-                self.servers.answered(permit.server, service_time, now);
+                self.servers
+                    .record_success(permit.server, service_time, now);
                 if let Some(load) = load {
                     let is_wanted = !self.waiting.is_empty();
                     self.servers.record_load(permit.server, load, is_wanted);
@@ -271,9 +272,9 @@
             }
             PermitOutcome::NoSample => {}
             PermitOutcome::BackedOff(backoff) => {
-                self.servers.backed_off(permit.server, now + backoff);
+                self.servers.record_backoff(permit.server, now + backoff);
             }
-            PermitOutcome::Failed => self.servers.failed(permit.server, now),
+            PermitOutcome::Failed => self.servers.record_failure(permit.server, now),
         }
         true
     }
@@ -298,30 +299,30 @@
         limit.into_iter().chain(expiry).map(|(at, _)| *at).min()
     }
 
-    fn request(&self, ask: &AdmissionRequest, now: Timestamp) -> Waiting {
+    fn waiting_request(&self, request: &AdmissionRequest, now: Timestamp) -> Waiting {
         let class = Class {
-            is_early: ask.is_early,
-            is_cold: ask.is_cold,
-            is_late: ask.to_target.is_zero(),
-            urgency: ask.urgency,
+            is_early: request.is_early,
+            is_cold: request.is_cold,
+            is_late: request.to_target.is_zero(),
+            urgency: request.urgency,
         };
         let max_wait = match class.needs_idle_slot() {
             true => self.service_time().mul_f64(IDLE_SLOT_WAIT_FACTOR),
             false => {
                 let min_service_time = self.service_time().mul_f64(MIN_SERVICE_TIME_SHARE);
-                ask.to_target.saturating_sub(min_service_time)
+                request.to_target.saturating_sub(min_service_time)
             }
         };
         Waiting {
             class,
-            target: now + ask.to_target,
+            target: now + request.to_target,
             until: now + max_wait,
-            tried: ask.tried,
+            tried: request.tried,
         }
     }
 
     /// Whether a request that waits for a permit is likely to get one in time.
-    fn can_wait(&self, ask: &AdmissionRequest, class: Class) -> bool {
+    fn can_wait(&self, request: &AdmissionRequest, class: Class) -> bool {
         if self.servers.slots() == 0 {
             return false;
         }
@@ -330,7 +331,7 @@
             // are rare when several wait.
             return self.order.range(class..).next().is_none();
         }
-        self.expected(class) <= ask.to_target.mul_f64(ADMITTED_SHARE)
+        self.expected(class) <= request.to_target.mul_f64(ADMITTED_SHARE)
     }
 
     /// Expected time until a new request is answered. The requests before it share the slots
--- a/crates/ledgelead-router/src/dispatch/servers.rs
+++ b/crates/ledgelead-router/src/dispatch/servers.rs
@@ -224,9 +224,14 @@
     }
 
     /// Records a response, and its service time if it is representative.
-    pub(super) fn answered(&mut self, server: u64, service_time: Option<Duration>, now: Timestamp) {
+    pub(super) fn record_success(
+        &mut self,
+        server: u64,
+        service_time: Option<Duration>,
+        now: Timestamp,
+    ) {
         if let Some(state) = self.states.get_mut(&server) {
-            state.failures.answered(&FAILURE_RULES, now);
+            state.failures.record_success(&FAILURE_RULES, now);
             if let Some(service_time) = service_time {
                 state.sample(service_time);
             }
@@ -254,16 +259,16 @@
     /// Records that an instance wants no requests from some node until then. Other instances
     /// are preferred for all nodes; the node that was told sends nothing there whatever it is
     /// granted.
-    pub(super) fn backed_off(&mut self, server: u64, until: Timestamp) {
+    pub(super) fn record_backoff(&mut self, server: u64, until: Timestamp) {
         if let Some(state) = self.states.get_mut(&server) {
             state.backoff_until = state.backoff_until.max(until);
         }
     }
 
     /// Records that a request there was aborted, or its response was lost.
-    pub(super) fn failed(&mut self, server: u64, now: Timestamp) {
+    pub(super) fn record_failure(&mut self, server: u64, now: Timestamp) {
         if let Some(state) = self.states.get_mut(&server) {
-            state.failures.failed(&FAILURE_RULES, now);
+            state.failures.record_failure(&FAILURE_RULES, now);
         }
     }
 }
--- a/crates/ledgelead-router/src/events.rs
+++ b/crates/ledgelead-router/src/events.rs
@@ -95,7 +95,7 @@
         /// The instance.
         instance: &'a InstanceId,
     },
-    /// An instance's answer announced for the first time that it is leaving, or asked for a
+    /// An instance's answer announced for the first time that it is leaving, or requested a
     /// pause.
     InstanceNotice {
         /// The instance.
@@ -232,7 +232,7 @@
         last: u16,
         /// The owner.
         owner: &'a InstanceId,
-        /// The token.
+        /// The fencing token.
         fence: u64,
     },
     /// As far as the coordinator knows, an instance did not execute an order.
@@ -245,7 +245,7 @@
         first: u16,
         /// The last key.
         last: u16,
-        /// The token.
+        /// The fencing token.
         fence: u64,
         /// The instance's answer, or how the connection ended: an order without an answer in
         /// time is aborted by a connection reset.
--- a/crates/ledgelead-router/src/failures.rs
+++ b/crates/ledgelead-router/src/failures.rs
@@ -34,15 +34,15 @@
 
 impl Failures {
     /// A request was answered.
-    pub(crate) fn answered(&mut self, rules: &FailureRules, now: Timestamp) {
-        self.note(0.0, rules, now);
+    pub(crate) fn record_success(&mut self, rules: &FailureRules, now: Timestamp) {
+        self.update_share(0.0, rules, now);
         self.consecutive = 0;
         self.ejections = 0;
     }
 
     /// A request failed.
-    pub(crate) fn failed(&mut self, rules: &FailureRules, now: Timestamp) {
-        self.rejected(rules, now);
+    pub(crate) fn record_failure(&mut self, rules: &FailureRules, now: Timestamp) {
+        self.record_rejection(rules, now);
         self.consecutive += 1;
         if self.consecutive >= rules.eject_after {
             let doubled = 1 << self.ejections.min(MAX_DOUBLINGS);
@@ -56,8 +56,8 @@
 
     /// A request was rejected. This counts in the failure share, but never leads to an
     /// ejection.
-    pub(crate) fn rejected(&mut self, rules: &FailureRules, now: Timestamp) {
-        self.note(1.0, rules, now);
+    pub(crate) fn record_rejection(&mut self, rules: &FailureRules, now: Timestamp) {
+        self.update_share(1.0, rules, now);
     }
 
     /// The share of recent requests that failed, 0 to 1.
@@ -77,7 +77,7 @@
         self.ejected_until
     }
 
-    fn note(&mut self, failed: f64, rules: &FailureRules, now: Timestamp) {
+    fn update_share(&mut self, failed: f64, rules: &FailureRules, now: Timestamp) {
         let earlier = self.share(now);
         self.share = earlier + (failed - earlier) * rules.outcome_weight;
         self.updated_at = now;
--- a/crates/ledgelead-router/src/io.rs
+++ b/crates/ledgelead-router/src/io.rs
@@ -44,7 +44,7 @@
         )
     }
 
-    /// Whether the receiver certainly never executes the request. No receiver starts on an
+    /// Whether the receiver certainly never runs the request. No receiver starts on an
     /// incomplete request.
     pub fn proves_not_run(self) -> bool {
         self.proves_not_sent() || matches!(self, ExchangeFailure::Incomplete { .. })
@@ -64,7 +64,7 @@
     /// that accepts no more connections resets them at once.
     pub observe_before_write: Duration,
     /// Timeout for writing the complete request, if separate from the one of the exchange. A
-    /// request that is not completely written by then is proved not to have been executed.
+    /// request that is not completely written by then is proved not to have run.
     pub write_timeout: Option<Duration>,
     /// Timeout for the exchange; with `timeout_restarts`, the time without progress.
     pub timeout: Duration,
--- a/crates/ledgelead-router/src/mechanisms.rs
+++ b/crates/ledgelead-router/src/mechanisms.rs
@@ -6,8 +6,8 @@
 pub enum Mechanism {
     /// Instances of the node's own zone are preferred.
     ZonePreference,
-    /// Where a digest reports the load, instances are chosen at random, weighted by their free
-    /// slots.
+    /// While load is known from a digest, instances are chosen at random, weighted by their
+    /// free slots.
     FreeSlots,
     /// An idempotent request is sent to another instance if its instance does not respond.
     SlowAttemptRetry,
@@ -21,11 +21,11 @@
     ColdFactor,
     /// Nodes of a zone exchange their numbers of open requests.
     SharedLoad,
-    /// In large zones, one node collects and distributes these numbers.
+    /// In large zones, one node, the load hub, collects and distributes these numbers.
     LoadDigest,
     /// The speed of instances is estimated from the answers to all nodes.
     SharedSpeed,
-    /// The current processing time of an instance is taken into account.
+    /// The current service time of an instance is taken into account.
     Slowness,
     /// Requests that cannot be answered in time are refused before they are sent.
     EarlyRefusal,
--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -132,8 +132,8 @@
         confirmed && self.coordinator.is_some() && !self.resigning
     }
 
-    /// The store was restored from an older copy: confirmations of the role from the former
-    /// era are void.
+    /// The store was restored from a backup: confirmations of the role from the former era are
+    /// void.
     pub(super) fn begin_era(&mut self, now: Timestamp) {
         let epoch = self.coordinator.as_ref().map(Coordinator::epoch);
         self.coordinated_in_former_era = epoch.filter(|_| self.has_authority(now));
@@ -145,7 +145,7 @@
     /// Records that a coordinator reported, at the time `at`, the revision of its latest
     /// record. After the end of an era it can't write a later one there, so this is its final
     /// version.
-    pub(super) fn note_final_version(&mut self, epoch: u64, revision: u64, at: Timestamp) {
+    pub(super) fn record_final_version(&mut self, epoch: u64, revision: u64, at: Timestamp) {
         if at >= self.era_began {
             self.final_version = Some((epoch, revision));
         }
@@ -162,31 +162,31 @@
         self.coordinated_in_former_era
     }
 
-    /// Notes whether the record last received from the store is readable.
-    pub(super) fn note_record_readable(&mut self, is_readable: bool) {
+    /// Sets whether the record last received from the store is readable.
+    pub(super) fn set_record_readable(&mut self, is_readable: bool) {
         self.record_unreadable = !is_readable;
     }
 
     /// The store answered a call about the record that began at `started`. Versions in the
     /// answer are applied afterwards, and end this node's role if another node holds it.
-    pub(super) fn confirmed_if_unchanged(&mut self, started: Timestamp) {
+    pub(super) fn confirm_role_if_unchanged(&mut self, started: Timestamp) {
         if self.coordinator.is_some() && !self.record_unreadable {
             self.confirmed = self.confirmed.max(Some(started));
         }
     }
 
     /// Schedules a step because an input to the coordinator's decisions has changed.
-    pub(super) fn note_change(&mut self) {
+    pub(super) fn schedule_step(&mut self) {
         self.next_step = self.next_step.min(self.last_step + STEP_PAUSE);
     }
 
     pub(super) fn begin_resigning(&mut self) {
-        self.note_change();
+        self.schedule_step();
         self.resigning = true;
         self.resignation_done = self.coordinator.is_none();
     }
 
-    pub(super) fn resigned(&mut self) {
+    pub(super) fn finish_resigning(&mut self) {
         self.resignation_done = true;
     }
 
@@ -230,7 +230,7 @@
                 return;
             }
             self.coordination.last_step = now;
-            self.resign_if_asked(now, out);
+            self.resign_if_requested(now, out);
             self.step_coordinator(now, out);
             self.retry_write(now, out);
             let next = self.next_coordinator_step(now);
@@ -510,9 +510,9 @@
         let Some((instance, order)) = self.coordination.orders.remove(&exchange) else {
             return;
         };
-        self.coordination.note_change();
+        self.coordination.schedule_step();
         if let Ok(response) = &result {
-            self.note_order_notice(&instance, response, now, out);
+            self.apply_order_notice(&instance, response, now, out);
         }
         let answer = result.map(|response| self.dialect.order_answer(&instance, &response));
         if !matches!(answer, Ok(OrderAnswer::Done { .. })) {
@@ -581,7 +581,7 @@
             .cloned();
         match (answer, pending) {
             (Ok(StoreAnswer::Written(object)), Some(record)) => {
-                self.store.role_confirmed(now);
+                self.store.defer_role_confirmation(now);
                 let version = RecordVersion::confirmed(object.revision);
                 self.ownership_changed(record, version, started, now, out);
             }
@@ -606,13 +606,13 @@
         self.reconsider_waiting(now, out);
     }
 
-    fn resign_if_asked(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    fn resign_if_requested(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let coordination = &mut self.coordination;
-        let settled = coordination
+        let has_no_pending_write = coordination
             .coordinator
             .as_ref()
             .is_some_and(|coordinator| coordinator.pending_write().is_none());
-        if !coordination.resigning || coordination.resignation_in_flight || !settled {
+        if !coordination.resigning || coordination.resignation_in_flight || !has_no_pending_write {
             return;
         }
         coordination.resignation_in_flight = true;
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -124,7 +124,7 @@
                 let decision = PermitDecision {
                     number: entry.number,
                     queue: entry.queue,
-                    verdict: Err(declined),
+                    admission: Err(declined),
                     retry_after: Duration::ZERO,
                 };
                 self.announce_decision(from, &decision, now, out);
@@ -174,7 +174,7 @@
             let candidates = directory.of_service(service).filter(is_candidate);
             candidates.map(server).collect::<Vec<Server>>()
         };
-        self.dispatcher.ask(request, servers, now)
+        self.dispatcher.request_permit(request, servers, now)
     }
 
     /// Handles the return of a permit that this dispatcher granted.
@@ -186,7 +186,9 @@
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
-        let decided = self.dispatcher.returned(queue, requester, outcome, now);
+        let decided = self
+            .dispatcher
+            .return_permit(queue, requester, outcome, now);
         self.announce_decisions(decided, now, out);
     }
 
@@ -212,7 +214,7 @@
             let decision = PermitDecision {
                 number: decided.requester.number,
                 queue: decided.queue,
-                verdict: Ok(decided.verdict),
+                admission: Ok(decided.admission),
                 retry_after: decided.retry_after,
             };
             self.announce_decision(decided.requester.node, &decision, now, out);
@@ -230,7 +232,7 @@
             self.permit_decided(to, decision, now, out);
             return;
         }
-        let (verdict, server) = match decision.verdict {
+        let (status, server) = match decision.admission {
             Ok(Admission::Granted(server)) => (PermitStatus::Granted, server),
             Ok(Admission::Queued) => (PermitStatus::Queued, 0),
             Ok(Admission::Refused) => (PermitStatus::Refused, 0),
@@ -240,7 +242,7 @@
         let message = PeerMessage::PermitDecision {
             number: decision.number,
             queue: decision.queue,
-            status: verdict,
+            status,
             server,
             return_ms: short_millis(decision.retry_after),
         };
@@ -248,12 +250,12 @@
     }
 }
 
-/// Decodes a dispatcher's verdict from a message.
-pub(super) fn decode_permit_verdict(
-    verdict: PermitStatus,
+/// Decodes a dispatcher's decision from a message.
+pub(super) fn decode_permit_status(
+    status: PermitStatus,
     server: u64,
 ) -> Result<Admission, Declined> {
-    match verdict {
+    match status {
         PermitStatus::Granted => Ok(Admission::Granted(server)),
         PermitStatus::Queued => Ok(Admission::Queued),
         PermitStatus::Refused => Ok(Admission::Refused),
--- a/crates/ledgelead-router/src/node/first_view.rs
+++ b/crates/ledgelead-router/src/node/first_view.rs
@@ -28,8 +28,11 @@
         {
             return;
         }
-        let asked_at = self.store.watcher(ObjectKind::Instances).confirm(now);
-        self.confirmation_deadline = Some(asked_at + CONFIRM_TIMEOUT);
+        let requested_at = self
+            .store
+            .watcher(ObjectKind::Instances)
+            .request_confirmation(now);
+        self.confirmation_deadline = Some(requested_at + CONFIRM_TIMEOUT);
     }
 
     /// Until when requests wait for the first list to be confirmed.
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -78,7 +78,7 @@
             .record_arrival(epoch, heartbeat.sent_ms, now);
         let sent_at = now.saturating_sub(delay);
         self.coordination
-            .note_final_version(epoch, heartbeat.record_revision, sent_at);
+            .record_final_version(epoch, heartbeat.record_revision, sent_at);
         let age = delay + Duration::from_millis(u64::from(heartbeat.age_ms));
         self.messaging.coordinator_address = Some(from);
         self.messaging.heartbeat_sender = Some(from);
@@ -90,7 +90,7 @@
             self.follow_coordinator(from, epoch, age, now, out);
             let served_for = Duration::from_millis(u64::from(heartbeat.served_for_ms));
             let served_since = now.saturating_sub(delay).saturating_sub(served_for);
-            self.directory.store_served_since(served_since);
+            self.directory.record_store_served_since(served_since);
             let instances_age =
                 delay + Duration::from_millis(u64::from(heartbeat.instances_age_ms));
             self.confirm_instances(heartbeat.instances_revision, instances_age, now);
@@ -125,7 +125,7 @@
         }
         if epoch > self.messaging.newest_epoch {
             self.messaging.newest_epoch = epoch;
-            self.messaging.relay.coordinator_changed();
+            self.messaging.relay.reset_announced_revisions();
         }
         let own_epoch = self.coordinator().map(Coordinator::epoch);
         if is_protected && own_epoch.is_some_and(|own| own < epoch) {
@@ -171,9 +171,9 @@
                 Event::FollowsCoordinator { epoch, from }.emit();
             }
             self.messaging.following_until = Some(now + self.view_ttl().saturating_sub(age));
-            if self.store.health.relayed_until(now.saturating_sub(age)) {
+            if self.store.health.record_relay(now.saturating_sub(age)) {
                 // Until the coordinator reports for how long the store has served it.
-                self.directory.note_store_outage(now);
+                self.directory.record_store_outage(now);
             }
             self.store.set_following(true, now, out);
         }
@@ -193,7 +193,7 @@
     fn confirm_instances(&mut self, revision: u64, age: Duration, now: Timestamp) {
         let known = self.store.revision_of(ObjectKind::Instances);
         if known.is_some_and(|known| known >= revision) {
-            self.directory.note_current(now.saturating_sub(age));
+            self.directory.record_current(now.saturating_sub(age));
         }
     }
 
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -38,12 +38,12 @@
     /// Applies the announcements that instances made in responses to requests.
     pub(super) fn apply_leaving_notices(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         for instance in self.requests.take_announced_leaving() {
-            self.note_leaving(&instance, now, now, out);
+            self.mark_leaving(&instance, now, now, out);
         }
     }
 
     /// Applies an announcement in the response to an order.
-    pub(super) fn note_order_notice(
+    pub(super) fn apply_order_notice(
         &mut self,
         instance: &InstanceId,
         response: &Response,
@@ -51,11 +51,11 @@
         out: &mut Vec<Action>,
     ) {
         if Notice::of(instance, response, self.dialect.headers()).leaving {
-            self.note_leaving(instance, now, now, out);
+            self.mark_leaving(instance, now, now, out);
         }
     }
 
-    fn note_leaving(
+    fn mark_leaving(
         &mut self,
         instance: &InstanceId,
         at: Timestamp,
@@ -64,7 +64,7 @@
     ) {
         let is_enabled = self.settings.protections.has(Protection::HonorLeaving);
         if is_enabled && self.directory.mark_leaving(instance, at) {
-            self.coordination.note_change();
+            self.coordination.schedule_step();
             self.reconsider_waiting(now, out);
         }
     }
@@ -121,7 +121,7 @@
         });
         let known: Vec<(InstanceId, Timestamp)> = known.collect();
         for (instance, at) in known {
-            self.note_leaving(&instance, at, now, out);
+            self.mark_leaving(&instance, at, now, out);
         }
         if self.coordinator_address() == Some(from) {
             self.messaging.announced_leaving = AnnouncedLeaving {
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -90,7 +90,7 @@
     }
 
     /// Records that a node has sent its counts to this one.
-    pub(super) fn reported_by(&mut self, from: SocketAddr, now: Timestamp) {
+    pub(super) fn record_reporter(&mut self, from: SocketAddr, now: Timestamp) {
         self.reporters.insert(from, now);
     }
 
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -2,11 +2,11 @@
 //! and sending.
 
 use super::Node;
-use super::dispatch::{decode_permit_outcome, decode_permit_verdict};
+use super::dispatch::{decode_permit_outcome, decode_permit_status};
 use super::leaving::AnnouncedLeaving;
 use super::open_requests::OpenRequestSchedule;
 use super::quarantine::EvidenceMessage;
-use super::rate_limits::{decode_token_request, decode_token_verdict, limiter_probed};
+use super::rate_limits::{decode_token_request, decode_token_status, limiter_probed};
 use super::relay::{RelayState, Takeover};
 use crate::Timestamp;
 use crate::dialect::ObjectKind;
@@ -241,7 +241,7 @@
                 origin,
                 to_zone,
                 message,
-            } => self.forwarded(from, origin, to_zone, message, now, out),
+            } => self.forwarded_received(from, origin, to_zone, message, now, out),
             PeerMessage::InstancesChanged {
                 span,
                 unconfirmed_ms,
@@ -295,7 +295,7 @@
                 reports,
                 work,
             } => {
-                self.zone_relays.note_report(from, nodes_revision, now);
+                self.zone_relays.record_report(from, nodes_revision, now);
                 self.configuration_version_announced(configuration_version, now, out);
                 self.record_key_reports(&reports, now);
                 self.record_work_reports(&work);
@@ -305,9 +305,9 @@
                 idle_limit_ms,
                 changes,
             } => {
-                self.follow_rest_limit(idle_limit_ms, now);
+                self.follow_idle_limit(idle_limit_ms, now);
                 if self.has_hub(self.zone_peers().count()) {
-                    self.load_hub.reported_by(from, now);
+                    self.load_hub.record_reporter(from, now);
                 }
                 self.shared
                     .record_node_counts(from, incarnation, &changes, now);
@@ -318,7 +318,7 @@
                 idle_limit_ms,
                 entries,
             } => {
-                self.follow_rest_limit(idle_limit_ms, now);
+                self.follow_idle_limit(idle_limit_ms, now);
                 self.digest_received(from, zones, &entries, now, out);
             }
             PeerMessage::ZoneSums { sums } => self.shared.record_zone_sums(from, &sums, now),
@@ -333,7 +333,7 @@
                 let decision = PermitDecision {
                     number,
                     queue,
-                    verdict: decode_permit_verdict(status, server),
+                    admission: decode_permit_status(status, server),
                     retry_after: Duration::from_millis(u64::from(return_ms)),
                 };
                 self.permit_decided(from, &decision, now, out);
@@ -382,7 +382,7 @@
                 let decision = TokenDecision {
                     number,
                     instance,
-                    verdict: decode_token_verdict(status, wait_ms),
+                    status: decode_token_status(status, wait_ms),
                 };
                 self.token_decided(from, &decision, now, out);
             }
@@ -401,9 +401,9 @@
 
     /// Applies the idle limit of reused connections that another node of the zone has
     /// announced; 0 means no limit.
-    fn follow_rest_limit(&mut self, rest_limit_ms: u16, now: Timestamp) {
-        if rest_limit_ms > 0 {
-            let limit = Duration::from_millis(u64::from(rest_limit_ms));
+    fn follow_idle_limit(&mut self, idle_limit_ms: u16, now: Timestamp) {
+        if idle_limit_ms > 0 {
+            let limit = Duration::from_millis(u64::from(idle_limit_ms));
             self.requests.follow_idle_limit(limit, now);
         }
     }
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -211,7 +211,7 @@
                     self.apply_leaving_notices(now, out);
                     for ended in self.requests.take_ended_instances() {
                         self.directory.mark_ended(&ended);
-                        self.coordination.note_change();
+                        self.coordination.schedule_step();
                     }
                     if self.requests.take_misdirected() {
                         self.store.refresh_rejected_ownership(now, out);
@@ -285,7 +285,7 @@
         // Expired entries go first, since all steps below read the directory.
         if self.directory.next_expiry().is_some_and(|at| at <= now) {
             self.directory.expire(now);
-            self.coordination.note_change();
+            self.coordination.schedule_step();
             self.reconsider_waiting(now, out);
         }
         self.review_quarantine(now, out);
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -57,8 +57,8 @@
 }
 
 impl Quarantine {
-    /// The store was restored from an older copy and lacks the evidence stored since. This is
-    /// stored again, and its absence doesn't mean that an operator removed it.
+    /// The store was restored from a backup and lacks the evidence stored since. This is stored
+    /// again, and its absence doesn't mean that an operator removed it.
     pub(super) fn begin_era(&mut self) {
         self.stored.clear();
         self.is_writing = false;
@@ -129,11 +129,11 @@
             } else if self.is_answer_relevant(&instance, sent_at) {
                 self.quarantine
                     .unconfirmed_answers
-                    .answered(&instance, sent_at, now);
+                    .record(&instance, sent_at, now);
             }
         }
         for (request, caller) in signs.completed {
-            self.quarantine.recent.note(request, caller, now);
+            self.quarantine.recent.record(request, caller, now);
             self.clear_if_answered(request, caller, now);
         }
         for instance in signs.refused {
@@ -157,7 +157,9 @@
 
     /// An instance has answered a request sent at this time, and so is alive.
     fn instance_is_alive(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
-        self.quarantine.lost_attempts.answered(instance, sent_at);
+        self.quarantine
+            .lost_attempts
+            .record_answer(instance, sent_at);
         if self.disproves_end(instance, sent_at) {
             Event::EndDisproved { instance }.emit();
             let hash = instance.stable_hash();
--- a/crates/ledgelead-router/src/node/quarantine/persistence.rs
+++ b/crates/ledgelead-router/src/node/quarantine/persistence.rs
@@ -30,7 +30,7 @@
     }
 
     /// A request whose evidence differs from what the store holds.
-    fn unsaved(&self) -> Option<RequestDigest> {
+    fn next_unsaved_request(&self) -> Option<RequestDigest> {
         let is_unsaved = |(request, record): &(RequestDigest, QuarantineRecord)| {
             let stored = self.quarantine.stored.get(request);
             match stored {
@@ -38,8 +38,8 @@
                 None => record.ends.len() >= 2 || !record.quarantined.is_empty(),
             }
         };
-        let weighty = self.quarantine.evidence.broadcast_entries();
-        let records = weighty.map(|(request, entry)| (*request, QuarantineRecord::new(entry)));
+        let entries = self.quarantine.evidence.broadcast_entries();
+        let records = entries.map(|(request, entry)| (*request, QuarantineRecord::new(entry)));
         let mut unsaved = records.filter(is_unsaved);
         unsaved.next().map(|(request, _)| request)
     }
@@ -49,7 +49,7 @@
             return;
         }
         self.quarantine.next_write = now + STORE_INTERVAL;
-        let Some(request) = self.unsaved() else {
+        let Some(request) = self.next_unsaved_request() else {
             return;
         };
         let Some(entry) = self.quarantine.evidence.get(&request) else {
--- a/crates/ledgelead-router/src/node/quarantine/sharing.rs
+++ b/crates/ledgelead-router/src/node/quarantine/sharing.rs
@@ -82,8 +82,8 @@
     /// All evidence that every node must know.
     fn all_evidence(&self, wants_reply: bool, now: Timestamp) -> Vec<Datagram> {
         let evidence = &self.quarantine.evidence;
-        let weighty = evidence.broadcast_entries();
-        let entries = weighty.map(|(request, entry)| RequestEntry::new(request, entry, now));
+        let entries = evidence.broadcast_entries();
+        let entries = entries.map(|(request, entry)| RequestEntry::new(request, entry, now));
         let alive = aged_instances(evidence.alive().iter(), now);
         evidence_datagrams(entries.collect(), alive, wants_reply)
     }
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -24,8 +24,8 @@
 /// Maximum number of limits in one message, 17 bytes each, so that it fits the smallest common
 /// MTU.
 const MAX_LIMITS: usize = 64;
-/// Time after which a node repeats its request for a token if the node it asked is not a
-/// limiter of the instance.
+/// Time after which a node repeats its token request if it sent the request to a node that is
+/// not a limiter of the instance.
 const OTHER_LIMITER_WAIT: Duration = Duration::from_millis(300);
 
 impl Node {
@@ -64,7 +64,7 @@
         out: &mut Vec<Action>,
     ) {
         let decision = self.decide_on_token(from, token_request, now, out);
-        let (verdict, wait) = match decision.verdict {
+        let (status, wait) = match decision.status {
             TokenStatus::Granted => (TokenStatusEntry::Granted, Duration::ZERO),
             TokenStatus::Refused(wait) => (TokenStatusEntry::Refused, wait),
             TokenStatus::Unlimited => (TokenStatusEntry::Unlimited, Duration::ZERO),
@@ -72,7 +72,7 @@
         let message = PeerMessage::TokenDecision {
             number: token_request.number,
             instance: token_request.instance,
-            status: verdict,
+            status,
             wait_ms: short_millis(wait),
         };
         send(from, &[encode(&message)], out);
@@ -99,7 +99,7 @@
     ) -> TokenDecision {
         let limits = self.requests.limits_mut();
         limits.record_from_peer(token_request.instance, token_request.statement);
-        let verdict = match limits.limit(token_request.instance) {
+        let status = match limits.limit(token_request.instance) {
             None => TokenStatus::Unlimited,
             Some(limit) => match self.limiter_role(token_request, now, out) {
                 Some(role) => {
@@ -112,7 +112,7 @@
         TokenDecision {
             number: token_request.number,
             instance: token_request.instance,
-            verdict,
+            status,
         }
     }
 
@@ -138,7 +138,7 @@
         }
         let failover = self
             .limiter_failover
-            .asked_in_place_of(candidates.first, now);
+            .record_fallback_request(candidates.first, now);
         if failover.is_probed {
             let probe = PeerMessage::LimiterProbe { is_reply: false };
             send(candidates.first, &[encode(&probe)], out);
@@ -232,9 +232,9 @@
     }
 }
 
-/// Decodes a limiter's verdict from a message.
-pub(super) fn decode_token_verdict(verdict: TokenStatusEntry, wait_ms: u16) -> TokenStatus {
-    match verdict {
+/// Decodes a limiter's decision from a message.
+pub(super) fn decode_token_status(status: TokenStatusEntry, wait_ms: u16) -> TokenStatus {
+    match status {
         TokenStatusEntry::Granted => TokenStatus::Granted,
         TokenStatusEntry::Refused => {
             TokenStatus::Refused(Duration::from_millis(u64::from(wait_ms)))
--- a/crates/ledgelead-router/src/node/registration.rs
+++ b/crates/ledgelead-router/src/node/registration.rs
@@ -44,14 +44,14 @@
         self.is_done
     }
 
-    /// The store was restored from an older copy, which may hold another registration or none.
+    /// The store was restored from a backup, which may hold another registration or none.
     pub(super) fn begin_era(&mut self) {
         self.is_done = false;
         self.needs_list = true;
     }
 
-    /// Notes that the nodes were listed.
-    pub(super) fn listed(&mut self) {
+    /// Records that the nodes were listed.
+    pub(super) fn record_list(&mut self) {
         self.needs_list = false;
     }
 }
@@ -98,13 +98,13 @@
         coordinator.is_some_and(|named| named.node == own.node && named != own)
     }
 
-    /// Notes whether another incarnation of this node is registered, which has used up part of
-    /// the retry budget.
-    pub(super) fn note_earlier_incarnation(&mut self) {
+    /// Records whether another incarnation of this node is registered, which has used up part
+    /// of the retry budget.
+    pub(super) fn record_earlier_incarnation(&mut self) {
         let own = &self.settings.identity;
         let registered = self.registry.get(&own.node);
         if registered.is_some_and(|known| known.identity != *own) {
-            self.requests.note_earlier_incarnation();
+            self.requests.record_earlier_incarnation();
         }
     }
 
--- a/crates/ledgelead-router/src/node/relay/configuration.rs
+++ b/crates/ledgelead-router/src/node/relay/configuration.rs
@@ -43,7 +43,7 @@
 
 impl Node {
     /// A new version is active at this node. A coordinator announces it.
-    pub(in crate::node) fn configuration_in_force(
+    pub(in crate::node) fn configuration_activated(
         &mut self,
         now: Timestamp,
         out: &mut Vec<Action>,
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -63,7 +63,7 @@
     /// A coordinator of a later epoch was heard. It reads changes of instances and nodes
     /// itself, at the revisions of its own calls. Revisions announced by its predecessor may
     /// name changes that it never relays.
-    pub(in crate::node) fn coordinator_changed(&mut self) {
+    pub(in crate::node) fn reset_announced_revisions(&mut self) {
         for kind in [RelayedKind::Instances, RelayedKind::Nodes] {
             self.gap(kind).announced = 0;
         }
--- a/crates/ledgelead-router/src/node/relay/mod.rs
+++ b/crates/ledgelead-router/src/node/relay/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Records that an object of this kind has changed at or before this revision.
-    pub(super) fn note_change(&mut self, kind: ObjectKind, revision: u64) {
+    pub(super) fn record_change(&mut self, kind: ObjectKind, revision: u64) {
         let known = match kind {
             ObjectKind::Instances => &mut self.instances_revision,
             ObjectKind::Nodes => &mut self.nodes_revision,
--- a/crates/ledgelead-router/src/node/relay/objects.rs
+++ b/crates/ledgelead-router/src/node/relay/objects.rs
@@ -32,7 +32,7 @@
     /// The list starts at the last change of the same kind, not at the revision from which the
     /// watch continued. The store's revision also increases with objects of other kinds, which
     /// the other nodes don't hear of.
-    pub(in crate::node) fn relay(
+    pub(in crate::node) fn relay_changes(
         &mut self,
         kind: ObjectKind,
         revision: u64,
@@ -134,7 +134,7 @@
                 Some(entry) => {
                     if let Some(registration) = registration(name, entry) {
                         self.registry.upsert(registration);
-                        self.note_earlier_incarnation();
+                        self.record_earlier_incarnation();
                     }
                 }
             }
@@ -145,7 +145,7 @@
     /// Records that all changes of a kind up to this revision are known.
     fn list_applied(&mut self, kind: ObjectKind, revision: u64) {
         self.store.advance(kind, revision);
-        self.messaging.relay.note_change(kind, revision);
+        self.messaging.relay.record_change(kind, revision);
     }
 
     /// Returns the list if it is complete, new, and no list before it is missing. If this
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -109,7 +109,7 @@
         let follows = self.coordination.coordinator().is_none();
         let before = self.record_before_change();
         if follows && self.ownership.apply_changes(base, revision, assignments) {
-            self.note_cold_keys(before, now);
+            self.record_cold_keys(before, now);
             self.reconsider_waiting(now, out);
         }
     }
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -28,7 +28,7 @@
         let Some(pending) = self.store.pending.remove(&exchange) else {
             return;
         };
-        self.coordination.note_change();
+        self.coordination.schedule_step();
         let answer = self.read_store_answer(&pending.call, pending.era, result, now, out);
         let isolates_unreadable = self.settings.protections.has(Protection::IsolateUnreadable);
         let answer = match answer {
@@ -38,7 +38,7 @@
             answer => answer,
         };
         let served = matches!(&answer, Ok(answer) if !matches!(answer, StoreAnswer::Refused | StoreAnswer::Unreadable(_)));
-        self.note_health(served, &answer, pending.started, now, out);
+        self.record_call_outcome(served, &answer, pending.started, now, out);
         let is_former = pending.era < self.store.era;
         match pending.purpose {
             Purpose::Watch(kind) => self.watch_answered(kind, answer, pending.started, now, out),
@@ -54,7 +54,7 @@
             }
             Purpose::Update => self.update_answered(answer, pending.started, now, out),
             Purpose::Resign => {
-                self.coordination.resigned();
+                self.coordination.finish_resigning();
                 self.announce_resignation(out);
             }
         }
@@ -69,7 +69,7 @@
         backoff(self.registry.len(), coordinating, self.settings.seed)
     }
 
-    fn note_health(
+    fn record_call_outcome(
         &mut self,
         served: bool,
         answer: &Result<StoreAnswer, ExchangeFailure>,
@@ -87,7 +87,7 @@
                 let cause = describe(answer);
                 Event::StoreFails { cause: &cause }.emit();
             }
-            self.store.health.failed(started);
+            self.store.health.record_failure(started);
             // This watch continues while others are suspended, even if it was paused.
             self.store
                 .watcher(ObjectKind::Instances)
@@ -100,8 +100,8 @@
             return;
         }
         let was_failing = self.store.health.has_failed();
-        if self.store.health.succeeded(now) {
-            self.directory.note_store_outage(now);
+        if self.store.health.record_success(now) {
+            self.directory.record_store_outage(now);
         }
         if was_failing {
             Event::StoreServes.emit();
@@ -146,22 +146,22 @@
                 if kind == ObjectKind::Ownership
                     && let Some(is_readable) = has_readable_record(&answer)
                 {
-                    self.coordination.note_record_readable(is_readable);
+                    self.coordination.set_record_readable(is_readable);
                 }
                 let was_paged = self.store.watcher(kind).is_paged();
-                let change = self.store.watcher(kind).answered(answer, now);
+                let change = self.store.watcher(kind).apply_answer(answer, now);
                 let has_more_pages = !was_paged && self.store.watcher(kind).is_paging_stale();
                 if has_more_pages && !self.transfers_from_nodes() {
                     self.store.defer_further_pages(kind, now);
                 }
                 let confirms = has_state && self.store.is_exact(kind);
                 if confirms && kind == ObjectKind::Ownership {
-                    self.coordination.confirmed_if_unchanged(started);
+                    self.coordination.confirm_role_if_unchanged(started);
                 }
                 change
             }
             Err(_) => {
-                self.store.watcher(kind).failed(now);
+                self.store.watcher(kind).record_failure(now);
                 return;
             }
         };
@@ -171,7 +171,7 @@
             && let Some(as_of) = self.store.watcher(kind).as_of()
         {
             let was_confirmed = self.directory.is_confirmed();
-            self.directory.note_current(as_of);
+            self.directory.record_current(as_of);
             if !was_confirmed {
                 self.reconsider_waiting(now, out);
             }
@@ -198,7 +198,7 @@
         };
         if !events.is_empty() {
             let revision = self.store.revision_of(kind).unwrap_or(0);
-            self.relay(kind, revision, events, now, out);
+            self.relay_changes(kind, revision, events, now, out);
         }
     }
 
@@ -235,7 +235,7 @@
             && kind == ObjectKind::Instances
             && self.directory.changes() == instances_before;
         if !is_unchanged {
-            self.messaging.relay.note_change(kind, revision);
+            self.messaging.relay.record_change(kind, revision);
         }
         self.reconsider_waiting(now, out);
     }
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -405,7 +405,7 @@
     }
 
     /// A write of the record has confirmed the coordinator role.
-    pub(super) fn role_confirmed(&mut self, now: Timestamp) {
+    pub(super) fn defer_role_confirmation(&mut self, now: Timestamp) {
         let watcher = self.watcher(ObjectKind::Ownership);
         watcher.defer(now + CONFIRM_INTERVAL);
     }
@@ -428,7 +428,7 @@
         if let Some(exchange) = found {
             self.pending.remove(&exchange);
             out.push(Action::Cancel { exchange });
-            self.watcher(kind).interrupt(now);
+            self.watcher(kind).record_cancellation(now);
         }
     }
 }
--- a/crates/ledgelead-router/src/node/store_era.rs
+++ b/crates/ledgelead-router/src/node/store_era.rs
@@ -1,5 +1,5 @@
-//! Store eras. A new era begins when the store is restored from an older copy, which lacks
-//! what it acknowledged since.
+//! Store eras. A new era begins when the store is restored from a backup, which lacks what the
+//! store has acknowledged since the backup.
 //!
 //! **Invariant: nothing that was read from the store in an era is relied on in a later one
 //! before it is confirmed there.** Lists are read again, registrations are repeated, and a
@@ -61,8 +61,7 @@
         if begins_era {
             self.begin_era(now, out);
         }
-        // A continued list, or changes since a revision, would lack what the restored copy
-        // lacks.
+        // A continued list, or changes since a revision, would lack what the backup lacks.
         let continues = match call {
             StoreCall::List { after, .. } => after.is_some(),
             StoreCall::Watch { .. } => true,
@@ -128,16 +127,16 @@
             is_confirmed,
         } = version;
         self.ownership.rewind_revision(Some(revision), is_confirmed);
-        self.coordination.election.confirmed(now);
+        self.coordination.election.record_confirmation(now);
     }
 
     /// The store holds no record, while this node knows one of an earlier era.
-    pub(super) fn note_missing_record(&mut self, now: Timestamp) {
+    pub(super) fn apply_missing_record(&mut self, now: Timestamp) {
         let era = self.store.era;
         let known = self.ownership.revision();
         if known.is_some_and(|known| era_of(known) < era) {
             self.ownership.rewind_revision(None, true);
-            self.coordination.election.confirmed(now);
+            self.coordination.election.record_confirmation(now);
         }
     }
 
--- a/crates/ledgelead-router/src/node/store_objects.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -32,7 +32,7 @@
         let mut zones = Vec::new();
         let mut quarantined = BTreeSet::new();
         for object in objects {
-            self.note_readability(kind, &object);
+            self.record_readability(kind, &object);
             if kind == ObjectKind::Quarantine {
                 self.evidence_read(&object, now);
                 quarantined.extend(RequestDigest::parse(&object.name));
@@ -79,7 +79,7 @@
             ObjectKind::Ownership => {
                 self.coordination.record_listed = true;
                 if is_empty && self.store.is_exact(kind) {
-                    self.note_missing_record(now);
+                    self.apply_missing_record(now);
                 }
             }
             ObjectKind::Configuration => {}
@@ -95,12 +95,12 @@
     /// Replaces all known registrations of nodes.
     pub(super) fn replace_nodes(&mut self, registrations: Vec<Registration>) {
         self.registry.replace_all(registrations);
-        self.note_earlier_incarnation();
+        self.record_earlier_incarnation();
     }
 
-    /// Notes that the nodes were listed completely; `is_first` marks the first such list.
+    /// Records that the nodes were listed completely; `is_first` marks the first such list.
     pub(super) fn nodes_listed(&mut self, is_first: bool, now: Timestamp) {
-        self.store.registration.listed();
+        self.store.registration.record_list();
         if is_first {
             self.coordination.election.nodes_listed(now);
         }
@@ -111,7 +111,7 @@
         let zones = self.evacuations.zones();
         Event::Evacuated { zones: zones.len() }.emit();
         self.directory.set_evacuated_zones(zones, now);
-        self.coordination.note_change();
+        self.coordination.schedule_step();
         self.messaging.send_heartbeat_soon();
         self.reconsider_waiting(now, out);
     }
@@ -129,7 +129,7 @@
         if event.gone {
             self.unreadable.clear(kind, &object.name);
         } else {
-            self.note_readability(kind, &object);
+            self.record_readability(kind, &object);
         }
         if let (Ok(ObjectContent::Quarantine(_)), false) = (&object.content, event.gone) {
             self.evidence_read(&object, now);
@@ -151,7 +151,7 @@
                     record,
                     revision: object.revision,
                 });
-                self.note_earlier_incarnation();
+                self.record_earlier_incarnation();
             }
             Ok(ObjectContent::Configuration(configuration)) if !event.gone => {
                 self.activate_configuration(configuration, now, out);
@@ -203,7 +203,7 @@
         self.registry.registration(&NodeName::from(name)).cloned()
     }
 
-    fn note_readability(&mut self, kind: ObjectKind, object: &Object) {
+    fn record_readability(&mut self, kind: ObjectKind, object: &Object) {
         match &object.content {
             Ok(_) => self.unreadable.clear(kind, &object.name),
             Err(finding) => self.unreadable.record(kind, &object.name, finding),
@@ -226,7 +226,7 @@
         Event::ConfigurationInForce { version }.emit();
         self.routes = RouteTable::new(&configuration);
         self.configuration = Some(configuration);
-        self.configuration_in_force(now, out);
+        self.configuration_activated(now, out);
     }
 
     pub(super) fn ownership_changed(
@@ -251,8 +251,8 @@
         if !self.ownership.update(record, version) {
             return;
         }
-        self.note_cold_keys(before, now);
-        self.coordination.election.confirmed(now);
+        self.record_cold_keys(before, now);
+        self.coordination.election.record_confirmation(now);
         self.reconcile_role(started, now, out);
         if let Some((Some(base), changes)) = written {
             self.announce_ownership(base, changes, now, out);
@@ -270,11 +270,11 @@
 
     /// Records which keys got a new owner without the state of the previous one by a change of
     /// the record.
-    pub(super) fn note_cold_keys(&mut self, before: Option<OwnershipRecord>, now: Timestamp) {
+    pub(super) fn record_cold_keys(&mut self, before: Option<OwnershipRecord>, now: Timestamp) {
         if let Some(before) = before {
             let after = self.ownership.record();
             self.cold_keys
-                .record_changed(&before, after, &self.directory, now);
+                .apply_record_change(&before, after, &self.directory, now);
         }
     }
 }
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -397,7 +397,7 @@
                 from: outstanding.source,
             };
             received.emit();
-            self.coordination.note_change();
+            self.coordination.schedule_step();
             self.reconsider_waiting(now, out);
         }
         is_applied
@@ -414,7 +414,7 @@
         let entries: Vec<Entry> = records.map(|record| Entry::at(revision, record)).collect();
         self.directory.replace_all(entries, now);
         if let Some(as_of) = as_of {
-            self.directory.note_current(as_of);
+            self.directory.record_current(as_of);
         }
         self.list_received(ObjectKind::Instances, revision, now);
     }
@@ -477,7 +477,7 @@
     /// revision.
     fn list_received(&mut self, kind: ObjectKind, revision: u64, now: Timestamp) {
         self.store.watcher(kind).listed_by_peer(revision, now);
-        self.messaging.relay.note_change(kind, revision);
+        self.messaging.relay.record_change(kind, revision);
     }
 
     /// Makes the call of a watch that is due, or asks another node if lists are transferred
--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -147,7 +147,7 @@
         address.into_iter().collect()
     }
 
-    fn note_served(&mut self, request: &WaitingRequest, now: Timestamp) {
+    fn record_served(&mut self, request: &WaitingRequest, now: Timestamp) {
         self.sent += 1;
         let transfer = &request.transfer;
         let served = self.served.entry(request.key()).or_default();
@@ -222,7 +222,7 @@
         for request in waiting {
             match self.decide(&request, now) {
                 Decision::Send(body) => {
-                    self.transfer_server.note_served(&request, now);
+                    self.transfer_server.record_served(&request, now);
                     self.count_transfer(request.transfer.address.socket(), body.len());
                     respond(request.client, body, out);
                 }
--- a/crates/ledgelead-router/src/node/zone_relay.rs
+++ b/crates/ledgelead-router/src/node/zone_relay.rs
@@ -54,7 +54,7 @@
 
 impl ZoneRelays {
     /// Records a node's report.
-    pub(super) fn note_report(&mut self, from: SocketAddr, nodes: u64, now: Timestamp) {
+    pub(super) fn record_report(&mut self, from: SocketAddr, nodes: u64, now: Timestamp) {
         self.reports.insert(from, NodeReport { at: now, nodes });
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Handles a message of the coordinator that another node has relayed.
-    pub(super) fn forwarded(
+    pub(super) fn forwarded_received(
         &mut self,
         from: SocketAddr,
         origin: PeerAddress,
--- a/crates/ledgelead-router/src/node/zone_traffic.rs
+++ b/crates/ledgelead-router/src/node/zone_traffic.rs
@@ -26,9 +26,9 @@
 
     /// Counts a received datagram.
     pub(super) fn count_received(&mut self, from: SocketAddr, kind: &'static str, bytes: usize) {
-        self.traffic.received(kind, bytes);
+        self.traffic.record_received(kind, bytes);
         let relation = self.zone_relation_of_node(from);
-        self.zone_traffic.received(kind, relation, bytes);
+        self.zone_traffic.record_received(kind, relation, bytes);
     }
 
     /// Counts a response, before its exchange is removed.
@@ -42,27 +42,28 @@
         };
         if let Some((purpose, relation)) = self.purpose_of(exchange) {
             let bytes = response_bytes(response);
-            self.zone_traffic.received(purpose, relation, bytes);
+            self.zone_traffic.record_received(purpose, relation, bytes);
         }
     }
 
     /// Counts a list sent to another node.
     pub(super) fn count_transfer(&mut self, to: SocketAddr, bytes: usize) {
         let relation = self.zone_relation_of_node(to);
-        self.zone_traffic.sent(TRANSFERS, relation, bytes);
+        self.zone_traffic.record_sent(TRANSFERS, relation, bytes);
     }
 
     fn count_datagram(&mut self, address: SocketAddr, datagram: &Datagram) {
-        self.traffic.sent(datagram);
+        self.traffic.record_sent(datagram);
         let relation = self.zone_relation_of_node(address);
         let bytes = datagram.bytes.len();
-        self.zone_traffic.sent(datagram.kind, relation, bytes);
+        self.zone_traffic
+            .record_sent(datagram.kind, relation, bytes);
     }
 
     fn count_request(&mut self, exchange: ExchangeId, request: &Request) {
         if let Some((purpose, relation)) = self.purpose_of(exchange) {
             let bytes = request_bytes(request);
-            self.zone_traffic.sent(purpose, relation, bytes);
+            self.zone_traffic.record_sent(purpose, relation, bytes);
         }
     }
 
--- a/crates/ledgelead-router/src/ownership/cold_keys.rs
+++ b/crates/ledgelead-router/src/ownership/cold_keys.rs
@@ -31,7 +31,7 @@
 impl ColdKeys {
     /// Updates the cold keys after a change of the record. An owner that serves or drains
     /// hands its keys over; the state of one that is gone or unknown is lost.
-    pub fn record_changed(
+    pub fn apply_record_change(
         &mut self,
         before: &OwnershipRecord,
         after: &OwnershipRecord,
--- a/crates/ledgelead-router/src/ownership/coordinator/mod.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/mod.rs
@@ -277,12 +277,12 @@
     pub fn step(&mut self, context: &mut Context<'_>) -> Commands {
         let mut commands = Commands::default();
         if !self.has_unknown_holds(context.now) {
-            self.cover_services(context);
+            self.add_shards_for_new_services(context);
             self.replace_lost_owners(context);
             self.plan_moves(context);
         }
-        self.release(context, &mut commands);
-        self.grant(context, &mut commands);
+        self.send_releases(context, &mut commands);
+        self.send_grants(context, &mut commands);
         commands.write = self.begin_write(context);
         commands
     }
--- a/crates/ledgelead-router/src/ownership/coordinator/orders.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/orders.rs
@@ -29,7 +29,7 @@
     /// A release is sent only when no grant of this range is in transit, and after the owner
     /// has answered a grant of this epoch. Otherwise a grant of this or of an earlier
     /// coordinator could arrive after the release and take the keys again.
-    pub(super) fn release(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
+    pub(super) fn send_releases(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
         for (index, shard) in self.shards.iter_mut().enumerate() {
             let State::Releasing {
                 target,
@@ -84,7 +84,7 @@
 
     /// Sends due grants and renewals, longest overdue first. A range that is to be released is
     /// granted only until its owner has answered this coordinator once.
-    pub(super) fn grant(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
+    pub(super) fn send_grants(&mut self, context: &mut Context<'_>, commands: &mut Commands) {
         for index in self.due_grants(context.now) {
             let shard = &mut self.shards[index];
             let instance = shard
@@ -92,11 +92,11 @@
                 .as_ref()
                 .and_then(|id| context.directory.get_unless_superseded(id));
             let Some(instance) = instance else {
-                shard.lease.unanswered(false, context.now);
+                shard.lease.record_grant_unanswered(false, context.now);
                 continue;
             };
             let exchange = context.exchanges.next_id();
-            shard.lease.granting(exchange);
+            shard.lease.record_grant_sent(exchange);
             self.pending_orders.insert(exchange, index);
             commands.orders.push(OutgoingOrder {
                 exchange,
--- a/crates/ledgelead-router/src/ownership/coordinator/overload.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/overload.rs
@@ -6,23 +6,22 @@
 use crate::ownership::planner::Candidate;
 use crate::requests::OverloadedKey;
 
-/// Utilisation of an owner by a single key above which part of that key's requests are
-/// refused. At a capacity of 12 a second, random deviation alone makes counts of one second
-/// reach 1.3.
-const OVERLOAD_UTILISATION: f64 = 1.5;
+/// Utilization of an owner by a single key above which part of that key's requests are refused.
+/// At a capacity of 12 a second, random deviation alone makes counts of one second reach 1.3.
+const OVERLOAD_UTILIZATION: f64 = 1.5;
 /// Share of the owner's capacity that is admitted. Slightly above 1, so that its slots never
 /// wait for the next request.
 const ADMITTED_SHARE: f64 = 1.1;
-/// Least share of the owner's capacity that such a key gets, however many requests the owner's
-/// other keys receive: those move away.
+/// Minimum share of the owner's capacity that such a key gets, however many requests the
+/// owner's other keys receive: those move away.
 const MIN_SHARE: f64 = 0.3;
 /// Maximum number of announced keys; the ones with the largest excess are kept.
 const MAX_KEYS: usize = 16;
 
 impl Coordinator {
     /// The overloaded keys of a service. Each exceeds its owner's capacity by itself, so that
-    /// moving neighbouring keys away would not help.
-    pub(super) fn overloaded(
+    /// moving neighboring keys away would not help.
+    pub(super) fn overloaded_keys(
         &self,
         service: &ServiceName,
         candidates: &[Candidate],
@@ -49,12 +48,12 @@
 ) -> Option<(f64, OverloadedKey)> {
     let rates = owner.ranges.iter().map(|range| load.rate(*range));
     let total: f64 = rates.sum();
-    if total <= owner.capacity * OVERLOAD_UTILISATION {
+    if total <= owner.capacity * OVERLOAD_UTILIZATION {
         return None;
     }
     let hottest = owner.ranges.iter().map(|range| load.hottest(*range));
     let (key, rate) = hottest.max_by(|(_, left), (_, right)| left.total_cmp(right))?;
-    if rate <= owner.capacity * OVERLOAD_UTILISATION {
+    if rate <= owner.capacity * OVERLOAD_UTILIZATION {
         return None;
     }
     let left = (owner.capacity - (total - rate)).max(owner.capacity * MIN_SHARE);
--- a/crates/ledgelead-router/src/ownership/coordinator/placement.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/placement.rs
@@ -20,17 +20,17 @@
 /// Time without a new registration after which a service's keys get their initial owners, so
 /// that they do not all go to the instance that registers first.
 const REGISTRATION_SETTLED: Duration = Duration::from_millis(1_500);
-/// Longest wait for initial owners.
+/// Maximum wait for initial owners.
 const REGISTRATION_MAX_WAIT: Duration = Duration::from_secs(5);
 /// Additional wait per registered instance: the store accepts some thousands of registrations
 /// a second, including those of other services.
 const REGISTRATION_WAIT_PER_INSTANCE: Duration = Duration::from_millis(1);
-/// Least wait for initial owners once clients send requests for keys.
+/// Minimum wait for initial owners once clients send requests for keys.
 const REGISTRATION_MIN_WAIT: Duration = Duration::from_millis(500);
 /// Assumed service time of an instance without samples.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(100);
 
-/// Least capacity, in requests a second, that is assumed for an instance that accepts none.
+/// Minimum capacity, in requests a second, that is assumed for an instance that accepts none.
 const MIN_CAPACITY: f64 = 0.25;
 
 /// An instance's share of a service's keys.
@@ -85,7 +85,7 @@
                 load.decay(context.now);
             }
             let candidates = self.candidates(context, &service);
-            let overloaded = self.overloaded(&service, &candidates);
+            let overloaded = self.overloaded_keys(&service, &candidates);
             self.overloads.extend(overloaded);
             if may_move {
                 self.plan_moves_of(
@@ -267,7 +267,7 @@
     }
 
     /// Adds shards without an owner for new services of the configuration.
-    pub(super) fn cover_services(&mut self, context: &Context<'_>) {
+    pub(super) fn add_shards_for_new_services(&mut self, context: &Context<'_>) {
         for service in context.configuration.sharded_services() {
             let covered = self.shards.iter().any(|shard| shard.service == *service);
             if covered {
--- a/crates/ledgelead-router/src/ownership/coordinator/shard.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/shard.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    pub(super) fn projected(&self) -> Option<Assignment> {
+    pub(super) fn projected_assignment(&self) -> Option<Assignment> {
         let (owner, fence) = match &self.state {
             State::Assigning { owner, fence, .. } => (owner.clone(), *fence),
             _ => (self.owner.clone()?, self.fence),
@@ -150,29 +150,30 @@
         match result {
             Ok(OrderAnswer::Done { .. }) => {
                 counters.grants += 1;
-                self.lease.granted(renewed_after, now);
+                self.lease.record_grant_answered(renewed_after, now);
             }
             Ok(OrderAnswer::Fenced) => {
                 // Never repeated with this token: the range gets a higher one, if this node is
                 // still the coordinator.
-                self.lease.unanswered(false, now);
+                self.lease.record_grant_unanswered(false, now);
                 self.state = State::Free {
                     target: self.owner.clone(),
                     handover: None,
                 };
             }
             Ok(OrderAnswer::OtherInstance) => {
-                self.lease.unanswered(false, now);
+                self.lease.record_grant_unanswered(false, now);
                 self.lease.possible_until = now;
                 self.lease.failures = u32::MAX / 2;
             }
             Ok(OrderAnswer::Refused) => {
                 counters.grants_unanswered += 1;
-                self.lease.unanswered(false, now);
+                self.lease.record_grant_unanswered(false, now);
             }
             Err(failure) => {
                 counters.grants_unanswered += 1;
-                self.lease.unanswered(!failure.proves_not_sent(), now);
+                self.lease
+                    .record_grant_unanswered(!failure.proves_not_sent(), now);
             }
         }
     }
--- a/crates/ledgelead-router/src/ownership/coordinator/writes.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/writes.rs
@@ -52,8 +52,8 @@
                 .lease
                 .has_expired(self.protections, context.now);
             if preferred.is_none() && !is_expired {
-                // The owner rejected a grant because of its token and has left since; it may
-                // still hold the keys.
+                // The owner rejected a grant because of its fencing token and has left since;
+                // it may still hold the keys.
                 self.shards[index].state = State::Releasing {
                     target: None,
                     order: None,
@@ -93,7 +93,7 @@
         }
         let changed = !decided.is_empty();
         for range in decided {
-            self.divide(range);
+            self.split_free_range(range);
         }
         if !changed {
             return None;
@@ -114,7 +114,7 @@
     }
 
     /// Splits a free range among its next owners; the rest stays free.
-    fn divide(&mut self, decided: DecidedRange) {
+    fn split_free_range(&mut self, decided: DecidedRange) {
         let DecidedRange {
             index,
             parts,
@@ -148,8 +148,11 @@
 
     /// The record after all pending assignments.
     pub(super) fn projected_record(&self, now: Timestamp) -> OwnershipRecord {
-        let mut assignments: Vec<Assignment> =
-            self.shards.iter().filter_map(Shard::projected).collect();
+        let mut assignments: Vec<Assignment> = self
+            .shards
+            .iter()
+            .filter_map(Shard::projected_assignment)
+            .collect();
         assignments
             .sort_by(|left, right| (&left.service, left.first).cmp(&(&right.service, right.first)));
         let mut record = OwnershipRecord {
--- a/crates/ledgelead-router/src/ownership/election.rs
+++ b/crates/ledgelead-router/src/ownership/election.rs
@@ -77,8 +77,8 @@
         self.next_attempt = now + CONFIRM_PAUSE;
     }
 
-    /// The record has been read.
-    pub fn confirmed(&mut self, now: Timestamp) {
+    /// Records that the record has been read.
+    pub fn record_confirmation(&mut self, now: Timestamp) {
         if self.confirming {
             self.confirming = false;
             self.next_attempt = now;
--- a/crates/ledgelead-router/src/ownership/lease.rs
+++ b/crates/ledgelead-router/src/ownership/lease.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Delay before an unanswered grant is repeated. Repeating the same grant acts as a renewal,
-/// and an answer to it proves that the owner has this token.
+/// and an answer to it proves that the owner has this fencing token.
 const REPEAT_AFTER_FAILURE: Duration = Duration::from_millis(250);
 /// Consecutive unanswered grants after which the owner counts as unresponsive.
 const UNRESPONSIVE_AFTER: u32 = 2;
@@ -69,15 +69,15 @@
         }
     }
 
-    /// A grant is sent. The lease does not expire until the outcome is known; `granted` or
-    /// `unanswered` then set the new end.
-    pub fn granting(&mut self, order: ExchangeId) {
+    /// Records that a grant is sent. The lease does not expire until the outcome is known;
+    /// `record_grant_answered` or `record_grant_unanswered` then set the new end.
+    pub fn record_grant_sent(&mut self, order: ExchangeId) {
         self.order = Some(order);
     }
 
-    /// A grant was answered; it is renewed after `renewed_after`. From now on an earlier
-    /// coordinator cannot renew its grants.
-    pub fn granted(&mut self, renewed_after: Duration, now: Timestamp) {
+    /// Records that a grant was answered; it is renewed after `renewed_after`. From now on an
+    /// earlier coordinator cannot renew its grants.
+    pub fn record_grant_answered(&mut self, renewed_after: Duration, now: Timestamp) {
         self.order = None;
         self.fenced = true;
         self.failures = 0;
@@ -86,8 +86,9 @@
         self.possible_until = now + longest_hold();
     }
 
-    /// A grant got no answer; it may have arrived at any time until now.
-    pub fn unanswered(&mut self, sent: bool, now: Timestamp) {
+    /// Records that a grant got no answer; it may have arrived at any time until now if it was
+    /// sent.
+    pub fn record_grant_unanswered(&mut self, sent: bool, now: Timestamp) {
         self.order = None;
         self.failures += 1;
         self.next_grant = now + REPEAT_AFTER_FAILURE;
--- a/crates/ledgelead-router/src/ownership/load.rs
+++ b/crates/ledgelead-router/src/ownership/load.rs
@@ -89,16 +89,16 @@
                 prefix_rate + f64::from(self.counts[usize::from(key)]) * self.rate_per_count();
             if next > rate {
                 if offset > 0 {
-                    cuts.push((edge(range, offset - 1, from_front), prefix_rate));
+                    cuts.push((prefix_or_suffix(range, offset - 1, from_front), prefix_rate));
                 }
-                cuts.push((edge(range, offset, from_front), next));
+                cuts.push((prefix_or_suffix(range, offset, from_front), next));
                 return cuts;
             }
             prefix_rate = next;
         }
         if range.len() > 1 {
             let offset = u16::try_from(range.len() - 2).unwrap_or(u16::MAX);
-            cuts.push((edge(range, offset, from_front), prefix_rate));
+            cuts.push((prefix_or_suffix(range, offset, from_front), prefix_rate));
         }
         cuts
     }
@@ -110,7 +110,7 @@
 }
 
 /// The first (or last) keys of a range, up to and including an offset.
-fn edge(range: KeyRange, offset: u16, from_front: bool) -> KeyRange {
+fn prefix_or_suffix(range: KeyRange, offset: u16, from_front: bool) -> KeyRange {
     if from_front {
         KeyRange {
             first: range.first,
--- a/crates/ledgelead-router/src/ownership/next_owner.rs
+++ b/crates/ledgelead-router/src/ownership/next_owner.rs
@@ -5,14 +5,14 @@
 use crate::dialect::KeyRange;
 use crate::identity::InstanceId;
 
-/// Utilisation up to which an instance is given ranges. It is above 1 because rates and
+/// Utilization up to which an instance is given ranges. It is above 1 because rates and
 /// capacities are estimates; beyond it, a further range would take time from the ranges that
 /// the instance already serves.
-const MAX_PLACED_UTILISATION: f64 = 1.2;
-/// The same as a multiple of the mean utilisation, where that is higher: load that exceeds the
+const MAX_PLACED_UTILIZATION: f64 = 1.2;
+/// The same as a multiple of the mean utilization, where that is higher: load that exceeds the
 /// capacity of all instances is shared among them instead of staying without an owner.
 const MAX_PLACED_IMBALANCE: f64 = 1.5;
-/// Least spare share of an instance's capacity for which a range is split.
+/// Minimum spare share of an instance's capacity for which a range is split.
 const MIN_SPARE_SHARE: f64 = 0.05;
 
 /// An instance that can be given ranges.
@@ -26,15 +26,15 @@
 }
 
 impl EligibleInstance {
-    fn utilisation_with(&self, rate: f64) -> f64 {
+    fn utilization_with(&self, rate: f64) -> f64 {
         // Without any known load, the number of keys decides.
         let tie = f64::from(self.keys) * 1e-9;
         (self.rate + rate) / self.capacity + tie
     }
 
-    /// Requests a second that it can still take up to a utilisation.
-    fn spare_capacity(&self, utilisation: f64) -> f64 {
-        utilisation * self.capacity - self.rate
+    /// Requests a second that it can still take up to a utilization.
+    fn spare_capacity(&self, utilization: f64) -> f64 {
+        utilization * self.capacity - self.rate
     }
 }
 
@@ -52,8 +52,8 @@
 pub struct NextOwners<'a> {
     instances: Vec<EligibleInstance>,
     load: Option<&'a KeyLoad>,
-    /// Utilisation up to which instances are given ranges.
-    max_utilisation: f64,
+    /// Utilization up to which instances are given ranges.
+    max_utilization: f64,
 }
 
 impl<'a> NextOwners<'a> {
@@ -77,28 +77,28 @@
         NextOwners {
             instances,
             load,
-            max_utilisation: MAX_PLACED_UTILISATION.max(mean * MAX_PLACED_IMBALANCE),
+            max_utilization: MAX_PLACED_UTILIZATION.max(mean * MAX_PLACED_IMBALANCE),
         }
     }
 
-    /// Assigns a free range to the least utilised instances, in parts if it exceeds the spare
+    /// Assigns a free range to the least utilized instances, in parts if it exceeds the spare
     /// capacity of one. The remainder stays free until there is spare capacity. A single key
-    /// that exceeds the spare capacity of every instance goes to the least utilised one.
+    /// that exceeds the spare capacity of every instance goes to the least utilized one.
     pub fn assign(&mut self, range: KeyRange) -> Vec<RangePlacement> {
         let mut parts = Vec::new();
         let mut left = Some(range);
         while let Some(range) = left.take() {
             let rate = self.rate(range);
-            let Some(least) = self.least_utilised(rate) else {
+            let Some(least) = self.least_utilized(rate) else {
                 break;
             };
-            let room = self.instances[least].spare_capacity(self.max_utilisation);
+            let room = self.instances[least].spare_capacity(self.max_utilization);
             let (taken, rest) = if rate <= room {
                 (range, None)
             } else if room < MIN_SPARE_SHARE * self.instances[least].capacity {
                 break;
             } else {
-                self.front(range, room)
+                self.split_front(range, room)
             };
             parts.push(self.place(least, taken));
             left = rest;
@@ -110,16 +110,16 @@
         self.load.map_or(0.0, |load| load.rate(range))
     }
 
-    /// The instance with the least utilisation after adding this many requests a second.
-    fn least_utilised(&self, rate: f64) -> Option<usize> {
-        let utilisation = |index: &usize| self.instances[*index].utilisation_with(rate);
+    /// The instance with the least utilization after adding this many requests a second.
+    fn least_utilized(&self, rate: f64) -> Option<usize> {
+        let utilization = |index: &usize| self.instances[*index].utilization_with(rate);
         let indices = 0..self.instances.len();
-        indices.min_by(|left, right| utilisation(left).total_cmp(&utilisation(right)))
+        indices.min_by(|left, right| utilization(left).total_cmp(&utilization(right)))
     }
 
     /// Splits a range into a prefix that receives no more than `room` requests a second, but
     /// has at least one key, and the rest.
-    fn front(&self, range: KeyRange, room: f64) -> (KeyRange, Option<KeyRange>) {
+    fn split_front(&self, range: KeyRange, room: f64) -> (KeyRange, Option<KeyRange>) {
         let single = KeyRange {
             last: range.first,
             ..range
--- a/crates/ledgelead-router/src/ownership/planner.rs
+++ b/crates/ledgelead-router/src/ownership/planner.rs
@@ -8,9 +8,9 @@
 use crate::dialect::KeyRange;
 use crate::identity::InstanceId;
 
-/// Utilisation above which keys are moved away.
-const BUSY_UTILISATION: f64 = 0.5;
-/// Ratio of an instance's utilisation to the mean above which keys are moved away.
+/// Utilization above which keys are moved away.
+const BUSY_UTILIZATION: f64 = 0.5;
+/// Ratio of an instance's utilization to the mean above which keys are moved away.
 const MIN_IMBALANCE: f64 = 1.25;
 /// The same for counts over several seconds, which separate lasting differences from random
 /// ones. Near capacity, a tenth too much load is enough to build up a queue.
@@ -20,13 +20,13 @@
 const WINDOW_SECONDS: f64 = 1.8;
 /// The same for counts over several seconds.
 const LONG_WINDOW_SECONDS: f64 = 9.8;
-/// Utilisation up to which a target is filled at once, if the mean is lower.
-const FILLED_UTILISATION: f64 = 0.7;
-/// Least share of the target's capacity that is worth a move.
+/// Utilization up to which a target is filled at once, if the mean is lower.
+const FILLED_UTILIZATION: f64 = 0.7;
+/// Minimum share of the target's capacity that is worth a move.
 const MIN_MOVE_SHARE: f64 = 0.1;
-/// A move must reduce the higher utilisation of source and target to at most this share of the
-/// source's utilisation before the move.
-const MAX_REMAINING_UTILISATION: f64 = 0.9;
+/// A move must reduce the higher utilization of source and target to at most this share of the
+/// source's utilization before the move.
+const MAX_REMAINING_UTILIZATION: f64 = 0.9;
 /// Maximum number of moves per plan.
 const MAX_MOVES: usize = 16;
 
@@ -53,7 +53,7 @@
     /// Whether the random deviation of the counts is subtracted before an owner counts as
     /// busy.
     pub noise_margin: bool,
-    /// Ratio of an owner's utilisation to the mean above which it counts as busy.
+    /// Ratio of an owner's utilization to the mean above which it counts as busy.
     pub min_imbalance: f64,
     /// Seconds of requests that the rates cover.
     pub window_seconds: f64,
@@ -97,25 +97,25 @@
 }
 
 impl InstanceState {
-    fn utilisation(&self) -> f64 {
-        self.utilisation_with(0.0)
+    fn utilization(&self) -> f64 {
+        self.utilization_with(0.0)
     }
 
-    /// The utilisation less the standard deviation of the rate, with Poisson-distributed
+    /// The utilization less the standard deviation of the rate, with Poisson-distributed
     /// counts.
-    fn utilisation_lower_bound(&self, window_seconds: f64) -> f64 {
+    fn utilization_lower_bound(&self, window_seconds: f64) -> f64 {
         let deviation = (self.rate.max(0.0) / window_seconds).sqrt();
-        self.utilisation_with(-deviation)
+        self.utilization_with(-deviation)
     }
 
-    /// The utilisation after a change by this many requests a second.
-    fn utilisation_with(&self, change: f64) -> f64 {
+    /// The utilization after a change by this many requests a second.
+    fn utilization_with(&self, change: f64) -> f64 {
         (self.rate + self.candidate.incoming + change) / self.candidate.capacity
     }
 
-    /// Requests a second that it can take up to `FILLED_UTILISATION`.
+    /// Requests a second that it can take up to `FILLED_UTILIZATION`.
     fn free_capacity(&self) -> f64 {
-        (FILLED_UTILISATION - self.utilisation()) * self.candidate.capacity
+        (FILLED_UTILIZATION - self.utilization()) * self.candidate.capacity
     }
 }
 
@@ -168,16 +168,16 @@
         .filter(|index| {
             let instance = &instances[*index];
             let busy = if settings.noise_margin {
-                instance.utilisation_lower_bound(settings.window_seconds)
+                instance.utilization_lower_bound(settings.window_seconds)
             } else {
-                instance.utilisation()
+                instance.utilization()
             };
-            busy > BUSY_UTILISATION.max(mean * settings.min_imbalance)
+            busy > BUSY_UTILIZATION.max(mean * settings.min_imbalance)
         })
         .collect();
     sources.sort_by(|left, right| {
-        let utilisation = |index: usize| instances[index].utilisation();
-        utilisation(*right).total_cmp(&utilisation(*left))
+        let utilization = |index: usize| instances[index].utilization();
+        utilization(*right).total_cmp(&utilization(*left))
     });
     let (source, part) = sources.into_iter().find_map(|source| {
         let amount = amount_to_move(&instances[source], &instances[least_loaded], mean)?;
@@ -202,11 +202,11 @@
 /// most what evens out the two, and at most what fills the target to a moderate load.
 fn amount_to_move(source: &InstanceState, target: &InstanceState, mean: f64) -> Option<f64> {
     let capacity = target.candidate.capacity;
-    let high = source.utilisation();
-    let low = target.utilisation();
+    let high = source.utilization();
+    let low = target.utilization();
     let excess = (high - mean) * source.candidate.capacity;
     let even = (high - low) / 2.0 * capacity;
-    let filled = (mean.max(FILLED_UTILISATION) - low) * capacity;
+    let filled = (mean.max(FILLED_UTILIZATION) - low) * capacity;
     let amount = excess.min(even).min(filled);
     (amount >= MIN_MOVE_SHARE * capacity).then_some(amount)
 }
@@ -221,7 +221,7 @@
 }
 
 /// The part of one of the source's ranges whose move leaves the lowest maximum of both
-/// utilisations, if that is a worthwhile reduction; among equal ones the part with the fewest
+/// utilizations, if that is a worthwhile reduction; among equal ones the part with the fewest
 /// keys.
 fn best_part(
     source: &InstanceState,
@@ -229,13 +229,13 @@
     amount: f64,
     load: &KeyLoad,
 ) -> Option<Part> {
-    let max_utilisation = |part: &Part| {
-        let left = source.utilisation_with(-part.rate);
-        left.max(target.utilisation_with(part.rate))
+    let max_utilization = |part: &Part| {
+        let left = source.utilization_with(-part.rate);
+        left.max(target.utilization_with(part.rate))
     };
-    let enough = source.utilisation() * MAX_REMAINING_UTILISATION;
+    let enough = source.utilization() * MAX_REMAINING_UTILIZATION;
     let least = MIN_MOVE_SHARE * target.candidate.capacity;
-    let fits = |part: &Part| part.rate >= least && max_utilisation(part) <= enough;
+    let fits = |part: &Part| part.rate >= least && max_utilization(part) <= enough;
     source
         .candidate
         .ranges
@@ -244,7 +244,7 @@
         .flat_map(|(position, range)| parts_of(position, *range, amount, load))
         .filter(fits)
         .min_by(|left, right| {
-            let by_load = max_utilisation(left).total_cmp(&max_utilisation(right));
+            let by_load = max_utilization(left).total_cmp(&max_utilization(right));
             by_load.then(left.range.len().cmp(&right.range.len()))
         })
 }
--- a/crates/ledgelead-router/src/ownership/work.rs
+++ b/crates/ledgelead-router/src/ownership/work.rs
@@ -17,7 +17,7 @@
 /// The same for counts that cover about six seconds, so that machines with short slow phases
 /// are rated by how frequent those phases are.
 const LONG_WINDOW_DECAY: f64 = 0.97;
-/// Least number of answers from which a capacity is estimated.
+/// Minimum number of answers from which a capacity is estimated.
 const MIN_ANSWERS: f64 = 4.0;
 /// How long a capacity estimate is used without new answers. Then an owner that was slow is
 /// tried again.
@@ -34,7 +34,7 @@
 
 impl WorkSample {
     /// Adds an attempt that has ended at the instance.
-    pub fn note(&mut self, took: Duration, answered: bool) {
+    pub fn add(&mut self, took: Duration, answered: bool) {
         self.answered += u32::from(answered);
         self.busy += took;
     }
--- a/crates/ledgelead-router/src/peers/configuration.rs
+++ b/crates/ledgelead-router/src/peers/configuration.rs
@@ -32,7 +32,7 @@
     pub prefix: Text,
     /// The services.
     pub targets: List<TargetEntry>,
-    /// Whether its requests may be executed more than once.
+    /// Whether its requests may run more than once.
     pub idempotent: bool,
     /// The longest time for which a request is held, in milliseconds.
     pub timeout_ms: u64,
--- a/crates/ledgelead-router/src/peers/message.rs
+++ b/crates/ledgelead-router/src/peers/message.rs
@@ -24,7 +24,7 @@
     pub keys: List<u16>,
 }
 
-/// What an owner did for a node's requests since the node's last report.
+/// The work of an owner for a node's requests since the node's last report.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct WorkReport {
     /// Stable hash of the instance's id.
@@ -45,9 +45,9 @@
     pub count: u16,
     /// Number of answered requests.
     pub answered: u8,
-    /// Total processing time of the answered requests, in milliseconds.
+    /// Total service time of the answered requests, in milliseconds.
     pub busy_ms: u32,
-    /// Current processing time, in percent of the usual time; 0 if unknown.
+    /// Current service time, in percent of the usual time; 0 if unknown.
     pub slowness: u16,
 }
 
@@ -78,9 +78,9 @@
     pub instance: u64,
     /// Number of open requests.
     pub open: u16,
-    /// Processing time of one request, in milliseconds; 0 if unknown.
+    /// Service time of one request, in milliseconds; 0 if unknown.
     pub service_ms: u16,
-    /// Current processing time, in percent of the usual time; 0 if unknown.
+    /// Current service time, in percent of the usual time; 0 if unknown.
     pub slowness: u16,
 }
 
@@ -138,7 +138,7 @@
     pub to_target_ms: u16,
     /// Milliseconds until the request times out.
     pub remaining_ms: u16,
-    /// Hash by which repeated attempts of a caller's request are recognised.
+    /// Hash that is the same for all submissions of a caller's request.
     pub caller: u64,
     /// Whether the state of its key was lost with the previous owner, so that the request
     /// takes longer.
@@ -184,17 +184,17 @@
     Unlimited,
 }
 
-/// Why a permit is returned.
+/// How the request ended whose permit is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum PermitReturnReason {
     /// The instance answered.
     Answered,
-    /// Says nothing about the instance: not executed, never sent, or the caller disconnected.
+    /// Says nothing about the instance: not run, never sent, or the caller disconnected.
     NoSample,
     /// Counts as a failure of the instance: cancelled, answer lost, or an answer that reports
     /// a failure.
     Failed,
-    /// The instance rejected the request and asked this node for a pause.
+    /// The instance rejected the request and requested a pause from this node.
     BackedOff,
 }
 
@@ -361,15 +361,15 @@
         /// The changed entries.
         changes: List<ConfigurationChange>,
     },
-    /// The sender has missed changes; sent to the coordinator.
+    /// Requests changes that the sender has missed; sent to the coordinator.
     ResyncRequest {
         /// The kind of the missed changes.
         kind: RelayedKind,
         /// The last revision before the missed changes.
         since: u64,
     },
-    /// A node has become the coordinator. Each assignment has a new token, numbered in the
-    /// order of the record.
+    /// A node has become the coordinator. Each assignment has a new fencing token, numbered in
+    /// the order of the record.
     CoordinatorTookOver {
         /// The revision of the record before the takeover.
         base: u64,
@@ -379,7 +379,7 @@
         node: Text,
         /// Its incarnation.
         incarnation: u64,
-        /// The token of the first assignment.
+        /// The fencing token of the first assignment.
         first_fence: u64,
         /// Digest of the record after the takeover.
         digest: u64,
@@ -391,7 +391,7 @@
         /// New assignments.
         changes: List<ChangedAssignment>,
     },
-    /// The coordinator has resigned, as the ownership record states too.
+    /// The coordinator has resigned, and the ownership record already states it.
     CoordinatorResigned {
         /// The resigned coordinator's epoch.
         epoch: u64,
@@ -412,16 +412,18 @@
     OpenRequestCounts {
         /// The sender's incarnation; counts of an earlier one are discarded.
         incarnation: u64,
-        /// How long the sender keeps idle connections, in milliseconds; 0 without a limit.
+        /// The longest idle time after which the sender reuses a connection, in milliseconds; 0
+        /// without a limit.
         idle_limit_ms: u16,
         /// The changed counts.
         changes: List<OpenRequests>,
     },
     /// The load of the instances as known to a zone's load hub; sent to the nodes of the zone.
     LoadDigest {
-        /// The number of zones whose requests are included.
+        /// The number of zones whose open requests are included.
         zones: u8,
-        /// How long idle connections may be kept, in milliseconds; 0 without a limit.
+        /// The longest idle time after which a connection may be reused, in milliseconds; 0
+        /// without a limit.
         idle_limit_ms: u16,
         /// The changed entries; at intervals all of them.
         entries: List<DigestEntry>,
@@ -431,7 +433,7 @@
         /// The changed sums; at intervals all sums above 0.
         sums: List<ZoneSum>,
     },
-    /// Asks the dispatcher of a queue for a permit.
+    /// Requests a permit from the dispatcher of a queue.
     PermitRequest(PermitRequestEntry),
     /// A dispatcher's answer to a `PermitRequest`.
     PermitDecision {
@@ -455,7 +457,7 @@
         /// How the request ended.
         reason: PermitReturnReason,
         /// Time from the request to its answer, in milliseconds, if it was answered; the
-        /// requested pause, if the instance asked for one.
+        /// requested pause, if there is one.
         took_ms: u16,
         /// Numbers of running and of waiting requests that the instance reported in its
         /// answer.
@@ -482,7 +484,7 @@
         /// The limits.
         limits: List<RateLimitEntry>,
     },
-    /// Asks a limiter of an instance for a token.
+    /// Requests a token from a limiter of an instance.
     TokenRequest {
         /// The number that the sender gave this message.
         number: u64,
--- a/crates/ledgelead-router/src/peers/shared_load.rs
+++ b/crates/ledgelead-router/src/peers/shared_load.rs
@@ -46,18 +46,18 @@
 
 /// The known load of one instance.
 #[derive(Clone, Debug, Default)]
-struct InstanceLoad {
+struct KnownLoad {
     /// Counts of the nodes of this zone.
     nodes: Vec<(SocketAddr, Count)>,
     /// Sums of other zones, by load hub.
     zones: Vec<(SocketAddr, Count)>,
-    /// The count of this zone's load hub, without this node's own requests.
+    /// The count in the last digest of the load hub, without this node's own requests.
     digest: Option<Count>,
     service_ms: Option<(f64, Timestamp)>,
     slowness: Option<(u16, Timestamp)>,
 }
 
-impl InstanceLoad {
+impl KnownLoad {
     fn is_empty(&self, now: Timestamp) -> bool {
         let current = |count: &Count| count.is_current(now) && count.count > 0;
         let counted = self.nodes.iter().chain(&self.zones);
@@ -77,7 +77,7 @@
         Some(slowness)
     }
 
-    fn learn(&mut self, sample: SpeedSample, now: Timestamp) {
+    fn add_sample(&mut self, sample: SpeedSample, now: Timestamp) {
         if sample.answered > 0 {
             let mean = sample.busy.as_secs_f64() * 1_000.0 / f64::from(sample.answered);
             let mean = mean.min(MAX_SERVICE_MS);
@@ -99,9 +99,9 @@
 pub struct SpeedSample {
     /// Number of answered requests.
     pub answered: u32,
-    /// Total processing time without queueing, at the instance's usual speed.
+    /// Total service time without queueing, at the instance's usual speed.
     pub busy: Duration,
-    /// Current processing time, in percent of the usual time.
+    /// Current service time, in percent of the usual time.
     pub slowness: Option<u16>,
 }
 
@@ -117,7 +117,7 @@
 pub struct SharedLoad {
     /// The known incarnation of each node.
     incarnations: HashMap<SocketAddr, u64>,
-    instances: HashMap<u64, InstanceLoad>,
+    instances: HashMap<u64, KnownLoad>,
     digest: Option<DigestSource>,
     /// Load hubs of other zones, and when each last sent a message.
     other_hubs: HashMap<SocketAddr, Timestamp>,
@@ -141,7 +141,7 @@
         }
         for change in changes {
             let load = self.instances.entry(change.instance).or_default();
-            load.learn(change.speed(), now);
+            load.add_sample(change.speed(), now);
             set(&mut load.nodes, from, Count::new(change.count, now));
             self.changed.insert(change.instance);
         }
@@ -150,7 +150,7 @@
     /// Records the speed of an instance, measured by this node's own requests.
     pub fn record_speed(&mut self, instance: u64, sample: SpeedSample, now: Timestamp) {
         let load = self.instances.entry(instance).or_default();
-        load.learn(sample, now);
+        load.add_sample(sample, now);
         self.changed.insert(instance);
     }
 
@@ -218,13 +218,13 @@
         }
     }
 
-    /// The processing time of one request at an instance that runs at its usual speed.
+    /// The service time of one request at an instance that runs at its usual speed.
     pub fn service_time(&self, instance: u64, now: Timestamp) -> Option<Duration> {
         let time = self.instances.get(&instance)?.service_time(now)?;
         Some(validation::millis(time, MAX_TIMEOUT))
     }
 
-    /// The current processing time at an instance, in percent of the usual time.
+    /// The current service time at an instance, in percent of the usual time.
     pub fn slowness(&self, instance: u64, now: Timestamp) -> Option<u16> {
         self.instances.get(&instance)?.slowness(now)
     }
@@ -260,7 +260,7 @@
 
     /// This zone's open requests by instance, for the load hubs of other zones.
     pub fn sums(&self, own: impl Fn(u64) -> u32, now: Timestamp) -> Vec<ZoneSum> {
-        let sum = |(instance, load): (&u64, &InstanceLoad)| ZoneSum {
+        let sum = |(instance, load): (&u64, &KnownLoad)| ZoneSum {
             instance: *instance,
             open: total(own(*instance), load.nodes.iter(), now),
         };
--- a/crates/ledgelead-router/src/peers/traffic.rs
+++ b/crates/ledgelead-router/src/peers/traffic.rs
@@ -30,13 +30,13 @@
 
 impl PeerTraffic {
     /// Counts a sent datagram.
-    pub fn sent(&mut self, datagram: &Datagram) {
+    pub fn record_sent(&mut self, datagram: &Datagram) {
         let count = self.sent.entry(datagram.kind).or_default();
         count.add(datagram.bytes.len());
     }
 
     /// Counts a received datagram.
-    pub fn received(&mut self, kind: &'static str, bytes: usize) {
+    pub fn record_received(&mut self, kind: &'static str, bytes: usize) {
         self.received.entry(kind).or_default().add(bytes);
     }
 }
--- a/crates/ledgelead-router/src/protections.rs
+++ b/crates/ledgelead-router/src/protections.rs
@@ -10,10 +10,9 @@
     TakeoverFence,
     /// A coordinator that the store does not confirm stops sending orders.
     BoundedAuthority,
-    /// A request that must not be executed twice is sent again only if it is proved not to
-    /// have been executed.
+    /// A request that must not run twice is sent again only if it is proved not to have run.
     RetryOnlyIfNotRun,
-    /// A request that may have been executed is never reported as refused.
+    /// A request that may have run is never reported as refused.
     AccurateRefusal,
     /// A leaving owner gets no new requests after the drain time.
     DrainBound,
@@ -35,8 +34,8 @@
     ConfirmedView,
     /// An instance counts as leaving as soon as one of its answers says so.
     HonorLeaving,
-    /// An instance that has asked a node for a pause gets no requests from it until the pause
-    /// ends.
+    /// An instance that has requested a pause from a node gets no requests from it until the
+    /// pause ends.
     HonorBackoff,
     /// An instance gets no more requests than its announced rate limit allows.
     HonorRateLimit,
@@ -47,7 +46,8 @@
     EraIsolation,
     /// Epochs and fencing tokens of an era are above all those of earlier eras.
     EraTokens,
-    /// A repeated request is recognised by its full identity, not by its path alone.
+    /// A request that is submitted again is recognized by its full identity, not by its path
+    /// alone.
     FullRequestIdentity,
 }
 
--- a/crates/ledgelead-router/src/quarantine/answers.rs
+++ b/crates/ledgelead-router/src/quarantine/answers.rs
@@ -24,7 +24,7 @@
 
 impl RecentAnswers {
     /// Records that an instance has answered a request.
-    pub fn note(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
+    pub fn record(&mut self, request: RequestDigest, caller: CallerId, now: Timestamp) {
         if self.rotate_at <= now || self.current.len() >= MAX_ENTRIES {
             self.previous = std::mem::take(&mut self.current);
             self.rotate_at = now + MIN_RETENTION;
--- a/crates/ledgelead-router/src/quarantine/lost_attempts.rs
+++ b/crates/ledgelead-router/src/quarantine/lost_attempts.rs
@@ -75,7 +75,7 @@
 
     /// The instance has answered a request that was sent at this time. Attempts lost before
     /// that time lost only their answer, so they are removed.
-    pub fn answered(&mut self, instance: &InstanceId, sent: Timestamp) {
+    pub fn record_answer(&mut self, instance: &InstanceId, sent: Timestamp) {
         if self.0.is_empty() {
             return;
         }
--- a/crates/ledgelead-router/src/quarantine/unconfirmed_answers.rs
+++ b/crates/ledgelead-router/src/quarantine/unconfirmed_answers.rs
@@ -23,7 +23,7 @@
 impl UnconfirmedAnswers {
     /// Records an answer under an instance's id to something sent at `sent_at`. Only the first
     /// answer counts, so that later ones do not extend the wait.
-    pub fn answered(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
+    pub fn record(&mut self, instance: &InstanceId, sent_at: Timestamp, now: Timestamp) {
         let due = now + NEW_INCARNATION_KNOWN_WITHIN;
         let answer = Answer { sent_at, due };
         self.0.entry(instance.clone()).or_insert(answer);
--- a/crates/ledgelead-router/src/rate_limit/failover.rs
+++ b/crates/ledgelead-router/src/rate_limit/failover.rs
@@ -16,16 +16,16 @@
 const PROBE_PAUSE: Duration = Duration::from_secs(1);
 /// Time without a request in place of the primary limiter after which its silence is measured
 /// from the start, since no node needed it.
-const UNASKED_TTL: Duration = Duration::from_secs(5);
+const UNUSED_TTL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
 struct SilentLimiter {
     since: Timestamp,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
     next_probe: Timestamp,
 }
 
-/// The state of a primary limiter for the node that is asked in its place.
+/// The state of a primary limiter, as seen by the node that is asked in its place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailoverStatus {
     /// Whether the primary limiter counts as lost.
@@ -41,18 +41,23 @@
 }
 
 impl LimiterFailover {
-    /// This node is asked for a token in place of the primary limiter `primary`.
-    pub fn asked_in_place_of(&mut self, primary: SocketAddr, now: Timestamp) -> FailoverStatus {
+    /// Records that this node is asked for a token in place of the limiter `primary`. Returns
+    /// the state of that limiter.
+    pub fn record_fallback_request(
+        &mut self,
+        primary: SocketAddr,
+        now: Timestamp,
+    ) -> FailoverStatus {
         let new_entry = SilentLimiter {
             since: now,
-            asked_at: now,
+            requested_at: now,
             next_probe: now,
         };
         let silent = self.silent.entry(primary).or_insert(new_entry);
-        if silent.asked_at + UNASKED_TTL <= now {
+        if silent.requested_at + UNUSED_TTL <= now {
             *silent = new_entry;
         }
-        silent.asked_at = now;
+        silent.requested_at = now;
         let is_probed = silent.next_probe <= now;
         if is_probed {
             silent.next_probe = now + PROBE_PAUSE;
@@ -63,7 +68,7 @@
         }
     }
 
-    /// A message of a node has arrived.
+    /// Records a message of a node, which shows that it is alive.
     pub fn record_message(&mut self, node: SocketAddr) {
         if !self.silent.is_empty() {
             self.silent.remove(&node);
@@ -72,7 +77,7 @@
 
     /// Removes limiters in whose place this node is no longer asked.
     pub fn expire(&mut self, now: Timestamp) {
-        let is_needed = |silent: &SilentLimiter| silent.asked_at + UNASKED_TTL > now;
+        let is_needed = |silent: &SilentLimiter| silent.requested_at + UNUSED_TTL > now;
         self.silent.retain(|_, silent| is_needed(silent));
     }
 }
--- a/crates/ledgelead-router/src/rate_limit/known.rs
+++ b/crates/ledgelead-router/src/rate_limit/known.rs
@@ -24,7 +24,8 @@
     statement: LimitStatement,
     /// Until when there is no token for this node's requests.
     no_token_until: Timestamp,
-    /// Whether the coordinator does not know yet what an answer told this node.
+    /// Whether this node has learned the statement from a response and not reported it to the
+    /// coordinator yet.
     is_unreported: bool,
 }
 
@@ -35,8 +36,8 @@
 }
 
 impl KnownLimits {
-    /// Records the limit in an answer to this node. Returns whether it has changed.
-    pub fn record_from_answer(
+    /// Records the limit in a response to this node. Returns whether it has changed.
+    pub fn record_from_response(
         &mut self,
         instance: u64,
         limit: Option<RateLimit>,
@@ -62,7 +63,8 @@
         }
     }
 
-    /// The coordinator knows of a limit, so it need not be reported if it is the same.
+    /// Records that the coordinator knows this limit, so that it need not be reported unless it
+    /// has changed since.
     pub fn mark_reported(&mut self, instance: u64, limit: Option<RateLimit>) {
         if let Some(known) = self.known.get_mut(&instance) {
             known.is_unreported &= known.statement.limit != limit;
@@ -79,7 +81,7 @@
         self.statement(instance)?.limit
     }
 
-    /// No token is available for this node for this time.
+    /// Records that no token is available for this node for `wait`.
     pub fn mark_refused(&mut self, instance: u64, wait: Duration, now: Timestamp) {
         if let Some(known) = self.known.get_mut(&instance) {
             known.no_token_until = known.no_token_until.max(now + wait);
--- a/crates/ledgelead-router/src/rate_limit/limiter.rs
+++ b/crates/ledgelead-router/src/rate_limit/limiter.rs
@@ -27,10 +27,10 @@
 const MIN_BURST: f64 = 1.0;
 /// Requests that may be sent at once after an idle period, as time at the announced rate.
 const BURST: Duration = Duration::from_millis(500);
-/// Least rate, in requests a second: an instance that gets no requests could not announce a
+/// Minimum rate, in requests a second: an instance that gets no requests could not announce a
 /// higher limit.
 const MIN_RATE: f64 = 0.25;
-/// Longest time after which a refused node asks again.
+/// Maximum time after which a refused node asks again.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 /// Added to waits, since messages carry whole milliseconds: a node must not ask just before
 /// its token is available.
@@ -47,7 +47,7 @@
     Secondary,
 }
 
-/// The decision about a request for a token.
+/// The decision on a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenStatus {
     /// One request may be sent.
@@ -90,7 +90,7 @@
         self.counters
     }
 
-    /// Decides about a token for one request to an instance with this limit.
+    /// Decides on a token for one request to an instance with this limit.
     pub fn request_token(
         &mut self,
         requester: SocketAddr,
--- a/crates/ledgelead-router/src/rate_limit/notice.rs
+++ b/crates/ledgelead-router/src/rate_limit/notice.rs
@@ -1,11 +1,11 @@
-//! The rate limit in an instance's answer.
+//! The rate limit that an instance announces in a response.
 
 use crate::dialect::HeaderNames;
 use crate::identity::InstanceId;
 use crate::validation::decimal;
 use ledgelead_http::Response;
 
-/// Status of an answer that may come from another instance that sends no id.
+/// Status of a response that may come from another instance that sends no id.
 const MISDIRECTED: u16 = 421;
 
 /// A rate of requests.
@@ -30,10 +30,10 @@
     }
 }
 
-/// The statement of an answer about a rate limit.
+/// What a response states about a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateNotice {
-    /// None: the answer may come from another instance.
+    /// Nothing: the response may come from another instance.
     NotStated,
     /// A limit that cannot be parsed.
     Unreadable,
@@ -44,7 +44,7 @@
 }
 
 impl RateNotice {
-    /// The statement of an answer to a request for the instance `target`. If there are several
+    /// What the response to a request for the instance `target` states. If there are several
     /// headers, the lowest limit counts.
     pub fn of(target: &InstanceId, response: &Response, headers: &HeaderNames) -> RateNotice {
         let answering = response.headers.text(&headers.instance);
@@ -63,7 +63,7 @@
         notice
     }
 
-    /// The limit, if the answer contains one.
+    /// The limit, if the response contains one.
     pub fn limit(self) -> Option<RateLimit> {
         match self {
             RateNotice::Limited(limit) => Some(limit),
--- a/crates/ledgelead-router/src/rendezvous.rs
+++ b/crates/ledgelead-router/src/rendezvous.rs
@@ -6,11 +6,11 @@
 /// The weight of a node for the item with this hash. The nodes with the highest weights are
 /// responsible for the item.
 pub(crate) fn weight(node: &NodeName, item: u64) -> u64 {
-    spread(node.stable_hash() ^ item)
+    mix_bits(node.stable_hash() ^ item)
 }
 
-/// Mixes all bits of a hash (the finaliser of SplitMix64).
-fn spread(hash: u64) -> u64 {
+/// Mixes all bits of a hash (the finalizer of SplitMix64).
+fn mix_bits(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     hash ^ (hash >> 31)
--- a/crates/ledgelead-router/src/requests/answers.rs
+++ b/crates/ledgelead-router/src/requests/answers.rs
@@ -33,7 +33,7 @@
     NoInstance,
     /// Instances rejected the request without running it.
     Rejected,
-    /// Every instance that could run the request has asked this node for a pause.
+    /// Every instance that could run the request has requested a pause from this node.
     BackedOff,
     /// Every instance that could run the request has reached its rate limit.
     RateLimited,
--- a/crates/ledgelead-router/src/requests/budget.rs
+++ b/crates/ledgelead-router/src/requests/budget.rs
@@ -82,8 +82,8 @@
         self.started_at = Some(now);
     }
 
-    /// Notes that the node had an earlier incarnation.
-    pub fn note_earlier_incarnation(&mut self) {
+    /// Records that the node had an earlier incarnation.
+    pub fn record_earlier_incarnation(&mut self) {
         self.has_earlier_incarnation = true;
     }
 
--- a/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/attempts.rs
@@ -37,13 +37,13 @@
 /// How long a new connection is observed before a non-idempotent request is written to it. A
 /// reset follows the connection setup within some tenths of a millisecond, and this node can't
 /// rule out that a request written before the reset has run.
-const SETTLE_NON_IDEMPOTENT: Duration = Duration::from_millis(2);
+const OBSERVE_NON_IDEMPOTENT: Duration = Duration::from_millis(2);
 /// Share of the target latency after which an idempotent request is sent to another instance,
 /// if the first one has not answered anything since.
-const REVIEW_SHARE: f64 = 1.3;
+const SLOW_ATTEMPT_SHARE: f64 = 1.3;
 /// The same for an instance that answers other requests: it is usually processing this one
 /// too, and an aborted request starts over elsewhere. Its response may have been lost, though.
-const REVIEW_SHARE_IF_ANSWERING: f64 = 2.0;
+const SLOW_ATTEMPT_SHARE_IF_ANSWERING: f64 = 2.0;
 /// A connection lost within this time was lost while the request was being sent.
 const PROMPT_LOSS: Duration = Duration::from_millis(25);
 /// Logged for an attempt that was aborted in favor of another one.
@@ -94,7 +94,9 @@
             log_attempt_ended(open, &attempt, ABORTED_FOR_RETRY, context);
         }
         self.end_attempt(&attempt, PermitOutcome::Failed);
-        self.statistics.entry(&attempt.instance).failed(context.now);
+        self.statistics
+            .entry(&attempt.instance)
+            .record_failure(context.now);
         out.push(Action::Cancel {
             exchange: attempt.exchange,
         });
@@ -115,7 +117,10 @@
             .get(&attempt.instance)
             .and_then(|stats| stats.last_answer())
             .is_some_and(|at| at > attempt.sent);
-        let silence_limit = open.route.target_latency.mul_f64(REVIEW_SHARE_IF_ANSWERING);
+        let silence_limit = open
+            .route
+            .target_latency
+            .mul_f64(SLOW_ATTEMPT_SHARE_IF_ANSWERING);
         if answers_others && attempt.sent + silence_limit > context.now {
             return false;
         }
@@ -202,7 +207,7 @@
             .current(context.now)
             .filter(|_| limits_idle_time);
         let options = attempt_options(open, idle_limit, context);
-        let review = open.route.target_latency.mul_f64(REVIEW_SHARE);
+        let review = open.route.target_latency.mul_f64(SLOW_ATTEMPT_SHARE);
         let request = forwarded_request(open, &selected.id, context);
         open.tried.push(selected.id.clone());
         open.attempt = Some(Attempt {
@@ -323,7 +328,7 @@
         if keyed && ran {
             let took = context.now.saturating_sub(attempt.sent);
             let work = self.owner_work.entry(attempt.instance.clone()).or_default();
-            work.note(took, result.is_ok());
+            work.add(took, result.is_ok());
         }
     }
 
@@ -349,9 +354,9 @@
                 let stats = self.statistics.entry(&attempt.instance);
                 stats.record_response(now);
                 if cause.is_some() && counts {
-                    stats.rejected(now);
+                    stats.record_rejection(now);
                 } else if cause.is_none() && is_server_failure(response) {
-                    stats.failed(now);
+                    stats.record_failure(now);
                 }
                 let slots = instance.map_or(1, |instance| instance.record.slots.max(1));
                 if let Some(instance) = instance.filter(|_| response.is_success()) {
@@ -367,13 +372,13 @@
                 if let Some(load) = load {
                     let open = load.running.saturating_add(load.waiting);
                     factor = f64::from(open) / f64::from(slots);
-                    stats.load_reported(load);
+                    stats.record_load(load);
                 }
                 if response.is_success() {
-                    stats.answered(now.saturating_sub(attempt.sent), factor, now);
+                    stats.record_success(now.saturating_sub(attempt.sent), factor, now);
                 }
             }
-            Err(_) => self.statistics.entry(&attempt.instance).failed(now),
+            Err(_) => self.statistics.entry(&attempt.instance).record_failure(now),
         }
         cause
     }
@@ -478,7 +483,7 @@
         observe_before_write: if open.is_idempotent() {
             Duration::ZERO
         } else {
-            SETTLE_NON_IDEMPOTENT
+            OBSERVE_NON_IDEMPOTENT
         },
         // Slightly longer than this node waits: the request's own timer produces the final
         // response at its deadline.
--- a/crates/ledgelead-router/src/requests/lifecycle/decide.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/decide.rs
@@ -41,11 +41,11 @@
     },
     Refuse(Refusal),
     /// Request a permit from the queue's dispatcher.
-    AskPermit(PermitNeed),
+    RequestPermit(PermitNeed),
     /// Wait for the dispatcher's decision until this time at the latest.
     AwaitPermit(Timestamp),
     /// Request a token from a limiter of the instance.
-    AskToken(InstanceId),
+    RequestToken(InstanceId),
     /// Wait for the limiter's decision until this time at the latest.
     AwaitToken(Timestamp),
 }
@@ -150,7 +150,7 @@
         {
             return wait_for_owner(Refusal::OwnerLeft);
         }
-        // The owner asked for the pause when it rejected another request. The pause applies to
+        // The owner requested the pause when it rejected another request. The pause applies to
         // all requests of this node; sent anyway, each would be rejected up to four times.
         let paused = self
             .statistics
--- a/crates/ledgelead-router/src/requests/lifecycle/endings.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/endings.rs
@@ -113,7 +113,7 @@
         };
         if let Some(response) = open.failure_response.clone() {
             self.counters.relayed += 1;
-            self.finish(client, relayed(response), out);
+            self.finish(client, relayed_response(response), out);
             return;
         }
         let answered = Event::Answered {
@@ -156,7 +156,9 @@
             open.may_have_run = true;
             open.timed_out = true;
             self.end_attempt(&attempt, PermitOutcome::Failed);
-            self.statistics.entry(&attempt.instance).failed(context.now);
+            self.statistics
+                .entry(&attempt.instance)
+                .record_failure(context.now);
             out.push(Action::Cancel {
                 exchange: attempt.exchange,
             });
@@ -226,14 +228,14 @@
             return REJECTED_RETRY_AFTER;
         }
         if reason.lacks_capacity() {
-            self.refusals.refused(service, context.now);
+            self.refusals.record_refusal(service, context.now);
         }
         let admitted = key
             .filter(|_| reason == Refusal::KeyOverloaded)
             .and_then(|key| context.overloads.admitted(service, key, context.now));
         let refused = match admitted {
             Some(admitted) => 1.0 - admitted,
-            None => self.turned_away_share(service, context),
+            None => self.refused_or_rejected_share(service, context),
         };
         retry_after(refused)
     }
@@ -280,7 +282,7 @@
     Some(context.ownership.find(&open.service, key)?.fence)
 }
 
-pub(super) fn relayed(mut response: Response) -> Response {
+pub(super) fn relayed_response(mut response: Response) -> Response {
     response.headers.remove_connection_headers();
     response
 }
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -14,8 +14,8 @@
 pub use self::permits::{Declined, PermitDecision};
 
 use self::decide::Step;
-use self::endings::relayed;
-use self::permits::returned;
+use self::endings::relayed_response;
+use self::permits::permit_outcome;
 use super::answers::Refusal;
 use super::budget::RetryBudget;
 use super::cold_start::{ColdBound, ColdSends};
@@ -109,7 +109,7 @@
     pub refused: BTreeMap<&'static str, u64>,
     /// Retries considered, by decision.
     pub retries: BTreeMap<&'static str, u64>,
-    /// Responses in which instances announced that they leave, or asked for a pause.
+    /// Responses in which instances announced that they leave, or requested a pause.
     pub notices: BTreeMap<&'static str, u64>,
 }
 
@@ -200,9 +200,9 @@
         self.budget.start(now);
     }
 
-    /// Notes that the node had an earlier incarnation.
-    pub fn note_earlier_incarnation(&mut self) {
-        self.budget.note_earlier_incarnation();
+    /// Records that the node had an earlier incarnation.
+    pub fn record_earlier_incarnation(&mut self) {
+        self.budget.record_earlier_incarnation();
     }
 
     /// Applies changed settings.
@@ -371,7 +371,7 @@
                 self.budget
                     .record_node_count(context.registry.len(), context.now);
                 self.budget.record_request(&open.service, context.now);
-                self.refusals.received(&open.service, context.now);
+                self.refusals.record_request(&open.service, context.now);
                 if let Some(key) = open.key {
                     self.requested_keys
                         .entry(open.service.clone())
@@ -423,7 +423,7 @@
         else {
             return;
         };
-        self.end_attempt(&attempt, returned(&attempt, &result, context));
+        self.end_attempt(&attempt, permit_outcome(&attempt, &result, context));
         self.record_owner_work(client, &attempt, &result, context);
         let cause = self.record_result(&attempt, &result, context);
         self.record_connection_result(&attempt, &result, idle_for, context.now);
@@ -432,11 +432,11 @@
         match outcome {
             AttemptOutcome::Relay(response) => {
                 self.counters.relayed += 1;
-                self.finish(client, relayed(response), out);
+                self.finish(client, relayed_response(response), out);
             }
             AttemptOutcome::Failed(response) if !self.may_retry_failed(client, context) => {
                 self.counters.relayed += 1;
-                self.finish(client, relayed(response), out);
+                self.finish(client, relayed_response(response), out);
             }
             unsent if self.is_unsent_in_time(client, &unsent, context) => {
                 self.attempt_failed(client, &attempt, unsent, cause, context);
@@ -572,9 +572,9 @@
             Step::Send(selected, address) => self.send(client, selected, address, context, out),
             Step::Wait { retry_at, reason } => self.wait(client, retry_at, reason, context, out),
             Step::Refuse(reason) => self.refuse(client, reason, context, out),
-            Step::AskPermit(need) => self.ask_permit(client, &need, context, out),
+            Step::RequestPermit(need) => self.request_permit(client, &need, context, out),
             Step::AwaitPermit(until) => self.await_permit(client, until, context.now),
-            Step::AskToken(instance) => self.ask_token(client, &instance, context, out),
+            Step::RequestToken(instance) => self.request_token(client, &instance, context, out),
             Step::AwaitToken(until) => self.await_token(client, until),
         }
     }
--- a/crates/ledgelead-router/src/requests/lifecycle/notices.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/notices.rs
@@ -75,7 +75,7 @@
             RateNotice::Unlimited if self.statistics.limits.is_empty() => false,
             RateNotice::Unlimited | RateNotice::Limited(_) => {
                 let limits = &mut self.statistics.limits;
-                limits.record_from_answer(instance.stable_hash(), limit, now)
+                limits.record_from_response(instance.stable_hash(), limit, now)
             }
         };
         if is_new {
@@ -109,7 +109,7 @@
         limits.expire(|instance| known.contains(&instance), now);
     }
 
-    /// Next step of a request for which every instance has asked for a pause or lacks a token
+    /// Next step of a request for which every instance has requested a pause or lacks a token
     /// for another `left`. The request waits if that ends soon. A longer wait would use up the
     /// time in which its caller can retry.
     pub(super) fn step_in_backoff(
--- a/crates/ledgelead-router/src/requests/lifecycle/permits.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/permits.rs
@@ -44,7 +44,7 @@
     /// Identifies the queue.
     pub queue: u64,
     /// The admission, or why the dispatcher declines to decide.
-    pub verdict: Result<Admission, Declined>,
+    pub admission: Result<Admission, Declined>,
     /// When the caller may retry, if the request is refused.
     pub retry_after: Duration,
 }
@@ -67,7 +67,7 @@
         let client = self.permits.client(number);
         let open = client.and_then(|client| self.open.get_mut(&client));
         let (Some(client), Some(open)) = (client, open) else {
-            if let Ok(Admission::Granted(_)) = decision.verdict {
+            if let Ok(Admission::Granted(_)) = decision.admission {
                 let outcome = PermitOutcome::NoSample;
                 self.permits.release_number(from, number, queue, outcome);
             }
@@ -75,17 +75,17 @@
         };
         let target = open.target();
         let asked =
-            |permit: &&mut PermitHandle| permit.dispatcher == from && permit.ask.queue == queue;
+            |permit: &&mut PermitHandle| permit.dispatcher == from && permit.request.queue == queue;
         let Some(permit) = open.permit.as_mut().filter(asked) else {
             return;
         };
-        if decision.verdict != Err(Declined::ShuttingDown) {
+        if decision.admission != Err(Declined::ShuttingDown) {
             self.permits.record_reply(from);
         }
-        if permit.state == PermitState::Asked {
+        if permit.state == PermitState::Requested {
             self.permits.record_reply_time(permit, context.now);
         }
-        match decision.verdict {
+        match decision.admission {
             Ok(Admission::Granted(server)) => permit.state = PermitState::Granted(server),
             // A decision that arrives after the grant was sent before it.
             _ if permit.is_granted() => return,
@@ -175,7 +175,7 @@
             false => self.nearest_zone(&open.service, context)?,
         };
         let need = PermitNeed::of_pool(&open.service, &zone);
-        Some(Step::AskPermit(need))
+        Some(Step::RequestPermit(need))
     }
 
     /// Sends a request to the instance that its permit is for, if that instance still serves.
@@ -243,12 +243,12 @@
             return None;
         }
         match &open.permit {
-            Some(permit) if permit.ask.queue == need.queue => match permit.state {
+            Some(permit) if permit.request.queue == need.queue => match permit.state {
                 PermitState::Granted(_) => None,
                 _ if permit.check_at > context.now => Some(Step::AwaitPermit(permit.check_at)),
-                _ => Some(Step::AskPermit(need)),
+                _ => Some(Step::RequestPermit(need)),
             },
-            _ => Some(Step::AskPermit(need)),
+            _ => Some(Step::RequestPermit(need)),
         }
     }
 
@@ -264,7 +264,7 @@
 
     /// Requests a permit, from the second candidate if the first doesn't respond. If neither
     /// does, the request proceeds without a permit.
-    pub(super) fn ask_permit(
+    pub(super) fn request_permit(
         &mut self,
         client: ClientId,
         need: &PermitNeed,
@@ -276,8 +276,8 @@
             return;
         };
         if let Some(mut earlier) = open.permit.take() {
-            let is_same = earlier.ask.queue == need.queue && !earlier.is_granted();
-            if is_same && earlier.state == PermitState::Asked {
+            let is_same = earlier.request.queue == need.queue && !earlier.is_granted();
+            if is_same && earlier.state == PermitState::Requested {
                 if self.permits.resend(&mut earlier, now) {
                     let until = earlier.check_at;
                     open.permit = Some(earlier);
@@ -290,7 +290,7 @@
             // A request that was queued for its whole time is past its target, and one whose
             // granted instance has left would be granted the same instance again.
             open.without_permit |= is_same && earlier.state == PermitState::Queued;
-            open.without_permit |= earlier.ask.queue == need.queue && earlier.is_granted();
+            open.without_permit |= earlier.request.queue == need.queue && earlier.is_granted();
             self.permits.release(&earlier, PermitOutcome::NoSample);
         }
         let candidates = Candidates::of_queue(need.queue, &need.zone, context.registry);
@@ -305,7 +305,7 @@
             self.advance(client, context, out);
             return;
         };
-        let ask = PermitRequest {
+        let request = PermitRequest {
             number: 0,
             queue: need.queue,
             kind: need.kind,
@@ -319,7 +319,7 @@
                 .is_some_and(|key| context.cold_keys.contains(&open.service, key, now)),
             tried: open.tried.last().map(InstanceId::stable_hash),
         };
-        let permit = self.permits.ask(client, dispatcher, ask, now);
+        let permit = self.permits.request(client, dispatcher, request, now);
         let until = permit.check_at;
         open.permit = Some(permit);
         self.await_permit(client, until, now);
@@ -348,7 +348,7 @@
 }
 
 /// How the end of an attempt counts for the permit under which it was sent.
-pub(super) fn returned(
+pub(super) fn permit_outcome(
     attempt: &Attempt,
     result: &Result<Response, ExchangeFailure>,
     context: &RequestContext<'_>,
--- a/crates/ledgelead-router/src/requests/lifecycle/retries.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/retries.rs
@@ -99,7 +99,7 @@
         let Some(instance) = context.directory.get(&attempt.instance) else {
             return true;
         };
-        if cause == Some(RejectionCause::AskedForBackoff) {
+        if cause == Some(RejectionCause::RequestedBackoff) {
             // The instance gets no requests until its pause ends. The rejection tells nothing
             // about how it would treat another request, and is no failure.
             return false;
@@ -109,9 +109,9 @@
         let now = context.now;
         self.common_rejections
             .record(service, &attempt.instance, has_free_slots, now);
-        self.rejections.received(service, now);
+        self.rejections.record_request(service, now);
         if has_free_slots {
-            self.rejections.refused(service, now);
+            self.rejections.record_refusal(service, now);
         }
         if !self.mechanisms.has(Mechanism::RejectionCause) {
             return true;
@@ -121,7 +121,7 @@
             // While load is known from a digest, the load reported by the instance itself is
             // not used.
             Some(RejectionCause::Full) => context.shared.follows_digest(now),
-            Some(RejectionCause::NoLoadReported | RejectionCause::AskedForBackoff) | None => true,
+            Some(RejectionCause::NoLoadReported | RejectionCause::RequestedBackoff) | None => true,
         }
     }
 
@@ -137,7 +137,7 @@
 
     /// The share of a service's requests that is refused by this node, or rejected by its
     /// instances although they have free slots, whichever is larger.
-    pub(super) fn turned_away_share(
+    pub(super) fn refused_or_rejected_share(
         &mut self,
         service: &ServiceName,
         context: &RequestContext<'_>,
@@ -157,7 +157,7 @@
     instance: Option<&Instance>,
 ) -> RejectionCause {
     if notice.backoff.is_some() {
-        return RejectionCause::AskedForBackoff;
+        return RejectionCause::RequestedBackoff;
     }
     let slots = instance.map_or(1, |instance| instance.record.slots.max(1));
     RejectionCause::of(load, slots)
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -42,13 +42,13 @@
         let is_held =
             |token: &Token| token.instance == *instance && token.state == TokenState::Held;
         let has_token = open.token.as_ref().is_some_and(is_held);
-        (!has_token).then(|| Step::AskToken(instance.clone()))
+        (!has_token).then(|| Step::RequestToken(instance.clone()))
     }
 
     /// The wait for a requested token, if a limiter may still decide.
     pub(super) fn awaited_token(open: &OpenRequest, now: Timestamp) -> Option<Step> {
         match open.token.as_ref()?.state {
-            TokenState::Asked { check_at, .. } if check_at > now => {
+            TokenState::Requested { check_at, .. } if check_at > now => {
                 Some(Step::AwaitToken(check_at))
             }
             _ => None,
@@ -81,7 +81,7 @@
 
     /// Requests a token from a limiter of the instance. If no limiter responds, the instance
     /// counts as without tokens for a short time.
-    pub(super) fn ask_token(
+    pub(super) fn request_token(
         &mut self,
         client: ClientId,
         instance: &InstanceId,
@@ -96,11 +96,11 @@
         let earlier = open.token.take();
         let same = earlier.filter(|token| token.instance == *instance);
         let asked = match same.map(|token| token.state) {
-            Some(TokenState::Asked {
+            Some(TokenState::Requested {
                 limiter,
-                times_asked,
+                requests_sent,
                 ..
-            }) => Some((limiter, times_asked)),
+            }) => Some((limiter, requests_sent)),
             _ => None,
         };
         let known = context.directory.get(instance);
@@ -108,7 +108,7 @@
         let in_zone = |zone: &ZoneName| self.limiter_to_ask(instance, zone, asked, context);
         let limiter = zone.as_ref().and_then(in_zone);
         let statement = self.statistics.limits.statement(hash);
-        let (Some((limiter, times_asked)), Some(zone), Some(statement)) =
+        let (Some((limiter, requests_sent)), Some(zone), Some(statement)) =
             (limiter, zone, statement)
         else {
             self.statistics
@@ -119,20 +119,20 @@
         };
         let number = self.tokens.assign_number(client);
         let check_at = now + REPLY_TIMEOUT;
-        let ask = TokenRequest {
+        let token_request = TokenRequest {
             number,
             instance: hash,
             zone,
             statement,
         };
-        self.tokens.outbox.push((limiter, ask));
+        self.tokens.outbox.push((limiter, token_request));
         if let Some(open) = self.open.get_mut(&client) {
             open.token = Some(Token {
                 instance: instance.clone(),
                 number,
-                state: TokenState::Asked {
+                state: TokenState::Requested {
                     limiter,
-                    times_asked,
+                    requests_sent,
                     check_at,
                 },
             });
@@ -140,7 +140,7 @@
         self.await_token(client, check_at);
     }
 
-    /// The limiter to ask next, and how often it has been asked then.
+    /// The limiter to ask next, and the number of requests sent to it including the next one.
     fn limiter_to_ask(
         &mut self,
         instance: &InstanceId,
@@ -153,9 +153,9 @@
             return own.map(|own| (own, 1));
         }
         let candidates = Candidates::of_limit(instance.stable_hash(), zone, context.registry)?;
-        if let Some((limiter, times_asked)) = asked {
-            if times_asked < MAX_ASKS_PER_LIMITER {
-                return Some((limiter, times_asked + 1));
+        if let Some((limiter, requests_sent)) = asked {
+            if requests_sent < MAX_ASKS_PER_LIMITER {
+                return Some((limiter, requests_sent + 1));
             }
             self.tokens
                 .unresponsive
@@ -187,7 +187,7 @@
     ) {
         self.tokens.unresponsive.remove(&from);
         let now = context.now;
-        match decision.verdict {
+        match decision.status {
             TokenStatus::Granted => {}
             TokenStatus::Refused(wait) => {
                 self.statistics
@@ -217,7 +217,7 @@
         else {
             return;
         };
-        match decision.verdict {
+        match decision.status {
             TokenStatus::Granted => token.state = TokenState::Held,
             TokenStatus::Refused(_) | TokenStatus::Unlimited => open.token = None,
         }
--- a/crates/ledgelead-router/src/requests/notice.rs
+++ b/crates/ledgelead-router/src/requests/notice.rs
@@ -14,9 +14,9 @@
 pub struct Notice {
     /// The instance is about to leave.
     pub leaving: bool,
-    /// How long from the response on the instance wants no requests from the node that asked.
+    /// How long after the response the instance wants no requests from the receiving node.
     pub backoff: Option<Duration>,
-    /// Whether the instance asked for a pause in a format that can't be parsed.
+    /// Whether the instance requested a pause in a format that can't be parsed.
     pub is_unreadable: bool,
 }
 
--- a/crates/ledgelead-router/src/requests/permits.rs
+++ b/crates/ledgelead-router/src/requests/permits.rs
@@ -35,8 +35,8 @@
 /// State of a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitState {
-    /// The dispatcher was asked and has not replied.
-    Asked,
+    /// The permit was requested, and the dispatcher has not replied.
+    Requested,
     /// The request waits in the dispatcher's queue.
     Queued,
     /// The request may be sent to the instance with this stable hash.
@@ -53,11 +53,11 @@
     /// When to act if no further message arrives.
     pub check_at: Timestamp,
     /// The permit request with its number and queue, which may be sent again.
-    pub ask: PermitRequest,
+    pub request: PermitRequest,
     /// When to give up if there is no reply.
     pub give_up_at: Timestamp,
     /// When it was first requested.
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
 }
 
 impl PermitHandle {
@@ -163,10 +163,10 @@
 /// How long a dispatcher has been silent.
 #[derive(Clone, Copy, Debug, Default)]
 struct DispatcherSilence {
-    /// The first permit request since its last reply.
-    asked_at: Option<Timestamp>,
+    /// When the first permit request since its last reply was sent.
+    unanswered_since: Option<Timestamp>,
     /// Until when it isn't asked.
-    silent_until: Timestamp,
+    avoided_until: Timestamp,
 }
 
 /// All permits that this node has requested, by number.
@@ -200,15 +200,15 @@
     /// Whether a dispatcher may be asked, because it was never asked or doesn't count as lost.
     pub fn may_ask(&self, dispatcher: SocketAddr, now: Timestamp) -> bool {
         let known = self.dispatchers.get(&dispatcher);
-        known.is_none_or(|known| known.silent_until <= now)
+        known.is_none_or(|known| known.avoided_until <= now)
     }
 
-    /// Sends a permit request to a dispatcher. The number of `ask` is assigned here.
-    pub fn ask(
+    /// Sends a permit request to a dispatcher. Its number is assigned here.
+    pub fn request(
         &mut self,
         client: ClientId,
         dispatcher: SocketAddr,
-        ask: PermitRequest,
+        request: PermitRequest,
         now: Timestamp,
     ) -> PermitHandle {
         self.counters.asked += 1;
@@ -216,16 +216,16 @@
         self.last_number = self.last_number.wrapping_add(1);
         let number = self.last_number;
         self.clients.insert(number, client);
-        let ask = PermitRequest { number, ..ask };
+        let request = PermitRequest { number, ..request };
         let mut permit = PermitHandle {
             dispatcher,
-            state: PermitState::Asked,
+            state: PermitState::Requested,
             check_at: now,
-            ask,
-            give_up_at: now + reply_timeout(&ask) * FIRST_REPLY_TIMEOUTS,
-            asked_at: now,
+            request,
+            give_up_at: now + reply_timeout(&request) * FIRST_REPLY_TIMEOUTS,
+            requested_at: now,
         };
-        self.send_ask(&mut permit, now);
+        self.send_request(&mut permit, now);
         permit
     }
 
@@ -233,22 +233,24 @@
     /// or the request can't wait any longer. Returns whether it was resent.
     pub fn resend(&mut self, permit: &mut PermitHandle, now: Timestamp) -> bool {
         let known = self.dispatchers.entry(permit.dispatcher).or_default();
-        let is_lost = known.asked_at.is_some_and(|at| at + LOST_AFTER <= now);
+        let is_lost = known
+            .unanswered_since
+            .is_some_and(|at| at + LOST_AFTER <= now);
         if is_lost {
             self.mark_lost(permit.dispatcher, now);
         }
         let may_wait = permit.give_up_at > now && self.may_ask(permit.dispatcher, now);
         if may_wait {
-            self.send_ask(permit, now);
+            self.send_request(permit, now);
         }
         may_wait
     }
 
-    fn send_ask(&mut self, permit: &mut PermitHandle, now: Timestamp) {
+    fn send_request(&mut self, permit: &mut PermitHandle, now: Timestamp) {
         let known = self.dispatchers.entry(permit.dispatcher).or_default();
-        known.asked_at.get_or_insert(now);
-        permit.check_at = now + reply_timeout(&permit.ask);
-        let message = PermitMessage::Request(permit.ask);
+        known.unanswered_since.get_or_insert(now);
+        permit.check_at = now + reply_timeout(&permit.request);
+        let message = PermitMessage::Request(permit.request);
         self.outbox.push((permit.dispatcher, message));
     }
 
@@ -265,7 +267,7 @@
 
     /// Records the first reply to a permit request, or that it was given up without one.
     pub fn record_reply_time(&mut self, permit: &PermitHandle, now: Timestamp) {
-        let took = now.saturating_sub(permit.asked_at);
+        let took = now.saturating_sub(permit.requested_at);
         let decayed = self.reply_time.mul_f64(1.0 - REPLY_SAMPLE_WEIGHT);
         self.reply_time = decayed + took.mul_f64(REPLY_SAMPLE_WEIGHT);
     }
@@ -278,8 +280,8 @@
     /// Marks a dispatcher as lost, or as not granting permits.
     pub fn mark_lost(&mut self, dispatcher: SocketAddr, now: Timestamp) {
         let silence = DispatcherSilence {
-            asked_at: None,
-            silent_until: now + UNRESPONSIVE_TTL,
+            unanswered_since: None,
+            avoided_until: now + UNRESPONSIVE_TTL,
         };
         self.dispatchers.insert(dispatcher, silence);
     }
@@ -291,7 +293,7 @@
 
     /// Returns a permit, or withdraws the request for it.
     pub fn release(&mut self, permit: &PermitHandle, outcome: PermitOutcome) {
-        let PermitRequest { number, queue, .. } = permit.ask;
+        let PermitRequest { number, queue, .. } = permit.request;
         self.clients.remove(&number);
         self.release_number(permit.dispatcher, number, queue, outcome);
     }
@@ -327,14 +329,15 @@
         // A permit request that was given up says nothing about the dispatcher after that
         // time.
         let is_recent = |at: Timestamp| at + UNRESPONSIVE_TTL > now;
-        self.dispatchers
-            .retain(|_, known| known.asked_at.is_some_and(is_recent) || known.silent_until > now);
+        self.dispatchers.retain(|_, known| {
+            known.unanswered_since.is_some_and(is_recent) || known.avoided_until > now
+        });
     }
 }
 
 /// How long a permit request waits for a reply before it is sent again.
-fn reply_timeout(ask: &PermitRequest) -> Duration {
-    REPLY_TIMEOUT.min(ask.to_target.mul_f64(REPLY_SHARE))
+fn reply_timeout(request: &PermitRequest) -> Duration {
+    REPLY_TIMEOUT.min(request.to_target.mul_f64(REPLY_SHARE))
 }
 
 /// Hash that is the same for all submissions of a caller's request: of the caller, the key and
--- a/crates/ledgelead-router/src/requests/refusal_share.rs
+++ b/crates/ledgelead-router/src/requests/refusal_share.rs
@@ -25,13 +25,13 @@
 
 impl RefusalShare {
     /// Records a request.
-    pub fn received(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.decay(now);
         self.received += 1.0;
     }
 
     /// Records a request that was refused for lack of capacity.
-    pub fn refused(&mut self, now: Timestamp) {
+    pub fn record_refusal(&mut self, now: Timestamp) {
         self.decay(now);
         self.refused += 1.0;
     }
@@ -62,13 +62,13 @@
 
 impl RefusalShares {
     /// Records a request.
-    pub fn received(&mut self, service: &ServiceName, now: Timestamp) {
-        self.of(service).received(now);
+    pub fn record_request(&mut self, service: &ServiceName, now: Timestamp) {
+        self.of(service).record_request(now);
     }
 
     /// Records a request that was refused for lack of capacity.
-    pub fn refused(&mut self, service: &ServiceName, now: Timestamp) {
-        self.of(service).refused(now);
+    pub fn record_refusal(&mut self, service: &ServiceName, now: Timestamp) {
+        self.of(service).record_refusal(now);
     }
 
     /// The share of refused requests, 0 to 1.
--- a/crates/ledgelead-router/src/requests/rejection_cause.rs
+++ b/crates/ledgelead-router/src/requests/rejection_cause.rs
@@ -11,8 +11,8 @@
     FreeSlots,
     /// The instance reported no load.
     NoLoadReported,
-    /// The instance asked this node for a pause.
-    AskedForBackoff,
+    /// The instance requested a pause from this node.
+    RequestedBackoff,
 }
 
 impl RejectionCause {
--- a/crates/ledgelead-router/src/requests/statistics.rs
+++ b/crates/ledgelead-router/src/requests/statistics.rs
@@ -66,8 +66,8 @@
 
     /// Records a response that took `latency`; `load_factor` is the number of requests per
     /// slot when the request was sent, including it.
-    pub fn answered(&mut self, latency: Duration, load_factor: f64, now: Timestamp) {
-        self.failures.answered(&FAILURE_RULES, now);
+    pub fn record_success(&mut self, latency: Duration, load_factor: f64, now: Timestamp) {
+        self.failures.record_success(&FAILURE_RULES, now);
         let slowness = self.reported.and_then(|load| load.slowness);
         let slowness = slowness.map_or(1.0, |percent| f64::from(percent.max(1)) / 100.0);
         let sample = latency.div_f64(load_factor.max(1.0) * slowness);
@@ -83,13 +83,13 @@
     }
 
     /// Records a failed attempt.
-    pub fn failed(&mut self, now: Timestamp) {
-        self.failures.failed(&FAILURE_RULES, now);
+    pub fn record_failure(&mut self, now: Timestamp) {
+        self.failures.record_failure(&FAILURE_RULES, now);
     }
 
     /// Records a request that the instance rejected without running it.
-    pub fn rejected(&mut self, now: Timestamp) {
-        self.failures.rejected(&FAILURE_RULES, now);
+    pub fn record_rejection(&mut self, now: Timestamp) {
+        self.failures.record_rejection(&FAILURE_RULES, now);
     }
 
     /// The share of recent requests that failed there, 0 to 1.
@@ -98,12 +98,12 @@
     }
 
     /// Records the load that the instance reported.
-    pub fn load_reported(&mut self, load: ReportedLoad) {
+    pub fn record_load(&mut self, load: ReportedLoad) {
         self.unannounced_speed.slowness = load.slowness.or(self.unannounced_speed.slowness);
         self.reported = Some(load);
     }
 
-    /// Records that the instance asked for a pause. An earlier pause stays in force if it ends
+    /// Records that the instance requested a pause. An earlier pause stays in force if it ends
     /// later.
     fn record_backoff(&mut self, backoff: Duration, now: Timestamp) {
         self.backoff_until = self.backoff_until.max(now + backoff);
@@ -156,7 +156,7 @@
 #[derive(Debug, Default)]
 pub struct StatisticsTable {
     instances: HashMap<InstanceId, Statistics>,
-    /// The latest end of a pause that any instance asked for.
+    /// The latest end of a pause that any instance requested.
     last_backoff: Timestamp,
     /// Rate limits announced by instances.
     pub limits: KnownLimits,
@@ -173,15 +173,15 @@
         self.instances.entry(id.clone()).or_default()
     }
 
-    /// Records that an instance asked this node for a pause.
+    /// Records that an instance requested a pause from this node.
     pub fn record_backoff(&mut self, id: &InstanceId, backoff: Duration, now: Timestamp) {
         self.entry(id).record_backoff(backoff, now);
         self.last_backoff = self.last_backoff.max(now + backoff);
     }
 
     /// Time left in which an instance wants no requests from this node, if any. Usually no
-    /// instance asks for a pause, and then none is looked up: selections call this for
-    /// hundreds of them.
+    /// instance requests a pause, and then none is looked up: selections call this for hundreds
+    /// of them.
     pub fn backoff_left(&self, id: &InstanceId, now: Timestamp) -> Option<Duration> {
         match self.last_backoff > now {
             true => self.get(id)?.backoff_left(now),
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Time left in which an instance accepts no requests from this node, because it asked for
+    /// Time left in which an instance accepts no requests from this node, because it requested
     /// a pause or its limiter has no token.
     pub fn unavailable_for(&self, id: &InstanceId, now: Timestamp) -> Option<Duration> {
         let backoff = self.backoff_left(id, now);
--- a/crates/ledgelead-router/src/requests/tokens.rs
+++ b/crates/ledgelead-router/src/requests/tokens.rs
@@ -21,12 +21,12 @@
 /// State of a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenState {
-    /// A limiter was asked and has not decided.
-    Asked {
+    /// The token was requested, and the limiter has not decided.
+    Requested {
         /// The limiter.
         limiter: SocketAddr,
-        /// How often it was asked, including this time.
-        times_asked: usize,
+        /// Number of requests sent to it, including the pending one.
+        requests_sent: usize,
         /// When to act if there is no decision.
         check_at: Timestamp,
     },
@@ -55,7 +55,7 @@
     /// Stable hash of the instance's id.
     pub instance: u64,
     /// The decision.
-    pub verdict: TokenStatus,
+    pub status: TokenStatus,
 }
 
 /// Token requests without a decision.
--- a/crates/ledgelead-router/src/store/health.rs
+++ b/crates/ledgelead-router/src/store/health.rs
@@ -27,10 +27,11 @@
 }
 
 impl StoreHealth {
-    /// The store answered a call at this time. The start of the call does not count, since a
-    /// watch may have waited through a whole outage. Returns whether the store may have been
-    /// unavailable before, in which case missing entries do not prove yet that they are gone.
-    pub fn succeeded(&mut self, at: Timestamp) -> bool {
+    /// Records that the store answered a call at this time. The start of the call does not
+    /// count, since a watch may have waited through a whole outage. Returns whether the store
+    /// may have been unavailable before, in which case missing entries do not prove yet that
+    /// they are gone.
+    pub fn record_success(&mut self, at: Timestamp) -> bool {
         let was_unavailable = self.may_have_been_unavailable(at);
         if self.has_failed() {
             self.recovered_at = Some(at);
@@ -60,16 +61,16 @@
         self.served_until = self.served_until.max(Some(until));
     }
 
-    /// A call that began at `started` failed, or was refused.
-    pub fn failed(&mut self, started: Timestamp) {
+    /// Records that a call that began at `started` failed, or was refused.
+    pub fn record_failure(&mut self, started: Timestamp) {
         self.failing_since.get_or_insert(started);
     }
 
-    /// A coordinator that the store serves has relayed all changes until now, so this node's
-    /// failed calls would not have returned anything else. The store therefore counts as
-    /// failing from now on at the earliest. Returns whether the store may have been
+    /// Records that a coordinator that the store serves has relayed all changes until now, so
+    /// this node's failed calls would not have returned anything else. The store therefore
+    /// counts as failing from now on at the earliest. Returns whether the store may have been
     /// unavailable since it was last known to serve.
-    pub fn relayed_until(&mut self, now: Timestamp) -> bool {
+    pub fn record_relay(&mut self, now: Timestamp) -> bool {
         let was_unavailable = self.may_have_been_unavailable(now);
         self.extend_served_until(now);
         if let Some(since) = &mut self.failing_since {
--- a/crates/ledgelead-router/src/store/watcher.rs
+++ b/crates/ledgelead-router/src/store/watcher.rs
@@ -101,9 +101,9 @@
     first_watch: Timestamp,
     /// Whether no list has been completed yet.
     is_first: bool,
-    /// Whether the first list may be some seconds old.
+    /// Whether the first list may be a few seconds old.
     first_may_be_stale: bool,
-    /// Whether the list that is being read may be some seconds old.
+    /// Whether the list that is being read may be a few seconds old.
     reads_stale: bool,
     /// Whether the call in flight goes to another node.
     is_call_to_peer: bool,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Sets whether the first list may be some seconds old, unless it is complete. A stale
+    /// Sets whether the first list may be a few seconds old, unless it is complete. A stale
     /// list that is being read, but no longer allowed, is started again.
     pub fn set_first_may_be_stale(&mut self, may_be: bool) {
         self.first_may_be_stale = may_be;
@@ -154,7 +154,7 @@
         self.is_paged
     }
 
-    /// Whether a first list with several pages is being read and may be some seconds old.
+    /// Whether a first list with several pages is being read and may be a few seconds old.
     pub fn is_paging_stale(&self) -> bool {
         self.is_paged && self.is_first && self.reads_stale
     }
@@ -195,9 +195,10 @@
         self.call_now(now);
     }
 
-    /// Requests the changes since a first list that may be stale. Returns when they were
-    /// requested; a watch in flight counts, as it is answered as soon as there is a change.
-    pub fn confirm(&mut self, now: Timestamp) -> Timestamp {
+    /// Requests the changes since a first list that may be stale, which confirms the list.
+    /// Returns when they were requested. A watch in flight is enough, since the store answers
+    /// it as soon as there is a change.
+    pub fn request_confirmation(&mut self, now: Timestamp) -> Timestamp {
         match self.call {
             Some((began, _)) if self.in_flight => began,
             _ => {
@@ -221,7 +222,8 @@
         }
     }
 
-    /// While paused, calls are made only for a list or after `request_catch_up`.
+    /// Sets whether the watch is paused. While paused, calls are made only for a list or after
+    /// `request_catch_up`.
     pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
         self.catch_up_requested &= paused;
@@ -358,30 +360,30 @@
         self.is_first && self.first_may_be_stale
     }
 
-    /// The call in flight was cancelled; the next one is due at once.
-    pub fn interrupt(&mut self, now: Timestamp) {
+    /// Records that the call in flight was cancelled; the next one is due at once.
+    pub fn record_cancellation(&mut self, now: Timestamp) {
         self.in_flight = false;
         self.next_call = now;
     }
 
-    /// The call failed or was refused.
-    pub fn failed(&mut self, now: Timestamp) {
+    /// Records that the call failed or was refused.
+    pub fn record_failure(&mut self, now: Timestamp) {
         self.in_flight = false;
         self.next_call = now + self.retry_pause();
         self.failures += 1;
     }
 
-    /// The store answered.
-    pub fn answered(&mut self, answer: StoreAnswer, now: Timestamp) -> WatchChange {
+    /// Applies the store's answer to the call in flight.
+    pub fn apply_answer(&mut self, answer: StoreAnswer, now: Timestamp) -> WatchChange {
         match answer {
             StoreAnswer::Objects {
                 objects,
                 more,
                 revision,
-            } => self.listed(objects, more, revision, now),
-            StoreAnswer::Events { events, revision } => self.changed(events, revision, now),
+            } => self.apply_page(objects, more, revision, now),
+            StoreAnswer::Events { events, revision } => self.apply_events(events, revision, now),
             StoreAnswer::HistoryLost | StoreAnswer::Missing => {
-                self.succeeded(now);
+                self.record_success(now);
                 self.position = Position::start();
                 WatchChange::Unchanged
             }
@@ -389,20 +391,20 @@
             | StoreAnswer::Conflict
             | StoreAnswer::Written(_)
             | StoreAnswer::Unreadable(_) => {
-                self.failed(now);
+                self.record_failure(now);
                 WatchChange::Unchanged
             }
         }
     }
 
-    fn listed(
+    fn apply_page(
         &mut self,
         objects: Vec<Object>,
         more: bool,
         revision: u64,
         now: Timestamp,
     ) -> WatchChange {
-        self.succeeded(now);
+        self.record_success(now);
         let Position::Listing {
             pages,
             after,
@@ -445,9 +447,14 @@
         WatchChange::All(all)
     }
 
-    fn changed(&mut self, events: Vec<ObjectEvent>, revision: u64, now: Timestamp) -> WatchChange {
+    fn apply_events(
+        &mut self,
+        events: Vec<ObjectEvent>,
+        revision: u64,
+        now: Timestamp,
+    ) -> WatchChange {
         let confirms = self.confirming;
-        self.succeeded(now);
+        self.record_success(now);
         let Position::Watching { revision: known } = &mut self.position else {
             return WatchChange::Unchanged;
         };
@@ -476,7 +483,7 @@
         }
     }
 
-    fn succeeded(&mut self, now: Timestamp) {
+    fn record_success(&mut self, now: Timestamp) {
         self.in_flight = false;
         self.failures = 0;
         self.catch_up_requested = false;
--- a/crates/ledgelead-router/src/zone_traffic.rs
+++ b/crates/ledgelead-router/src/zone_traffic.rs
@@ -61,12 +61,12 @@
 
 impl ZoneTraffic {
     /// Counts sent bytes.
-    pub fn sent(&mut self, purpose: &'static str, zone: ZoneRelation, bytes: usize) {
+    pub fn record_sent(&mut self, purpose: &'static str, zone: ZoneRelation, bytes: usize) {
         self.sent.entry(purpose).or_default().add(zone, bytes);
     }
 
     /// Counts received bytes.
-    pub fn received(&mut self, purpose: &'static str, zone: ZoneRelation, bytes: usize) {
+    pub fn record_received(&mut self, purpose: &'static str, zone: ZoneRelation, bytes: usize) {
         self.received.entry(purpose).or_default().add(zone, bytes);
     }
 }
--- a/crates/ledgelead-router/tests/change_lists.rs
+++ b/crates/ledgelead-router/tests/change_lists.rs
@@ -177,7 +177,7 @@
     }
 
     fn answered(&mut self, answer: StoreAnswer, now: Duration) {
-        match self.watcher.answered(answer, now) {
+        match self.watcher.apply_answer(answer, now) {
             WatchChange::Unchanged => {}
             WatchChange::All(objects) => {
                 let records: Vec<InstanceRecord> = objects
--- a/crates/ledgelead-router/tests/dispatch/load.rs
+++ b/crates/ledgelead-router/tests/dispatch/load.rs
@@ -181,7 +181,7 @@
                 self.apply_decisions(
                     decided
                         .iter()
-                        .map(|one| (one.requester.number, one.verdict, one.retry_after))
+                        .map(|one| (one.requester.number, one.admission, one.retry_after))
                         .collect(),
                 );
             }
@@ -261,20 +261,20 @@
         };
         let decided = self
             .dispatcher
-            .ask(&request, || [owner], self.now)
+            .request_permit(&request, || [owner], self.now)
             .expect("one owner");
         self.apply_decisions(
             decided
                 .iter()
-                .map(|one| (one.requester.number, one.verdict, one.retry_after))
+                .map(|one| (one.requester.number, one.admission, one.retry_after))
                 .collect(),
         );
     }
 
     fn apply_decisions(&mut self, decided: Vec<(u64, Admission, Duration)>) {
-        for (number, verdict, retry_after) in decided {
+        for (number, admission, retry_after) in decided {
             let caller = number / 10;
-            match verdict {
+            match admission {
                 Admission::Granted(_) => self.reach_owner(caller),
                 Admission::Queued => {}
                 Admission::Refused => self.refused(caller, retry_after),
@@ -339,7 +339,7 @@
                 number: caller * 10 + u64::from(retries),
             };
             let took = self.now - self.sent[&caller];
-            let decided = self.dispatcher.returned(
+            let decided = self.dispatcher.return_permit(
                 1,
                 requester,
                 PermitOutcome::Answered { took, load: None },
@@ -348,7 +348,7 @@
             self.apply_decisions(
                 decided
                     .iter()
-                    .map(|one| (one.requester.number, one.verdict, one.retry_after))
+                    .map(|one| (one.requester.number, one.admission, one.retry_after))
                     .collect(),
             );
         }
--- a/crates/ledgelead-router/tests/dispatch/queue.rs
+++ b/crates/ledgelead-router/tests/dispatch/queue.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn ask(number: u64, urgency: u8, to_target: u64) -> AdmissionRequest {
+fn request(number: u64, urgency: u8, to_target: u64) -> AdmissionRequest {
     AdmissionRequest {
         requester: requester(number),
         urgency,
@@ -62,8 +62,8 @@
 fn full_queue() -> PermitQueue {
     let mut queue = queue();
     for number in 0..3 {
-        let verdict = queue.ask(ask(1_000 + number, 0, 5_000), Duration::ZERO);
-        assert_eq!(verdict, Admission::Granted(OWNER));
+        let admission = queue.request_permit(request(1_000 + number, 0, 5_000), Duration::ZERO);
+        assert_eq!(admission, Admission::Granted(OWNER));
     }
     queue
 }
@@ -75,9 +75,9 @@
     let mut granted = Vec::new();
     for _ in 0..count {
         let ended = requester(outstanding.remove(0));
-        queue.returned(ended, answered(SERVICE_TIME), ms(1));
-        for (next, verdict) in queue.advance(ms(1)) {
-            assert_eq!(verdict, Admission::Granted(OWNER));
+        queue.return_permit(ended, answered(SERVICE_TIME), ms(1));
+        for (next, admission) in queue.advance(ms(1)) {
+            assert_eq!(admission, Admission::Granted(OWNER));
             granted.push(next.number);
             outstanding.push(next.number);
         }
@@ -90,13 +90,16 @@
     let mut queue = queue();
     for number in 0..3 {
         expect_that!(
-            queue.ask(ask(number, 1, 400), ms(0)),
+            queue.request_permit(request(number, 1, 400), ms(0)),
             eq(Admission::Granted(OWNER))
         );
     }
-    expect_that!(queue.ask(ask(3, 1, 400), ms(0)), eq(Admission::Queued));
+    expect_that!(
+        queue.request_permit(request(3, 1, 400), ms(0)),
+        eq(Admission::Queued)
+    );
     expect_that!(queue.outstanding(), eq(3));
-    queue.returned(requester(0), answered(SERVICE_TIME), ms(90));
+    queue.return_permit(requester(0), answered(SERVICE_TIME), ms(90));
     expect_that!(
         queue.advance(ms(90)),
         elements_are![eq(&(requester(3), Admission::Granted(OWNER)))]
@@ -106,9 +109,9 @@
 #[gtest]
 fn most_urgent_goes_first_then_nearest_target() {
     let mut queue = full_queue();
-    queue.ask(ask(1, 1, 2_000), ms(0));
-    queue.ask(ask(2, 1, 1_500), ms(0));
-    queue.ask(ask(3, 0, 3_000), ms(0));
+    queue.request_permit(request(1, 1, 2_000), ms(0));
+    queue.request_permit(request(2, 1, 1_500), ms(0));
+    queue.request_permit(request(3, 0, 3_000), ms(0));
     expect_that!(grants(&mut queue, 3), eq(&vec![3, 2, 1]));
 }
 
@@ -116,8 +119,8 @@
 fn less_urgent_requests_get_at_least_a_sixth_of_the_permits() {
     let mut queue = full_queue();
     for number in 0..40 {
-        queue.ask(ask(number, 0, 60_000), ms(0));
-        queue.ask(ask(100 + number, 2, 60_000), ms(0));
+        queue.request_permit(request(number, 0, 60_000), ms(0));
+        queue.request_permit(request(100 + number, 2, 60_000), ms(0));
     }
     let granted = grants(&mut queue, 36);
     let less_urgent = granted.iter().filter(|number| **number >= 100).count();
@@ -131,25 +134,40 @@
     let mut queue = full_queue();
     // Three are outstanding at two slots: this one would take 1.5 + 0.5 times the service
     // time.
-    expect_that!(queue.ask(ask(1, 1, 200), ms(0)), eq(Admission::Refused));
-    expect_that!(queue.ask(ask(2, 1, 300), ms(0)), eq(Admission::Queued));
+    expect_that!(
+        queue.request_permit(request(1, 1, 200), ms(0)),
+        eq(Admission::Refused)
+    );
+    expect_that!(
+        queue.request_permit(request(2, 1, 300), ms(0)),
+        eq(Admission::Queued)
+    );
 }
 
 #[gtest]
 fn late_request_only_gets_an_idle_slot() {
     let mut queue = queue();
     expect_that!(
-        queue.ask(ask(1, 1, 0), ms(0)),
+        queue.request_permit(request(1, 1, 0), ms(0)),
         eq(Admission::Granted(OWNER))
     );
     expect_that!(
-        queue.ask(ask(2, 1, 10), ms(0)),
+        queue.request_permit(request(2, 1, 10), ms(0)),
         eq(Admission::Granted(OWNER))
     );
-    expect_that!(queue.ask(ask(3, 1, 10), ms(0)), eq(Admission::Refused));
-    expect_that!(queue.ask(ask(4, 1, 0), ms(0)), eq(Admission::Queued));
-    expect_that!(queue.ask(ask(5, 1, 900), ms(0)), eq(Admission::Queued));
-    queue.returned(requester(1), answered(SERVICE_TIME), ms(50));
+    expect_that!(
+        queue.request_permit(request(3, 1, 10), ms(0)),
+        eq(Admission::Refused)
+    );
+    expect_that!(
+        queue.request_permit(request(4, 1, 0), ms(0)),
+        eq(Admission::Queued)
+    );
+    expect_that!(
+        queue.request_permit(request(5, 1, 900), ms(0)),
+        eq(Admission::Queued)
+    );
+    queue.return_permit(requester(1), answered(SERVICE_TIME), ms(50));
     let granted = queue.advance(ms(50));
     expect_that!(
         granted,
@@ -166,7 +184,7 @@
 #[gtest]
 fn waiting_request_is_refused_while_its_caller_can_still_retry() {
     let mut queue = full_queue();
-    queue.ask(ask(1, 1, 300), ms(0));
+    queue.request_permit(request(1, 1, 300), ms(0));
     let at = queue.next_deadline().expect("a deadline");
     expect_that!(at, eq(ms(240)));
     expect_that!(
@@ -181,10 +199,10 @@
     let mut queue = full_queue();
     let early = AdmissionRequest {
         is_early: true,
-        ..ask(1, 0, 2_000)
+        ..request(1, 0, 2_000)
     };
-    queue.ask(early, ms(0));
-    queue.ask(ask(2, 3, 3_000), ms(0));
+    queue.request_permit(early, ms(0));
+    queue.request_permit(request(2, 3, 3_000), ms(0));
     expect_that!(grants(&mut queue, 2), eq(&vec![2, 1]));
 }
 
@@ -192,7 +210,7 @@
 fn extra_permits_grow_with_idle_slots_and_shrink_with_waiting_requests() {
     let mut queue = full_queue();
     for number in 0..20 {
-        queue.ask(ask(number, 0, 60_000), ms(0));
+        queue.request_permit(request(number, 0, 60_000), ms(0));
     }
     let mut outstanding: Vec<u64> = (1_000..1_003).collect();
     let mut end_one = |queue: &mut PermitQueue, running, waiting| {
@@ -201,7 +219,7 @@
             took: SERVICE_TIME,
             load,
         };
-        queue.returned(requester(outstanding.remove(0)), outcome, ms(1));
+        queue.return_permit(requester(outstanding.remove(0)), outcome, ms(1));
         outstanding.extend(queue.advance(ms(1)).iter().map(|(next, _)| next.number));
         outstanding.len()
     };
@@ -216,30 +234,45 @@
     let mut queue = queue();
     let cold = |number| AdmissionRequest {
         is_cold: true,
-        ..ask(number, 0, 5_000)
+        ..request(number, 0, 5_000)
     };
-    expect_that!(queue.ask(cold(1), ms(0)), eq(Admission::Granted(OWNER)));
-    expect_that!(queue.ask(cold(2), ms(0)), eq(Admission::Granted(OWNER)));
+    expect_that!(
+        queue.request_permit(cold(1), ms(0)),
+        eq(Admission::Granted(OWNER))
+    );
+    expect_that!(
+        queue.request_permit(cold(2), ms(0)),
+        eq(Admission::Granted(OWNER))
+    );
     // They get free slots, and none beyond the slots.
-    expect_that!(queue.ask(cold(3), ms(0)), eq(Admission::Queued));
-    expect_that!(queue.ask(ask(4, 2, 900), ms(0)), eq(Admission::Queued));
+    expect_that!(queue.request_permit(cold(3), ms(0)), eq(Admission::Queued));
+    expect_that!(
+        queue.request_permit(request(4, 2, 900), ms(0)),
+        eq(Admission::Queued)
+    );
     expect_that!(
         queue.advance(ms(0)),
         elements_are![eq(&(requester(4), Admission::Granted(OWNER)))]
     );
     // Their service time doesn't count for other requests.
-    queue.returned(requester(1), answered(ms(390)), ms(390));
+    queue.return_permit(requester(1), answered(ms(390)), ms(390));
     expect_that!(queue.service_time(), eq(SERVICE_TIME));
 }
 
 #[gtest]
 fn resent_permit_request_is_not_queued_twice() {
     let mut queue = full_queue();
-    expect_that!(queue.ask(ask(1, 1, 900), ms(0)), eq(Admission::Queued));
-    expect_that!(queue.ask(ask(1, 1, 900), ms(1)), eq(Admission::Queued));
+    expect_that!(
+        queue.request_permit(request(1, 1, 900), ms(0)),
+        eq(Admission::Queued)
+    );
+    expect_that!(
+        queue.request_permit(request(1, 1, 900), ms(1)),
+        eq(Admission::Queued)
+    );
     expect_that!(queue.waiting(), eq(1));
     expect_that!(
-        queue.ask(ask(1_000, 1, 900), ms(1)),
+        queue.request_permit(request(1_000, 1, 900), ms(1)),
         eq(Admission::Granted(OWNER))
     );
     expect_that!(queue.outstanding(), eq(3));
@@ -248,7 +281,7 @@
 #[gtest]
 fn permit_that_is_not_returned_is_granted_again() {
     let mut queue = full_queue();
-    queue.ask(ask(1, 1, 2_000), ms(0));
+    queue.request_permit(request(1, 1, 2_000), ms(0));
     // The node that holds the permits is lost.
     expect_that!(queue.advance(ms(999)), is_empty());
     expect_that!(
@@ -257,7 +290,7 @@
     );
     // Returning it late has no effect.
     expect_that!(
-        queue.returned(requester(1_000), PermitOutcome::NoSample, ms(1_001)),
+        queue.return_permit(requester(1_000), PermitOutcome::NoSample, ms(1_001)),
         eq(false)
     );
     expect_that!(queue.outstanding(), eq(1));
@@ -276,19 +309,21 @@
     let mut dispatcher = Dispatcher::default();
     let late = DispatchRequest {
         to_target: ms(0),
-        ..owner_ask(3, 1)
+        ..owner_request(3, 1)
     };
-    dispatcher.ask(&owner_ask(1, 1), owner, ms(0));
-    dispatcher.ask(&owner_ask(2, 1), owner, ms(0));
-    dispatcher.ask(&late, owner, ms(0));
+    dispatcher.request_permit(&owner_request(1, 1), owner, ms(0));
+    dispatcher.request_permit(&owner_request(2, 1), owner, ms(0));
+    dispatcher.request_permit(&late, owner, ms(0));
     let urgent = DispatchRequest {
         to_target: ms(900),
-        ..owner_ask(4, 0)
+        ..owner_request(4, 0)
     };
-    let decided = dispatcher.ask(&urgent, owner, ms(0)).expect("decisions");
+    let decided = dispatcher
+        .request_permit(&urgent, owner, ms(0))
+        .expect("decisions");
     let last = decided.last().expect("a decision");
     expect_that!(last.requester, eq(requester(4)));
-    expect_that!(last.verdict, eq(Admission::Granted(OWNER)));
+    expect_that!(last.admission, eq(Admission::Granted(OWNER)));
 }
 
 #[gtest]
@@ -296,7 +331,7 @@
     let mut queue = PermitQueue::of_pool(ms(0));
     queue.replace_servers([server(1), server(2), server(3)]);
     let mut fails = |number: u64, at: u64| {
-        let Admission::Granted(to) = queue.ask(ask(number, 1, 400), ms(at)) else {
+        let Admission::Granted(to) = queue.request_permit(request(number, 1, 400), ms(at)) else {
             panic!("no permit");
         };
         let outcome = if to == 1 {
@@ -304,7 +339,7 @@
         } else {
             answered(SERVICE_TIME)
         };
-        queue.returned(requester(number), outcome, ms(at));
+        queue.return_permit(requester(number), outcome, ms(at));
         to
     };
     let first: Vec<u64> = (0..10).map(|number| fails(number, number)).collect();
@@ -319,7 +354,7 @@
     let mut sent = 0;
     for number in 0..200 {
         let at = ms(number * 5);
-        let Admission::Granted(to) = queue.ask(ask(number, 1, 400), at) else {
+        let Admission::Granted(to) = queue.request_permit(request(number, 1, 400), at) else {
             panic!("no permit");
         };
         sent += u64::from(to == 1);
@@ -328,7 +363,7 @@
             (true, _) => answered(ms(5)),
             _ => answered(SERVICE_TIME),
         };
-        queue.returned(requester(number), outcome, at);
+        queue.return_permit(requester(number), outcome, at);
     }
     expect_that!(sent, le(20));
 }
@@ -352,7 +387,7 @@
     expect_that!(callers.take(7, ms(0)), none());
 }
 
-fn owner_ask(number: u64, urgency: u8) -> DispatchRequest {
+fn owner_request(number: u64, urgency: u8) -> DispatchRequest {
     DispatchRequest {
         queue: OWNER,
         kind: QueueKind::Owner,
@@ -374,35 +409,35 @@
 fn urgent_callers_may_retry_first_and_early_retries_are_recognized() {
     let mut dispatcher = Dispatcher::default();
     for number in 0..2 {
-        dispatcher.ask(&owner_ask(number, 1), owner, ms(0));
+        dispatcher.request_permit(&owner_request(number, 1), owner, ms(0));
     }
     let mut refused = |number, urgency| {
-        let decided = dispatcher.ask(&owner_ask(number, urgency), owner, ms(1));
+        let decided = dispatcher.request_permit(&owner_request(number, urgency), owner, ms(1));
         let decided = decided.expect("a decision")[0];
-        assert_eq!(decided.verdict, Admission::Refused);
+        assert_eq!(decided.admission, Admission::Refused);
         decided.retry_after
     };
     let less_urgent = refused(10, 2);
     let urgent = refused(11, 0);
     expect_that!(urgent, lt(less_urgent));
     expect_that!(urgent, ge(ms(150)));
-    dispatcher.ask(&owner_ask(11, 0), owner, ms(10));
+    dispatcher.request_permit(&owner_request(11, 0), owner, ms(10));
     expect_that!(dispatcher.counters().early, eq(1));
     // The retry delay exceeds what the caller can wait: a third of its time left is enough.
-    dispatcher.ask(&owner_ask(10, 2), owner, ms(900));
+    dispatcher.request_permit(&owner_request(10, 2), owner, ms(900));
     expect_that!(dispatcher.counters().early, eq(1));
 }
 
 #[gtest]
 fn unused_queues_are_dropped() {
     let mut dispatcher = Dispatcher::default();
-    dispatcher.ask(&owner_ask(1, 1), owner, ms(0));
-    dispatcher.returned(OWNER, requester(1), answered(SERVICE_TIME), ms(100));
+    dispatcher.request_permit(&owner_request(1, 1), owner, ms(0));
+    dispatcher.return_permit(OWNER, requester(1), answered(SERVICE_TIME), ms(100));
     dispatcher.expire(ms(5_000));
     expect_that!(dispatcher.next_deadline(), none());
     dispatcher.expire(ms(11_000));
     expect_that!(
-        dispatcher.returned(OWNER, requester(1), PermitOutcome::NoSample, ms(11_000)),
+        dispatcher.return_permit(OWNER, requester(1), PermitOutcome::NoSample, ms(11_000)),
         is_empty()
     );
 }
@@ -465,8 +500,8 @@
                         0 => queue.service_time() * 2,
                         _ => ms(to_target),
                     };
-                    let permit = AdmissionRequest { is_early, ..ask(number, urgency, to_target) };
-                    match queue.ask(permit, now) {
+                    let permit = AdmissionRequest { is_early, ..request(number, urgency, to_target) };
+                    match queue.request_permit(permit, now) {
                         Admission::Granted(_) => outstanding.push(number),
                         Admission::Queued => {
                             waiting.insert((now + limit, number));
@@ -477,7 +512,7 @@
                 Message::Return { position, ran } if !outstanding.is_empty() => {
                     let ended = outstanding.remove(position % outstanding.len());
                     let outcome = if ran { answered(SERVICE_TIME) } else { PermitOutcome::NoSample };
-                    queue.returned(requester(ended), outcome, now);
+                    queue.return_permit(requester(ended), outcome, now);
                 }
                 Message::Lost { position } if !outstanding.is_empty() => {
                     outstanding.remove(position % outstanding.len());
@@ -491,11 +526,11 @@
                     }
                 }
             }
-            for (decided, verdict) in queue.advance(now) {
+            for (decided, admission) in queue.advance(now) {
                 let known = waiting.iter().find(|(_, known)| *known == decided.number).copied();
                 prop_assert!(known.is_some(), "decided twice");
                 waiting.remove(&known.expect("known"));
-                if verdict == Admission::Granted(OWNER) {
+                if admission == Admission::Granted(OWNER) {
                     outstanding.push(decided.number);
                 }
             }
@@ -513,20 +548,20 @@
 fn pool_instance_that_asked_for_a_pause_is_selected_last() {
     let mut queue = PermitQueue::of_pool(Duration::ZERO);
     queue.replace_servers([server(1), server(2)]);
-    let first = queue.ask(ask(0, 0, 5_000), ms(0));
+    let first = queue.request_permit(request(0, 0, 5_000), ms(0));
     let Admission::Granted(paused) = first else {
         panic!("{first:?}");
     };
-    queue.returned(requester(0), PermitOutcome::BackedOff(ms(500)), ms(1));
+    queue.return_permit(requester(0), PermitOutcome::BackedOff(ms(500)), ms(1));
     let granted = |queue: &mut PermitQueue, number: u64, at: u64| {
-        let verdict = queue.ask(ask(number, 0, 5_000), ms(at));
-        queue.returned(requester(number), PermitOutcome::NoSample, ms(at));
-        verdict
+        let admission = queue.request_permit(request(number, 0, 5_000), ms(at));
+        queue.return_permit(requester(number), PermitOutcome::NoSample, ms(at));
+        admission
     };
     for number in 1..5 {
         let other = 3 - paused;
-        let verdict = granted(&mut queue, number, 10 * number);
-        expect_that!(verdict, eq(Admission::Granted(other)));
+        let admission = granted(&mut queue, number, 10 * number);
+        expect_that!(admission, eq(Admission::Granted(other)));
     }
     expect_that!(granted(&mut queue, 9, 502), eq(first));
 }
--- a/crates/ledgelead-router/tests/incarnations.rs
+++ b/crates/ledgelead-router/tests/incarnations.rs
@@ -348,9 +348,9 @@
 fn an_answer_proves_an_incarnation_alive_only_after_a_later_one_would_be_known() {
     let id = InstanceId::with_start_time("a", 10);
     let mut signs = UnconfirmedAnswers::default();
-    signs.answered(&id, ms(1_000), ms(1_100));
+    signs.record(&id, ms(1_000), ms(1_100));
     // Further answers do not extend the wait.
-    signs.answered(&id, ms(2_000), ms(2_100));
+    signs.record(&id, ms(2_000), ms(2_100));
     expect_that!(signs.next_due(), some(eq(ms(3_100))));
     expect_that!(signs.take_due(ms(3_000)), is_empty());
     expect_that!(
--- a/crates/ledgelead-router/tests/leaving.rs
+++ b/crates/ledgelead-router/tests/leaving.rs
@@ -70,7 +70,7 @@
             directory.replace_all(entries, now);
         }
         Report::Removed => directory.remove("i-1", now),
-        Report::StoreLost => directory.note_store_outage(now),
+        Report::StoreLost => directory.record_store_outage(now),
         Report::SaidAgain { ago_ms } => {
             directory.mark_leaving(&incarnation(STARTED_MS), now.saturating_sub(at(*ago_ms)));
         }
@@ -123,7 +123,7 @@
         vec![Entry::at(7, record(incarnation(STARTED_MS), false))],
         at(1_000),
     );
-    directory.note_current(at(10_000));
+    directory.record_current(at(10_000));
     directory.upsert(
         Entry::at(8, record(incarnation(STARTED_MS), true)),
         at(10_100),
