--- a/crates/ledgelead-router/tests/local_view.rs
+++ b/crates/ledgelead-router/tests/local_view.rs
@@ -55,7 +55,7 @@
 #[gtest]
 fn an_entry_missing_after_an_outage_counts_as_unconfirmed_for_two_seconds() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.note_store_outage(ms(10_000));
+    directory.record_store_outage(ms(10_000));
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(10_000));
     expect_that!(serves(&directory, "a"), eq(true));
     directory.upsert(record("a", 1), ms(11_000));
@@ -69,11 +69,11 @@
 #[gtest]
 fn an_entry_deleted_while_only_this_node_was_cut_off_is_gone_at_once() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.note_store_outage(ms(14_000));
+    directory.record_store_outage(ms(14_000));
     directory.replace_all(vec![record("b", 2)], ms(14_000));
     expect_that!(serves(&directory, "a"), eq(true));
     // The store served the coordinator all the time.
-    directory.store_served_since(ms(1_000));
+    directory.record_store_served_since(ms(1_000));
     directory.expire(ms(14_100));
     expect_that!(serves(&directory, "a"), eq(false));
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(14_200));
@@ -85,15 +85,15 @@
 #[gtest]
 fn leaving_counts_from_the_last_time_at_which_the_instance_was_known_to_serve() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.note_current(ms(8_300));
-    directory.note_current(ms(7_000));
+    directory.record_current(ms(8_300));
+    directory.record_current(ms(7_000));
     let leaving = |id, port| InstanceRecord {
         draining: true,
         ..record(id, port)
     };
     directory.upsert(leaving("a", 1), ms(9_000));
     directory.remove("b", ms(9_000));
-    directory.note_current(ms(9_500));
+    directory.record_current(ms(9_500));
     // It ends; its entry reappears as leaving and disappears again. It has been leaving all
     // the time.
     directory.remove("a", ms(10_000));
@@ -114,7 +114,7 @@
 #[gtest]
 fn an_unconfirmed_missing_entry_counts_as_a_change_of_the_directory() {
     let mut directory = directory(vec![record("a", 1)]);
-    directory.note_store_outage(ms(10_000));
+    directory.record_store_outage(ms(10_000));
     let before = directory.changes();
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(10_000));
     let doubted = directory.changes();
@@ -146,7 +146,7 @@
         .map(|instance| instance.presence);
     expect_that!(presence, some(eq(Presence::Draining { since: ms(0) })));
     let mut seen = directory(vec![record("a", 1)]);
-    seen.note_current(ms(9_000));
+    seen.record_current(ms(9_000));
     seen.upsert(leaving.clone(), ms(9_000));
     seen.upsert(leaving.clone(), ms(9_500));
     let presence = seen.get(&leaving.id).map(|instance| instance.presence);
@@ -183,9 +183,9 @@
 fn a_watch_continues_from_the_first_page_of_its_list() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, true), ms(1));
+    watcher.apply_answer(page(7, true), ms(1));
     watcher.take_call(ms(1));
-    let change = watcher.answered(page(9, false), ms(2));
+    let change = watcher.apply_answer(page(9, false), ms(2));
     expect_that!(matches!(change, WatchChange::All(_)), eq(true));
     let call = watcher.take_call(ms(1_500));
     expect_that!(
@@ -198,9 +198,9 @@
 fn a_watch_continues_from_the_oldest_page_of_a_stale_list() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, true), ms(1));
+    watcher.apply_answer(page(7, true), ms(1));
     watcher.take_call(ms(1));
-    watcher.answered(page(5, false), ms(2));
+    watcher.apply_answer(page(5, false), ms(2));
     expect_that!(watcher.revision(), some(eq(5)));
 }
 
@@ -228,13 +228,13 @@
 fn a_list_continues_after_the_last_readable_name() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(named_page(&["a", "b", ""], true), ms(1));
+    watcher.apply_answer(named_page(&["a", "b", ""], true), ms(1));
     let call = watcher.take_call(ms(1));
     expect_that!(list_after(call), some(eq("b")));
-    watcher.answered(named_page(&["", "c", ""], true), ms(2));
+    watcher.apply_answer(named_page(&["", "c", ""], true), ms(2));
     let call = watcher.take_call(ms(2));
     expect_that!(list_after(call), some(eq("c")));
-    let change = watcher.answered(named_page(&["", "d"], false), ms(3));
+    let change = watcher.apply_answer(named_page(&["", "d"], false), ms(3));
     let WatchChange::All(objects) = change else {
         panic!("no list: {change:?}");
     };
@@ -248,16 +248,16 @@
     for stuck in [&[""][..], &["a"], &["", "a", ""]] {
         let mut watcher = watcher();
         watcher.take_call(ms(0));
-        watcher.answered(named_page(&["a"], true), ms(1));
+        watcher.apply_answer(named_page(&["a"], true), ms(1));
         watcher.take_call(ms(1));
-        let first = watcher.answered(named_page(stuck, true), ms(2));
+        let first = watcher.apply_answer(named_page(stuck, true), ms(2));
         expect_that!(matches!(first, WatchChange::All(_)), eq(true));
 
         watcher.refresh(ms(3));
         watcher.take_call(ms(3));
-        watcher.answered(named_page(&["a"], true), ms(4));
+        watcher.apply_answer(named_page(&["a"], true), ms(4));
         watcher.take_call(ms(4));
-        let later = watcher.answered(named_page(stuck, true), ms(5));
+        let later = watcher.apply_answer(named_page(stuck, true), ms(5));
         expect_that!(matches!(later, WatchChange::Events(_)), eq(true));
         expect_that!(watcher.revision(), some(eq(7)));
     }
@@ -270,12 +270,12 @@
     for kind in ObjectKind::ALL {
         let mut watcher = Watcher::new(kind, pace);
         expect_that!(is_stale(watcher.take_call(ms(0))), eq(true));
-        watcher.answered(page(7, false), ms(1));
+        watcher.apply_answer(page(7, false), ms(1));
         // It does not count as the newest state, so it confirms nothing.
         expect_that!(watcher.as_of(), none());
         watcher.refresh(ms(2));
         expect_that!(is_stale(watcher.take_call(ms(2))), eq(false));
-        watcher.answered(page(9, false), ms(3));
+        watcher.apply_answer(page(9, false), ms(3));
         expect_that!(watcher.as_of(), some(eq(ms(2))));
         // Elections of a starting deployment and coordinators need an exact list.
         let mut exact = Watcher::new(kind, pace);
@@ -289,7 +289,7 @@
     for kind in ObjectKind::ALL {
         let mut watcher = Watcher::new(kind, watcher().pace());
         watcher.take_call(ms(0));
-        watcher.answered(page(7, false), ms(1));
+        watcher.apply_answer(page(7, false), ms(1));
         expect_that!(watcher.take_call(ms(1_000)).is_none(), eq(true));
         expect_that!(watcher.take_call(ms(1_500)).is_some(), eq(true));
     }
@@ -299,18 +299,18 @@
 fn a_paused_watch_calls_until_answered_after_a_catch_up_request() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(1));
+    watcher.apply_answer(page(7, false), ms(1));
     watcher.set_paused(true);
     watcher.request_catch_up(ms(1_010));
     expect_that!(watcher.take_call(ms(1_010)).is_some(), eq(true));
-    watcher.failed(ms(1_020));
+    watcher.record_failure(ms(1_020));
     expect_that!(watcher.take_call(ms(1_020)).is_none(), eq(true));
     expect_that!(watcher.take_call(ms(1_200)).is_some(), eq(true));
     let nothing = StoreAnswer::Events {
         events: Vec::new(),
         revision: 8,
     };
-    watcher.answered(nothing, ms(1_210));
+    watcher.apply_answer(nothing, ms(1_210));
     expect_that!(watcher.take_call(ms(9_000)).is_none(), eq(true));
     watcher.advance(12);
     expect_that!(watcher.revision(), some(eq(12)));
@@ -320,7 +320,7 @@
 fn many_changes_in_a_row_are_read_with_few_calls() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(1));
+    watcher.apply_answer(page(7, false), ms(1));
     watcher.set_paused(true);
     let mut calls = 0;
     // A change every 80 ms for four seconds, and one much later.
@@ -332,7 +332,7 @@
                 events: Vec::new(),
                 revision: 8,
             };
-            watcher.answered(nothing, at);
+            watcher.apply_answer(nothing, at);
         }
     }
     expect_that!(calls, all!(ge(8), le(11)));
@@ -346,13 +346,13 @@
     };
     let mut watcher = Watcher::new(ObjectKind::Ownership, pace);
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(1));
+    watcher.apply_answer(page(7, false), ms(1));
     expect_that!(watcher.take_call(ms(2_000)).is_some(), eq(true));
     let nothing = StoreAnswer::Events {
         events: Vec::new(),
         revision: 7,
     };
-    watcher.answered(nothing, ms(2_010));
+    watcher.apply_answer(nothing, ms(2_010));
     expect_that!(watcher.take_call(ms(4_500)).is_none(), eq(true));
     expect_that!(watcher.take_call(ms(4_510)).is_some(), eq(true));
 }
@@ -361,7 +361,7 @@
 fn a_new_coordinator_calls_without_waiting_for_a_change() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(1));
+    watcher.apply_answer(page(7, false), ms(1));
     watcher.call_now_with_short_wait(ms(10));
     let wait = |call| match call {
         Some(StoreCall::Watch { wait, .. }) => wait,
@@ -372,7 +372,7 @@
         events: Vec::new(),
         revision: 7,
     };
-    watcher.answered(nothing, ms(60));
+    watcher.apply_answer(nothing, ms(60));
     expect_that!(wait(watcher.take_call(ms(60))), eq(watcher.pace().wait));
 }
 
@@ -380,9 +380,9 @@
 fn a_compacted_history_leads_to_a_new_list() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(1));
+    watcher.apply_answer(page(7, false), ms(1));
     expect_that!(watcher.take_call(ms(1_500)).is_some(), eq(true));
-    watcher.answered(StoreAnswer::HistoryLost, ms(1_502));
+    watcher.apply_answer(StoreAnswer::HistoryLost, ms(1_502));
     let call = watcher.take_call(ms(1_502));
     expect_that!(matches!(call, Some(StoreCall::List { .. })), eq(true));
 }
@@ -391,14 +391,14 @@
 fn changes_older_than_those_reported_by_another_node_are_dropped() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(1));
+    watcher.apply_answer(page(7, false), ms(1));
     expect_that!(watcher.take_call(ms(1_500)).is_some(), eq(true));
     watcher.advance(12);
     let older = StoreAnswer::Events {
         events: vec![gone("a", 9)],
         revision: 9,
     };
-    let change = watcher.answered(older, ms(1_600));
+    let change = watcher.apply_answer(older, ms(1_600));
     expect_that!(matches!(change, WatchChange::Unchanged), eq(true));
     expect_that!(watcher.revision(), some(eq(12)));
 }
@@ -408,7 +408,7 @@
     let mut watcher = watcher();
     watcher.set_first_may_be_stale(false);
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(300));
+    watcher.apply_answer(page(7, false), ms(300));
     expect_that!(watcher.as_of(), some(eq(ms(0))));
     // No change until the end of the wait.
     watcher.take_call(ms(1_500));
@@ -416,7 +416,7 @@
         events: Vec::new(),
         revision: 8,
     };
-    watcher.answered(nothing, ms(2_900));
+    watcher.apply_answer(nothing, ms(2_900));
     expect_that!(watcher.as_of(), some(eq(ms(2_500))));
     // The answer may have been in transit for long.
     watcher.take_call(ms(3_000));
@@ -424,12 +424,12 @@
         events: vec![gone("a", 9)],
         revision: 9,
     };
-    watcher.answered(something, ms(3_900));
+    watcher.apply_answer(something, ms(3_900));
     expect_that!(watcher.as_of(), some(eq(ms(3_000))));
     // A list that may be stale proves nothing.
     let mut stale = Watcher::new(ObjectKind::Instances, watcher.pace());
     stale.take_call(ms(0));
-    stale.answered(page(7, false), ms(1));
+    stale.apply_answer(page(7, false), ms(1));
     expect_that!(stale.as_of(), none());
 }
 
@@ -437,14 +437,14 @@
 fn a_paused_watch_lists_only_on_request() {
     let mut watcher = watcher();
     watcher.take_call(ms(0));
-    watcher.answered(page(7, false), ms(1));
+    watcher.apply_answer(page(7, false), ms(1));
     watcher.set_paused(true);
     expect_that!(watcher.take_call(ms(2)).is_none(), eq(true));
     expect_that!(watcher.next_call(), none());
     watcher.refresh(ms(3));
     let call = watcher.take_call(ms(3));
     expect_that!(matches!(call, Some(StoreCall::List { .. })), eq(true));
-    watcher.answered(page(9, false), ms(4));
+    watcher.apply_answer(page(9, false), ms(4));
     expect_that!(watcher.take_call(ms(5)).is_none(), eq(true));
     watcher.set_paused(false);
     let call = watcher.take_call(ms(6));
@@ -462,7 +462,7 @@
     for _ in 0..6 {
         expect_that!(watcher.take_call(now).is_some(), eq(true));
         expect_that!(watcher.take_call(now).is_none(), eq(true));
-        watcher.failed(now);
+        watcher.record_failure(now);
         let next = watcher.next_call().expect("a call is due");
         pauses.push(next - now);
         now = next;
@@ -475,25 +475,25 @@
 #[gtest]
 fn the_store_is_unavailable_only_after_continued_failures() {
     let mut health = StoreHealth::default();
-    health.succeeded(ms(100));
-    health.failed(ms(200));
+    health.record_success(ms(100));
+    health.record_failure(ms(200));
     expect_that!(health.serves(), eq(false));
     expect_that!(health.is_unavailable(ms(300)), eq(false));
     expect_that!(health.is_unavailable(ms(2_000)), eq(true));
-    expect_that!(health.succeeded(ms(2_100)), eq(true));
+    expect_that!(health.record_success(ms(2_100)), eq(true));
     expect_that!(health.serves(), eq(true));
 }
 
 #[gtest]
 fn a_store_that_was_not_called_for_long_may_have_been_unavailable() {
     let mut health = StoreHealth::default();
-    health.succeeded(ms(100));
-    expect_that!(health.succeeded(ms(1_900)), eq(false));
+    health.record_success(ms(100));
+    expect_that!(health.record_success(ms(1_900)), eq(false));
     expect_that!(health.serving_since(), some(eq(ms(100))));
     // A coordinator served by the store has relayed its changes until here.
-    health.relayed_until(ms(9_000));
-    expect_that!(health.succeeded(ms(10_800)), eq(false));
-    expect_that!(health.succeeded(ms(12_800)), eq(true));
+    health.record_relay(ms(9_000));
+    expect_that!(health.record_success(ms(10_800)), eq(false));
+    expect_that!(health.record_success(ms(12_800)), eq(true));
     expect_that!(health.serving_since(), some(eq(ms(12_800))));
 }
 
@@ -570,8 +570,8 @@
             // and makes no calls.
             let follows = ms(paused) <= now && now < ms(paused + 4_000);
             if follows && outages.serves(now) {
-                if health.relayed_until(now) {
-                    directory.note_store_outage(now);
+                if health.record_relay(now) {
+                    directory.record_store_outage(now);
                 }
                 if outages.lists(now) {
                     directory.upsert(record("a", 1), now);
@@ -582,11 +582,11 @@
             }
             directory.expire(now);
             if !outages.serves(now) {
-                health.failed(began);
+                health.record_failure(began);
                 continue;
             }
-            if health.succeeded(now) {
-                directory.note_store_outage(now);
+            if health.record_success(now) {
+                directory.record_store_outage(now);
             }
             if lists {
                 let listed = outages.lists(now).then(|| record("a", 1));
@@ -671,7 +671,7 @@
 #[gtest]
 fn an_instance_with_an_unconfirmed_missing_entry_is_used_but_not_listed() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.note_store_outage(ms(1_000));
+    directory.record_store_outage(ms(1_000));
     directory.remove("a", ms(1_100));
     expect_that!(serves(&directory, "a"), eq(true));
     let listed: Vec<&str> = directory
--- a/crates/ledgelead-router/tests/node/arbitrary_input.rs
+++ b/crates/ledgelead-router/tests/node/arbitrary_input.rs
@@ -347,17 +347,17 @@
                 work,
             }
         ),
-        (number(), short(), short_list(open)).prop_map(|(incarnation, rest_limit_ms, changes)| {
+        (number(), short(), short_list(open)).prop_map(|(incarnation, idle_limit_ms, changes)| {
             PeerMessage::OpenRequestCounts {
                 incarnation,
-                idle_limit_ms: rest_limit_ms,
+                idle_limit_ms: idle_limit_ms,
                 changes,
             }
         }),
-        (any::<u8>(), short(), short_list(digest)).prop_map(|(zones, rest_limit_ms, entries)| {
+        (any::<u8>(), short(), short_list(digest)).prop_map(|(zones, idle_limit_ms, entries)| {
             PeerMessage::LoadDigest {
                 zones,
-                idle_limit_ms: rest_limit_ms,
+                idle_limit_ms: idle_limit_ms,
                 entries,
             }
         }),
--- a/crates/ledgelead-router/tests/node/permits.rs
+++ b/crates/ledgelead-router/tests/node/permits.rs
@@ -82,12 +82,12 @@
     requests.next().expect("a permit request")
 }
 
-fn decide(fixture: &mut Fixture, verdict: PermitStatus, number: u8) {
+fn decide(fixture: &mut Fixture, status: PermitStatus, number: u8) {
     let (dispatcher, request) = last_permit_request(fixture);
     let message = PeerMessage::PermitDecision {
         number: request.number,
         queue: request.queue,
-        status: verdict,
+        status,
         server: instance(number, KEYED).id.stable_hash(),
         return_ms: 700,
     };
@@ -375,7 +375,7 @@
     })
 }
 
-fn verdicts(fixture: &Fixture) -> Vec<(u64, PermitStatus)> {
+fn statuses(fixture: &Fixture) -> Vec<(u64, PermitStatus)> {
     let messages = fixture.datagrams.iter();
     let decided = messages.filter_map(|(_, _, message)| match message {
         PeerMessage::PermitDecision { number, status, .. } => Some((*number, *status)),
@@ -394,7 +394,7 @@
     }
     fixture.receive(requester, &permit_request(5, 1));
     fixture.receive(requester, &permit_request(6, 0));
-    let decided = verdicts(&fixture);
+    let decided = statuses(&fixture);
     expect_that!(decided[4], eq((4, PermitStatus::Granted)));
     expect_that!(decided[5], eq((5, PermitStatus::Queued)));
     expect_that!(decided[6], eq((6, PermitStatus::Queued)));
@@ -406,10 +406,10 @@
         load: None,
     };
     fixture.receive(requester, &message);
-    expect_that!(verdicts(&fixture)[7], eq((6, PermitStatus::Granted)));
+    expect_that!(statuses(&fixture)[7], eq((6, PermitStatus::Granted)));
     // The other request is decided before it would be late.
     fixture.run_until(fixture.now + Duration::from_millis(400));
-    expect_that!(verdicts(&fixture)[8].0, eq(5));
+    expect_that!(statuses(&fixture)[8].0, eq(5));
 }
 
 #[gtest]
@@ -419,7 +419,7 @@
     fixture.datagrams.clear();
     fixture.receive(node_address(5), &permit_request(1, 1));
     expect_that!(
-        verdicts(&fixture),
+        statuses(&fixture),
         elements_are![eq(&(1, PermitStatus::ShuttingDown))]
     );
 }
@@ -465,7 +465,7 @@
     });
     fixture.receive(node_address(5), &message);
     expect_that!(
-        verdicts(&fixture),
+        statuses(&fixture),
         elements_are![eq(&(1, PermitStatus::UnknownQueue))]
     );
 }
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -56,9 +56,9 @@
 }
 
 #[gtest]
-fn hot_neighbouring_keys_are_split_between_instances() {
+fn hot_neighboring_keys_are_split_between_instances() {
     let (low, high) = halves();
-    // 40 requests within the counting window of a second, on ten neighbouring keys.
+    // 40 requests within the counting window of a second, on ten neighboring keys.
     let load = loaded((0..40).map(|index| 100 + index % 10));
     let moves = plan(
         vec![candidate("a", vec![low]), candidate("b", vec![high])],
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_dominant_key_is_separated_from_its_neighbours() {
+fn a_dominant_key_is_separated_from_its_neighbors() {
     let (low, high) = halves();
     let dominant = std::iter::repeat_n(100u16, 30);
     let load = loaded(dominant.chain((0..10).map(|index| 101 + index)));
@@ -127,7 +127,7 @@
 }
 
 #[gtest]
-fn free_ranges_go_to_the_least_utilised_instances() {
+fn free_ranges_go_to_the_least_utilized_instances() {
     // Each range gets 16 requests a second; an instance can process 30.
     let keys = (0..4u16).flat_map(|index| (0..16).map(move |key| index * 100 + key));
     let load = loaded(keys);
@@ -282,9 +282,9 @@
 #[gtest]
 fn a_lease_expires_only_when_no_grant_can_be_held_or_arrive() {
     let mut lease = Lease::fresh(ms(0), None);
-    lease.granting(ExchangeId(1));
+    lease.record_grant_sent(ExchangeId(1));
     expect_that!(lease.has_expired(ALL_ON(), ms(1)), eq(false));
-    lease.granted(RENEWAL_INTERVAL, ms(10));
+    lease.record_grant_answered(RENEWAL_INTERVAL, ms(10));
     expect_that!(
         lease.has_expired(ALL_ON(), ms(10) + longest_hold() - ms(1)),
         eq(false)
@@ -293,9 +293,9 @@
         lease.has_expired(ALL_ON(), ms(10) + longest_hold()),
         eq(true)
     );
-    lease.granting(ExchangeId(2));
+    lease.record_grant_sent(ExchangeId(2));
     expect_that!(lease.has_expired(ALL_ON(), ms(9_000)), eq(false));
-    lease.unanswered(true, ms(9_000));
+    lease.record_grant_unanswered(true, ms(9_000));
     expect_that!(lease.has_expired(ALL_ON(), ms(9_001)), eq(false));
     expect_that!(
         lease.has_expired(ALL_ON(), ms(9_000) + longest_hold()),
@@ -306,11 +306,11 @@
 #[gtest]
 fn a_grant_that_was_never_sent_does_not_extend_the_lease() {
     let mut lease = Lease::fresh(ms(0), None);
-    lease.granting(ExchangeId(1));
-    lease.granted(RENEWAL_INTERVAL, ms(0));
+    lease.record_grant_sent(ExchangeId(1));
+    lease.record_grant_answered(RENEWAL_INTERVAL, ms(0));
     for attempt in 1..20 {
-        lease.granting(ExchangeId(attempt));
-        lease.unanswered(false, ms(250 * attempt));
+        lease.record_grant_sent(ExchangeId(attempt));
+        lease.record_grant_unanswered(false, ms(250 * attempt));
     }
     expect_that!(lease.has_expired(ALL_ON(), longest_hold()), eq(true));
 }
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -36,8 +36,8 @@
 ) -> Vec<u64> {
     let asks = span.step_by(5);
     let is_granted = |at: &u64| {
-        let verdict = limiter.request_token(asker(1), INSTANCE, limit, role, ms(*at));
-        verdict == TokenStatus::Granted
+        let status = limiter.request_token(asker(1), INSTANCE, limit, role, ms(*at));
+        status == TokenStatus::Granted
     };
     asks.filter(is_granted).collect()
 }
@@ -180,7 +180,7 @@
         let role = LimiterRole::Primary;
         match limiter.request_token(asker(number), INSTANCE, limit(5_000), role, ms(4_010)) {
             TokenStatus::Refused(wait) => wait,
-            verdict => panic!("{verdict:?}"),
+            status => panic!("{status:?}"),
         }
     };
     let first = wait_of(1);
@@ -201,7 +201,7 @@
     expect_that!(limits.limit(INSTANCE), some(eq(limit(2_000))));
     limits.record_from_peer(INSTANCE, said(8_000, 600));
     expect_that!(limits.limit(INSTANCE), some(eq(limit(8_000))));
-    limits.record_from_answer(INSTANCE, None, ms(700));
+    limits.record_from_response(INSTANCE, None, ms(700));
     limits.record_from_peer(INSTANCE, said(8_000, 650));
     expect_that!(limits.limit(INSTANCE), none());
 }
@@ -209,20 +209,20 @@
 #[gtest]
 fn a_limit_in_an_answer_is_reported_until_the_coordinator_knows_it() {
     let mut limits = KnownLimits::default();
-    limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
+    limits.record_from_response(INSTANCE, Some(limit(2_000)), ms(100));
     expect_that!(limits.unreported().count(), eq(1));
     limits.mark_reported(INSTANCE, Some(limit(9_000)));
     expect_that!(limits.unreported().count(), eq(1));
     limits.mark_reported(INSTANCE, Some(limit(2_000)));
     expect_that!(limits.unreported().count(), eq(0));
-    limits.record_from_answer(INSTANCE, None, ms(300));
+    limits.record_from_response(INSTANCE, None, ms(300));
     expect_that!(limits.unreported().count(), eq(1));
 }
 
 #[gtest]
 fn limits_of_gone_instances_are_removed() {
     let mut limits = KnownLimits::default();
-    limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
+    limits.record_from_response(INSTANCE, Some(limit(2_000)), ms(100));
     limits.expire(|_| true, ms(100_000));
     expect_that!(limits.is_empty(), eq(false));
     limits.expire(|_| false, ms(100_000));
@@ -233,7 +233,7 @@
 fn asked_for(failover: &mut LimiterFailover, span: std::ops::Range<u64>) -> FailoverStatus {
     let standings = span
         .step_by(100)
-        .map(|at| failover.asked_in_place_of(asker(1), ms(at)));
+        .map(|at| failover.record_fallback_request(asker(1), ms(at)));
     standings.last().expect("an ask")
 }
 
@@ -257,6 +257,10 @@
 fn the_primary_limiter_is_probed_every_second() {
     let mut failover = LimiterFailover::default();
     let asks = (0..5_000).step_by(100);
-    let probes = asks.filter(|at| failover.asked_in_place_of(asker(1), ms(*at)).is_probed);
+    let probes = asks.filter(|at| {
+        failover
+            .record_fallback_request(asker(1), ms(*at))
+            .is_probed
+    });
     expect_that!(probes.count(), eq(5));
 }
--- a/crates/ledgelead-router/tests/repeats/bound.rs
+++ b/crates/ledgelead-router/tests/repeats/bound.rs
@@ -125,7 +125,7 @@
         budget.start(now);
         // All nodes start at first; a node that starts later has had another incarnation.
         if now > Duration::ZERO {
-            budget.note_earlier_incarnation();
+            budget.record_earlier_incarnation();
         }
         self.incarnations += 1;
         self.slots[node] = NodeSlot {
--- a/crates/ledgelead-router/tests/repeats/replay.rs
+++ b/crates/ledgelead-router/tests/repeats/replay.rs
@@ -133,7 +133,7 @@
         });
         budget.start(now);
         if now > Duration::ZERO {
-            budget.note_earlier_incarnation();
+            budget.record_earlier_incarnation();
         }
         self.nodes[node] = Some(Node {
             budget,
@@ -191,9 +191,9 @@
         let drawn = self.rng.random_range(0.0..1.0);
         let rejected = is_failing(now) && drawn < REJECTED;
         if let Some(node) = self.nodes[asked.node].as_mut() {
-            node.rejections.received(&service(), now);
+            node.rejections.record_request(&service(), now);
             if rejected {
-                node.rejections.refused(&service(), now);
+                node.rejections.record_refusal(&service(), now);
             }
         }
         if rejected {
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -31,25 +31,25 @@
     response
 }
 
-fn verdict(result: std::result::Result<Response, ExchangeFailure>) -> AttemptOutcome {
+fn outcome(result: std::result::Result<Response, ExchangeFailure>) -> AttemptOutcome {
     classify_outcome(result, &InstanceId::from("a"), &headers())
 }
 
 #[gtest]
 fn a_request_counts_as_not_run_only_if_proved() {
-    let not_connected = verdict(Err(ExchangeFailure::NotConnected));
+    let not_connected = outcome(Err(ExchangeFailure::NotConnected));
     expect_that!(
         matches!(not_connected, AttemptOutcome::NeverSent { refused: false }),
         eq(true)
     );
-    let refused = verdict(Err(ExchangeFailure::Refused));
+    let refused = outcome(Err(ExchangeFailure::Refused));
     expect_that!(
         matches!(refused, AttemptOutcome::NeverSent { refused: true }),
         eq(true)
     );
     for timed_out in [false, true] {
-        let incomplete = verdict(Err(ExchangeFailure::Incomplete { timed_out }));
-        let expected = matches!(incomplete, AttemptOutcome::Incomplete { timed_out: judged } if judged == timed_out);
+        let incomplete = outcome(Err(ExchangeFailure::Incomplete { timed_out }));
+        let expected = matches!(incomplete, AttemptOutcome::Incomplete { timed_out: unknown } if unknown == timed_out);
         expect_that!(expected, eq(true));
     }
     for failure in [
@@ -57,10 +57,10 @@
         ExchangeFailure::TimedOut,
         ExchangeFailure::Malformed,
     ] {
-        let judged = verdict(Err(failure));
-        expect_that!(matches!(judged, AttemptOutcome::Unknown { .. }), eq(true));
+        let unknown = outcome(Err(failure));
+        expect_that!(matches!(unknown, AttemptOutcome::Unknown { .. }), eq(true));
     }
-    let shed = verdict(Ok(answer(503, &[("not-executed", "1")])));
+    let shed = outcome(Ok(answer(503, &[("not-executed", "1")])));
     expect_that!(
         matches!(
             shed,
@@ -73,41 +73,41 @@
     );
     // A 503 without the header proves nothing: an instance has executed the request and
     // failed. It must not be reported as refused.
-    let silent = verdict(Ok(answer(503, &[("signature", "s")])));
+    let silent = outcome(Ok(answer(503, &[("signature", "s")])));
     expect_that!(matches!(silent, AttemptOutcome::Failed(_)), eq(true));
-    let unsigned = verdict(Ok(answer(200, &[])));
+    let unsigned = outcome(Ok(answer(200, &[])));
     expect_that!(matches!(unsigned, AttemptOutcome::Unknown { .. }), eq(true));
-    let signed = verdict(Ok(answer(200, &[("signature", "s")])));
+    let signed = outcome(Ok(answer(200, &[("signature", "s")])));
     expect_that!(matches!(signed, AttemptOutcome::Relay(_)), eq(true));
 }
 
 #[gtest]
 fn a_misdirected_answer_with_the_id_of_an_incarnation_proves_no_end() {
     let misdirected = Ok(answer(421, &[("instance", "a")]));
-    let judged = classify_outcome(
+    let unknown = classify_outcome(
         misdirected,
         &InstanceId::with_start_time("a", 10),
         &headers(),
     );
     expect_that!(
-        matches!(judged, AttemptOutcome::Rejected { ended: false, .. }),
+        matches!(unknown, AttemptOutcome::Rejected { ended: false, .. }),
         eq(true)
     );
 }
 
 #[gtest]
 fn a_misdirected_answer_of_another_instance_proves_an_end() {
-    let other = verdict(Ok(answer(421, &[("instance", "b")])));
+    let other = outcome(Ok(answer(421, &[("instance", "b")])));
     expect_that!(
         matches!(other, AttemptOutcome::Rejected { ended: true, .. }),
         eq(true)
     );
-    let same = verdict(Ok(answer(421, &[("instance", "a")])));
+    let same = outcome(Ok(answer(421, &[("instance", "a")])));
     expect_that!(
         matches!(same, AttemptOutcome::Rejected { ended: false, .. }),
         eq(true)
     );
-    let unnamed = verdict(Ok(answer(421, &[])));
+    let unnamed = outcome(Ok(answer(421, &[])));
     expect_that!(
         matches!(unnamed, AttemptOutcome::Rejected { ended: false, .. }),
         eq(true)
@@ -183,7 +183,7 @@
         let mut statistics = StatisticsTable::default();
         for id in ["a", "b", "c"] {
             let seen = statistics.entry(&InstanceId::from(id));
-            seen.answered(ms(50), 1.0, ms(0));
+            seen.record_success(ms(50), 1.0, ms(0));
         }
         Fixture {
             directory,
@@ -262,14 +262,14 @@
         fixture
             .statistics
             .entry(&InstanceId::from("a"))
-            .failed(ms(999));
+            .record_failure(ms(999));
     }
     expect_that!(fixture.chosen(&["b"]), eq("c"));
     for _ in 0..3 {
         fixture
             .statistics
             .entry(&InstanceId::from("b"))
-            .failed(ms(999));
+            .record_failure(ms(999));
     }
     // Two of three are more than half, so none is ejected.
     expect_that!(fixture.chosen(&["c"]), any![eq("a"), eq("b")]);
@@ -281,8 +281,8 @@
     let seen = fixture.statistics.entry(&InstanceId::from("a"));
     // Never three failures in a row.
     for at in [700, 750, 800, 850, 900, 950] {
-        seen.failed(ms(at));
-        seen.answered(ms(50), 1.0, ms(at + 10));
+        seen.record_failure(ms(at));
+        seen.record_success(ms(50), 1.0, ms(at + 10));
     }
     expect_that!(seen.is_ejected(ms(1_000)), eq(false));
     fixture.open("b", 3);
@@ -388,7 +388,7 @@
     let mut fixture = Fixture::new();
     for id in ["a", "b"] {
         let seen = fixture.statistics.entry(&InstanceId::from(id));
-        seen.failed(ms(999));
+        seen.record_failure(ms(999));
     }
     expect_that!(fixture.chosen(&[]), any![eq("a"), eq("b")]);
 }
@@ -459,8 +459,8 @@
         fixture.open("b", 3);
         let seen = fixture.statistics.entry(&InstanceId::from("a"));
         for at in [700, 750, 800, 850, 900, 950] {
-            seen.failed(ms(at));
-            seen.answered(ms(50), 1.0, ms(at + 10));
+            seen.record_failure(ms(at));
+            seen.record_success(ms(50), 1.0, ms(at + 10));
         }
     };
     let (with, off) = without(Mechanism::FailureShare, &failing);
