--- a/crates/ledgelead-router/src/dispatch/dispatcher.rs
+++ b/crates/ledgelead-router/src/dispatch/dispatcher.rs
@@ -226,7 +226,7 @@
     }
 
     /// Makes the decisions that are due.
-    pub fn deadline(&mut self, now: Timestamp) -> Vec<DispatchDecision> {
+    pub fn make_due_decisions(&mut self, now: Timestamp) -> Vec<DispatchDecision> {
         let mut decisions = Vec::new();
         while let Some((at, queue)) = self.due.first().copied() {
             if at > now {
--- a/crates/ledgelead-router/src/dispatch/queue.rs
+++ b/crates/ledgelead-router/src/dispatch/queue.rs
@@ -331,12 +331,12 @@
             // are rare when several wait.
             return self.order.range(class..).next().is_none();
         }
-        self.expected(class) <= request.to_target.mul_f64(ADMITTED_SHARE)
+        self.expected_time(class) <= request.to_target.mul_f64(ADMITTED_SHARE)
     }
 
     /// Expected time until a new request is answered. The requests before it share the slots
     /// with it; a less urgent request can count on the minimum share of its class.
-    fn expected(&self, class: Class) -> Duration {
+    fn expected_time(&self, class: Class) -> Duration {
         let size = |waiting: &BTreeSet<(Timestamp, PermitId)>| waiting.len();
         let up_to = self.order.range(..=class);
         let before: usize = up_to.map(|(_, waiting)| size(waiting)).sum();
--- a/crates/ledgelead-router/src/dispatch/servers.rs
+++ b/crates/ledgelead-router/src/dispatch/servers.rs
@@ -68,7 +68,7 @@
         (self.outstanding + 1) as f64 / self.usable_slots().max(1) as f64
     }
 
-    fn sample(&mut self, service_time: Duration) {
+    fn add_sample(&mut self, service_time: Duration) {
         let smoothed = match self.service_time {
             Some(earlier) => {
                 earlier.mul_f64(1.0 - SAMPLE_WEIGHT) + service_time.mul_f64(SAMPLE_WEIGHT)
@@ -233,7 +233,7 @@
         if let Some(state) = self.states.get_mut(&server) {
             state.failures.record_success(&FAILURE_RULES, now);
             if let Some(service_time) = service_time {
-                state.sample(service_time);
+                state.add_sample(service_time);
             }
         }
     }
--- a/crates/ledgelead-router/src/io.rs
+++ b/crates/ledgelead-router/src/io.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub u64);
 
-/// Why an exchange got no complete answer.
+/// Why an exchange got no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeFailure {
     /// The connection was not established; nothing was sent.
@@ -21,17 +21,17 @@
     /// The connection was refused: no process listens on the address. Nothing was sent.
     Refused,
     /// The exchange ended before the last byte of the request was written and before any byte
-    /// of an answer arrived. The receiver has no complete request and never will.
+    /// of a response arrived. The receiver has no complete request and never will.
     Incomplete {
         /// Whether the time for writing the request had expired.
         timed_out: bool,
     },
-    /// The connection was lost after the complete request was sent, or after the start of an
-    /// answer.
+    /// The connection was lost after the complete request was sent, or after the start of a
+    /// response.
     Lost,
-    /// No complete answer arrived in time; the request was sent.
+    /// No complete response arrived in time; the request was sent.
     TimedOut,
-    /// The received bytes are not a valid answer.
+    /// The received bytes are not a valid response.
     Malformed,
 }
 
@@ -54,7 +54,7 @@
 /// Parameters of an exchange.
 #[derive(Clone, Debug)]
 pub struct ExchangeOptions {
-    /// A header and its expected value; answers with another value are rejected.
+    /// A header and its expected value; responses with another value are rejected.
     pub match_header: Option<(Box<str>, Box<[u8]>)>,
     /// A pooled connection may be reused if it was idle for less than this.
     pub reuse_idle_below: Duration,
@@ -68,8 +68,8 @@
     pub write_timeout: Option<Duration>,
     /// Timeout for the exchange; with `timeout_restarts`, the time without progress.
     pub timeout: Duration,
-    /// Whether the timeout restarts with each received part of the answer, so that a long
-    /// answer over a slow link completes instead of being requested again.
+    /// Whether the timeout restarts with each received part of the response, so that a long
+    /// response over a slow link completes instead of being requested again.
     pub timeout_restarts: bool,
 }
 
@@ -109,7 +109,7 @@
     ExchangeEnded {
         /// The exchange.
         exchange: ExchangeId,
-        /// The answer, or why there is none.
+        /// The response, or why there is none.
         result: Result<Response, ExchangeFailure>,
         /// How long the connection had been idle before; zero if it was new.
         idle_for: Duration,
@@ -121,7 +121,7 @@
         /// Its bytes.
         bytes: Vec<u8>,
     },
-    /// The time that the node asked to be called at has been reached.
+    /// The time returned by `Node::next_deadline` has been reached.
     Deadline,
     /// The process was asked to shut down.
     Stop,
@@ -134,7 +134,7 @@
     Respond {
         /// The request.
         client: ClientId,
-        /// The answer.
+        /// The response.
         response: Response,
     },
     /// Starts an exchange.
@@ -149,7 +149,7 @@
         options: ExchangeOptions,
     },
     /// Opens a connection to find out whether a process listens on the address. The exchange
-    /// ends with an empty answer once the connection is established.
+    /// ends with an empty response once the connection is established.
     Probe {
         /// The exchange.
         exchange: ExchangeId,
--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -167,8 +167,9 @@
         self.record_unreadable = !is_readable;
     }
 
-    /// The store answered a call about the record that began at `started`. Versions in the
-    /// answer are applied afterwards, and end this node's role if another node holds it.
+    /// Confirms the role as of `started`, when a call about the record began that the store has
+    /// answered. Versions in the answer are applied afterwards, and end this node's role if
+    /// another node holds it.
     pub(super) fn confirm_role_if_unchanged(&mut self, started: Timestamp) {
         if self.coordinator.is_some() && !self.record_unreadable {
             self.confirmed = self.confirmed.max(Some(started));
@@ -435,7 +436,7 @@
         let Predecessor { identity, named_at } = predecessor;
         let is_earlier_incarnation = identity.node == self.settings.identity.node
             && identity.incarnation != self.settings.identity.incarnation;
-        // Its role ended together with the era in which it held it.
+        // This incarnation's own role ended with the era in which it held the role.
         let is_own = *identity == self.settings.identity;
         is_own || is_earlier_incarnation || self.registry.has_ended(identity, *named_at)
     }
--- a/crates/ledgelead-router/src/node/dispatch.rs
+++ b/crates/ledgelead-router/src/node/dispatch.rs
@@ -20,7 +20,7 @@
     /// Sends pending messages to dispatchers, and announces the decisions that are due as
     /// dispatcher.
     pub(super) fn dispatch(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let due = self.dispatcher.deadline(now);
+        let due = self.dispatcher.make_due_decisions(now);
         self.announce_decisions(due, now, out);
         loop {
             let messages = self.requests.take_permit_messages();
--- a/crates/ledgelead-router/src/node/first_view.rs
+++ b/crates/ledgelead-router/src/node/first_view.rs
@@ -1,5 +1,5 @@
-//! Confirmation of the first list of instances, which may be older than the time that a
-//! leaving instance has.
+//! Confirmation of the first list of instances, which may be older than the time within which a
+//! leaving instance must stop getting requests.
 //!
 //! A node's first list may be a few seconds old, since a stale read costs the store little. A
 //! heartbeat of the coordinator confirms it within 200 ms, unless the coordinator must relay
@@ -18,8 +18,8 @@
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl Node {
-    /// Requests have arrived: asks the store once to confirm the first list of instances,
-    /// unless it is confirmed.
+    /// Asks the store once to confirm the first list of instances, unless it is confirmed.
+    /// Called when requests arrive.
     pub(super) fn confirm_first_view(&mut self, now: Timestamp) {
         let is_protected = self.settings.protections.has(Protection::ConfirmedView);
         if !is_protected
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -235,7 +235,7 @@
         if store_serves || !health.serves() || health.recovered_recently(now) {
             self.coordination
                 .election
-                .heard_coordinator(epoch, now.saturating_sub(delay));
+                .record_heartbeat(epoch, now.saturating_sub(delay));
         }
         self.revision_announced(RelayedKind::Ownership, revision, now, out);
     }
--- a/crates/ledgelead-router/src/node/leaving.rs
+++ b/crates/ledgelead-router/src/node/leaving.rs
@@ -22,8 +22,8 @@
 
 /// Maximum number of instances in one message; each takes 12 bytes.
 const MAX_INSTANCES: usize = 64;
-/// How long the instances in the coordinator's last announcement are not reported to it: three
-/// of its heartbeats, with each of which the announcement is repeated.
+/// How long the instances in the coordinator's last announcement are not reported to it. The
+/// announcement is repeated with each heartbeat, and this covers three of them.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_millis(700);
 
 /// The coordinator's last announcement.
--- a/crates/ledgelead-router/src/node/load_hub.rs
+++ b/crates/ledgelead-router/src/node/load_hub.rs
@@ -13,7 +13,7 @@
 use super::Node;
 use super::messaging::send;
 use super::open_requests::{MAX_COUNTS, counts_are_useful};
-use super::zone_relay::rank;
+use super::zone_relay::strength_key;
 use crate::Timestamp;
 use crate::identity::{InstanceId, ZoneName};
 use crate::io::Action;
@@ -112,7 +112,7 @@
     fn hub_candidates(&self, zone: &ZoneName) -> Vec<SocketAddr> {
         let of_zone = self.registry.iter().filter(|node| node.zone == *zone);
         let mut nodes: Vec<&NodeRecord> = of_zone.collect();
-        nodes.sort_by_key(|node| rank(node));
+        nodes.sort_by_key(|node| strength_key(node));
         nodes.truncate(MAX_HUB_CANDIDATES);
         nodes.into_iter().map(|node| node.address).collect()
     }
@@ -160,10 +160,10 @@
             return;
         }
         if counts.is_empty() && refreshes {
-            send(hub, &[self.open_requests(&[], now)], out);
+            send(hub, &[self.open_requests_datagram(&[], now)], out);
         }
         for chunk in counts.chunks(MAX_COUNTS) {
-            send(hub, &[self.open_requests(chunk, now)], out);
+            send(hub, &[self.open_requests_datagram(chunk, now)], out);
         }
     }
 
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -47,9 +47,9 @@
     next_report: Timestamp,
     pub(super) relay: RelayState,
     pub(super) open_requests: OpenRequestSchedule,
-    /// Origin of the coordinator's last heartbeat.
+    /// The address of the coordinator that sent the last heartbeat.
     pub(super) coordinator_address: Option<SocketAddr>,
-    /// The node that sent or relayed that heartbeat to this one.
+    /// The node from which this one received that heartbeat: the coordinator or a relay.
     pub(super) heartbeat_sender: Option<SocketAddr>,
     /// Until when this node follows the coordinator's view of the store instead of its own
     /// watches. Each heartbeat of a coordinator that the store serves extends it.
--- a/crates/ledgelead-router/src/node/mod.rs
+++ b/crates/ledgelead-router/src/node/mod.rs
@@ -196,18 +196,18 @@
             }
             Input::ClientDisconnected { client } => {
                 self.transfer_server.client_disconnected(client);
-                self.requests.client_left(client, out);
+                self.requests.client_disconnected(client, out);
             }
             Input::ExchangeEnded {
                 exchange,
                 result,
                 idle_for,
             } => {
-                self.count_answer(exchange, &result);
+                self.count_response(exchange, &result);
                 if self.requests.owns_exchange(exchange) {
                     let (requests, mut context) = self.requests_and_context(now);
                     requests.exchange_ended(exchange, result, idle_for, &mut context, out);
-                    self.take_crash_signs(now, out);
+                    self.apply_crash_signs(now, out);
                     self.apply_leaving_notices(now, out);
                     for ended in self.requests.take_ended_instances() {
                         self.directory.mark_ended(&ended);
@@ -294,7 +294,7 @@
         // After all steps that may make a watch due.
         self.call_store(now, out);
         let (requests, mut context) = self.requests_and_context(now);
-        requests.deadline(&mut context, out);
+        requests.advance_due(&mut context, out);
         self.dispatch(now, out);
         // A request that was granted a permit may then need a token, and one that was refused
         // a token may need another permit.
--- a/crates/ledgelead-router/src/node/open_requests.rs
+++ b/crates/ledgelead-router/src/node/open_requests.rs
@@ -137,14 +137,16 @@
     ) -> Vec<Datagram> {
         let idle_limit = self.requests.idle_limit(now).unwrap_or(Duration::ZERO);
         if counts.is_empty() && refreshes && !idle_limit.is_zero() {
-            return vec![self.open_requests(&[], now)];
+            return vec![self.open_requests_datagram(&[], now)];
         }
         let chunks = counts.chunks(MAX_COUNTS);
-        chunks.map(|chunk| self.open_requests(chunk, now)).collect()
+        chunks
+            .map(|chunk| self.open_requests_datagram(chunk, now))
+            .collect()
     }
 
     /// A single datagram with counts.
-    pub(super) fn open_requests(
+    pub(super) fn open_requests_datagram(
         &self,
         counts: &[(InstanceId, OpenRequests)],
         now: Timestamp,
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -112,7 +112,7 @@
     }
 
     /// Applies what the outcomes of attempts show about crashes of instances.
-    pub(super) fn take_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn apply_crash_signs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let signs = self.requests.take_crash_signs();
         for (instance, lost_attempt) in signs.lost {
             if self
--- a/crates/ledgelead-router/src/node/relay/configuration.rs
+++ b/crates/ledgelead-router/src/node/relay/configuration.rs
@@ -124,7 +124,7 @@
 
 /// Encodes a delta, unless it takes too many datagrams.
 fn datagrams(delta: &ConfigurationDelta) -> Option<Vec<Datagram>> {
-    let chunks = chunks(&delta.changes);
+    let chunks = split_by_size(&delta.changes);
     let parts = u8::try_from(chunks.len()).ok()?;
     if chunks.len() > MAX_DATAGRAMS {
         return None;
@@ -147,7 +147,7 @@
 
 /// Splits changes so that each part fits in a datagram. Returns at least one part, since a
 /// version may change only the limits.
-fn chunks(changes: &[ConfigurationChange]) -> Vec<Vec<ConfigurationChange>> {
+fn split_by_size(changes: &[ConfigurationChange]) -> Vec<Vec<ConfigurationChange>> {
     let mut chunks = vec![Vec::new()];
     let mut bytes = 0;
     for change in changes {
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -1,8 +1,8 @@
 //! Detection of missed changes.
 //!
 //! Another node announces a revision. Until this node knows that revision, it asks the
-//! coordinator after each announcement, and the store at a deadline of its own. So the time
-//! for which a known change is missing doesn't depend on which node is heard next.
+//! coordinator after each announcement, and the store at a deadline of its own. So how long an
+//! announced change is missing doesn't depend on which node is heard next.
 
 use super::RelayState;
 use crate::Timestamp;
@@ -60,9 +60,9 @@
         self.gaps.iter().filter_map(Gap::next_store_request).min()
     }
 
-    /// A coordinator of a later epoch was heard. It reads changes of instances and nodes
-    /// itself, at the revisions of its own calls. Revisions announced by its predecessor may
-    /// name changes that it never relays.
+    /// Forgets the revisions of instances and nodes announced by earlier coordinators, once one
+    /// of a later epoch is heard. It reads these changes itself, at the revisions of its own
+    /// calls, and may never relay those that its predecessor has announced.
     pub(in crate::node) fn reset_announced_revisions(&mut self) {
         for kind in [RelayedKind::Instances, RelayedKind::Nodes] {
             self.gap(kind).announced = 0;
--- a/crates/ledgelead-router/src/node/relay/mod.rs
+++ b/crates/ledgelead-router/src/node/relay/mod.rs
@@ -257,9 +257,9 @@
     }
 }
 
-/// Splits a list into parts and encodes each as a datagram. A list with too many parts reaches
-/// the other nodes as a complete list over connections, or from the store.
-fn parts<T: Clone + SerBin>(
+/// Splits a list into parts and encodes each of them as a datagram. A list with too many parts
+/// reaches the other nodes as a complete list over connections, or from the store.
+fn part_datagrams<T: Clone + SerBin>(
     base: u64,
     revision: u64,
     changed: &[T],
@@ -270,7 +270,7 @@
         log::info!(target: "peers", "{} changes exceed the limit for datagrams; not sent", changed.len());
         return Vec::new();
     }
-    let chunks = chunks(changed, per_part);
+    let chunks = split_by_size(changed, per_part);
     let count = match u8::try_from(chunks.len()) {
         Ok(count) if count <= MAX_PARTS => count,
         _ => return Vec::new(),
@@ -292,7 +292,7 @@
 /// Splits changes so that each part fits in a datagram. Returns at least one part: a list
 /// without changes must be announced too, otherwise the receivers would ask for what precedes
 /// the next one.
-fn chunks<T: Clone + SerBin>(changed: &[T], per_part: usize) -> Vec<Vec<T>> {
+fn split_by_size<T: Clone + SerBin>(changed: &[T], per_part: usize) -> Vec<Vec<T>> {
     let mut chunks = vec![Vec::new()];
     let mut bytes = 0;
     for change in changed {
--- a/crates/ledgelead-router/src/node/relay/objects.rs
+++ b/crates/ledgelead-router/src/node/relay/objects.rs
@@ -3,7 +3,7 @@
 use super::entries::{
     changed_instance, changed_node, instance_record, listed_instance, registration,
 };
-use super::parts;
+use super::part_datagrams;
 use crate::Timestamp;
 use crate::dialect::{Object, ObjectContent, ObjectEvent, ObjectKind};
 use crate::directory::{Directory, Entry, Presence};
@@ -224,7 +224,7 @@
         unconfirmed_ms: u16::try_from(unconfirmed.as_millis()).unwrap_or(u16::MAX),
         changes,
     };
-    parts(
+    part_datagrams(
         changes.base,
         changes.revision,
         &changed,
@@ -249,7 +249,7 @@
         unconfirmed_ms: u16::try_from(unconfirmed.as_millis()).unwrap_or(u16::MAX),
         instances,
     };
-    parts(0, revision, &present, INSTANCES_PER_PART, message)
+    part_datagrams(0, revision, &present, INSTANCES_PER_PART, message)
 }
 
 /// The datagrams for changed node registrations.
@@ -262,7 +262,7 @@
     let events = last_events(read).into_iter();
     let changed: Vec<ChangedNode> = events.map(changed_node).collect();
     let message = |span, changes| PeerMessage::NodesChanged { span, changes };
-    parts(
+    part_datagrams(
         changes.base,
         changes.revision,
         &changed,
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -1,7 +1,7 @@
 //! Announcement of the owners of keys.
 
 use super::entries::changed_assignment;
-use super::{RelayState, parts};
+use super::{RelayState, part_datagrams};
 use crate::Timestamp;
 use crate::events::Event;
 use crate::identity::{InstanceId, NodeIdentity, ServiceName};
@@ -211,7 +211,7 @@
     }
     let changed: Vec<ChangedAssignment> = changes.items.iter().map(changed_assignment).collect();
     let message = |span, changes| PeerMessage::OwnershipChanged { span, changes };
-    parts(
+    part_datagrams(
         changes.base,
         changes.revision,
         &changed,
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -32,7 +32,7 @@
         let answer = self.read_store_answer(&pending.call, pending.era, result, now, out);
         let isolates_unreadable = self.settings.protections.has(Protection::IsolateUnreadable);
         let answer = match answer {
-            Ok(answer) if !isolates_unreadable && holds_unreadable(&answer) => Ok(
+            Ok(answer) if !isolates_unreadable && has_unreadable(&answer) => Ok(
                 StoreAnswer::Unreadable("the answer contains an unreadable object".to_owned()),
             ),
             answer => answer,
@@ -255,7 +255,7 @@
 }
 
 /// Whether the answer contains an unreadable object.
-fn holds_unreadable(answer: &StoreAnswer) -> bool {
+fn has_unreadable(answer: &StoreAnswer) -> bool {
     let is_unreadable = |object: &Object| object.content.is_err();
     match answer {
         StoreAnswer::Objects { objects, .. } => objects.iter().any(is_unreadable),
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -29,12 +29,12 @@
 /// Minimum interval between reads of the record caused by rejected keys.
 const REJECTION_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time in which a starting node hears a coordinator. Heartbeats are sent every 200 ms and
-/// carry the evacuations, so that the node need not list them.
+/// Delay before a starting node lists the evacuations. A coordinator sends them with its
+/// heartbeats every 200 ms, so that the list is not needed if one is heard by then.
 const FIRST_EVACUATIONS_PAUSE: Duration = Duration::from_millis(400);
-/// Time in which a starting node hears a coordinator, even one that is elected only then.
-/// Together with a list it stays below the 3 s within which a node must know the quarantined
-/// requests.
+/// Delay before a starting node lists the quarantined requests. The list is not needed if a
+/// coordinator is heard by then, even one that is elected only after the start. Together with a
+/// list the delay stays below the 3 s within which a node must know the quarantined requests.
 const FIRST_QUARANTINE_PAUSE: Duration = Duration::from_millis(2_500);
 /// Minimum interval between probes of a failing store caused by gaps. Together with a list and
 /// the pause before the other watches (0.25 s) it stays below the configuration bound of 2 s.
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Another node reports that the store has recovered: the probe is sent again.
+    /// Sends the probe again, since another node reports that the store has recovered.
     pub(super) fn probe_again(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let before = now.saturating_sub(PROBE_PAUSE);
         self.interrupt(ObjectKind::Instances, before, now, out);
--- a/crates/ledgelead-router/src/node/transfer/serving.rs
+++ b/crates/ledgelead-router/src/node/transfer/serving.rs
@@ -2,11 +2,11 @@
 //!
 //! All nodes of a fleet may start at once, or miss the same large change, and each then asks
 //! for hundreds of kilobytes. Requests wait until there is something to send, so that nodes
-//! need not ask repeatedly. A node sends at a time at most what half of its link carries in
-//! `MAX_BACKLOG`, which leaves room for heartbeats and requests. Nodes with the fastest links
-//! are served first. The others are referred to them, in proportion to the speed of their
-//! links. Another zone is sent a list at most every `OTHER_ZONE_INTERVAL`, since traffic
-//! between zones is expensive; its nodes pass the list on among themselves.
+//! need not ask repeatedly. At any time, a node has at most as much data to send as half of its
+//! link carries in `MAX_BACKLOG`, which leaves room for heartbeats and requests. Nodes with the
+//! fastest links are served first. The others are referred to them, in proportion to the speed
+//! of their links. Another zone is sent a list at most every `OTHER_ZONE_INTERVAL`, since
+//! traffic between zones is expensive; its nodes pass the list on among themselves.
 
 use super::TRANSFER_PATH;
 use crate::Timestamp;
--- a/crates/ledgelead-router/src/node/zone_relay.rs
+++ b/crates/ledgelead-router/src/node/zone_relay.rs
@@ -84,7 +84,7 @@
         let previous = previous.filter(is_eligible).filter(is_member);
         let chosen = previous.or_else(|| {
             let eligible = members.iter().filter(|node| is_eligible(&node.address));
-            let strongest = eligible.min_by_key(|node| rank(node));
+            let strongest = eligible.min_by_key(|node| strength_key(node));
             strongest.map(|node| node.address)
         })?;
         if previous.is_none() {
@@ -95,7 +95,7 @@
 }
 
 /// Sort key of a zone's nodes: the largest CPU share first.
-pub(super) fn rank(node: &NodeRecord) -> impl Ord + use<> {
+pub(super) fn strength_key(node: &NodeRecord) -> impl Ord + use<> {
     (Reverse(node.millicores), node.identity.node.clone())
 }
 
@@ -195,7 +195,9 @@
         let Some(own) = members().find(|node| node.address == own) else {
             return false;
         };
-        let stronger = members().filter(|node| rank(node) < rank(own)).count();
+        let stronger = members()
+            .filter(|node| strength_key(node) < strength_key(own))
+            .count();
         stronger < MAX_RELAY_CANDIDATES && members().count() >= MIN_NODES
     }
 }
--- a/crates/ledgelead-router/src/node/zone_traffic.rs
+++ b/crates/ledgelead-router/src/node/zone_traffic.rs
@@ -31,8 +31,8 @@
         self.zone_traffic.record_received(kind, relation, bytes);
     }
 
-    /// Counts a response, before its exchange is removed.
-    pub(super) fn count_answer(
+    /// Counts a response. Must be called before its exchange is removed.
+    pub(super) fn count_response(
         &mut self,
         exchange: ExchangeId,
         result: &Result<Response, ExchangeFailure>,
--- a/crates/ledgelead-router/src/ownership/election.rs
+++ b/crates/ledgelead-router/src/ownership/election.rs
@@ -29,9 +29,8 @@
 }
 
 impl Election {
-    /// A heartbeat of the coordinator of this epoch arrived, and the store serves that
-    /// coordinator.
-    pub fn heard_coordinator(&mut self, epoch: u64, now: Timestamp) {
+    /// Records a heartbeat of the coordinator of this epoch, which the store serves.
+    pub fn record_heartbeat(&mut self, epoch: u64, now: Timestamp) {
         if epoch >= self.epoch {
             self.epoch = epoch;
             self.last_heard = self.last_heard.max(now);
@@ -44,8 +43,8 @@
         self.last_heard = self.last_heard.max(now);
     }
 
-    /// A version of the record with a new coordinator is known; that coordinator gets time for
-    /// its first heartbeat.
+    /// Records the coordinator that a version of the record names. A new one gets time for its
+    /// first heartbeat.
     pub fn observe_record(&mut self, record: &OwnershipRecord, now: Timestamp) {
         if record.epoch > self.epoch {
             self.epoch = record.epoch;
@@ -71,7 +70,7 @@
         (begin + delay).max(self.next_attempt)
     }
 
-    /// The record has to be read before an attempt.
+    /// Delays the next attempt until the record has been read.
     pub fn await_confirmation(&mut self, now: Timestamp) {
         self.confirming = true;
         self.next_attempt = now + CONFIRM_PAUSE;
@@ -91,7 +90,7 @@
         self.next_attempt
     }
 
-    /// An attempt was made; the next one has to wait.
+    /// Records an attempt; the next one has to wait.
     pub fn record_attempt(&mut self, now: Timestamp) {
         self.next_attempt = now + ELECTION_TIMEOUT;
     }
--- a/crates/ledgelead-router/src/peers/delay.rs
+++ b/crates/ledgelead-router/src/peers/delay.rs
@@ -8,7 +8,7 @@
 /// The clocks of sender and receiver have different origins, so the transit time itself cannot
 /// be measured. What can be measured is the additional time compared to the fastest heartbeat
 /// of the same sender, which takes a few milliseconds. This detects heartbeats that were held
-/// up at a frozen or slow node that forwards them.
+/// up at a frozen or slow relay.
 #[derive(Clone, Debug, Default)]
 pub struct DelayEstimate {
     epoch: u64,
--- a/crates/ledgelead-router/src/peers/message.rs
+++ b/crates/ledgelead-router/src/peers/message.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Maximum size of a received datagram, in bytes: an Ethernet frame holds a forwarded message
-/// of 1,400 bytes with this.
+/// Maximum size of a received datagram, in bytes: an Ethernet frame holds a relayed message of
+/// 1,400 bytes with this.
 const MAX_BYTES: usize = 1_440;
 
 /// Keys of the requests that a node has received since its last report.
@@ -198,7 +198,7 @@
     BackedOff,
 }
 
-/// Kinds of objects whose changes a coordinator forwards from the store.
+/// Kinds of objects whose changes in the store a coordinator relays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum RelayedKind {
     /// Instances.
@@ -320,17 +320,17 @@
     pub evidence_checksum: u64,
 }
 
-/// A datagram.
+/// A message between nodes, sent as one datagram.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum PeerMessage {
     /// The coordinator is alive.
     CoordinatorHeartbeat(Heartbeat),
     /// A message of the coordinator to all nodes of a zone. One node of the zone receives it
-    /// and forwards it to the others, since traffic between zones is expensive.
+    /// and relays it to the others, since traffic between zones is expensive.
     Forwarded {
         /// The coordinator's address.
         origin: PeerAddress,
-        /// Whether the receiver has to forward it to its zone.
+        /// Whether the receiver has to relay it to its zone.
         to_zone: bool,
         /// The encoded message.
         message: Bytes,
--- a/crates/ledgelead-router/src/requests/common_rejection.rs
+++ b/crates/ledgelead-router/src/requests/common_rejection.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether so many instances reject that the cause lies outside of each.
+    /// Whether so many instances reject requests that they must have a common cause.
     pub fn is_common(&self, service: &ServiceName, now: Timestamp) -> bool {
         let Some(instances) = self.services.get(service) else {
             return false;
--- a/crates/ledgelead-router/src/requests/lifecycle/decide.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/decide.rs
@@ -121,7 +121,7 @@
             retry_at: None,
             reason,
         };
-        // No owner is worth waiting for while a change of ownership can't be stored.
+        // Waiting for a new owner is useless while a change of ownership can't be stored.
         let wait_for_owner = |reason: Refusal| match context.keys_can_move {
             true => wait(reason),
             false => Step::Refuse(open.failure_reason_or(reason)),
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -388,7 +388,7 @@
     }
 
     /// Handles the disconnection of a client: its request is aborted.
-    pub fn client_left(&mut self, client: ClientId, out: &mut Vec<Action>) {
+    pub fn client_disconnected(&mut self, client: ClientId, out: &mut Vec<Action>) {
         let Some(mut open) = self.open.remove(&client) else {
             return;
         };
@@ -450,7 +450,7 @@
     }
 
     /// Advances the requests whose timers have expired.
-    pub fn deadline(&mut self, context: &mut RequestContext<'_>, out: &mut Vec<Action>) {
+    pub fn advance_due(&mut self, context: &mut RequestContext<'_>, out: &mut Vec<Action>) {
         while let Some((at, client)) = self.wakeups.first().copied() {
             if at > context.now {
                 return;
--- a/crates/ledgelead-router/src/requests/lifecycle/permits.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/permits.rs
@@ -74,9 +74,9 @@
             return;
         };
         let target = open.target();
-        let asked =
+        let is_awaited =
             |permit: &&mut PermitHandle| permit.dispatcher == from && permit.request.queue == queue;
-        let Some(permit) = open.permit.as_mut().filter(asked) else {
+        let Some(permit) = open.permit.as_mut().filter(is_awaited) else {
             return;
         };
         if decision.admission != Err(Declined::ShuttingDown) {
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -18,7 +18,7 @@
 /// may stall for most of it.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 /// Number of times a limiter is asked before it counts as unresponsive.
-const MAX_ASKS_PER_LIMITER: usize = 2;
+const MAX_REQUESTS_PER_LIMITER: usize = 2;
 /// How long an unresponsive limiter isn't asked: about the time that nodes need to learn of
 /// the loss of another node.
 const UNRESPONSIVE_TTL: Duration = Duration::from_secs(1);
@@ -154,7 +154,7 @@
         }
         let candidates = Candidates::of_limit(instance.stable_hash(), zone, context.registry)?;
         if let Some((limiter, requests_sent)) = asked {
-            if requests_sent < MAX_ASKS_PER_LIMITER {
+            if requests_sent < MAX_REQUESTS_PER_LIMITER {
                 return Some((limiter, requests_sent + 1));
             }
             self.tokens
--- a/crates/ledgelead-router/src/requests/refusal_share.rs
+++ b/crates/ledgelead-router/src/requests/refusal_share.rs
@@ -8,8 +8,8 @@
 
 /// Half-life of the counts; bursts last for seconds.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// Retry delay when hardly any request is refused: the service time of one request, after
-/// which a slot is free.
+/// Retry delay when hardly any request is refused: the service time of one request, after which
+/// a slot becomes free.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Additional delay when all requests are refused. A burst beyond a service's capacity lasts
 /// at least that long.
--- a/crates/ledgelead-router/src/zone_traffic.rs
+++ b/crates/ledgelead-router/src/zone_traffic.rs
@@ -1,8 +1,8 @@
 //! Bytes that a node exchanges with its own zone and with others, by purpose.
 //!
 //! Datagrams are counted without UDP and IP headers. An exchange is counted with its encoded
-//! request, even if that is not completely written, and with its whole answer, which is
-//! assumed to be framed by a length. Aborted exchanges count without an answer.
+//! request, even if that is not completely written, and with its whole response, which is
+//! assumed to be framed by a length. Aborted exchanges count without a response.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 pub const ORDERS: &str = "orders";
 /// Transfers of complete lists between nodes.
 pub const TRANSFERS: &str = "transfers";
-/// Client requests relayed to instances, and their answers.
+/// Client requests relayed to instances, and their responses.
 pub const REQUESTS: &str = "requests";
 
 /// The zone of the other side.
--- a/crates/ledgelead-router/tests/dispatch/load.rs
+++ b/crates/ledgelead-router/tests/dispatch/load.rs
@@ -177,7 +177,7 @@
             Event::Try(caller) => self.submit(caller),
             Event::Done(caller) => self.finish_service(caller),
             Event::Due => {
-                let decided = self.dispatcher.deadline(self.now);
+                let decided = self.dispatcher.make_due_decisions(self.now);
                 self.apply_decisions(
                     decided
                         .iter()
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -439,7 +439,7 @@
     let first = election.due(&record, 0, ms(0));
     expect_that!(first, gt(ms(1_000)));
     expect_that!(election.due(&record, 1, ms(0)), gt(first));
-    election.heard_coordinator(4, ms(3_000));
+    election.record_heartbeat(4, ms(3_000));
     expect_that!(election.due(&record, 0, ms(0)), gt(ms(3_000)));
     record.coordinator = None;
     expect_that!(election.due(&record, 0, ms(0)), eq(ms(3_000)));
