--- a/crates/ledgelead-core/src/io.rs
+++ b/crates/ledgelead-core/src/io.rs
@@ -89,7 +89,7 @@
         load: Option<LoadReport>,
     },
     /// The caller closed its connection before it had its answer.
-    CallerLeft(RequestId),
+    CallerDisconnected(RequestId),
     /// An operator's command arrived at this node.
     Command {
         /// Names the command's end.
--- a/crates/ledgelead-core/src/message.rs
+++ b/crates/ledgelead-core/src/message.rs
@@ -126,7 +126,9 @@
         match self {
             PeerMessage::Membership(_) => MessageKind::Membership,
             PeerMessage::Dissemination(_) => MessageKind::Dissemination,
-            PeerMessage::Group { message, .. } if message.serves_requests() => MessageKind::Records,
+            PeerMessage::Group { message, .. } if message.is_idempotency_traffic() => {
+                MessageKind::Records
+            }
             PeerMessage::Group { .. } => MessageKind::Group,
             PeerMessage::DispatchRequest(_) | PeerMessage::DispatchReply(_) => {
                 MessageKind::Dispatch
--- a/crates/ledgelead-core/src/node_core.rs
+++ b/crates/ledgelead-core/src/node_core.rs
@@ -148,7 +148,7 @@
                     load,
                 },
             ),
-            Input::CallerLeft(request) => {
+            Input::CallerDisconnected(request) => {
                 self.gateway.step(now, GatewayInput::CallerLeft(request));
             }
             Input::Command { ticket, command } => self.take_command(now, ticket, command),
--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -393,7 +393,7 @@
                     self.answer_operation(asker, result);
                 }
             }
-            GroupOutput::OnceDecided {
+            GroupOutput::IdempotencyDecided {
                 owner,
                 key,
                 verdict,
@@ -502,14 +502,14 @@
 
     /// Asks the group for an idempotency record. Without a replica here the
     /// record can't be made, so the request must not run.
-    fn begin_once(
+    fn begin_idempotent(
         &mut self,
         now: Time,
         group: GroupId,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
     ) {
-        let input = GroupInput::BeginOnce { owner, key };
+        let input = GroupInput::BeginIdempotent { owner, key };
         if self.groups.step(now, group, input) {
             return;
         }
@@ -531,7 +531,7 @@
             match output {
                 DispatcherOutput::Reply { to, message } => self.send_to_gateway(now, to, message),
                 DispatcherOutput::BeginOnce { group, owner, key } => {
-                    self.begin_once(now, group, owner, key);
+                    self.begin_idempotent(now, group, owner, key);
                 }
                 DispatcherOutput::EndOnce {
                     group,
@@ -540,8 +540,8 @@
                     state,
                 } => {
                     let input = match state {
-                        Some(state) => GroupInput::EndOnce { owner, key, state },
-                        None => GroupInput::CancelOnce { owner, key },
+                        Some(state) => GroupInput::EndIdempotent { owner, key, state },
+                        None => GroupInput::CancelIdempotent { owner, key },
                     };
                     self.groups.step(now, group, input);
                 }
--- a/crates/ledgelead-lab/src/simulation/requests.rs
+++ b/crates/ledgelead-lab/src/simulation/requests.rs
@@ -174,7 +174,7 @@
             .caller_knows_nothing(body)
             .and_then(|request| request.accepted);
         if let Some((run, request)) = accepted {
-            let input = Box::new(Input::CallerLeft(request));
+            let input = Box::new(Input::CallerDisconnected(request));
             self.reach_node(run, ToNode::Input(input));
         }
     }
--- a/crates/ledgelead-node/src/node/serving.rs
+++ b/crates/ledgelead-node/src/node/serving.rs
@@ -84,7 +84,7 @@
     let handle = handle.clone();
     Box::new(move |connection| {
         for request in open_requests.of_connection(connection) {
-            handle.input(Input::CallerLeft(request));
+            handle.input(Input::CallerDisconnected(request));
         }
     })
 }
--- a/crates/ledgelead-ownership/src/command.rs
+++ b/crates/ledgelead-ownership/src/command.rs
@@ -142,14 +142,14 @@
         claims: List<ServerClaim>,
     },
     /// Begins a request under an idempotency key.
-    BeginOnce {
+    BeginIdempotent {
         /// Who asks.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
     /// Ends such a request.
-    EndOnce {
+    EndIdempotent {
         /// Who asks.
         owner: IdempotencyOwner,
         /// The key.
@@ -171,5 +171,5 @@
     },
     /// Repeats of requests whose records were lost with a quorum have come:
     /// from now on a key without a record was not begun.
-    TrustRecords,
+    AssumeRecordsComplete,
 }
--- a/crates/ledgelead-ownership/src/group/applying.rs
+++ b/crates/ledgelead-ownership/src/group/applying.rs
@@ -134,7 +134,7 @@
         let group = self.group;
         self.note_unavailable(self.now, &decision);
         let event = match decision {
-            Decision::Operated(_) | Decision::Once { .. } => return,
+            Decision::Operated(_) | Decision::Idempotency { .. } => return,
             Decision::OwnerChanged {
                 range,
                 from,
@@ -213,12 +213,12 @@
 ) -> Vec<(Origin, GroupAnswer)> {
     let mut asked_for = decisions.iter().filter_map(|decision| match decision {
         Decision::Operated(result) => Some(GroupAnswer::Operated(result.clone())),
-        Decision::Once { verdict, .. } => Some(GroupAnswer::Once(*verdict)),
+        Decision::Idempotency { verdict, .. } => Some(GroupAnswer::Idempotency(*verdict)),
         Decision::OwnerChanged { .. } | Decision::StatusChanged { .. } => None,
     });
     let answer = |(command, origin): (&GroupCommand, Origin)| {
         let answer = match command {
-            GroupCommand::EndOnce { .. } => Some(GroupAnswer::Ended),
+            GroupCommand::EndIdempotent { .. } => Some(GroupAnswer::Ended),
             _ => asked_for.next(),
         };
         answer.map(|answer| (origin, answer))
@@ -229,9 +229,9 @@
 fn concerns_records(command: &GroupCommand) -> bool {
     matches!(
         command,
-        GroupCommand::BeginOnce { .. }
-            | GroupCommand::EndOnce { .. }
+        GroupCommand::BeginIdempotent { .. }
+            | GroupCommand::EndIdempotent { .. }
             | GroupCommand::ExpireRecords { .. }
-            | GroupCommand::TrustRecords
+            | GroupCommand::AssumeRecordsComplete
     )
 }
--- a/crates/ledgelead-ownership/src/group/leading.rs
+++ b/crates/ledgelead-ownership/src/group/leading.rs
@@ -67,7 +67,7 @@
             members: &members,
         };
         let replica = &self.replica;
-        let result = leader.turn(&turn, &|member| replica.authority_given(member));
+        let result = leader.turn(&turn, &|member| replica.delegated_authority_until(member));
         self.next_turn = leader.next_wakeup(now);
         result
     }
--- a/crates/ledgelead-ownership/src/group/mod.rs
+++ b/crates/ledgelead-ownership/src/group/mod.rs
@@ -142,9 +142,9 @@
                 self.dispatcher.evidence(now, server, failures);
             }
             GroupInput::Operate { .. }
-            | GroupInput::BeginOnce { .. }
-            | GroupInput::EndOnce { .. }
-            | GroupInput::CancelOnce { .. } => self.take_request(now, input),
+            | GroupInput::BeginIdempotent { .. }
+            | GroupInput::EndIdempotent { .. }
+            | GroupInput::CancelIdempotent { .. } => self.take_request(now, input),
             GroupInput::SnapshotStored { revision } => self.snapshots.stored(revision),
             GroupInput::TransferLeadership => self.hand_over(now),
         }
@@ -183,8 +183,8 @@
         match message {
             GroupMessage::Replication(message) => self.replica.step(now, from, message),
             GroupMessage::Report(report) => self.take_report(now, from, report),
-            GroupMessage::Ask(asked) => self.take_asked(now, from, asked),
-            GroupMessage::Answer(answered) => {
+            GroupMessage::Requests(asked) => self.take_asked(now, from, asked),
+            GroupMessage::Answers(answered) => {
                 for answered in answered {
                     self.take_answer(now, answered.number, answered.answer);
                 }
--- a/crates/ledgelead-ownership/src/group/requesting.rs
+++ b/crates/ledgelead-ownership/src/group/requesting.rs
@@ -4,7 +4,7 @@
 use super::GroupReplica;
 use crate::command::GroupCommand;
 use crate::io::{GroupInput, GroupOutput};
-use crate::message::{Answered, Asked, GroupAnswer, GroupMessage, GroupRequest};
+use crate::message::{GroupAnswer, GroupMessage, GroupRequest, NumberedAnswer, NumberedRequest};
 use crate::requests::{Ended, Origin, Waiter, unanswered};
 use ledgelead_types::codec::encode;
 use ledgelead_types::dispatch::{IdempotencyOwner, IdempotencyVerdict};
@@ -27,19 +27,22 @@
                 };
                 (request, Waiter::Operation(ticket))
             }
-            GroupInput::BeginOnce { owner, key } => {
+            GroupInput::BeginIdempotent { owner, key } => {
                 if !self.protections.has(Protection::IdempotencyRecord) {
-                    self.once_decided(owner, key, IdempotencyVerdict::Fresh);
+                    self.idempotency_decided(owner, key, IdempotencyVerdict::Fresh);
                     return;
                 }
-                (GroupRequest::BeginOnce { owner, key }, Waiter::Once)
+                (
+                    GroupRequest::BeginIdempotent { owner, key },
+                    Waiter::Idempotency,
+                )
             }
-            GroupInput::EndOnce { owner, key, state } => {
+            GroupInput::EndIdempotent { owner, key, state } => {
                 let state = Some(state);
-                let request = GroupRequest::EndOnce { owner, key, state };
+                let request = GroupRequest::EndIdempotent { owner, key, state };
                 (request, Waiter::Nobody)
             }
-            GroupInput::CancelOnce { owner, key } => (cancel(owner, key), Waiter::Nobody),
+            GroupInput::CancelIdempotent { owner, key } => (cancel(owner, key), Waiter::Nobody),
             _ => return,
         };
         if !self.requests.add(now, request.clone(), waiter) {
@@ -76,22 +79,23 @@
 
     /// Operations go apart from requests, so that each message has one
     /// purpose.
-    fn ask(&mut self, leader: Member, due: Vec<Asked>) {
-        let is_operation = |asked: &Asked| matches!(asked.request, GroupRequest::Operate { .. });
-        let (operations, records): (Vec<Asked>, Vec<Asked>) =
+    fn ask(&mut self, leader: Member, due: Vec<NumberedRequest>) {
+        let is_operation =
+            |asked: &NumberedRequest| matches!(asked.request, GroupRequest::Operate { .. });
+        let (operations, records): (Vec<NumberedRequest>, Vec<NumberedRequest>) =
             due.into_iter().partition(is_operation);
         for asked in [operations, records] {
             if !asked.is_empty() {
                 self.outputs.push(GroupOutput::Send {
                     to: leader,
-                    message: GroupMessage::Ask(List(asked)),
+                    message: GroupMessage::Requests(List(asked)),
                 });
             }
         }
     }
 
     /// Another replica hands over requests.
-    pub(super) fn take_asked(&mut self, now: Time, from: Member, asked: List<Asked>) {
+    pub(super) fn take_asked(&mut self, now: Time, from: Member, asked: List<NumberedRequest>) {
         let mut refused = Vec::new();
         for asked in asked {
             let origin = Origin::Replica(from, asked.number);
@@ -123,18 +127,18 @@
 
     /// Answers requests, those of one replica together.
     pub(super) fn answer(&mut self, now: Time, answers: Vec<(Origin, GroupAnswer)>) {
-        let mut by_replica: BTreeMap<Member, Vec<Answered>> = BTreeMap::new();
+        let mut by_replica: BTreeMap<Member, Vec<NumberedAnswer>> = BTreeMap::new();
         for (origin, answer) in answers {
             match origin {
                 Origin::Here(number) => self.take_answer(now, number, answer),
                 Origin::Replica(to, number) => by_replica
                     .entry(to)
                     .or_default()
-                    .push(Answered { number, answer }),
+                    .push(NumberedAnswer { number, answer }),
             }
         }
         for (to, answered) in by_replica {
-            let message = GroupMessage::Answer(List(answered));
+            let message = GroupMessage::Answers(List(answered));
             self.outputs.push(GroupOutput::Send { to, message });
         }
     }
@@ -188,9 +192,11 @@
                 self.outputs
                     .push(GroupOutput::OperationFinished { ticket, result });
             }
-            (Waiter::Once, GroupAnswer::Once(verdict), GroupRequest::BeginOnce { owner, key }) => {
-                self.once_decided(owner, key, verdict)
-            }
+            (
+                Waiter::Idempotency,
+                GroupAnswer::Idempotency(verdict),
+                GroupRequest::BeginIdempotent { owner, key },
+            ) => self.idempotency_decided(owner, key, verdict),
             (Waiter::Nobody, _, _) => {}
             (waiter, answer, request) => {
                 debug_assert!(false, "{waiter:?}: {answer:?} to {request:?} at {now:?}");
@@ -198,13 +204,13 @@
         }
     }
 
-    fn once_decided(
+    fn idempotency_decided(
         &mut self,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
         verdict: IdempotencyVerdict,
     ) {
-        self.outputs.push(GroupOutput::OnceDecided {
+        self.outputs.push(GroupOutput::IdempotencyDecided {
             owner,
             key,
             verdict,
@@ -213,7 +219,7 @@
 }
 
 fn cancel(owner: IdempotencyOwner, key: IdempotencyKey) -> GroupRequest {
-    GroupRequest::EndOnce {
+    GroupRequest::EndIdempotent {
         owner,
         key,
         state: None,
@@ -229,7 +235,11 @@
             command_id,
             operation,
         },
-        GroupRequest::BeginOnce { owner, key } => GroupCommand::BeginOnce { owner, key },
-        GroupRequest::EndOnce { owner, key, state } => GroupCommand::EndOnce { owner, key, state },
+        GroupRequest::BeginIdempotent { owner, key } => {
+            GroupCommand::BeginIdempotent { owner, key }
+        }
+        GroupRequest::EndIdempotent { owner, key, state } => {
+            GroupCommand::EndIdempotent { owner, key, state }
+        }
     }
 }
--- a/crates/ledgelead-ownership/src/io.rs
+++ b/crates/ledgelead-ownership/src/io.rs
@@ -74,14 +74,14 @@
         operation: GroupOperation,
     },
     /// A request wants to begin under an idempotency key.
-    BeginOnce {
+    BeginIdempotent {
         /// Who asks.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
     /// Such a request ended.
-    EndOnce {
+    EndIdempotent {
         /// Who began it.
         owner: IdempotencyOwner,
         /// The key.
@@ -90,7 +90,7 @@
         state: IdempotencyState,
     },
     /// Such a request was not run: its key is free again.
-    CancelOnce {
+    CancelIdempotent {
         /// Who began it.
         owner: IdempotencyOwner,
         /// The key.
@@ -138,7 +138,7 @@
         result: CommandResult,
     },
     /// A wish to begin was decided.
-    OnceDecided {
+    IdempotencyDecided {
         /// Who asked.
         owner: IdempotencyOwner,
         /// The key.
--- a/crates/ledgelead-ownership/src/leader/leases.rs
+++ b/crates/ledgelead-ownership/src/leader/leases.rs
@@ -89,7 +89,7 @@
         &self,
         now: Time,
         server: ServerId,
-        authority_given: &dyn Fn(Member) -> Time,
+        delegated_authority_until: &dyn Fn(Member) -> Time,
     ) -> bool {
         if now < self.former_ends {
             return false;
@@ -98,7 +98,7 @@
             return true;
         };
         grantors.iter().all(|(member, grantor)| {
-            let by_authority = authority_given(*member) + lengthened_for_drift(LEASE);
+            let by_authority = delegated_authority_until(*member) + lengthened_for_drift(LEASE);
             let ends = grantor.ends.unwrap_or(by_authority);
             now >= ends
         })
--- a/crates/ledgelead-ownership/src/leader/mod.rs
+++ b/crates/ledgelead-ownership/src/leader/mod.rs
@@ -212,7 +212,11 @@
     }
 
     /// Decides what to do now.
-    pub fn turn(&mut self, turn: &Turn, authority_given: &dyn Fn(Member) -> Time) -> TurnResult {
+    pub fn turn(
+        &mut self,
+        turn: &Turn,
+        delegated_authority_until: &dyn Fn(Member) -> Time,
+    ) -> TurnResult {
         self.waiting = false;
         if turn.state.term != self.term || turn.state.applied < self.in_flight {
             return TurnResult::default();
@@ -223,7 +227,7 @@
         if turn.state.recovering {
             self.recover(turn, &mut commands);
         } else {
-            self.judge_servers(turn, authority_given, &mut commands);
+            self.judge_servers(turn, delegated_authority_until, &mut commands);
             self.create_slices(turn, &mut commands);
             self.place_free_slices(turn, &mut commands);
             self.empty_draining_servers(turn, &mut commands);
--- a/crates/ledgelead-ownership/src/leader/records.rs
+++ b/crates/ledgelead-ownership/src/leader/records.rs
@@ -39,8 +39,8 @@
 
     /// Does what is due.
     pub fn keep(&mut self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        if turn.state.records_in_doubt && turn.now >= self.doubt_ends {
-            commands.push(GroupCommand::TrustRecords);
+        if turn.state.records_may_be_missing && turn.now >= self.doubt_ends {
+            commands.push(GroupCommand::AssumeRecordsComplete);
         }
         self.expire(turn, commands);
         self.end_orphans(turn, commands);
@@ -76,7 +76,7 @@
         });
         let ends = orphans
             .take(MAXIMUM_ENDED)
-            .map(|record| GroupCommand::EndOnce {
+            .map(|record| GroupCommand::EndIdempotent {
                 owner: record.owner,
                 key: record.key,
                 state: Some(IdempotencyState::Unknown),
--- a/crates/ledgelead-ownership/src/leader/servers.rs
+++ b/crates/ledgelead-ownership/src/leader/servers.rs
@@ -42,7 +42,7 @@
     pub(super) fn judge_servers(
         &mut self,
         turn: &Turn,
-        authority_given: &dyn Fn(Member) -> Time,
+        delegated_authority_until: &dyn Fn(Member) -> Time,
         commands: &mut Vec<GroupCommand>,
     ) {
         let all_heard = std::mem::take(&mut self.heard);
@@ -50,7 +50,7 @@
             let Some(server) = turn.state.servers.get(&id) else {
                 continue;
             };
-            let command = self.judge_contact(turn, authority_given, id, server, heard);
+            let command = self.judge_contact(turn, delegated_authority_until, id, server, heard);
             commands.extend(command);
             note_released(turn, heard, commands);
             if heard.news.leaving && server.drain.is_none() {
@@ -75,7 +75,7 @@
     fn judge_contact(
         &mut self,
         turn: &Turn,
-        authority_given: &dyn Fn(Member) -> Time,
+        delegated_authority_until: &dyn Fn(Member) -> Time,
         id: ServerId,
         server: &Server,
         heard: &Heard,
@@ -89,13 +89,14 @@
         let lost = server.status == ServerStatus::Lost;
         if let Some(run) = news.run.filter(|_| news.answering) {
             let admissible = server.run.is_none() || lost || lapsed_at.is_some();
-            if !admissible || (restarted && !self.leases_ended(turn, authority_given, id)) {
+            if !admissible || (restarted && !self.leases_ended(turn, delegated_authority_until, id))
+            {
                 return None;
             }
             return Some(GroupCommand::Admit { server: id, run });
         }
         let lapsed_at = lapsed_at?;
-        if lost || !self.leases_ended(turn, authority_given, id) {
+        if lost || !self.leases_ended(turn, delegated_authority_until, id) {
             return None;
         }
         Some(GroupCommand::Lose {
@@ -107,14 +108,14 @@
     fn leases_ended(
         &mut self,
         turn: &Turn,
-        authority_given: &dyn Fn(Member) -> Time,
+        delegated_authority_until: &dyn Fn(Member) -> Time,
         id: ServerId,
     ) -> bool {
         let owns_nothing = turn.state.slice_count(id) == 0;
         if owns_nothing || !self.lease_wait {
             return true;
         }
-        let ended = self.leases.ended(turn.now, id, authority_given);
+        let ended = self.leases.ended(turn.now, id, delegated_authority_until);
         self.waiting |= !ended;
         ended
     }
--- a/crates/ledgelead-ownership/src/message.rs
+++ b/crates/ledgelead-ownership/src/message.rs
@@ -18,24 +18,27 @@
     /// A dispatcher tells the leader of its servers.
     Report(DispatcherReport),
     /// A replica hands requests to the leader.
-    Ask(List<Asked>),
+    Requests(List<NumberedRequest>),
     /// The leader's answers.
-    Answer(List<Answered>),
+    Answers(List<NumberedAnswer>),
 }
 
 impl GroupMessage {
     /// Whether the message is only there because of callers' requests under
     /// idempotency keys: the wish to begin one, its end, their replication and
     /// the answers. A heartbeat that was due anyway is not.
-    pub fn serves_requests(&self) -> bool {
+    pub fn is_idempotency_traffic(&self) -> bool {
         match self {
             GroupMessage::Replication(message) => message.is_lazy(),
             GroupMessage::Report(_) => false,
-            GroupMessage::Ask(asked) => asked
+            GroupMessage::Requests(asked) => asked
                 .iter()
                 .all(|asked| !matches!(asked.request, GroupRequest::Operate { .. })),
-            GroupMessage::Answer(answered) => answered.iter().all(|answered| {
-                matches!(answered.answer, GroupAnswer::Once(_) | GroupAnswer::Ended)
+            GroupMessage::Answers(answered) => answered.iter().all(|answered| {
+                matches!(
+                    answered.answer,
+                    GroupAnswer::Idempotency(_) | GroupAnswer::Ended
+                )
             }),
         }
     }
@@ -43,7 +46,7 @@
 
 /// A request on its way to the leader.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct Asked {
+pub struct NumberedRequest {
     /// Names the answer; counted by the sender.
     pub number: u64,
     /// The request.
@@ -52,7 +55,7 @@
 
 /// An answer on its way back.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct Answered {
+pub struct NumberedAnswer {
     /// The number asked under.
     pub number: u64,
     /// The answer.
@@ -103,14 +106,14 @@
         operation: GroupOperation,
     },
     /// Begins a request under an idempotency key.
-    BeginOnce {
+    BeginIdempotent {
         /// Who asks.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
     /// Ends it; `None` when it was not run.
-    EndOnce {
+    EndIdempotent {
         /// Who asks.
         owner: IdempotencyOwner,
         /// The key.
@@ -126,7 +129,7 @@
     /// An operation ended.
     Operated(CommandResult),
     /// A wish to begin was decided.
-    Once(IdempotencyVerdict),
+    Idempotency(IdempotencyVerdict),
     /// The end of a request was recorded.
     Ended,
     /// The asked replica doesn't lead; nothing was decided by it.
--- a/crates/ledgelead-ownership/src/requests.rs
+++ b/crates/ledgelead-ownership/src/requests.rs
@@ -5,7 +5,7 @@
 //! safe: an operation takes effect once under its identifier, and a wish to
 //! begin is answered the same when its owner repeats it.
 
-use crate::message::{Asked, GroupAnswer, GroupRequest};
+use crate::message::{GroupAnswer, GroupRequest, NumberedRequest};
 use ledgelead_types::administration::{CommandRejection, CommandResult};
 use ledgelead_types::dispatch::IdempotencyVerdict;
 use ledgelead_types::*;
@@ -33,7 +33,7 @@
     /// An operation's ticket.
     Operation(u64),
     /// The owner of an idempotency record, by the request itself.
-    Once,
+    Idempotency,
     /// Nobody.
     Nobody,
 }
@@ -105,12 +105,12 @@
         }
         let timeout = match &request {
             GroupRequest::Operate { .. } => OPERATION_TIMEOUT,
-            GroupRequest::BeginOnce { .. } => BEGIN_TIMEOUT,
-            GroupRequest::EndOnce { .. } => END_TIMEOUT,
+            GroupRequest::BeginIdempotent { .. } => BEGIN_TIMEOUT,
+            GroupRequest::EndIdempotent { .. } => END_TIMEOUT,
         };
         // The end of a request that was not run frees its key for a repeat
         // that may come at once.
-        let lazy = matches!(&request, GroupRequest::EndOnce { state: Some(_), .. });
+        let lazy = matches!(&request, GroupRequest::EndIdempotent { state: Some(_), .. });
         let delay = if lazy { END_DELAY } else { Span::ZERO };
         let waiting = Waiting {
             request,
@@ -127,7 +127,7 @@
 
     /// Whether this wish to begin waits already.
     fn begins(&self, request: &GroupRequest) -> bool {
-        let is_wish = matches!(request, GroupRequest::BeginOnce { .. });
+        let is_wish = matches!(request, GroupRequest::BeginIdempotent { .. });
         let mut waiting = self.waiting.values();
         is_wish && waiting.any(|waiting| waiting.request == *request)
     }
@@ -135,7 +135,7 @@
     /// The requests to hand to the leader now, oldest first. With one that is
     /// due go the ends that wait for company; so a key's end never comes
     /// behind the next wish to begin under it.
-    pub fn due(&mut self, now: Time) -> Vec<Asked> {
+    pub fn due(&mut self, now: Time) -> Vec<NumberedRequest> {
         let any = self
             .waiting
             .values()
@@ -150,7 +150,7 @@
         due.map(|(number, waiting)| {
             waiting.next_send = now + waiting.retry_interval();
             waiting.sent = true;
-            Asked {
+            NumberedRequest {
                 number: *number,
                 request: waiting.request.clone(),
             }
@@ -234,7 +234,9 @@
         GroupRequest::Operate { .. } => {
             GroupAnswer::Operated(CommandResult::Rejected(CommandRejection::NoLeader))
         }
-        GroupRequest::BeginOnce { .. } => GroupAnswer::Once(IdempotencyVerdict::Unavailable),
-        GroupRequest::EndOnce { .. } => GroupAnswer::Ended,
+        GroupRequest::BeginIdempotent { .. } => {
+            GroupAnswer::Idempotency(IdempotencyVerdict::Unavailable)
+        }
+        GroupRequest::EndIdempotent { .. } => GroupAnswer::Ended,
     }
 }
--- a/crates/ledgelead-ownership/src/state/apply.rs
+++ b/crates/ledgelead-ownership/src/state/apply.rs
@@ -61,16 +61,16 @@
             }
             GroupCommand::Merge { first, second } => self.merge(*first, *second, token),
             GroupCommand::Recover { space, claims } => self.recover(*space, claims, token),
-            GroupCommand::TrustRecords => self.records_in_doubt = false,
-            GroupCommand::BeginOnce { owner, key } => {
-                let verdict = self.begin_once(*owner, *key, token.revision);
-                decisions.push(Decision::Once {
+            GroupCommand::AssumeRecordsComplete => self.records_may_be_missing = false,
+            GroupCommand::BeginIdempotent { owner, key } => {
+                let verdict = self.begin_idempotent(*owner, *key, token.revision);
+                decisions.push(Decision::Idempotency {
                     owner: *owner,
                     key: *key,
                     verdict,
                 });
             }
-            GroupCommand::EndOnce { owner, key, state } => {
+            GroupCommand::EndIdempotent { owner, key, state } => {
                 self.records.end(*owner, *key, *state);
             }
             GroupCommand::ExpireRecords { through } => self.records.expire(*through),
--- a/crates/ledgelead-ownership/src/state/mod.rs
+++ b/crates/ledgelead-ownership/src/state/mod.rs
@@ -54,7 +54,7 @@
     /// An operation ended.
     Operated(CommandResult),
     /// The wish to begin under an idempotency key was decided.
-    Once {
+    Idempotency {
         /// Who asked.
         owner: IdempotencyOwner,
         /// The key.
@@ -96,7 +96,7 @@
     /// Whether the servers' claims of an earlier epoch have yet to be heard.
     pub recovering: bool,
     /// Whether records that were begun in an earlier epoch may be missing.
-    pub records_in_doubt: bool,
+    pub records_may_be_missing: bool,
     /// Slices in the order of their positions.
     pub slices: SliceTable,
     /// Servers.
@@ -123,7 +123,7 @@
     term: Term,
     applied: Revision,
     recovering: bool,
-    records_in_doubt: bool,
+    records_may_be_missing: bool,
     slices: List<Slice>,
     servers: List<Server>,
     records: List<IdempotencyRecord>,
@@ -141,7 +141,7 @@
         }
         if epoch > state.epoch {
             state.recovering = epoch > FIRST_EPOCH;
-            state.records_in_doubt = state.recovering;
+            state.records_may_be_missing = state.recovering;
             state.epoch = epoch;
             state.term = Term(0);
             state.applied = Revision(0);
@@ -161,7 +161,7 @@
             term: self.term,
             applied: self.applied,
             recovering: self.recovering,
-            records_in_doubt: self.records_in_doubt,
+            records_may_be_missing: self.records_may_be_missing,
             slices: self.slices.iter().cloned().collect(),
             servers: self.servers.values().cloned().collect(),
             records: self.records.iter().cloned().collect(),
@@ -178,7 +178,7 @@
             term: snapshot.term,
             applied: snapshot.applied,
             recovering: snapshot.recovering,
-            records_in_doubt: snapshot.records_in_doubt,
+            records_may_be_missing: snapshot.records_may_be_missing,
             slices: snapshot.slices.into_iter().collect(),
             servers: servers
                 .map(|server| (server.definition.server, server))
@@ -190,14 +190,14 @@
 
     /// Decides the wish to begin under a key. While records may be missing, a
     /// key without one may have been begun, so nobody can tell.
-    fn begin_once(
+    fn begin_idempotent(
         &mut self,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
         revision: Revision,
     ) -> IdempotencyVerdict {
         let verdict = self.records.begin(owner, key, revision);
-        if verdict != IdempotencyVerdict::Fresh || !self.records_in_doubt {
+        if verdict != IdempotencyVerdict::Fresh || !self.records_may_be_missing {
             return verdict;
         }
         let unknown = IdempotencyState::Unknown;
--- a/crates/ledgelead-ownership/tests/model/mod.rs
+++ b/crates/ledgelead-ownership/tests/model/mod.rs
@@ -701,14 +701,14 @@
         results.cloned().collect()
     }
 
-    pub fn begin_once(&mut self, node: Member, request: u64, key: u64) -> IdempotencyOwner {
+    pub fn begin_idempotent(&mut self, node: Member, request: u64, key: u64) -> IdempotencyOwner {
         let owner = IdempotencyOwner {
             gateway: node,
             request: RequestId(request),
         };
         self.input(
             node,
-            GroupInput::BeginOnce {
+            GroupInput::BeginIdempotent {
                 owner,
                 key: IdempotencyKey(key),
             },
@@ -716,12 +716,12 @@
         owner
     }
 
-    pub fn once_verdicts(&self, wanted: IdempotencyOwner) -> Vec<IdempotencyVerdict> {
+    pub fn idempotency_verdicts(&self, wanted: IdempotencyOwner) -> Vec<IdempotencyVerdict> {
         let verdicts = self
             .outputs
             .iter()
             .filter_map(|(_, _, output)| match output {
-                GroupOutput::OnceDecided { owner, verdict, .. } if *owner == wanted => {
+                GroupOutput::IdempotencyDecided { owner, verdict, .. } if *owner == wanted => {
                     Some(*verdict)
                 }
                 _ => None,
--- a/crates/ledgelead-ownership/tests/state.rs
+++ b/crates/ledgelead-ownership/tests/state.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use ledgelead_ownership::command::*;
-use ledgelead_ownership::message::{Asked, GroupRequest};
+use ledgelead_ownership::message::{GroupRequest, NumberedRequest};
 use ledgelead_ownership::state::*;
 use ledgelead_ownership::{GroupMessage, SnapshotWriter};
 use ledgelead_types::administration::GroupOperation;
@@ -88,8 +88,8 @@
         any::<u64>().prop_map(|at| GroupCommand::Split { at: Position(at) }),
         (range(), range()).prop_map(|(first, second)| GroupCommand::Merge { first, second }),
         (owner.clone(), key.clone())
-            .prop_map(|(owner, key)| GroupCommand::BeginOnce { owner, key }),
-        (owner, key, ended).prop_map(|(owner, key, state)| GroupCommand::EndOnce {
+            .prop_map(|(owner, key)| GroupCommand::BeginIdempotent { owner, key }),
+        (owner, key, ended).prop_map(|(owner, key, state)| GroupCommand::EndIdempotent {
             owner,
             key,
             state
@@ -192,7 +192,7 @@
 
 #[gtest]
 fn cut_messages_are_refused() {
-    let message = GroupMessage::Ask(List(vec![Asked {
+    let message = GroupMessage::Requests(List(vec![NumberedRequest {
         number: 7,
         request: GroupRequest::Operate {
             command_id: "operation-1".into(),
--- a/crates/ledgelead-replication/src/authority.rs
+++ b/crates/ledgelead-replication/src/authority.rs
@@ -29,7 +29,7 @@
         let until = match &self.state {
             State::Leader(leader) => self.leader_authority(leader, now),
             State::Follower => self.delegated_until,
-            State::Polling { .. } | State::Candidate { .. } => Time::ZERO,
+            State::PreCandidate { .. } | State::Candidate { .. } => Time::ZERO,
         };
         (until > now).then_some(Authority {
             term: self.term,
@@ -39,8 +39,11 @@
 
     /// On the leader's clock, by when all authority that it gave to the member
     /// in this term has ended; [`Time::ZERO`] when it gave none.
-    pub fn authority_given(&self, member: Member) -> Time {
-        self.given.get(&member).copied().unwrap_or(Time::ZERO)
+    pub fn delegated_authority_until(&self, member: Member) -> Time {
+        self.delegated_ends
+            .get(&member)
+            .copied()
+            .unwrap_or(Time::ZERO)
     }
 
     /// For a leader: by when the authority of every earlier leader of this
@@ -72,14 +75,18 @@
     }
 
     fn leader_authority(&self, leader: &LeaderState, now: Time) -> Time {
-        let taken = |member: Member| {
+        let acked_sent = |member: Member| {
             if member == self.identity {
                 return Some(now);
             }
-            leader.progress.get(&member)?.taken
+            leader.progress.get(&member)?.acked_sent
         };
-        let taken_by_quorum = self.log.membership().reached_by_quorum(taken).flatten();
-        let until = taken_by_quorum.map_or(Time::ZERO, |sent| sent + LEADER_LEASE);
+        let acked_by_quorum = self
+            .log
+            .membership()
+            .reached_by_quorum(acked_sent)
+            .flatten();
+        let until = acked_by_quorum.map_or(Time::ZERO, |sent| sent + LEADER_LEASE);
         until.max(leader.authority_until)
     }
 
@@ -101,11 +108,13 @@
         }
         let progress = leader.progress.get(&member)?;
         let known = progress.stamp?;
-        let until = leader.authority_until.min(progress.taken? + LEADER_LEASE);
+        let until = leader
+            .authority_until
+            .min(progress.acked_sent? + LEADER_LEASE);
         if until <= self.now {
             return None;
         }
-        let given = self.given.entry(member).or_insert(Time::ZERO);
+        let given = self.delegated_ends.entry(member).or_insert(Time::ZERO);
         *given = until.max(*given);
         Some(Delegation {
             stamp: known.stamp,
--- a/crates/ledgelead-replication/src/election.rs
+++ b/crates/ledgelead-replication/src/election.rs
@@ -21,81 +21,81 @@
 /// How long a replica leaves the field to another whose poll it granted; less
 /// than the other's time between polls, so that one that can't win does not
 /// keep the rest from standing.
-const POLL_YIELD: Span = Span::from_millis(10);
+const PRE_VOTE_YIELD: Span = Span::from_millis(10);
 
 /// Bound of the random delay before a refused poll is repeated.
-const POLL_AGAIN_JITTER: Span = Span::from_millis(5);
+const PRE_VOTE_RETRY_JITTER: Span = Span::from_millis(5);
 
 impl Replica {
     /// Whether this replica may become a candidate.
-    pub(crate) fn may_stand(&self) -> bool {
+    pub(crate) fn may_campaign(&self) -> bool {
         self.is_voter()
     }
 
     /// Asks the voters whether they would vote for this replica. No term
     /// changes, so a replica that was cut off disturbs nobody on its return.
-    pub(crate) fn start_poll(&mut self) {
+    pub(crate) fn start_pre_vote(&mut self) {
         if self.now < self.promise_until {
             self.election_at = self.promise_until;
             return;
         }
-        self.state = State::Polling {
+        self.state = State::PreCandidate {
             first: matches!(self.state, State::Follower),
             granted: BTreeSet::from([self.identity]),
         };
         self.leader = None;
-        self.wait_for_answers();
+        self.reset_election_timer();
         let request = self.vote_request(false);
-        self.ask_voters(Body::Poll(request));
-        self.stand_when_polled();
+        self.send_to_voters(Body::PreVote(request));
+        self.campaign_if_pre_vote_won();
     }
 
-    pub(crate) fn handle_poll(&mut self, from: Member, term: Term, request: VoteRequest) {
+    pub(crate) fn handle_pre_vote(&mut self, from: Member, term: Term, request: VoteRequest) {
         if !self.has_state {
             return;
         }
         let for_term = Term(term.0.saturating_add(1));
         let wait = self.promised_until().since(self.now);
-        let open = self.can_vote_in(for_term, from);
-        let covered = self.covers_log(&request);
-        let busy = self.leads_or_polls_before(from);
-        let granted = open && covered && !busy && wait == Span::ZERO;
+        let can_vote = self.can_vote_in(for_term, from);
+        let up_to_date = self.is_log_up_to_date(&request);
+        let busy = self.has_priority_over(from);
+        let granted = can_vote && up_to_date && !busy && wait == Span::ZERO;
         if granted {
-            self.yield_to_poll();
+            self.yield_to_pre_vote();
         }
-        let reply = PollReply {
+        let reply = PreVoteReply {
             for_term,
             granted,
             wait,
         };
-        self.send(from, Body::PollReply(reply));
+        self.send(from, Body::PreVoteReply(reply));
     }
 
     /// Whether a poll of `other` is refused for this replica's own sake. Of
     /// two replicas that poll at the same time the lower member goes first,
     /// or both would stand and split the votes. This holds for the first poll
     /// after a promise alone, as the lower one may be unable to win.
-    fn leads_or_polls_before(&self, other: Member) -> bool {
+    fn has_priority_over(&self, other: Member) -> bool {
         match &self.state {
             State::Leader(_) => true,
-            State::Polling { first, .. } => *first && self.identity < other,
+            State::PreCandidate { first, .. } => *first && self.identity < other,
             State::Follower | State::Candidate { .. } => false,
         }
     }
 
     /// Leaves the field to a replica that was told it would get this vote.
-    fn yield_to_poll(&mut self) {
-        if matches!(self.state, State::Polling { .. }) {
+    fn yield_to_pre_vote(&mut self) {
+        if matches!(self.state, State::PreCandidate { .. }) {
             self.state = State::Follower;
-            self.wait_for_answers();
+            self.reset_election_timer();
         }
-        self.election_at = self.election_at.max(self.now + POLL_YIELD);
+        self.election_at = self.election_at.max(self.now + PRE_VOTE_YIELD);
     }
 
-    pub(crate) fn handle_poll_reply(&mut self, from: Member, term: Term, reply: PollReply) {
+    pub(crate) fn handle_pre_vote_reply(&mut self, from: Member, term: Term, reply: PreVoteReply) {
         let for_term = Term(self.term.0.saturating_add(1));
         let is_voter = self.log.membership().is_voter(from);
-        let State::Polling { granted, .. } = &mut self.state else {
+        let State::PreCandidate { granted, .. } = &mut self.state else {
             return;
         };
         if term > self.term {
@@ -107,38 +107,38 @@
         }
         if reply.granted {
             granted.insert(from);
-            self.stand_when_polled();
+            self.campaign_if_pre_vote_won();
         } else if reply.wait > Span::ZERO {
-            self.poll_again_after(reply.wait);
+            self.retry_pre_vote_after(reply.wait);
         }
     }
 
-    fn poll_again_after(&mut self, wait: Span) {
+    fn retry_pre_vote_after(&mut self, wait: Span) {
         let wait = lengthened_for_drift(wait.min(LEADER_LEASE));
-        let again = self.now + wait + self.jitter(POLL_AGAIN_JITTER);
+        let again = self.now + wait + self.jitter(PRE_VOTE_RETRY_JITTER);
         self.election_at = self.election_at.min(again);
     }
 
-    fn stand_when_polled(&mut self) {
-        if let State::Polling { granted, .. } = &self.state
+    fn campaign_if_pre_vote_won(&mut self) {
+        if let State::PreCandidate { granted, .. } = &self.state
             && granted.len() >= self.log.membership().quorum()
         {
-            self.stand(false);
+            self.campaign(false);
         }
     }
 
     /// Moves to the next term and asks for its votes.
-    fn stand(&mut self, transfer: bool) {
+    fn campaign(&mut self, transfer: bool) {
         self.move_to_term(Term(self.term.0.saturating_add(1)));
         self.voted_for = Some(self.identity);
         self.state = State::Candidate {
             granted: BTreeSet::from([self.identity]),
             transfer,
         };
-        self.wait_for_answers();
+        self.reset_election_timer();
         let request = self.vote_request(transfer);
-        self.ask_voters(Body::Vote(request));
-        self.lead_when_elected();
+        self.send_to_voters(Body::Vote(request));
+        self.become_leader_if_elected();
     }
 
     pub(crate) fn handle_vote(&mut self, from: Member, term: Term, request: VoteRequest) {
@@ -149,13 +149,13 @@
         if term > self.term {
             self.become_follower(term, None);
         }
-        let following = matches!(self.state, State::Follower | State::Polling { .. });
-        let open = term == self.term && self.can_vote_in(term, from);
-        let granted = following && open && self.covers_log(&request);
+        let following = matches!(self.state, State::Follower | State::PreCandidate { .. });
+        let can_vote = term == self.term && self.can_vote_in(term, from);
+        let granted = following && can_vote && self.is_log_up_to_date(&request);
         if granted {
             self.voted_for = Some(from);
             self.state = State::Follower;
-            self.wait_for_answers();
+            self.reset_election_timer();
         }
         self.send(from, Body::VoteReply(VoteReply { granted }));
     }
@@ -171,11 +171,11 @@
         }
         if term == self.term && reply.granted && is_voter {
             granted.insert(from);
-            self.lead_when_elected();
+            self.become_leader_if_elected();
         }
     }
 
-    fn lead_when_elected(&mut self) {
+    fn become_leader_if_elected(&mut self) {
         if let State::Candidate { granted, transfer } = &self.state
             && granted.len() >= self.log.membership().quorum()
         {
@@ -185,10 +185,10 @@
     }
 
     /// The leader named this replica as its successor.
-    pub(crate) fn handle_transfer_now(&mut self, from: Member, term: Term) {
+    pub(crate) fn handle_timeout_now(&mut self, from: Member, term: Term) {
         let from_leader = term == self.term && self.leader == Some(from);
-        if from_leader && matches!(self.state, State::Follower) && self.may_stand() {
-            self.stand(true);
+        if from_leader && matches!(self.state, State::Follower) && self.may_campaign() {
+            self.campaign(true);
         }
     }
 
@@ -219,7 +219,7 @@
             self.former_authority_ends = self.now + lengthened_for_drift(LEADER_LEASE);
         }
         self.leader = Some(self.identity);
-        self.given.clear();
+        self.delegated_ends.clear();
         let last = self.log.last_revision();
         let others = self.log.membership().members();
         let progress = others
@@ -250,7 +250,7 @@
         }
     }
 
-    fn ask_voters(&mut self, request: Body) {
+    fn send_to_voters(&mut self, request: Body) {
         let voters = self.log.membership().voters.clone();
         for voter in &voters {
             if *voter != self.identity {
@@ -259,7 +259,7 @@
         }
     }
 
-    fn wait_for_answers(&mut self) {
+    fn reset_election_timer(&mut self) {
         let delay = self.jitter(ELECTION_JITTER);
         let after = self.now.max(self.promise_until);
         self.election_at = after + ELECTION_TIMEOUT + delay;
@@ -271,8 +271,8 @@
         term > self.term || (same_term && free)
     }
 
-    fn covers_log(&self, request: &VoteRequest) -> bool {
+    fn is_log_up_to_date(&self, request: &VoteRequest) -> bool {
         self.log
-            .is_covered_by(request.last_term, request.last_revision)
+            .is_up_to_date(request.last_term, request.last_revision)
     }
 }
--- a/crates/ledgelead-replication/src/following.rs
+++ b/crates/ledgelead-replication/src/following.rs
@@ -9,7 +9,7 @@
 
 impl Replica {
     pub(crate) fn handle_append(&mut self, from: Member, term: Term, append: Append) {
-        if !self.hear_leader(from, term, append.sent) {
+        if !self.accept_leader(from, term, append.sent) {
             return;
         }
         if let Some(delegation) = append.delegation {
@@ -25,7 +25,7 @@
     }
 
     pub(crate) fn handle_install(&mut self, from: Member, term: Term, install: Install) {
-        if !self.hear_leader(from, term, install.sent) {
+        if !self.accept_leader(from, term, install.sent) {
             return;
         }
         let sent = install.sent;
@@ -39,14 +39,14 @@
         }
         let revision = self.commit;
         let outcome = AppendOutcome::Matched(Matched { revision });
-        self.answer(from, sent, outcome);
+        self.send_append_reply(from, sent, outcome);
     }
 
     /// Takes the sender for the leader of its term, unless the term has
     /// passed, and renews the promise to it. Returns whether it leads.
-    fn hear_leader(&mut self, from: Member, term: Term, sent: Time) -> bool {
+    fn accept_leader(&mut self, from: Member, term: Term, sent: Time) -> bool {
         if term < self.term {
-            self.answer(from, sent, AppendOutcome::TermPassed);
+            self.send_append_reply(from, sent, AppendOutcome::StaleTerm);
             return false;
         }
         let leads_itself = matches!(self.state, State::Leader(_)) && term == self.term;
@@ -75,7 +75,7 @@
         self.delegated_until = self.delegated_until.max(until);
     }
 
-    fn answer(&mut self, leader: Member, sent: Time, outcome: AppendOutcome) {
+    fn send_append_reply(&mut self, leader: Member, sent: Time, outcome: AppendOutcome) {
         let stamp = self.now;
         let reply = AppendReply {
             sent,
@@ -152,7 +152,7 @@
         self.log = Log::new(snapshot, install.membership.clone());
         self.has_state = true;
         self.commit = install.revision;
-        self.handed_out = install.revision;
+        self.delivered = install.revision;
         self.installed = Some(InstalledState {
             revision: install.revision,
             membership: install.membership,
--- a/crates/ledgelead-replication/src/leader_state.rs
+++ b/crates/ledgelead-replication/src/leader_state.rs
@@ -29,5 +29,5 @@
     /// When the attempt is given up.
     pub until: Time,
     /// Whether the successor was told.
-    pub told: bool,
+    pub notified: bool,
 }
--- a/crates/ledgelead-replication/src/leading.rs
+++ b/crates/ledgelead-replication/src/leading.rs
@@ -2,7 +2,7 @@
 
 use crate::leader_state::LeaderState;
 use crate::message::*;
-use crate::progress::Feed;
+use crate::progress::ProgressState;
 use crate::replica::{Replica, State};
 use ledgelead_types::protections::Protection;
 use ledgelead_types::timing::{HEARTBEAT_INTERVAL, LEADER_LEASE};
@@ -56,7 +56,7 @@
     }
 
     fn propose_payload(&mut self, now: Time, payload: Payload) -> Result<Revision, ProposeError> {
-        self.observe(now);
+        self.advance_clock(now);
         let State::Leader(leader) = &self.state else {
             let leader = self.leader;
             return Err(ProposeError::NotLeader { leader });
@@ -89,7 +89,7 @@
                 }
             }
         }
-        self.give_up_transfer();
+        self.abort_overdue_transfer();
     }
 
     /// When a leader that hears from no quorum leads no more.
@@ -108,27 +108,27 @@
             self.become_follower(term, None);
             return;
         }
-        let honest = reply.sent <= self.now && reply.sent >= leader.elected;
-        if term < self.term || !honest {
+        let plausible = reply.sent <= self.now && reply.sent >= leader.elected;
+        if term < self.term || !plausible {
             return;
         }
-        progress.answered(self.now, reply.sent, reply.stamp);
+        progress.record_reply(self.now, reply.sent, reply.stamp);
         let last = self.log.last_revision();
         match reply.outcome {
             AppendOutcome::Matched(matched) => {
                 let revision = matched.revision.min(last);
-                progress.agreed(revision);
+                progress.record_match(revision);
             }
             AppendOutcome::Mismatch(mismatch) => {
-                progress.disagreed(mismatch.previous, mismatch.hint.min(last));
+                progress.record_mismatch(mismatch.previous, mismatch.hint.min(last));
                 progress.retry_snapshot(self.now);
             }
-            AppendOutcome::NeedsSnapshot => progress.lacks_state(self.now),
-            AppendOutcome::TermPassed => {}
+            AppendOutcome::NeedsSnapshot => progress.require_snapshot(self.now),
+            AppendOutcome::StaleTerm => {}
         }
         self.renew_authority();
         self.advance_commit();
-        self.tell_successor();
+        self.notify_successor();
     }
 
     /// Commits what a majority of voters holds. Only an entry of the leader's
@@ -179,22 +179,22 @@
         };
         let progress = leader.progress.get_mut(&member)?;
         let lacks_entries = progress.next <= last;
-        let lacks_commit = self.log.has_eager(progress.commit_sent, self.commit);
+        let lacks_commit = self.log.has_non_lazy(progress.commit_sent, self.commit);
         let due = progress.heartbeat_due;
-        match progress.feed {
-            Feed::Snapshot { .. } if due => Some(self.append_for(member, snapshot, 0)),
-            Feed::Snapshot { .. } => None,
+        match progress.state {
+            ProgressState::Snapshot { .. } if due => Some(self.append_for(member, snapshot, 0)),
+            ProgressState::Snapshot { .. } => None,
             _ if progress.next <= snapshot => Some(self.install_for(member)),
-            Feed::Probe { waiting } if waiting && !due => None,
-            Feed::Probe { waiting } => {
-                progress.feed = Feed::Probe { waiting: true };
+            ProgressState::Probe { waiting } if waiting && !due => None,
+            ProgressState::Probe { waiting } => {
+                progress.state = ProgressState::Probe { waiting: true };
                 let previous = Revision(progress.next.0 - 1);
                 // A member that leaves the first append unanswered may be
                 // gone for long: its heartbeats carry no entries.
                 let most = if waiting { 0 } else { MAX_APPEND_ENTRIES };
                 Some(self.append_for(member, previous, most))
             }
-            Feed::Replicate => {
+            ProgressState::Replicate => {
                 let sends_entries = lacks_entries && progress.has_room();
                 if !sends_entries && !lacks_commit && !due {
                     return None;
@@ -259,7 +259,7 @@
             && let Some(progress) = leader.progress.get_mut(&member)
         {
             let sent = self.now;
-            progress.feed = Feed::Snapshot { sent, revision };
+            progress.state = ProgressState::Snapshot { sent, revision };
             progress.heartbeat_due = false;
         }
         let snapshot = self.log.snapshot();
--- a/crates/ledgelead-replication/src/log.rs
+++ b/crates/ledgelead-replication/src/log.rs
@@ -113,7 +113,7 @@
 
     /// Whether an entry behind `after`, up to `last`, is one of whose commit
     /// the members should hear at once.
-    pub fn has_eager(&self, after: Revision, last: Revision) -> bool {
+    pub fn has_non_lazy(&self, after: Revision, last: Revision) -> bool {
         let first = after.max(self.snapshot.revision).0 + 1;
         (first..=last.0).any(|position| {
             let entry = self.entry(Revision(position));
@@ -123,7 +123,7 @@
 
     /// Whether a log that ends as given holds everything that this one may
     /// have committed.
-    pub fn is_covered_by(&self, last_term: Term, last_revision: Revision) -> bool {
+    pub fn is_up_to_date(&self, last_term: Term, last_revision: Revision) -> bool {
         (last_term, last_revision) >= (self.last_term(), self.last_revision())
     }
 
--- a/crates/ledgelead-replication/src/membership_change.rs
+++ b/crates/ledgelead-replication/src/membership_change.rs
@@ -3,7 +3,7 @@
 use crate::leader_state::Transfer;
 use crate::membership::{MembershipChange, MembershipError};
 use crate::message::{Body, Payload};
-use crate::progress::{Feed, Progress};
+use crate::progress::{Progress, ProgressState};
 use crate::replica::{Replica, State};
 use ledgelead_types::timing::LEADER_LEASE;
 use ledgelead_types::{Member, Revision, Time};
@@ -46,7 +46,7 @@
         now: Time,
         change: MembershipChange,
     ) -> Result<Revision, MembershipError> {
-        self.observe(now);
+        self.advance_clock(now);
         self.check_change(change)?;
         let membership = self.log.membership().after(change)?;
         let revision = self.append_own(Payload::Membership(membership));
@@ -57,7 +57,7 @@
             leader.progress.insert(member, Progress::new(last));
         }
         if let MembershipChange::Remove(member) = change {
-            self.dismiss(member);
+            self.drop_removed_member(member);
         }
         Ok(revision)
     }
@@ -91,11 +91,11 @@
         let Some(progress) = leader.progress.get(&member) else {
             return Err(MembershipError::NotMember);
         };
-        let heard = progress
+        let in_contact = progress
             .last_contact
-            .is_some_and(|heard| self.now.since(heard) <= LEADER_LEASE);
+            .is_some_and(|in_contact| self.now.since(in_contact) <= LEADER_LEASE);
         let near = progress.matched.0 + CAUGHT_UP_ENTRIES >= self.log.last_revision().0;
-        if heard && near && progress.feed == Feed::Replicate {
+        if in_contact && near && progress.state == ProgressState::Replicate {
             return Ok(());
         }
         Err(MembershipError::NotCaughtUp)
@@ -103,7 +103,7 @@
 
     /// Sends a removed member its removal, so that it stops standing for
     /// election, and forgets it.
-    fn dismiss(&mut self, member: Member) {
+    fn drop_removed_member(&mut self, member: Member) {
         self.send_appends();
         if let State::Leader(leader) = &mut self.state {
             leader.progress.remove(&member);
@@ -116,7 +116,7 @@
     /// proposals are refused meanwhile; the attempt is given up after
     /// [`LEADER_LEASE`].
     pub fn transfer_leadership(&mut self, now: Time, to: Member) -> Result<(), TransferError> {
-        self.observe(now);
+        self.advance_clock(now);
         let is_voter = self.log.membership().is_voter(to);
         let State::Leader(leader) = &mut self.state else {
             let leader = self.leader;
@@ -131,14 +131,14 @@
         leader.transfer = Some(Transfer {
             to,
             until: self.now + LEADER_LEASE,
-            told: false,
+            notified: false,
         });
-        self.tell_successor();
+        self.notify_successor();
         Ok(())
     }
 
     /// Tells the successor to stand once it holds the whole log.
-    pub(crate) fn tell_successor(&mut self) {
+    pub(crate) fn notify_successor(&mut self) {
         let last = self.log.last_revision();
         let State::Leader(leader) = &mut self.state else {
             return;
@@ -148,15 +148,15 @@
         };
         let progress = leader.progress.get(&transfer.to);
         let holds_log = progress.is_some_and(|progress| progress.matched == last);
-        if transfer.told || !holds_log {
+        if transfer.notified || !holds_log {
             return;
         }
-        transfer.told = true;
+        transfer.notified = true;
         let to = transfer.to;
-        self.send(to, Body::TransferNow);
+        self.send(to, Body::TimeoutNow);
     }
 
-    pub(crate) fn give_up_transfer(&mut self) {
+    pub(crate) fn abort_overdue_transfer(&mut self) {
         let now = self.now;
         if let State::Leader(leader) = &mut self.state {
             leader.transfer.take_if(|transfer| transfer.until <= now);
@@ -165,7 +165,7 @@
 
     /// A leader that removed itself leads until its removal is committed, then
     /// names the voter that holds most as successor.
-    pub(crate) fn leave_when_removed(&mut self) {
+    pub(crate) fn step_down_if_removed(&mut self) {
         let removed = !self.log.membership().is_voter(self.identity);
         let final_removal = self.log.membership_revision() <= self.commit;
         let State::Leader(leader) = &self.state else {
@@ -178,7 +178,7 @@
         let voters = &self.log.membership().voters;
         let successor = voters.iter().copied().max_by_key(|voter| matched(voter));
         if let Some(successor) = successor {
-            self.send(successor, Body::TransferNow);
+            self.send(successor, Body::TimeoutNow);
         }
         self.become_follower(self.term, None);
     }
--- a/crates/ledgelead-replication/src/message.rs
+++ b/crates/ledgelead-replication/src/message.rs
@@ -33,15 +33,15 @@
     /// Leader to member: a snapshot in place of entries that are gone.
     Install(Install),
     /// Asks whether a vote would be given (pre-vote); changes no term.
-    Poll(VoteRequest),
-    /// Answer to [`Body::Poll`].
-    PollReply(PollReply),
+    PreVote(VoteRequest),
+    /// Answer to [`Body::PreVote`].
+    PreVoteReply(PreVoteReply),
     /// Asks for the vote of the sender's term.
     Vote(VoteRequest),
     /// Answer to [`Body::Vote`].
     VoteReply(VoteReply),
     /// Leader to voter: stand for election now, without waiting for promises.
-    TransferNow,
+    TimeoutNow,
 }
 
 /// Replicates entries and renews the receiver's promise.
@@ -149,7 +149,7 @@
     /// The replica has no state to append to.
     NeedsSnapshot,
     /// The message's term has passed; the reply carries the present one.
-    TermPassed,
+    StaleTerm,
 }
 
 /// How far a log agrees with the leader's.
@@ -205,7 +205,7 @@
 
 /// Whether a vote would be given.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
-pub struct PollReply {
+pub struct PreVoteReply {
     /// The term that the poll was for.
     #[nserde(proxy = "Varint")]
     pub for_term: Term,
--- a/crates/ledgelead-replication/src/progress.rs
+++ b/crates/ledgelead-replication/src/progress.rs
@@ -12,7 +12,7 @@
 
 /// How the leader feeds a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Feed {
+pub(crate) enum ProgressState {
     /// The point of agreement is sought; one append at a time.
     Probe {
         /// Whether the append was sent and is unanswered.
@@ -37,7 +37,7 @@
     /// Next position to send.
     pub next: Revision,
     /// How entries are sent.
-    pub feed: Feed,
+    pub state: ProgressState,
     /// Last positions of unanswered appends with entries.
     pub inflight: VecDeque<Revision>,
     /// Commit position last sent.
@@ -47,7 +47,7 @@
     /// When the member was last sent an append; each stands for a heartbeat.
     pub append_sent: Time,
     /// Send time of the latest message that the member has taken.
-    pub taken: Option<Time>,
+    pub acked_sent: Option<Time>,
     /// When the member last answered.
     pub last_contact: Option<Time>,
     /// The member's latest stamp, with the time of its receipt.
@@ -69,21 +69,21 @@
         Progress {
             matched: Revision(0),
             next: Revision(last_revision.0 + 1),
-            feed: Feed::Probe { waiting: false },
+            state: ProgressState::Probe { waiting: false },
             inflight: VecDeque::new(),
             commit_sent: Revision(0),
             heartbeat_due: true,
             append_sent: Time::ZERO,
-            taken: None,
+            acked_sent: None,
             last_contact: None,
             stamp: None,
         }
     }
 
     /// Notes an answer: the promise that it stands for and its stamp.
-    pub fn answered(&mut self, now: Time, sent: Time, stamp: Time) {
+    pub fn record_reply(&mut self, now: Time, sent: Time, stamp: Time) {
         self.last_contact = Some(now);
-        self.taken = self.taken.max(Some(sent));
+        self.acked_sent = self.acked_sent.max(Some(sent));
         let newer = self.stamp.is_none_or(|known| known.stamp < stamp);
         if newer {
             self.stamp = Some(ReceivedStamp {
@@ -94,18 +94,18 @@
     }
 
     /// The member agrees up to `revision`.
-    pub fn agreed(&mut self, revision: Revision) {
+    pub fn record_match(&mut self, revision: Revision) {
         self.matched = self.matched.max(revision);
         while self.inflight.front().is_some_and(|last| *last <= revision) {
             self.inflight.pop_front();
         }
-        let sought = match self.feed {
-            Feed::Probe { .. } => true,
-            Feed::Snapshot { revision, .. } => self.matched >= revision,
-            Feed::Replicate => false,
+        let found = match self.state {
+            ProgressState::Probe { .. } => true,
+            ProgressState::Snapshot { revision, .. } => self.matched >= revision,
+            ProgressState::Replicate => false,
         };
-        if sought {
-            self.feed = Feed::Replicate;
+        if found {
+            self.state = ProgressState::Replicate;
             self.inflight.clear();
             self.next = Revision(self.matched.0 + 1);
         }
@@ -113,18 +113,18 @@
     }
 
     /// The member lacks the entry at `previous` and may agree up to `hint`.
-    pub fn disagreed(&mut self, previous: Revision, hint: Revision) {
-        let stale = match self.feed {
-            Feed::Probe { .. } => previous.0 + 1 != self.next.0,
-            Feed::Replicate => previous <= self.matched,
-            Feed::Snapshot { .. } => true,
+    pub fn record_mismatch(&mut self, previous: Revision, hint: Revision) {
+        let stale = match self.state {
+            ProgressState::Probe { .. } => previous.0 + 1 != self.next.0,
+            ProgressState::Replicate => previous <= self.matched,
+            ProgressState::Snapshot { .. } => true,
         };
         if stale {
             return;
         }
         let agreed = previous.0.saturating_sub(1).min(hint.0);
         self.next = Revision(agreed.max(self.matched.0) + 1);
-        self.feed = Feed::Probe { waiting: false };
+        self.state = ProgressState::Probe { waiting: false };
         self.inflight.clear();
     }
 
@@ -133,7 +133,7 @@
         self.heartbeat_due = false;
         self.append_sent = now;
         self.commit_sent = commit;
-        if self.feed == Feed::Replicate && count > 0 {
+        if self.state == ProgressState::Replicate && count > 0 {
             let last = Revision(previous.0 + count as u64);
             self.inflight.push_back(last);
             self.next = Revision(last.0 + 1);
@@ -142,25 +142,25 @@
 
     /// The member has no state: it is sent a snapshot, again when the one
     /// before is overdue.
-    pub fn lacks_state(&mut self, now: Time) {
-        match self.feed {
-            Feed::Snapshot { .. } => self.retry_snapshot(now),
-            _ => self.start_over(),
+    pub fn require_snapshot(&mut self, now: Time) {
+        match self.state {
+            ProgressState::Snapshot { .. } => self.retry_snapshot(now),
+            _ => self.restart_from_snapshot(),
         }
     }
 
     /// Sends the snapshot again when it is overdue.
     pub fn retry_snapshot(&mut self, now: Time) {
-        if let Feed::Snapshot { sent, .. } = self.feed
+        if let ProgressState::Snapshot { sent, .. } = self.state
             && now.since(sent) >= SNAPSHOT_RETRY
         {
-            self.start_over();
+            self.restart_from_snapshot();
         }
     }
 
-    fn start_over(&mut self) {
+    fn restart_from_snapshot(&mut self) {
         self.next = Revision(0);
-        self.feed = Feed::Probe { waiting: false };
+        self.state = ProgressState::Probe { waiting: false };
         self.inflight.clear();
     }
 
--- a/crates/ledgelead-replication/src/ready.rs
+++ b/crates/ledgelead-replication/src/ready.rs
@@ -87,7 +87,7 @@
     /// between two calls share one message.
     pub fn take_ready(&mut self) -> Ready {
         self.send_appends();
-        self.leave_when_removed();
+        self.step_down_if_removed();
         Ready {
             messages: std::mem::take(&mut self.messages),
             install: self.installed.take(),
@@ -98,13 +98,13 @@
 
     fn take_committed(&mut self) -> Vec<CommittedEntry> {
         let mut committed = Vec::new();
-        while self.handed_out < self.commit {
-            let revision = Revision(self.handed_out.0 + 1);
+        while self.delivered < self.commit {
+            let revision = Revision(self.delivered.0 + 1);
             let Some(entry) = self.log.entry(revision) else {
                 break;
             };
             committed.push(CommittedEntry::new(revision, entry));
-            self.handed_out = revision;
+            self.delivered = revision;
         }
         committed
     }
--- a/crates/ledgelead-replication/src/replica.rs
+++ b/crates/ledgelead-replication/src/replica.rs
@@ -41,7 +41,7 @@
     /// Follows, or learns.
     Follower,
     /// Asks whether it would be voted for (pre-vote).
-    Polling {
+    PreCandidate {
         /// Whether it is the first poll since it followed somebody.
         first: bool,
         /// Voters that would, itself included.
@@ -78,7 +78,7 @@
     pub(crate) log: Log,
     pub(crate) commit: Revision,
     /// Last position given to the caller.
-    pub(crate) handed_out: Revision,
+    pub(crate) delivered: Revision,
     /// Until when it votes for nobody but the leader that it heard last. It
     /// only grows, whatever term the replica moves to: the authority that
     /// rests on it does not end earlier.
@@ -88,7 +88,7 @@
     /// End of the authority delegated to this follower in this term.
     pub(crate) delegated_until: Time,
     /// End of the authority that this leader gave to each follower.
-    pub(crate) given: BTreeMap<Member, Time>,
+    pub(crate) delegated_ends: BTreeMap<Member, Time>,
     pub(crate) former_authority_ends: Time,
     pub(crate) messages: Vec<(Member, ReplicationMessage)>,
     pub(crate) installed: Option<InstalledState>,
@@ -124,11 +124,11 @@
             has_state,
             log: Log::new(snapshot, membership),
             commit: Revision(0),
-            handed_out: Revision(0),
+            delivered: Revision(0),
             promise_until: now,
             election_at: now,
             delegated_until: Time::ZERO,
-            given: BTreeMap::new(),
+            delegated_ends: BTreeMap::new(),
             former_authority_ends: Time::ZERO,
             messages: Vec::new(),
             installed: None,
@@ -141,8 +141,8 @@
 
     /// Takes a message of another replica.
     pub fn step(&mut self, now: Time, from: Member, message: ReplicationMessage) {
-        self.observe(now);
-        let from = self.known_identity(from);
+        self.advance_clock(now);
+        let from = self.sender_identity(from);
         let for_other_run = message.to != self.identity.incarnation;
         if for_other_run && self.protections.has(Protection::IncarnationCheck) {
             return;
@@ -155,20 +155,20 @@
             Body::Append(append) => self.handle_append(from, term, append),
             Body::Install(install) => self.handle_install(from, term, install),
             Body::AppendReply(reply) => self.handle_append_reply(from, term, reply),
-            Body::Poll(request) => self.handle_poll(from, term, request),
-            Body::PollReply(reply) => self.handle_poll_reply(from, term, reply),
+            Body::PreVote(request) => self.handle_pre_vote(from, term, request),
+            Body::PreVoteReply(reply) => self.handle_pre_vote_reply(from, term, reply),
             Body::Vote(request) => self.handle_vote(from, term, request),
             Body::VoteReply(reply) => self.handle_vote_reply(from, term, reply),
-            Body::TransferNow => self.handle_transfer_now(from, term),
+            Body::TimeoutNow => self.handle_timeout_now(from, term),
         }
     }
 
     /// Does what is due. Call it at [`Replica::next_wakeup`] or later.
     pub fn tick(&mut self, now: Time) {
-        self.observe(now);
+        self.advance_clock(now);
         match &self.state {
             State::Leader(_) => self.tick_leader(),
-            _ if now >= self.election_at && self.may_stand() => self.start_poll(),
+            _ if now >= self.election_at && self.may_campaign() => self.start_pre_vote(),
             _ => {}
         }
     }
@@ -184,7 +184,7 @@
                     .min(self.leadership_ends(leader))
                     .min(transfer_until)
             }
-            _ if self.may_stand() => self.election_at,
+            _ if self.may_campaign() => self.election_at,
             _ => NEVER,
         }
     }
@@ -193,7 +193,7 @@
     /// state as of it. Members that lack an entry that is gone are sent the
     /// state. A position that wasn't handed out yet is ignored.
     pub fn compact(&mut self, revision: Revision, state: Vec<u8>) {
-        let applied = revision <= self.handed_out;
+        let applied = revision <= self.delivered;
         if applied && revision > self.log.snapshot().revision {
             self.log.compact(revision, state);
         }
@@ -201,7 +201,7 @@
 
     /// Notes the time, and that a leader which was silent for too long, as
     /// after a pause of its process, leads no more.
-    pub(crate) fn observe(&mut self, now: Time) {
+    pub(crate) fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
         let State::Leader(leader) = &self.state else {
             return;
@@ -230,7 +230,7 @@
 
     /// The member that a sender is taken for: itself, unless the check of
     /// incarnations is switched off and only its node counts.
-    fn known_identity(&self, from: Member) -> Member {
+    fn sender_identity(&self, from: Member) -> Member {
         if self.protections.has(Protection::IncarnationCheck) {
             return from;
         }
--- a/crates/ledgelead-replication/src/status.rs
+++ b/crates/ledgelead-replication/src/status.rs
@@ -24,7 +24,7 @@
     pub fn role(&self) -> Role {
         match &self.state {
             State::Leader(_) => Role::Leader,
-            State::Polling { .. } | State::Candidate { .. } => Role::Candidate,
+            State::PreCandidate { .. } | State::Candidate { .. } => Role::Candidate,
             State::Follower if self.is_voter() => Role::Follower,
             State::Follower => Role::Learner,
         }
--- a/crates/ledgelead-replication/tests/replication/elections.rs
+++ b/crates/ledgelead-replication/tests/replication/elections.rs
@@ -256,7 +256,7 @@
             one.authority(now).map(|held| held.until.since(now))
         });
         let given = simulation.on(leader, |one, now| {
-            one.authority_given(member(node.0, 1)).since(now)
+            one.delegated_authority_until(member(node.0, 1)).since(now)
         });
         expect_that!(held, some(le(given)));
         expect_that!(given, le(LEADER_LEASE));
--- a/crates/ledgelead-replication/tests/replication/single.rs
+++ b/crates/ledgelead-replication/tests/replication/single.rs
@@ -224,12 +224,12 @@
     replica.step(START, member(2, 1), append(1, (0, 0), 0));
     let now = START + lengthened_for_drift(LEADER_LEASE) + ELECTION_JITTER;
     replica.tick(now);
-    let poll = PollReply {
+    let poll = PreVoteReply {
         for_term: Term(2),
         granted: true,
         wait: Span::ZERO,
     };
-    replica.step(now, member(3, 1), message(1, Body::PollReply(poll)));
+    replica.step(now, member(3, 1), message(1, Body::PreVoteReply(poll)));
     let granted = Body::VoteReply(VoteReply { granted: true });
     replica.step(now, member(3, 1), message(2, granted));
     assert_that!(replica.role(), eq(Role::Leader));
@@ -273,8 +273,8 @@
     }
     let ends = elected + LEADER_LEASE;
     expect_that!(latest_given, all!(gt(elected), le(ends)));
-    expect_that!(replica.authority_given(member(2, 1)), eq(ends));
-    expect_that!(replica.authority_given(member(3, 1)), gt(ends));
+    expect_that!(replica.delegated_authority_until(member(2, 1)), eq(ends));
+    expect_that!(replica.delegated_authority_until(member(3, 1)), gt(ends));
 }
 
 /// A new leader does not commit an older term's entry by counting its copies
