--- a/crates/ledgelead-core/src/groups.rs
+++ b/crates/ledgelead-core/src/groups.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 
 /// Multiplier that spreads one random seed over the groups.
-const SEED_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// Replicas of groups on this node, and the records of all groups.
 pub(crate) struct HostedGroups {
@@ -60,7 +60,7 @@
     }
 
     /// Takes in a group's record; starts a replica when it names this run.
-    pub(crate) fn take_record(&mut self, now: Time, record: GroupRecord) {
+    pub(crate) fn apply_record(&mut self, now: Time, record: GroupRecord) {
         let known = self.records.get(&record.group).map(|record| record.epoch);
         if known.is_some_and(|epoch| epoch > record.epoch) {
             return;
@@ -104,7 +104,7 @@
         let settings = GroupReplicaSettings {
             identity: self.identity,
             record: record.clone(),
-            random_seed: self.random_seed ^ (part_of_seed + 1).wrapping_mul(SEED_SPREAD),
+            random_seed: self.random_seed ^ (part_of_seed + 1).wrapping_mul(SEED_MULTIPLIER),
             protections: self.protections,
             assigner: self.assigner,
         };
@@ -122,13 +122,13 @@
     ///
     /// The record of a new service may arrive before the configuration that
     /// creates it: a group of a service that was not given out yet is kept.
-    pub(crate) fn take_configuration(&mut self, now: Time, configuration: Arc<Configuration>) {
-        let called_for: BTreeSet<GroupId> = configuration.groups().collect();
-        let stays = |group: &GroupId| {
-            called_for.contains(group) || group.service > configuration.highest_service
+    pub(crate) fn apply_configuration(&mut self, now: Time, configuration: Arc<Configuration>) {
+        let configured: BTreeSet<GroupId> = configuration.groups().collect();
+        let is_kept = |group: &GroupId| {
+            configured.contains(group) || group.service > configuration.highest_service
         };
-        self.replicas.retain(|group, _| stays(group));
-        self.records.retain(|group, _| stays(group));
+        self.replicas.retain(|group, _| is_kept(group));
+        self.records.retain(|group, _| is_kept(group));
         self.configuration = configuration;
         for replica in self.replicas.values_mut() {
             replica.step(now, GroupInput::Configuration(self.configuration.clone()));
@@ -136,7 +136,7 @@
     }
 
     /// Tells the replicas which nodes are live.
-    pub(crate) fn take_live_nodes(&mut self, now: Time, live: Vec<LiveNode>) {
+    pub(crate) fn set_live_nodes(&mut self, now: Time, live: Vec<LiveNode>) {
         self.live = live;
         for replica in self.replicas.values_mut() {
             replica.step(now, GroupInput::LiveNodes(self.live.clone()));
--- a/crates/ledgelead-core/src/groups_tests.rs
+++ b/crates/ledgelead-core/src/groups_tests.rs
@@ -50,8 +50,8 @@
         Protections::default(),
         AssignerChoice::Planner,
     );
-    groups.take_configuration(NOW, configuration(&[1], 1));
-    groups.take_record(NOW, record(1));
+    groups.apply_configuration(NOW, configuration(&[1], 1));
+    groups.apply_record(NOW, record(1));
     assert_that!(groups.replica(GROUP).is_some(), eq(true));
     groups
 }
@@ -59,13 +59,13 @@
 #[gtest]
 fn a_group_that_comes_back_in_its_epoch_gets_no_second_replica() {
     let mut groups = hosting();
-    groups.take_configuration(NOW, configuration(&[], 1));
+    groups.apply_configuration(NOW, configuration(&[], 1));
     expect_that!(groups.replica(GROUP).is_none(), eq(true));
-    groups.take_configuration(NOW, configuration(&[1], 1));
-    groups.take_record(NOW, record(1));
+    groups.apply_configuration(NOW, configuration(&[1], 1));
+    groups.apply_record(NOW, record(1));
     expect_that!(groups.replica(GROUP).is_none(), eq(true));
     expect_that!(groups.replica_for_message(NOW, GROUP).is_none(), eq(true));
-    groups.take_record(NOW, record(2));
+    groups.apply_record(NOW, record(2));
     expect_that!(groups.replica(GROUP).is_some(), eq(true));
 }
 
@@ -74,7 +74,7 @@
     let mut groups = hosting();
     groups.supersede(GROUP, Epoch(2));
     expect_that!(groups.replica_for_message(NOW, GROUP).is_none(), eq(true));
-    groups.take_record(NOW, record(1));
+    groups.apply_record(NOW, record(1));
     expect_that!(groups.replica(GROUP).is_none(), eq(true));
 }
 
@@ -90,10 +90,10 @@
         snapshot: Bytes(vec![1, 2, 3]),
         ..record(1)
     };
-    groups.take_record(NOW, unreadable);
-    groups.take_record(NOW, record(1));
+    groups.apply_record(NOW, unreadable);
+    groups.apply_record(NOW, record(1));
     expect_that!(groups.replica_for_message(NOW, GROUP).is_none(), eq(true));
-    groups.take_record(NOW, record(2));
+    groups.apply_record(NOW, record(2));
     expect_that!(groups.replica(GROUP).is_some(), eq(true));
 }
 
@@ -107,8 +107,8 @@
         Protections::default(),
         AssignerChoice::Planner,
     );
-    groups.take_record(NOW, record(1));
-    groups.take_configuration(NOW, configuration(&[], 0));
-    groups.take_configuration(NOW, configuration(&[1], 1));
+    groups.apply_record(NOW, record(1));
+    groups.apply_configuration(NOW, configuration(&[], 0));
+    groups.apply_configuration(NOW, configuration(&[1], 1));
     expect_that!(groups.replica(GROUP).is_some(), eq(true));
 }
--- a/crates/ledgelead-core/src/inquiries.rs
+++ b/crates/ledgelead-core/src/inquiries.rs
@@ -18,7 +18,7 @@
 struct OpenInquiry {
     ticket: TicketId,
     expires: Time,
-    silent: BTreeSet<NodeId>,
+    unanswered: BTreeSet<NodeId>,
     answers: Vec<LoadView>,
 }
 
@@ -28,7 +28,7 @@
     /// The operator's ticket.
     pub(crate) ticket: TicketId,
     /// Nodes that did not answer.
-    pub(crate) silent: BTreeSet<NodeId>,
+    pub(crate) unanswered: BTreeSet<NodeId>,
     /// What the others told.
     pub(crate) answers: Vec<LoadView>,
 }
@@ -47,7 +47,7 @@
         let inquiry = OpenInquiry {
             ticket,
             expires: now + ANSWER_WAIT,
-            silent: asked,
+            unanswered: asked,
             answers: Vec::new(),
         };
         self.open.insert(self.next, inquiry);
@@ -55,11 +55,11 @@
     }
 
     /// Takes in an answer; one that comes twice counts once.
-    pub(crate) fn take_answer(&mut self, inquiry: u64, from: NodeId, loads: LoadView) {
+    pub(crate) fn record_answer(&mut self, inquiry: u64, from: NodeId, loads: LoadView) {
         let Some(inquiry) = self.open.get_mut(&inquiry) else {
             return;
         };
-        if inquiry.silent.remove(&from) {
+        if inquiry.unanswered.remove(&from) {
             inquiry.answers.push(loads);
         }
     }
@@ -69,7 +69,7 @@
         let ended: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, inquiry)| inquiry.silent.is_empty() || inquiry.expires <= now)
+            .filter(|(_, inquiry)| inquiry.unanswered.is_empty() || inquiry.expires <= now)
             .map(|(number, _)| *number)
             .collect();
         ended
@@ -77,7 +77,7 @@
             .filter_map(|number| self.open.remove(&number))
             .map(|inquiry| EndedInquiry {
                 ticket: inquiry.ticket,
-                silent: inquiry.silent,
+                unanswered: inquiry.unanswered,
                 answers: inquiry.answers,
             })
             .collect()
--- a/crates/ledgelead-core/src/node_core.rs
+++ b/crates/ledgelead-core/src/node_core.rs
@@ -5,7 +5,7 @@
 use crate::inquiries::OpenInquiries;
 use crate::io::{CallId, Input, NodeSettings, Output, TicketId};
 use crate::message::PeerMessage;
-use crate::operations::{Asker, OpenOperations};
+use crate::operations::{OpenOperations, Requester};
 use crate::shutdown::Shutdown;
 use ledgelead_configuration::{
     ConfigurationKeeper, FormerInput, FormerSettings, GroupFormer, KeeperInput, KeeperSettings,
@@ -126,13 +126,13 @@
     /// Takes in what happened at `now`.
     pub fn step(&mut self, now: Time, input: Input) {
         match input {
-            Input::Peer { from, message } => self.take_message(now, from, message),
+            Input::Peer { from, message } => self.handle_message(now, from, message),
             Input::ServerReplied {
                 call,
                 server,
                 reply,
-            } => self.take_renewal_reply(now, call, server, reply),
-            Input::PlatformReplied { call, reply } => self.take_platform_reply(now, call, reply),
+            } => self.handle_renewal_reply(now, call, server, reply),
+            Input::PlatformReplied { call, reply } => self.handle_platform_reply(now, call, reply),
             Input::RequestArrived(arrival) => {
                 self.gateway.step(now, GatewayInput::Arrived(arrival));
             }
@@ -151,7 +151,7 @@
             Input::CallerDisconnected(request) => {
                 self.gateway.step(now, GatewayInput::CallerLeft(request));
             }
-            Input::Command { ticket, command } => self.take_command(now, ticket, command),
+            Input::Command { ticket, command } => self.handle_command(now, ticket, command),
             Input::Inquire(ticket) => self.inquire(now, ticket),
             Input::Stop => self.begin_shutdown(now),
         }
@@ -171,8 +171,8 @@
         self.dispatcher.tick(now);
         self.report_slice_loads(now);
         self.finish_inquiries(now);
-        for (asker, result) in self.operations.expire(now) {
-            self.answer_operation(asker, result);
+        for (requester, result) in self.operations.expire(now) {
+            self.answer_operation(requester, result);
         }
         self.pump(now);
     }
@@ -220,7 +220,7 @@
         self.routes.get(&group).map(|routes| routes.version)
     }
 
-    fn take_message(&mut self, now: Time, from: NodeId, message: PeerMessage) {
+    fn handle_message(&mut self, now: Time, from: NodeId, message: PeerMessage) {
         match message {
             PeerMessage::Membership(message) => self
                 .membership
@@ -265,26 +265,26 @@
                 group,
                 operation,
             } => {
-                let asker = Asker::Node { node: from, ticket };
-                self.operate(now, asker, command, group, operation);
+                let requester = Requester::Node { node: from, ticket };
+                self.operate(now, requester, command, group, operation);
             }
             PeerMessage::Inquire { inquiry } => {
                 let loads = self.load_view(now);
                 self.send(from, PeerMessage::Inquired { inquiry, loads });
             }
             PeerMessage::Inquired { inquiry, loads } => {
-                self.inquiries.take_answer(inquiry, from, loads);
+                self.inquiries.record_answer(inquiry, from, loads);
                 self.finish_inquiries(now);
             }
             PeerMessage::Operated { ticket, result } => {
-                if let Some(asker) = self.operations.close(ticket) {
-                    self.answer_operation(asker, result);
+                if let Some(requester) = self.operations.close(ticket) {
+                    self.answer_operation(requester, result);
                 }
             }
         }
     }
 
-    fn take_renewal_reply(
+    fn handle_renewal_reply(
         &mut self,
         now: Time,
         call: CallId,
@@ -307,7 +307,7 @@
         self.groups.step(now, group, input);
     }
 
-    fn take_platform_reply(
+    fn handle_platform_reply(
         &mut self,
         now: Time,
         call: CallId,
@@ -324,7 +324,7 @@
         }
     }
 
-    fn take_command(&mut self, now: Time, ticket: TicketId, command: AdministrationCommand) {
+    fn handle_command(&mut self, now: Time, ticket: TicketId, command: AdministrationCommand) {
         match command.action {
             AdministrationAction::Configure(_) => self.keeper.step(
                 now,
@@ -334,8 +334,8 @@
                 },
             ),
             AdministrationAction::Operate { group, operation } => {
-                let asker = Asker::Operator(ticket);
-                self.operate(now, asker, command.id, group, operation);
+                let requester = Requester::Operator(ticket);
+                self.operate(now, requester, command.id, group, operation);
             }
         }
     }
@@ -345,12 +345,12 @@
     fn operate(
         &mut self,
         now: Time,
-        asker: Asker,
+        requester: Requester,
         command: Text,
         group: GroupId,
         operation: GroupOperation,
     ) {
-        let ticket = self.operations.open(now, asker);
+        let ticket = self.operations.open(now, requester);
         let input = GroupInput::Operate {
             ticket,
             command_id: command.clone(),
@@ -359,9 +359,9 @@
         if self.groups.step(now, group, input) {
             return;
         }
-        let replica = match asker {
-            Asker::Operator(_) => self.replica_of(group),
-            Asker::Node { .. } => None,
+        let replica = match requester {
+            Requester::Operator(_) => self.replica_of(group),
+            Requester::Node { .. } => None,
         };
         match replica {
             Some(node) => self.send(
@@ -376,7 +376,7 @@
             None => {
                 self.operations.close(ticket);
                 let result = CommandResult::Rejected(CommandRejection::NoLeader);
-                self.answer_operation(asker, result);
+                self.answer_operation(requester, result);
             }
         }
     }
@@ -391,13 +391,13 @@
         })
     }
 
-    pub(crate) fn answer_operation(&mut self, asker: Asker, result: CommandResult) {
-        match asker {
-            Asker::Operator(ticket) => {
+    pub(crate) fn answer_operation(&mut self, requester: Requester, result: CommandResult) {
+        match requester {
+            Requester::Operator(ticket) => {
                 self.outputs
                     .push(Output::CommandFinished { ticket, result });
             }
-            Asker::Node { node, ticket } => {
+            Requester::Node { node, ticket } => {
                 self.send(node, PeerMessage::Operated { ticket, result });
             }
         }
--- a/crates/ledgelead-core/src/operations.rs
+++ b/crates/ledgelead-core/src/operations.rs
@@ -12,7 +12,7 @@
 
 /// Where an operation's answer goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     /// An operator at this node.
     Operator(TicketId),
     /// Another node, which passed an operator's command on.
@@ -27,7 +27,7 @@
 /// An operation that waits for its answer.
 #[derive(Clone, Copy, Debug)]
 struct OpenOperation {
-    asker: Asker,
+    requester: Requester,
     expires: Time,
 }
 
@@ -40,21 +40,23 @@
 
 impl OpenOperations {
     /// Opens an operation and gives it a ticket.
-    pub(crate) fn open(&mut self, now: Time, asker: Asker) -> u64 {
+    pub(crate) fn open(&mut self, now: Time, requester: Requester) -> u64 {
         self.next += 1;
         let expires = now + ANSWER_WAIT;
         self.open
-            .insert(self.next, OpenOperation { asker, expires });
+            .insert(self.next, OpenOperation { requester, expires });
         self.next
     }
 
     /// Ends an operation; `None` when it ended before.
-    pub(crate) fn close(&mut self, ticket: u64) -> Option<Asker> {
-        self.open.remove(&ticket).map(|operation| operation.asker)
+    pub(crate) fn close(&mut self, ticket: u64) -> Option<Requester> {
+        self.open
+            .remove(&ticket)
+            .map(|operation| operation.requester)
     }
 
     /// Ends the operations whose answer is overdue.
-    pub(crate) fn expire(&mut self, now: Time) -> Vec<(Asker, CommandResult)> {
+    pub(crate) fn expire(&mut self, now: Time) -> Vec<(Requester, CommandResult)> {
         let overdue: Vec<u64> = self
             .open
             .iter()
@@ -64,7 +66,7 @@
         overdue
             .into_iter()
             .filter_map(|ticket| self.close(ticket))
-            .map(|asker| (asker, CommandResult::Unknown))
+            .map(|requester| (requester, CommandResult::Unknown))
             .collect()
     }
 
--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -32,14 +32,14 @@
     /// Passes outputs on until no subsystem has any.
     pub(crate) fn pump(&mut self, now: Time) {
         for _ in 0..MAX_ROUNDS {
-            let passed_on = self.pump_membership(now)
+            let progressed = self.pump_membership(now)
                 | self.pump_dissemination(now)
                 | self.pump_keeper(now)
                 | self.pump_former(now)
                 | self.pump_groups(now)
                 | self.pump_gateway(now)
                 | self.pump_dispatcher(now);
-            if !passed_on {
+            if !progressed {
                 break;
             }
         }
@@ -115,12 +115,12 @@
             .step(now, DisseminationInput::Peers(others));
         self.keeper.step(now, KeeperInput::LiveNodes(live.clone()));
         self.former.step(now, FormerInput::LiveNodes(live.clone()));
-        self.groups.take_live_nodes(now, live);
-        self.tell_proven_dead(now);
+        self.groups.set_live_nodes(now, live);
+        self.report_proven_dead(now);
     }
 
     /// Tells the former which known replicas are dead for certain.
-    fn tell_proven_dead(&mut self, now: Time) {
+    fn report_proven_dead(&mut self, now: Time) {
         let by_records = self
             .groups
             .records()
@@ -154,7 +154,7 @@
                     self.send(to, PeerMessage::Dissemination(message));
                 }
                 DisseminationOutput::Updated { key, value, .. } => {
-                    self.take_item(now, key, &value.0);
+                    self.apply_item(now, key, &value.0);
                 }
             }
         }
@@ -163,27 +163,27 @@
 
     /// Puts a newer item in force. Bytes that don't decode come from a node
     /// of another version of the program; they are left alone.
-    fn take_item(&mut self, now: Time, key: ItemKey, value: &[u8]) {
+    fn apply_item(&mut self, now: Time, key: ItemKey, value: &[u8]) {
         match key {
             ItemKey::Configuration => {
                 if let Ok(configuration) = decode::<Configuration>(value) {
-                    self.take_configuration(now, configuration);
+                    self.apply_configuration(now, configuration);
                 }
             }
             ItemKey::GroupRecord(_) => {
                 if let Ok(record) = decode::<GroupRecord>(value) {
-                    self.take_record(now, record);
+                    self.apply_record(now, record);
                 }
             }
             ItemKey::Routes(_) => {
                 if let Ok(routes) = decode::<GroupRoutes>(value) {
-                    self.take_routes(now, routes);
+                    self.apply_routes(now, routes);
                 }
             }
         }
     }
 
-    fn take_configuration(&mut self, now: Time, configuration: Configuration) {
+    fn apply_configuration(&mut self, now: Time, configuration: Configuration) {
         let version = configuration.version;
         let configuration = Arc::new(configuration);
         self.configuration = configuration.clone();
@@ -200,7 +200,7 @@
             .step(now, KeeperInput::Held(configuration.clone()));
         self.former
             .step(now, FormerInput::Configuration(configuration.clone()));
-        self.groups.take_configuration(now, configuration.clone());
+        self.groups.apply_configuration(now, configuration.clone());
         self.gateway
             .step(now, GatewayInput::Configuration(configuration.clone()));
         self.dispatcher
@@ -211,7 +211,7 @@
             .push(Output::Record(Event::ConfigurationApplied { version }));
     }
 
-    fn take_record(&mut self, now: Time, record: GroupRecord) {
+    fn apply_record(&mut self, now: Time, record: GroupRecord) {
         self.former.step(
             now,
             FormerInput::KnownMembers {
@@ -220,11 +220,11 @@
                 members: record.members.0.clone(),
             },
         );
-        self.groups.take_record(now, record);
-        self.tell_proven_dead(now);
+        self.groups.apply_record(now, record);
+        self.report_proven_dead(now);
     }
 
-    fn take_routes(&mut self, now: Time, routes: GroupRoutes) {
+    fn apply_routes(&mut self, now: Time, routes: GroupRoutes) {
         let routes = Arc::new(routes);
         let before = self.routes.insert(routes.group, routes.clone());
         let has_same_members = before.is_some_and(|before| before.members == routes.members);
@@ -241,7 +241,7 @@
         // Asking goes through the members of all groups. Most routes change
         // owners only; news of the nodes themselves ask again by themselves.
         if !has_same_members {
-            self.tell_proven_dead(now);
+            self.report_proven_dead(now);
         }
     }
 
@@ -275,7 +275,7 @@
                 KeeperOutput::MachineList(machines) => {
                     self.membership
                         .step(now, MembershipInput::MachineList(machines));
-                    self.tell_proven_dead(now);
+                    self.report_proven_dead(now);
                 }
             }
         }
@@ -350,12 +350,12 @@
         }
         let any = !outputs.is_empty();
         for (group, output) in outputs {
-            self.take_group_output(now, group, output);
+            self.handle_group_output(now, group, output);
         }
         any
     }
 
-    fn take_group_output(&mut self, now: Time, group: GroupId, output: GroupOutput) {
+    fn handle_group_output(&mut self, now: Time, group: GroupId, output: GroupOutput) {
         match output {
             GroupOutput::Send { to, message } => {
                 let message = PeerMessage::Group {
@@ -389,8 +389,8 @@
                     .step(now, FormerInput::StoreSnapshot { record, revision });
             }
             GroupOutput::OperationFinished { ticket, result } => {
-                if let Some(asker) = self.operations.close(ticket) {
-                    self.answer_operation(asker, result);
+                if let Some(requester) = self.operations.close(ticket) {
+                    self.answer_operation(requester, result);
                 }
             }
             GroupOutput::IdempotencyDecided {
--- a/crates/ledgelead-core/src/shutdown.rs
+++ b/crates/ledgelead-core/src/shutdown.rs
@@ -15,7 +15,7 @@
     /// Waits for requests in flight and for its roles to be handed over.
     Leaving {
         /// When roles are given up without a successor.
-        gives_up: Time,
+        deadline: Time,
         /// Whether no request is in flight any more.
         drained: bool,
     },
@@ -30,7 +30,7 @@
             return false;
         }
         *self = Shutdown::Leaving {
-            gives_up: now + HANDOVER_WAIT,
+            deadline: now + HANDOVER_WAIT,
             drained: false,
         };
         true
@@ -50,10 +50,10 @@
 
     /// Whether the stop completes now; true exactly once.
     pub(crate) fn completes(&mut self, now: Time, holds_roles: bool) -> bool {
-        let Shutdown::Leaving { gives_up, drained } = *self else {
+        let Shutdown::Leaving { deadline, drained } = *self else {
             return false;
         };
-        let handed_over = !holds_roles || now >= gives_up;
+        let handed_over = !holds_roles || now >= deadline;
         if drained && handed_over {
             *self = Shutdown::Stopped;
             return true;
@@ -64,7 +64,7 @@
     /// When the stop has to be looked at again.
     pub(crate) fn next_wakeup(&self) -> Option<Time> {
         match self {
-            Shutdown::Leaving { gives_up, .. } => Some(*gives_up),
+            Shutdown::Leaving { deadline, .. } => Some(*deadline),
             Shutdown::Running | Shutdown::Stopped => None,
         }
     }
--- a/crates/ledgelead-core/src/view.rs
+++ b/crates/ledgelead-core/src/view.rs
@@ -124,7 +124,7 @@
                 }
             }
         }
-        view.silent_nodes = ended.silent.into_iter().collect();
+        view.silent_nodes = ended.unanswered.into_iter().collect();
         view
     }
 }
--- a/crates/ledgelead-ownership/src/dispatcher.rs
+++ b/crates/ledgelead-ownership/src/dispatcher.rs
@@ -14,7 +14,7 @@
 /// Interval of reports that carry load.
 const LOAD_REPORT_INTERVAL: Span = Span::from_seconds(1);
 /// News that the leader has not acted upon are sent again after this.
-const NEWS_INTERVAL: Span = Span::from_millis(80);
+const REPORT_RETRY_INTERVAL: Span = Span::from_millis(80);
 
 /// A point in time that is never reached.
 const NEVER: Time = Time(u64::MAX);
@@ -54,13 +54,13 @@
     slice_loads: BTreeMap<ServerId, Vec<SliceLoad>>,
     next_sequence: u64,
     next_load_report: Time,
-    next_news: Time,
+    next_retry: Time,
     report_due: bool,
     stopping: bool,
-    news_sent: BTreeMap<ServerId, NewsKey>,
+    reported: BTreeMap<ServerId, ReportedStatus>,
     schedule: Schedule,
     /// Sessions to visit whatever their time.
-    touched: BTreeSet<ServerId>,
+    pending: BTreeSet<ServerId>,
     /// The state has changed since the last visits.
     state_changed: bool,
     /// Whether there was authority to grant at the last visits.
@@ -70,23 +70,23 @@
     /// Sessions visited since the last report.
     unreported: BTreeSet<ServerId>,
     /// Sessions on whose state the leader has to act.
-    pressing: BTreeSet<ServerId>,
-    /// Sessions visited since the last [`Dispatcher::take_visited`].
-    visited: BTreeSet<ServerId>,
+    awaiting_leader: BTreeSet<ServerId>,
+    /// Sessions visited since the last [`Dispatcher::take_updated`].
+    updated: BTreeSet<ServerId>,
 }
 
 /// What came of visiting the sessions.
 #[derive(Debug, Default)]
-pub struct Visits {
+pub struct SessionUpdates {
     /// Servers just found silent beyond their lease.
-    pub silent: Vec<ServerId>,
+    pub unresponsive: Vec<ServerId>,
     /// Renewals to send.
     pub renewals: Vec<Renewal>,
 }
 
 /// What of a session's news must reach the leader at once when it changes.
 #[derive(Clone, Debug, PartialEq)]
-struct NewsKey {
+struct ReportedStatus {
     run: Option<u64>,
     answering: bool,
     lapsed_at: Option<Revision>,
@@ -113,18 +113,18 @@
             slice_loads: BTreeMap::new(),
             next_sequence: 0,
             next_load_report: now + LOAD_REPORT_INTERVAL,
-            next_news: now,
+            next_retry: now,
             report_due: false,
             stopping: false,
-            news_sent: BTreeMap::new(),
+            reported: BTreeMap::new(),
             schedule: Schedule::default(),
-            touched: BTreeSet::new(),
+            pending: BTreeSet::new(),
             state_changed: true,
             granting: false,
             ending: None,
             unreported: BTreeSet::new(),
-            pressing: BTreeSet::new(),
-            visited: BTreeSet::new(),
+            awaiting_leader: BTreeSet::new(),
+            updated: BTreeSet::new(),
         }
     }
 
@@ -135,7 +135,7 @@
             self.sessions.clear();
             self.schedule.clear();
             self.state_changed = true;
-            self.next_news = now;
+            self.next_retry = now;
         }
     }
 
@@ -146,36 +146,36 @@
 
     /// Takes servers into care and out of it as the state says, notes the
     /// time, and renews the leases that are due.
-    pub fn visit(&mut self, now: Time, context: &GrantContext) -> Visits {
+    pub fn update_sessions(&mut self, now: Time, context: &GrantContext) -> SessionUpdates {
         let authority = context.authority.filter(|held| now < held.until);
         let all = self.authority_changed(now, authority) || self.state_changed;
         if std::mem::take(&mut self.state_changed) {
-            self.follow_care(now, context.state);
+            self.sync_sessions(now, context.state);
         }
-        let mut due = std::mem::take(&mut self.touched);
+        let mut due = std::mem::take(&mut self.pending);
         if all {
             due.extend(self.sessions.keys());
         }
         due.extend(self.schedule.due(now));
-        let mut visits = Visits::default();
+        let mut updates = SessionUpdates::default();
         for id in due {
-            self.visit_one(now, id, context.state, authority, &mut visits);
+            self.update_session(now, id, context.state, authority, &mut updates);
         }
-        visits
+        updates
     }
 
-    fn follow_care(&mut self, now: Time, state: &GroupState) {
+    fn sync_sessions(&mut self, now: Time, state: &GroupState) {
         let before = self.sessions.len();
         let identity = self.identity;
         self.sessions
-            .retain(|server, _| in_care(state, *server, identity));
+            .retain(|server, _| is_assigned(state, *server, identity));
         if self.sessions.len() < before {
             // The leader counts the leases of a former dispatcher from the
             // report that follows the end of its care.
             self.report_due = true;
         }
         for id in state.servers.keys() {
-            if in_care(state, *id, identity) && !self.sessions.contains_key(id) {
+            if is_assigned(state, *id, identity) && !self.sessions.contains_key(id) {
                 let session = ServerSession::new(*id, self.partitioned, self.lease_wait, now);
                 self.sessions.insert(*id, session);
                 self.report_due = true;
@@ -195,13 +195,13 @@
         regained || newly_ending
     }
 
-    fn visit_one(
+    fn update_session(
         &mut self,
         now: Time,
         id: ServerId,
         state: &GroupState,
         authority: Option<GrantAuthority>,
-        visits: &mut Visits,
+        updates: &mut SessionUpdates,
     ) {
         let server = state.servers.get(&id);
         let (Some(session), Some(server)) = (self.sessions.get_mut(&id), server) else {
@@ -209,14 +209,14 @@
             return;
         };
         if session.advance(now, state, server) {
-            visits.silent.push(id);
+            updates.unresponsive.push(id);
         }
         if let Some(authority) = authority {
             let sequence = self.next_sequence;
             let renewal = session.renewal(now, sequence, state, server, self.group, authority);
             if let Some(renewal) = renewal {
                 self.next_sequence += 1;
-                visits.renewals.push(Renewal {
+                updates.renewals.push(Renewal {
                     server: id,
                     address: server.definition.address.clone(),
                     sequence,
@@ -230,7 +230,7 @@
         let authority = authority.map(|held| GrantAuthority { until, ..held });
         self.schedule.set(id, session.next_wakeup(authority));
         self.unreported.insert(id);
-        self.visited.insert(id);
+        self.updated.insert(id);
     }
 
     /// Takes in the end of a call to a server.
@@ -245,7 +245,7 @@
         let server = state.servers.get(&id);
         if let (Some(session), Some(server)) = (self.sessions.get_mut(&id), server) {
             session.replied(now, sequence, reply, state, server);
-            self.touched.insert(id);
+            self.pending.insert(id);
         }
     }
 
@@ -253,7 +253,7 @@
     pub fn evidence(&mut self, now: Time, server: ServerId, failures: u32) {
         if let Some(session) = self.sessions.get_mut(&server) {
             session.evidence(now, failures);
-            self.touched.insert(server);
+            self.pending.insert(server);
         }
     }
 
@@ -264,7 +264,7 @@
 
     /// A new leader has heard nothing yet.
     pub fn leader_changed(&mut self) {
-        self.news_sent.clear();
+        self.reported.clear();
         self.report_due = true;
     }
 
@@ -277,45 +277,45 @@
     /// The report to the leader, if one is due.
     pub fn report(&mut self, now: Time, state: &GroupState) -> Option<DispatcherReport> {
         let with_load = now >= self.next_load_report;
-        let repeat = now >= self.next_news;
+        let repeat = now >= self.next_retry;
         let mut servers = Vec::new();
         for id in &self.sessions_to_report(with_load, repeat) {
             let session = self.sessions.get(id);
             let (Some(session), Some(server)) = (session, state.servers.get(id)) else {
-                self.pressing.remove(id);
+                self.awaiting_leader.remove(id);
                 continue;
             };
             if session.needs_leader(state, server) {
-                self.pressing.insert(*id);
+                self.awaiting_leader.insert(*id);
             } else {
-                self.pressing.remove(id);
+                self.awaiting_leader.remove(id);
             }
-            let mut news = session.news(now);
+            let mut status = session.status(now);
             if !state.recovering {
                 // Only the rebuilding of a group asks for it, and the list is
                 // long.
-                news.held = List::default();
+                status.held = List::default();
             }
-            let key = NewsKey {
-                run: news.run,
-                answering: news.answering,
-                lapsed_at: news.lapsed_at,
-                released: news.released.len(),
-                leaving: news.leaving,
+            let key = ReportedStatus {
+                run: status.run,
+                answering: status.answering,
+                lapsed_at: status.lapsed_at,
+                released: status.released.len(),
+                leaving: status.leaving,
             };
-            let changed = self.news_sent.get(id) != Some(&key);
-            let pressing = self.pressing.contains(id) && (changed || repeat);
-            if !pressing && !with_load && !self.report_due {
+            let changed = self.reported.get(id) != Some(&key);
+            let awaiting_leader = self.awaiting_leader.contains(id) && (changed || repeat);
+            if !awaiting_leader && !with_load && !self.report_due {
                 continue;
             }
-            self.news_sent.insert(*id, key);
+            self.reported.insert(*id, key);
             let load = with_load.then(|| ServerLoad {
                 report: session.load(),
                 slices: self.slice_loads.get(id).cloned().unwrap_or_default().into(),
             });
             servers.push(ServerReport {
                 server: *id,
-                news,
+                status,
                 load,
             });
         }
@@ -325,7 +325,7 @@
         if with_load {
             self.next_load_report = now + LOAD_REPORT_INTERVAL;
         }
-        self.next_news = now + NEWS_INTERVAL;
+        self.next_retry = now + REPORT_RETRY_INTERVAL;
         self.report_due = false;
         Some(DispatcherReport {
             term: state.term,
@@ -341,7 +341,7 @@
         if with_load || self.report_due {
             sessions.extend(self.sessions.keys());
         } else if repeat {
-            sessions.extend(&self.pressing);
+            sessions.extend(&self.awaiting_leader);
         }
         sessions
     }
@@ -369,8 +369,8 @@
     }
 
     /// The servers visited since the last call.
-    pub fn take_visited(&mut self) -> BTreeSet<ServerId> {
-        std::mem::take(&mut self.visited)
+    pub fn take_updated(&mut self) -> BTreeSet<ServerId> {
+        std::mem::take(&mut self.updated)
     }
 
     /// When something is due next.
@@ -388,7 +388,7 @@
     }
 }
 
-fn in_care(state: &GroupState, server: ServerId, identity: Member) -> bool {
+fn is_assigned(state: &GroupState, server: ServerId, identity: Member) -> bool {
     state.servers.get(&server).is_some_and(|server: &Server| {
         server.dispatcher == Some(identity) && server.status != ServerStatus::Retired
     })
--- a/crates/ledgelead-ownership/src/group/applying.rs
+++ b/crates/ledgelead-ownership/src/group/applying.rs
@@ -40,10 +40,10 @@
         if self.state.term != term {
             self.dispatcher.leader_changed();
         }
-        if std::mem::take(&mut self.duties_outdated) {
+        if std::mem::take(&mut self.duties_stale) {
             self.dispatcher.state_changed();
             if let Some(leader) = &mut self.leader {
-                leader.follow(&self.state);
+                leader.observe_state(&self.state);
             }
         }
         for (to, message) in ready.messages {
@@ -55,7 +55,7 @@
 
     fn note_ownership_change(&mut self) {
         self.ownership_changed = true;
-        self.duties_outdated = true;
+        self.duties_stale = true;
     }
 
     fn change_role(&mut self, now: Time, role: Role) {
@@ -79,10 +79,10 @@
             lease_wait,
             self.assigner,
         ));
-        self.duties_outdated = true;
+        self.duties_stale = true;
         self.snapshots = Default::default();
         self.snapshots.members_changed(now);
-        self.next_turn = now;
+        self.next_reconcile = now;
         let epoch = self.state.epoch;
         self.event(Event::LeaderElected { group, epoch, term });
     }
@@ -116,7 +116,7 @@
         } else {
             self.note_ownership_change();
             self.snapshots.ownership_changed(now);
-            self.next_turn = now;
+            self.next_reconcile = now;
         }
         let decisions = self.state.apply(revision, term, &commands);
         let origins = self.requests.applied(revision);
@@ -126,13 +126,13 @@
             self.answer(now, answers);
         }
         for decision in decisions {
-            self.tell_decision(decision);
+            self.emit_decision_event(decision);
         }
     }
 
-    fn tell_decision(&mut self, decision: Decision) {
+    fn emit_decision_event(&mut self, decision: Decision) {
         let group = self.group;
-        self.note_unavailable(self.now, &decision);
+        self.track_unavailability(self.now, &decision);
         let event = match decision {
             Decision::Operated(_) | Decision::Idempotency { .. } => return,
             Decision::OwnerChanged {
@@ -158,7 +158,7 @@
         }
     }
 
-    fn note_unavailable(&mut self, now: Time, decision: &Decision) {
+    fn track_unavailability(&mut self, now: Time, decision: &Decision) {
         let Decision::OwnerChanged {
             range,
             from,
@@ -170,9 +170,9 @@
             return;
         };
         match (from, to) {
-            (Some(owner), None) if after_loss => self.unavailable.lost(range, owner),
+            (Some(owner), None) if after_loss => self.unavailable.record_loss(range, owner),
             (None, Some(_)) => {
-                let regained = self.unavailable.regained(now, range);
+                let regained = self.unavailable.record_regained(now, range);
                 if let Some(unavailable) = regained.filter(|_| self.leader.is_some()) {
                     let group = self.group;
                     self.event(Event::SliceRegained {
--- a/crates/ledgelead-ownership/src/group/leading.rs
+++ b/crates/ledgelead-ownership/src/group/leading.rs
@@ -4,7 +4,7 @@
 use super::GroupReplica;
 use crate::command::GroupCommand;
 use crate::io::GroupOutput;
-use crate::leader::{MemberContact, Turn, TurnResult};
+use crate::leader::{LeaderActions, LeaderContext, MemberContact};
 use crate::message::DispatcherReport;
 use crate::routes::{routes_of, same_content};
 use ledgelead_replication::MembershipChange;
@@ -24,13 +24,13 @@
         if self.state.term != leader.term() {
             return self.start_leadership(now);
         }
-        if now < self.next_turn {
+        if now < self.next_reconcile {
             return false;
         }
-        let TurnResult {
+        let LeaderActions {
             commands,
             membership,
-        } = self.take_turn(now);
+        } = self.reconcile(now);
         if let Some(change) = membership {
             if let MembershipChange::AddLearner(_) = change {
                 // The newcomer is sent the state as it is now, which is
@@ -52,12 +52,12 @@
         unproposed && self.propose_duties(now, vec![GroupCommand::StartLeadership(self.identity)])
     }
 
-    fn take_turn(&mut self, now: Time) -> TurnResult {
+    fn reconcile(&mut self, now: Time) -> LeaderActions {
         let members = self.member_contacts(now);
         let Some(leader) = &mut self.leader else {
-            return TurnResult::default();
+            return LeaderActions::default();
         };
-        let turn = Turn {
+        let context = LeaderContext {
             now,
             identity: self.identity,
             group: self.group,
@@ -67,8 +67,10 @@
             members: &members,
         };
         let replica = &self.replica;
-        let result = leader.turn(&turn, &|member| replica.delegated_authority_until(member));
-        self.next_turn = leader.next_wakeup(now);
+        let result = leader.reconcile(&context, &|member| {
+            replica.delegated_authority_until(member)
+        });
+        self.next_reconcile = leader.next_wakeup(now);
         result
     }
 
@@ -85,7 +87,7 @@
 
     fn member_contacts(&mut self, now: Time) -> Vec<MemberContact> {
         let contact = |member: Member, voter: bool| {
-            let heard = if member == self.identity {
+            let last_contact = if member == self.identity {
                 Some(now)
             } else {
                 self.replica.last_contact(member)
@@ -94,7 +96,7 @@
             MemberContact {
                 member,
                 voter,
-                heard,
+                last_contact,
                 caught_up: matched.is_some_and(|matched| matched >= self.state.applied),
             }
         };
@@ -105,20 +107,20 @@
         voters.chain(learners).collect()
     }
 
-    pub(super) fn take_report(&mut self, now: Time, from: Member, report: DispatcherReport) {
+    pub(super) fn handle_report(&mut self, now: Time, from: Member, report: DispatcherReport) {
         if let Some(leader) = &mut self.leader {
             if report.term == leader.term() {
                 for server in report.servers.iter() {
-                    self.unavailable.heard(now, server);
+                    self.unavailable.record_report(now, server);
                 }
             }
-            leader.take_report(now, from, report, &self.state);
-            self.next_turn = now;
+            leader.handle_report(now, from, report, &self.state);
+            self.next_reconcile = now;
         }
     }
 
     /// The node is stopping: its duties go to others.
-    pub(super) fn hand_over(&mut self, now: Time) {
+    pub(super) fn prepare_shutdown(&mut self, now: Time) {
         self.dispatcher.stop();
         if self.leader.is_none() {
             return;
@@ -138,7 +140,7 @@
     pub(super) fn publish(&mut self, now: Time) {
         if std::mem::take(&mut self.ownership_changed) {
             self.publish_routes();
-            self.publish_care();
+            self.publish_assigned_servers();
         }
         self.publish_dispatched();
         self.store_snapshot(now);
@@ -163,7 +165,7 @@
     }
 
     /// Publishes all servers in care when there are others than before.
-    fn publish_care(&mut self) {
+    fn publish_assigned_servers(&mut self) {
         let present = self.dispatcher.dispatched(&self.state);
         let known = &self.dispatched;
         let same_servers = present.len() == known.len()
@@ -182,7 +184,7 @@
 
     /// Publishes the servers in care that have changed.
     fn publish_dispatched(&mut self) {
-        for id in self.dispatcher.take_visited() {
+        for id in self.dispatcher.take_updated() {
             let Some(entry) = self.dispatcher.dispatched_server(id, &self.state) else {
                 continue;
             };
--- a/crates/ledgelead-ownership/src/group/mod.rs
+++ b/crates/ledgelead-ownership/src/group/mod.rs
@@ -29,9 +29,9 @@
 use unavailable::UnavailableSlices;
 
 /// Rounds of proposing and applying in one step at most.
-const MAXIMUM_ROUNDS: usize = 16;
+const MAX_ROUNDS: usize = 16;
 /// Least time between two wakeups.
-const SHORTEST_WAKEUP: Span = Span::from_millis(1);
+const MIN_WAKEUP_DELAY: Span = Span::from_millis(1);
 
 /// One replica of one group: the replicated log and state, the duties of a
 /// leader while it leads, and those of a dispatcher.
@@ -56,12 +56,12 @@
     dispatched: BTreeMap<ServerId, DispatchedServer>,
     outputs: Vec<GroupOutput>,
     now: Time,
-    next_turn: Time,
+    next_reconcile: Time,
     /// State that routes, dispatching or the leader's duties depend on has
     /// changed since it was published.
     ownership_changed: bool,
     /// The same since the duties took note of it.
-    duties_outdated: bool,
+    duties_stale: bool,
 }
 
 impl GroupReplica {
@@ -114,9 +114,9 @@
             dispatched: BTreeMap::new(),
             outputs: Vec::new(),
             now,
-            next_turn: now,
+            next_reconcile: now,
             ownership_changed: true,
-            duties_outdated: true,
+            duties_stale: true,
         })
     }
 
@@ -124,7 +124,7 @@
     pub fn step(&mut self, now: Time, input: GroupInput) {
         self.now = now;
         match input {
-            GroupInput::Message { from, message } => self.take_message(now, from, message),
+            GroupInput::Message { from, message } => self.handle_message(now, from, message),
             GroupInput::ServerReplied {
                 server,
                 sequence,
@@ -135,7 +135,7 @@
             GroupInput::Configuration(configuration) => self.configure(now, configuration),
             GroupInput::LiveNodes(live) => {
                 self.live = live;
-                self.next_turn = now;
+                self.next_reconcile = now;
             }
             GroupInput::SliceLoads { server, loads } => self.dispatcher.slice_loads(server, loads),
             GroupInput::ServerEvidence { server, failures } => {
@@ -144,9 +144,9 @@
             GroupInput::Operate { .. }
             | GroupInput::BeginIdempotent { .. }
             | GroupInput::EndIdempotent { .. }
-            | GroupInput::CancelIdempotent { .. } => self.take_request(now, input),
+            | GroupInput::CancelIdempotent { .. } => self.start_request(now, input),
             GroupInput::SnapshotStored { revision } => self.snapshots.stored(revision),
-            GroupInput::TransferLeadership => self.hand_over(now),
+            GroupInput::TransferLeadership => self.prepare_shutdown(now),
         }
         self.advance(now);
     }
@@ -165,13 +165,13 @@
         let mut next = self.replica.next_wakeup();
         next = next.min(self.dispatcher.next_wakeup(authority));
         if self.leader.is_some() {
-            next = next.min(self.next_turn);
+            next = next.min(self.next_reconcile);
             next = next.min(self.snapshots.due_at().unwrap_or(next));
         }
         let reachable = self.replica.leader().is_some();
         next = next.min(self.requests.next_wakeup(reachable).unwrap_or(next));
         next = next.min(self.record_batch.due_at().unwrap_or(next));
-        next.max(self.now + SHORTEST_WAKEUP)
+        next.max(self.now + MIN_WAKEUP_DELAY)
     }
 
     /// What is to be done since the last call, in order.
@@ -179,14 +179,14 @@
         std::mem::take(&mut self.outputs)
     }
 
-    fn take_message(&mut self, now: Time, from: Member, message: GroupMessage) {
+    fn handle_message(&mut self, now: Time, from: Member, message: GroupMessage) {
         match message {
             GroupMessage::Replication(message) => self.replica.step(now, from, message),
-            GroupMessage::Report(report) => self.take_report(now, from, report),
-            GroupMessage::Requests(asked) => self.take_asked(now, from, asked),
+            GroupMessage::Report(report) => self.handle_report(now, from, report),
+            GroupMessage::Requests(asked) => self.handle_requests(now, from, asked),
             GroupMessage::Answers(answered) => {
                 for answered in answered {
-                    self.take_answer(now, answered.number, answered.answer);
+                    self.handle_answer(now, answered.number, answered.answer);
                 }
             }
         }
@@ -199,17 +199,17 @@
             self.dispatcher.set_partitioned(partitioned, now);
         }
         self.configuration = Some(configuration);
-        self.next_turn = now;
+        self.next_reconcile = now;
     }
 
     /// Carries on until nothing more follows from what has happened.
     fn advance(&mut self, now: Time) {
-        for _ in 0..MAXIMUM_ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             self.apply_ready(now);
-            self.follow_leader(now);
+            self.note_leader_change(now);
             self.dispatch(now);
             let proposed_duties = self.lead(now);
-            let proposed_requests = self.hand_over_requests(now);
+            let proposed_requests = self.forward_requests(now);
             let proposed_records = self.propose_records(now);
             if !proposed_duties && !proposed_requests && !proposed_records {
                 break;
@@ -220,7 +220,7 @@
     }
 
     /// Notes a change of leader or of its term.
-    fn follow_leader(&mut self, now: Time) {
+    fn note_leader_change(&mut self, now: Time) {
         let term = self.replica.term();
         let present = self.replica.leader().map(|leader| (term, leader));
         if present == self.known_leader {
@@ -253,12 +253,12 @@
             state: &self.state,
             authority: self.grant_authority(now),
         };
-        let visits = self.dispatcher.visit(now, &context);
-        for server in visits.silent {
+        let updates = self.dispatcher.update_sessions(now, &context);
+        for server in updates.unresponsive {
             let group = self.group;
             self.event(Event::LeaseLapsed { group, server });
         }
-        for due in visits.renewals {
+        for due in updates.renewals {
             self.outputs.push(GroupOutput::Renew {
                 server: due.server,
                 address: due.address,
@@ -266,12 +266,12 @@
                 renewal: due.renewal,
             });
         }
-        let hears = self.replica.leader().filter(|_| {
+        let ready_leader = self.replica.leader().filter(|_| {
             // A report before the start of the leader's term says nothing
             // that it could use.
             self.replica.term() == self.state.term
         });
-        let Some(leader) = hears else {
+        let Some(leader) = ready_leader else {
             return;
         };
         if let Some(report) = self.dispatcher.report(now, &self.state) {
@@ -281,7 +281,7 @@
 
     fn send_report(&mut self, now: Time, leader: Member, report: DispatcherReport) {
         if leader == self.identity {
-            self.take_report(now, leader, report);
+            self.handle_report(now, leader, report);
             return;
         }
         self.outputs.push(GroupOutput::Send {
--- a/crates/ledgelead-ownership/src/group/requesting.rs
+++ b/crates/ledgelead-ownership/src/group/requesting.rs
@@ -5,7 +5,7 @@
 use crate::command::GroupCommand;
 use crate::io::{GroupInput, GroupOutput};
 use crate::message::{GroupAnswer, GroupMessage, GroupRequest, NumberedAnswer, NumberedRequest};
-use crate::requests::{Ended, Origin, Waiter, unanswered};
+use crate::requests::{FinishedRequest, Origin, Waiter, timeout_answer};
 use ledgelead_types::codec::encode;
 use ledgelead_types::dispatch::{IdempotencyOwner, IdempotencyVerdict};
 use ledgelead_types::protections::Protection;
@@ -14,7 +14,7 @@
 
 impl GroupReplica {
     /// Takes a request of this node.
-    pub(super) fn take_request(&mut self, now: Time, input: GroupInput) {
+    pub(super) fn start_request(&mut self, now: Time, input: GroupInput) {
         let (request, waiter) = match input {
             GroupInput::Operate {
                 ticket,
@@ -46,10 +46,10 @@
             _ => return,
         };
         if !self.requests.add(now, request.clone(), waiter) {
-            let answer = unanswered(&request, false);
+            let answer = timeout_answer(&request, false);
             self.end(
                 now,
-                Ended {
+                FinishedRequest {
                     request,
                     waiter,
                     answer,
@@ -60,26 +60,26 @@
 
     /// Hands the waiting requests to the leader. Returns whether something
     /// was proposed here.
-    pub(super) fn hand_over_requests(&mut self, now: Time) -> bool {
+    pub(super) fn forward_requests(&mut self, now: Time) -> bool {
         let Some(leader) = self.replica.leader() else {
             return false;
         };
         let due = self.requests.due(now);
         if leader != self.identity {
-            self.ask(leader, due);
+            self.send_requests(leader, due);
             return false;
         }
         let mut proposed = false;
         for asked in due {
-            let origin = Origin::Here(asked.number);
-            proposed |= self.take_over(now, origin, asked.request);
+            let origin = Origin::Local(asked.number);
+            proposed |= self.accept_request(now, origin, asked.request);
         }
         proposed
     }
 
     /// Operations go apart from requests, so that each message has one
     /// purpose.
-    fn ask(&mut self, leader: Member, due: Vec<NumberedRequest>) {
+    fn send_requests(&mut self, leader: Member, due: Vec<NumberedRequest>) {
         let is_operation =
             |asked: &NumberedRequest| matches!(asked.request, GroupRequest::Operate { .. });
         let (operations, records): (Vec<NumberedRequest>, Vec<NumberedRequest>) =
@@ -95,11 +95,16 @@
     }
 
     /// Another replica hands over requests.
-    pub(super) fn take_asked(&mut self, now: Time, from: Member, asked: List<NumberedRequest>) {
+    pub(super) fn handle_requests(
+        &mut self,
+        now: Time,
+        from: Member,
+        asked: List<NumberedRequest>,
+    ) {
         let mut refused = Vec::new();
         for asked in asked {
             let origin = Origin::Replica(from, asked.number);
-            if !self.take_over(now, origin, asked.request) {
+            if !self.accept_request(now, origin, asked.request) {
                 refused.push((origin, GroupAnswer::NotLeader));
             }
         }
@@ -107,7 +112,7 @@
     }
 
     /// Another replica answered.
-    pub(super) fn take_answer(&mut self, now: Time, number: u64, answer: GroupAnswer) {
+    pub(super) fn handle_answer(&mut self, now: Time, number: u64, answer: GroupAnswer) {
         if let Some(ended) = self.requests.answered(now, number, answer) {
             self.end(now, ended);
         }
@@ -130,7 +135,7 @@
         let mut by_replica: BTreeMap<Member, Vec<NumberedAnswer>> = BTreeMap::new();
         for (origin, answer) in answers {
             match origin {
-                Origin::Here(number) => self.take_answer(now, number, answer),
+                Origin::Local(number) => self.handle_answer(now, number, answer),
                 Origin::Replica(to, number) => by_replica
                     .entry(to)
                     .or_default()
@@ -147,7 +152,7 @@
     /// whether this replica leads and can decide it now. Operations wait until
     /// a rebuilt group has heard the servers' claims: what its snapshot says of
     /// slices may be of the past.
-    fn take_over(&mut self, now: Time, origin: Origin, request: GroupRequest) -> bool {
+    fn accept_request(&mut self, now: Time, origin: Origin, request: GroupRequest) -> bool {
         let started = self
             .leader
             .as_ref()
@@ -186,7 +191,7 @@
         true
     }
 
-    fn end(&mut self, now: Time, ended: Ended) {
+    fn end(&mut self, now: Time, ended: FinishedRequest) {
         match (ended.waiter, ended.answer, ended.request) {
             (Waiter::Operation(ticket), GroupAnswer::Operated(result), _) => {
                 self.outputs
--- a/crates/ledgelead-ownership/src/group/unavailable.rs
+++ b/crates/ledgelead-ownership/src/group/unavailable.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct UnavailableSlices {
     since: Time,
-    silent: BTreeMap<ServerId, Time>,
+    unresponsive_since: BTreeMap<ServerId, Time>,
     ownerless: BTreeMap<PositionRange, Time>,
 }
 
@@ -21,30 +21,34 @@
     pub fn new(since: Time) -> UnavailableSlices {
         UnavailableSlices {
             since,
-            silent: BTreeMap::new(),
+            unresponsive_since: BTreeMap::new(),
             ownerless: BTreeMap::new(),
         }
     }
 
     /// A dispatcher tells of a server.
-    pub fn heard(&mut self, now: Time, report: &ServerReport) {
-        if report.news.answering {
-            self.silent.remove(&report.server);
+    pub fn record_report(&mut self, now: Time, report: &ServerReport) {
+        if report.status.answering {
+            self.unresponsive_since.remove(&report.server);
         } else {
-            self.silent.entry(report.server).or_insert(now);
+            self.unresponsive_since.entry(report.server).or_insert(now);
         }
     }
 
     /// A slice lost its owner.
-    pub fn lost(&mut self, range: PositionRange, owner: ServerId) {
+    pub fn record_loss(&mut self, range: PositionRange, owner: ServerId) {
         // A server that answers again before it is taken as lost forgot its
         // slices in a restart, which the leader hears of only then.
-        let since = self.silent.get(&owner).copied().unwrap_or(self.since);
+        let since = self
+            .unresponsive_since
+            .get(&owner)
+            .copied()
+            .unwrap_or(self.since);
         self.ownerless.insert(range, since);
     }
 
     /// A slice has an owner; how long it had none, if it was lost before.
-    pub fn regained(&mut self, now: Time, range: PositionRange) -> Option<Span> {
+    pub fn record_regained(&mut self, now: Time, range: PositionRange) -> Option<Span> {
         let since = self.ownerless.remove(&range)?;
         Some(now.since(since))
     }
--- a/crates/ledgelead-ownership/src/leader/balance.rs
+++ b/crates/ledgelead-ownership/src/leader/balance.rs
@@ -1,6 +1,6 @@
 //! The bridge to the planner of `ledgelead-balance`.
 
-use super::{Leader, Turn};
+use super::{Leader, LeaderContext};
 use crate::command::GroupCommand;
 use crate::state::{GroupState, Slice, SlicePhase};
 use ledgelead_balance::{PlanInput, PlannedChange, ServerState, SliceState, UNKNOWN_LOAD};
@@ -14,38 +14,41 @@
 
 impl Leader {
     /// Carries out the planner's moves, splits and merges, once a second.
-    pub(super) fn balance(&mut self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        if turn.now < self.next_plan || turn.state.slices.is_empty() {
+    pub(super) fn balance(&mut self, context: &LeaderContext, commands: &mut Vec<GroupCommand>) {
+        if context.now < self.next_plan || context.state.slices.is_empty() {
             return;
         }
-        self.next_plan = turn.now + PLAN_INTERVAL;
-        let Some(input) = self.plan_input(turn) else {
+        self.next_plan = context.now + PLAN_INTERVAL;
+        let Some(input) = self.plan_input(context) else {
             return;
         };
         // In the planner's order: a later change may name a range that an
         // earlier split makes.
-        let changes = self.assigner.plan(&input, turn.now);
+        let changes = self.assigner.plan(&input, context.now);
         commands.extend(changes.into_iter().filter_map(command_of));
     }
 
     /// Owners that the planner proposes for ownerless slices.
-    pub(super) fn planned_owners(&mut self, turn: &Turn) -> BTreeMap<PositionRange, ServerId> {
-        let Some(input) = self.plan_input(turn) else {
+    pub(super) fn planned_owners(
+        &mut self,
+        context: &LeaderContext,
+    ) -> BTreeMap<PositionRange, ServerId> {
+        let Some(input) = self.plan_input(context) else {
             return BTreeMap::new();
         };
         let owner = |change| match change {
             PlannedChange::Assign { range, to } => Some((range, to)),
             _ => None,
         };
-        let changes = self.assigner.plan_owners(&input, turn.now);
+        let changes = self.assigner.plan_owners(&input, context.now);
         changes.into_iter().filter_map(owner).collect()
     }
 
-    fn plan_input(&self, turn: &Turn) -> Option<PlanInput> {
-        let service = turn.service()?;
+    fn plan_input(&self, context: &LeaderContext) -> Option<PlanInput> {
+        let service = context.service()?;
         Some(PlanInput {
-            slices: self.slice_states(turn.state),
-            servers: self.server_states(turn.state),
+            slices: self.slice_states(context.state),
+            servers: self.server_states(context.state),
             policy: service.balance,
         })
     }
@@ -59,7 +62,7 @@
                 owner: slice.phase.holder(),
                 requests_per_second: load.map_or(UNKNOWN_LOAD, |load| load.requests_per_second),
                 hottest: load.and_then(|load| load.hottest),
-                moving: self.is_left_alone(state, slice),
+                moving: self.is_immovable(state, slice),
             }
         };
         state.slices.iter().map(slice_state).collect()
@@ -67,7 +70,7 @@
 
     /// The planner moves only slices whose owners answer. Those of draining
     /// servers are moved without it; those of silent ones wait for the lease.
-    fn is_left_alone(&self, state: &GroupState, slice: &Slice) -> bool {
+    fn is_immovable(&self, state: &GroupState, slice: &Slice) -> bool {
         match slice.phase {
             SlicePhase::Free => false,
             SlicePhase::Releasing { .. } => true,
@@ -86,9 +89,9 @@
                 capacity: f64::from(server.definition.slots.max(1)),
                 accepting: self.accepts(state, *id),
                 cold: self
-                    .heard
+                    .latest_reports
                     .get(id)
-                    .is_some_and(|heard| heard.load.report.cold),
+                    .is_some_and(|latest| latest.load.report.cold),
             })
             .collect()
     }
@@ -96,8 +99,8 @@
     /// Load of each slice as its present holder's dispatcher counts it.
     pub(super) fn loads_by_range(&self, state: &GroupState) -> BTreeMap<PositionRange, SliceLoad> {
         let mut loads = BTreeMap::new();
-        for (id, heard) in &self.heard {
-            for load in &heard.load.slices {
+        for (id, latest) in &self.latest_reports {
+            for load in &latest.load.slices {
                 let slice = state.slices.exact(load.range);
                 let holder = slice.and_then(|slice| slice.phase.holder());
                 if holder == Some(*id) {
--- a/crates/ledgelead-ownership/src/leader/dispatchers.rs
+++ b/crates/ledgelead-ownership/src/leader/dispatchers.rs
@@ -4,7 +4,7 @@
 //! servers of a service that is not divided by key have one dispatcher, which
 //! sees the whole queue.
 
-use super::{Leader, MemberContact, Turn};
+use super::{Leader, LeaderContext, MemberContact};
 use crate::command::GroupCommand;
 use crate::state::Server;
 use ledgelead_types::routes::ServerStatus;
@@ -20,41 +20,46 @@
 impl Leader {
     /// Puts servers without a usable dispatcher into another's care, and
     /// evens the numbers out slowly.
-    pub(super) fn place_dispatchers(&mut self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        let candidates = self.candidates(turn);
+    pub(super) fn place_dispatchers(
+        &mut self,
+        context: &LeaderContext,
+        commands: &mut Vec<GroupCommand>,
+    ) {
+        let candidates = self.candidates(context);
         if candidates.is_empty() {
             return;
         }
         let mut counts: BTreeMap<Member, usize> =
             candidates.iter().map(|member| (*member, 0)).collect();
-        for server in turn.state.servers.values() {
+        for server in context.state.servers.values() {
             if let Some(count) = server.dispatcher.and_then(|held| counts.get_mut(&held)) {
                 *count += 1;
             }
         }
-        for (id, server) in &turn.state.servers {
-            if server.status == ServerStatus::Retired || is_served(server, &candidates) {
+        for (id, server) in &context.state.servers {
+            if server.status == ServerStatus::Retired || has_usable_dispatcher(server, &candidates)
+            {
                 continue;
             }
-            let least = least_busy(&counts, turn.partitioned());
+            let least = least_busy(&counts, context.partitioned());
             *counts.get_mut(&least).expect("a candidate") += 1;
             commands.push(set(*id, least));
         }
-        self.even_out(turn, &counts, commands);
+        self.even_out(context, &counts, commands);
     }
 
     /// Replicas that may be dispatchers now.
-    fn candidates(&self, turn: &Turn) -> Vec<Member> {
-        let lately = |heard| turn.now.since(heard) < DISPATCHER_SILENCE;
+    fn candidates(&self, context: &LeaderContext) -> Vec<Member> {
+        let lately = |heard| context.now.since(heard) < DISPATCHER_SILENCE;
         let usable = |contact: &&MemberContact| {
-            let other = contact.member != turn.identity;
+            let other = contact.member != context.identity;
             let stopping = self.stopping.contains(&contact.member);
-            other && !stopping && contact.heard.is_some_and(lately)
+            other && !stopping && contact.last_contact.is_some_and(lately)
         };
-        let followers = turn.dispatchable_members().filter(usable);
+        let followers = context.dispatchable_members().filter(usable);
         let followers: Vec<Member> = followers.map(|contact| contact.member).collect();
         if followers.is_empty() {
-            vec![turn.identity]
+            vec![context.identity]
         } else {
             followers
         }
@@ -62,14 +67,14 @@
 
     fn even_out(
         &mut self,
-        turn: &Turn,
+        context: &LeaderContext,
         counts: &BTreeMap<Member, usize>,
         commands: &mut Vec<GroupCommand>,
     ) {
-        if turn.now < self.next_spread || !turn.partitioned() {
+        if context.now < self.next_spread || !context.partitioned() {
             return;
         }
-        self.next_spread = turn.now + SPREAD_INTERVAL;
+        self.next_spread = context.now + SPREAD_INTERVAL;
         let busiest = counts.iter().max_by_key(|(_, count)| **count);
         let idlest = counts.iter().min_by_key(|(_, count)| **count);
         let (Some((busiest, most)), Some((idlest, fewest))) = (busiest, idlest) else {
@@ -78,7 +83,7 @@
         if *most < fewest + 2 {
             return;
         }
-        let moved = turn
+        let moved = context
             .state
             .servers
             .iter()
@@ -89,7 +94,7 @@
     }
 }
 
-fn is_served(server: &Server, candidates: &[Member]) -> bool {
+fn has_usable_dispatcher(server: &Server, candidates: &[Member]) -> bool {
     server
         .dispatcher
         .is_some_and(|dispatcher| candidates.contains(&dispatcher))
--- a/crates/ledgelead-ownership/src/leader/leases.rs
+++ b/crates/ledgelead-ownership/src/leader/leases.rs
@@ -1,7 +1,7 @@
 //! By when every lease that a server may hold has ended, on the leader's
 //! clock (`docs/design/leases.md`, "The leader's bound").
 
-use crate::session::SessionNews;
+use crate::session::SessionStatus;
 use crate::state::GroupState;
 use ledgelead_types::timing::{LEASE, lengthened_for_drift};
 use ledgelead_types::*;
@@ -36,7 +36,7 @@
 
     /// Takes note of who may grant from now on. Followers learn that an entry
     /// is committed only from the leader, so the leader is never late here.
-    pub fn follow(&mut self, state: &GroupState) {
+    pub fn observe_state(&mut self, state: &GroupState) {
         self.grantors
             .retain(|server, _| state.servers.contains_key(server));
         for (id, server) in &state.servers {
@@ -47,7 +47,7 @@
                 }
             }
             if let Some(dispatcher) = server.dispatcher {
-                open(grantors, dispatcher, server.admitted, state.applied);
+                record_grantor(grantors, dispatcher, server.admitted, state.applied);
             }
         }
     }
@@ -67,25 +67,25 @@
     }
 
     /// A server's dispatcher says whether it grants.
-    pub fn note_news(
+    pub fn record_status(
         &mut self,
         now: Time,
         from: Member,
         server: ServerId,
         applied: Revision,
-        news: &SessionNews,
+        status: &SessionStatus,
     ) {
         let grantors = self.grantors.get_mut(&server);
         let Some(grantor) = grantors.and_then(|grantors| grantors.get_mut(&from)) else {
             return;
         };
-        if news.lapsed_at.is_some() && applied >= grantor.since {
-            grantor.ends = Some(now + lengthened_for_drift(news.lease_left));
+        if status.lapsed_at.is_some() && applied >= grantor.since {
+            grantor.ends = Some(now + lengthened_for_drift(status.lease_left));
         }
     }
 
     /// Whether every lease of the server has ended by `now`.
-    pub fn ended(
+    pub fn all_ended(
         &self,
         now: Time,
         server: ServerId,
@@ -105,7 +105,7 @@
     }
 }
 
-fn open(
+fn record_grantor(
     grantors: &mut BTreeMap<Member, Grantor>,
     dispatcher: Member,
     admitted: Revision,
--- a/crates/ledgelead-ownership/src/leader/members.rs
+++ b/crates/ledgelead-ownership/src/leader/members.rs
@@ -8,7 +8,7 @@
 //! it would make the loss of either fatal. A voter whose node is stopping still
 //! counts, so its replacement votes first.
 
-use super::{Leader, Turn};
+use super::{Leader, LeaderContext};
 use ledgelead_replication::MembershipChange;
 use ledgelead_types::dispatch::LiveNode;
 use ledgelead_types::*;
@@ -32,26 +32,26 @@
     pub voter: bool,
     /// When it last answered in this term; the present time for the leader
     /// itself.
-    pub heard: Option<Time>,
+    pub last_contact: Option<Time>,
     /// Whether it holds the whole committed log.
     pub caught_up: bool,
 }
 
 impl Leader {
     /// The next change of the replica set, if one is called for.
-    pub(super) fn repair_members(&mut self, turn: &Turn) -> Option<MembershipChange> {
-        if turn.now < self.next_member_change || turn.live.is_empty() {
+    pub(super) fn repair_members(&mut self, context: &LeaderContext) -> Option<MembershipChange> {
+        if context.now < self.next_member_change || context.live.is_empty() {
             return None;
         }
-        self.next_member_change = turn.now + CHANGE_INTERVAL;
-        let target = usize::from(turn.service()?.replicas.max(1));
-        let view = MembersView::of(turn, &self.stopping);
-        let dead = view.dead_voter(turn, self.since);
-        let stopping = view.stopping_voter(turn);
+        self.next_member_change = context.now + CHANGE_INTERVAL;
+        let target = usize::from(context.service()?.replicas.max(1));
+        let view = MembersView::of(context, &self.stopping);
+        let dead = view.dead_voter(context, self.since);
+        let stopping = view.stopping_voter(context);
         let full = view.voters.len() >= target;
         if let Some(learner) = view.learners.first() {
             let stops = self.stopping.contains(&learner.member);
-            if stops || view.is_dead(turn, self.since, learner) {
+            if stops || view.is_dead(context, self.since, learner) {
                 return Some(MembershipChange::Remove(learner.member));
             }
             if !learner.caught_up {
@@ -65,15 +65,15 @@
             });
         }
         if view.voters.len() > target {
-            let surplus = dead.or(stopping).or_else(|| view.surplus(turn))?;
+            let surplus = dead.or(stopping).or_else(|| view.surplus(context))?;
             return Some(MembershipChange::Remove(surplus));
         }
         let short = view.voters.len() < target;
-        let whole = dead.is_none() && stopping.is_none() && !short;
-        if whole && !view.spreads_badly(turn) {
+        let complete = dead.is_none() && stopping.is_none() && !short;
+        if complete && !view.is_spread_unevenly(context) {
             return None;
         }
-        let candidate = view.candidate(turn)?;
+        let candidate = view.candidate(context)?;
         Some(MembershipChange::AddLearner(candidate))
     }
 }
@@ -88,16 +88,16 @@
 }
 
 impl MembersView<'_> {
-    fn of<'a>(turn: &Turn, stopping: &'a BTreeSet<Member>) -> MembersView<'a> {
-        let (voters, learners) = turn.members.iter().partition(|contact| contact.voter);
+    fn of<'a>(context: &LeaderContext, stopping: &'a BTreeSet<Member>) -> MembersView<'a> {
+        let (voters, learners) = context.members.iter().partition(|contact| contact.voter);
         let mut view = MembersView {
             voters,
             learners,
-            zones: turn.live.iter().map(|node| (node.zone, 0)).collect(),
+            zones: context.live.iter().map(|node| (node.zone, 0)).collect(),
             stopping,
         };
         for voter in view.voters.clone() {
-            let zone = zone_of(turn, voter.member);
+            let zone = zone_of(context, voter.member);
             if let Some(count) = zone.and_then(|zone| view.zones.get_mut(&zone)) {
                 *count += 1;
             }
@@ -105,13 +105,13 @@
         view
     }
 
-    fn is_dead(&self, turn: &Turn, elected: Time, contact: &MemberContact) -> bool {
-        if contact.member == turn.identity {
+    fn is_dead(&self, context: &LeaderContext, elected: Time, contact: &MemberContact) -> bool {
+        if contact.member == context.identity {
             return false;
         }
-        let silence = turn.now.since(contact.heard.unwrap_or(elected));
+        let silence = context.now.since(contact.last_contact.unwrap_or(elected));
         let node = contact.member.node;
-        let listed = turn.live.iter().find(|live| live.member.node == node);
+        let listed = context.live.iter().find(|live| live.member.node == node);
         match listed {
             Some(live) if live.member == contact.member => false,
             Some(_) => silence >= RESTARTED_SILENCE,
@@ -119,43 +119,43 @@
         }
     }
 
-    fn dead_voter(&self, turn: &Turn, elected: Time) -> Option<Member> {
+    fn dead_voter(&self, context: &LeaderContext, elected: Time) -> Option<Member> {
         let dead = self
             .voters
             .iter()
-            .find(|voter| self.is_dead(turn, elected, voter));
+            .find(|voter| self.is_dead(context, elected, voter));
         dead.map(|voter| voter.member)
     }
 
     /// A voter whose node is stopping. Its replacement votes before it goes:
     /// the loss of another meanwhile leaves a majority.
-    fn stopping_voter(&self, turn: &Turn) -> Option<Member> {
+    fn stopping_voter(&self, context: &LeaderContext) -> Option<Member> {
         let mut members = self.voters.iter().map(|voter| voter.member);
-        members.find(|member| *member != turn.identity && self.stopping.contains(member))
+        members.find(|member| *member != context.identity && self.stopping.contains(member))
     }
 
     /// A voter of the fullest zone, not the leader.
-    fn surplus(&self, turn: &Turn) -> Option<Member> {
+    fn surplus(&self, context: &LeaderContext) -> Option<Member> {
         let others = self
             .voters
             .iter()
-            .filter(|voter| voter.member != turn.identity);
-        let crowd = |voter: &&MemberContact| {
-            zone_of(turn, voter.member).and_then(|zone| self.zones.get(&zone).copied())
+            .filter(|voter| voter.member != context.identity);
+        let zone_voters = |voter: &&MemberContact| {
+            zone_of(context, voter.member).and_then(|zone| self.zones.get(&zone).copied())
         };
-        others.max_by_key(crowd).map(|voter| voter.member)
+        others.max_by_key(zone_voters).map(|voter| voter.member)
     }
 
     /// Whether a zone without a voter could take one from a zone with two.
-    fn spreads_badly(&self, turn: &Turn) -> bool {
+    fn is_spread_unevenly(&self, context: &LeaderContext) -> bool {
         let most = self.zones.values().max().copied().unwrap_or(0);
-        let leader_zone = zone_of(turn, turn.identity);
+        let leader_zone = zone_of(context, context.identity);
         let removable = self
             .zones
             .iter()
             .any(|(zone, count)| *count == most && (Some(*zone) != leader_zone || most > 1));
         let empty = self
-            .free_nodes(turn)
+            .free_nodes(context)
             .any(|node| self.zones[&node.zone] == 0);
         most >= 2 && removable && empty
     }
@@ -163,23 +163,23 @@
     /// A live node that is no member, in the zone with the fewest voters. Each
     /// group has its own order of nodes, so that the groups that a loss leaves
     /// short don't all take the same node.
-    fn candidate(&self, turn: &Turn) -> Option<Member> {
-        let chosen = self.free_nodes(turn).min_by_key(|node| {
-            let weight = turn.group.replica_weight(node.member.node);
+    fn candidate(&self, context: &LeaderContext) -> Option<Member> {
+        let chosen = self.free_nodes(context).min_by_key(|node| {
+            let weight = context.group.replica_weight(node.member.node);
             (self.zones[&node.zone], weight)
         });
         chosen.map(|node| node.member)
     }
 
-    fn free_nodes<'a>(&'a self, turn: &'a Turn) -> impl Iterator<Item = &'a LiveNode> {
-        turn.live.iter().filter(|node| {
+    fn free_nodes<'a>(&'a self, context: &'a LeaderContext) -> impl Iterator<Item = &'a LiveNode> {
+        context.live.iter().filter(|node| {
             let is_member = |contact: &MemberContact| contact.member == node.member;
-            !turn.members.iter().any(is_member) && !self.stopping.contains(&node.member)
+            !context.members.iter().any(is_member) && !self.stopping.contains(&node.member)
         })
     }
 }
 
-fn zone_of(turn: &Turn, member: Member) -> Option<ZoneId> {
-    let live = turn.live.iter().find(|live| live.member == member);
+fn zone_of(context: &LeaderContext, member: Member) -> Option<ZoneId> {
+    let live = context.live.iter().find(|live| live.member == member);
     live.map(|live| live.zone)
 }
--- a/crates/ledgelead-ownership/src/leader/mod.rs
+++ b/crates/ledgelead-ownership/src/leader/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::command::GroupCommand;
 use crate::message::{DispatcherReport, ServerLoad};
-use crate::session::SessionNews;
+use crate::session::SessionStatus;
 use crate::state::GroupState;
 use leases::LeaseBounds;
 use ledgelead_balance::baseline::{Assigner, new_assigner};
@@ -28,7 +28,7 @@
 use ledgelead_types::dispatch::LiveNode;
 use ledgelead_types::timing::{LEASE, lengthened_for_drift};
 use ledgelead_types::*;
-use records::RecordKeeper;
+use records::RecordMaintenance;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A duty that waits for a lease to end looks again after this.
@@ -40,7 +40,7 @@
 const FIRST_PLAN_DELAY: Span = Span::from_millis(1_500);
 
 /// What the leader looks at in one turn.
-pub struct Turn<'a> {
+pub struct LeaderContext<'a> {
     /// The present time.
     pub now: Time,
     /// This replica.
@@ -57,7 +57,7 @@
     pub members: &'a [MemberContact],
 }
 
-impl Turn<'_> {
+impl LeaderContext<'_> {
     fn service(&self) -> Option<&ServiceConfiguration> {
         self.configuration?.service(self.group.service)
     }
@@ -83,7 +83,7 @@
 
 /// What a turn wants done.
 #[derive(Debug, Default, PartialEq)]
-pub struct TurnResult {
+pub struct LeaderActions {
     /// Commands for one entry of the log.
     pub commands: Vec<GroupCommand>,
     /// A change of the replica set.
@@ -92,8 +92,8 @@
 
 /// What the leader heard of a server from its present dispatcher.
 #[derive(Clone, Debug)]
-struct Heard {
-    news: SessionNews,
+struct LatestReport {
+    status: SessionStatus,
     load: ServerLoad,
 }
 
@@ -105,17 +105,17 @@
     leases: LeaseBounds,
     /// Replicas whose nodes are stopping.
     stopping: BTreeSet<Member>,
-    heard: BTreeMap<ServerId, Heard>,
-    in_flight: Revision,
+    latest_reports: BTreeMap<ServerId, LatestReport>,
+    last_proposed: Revision,
     assigner: Box<dyn Assigner>,
     next_plan: Time,
     next_spread: Time,
     next_member_change: Time,
-    records: RecordKeeper,
+    records: RecordMaintenance,
     /// Until when the first placement waits.
     first_placement: Option<Time>,
     /// Whether a duty waits for a time that is near.
-    waiting: bool,
+    awaits_deadline: bool,
     /// The configuration that the registered servers are known to follow;
     /// `None` after a change of them.
     registered: Option<ConfigurationVersion>,
@@ -138,15 +138,15 @@
             lease_wait,
             leases: LeaseBounds::new(former_ends),
             stopping: BTreeSet::new(),
-            heard: BTreeMap::new(),
-            in_flight: Revision(0),
+            latest_reports: BTreeMap::new(),
+            last_proposed: Revision(0),
             assigner: new_assigner(assigner),
             next_plan: now + FIRST_PLAN_DELAY,
             next_spread: now,
             next_member_change: now,
-            records: RecordKeeper::new(now),
+            records: RecordMaintenance::new(now),
             first_placement: None,
-            waiting: false,
+            awaits_deadline: false,
             registered: None,
         }
     }
@@ -158,16 +158,16 @@
 
     /// Whether it has proposed anything.
     pub fn has_proposed(&self) -> bool {
-        self.in_flight > Revision(0)
+        self.last_proposed > Revision(0)
     }
 
     /// A batch of commands was proposed at this position.
     pub fn proposed(&mut self, revision: Revision) {
-        self.in_flight = revision;
+        self.last_proposed = revision;
     }
 
     /// Takes in a dispatcher's report.
-    pub fn take_report(
+    pub fn handle_report(
         &mut self,
         now: Time,
         from: Member,
@@ -189,60 +189,60 @@
                 continue;
             }
             self.leases
-                .note_news(now, from, entry.server, report.applied, &entry.news);
-            let known = self.heard.remove(&entry.server);
-            let known_load = known.map(|heard| heard.load).unwrap_or_default();
-            let heard = Heard {
-                news: entry.news,
+                .record_status(now, from, entry.server, report.applied, &entry.status);
+            let known = self.latest_reports.remove(&entry.server);
+            let known_load = known.map(|latest| latest.load).unwrap_or_default();
+            let latest = LatestReport {
+                status: entry.status,
                 load: entry.load.unwrap_or(known_load),
             };
-            self.heard.insert(entry.server, heard);
+            self.latest_reports.insert(entry.server, latest);
         }
     }
 
     /// Takes note of newly applied state.
-    pub fn follow(&mut self, state: &GroupState) {
+    pub fn observe_state(&mut self, state: &GroupState) {
         if state.term != self.term {
             return;
         }
         self.registered = None;
-        self.leases.follow(state);
-        self.heard
+        self.leases.observe_state(state);
+        self.latest_reports
             .retain(|server, _| state.servers.contains_key(server));
     }
 
     /// Decides what to do now.
-    pub fn turn(
+    pub fn reconcile(
         &mut self,
-        turn: &Turn,
+        context: &LeaderContext,
         delegated_authority_until: &dyn Fn(Member) -> Time,
-    ) -> TurnResult {
-        self.waiting = false;
-        if turn.state.term != self.term || turn.state.applied < self.in_flight {
-            return TurnResult::default();
+    ) -> LeaderActions {
+        self.awaits_deadline = false;
+        if context.state.term != self.term || context.state.applied < self.last_proposed {
+            return LeaderActions::default();
         }
         let mut commands = Vec::new();
-        self.register_servers(turn, &mut commands);
-        self.place_dispatchers(turn, &mut commands);
-        if turn.state.recovering {
-            self.recover(turn, &mut commands);
+        self.register_servers(context, &mut commands);
+        self.place_dispatchers(context, &mut commands);
+        if context.state.recovering {
+            self.recover(context, &mut commands);
         } else {
-            self.judge_servers(turn, delegated_authority_until, &mut commands);
-            self.create_slices(turn, &mut commands);
-            self.place_free_slices(turn, &mut commands);
-            self.empty_draining_servers(turn, &mut commands);
-            self.balance(turn, &mut commands);
+            self.check_servers(context, delegated_authority_until, &mut commands);
+            self.create_slices(context, &mut commands);
+            self.place_free_slices(context, &mut commands);
+            self.move_off_draining_servers(context, &mut commands);
+            self.balance(context, &mut commands);
         }
-        self.records.keep(turn, &mut commands);
-        TurnResult {
+        self.records.maintain(context, &mut commands);
+        LeaderActions {
             commands,
-            membership: self.repair_members(turn),
+            membership: self.repair_members(context),
         }
     }
 
     /// When the next turn is due, if nothing happens before.
     pub fn next_wakeup(&self, now: Time) -> Time {
-        let interval = if self.waiting {
+        let interval = if self.awaits_deadline {
             RECHECK_INTERVAL
         } else {
             ROUTINE_INTERVAL
@@ -266,9 +266,9 @@
             .servers
             .get(&id)
             .is_some_and(crate::state::Server::accepts);
-        let answering = self.heard.get(&id).is_some_and(|heard| {
-            let news = &heard.news;
-            news.answering && news.lapsed_at.is_none() && !news.leaving
+        let answering = self.latest_reports.get(&id).is_some_and(|latest| {
+            let status = &latest.status;
+            status.answering && status.lapsed_at.is_none() && !status.leaving
         });
         admitted && answering
     }
--- a/crates/ledgelead-ownership/src/leader/placement.rs
+++ b/crates/ledgelead-ownership/src/leader/placement.rs
@@ -1,6 +1,6 @@
 //! Initial slices, ownerless slices and the emptying of draining servers.
 
-use super::{Leader, Turn};
+use super::{Leader, LeaderContext};
 use crate::command::GroupCommand;
 use crate::state::{GroupState, Server, SlicePhase};
 use ledgelead_types::dispatch::SliceLoad;
@@ -17,13 +17,13 @@
 
 /// What a server has or is to get.
 #[derive(Clone, Copy, Debug, Default)]
-struct Level {
+struct AssignedLoad {
     slots: f64,
     requests_per_second: f64,
     slices: usize,
 }
 
-impl Level {
+impl AssignedLoad {
     /// By load, and by slices where load says nothing.
     fn rank(&self) -> (f64, usize) {
         (self.requests_per_second / self.slots, self.slices)
@@ -36,23 +36,23 @@
 }
 
 /// What each accepting server has or is to get.
-struct ServerLevels {
-    levels: BTreeMap<ServerId, Level>,
+struct AssignedLoads {
+    by_server: BTreeMap<ServerId, AssignedLoad>,
     loads: BTreeMap<PositionRange, SliceLoad>,
 }
 
-impl ServerLevels {
-    fn of(leader: &Leader, state: &GroupState) -> ServerLevels {
+impl AssignedLoads {
+    fn of(leader: &Leader, state: &GroupState) -> AssignedLoads {
         let accepting = state
             .servers
             .iter()
             .filter(|(id, _)| leader.accepts(state, **id));
-        let empty = |server: &Server| Level {
+        let empty = |server: &Server| AssignedLoad {
             slots: f64::from(server.definition.slots.max(1)),
-            ..Level::default()
+            ..AssignedLoad::default()
         };
-        let mut levels = ServerLevels {
-            levels: accepting.map(|(id, server)| (*id, empty(server))).collect(),
+        let mut assigned = AssignedLoads {
+            by_server: accepting.map(|(id, server)| (*id, empty(server))).collect(),
             loads: leader.loads_by_range(state),
         };
         for slice in state.slices.iter() {
@@ -61,12 +61,12 @@
                 SlicePhase::Held { owner } => Some(owner),
                 SlicePhase::Releasing { to, .. } => Some(to),
             };
-            let load = levels.load_of(slice.range);
-            if let Some(level) = owner.and_then(|owner| levels.levels.get_mut(&owner)) {
-                level.add(load);
+            let load = assigned.load_of(slice.range);
+            if let Some(total) = owner.and_then(|owner| assigned.by_server.get_mut(&owner)) {
+                total.add(load);
             }
         }
-        levels
+        assigned
     }
 
     fn load_of(&self, range: PositionRange) -> f64 {
@@ -75,25 +75,25 @@
     }
 
     /// The least loaded server, which gets the slice too.
-    fn take(&mut self, range: PositionRange) -> Option<ServerId> {
+    fn assign_to_least_loaded(&mut self, range: PositionRange) -> Option<ServerId> {
         let load = self.load_of(range);
-        let (server, level) = self.levels.iter_mut().min_by(|(_, left), (_, right)| {
+        let (server, total) = self.by_server.iter_mut().min_by(|(_, left), (_, right)| {
             let (left, right) = (left.rank(), right.rank());
             left.0.total_cmp(&right.0).then(left.1.cmp(&right.1))
         })?;
-        level.add(load);
+        total.add(load);
         Some(*server)
     }
 }
 
 impl Leader {
     /// Divides the group's space when its first servers are known.
-    pub(super) fn create_slices(&self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        let (Some(space), Some(service)) = (turn.space(), turn.service()) else {
+    pub(super) fn create_slices(&self, context: &LeaderContext, commands: &mut Vec<GroupCommand>) {
+        let (Some(space), Some(service)) = (context.space(), context.service()) else {
             return;
         };
-        let servers = turn.state.servers.len();
-        if !turn.state.slices.is_empty() || servers == 0 {
+        let servers = context.state.servers.len();
+        if !context.state.slices.is_empty() || servers == 0 {
             return;
         }
         let servers = u32::try_from(servers).unwrap_or(u32::MAX);
@@ -103,22 +103,26 @@
 
     /// Gives every ownerless slice to an accepting server, as the planner
     /// says or else to the least loaded one.
-    pub(super) fn place_free_slices(&mut self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        let state = turn.state;
+    pub(super) fn place_free_slices(
+        &mut self,
+        context: &LeaderContext,
+        commands: &mut Vec<GroupCommand>,
+    ) {
+        let state = context.state;
         let free: Vec<PositionRange> = state
             .slices
             .iter()
             .filter(|slice| slice.phase == SlicePhase::Free)
             .map(|slice| slice.range)
             .collect();
-        if free.is_empty() || self.waits_for_servers(turn) {
+        if free.is_empty() || self.waits_for_servers(context) {
             return;
         }
-        let planned = self.planned_owners(turn);
-        let mut levels = ServerLevels::of(self, state);
+        let planned = self.planned_owners(context);
+        let mut assigned = AssignedLoads::of(self, state);
         for range in free {
             let planned = planned.get(&range).copied();
-            if let Some(to) = planned.or_else(|| levels.take(range)) {
+            if let Some(to) = planned.or_else(|| assigned.assign_to_least_loaded(range)) {
                 commands.push(GroupCommand::Assign { range, to });
             }
         }
@@ -126,8 +130,8 @@
 
     /// The first placement waits for all servers to answer, so that the first
     /// one to do so isn't given everything.
-    fn waits_for_servers(&mut self, turn: &Turn) -> bool {
-        let state = turn.state;
+    fn waits_for_servers(&mut self, context: &LeaderContext) -> bool {
+        let state = context.state;
         let mut slices = state.slices.iter();
         let any_owned = slices.any(|slice| slice.phase != SlicePhase::Free);
         let all_accept = state.servers.keys().all(|id| self.accepts(state, *id));
@@ -136,20 +140,24 @@
         }
         let until = *self
             .first_placement
-            .get_or_insert(turn.now + FIRST_PLACEMENT_WAIT);
-        self.waiting |= turn.now < until;
-        turn.now < until
+            .get_or_insert(context.now + FIRST_PLACEMENT_WAIT);
+        self.awaits_deadline |= context.now < until;
+        context.now < until
     }
 
     /// Starts planned moves off draining servers, a few at a time.
-    pub(super) fn empty_draining_servers(&self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        let state = turn.state;
+    pub(super) fn move_off_draining_servers(
+        &self,
+        context: &LeaderContext,
+        commands: &mut Vec<GroupCommand>,
+    ) {
+        let state = context.state;
         let mut statuses = state.servers.values().map(|server| server.status);
         if !statuses.any(|status| status == ServerStatus::Draining) {
             return;
         }
         let mut room = MAXIMUM_MOVES.saturating_sub(moves_under_way(state));
-        let mut levels = ServerLevels::of(self, state);
+        let mut assigned = AssignedLoads::of(self, state);
         for slice in state.slices.iter() {
             let SlicePhase::Held { owner } = slice.phase else {
                 continue;
@@ -164,7 +172,7 @@
             if room == 0 {
                 return;
             }
-            let Some(to) = levels.take(slice.range) else {
+            let Some(to) = assigned.assign_to_least_loaded(slice.range) else {
                 return;
             };
             room -= 1;
--- a/crates/ledgelead-ownership/src/leader/servers.rs
+++ b/crates/ledgelead-ownership/src/leader/servers.rs
@@ -1,6 +1,6 @@
 //! Registration, admission, loss, drain and retirement of servers.
 
-use super::{Heard, Leader, Turn};
+use super::{LatestReport, Leader, LeaderContext};
 use crate::command::{DrainCause, GroupCommand, ServerDefinition};
 use crate::state::Server;
 use ledgelead_types::configuration::ServerConfiguration;
@@ -11,25 +11,29 @@
 impl Leader {
     /// Follows the configuration. It is compared again only when it or the
     /// group's servers and slices have changed.
-    pub(super) fn register_servers(&mut self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        let Some(configuration) = turn.configuration else {
+    pub(super) fn register_servers(
+        &mut self,
+        context: &LeaderContext,
+        commands: &mut Vec<GroupCommand>,
+    ) {
+        let Some(configuration) = context.configuration else {
             return;
         };
-        if turn.service().is_none() || self.registered == Some(configuration.version) {
+        if context.service().is_none() || self.registered == Some(configuration.version) {
             return;
         }
         let before = commands.len();
-        for configured in configuration.servers_of(turn.group) {
+        for configured in configuration.servers_of(context.group) {
             let definition = definition_of(configured);
-            let known = turn.state.servers.get(&configured.id);
+            let known = context.state.servers.get(&configured.id);
             if known.is_none_or(|server| server.definition != definition) {
                 commands.push(GroupCommand::PutServer(definition));
             }
         }
         let configured: BTreeSet<ServerId> = configuration.servers.iter().map(|s| s.id).collect();
-        for (id, server) in &turn.state.servers {
+        for (id, server) in &context.state.servers {
             if !configured.contains(id) {
-                unregister(turn, *id, server, commands);
+                unregister(context, *id, server, commands);
             }
         }
         // A proposal may be refused: what was found is looked for again.
@@ -39,30 +43,31 @@
     }
 
     /// Acts on what dispatchers report.
-    pub(super) fn judge_servers(
+    pub(super) fn check_servers(
         &mut self,
-        turn: &Turn,
+        context: &LeaderContext,
         delegated_authority_until: &dyn Fn(Member) -> Time,
         commands: &mut Vec<GroupCommand>,
     ) {
-        let all_heard = std::mem::take(&mut self.heard);
-        for (&id, heard) in &all_heard {
-            let Some(server) = turn.state.servers.get(&id) else {
+        let all_reports = std::mem::take(&mut self.latest_reports);
+        for (&id, latest) in &all_reports {
+            let Some(server) = context.state.servers.get(&id) else {
                 continue;
             };
-            let command = self.judge_contact(turn, delegated_authority_until, id, server, heard);
+            let command =
+                self.admission_or_loss(context, delegated_authority_until, id, server, latest);
             commands.extend(command);
-            note_released(turn, heard, commands);
-            if heard.news.leaving && server.drain.is_none() {
+            complete_releases(context, latest, commands);
+            if latest.status.leaving && server.drain.is_none() {
                 commands.push(GroupCommand::Drain {
                     server: id,
                     cause: DrainCause::Server,
                 });
             }
         }
-        self.heard = all_heard;
-        for (id, server) in &turn.state.servers {
-            let emptied = turn.state.slice_count(*id) == 0;
+        self.latest_reports = all_reports;
+        for (id, server) in &context.state.servers {
+            let emptied = context.state.slice_count(*id) == 0;
             let retiring = server.drain == Some(DrainCause::Retirement);
             if retiring && emptied && server.status != ServerStatus::Retired {
                 commands.push(GroupCommand::Retire(*id));
@@ -72,31 +77,32 @@
 
     /// Admits a server that answers, or takes a silent one as lost once its
     /// leases have ended.
-    fn judge_contact(
+    fn admission_or_loss(
         &mut self,
-        turn: &Turn,
+        context: &LeaderContext,
         delegated_authority_until: &dyn Fn(Member) -> Time,
         id: ServerId,
         server: &Server,
-        heard: &Heard,
+        latest: &LatestReport,
     ) -> Option<GroupCommand> {
         if server.status == ServerStatus::Retired {
             return None;
         }
-        let news = &heard.news;
-        let lapsed_at = news.lapsed_at.filter(|at| *at >= server.admitted);
-        let restarted = server.run.is_some() && server.run != news.run;
+        let status = &latest.status;
+        let lapsed_at = status.lapsed_at.filter(|at| *at >= server.admitted);
+        let restarted = server.run.is_some() && server.run != status.run;
         let lost = server.status == ServerStatus::Lost;
-        if let Some(run) = news.run.filter(|_| news.answering) {
+        if let Some(run) = status.run.filter(|_| status.answering) {
             let admissible = server.run.is_none() || lost || lapsed_at.is_some();
-            if !admissible || (restarted && !self.leases_ended(turn, delegated_authority_until, id))
+            if !admissible
+                || (restarted && !self.leases_ended(context, delegated_authority_until, id))
             {
                 return None;
             }
             return Some(GroupCommand::Admit { server: id, run });
         }
         let lapsed_at = lapsed_at?;
-        if lost || !self.leases_ended(turn, delegated_authority_until, id) {
+        if lost || !self.leases_ended(context, delegated_authority_until, id) {
             return None;
         }
         Some(GroupCommand::Lose {
@@ -107,24 +113,30 @@
 
     fn leases_ended(
         &mut self,
-        turn: &Turn,
+        context: &LeaderContext,
         delegated_authority_until: &dyn Fn(Member) -> Time,
         id: ServerId,
     ) -> bool {
-        let owns_nothing = turn.state.slice_count(id) == 0;
+        let owns_nothing = context.state.slice_count(id) == 0;
         if owns_nothing || !self.lease_wait {
             return true;
         }
-        let ended = self.leases.ended(turn.now, id, delegated_authority_until);
-        self.waiting |= !ended;
+        let ended = self
+            .leases
+            .all_ended(context.now, id, delegated_authority_until);
+        self.awaits_deadline |= !ended;
         ended
     }
 }
 
 /// A planned move goes on when its old owner has given the slice up.
-fn note_released(turn: &Turn, heard: &Heard, commands: &mut Vec<GroupCommand>) {
-    for claim in &heard.news.released {
-        let slice = turn.state.slices.exact(claim.range);
+fn complete_releases(
+    context: &LeaderContext,
+    latest: &LatestReport,
+    commands: &mut Vec<GroupCommand>,
+) {
+    for claim in &latest.status.released {
+        let slice = context.state.slices.exact(claim.range);
         let pending = slice.is_some_and(|slice| {
             let releasing = matches!(slice.phase, crate::state::SlicePhase::Releasing { .. });
             releasing && slice.token == claim.token
@@ -139,8 +151,13 @@
 }
 
 /// A server that is no longer configured is drained, retired and forgotten.
-fn unregister(turn: &Turn, id: ServerId, server: &Server, commands: &mut Vec<GroupCommand>) {
-    let owns_nothing = turn.state.slice_count(id) == 0;
+fn unregister(
+    context: &LeaderContext,
+    id: ServerId,
+    server: &Server,
+    commands: &mut Vec<GroupCommand>,
+) {
+    let owns_nothing = context.state.slice_count(id) == 0;
     let gone = matches!(server.status, ServerStatus::Retired | ServerStatus::Lost);
     if owns_nothing && (gone || server.run.is_none()) {
         commands.push(GroupCommand::RemoveServer(id));
--- a/crates/ledgelead-ownership/src/message.rs
+++ b/crates/ledgelead-ownership/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between the replicas of a group.
 
-use crate::session::SessionNews;
+use crate::session::SessionStatus;
 use ledgelead_replication::ReplicationMessage;
 use ledgelead_types::administration::{CommandResult, GroupOperation};
 use ledgelead_types::dispatch::{
@@ -81,7 +81,7 @@
     /// The server.
     pub server: ServerId,
     /// State of the session.
-    pub news: SessionNews,
+    pub status: SessionStatus,
     /// Load, about once a second.
     pub load: Option<ServerLoad>,
 }
--- a/crates/ledgelead-ownership/src/record_batch.rs
+++ b/crates/ledgelead-ownership/src/record_batch.rs
@@ -7,7 +7,7 @@
 use ledgelead_types::{Span, Time};
 
 /// How long the first command waits for others.
-const GATHERING: Span = Span::from_millis(2);
+const BATCH_DELAY: Span = Span::from_millis(2);
 /// Most commands in one entry.
 const MAXIMUM_COMMANDS: usize = 256;
 
@@ -24,7 +24,7 @@
     pub fn add(&mut self, now: Time, origin: Origin, command: GroupCommand) {
         self.commands.push(command);
         self.origins.push(origin);
-        let due = *self.due.get_or_insert(now + GATHERING);
+        let due = *self.due.get_or_insert(now + BATCH_DELAY);
         if self.commands.len() >= MAXIMUM_COMMANDS {
             self.due = Some(due.min(now));
         }
--- a/crates/ledgelead-ownership/src/requests.rs
+++ b/crates/ledgelead-ownership/src/requests.rs
@@ -25,7 +25,7 @@
 /// How long the end of a request is tried to be recorded.
 const END_TIMEOUT: Span = Span::from_seconds(5);
 /// Most requests that wait at once; more are refused at once.
-const MAXIMUM_WAITING: usize = 16_384;
+const MAX_PENDING: usize = 16_384;
 
 /// Who waits for an answer on this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,21 +40,21 @@
 
 /// A request of this node.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct PendingRequest {
     /// The request.
     pub request: GroupRequest,
     /// Who waits.
     pub waiter: Waiter,
     /// Whether it may wait to be sent with others.
-    lazy: bool,
+    deferred: bool,
     deadline: Time,
     next_send: Time,
     sent: bool,
 }
 
-impl Waiting {
+impl PendingRequest {
     fn retry_interval(&self) -> Span {
-        if self.lazy {
+        if self.deferred {
             END_RETRY_INTERVAL
         } else {
             RETRY_INTERVAL
@@ -66,14 +66,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A request of this node.
-    Here(u64),
+    Local(u64),
     /// A request of another replica under its own number.
     Replica(Member, u64),
 }
 
 /// A request that ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct FinishedRequest {
     /// The request.
     pub request: GroupRequest,
     /// Who waits.
@@ -85,7 +85,7 @@
 /// All requests under way.
 #[derive(Default)]
 pub struct Requests {
-    waiting: BTreeMap<u64, Waiting>,
+    pending: BTreeMap<u64, PendingRequest>,
     /// Origins of the commands of each entry proposed here, in order.
     proposed: BTreeMap<Revision, Vec<Origin>>,
     next_number: u64,
@@ -97,10 +97,10 @@
     /// unanswered would free the key when its time is up, although the other
     /// was granted.
     pub fn add(&mut self, now: Time, request: GroupRequest, waiter: Waiter) -> bool {
-        if self.begins(&request) {
+        if self.has_begin_request(&request) {
             return true;
         }
-        if self.waiting.len() >= MAXIMUM_WAITING {
+        if self.pending.len() >= MAX_PENDING {
             return false;
         }
         let timeout = match &request {
@@ -110,26 +110,26 @@
         };
         // The end of a request that was not run frees its key for a repeat
         // that may come at once.
-        let lazy = matches!(&request, GroupRequest::EndIdempotent { state: Some(_), .. });
-        let delay = if lazy { END_DELAY } else { Span::ZERO };
-        let waiting = Waiting {
+        let deferred = matches!(&request, GroupRequest::EndIdempotent { state: Some(_), .. });
+        let delay = if deferred { END_DELAY } else { Span::ZERO };
+        let pending = PendingRequest {
             request,
             waiter,
-            lazy,
+            deferred,
             deadline: now + timeout,
             next_send: now + delay,
             sent: false,
         };
-        self.waiting.insert(self.next_number, waiting);
+        self.pending.insert(self.next_number, pending);
         self.next_number += 1;
         true
     }
 
     /// Whether this wish to begin waits already.
-    fn begins(&self, request: &GroupRequest) -> bool {
-        let is_wish = matches!(request, GroupRequest::BeginIdempotent { .. });
-        let mut waiting = self.waiting.values();
-        is_wish && waiting.any(|waiting| waiting.request == *request)
+    fn has_begin_request(&self, request: &GroupRequest) -> bool {
+        let is_begin = matches!(request, GroupRequest::BeginIdempotent { .. });
+        let mut pending = self.pending.values();
+        is_begin && pending.any(|pending| pending.request == *request)
     }
 
     /// The requests to hand to the leader now, oldest first. With one that is
@@ -137,22 +137,22 @@
     /// behind the next wish to begin under it.
     pub fn due(&mut self, now: Time) -> Vec<NumberedRequest> {
         let any = self
-            .waiting
+            .pending
             .values()
-            .any(|waiting| waiting.next_send <= now);
+            .any(|pending| pending.next_send <= now);
         if !any {
             return Vec::new();
         }
-        let due = self.waiting.iter_mut().filter(|(_, waiting)| {
-            let goes_along = waiting.lazy && !waiting.sent;
-            goes_along || waiting.next_send <= now
+        let due = self.pending.iter_mut().filter(|(_, pending)| {
+            let piggybacks = pending.deferred && !pending.sent;
+            piggybacks || pending.next_send <= now
         });
-        due.map(|(number, waiting)| {
-            waiting.next_send = now + waiting.retry_interval();
-            waiting.sent = true;
+        due.map(|(number, pending)| {
+            pending.next_send = now + pending.retry_interval();
+            pending.sent = true;
             NumberedRequest {
                 number: *number,
-                request: waiting.request.clone(),
+                request: pending.request.clone(),
             }
         })
         .collect()
@@ -162,8 +162,8 @@
     /// proposed here may have been discarded.
     pub fn leader_changed(&mut self, now: Time) {
         self.proposed.clear();
-        for waiting in self.waiting.values_mut() {
-            waiting.next_send = now;
+        for pending in self.pending.values_mut() {
+            pending.next_send = now;
         }
     }
 
@@ -179,32 +179,37 @@
     }
 
     /// An answer arrived; `None` when nobody waits for it any more.
-    pub fn answered(&mut self, now: Time, number: u64, answer: GroupAnswer) -> Option<Ended> {
+    pub fn answered(
+        &mut self,
+        now: Time,
+        number: u64,
+        answer: GroupAnswer,
+    ) -> Option<FinishedRequest> {
         if answer == GroupAnswer::NotLeader {
-            if let Some(waiting) = self.waiting.get_mut(&number) {
-                waiting.next_send = waiting.next_send.min(now + NOT_LEADER_DELAY);
+            if let Some(pending) = self.pending.get_mut(&number) {
+                pending.next_send = pending.next_send.min(now + NOT_LEADER_DELAY);
             }
             return None;
         }
-        let waiting = self.waiting.remove(&number)?;
-        Some(Ended {
-            request: waiting.request,
-            waiter: waiting.waiter,
+        let pending = self.pending.remove(&number)?;
+        Some(FinishedRequest {
+            request: pending.request,
+            waiter: pending.waiter,
             answer,
         })
     }
 
     /// Ends the requests whose time is up.
-    pub fn expire(&mut self, now: Time) -> Vec<Ended> {
+    pub fn expire(&mut self, now: Time) -> Vec<FinishedRequest> {
         let mut ended = Vec::new();
-        self.waiting.retain(|_, waiting| {
-            if now < waiting.deadline {
+        self.pending.retain(|_, pending| {
+            if now < pending.deadline {
                 return true;
             }
-            ended.push(Ended {
-                request: waiting.request.clone(),
-                waiter: waiting.waiter,
-                answer: unanswered(&waiting.request, waiting.sent),
+            ended.push(FinishedRequest {
+                request: pending.request.clone(),
+                waiter: pending.waiter,
+                answer: timeout_answer(&pending.request, pending.sent),
             });
             false
         });
@@ -213,14 +218,14 @@
 
     /// When something is due next.
     pub fn next_wakeup(&self, reachable: bool) -> Option<Time> {
-        let due = |waiting: &Waiting| {
+        let due = |pending: &PendingRequest| {
             if reachable {
-                waiting.next_send.min(waiting.deadline)
+                pending.next_send.min(pending.deadline)
             } else {
-                waiting.deadline
+                pending.deadline
             }
         };
-        self.waiting.values().map(due).min()
+        self.pending.values().map(due).min()
     }
 }
 
@@ -228,7 +233,7 @@
 const NOT_LEADER_DELAY: Span = Span::from_millis(20);
 
 /// The answer to a request that no leader answered in time.
-pub fn unanswered(request: &GroupRequest, sent: bool) -> GroupAnswer {
+pub fn timeout_answer(request: &GroupRequest, sent: bool) -> GroupAnswer {
     match request {
         GroupRequest::Operate { .. } if sent => GroupAnswer::Operated(CommandResult::Unknown),
         GroupRequest::Operate { .. } => {
--- a/crates/ledgelead-ownership/src/session/mod.rs
+++ b/crates/ledgelead-ownership/src/session/mod.rs
@@ -47,7 +47,7 @@
 
 /// Silence after which a server is taken as lost when the wait for its lease
 /// is switched off, for the proof of the checker.
-const IMPATIENCE: Span = Span::from_millis(200);
+const LOSS_TIMEOUT_WITHOUT_LEASE_WAIT: Span = Span::from_millis(200);
 
 /// A point in time that is never reached.
 const NEVER: Time = Time(u64::MAX);
@@ -63,7 +63,7 @@
 
 /// What a session has to tell the leader.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
-pub struct SessionNews {
+pub struct SessionStatus {
     /// Run of the server's process, once it answered.
     pub run: Option<u64>,
     /// Whether it has answered lately.
@@ -113,8 +113,8 @@
     usable_until: Option<Time>,
     lapsed_at: Option<Revision>,
     granting: bool,
-    holding: FencingToken,
-    set_sent: Option<FencingToken>,
+    confirmed_set: FencingToken,
+    sent_set: Option<FencingToken>,
     calls: BTreeMap<u64, Call>,
     next_renewal: Time,
     last_sent: Time,
@@ -142,8 +142,8 @@
             usable_until: None,
             lapsed_at: None,
             granting: false,
-            holding: FencingToken::default(),
-            set_sent: None,
+            confirmed_set: FencingToken::default(),
+            sent_set: None,
             calls: BTreeMap::new(),
             next_renewal: now,
             last_sent: Time::ZERO,
@@ -186,7 +186,7 @@
         }
         self.stop_for_unadmitted_run(state.applied, server);
         self.time_out_calls(now);
-        let lapses = self.lapsed_at.is_none() && self.is_silent(now);
+        let lapses = self.lapsed_at.is_none() && self.is_unresponsive(now);
         if lapses {
             self.lapse(state.applied);
         }
@@ -205,7 +205,7 @@
         let oldest_call = self.calls.values().next().map(|call| call.sent);
         let timeout = oldest_call.map(|sent| sent + CALL_TIMEOUT);
         let watched = self.lapsed_at.is_none() && self.partitioned;
-        let lapse = watched.then(|| self.silence_ends());
+        let lapse = watched.then(|| self.lapse_time());
         let room = self.calls.len() < MAXIMUM_CALLS;
         let authority = authority.filter(|_| room);
         let ending = authority.filter(|_| self.granting);
@@ -216,8 +216,8 @@
     }
 
     /// What there is to tell the leader now.
-    pub fn news(&self, now: Time) -> SessionNews {
-        SessionNews {
+    pub fn status(&self, now: Time) -> SessionStatus {
+        SessionStatus {
             run: self.run,
             answering: self.last_contact.is_some() && self.failures == 0,
             lapsed_at: self.lapsed_at,
@@ -240,21 +240,22 @@
         silent || unadmitted || leaving || recovering || !self.released.is_empty()
     }
 
-    fn is_silent(&self, now: Time) -> bool {
+    fn is_unresponsive(&self, now: Time) -> bool {
         if !self.partitioned {
             return self.probes_failed(now);
         }
-        now >= self.silence_ends()
+        now >= self.lapse_time()
     }
 
     /// When the session lapses if the server stays silent: its lease has
     /// ended for certain.
-    fn silence_ends(&self) -> Time {
-        let heard = self.last_contact.unwrap_or(self.started);
+    fn lapse_time(&self) -> Time {
+        let last_contact = self.last_contact.unwrap_or(self.started);
         if !self.lease_wait {
-            return heard + IMPATIENCE;
+            return last_contact + LOSS_TIMEOUT_WITHOUT_LEASE_WAIT;
         }
-        self.granted_until.max(heard + lengthened_for_drift(LEASE))
+        self.granted_until
+            .max(last_contact + lengthened_for_drift(LEASE))
     }
 
     fn probes_failed(&self, now: Time) -> bool {
@@ -278,9 +279,10 @@
 
     fn time_out_calls(&mut self, now: Time) {
         let overdue = |call: &Call| now >= call.sent + CALL_TIMEOUT;
-        let heard = self.last_contact;
+        let last_contact = self.last_contact;
         // A call that a later answer has overtaken proves nothing.
-        let unanswered = |call: &Call| heard.is_none_or(|heard| heard < call.sent);
+        let unanswered =
+            |call: &Call| last_contact.is_none_or(|last_contact| last_contact < call.sent);
         let all = self.calls.values();
         let failed = all.filter(|call| overdue(call) && unanswered(call)).count();
         self.calls.retain(|_, call| !overdue(call));
--- a/crates/ledgelead-ownership/src/session/renewing.rs
+++ b/crates/ledgelead-ownership/src/session/renewing.rs
@@ -14,7 +14,7 @@
         authority: GrantAuthority,
     ) -> Option<LeaseRenewal> {
         let grantable = self.may_grant(state, server);
-        let set_known = self.holding == server.set_changed;
+        let set_known = self.confirmed_set == server.set_changed;
         let ending = grantable && now >= self.ending_renewal(authority);
         let due = ending || self.is_due(now, grantable, server.set_changed);
         if !due || self.calls.len() >= MAXIMUM_CALLS {
@@ -32,7 +32,7 @@
             self.granted_until = self
                 .granted_until
                 .max(stamp.received + lengthened_for_drift(LEASE));
-            self.set_sent = Some(server.set_changed);
+            self.sent_set = Some(server.set_changed);
         }
         let call = Call {
             sent: now,
@@ -64,7 +64,7 @@
         if !grantable {
             return false;
         }
-        let set_unsent = self.holding != set_changed && self.set_sent != Some(set_changed);
+        let set_unsent = self.confirmed_set != set_changed && self.sent_set != Some(set_changed);
         !self.granting || set_unsent
     }
 
--- a/crates/ledgelead-ownership/src/session/replying.rs
+++ b/crates/ledgelead-ownership/src/session/replying.rs
@@ -24,11 +24,11 @@
         if self.run != Some(reply.run) {
             self.start_run(reply.run, now, state.applied, server);
         }
-        self.take_stamp(now, call.sent, reply.stamp);
-        self.holding = reply.holding;
+        self.record_stamp(now, call.sent, reply.stamp);
+        self.confirmed_set = reply.holding;
         self.load = reply.load;
         self.leaving = reply.leaving;
-        self.take_verdict(now, call, &reply, state, server);
+        self.apply_verdict(now, call, &reply, state, server);
     }
 
     pub(super) fn call_failed(&mut self) {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn take_stamp(&mut self, now: Time, sent: Time, reading: Time) {
+    fn record_stamp(&mut self, now: Time, sent: Time, reading: Time) {
         if self.stamp.is_none_or(|known| reading > known.reading) {
             self.stamp = Some(Stamp {
                 reading,
@@ -67,7 +67,7 @@
         }
     }
 
-    fn take_verdict(
+    fn apply_verdict(
         &mut self,
         now: Time,
         call: Call,
@@ -77,8 +77,8 @@
     ) {
         match reply.verdict {
             RenewalVerdict::Taken => {
-                self.lease_taken(call, reply.run);
-                self.note_released(reply, state, server);
+                self.confirm_lease(call, reply.run);
+                self.record_released(reply, state, server);
             }
             RenewalVerdict::Fenced { .. } => self.usable_until = None,
             RenewalVerdict::SetUnknown => self.next_renewal = now,
@@ -89,7 +89,7 @@
         }
     }
 
-    fn lease_taken(&mut self, call: Call, run: u64) {
+    fn confirm_lease(&mut self, call: Call, run: u64) {
         let Some((stamp, stamped_run)) = call.echoed else {
             return;
         };
@@ -101,7 +101,7 @@
 
     /// A slice is given up when the server holds the set without it and
     /// doesn't list it among those whose requests are still executing.
-    fn note_released(&mut self, reply: &RenewalReply, state: &GroupState, server: &Server) {
+    fn record_released(&mut self, reply: &RenewalReply, state: &GroupState, server: &Server) {
         if reply.holding != server.set_changed {
             return;
         }
--- a/crates/ledgelead-ownership/src/snapshots.rs
+++ b/crates/ledgelead-ownership/src/snapshots.rs
@@ -4,7 +4,7 @@
 use ledgelead_types::{Revision, Span, Time};
 
 /// Least time between two snapshots.
-const SHORTEST_INTERVAL: Span = Span::from_seconds(1);
+const MIN_INTERVAL: Span = Span::from_seconds(1);
 /// Least time between two snapshots when only idempotency records changed;
 /// they are many and each snapshot holds all of them.
 const RECORDS_INTERVAL: Span = Span::from_seconds(10);
@@ -12,7 +12,7 @@
 /// longer the next one waits. Who may vote is written at once all the same.
 const BYTES_PER_SECOND: u64 = 1_500;
 /// The next one waits for no longer than this, however large one is.
-const LONGEST_INTERVAL: Span = Span::from_seconds(60);
+const MAX_INTERVAL: Span = Span::from_seconds(60);
 /// A snapshot that was not stored is sent again after this.
 const RETRY_INTERVAL: Span = Span::from_seconds(3);
 
@@ -22,7 +22,7 @@
     stored: Revision,
     sent: Option<(Revision, Time)>,
     /// How long the next one waits for the size of the last one.
-    pause: Span,
+    size_delay: Span,
     /// Whether the store lacks a change of who votes.
     members_dirty: bool,
     /// Since when the store lacks a change of ownership.
@@ -58,14 +58,14 @@
     pub fn due_at(&self) -> Option<Time> {
         let last = self.sent.map(|(_, at)| at);
         let after = |interval: Span| last.map_or(Time::ZERO, |last| last + interval);
-        let pause = if self.members_dirty {
-            SHORTEST_INTERVAL
+        let size_delay = if self.members_dirty {
+            MIN_INTERVAL
         } else {
-            self.pause.max(SHORTEST_INTERVAL)
+            self.size_delay.max(MIN_INTERVAL)
         };
-        let ownership = self.ownership_dirty.map(|_| after(pause));
+        let ownership = self.ownership_dirty.map(|_| after(size_delay));
         let records = self.records_dirty;
-        let records = records.map(|_| after(pause.max(RECORDS_INTERVAL)));
+        let records = records.map(|_| after(size_delay.max(RECORDS_INTERVAL)));
         let unstored = self.sent.filter(|(sent, _)| *sent > self.stored);
         let retry = unstored.map(|(_, at)| at + RETRY_INTERVAL);
         [ownership, records, retry].into_iter().flatten().min()
@@ -75,7 +75,7 @@
     pub fn sent(&mut self, now: Time, revision: Revision, bytes: usize) {
         self.sent = Some((revision, now));
         let seconds = bytes as f64 / BYTES_PER_SECOND as f64;
-        self.pause = Span::from_seconds(1).times(seconds).min(LONGEST_INTERVAL);
+        self.size_delay = Span::from_seconds(1).times(seconds).min(MAX_INTERVAL);
         self.members_dirty = false;
         self.ownership_dirty = None;
         self.records_dirty = None;
--- a/crates/ledgelead-ownership/src/state/mod.rs
+++ b/crates/ledgelead-ownership/src/state/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 
 /// How many identifiers of operations a group remembers.
-pub const REMEMBERED_OPERATIONS: usize = 256;
+pub const MAX_APPLIED_OPERATIONS: usize = 256;
 
 /// A server as the group knows it.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
--- a/crates/ledgelead-ownership/src/state/operations.rs
+++ b/crates/ledgelead-ownership/src/state/operations.rs
@@ -1,13 +1,13 @@
 //! Operators' operations: checked against the state, applied once.
 
-use super::{AppliedOperation, Decision, GroupState, REMEMBERED_OPERATIONS, SlicePhase};
+use super::{AppliedOperation, Decision, GroupState, MAX_APPLIED_OPERATIONS, SlicePhase};
 use crate::command::DrainCause;
 use ledgelead_types::administration::{CommandRejection, CommandResult, GroupOperation};
 use ledgelead_types::routes::ServerStatus;
 use ledgelead_types::*;
 
 /// Why an operation can't be applied.
-type Finding = String;
+type RejectionReason = String;
 
 impl GroupState {
     /// Applies an operation unless it was applied before under this
@@ -24,11 +24,11 @@
         }
         let result = match self.apply_operation(operation, token, decisions) {
             Ok(()) => CommandResult::Operated { repeated: false },
-            Err(finding) => {
-                CommandResult::Rejected(CommandRejection::Invalid(vec![Text(finding)].into()))
+            Err(reason) => {
+                CommandResult::Rejected(CommandRejection::Invalid(vec![Text(reason)].into()))
             }
         };
-        self.remember(command_id, &result);
+        self.record_result(command_id, &result);
         result
     }
 
@@ -39,8 +39,8 @@
             .map(|applied| &applied.result)
     }
 
-    fn remember(&mut self, command_id: &Text, result: &CommandResult) {
-        if self.operations.len() >= REMEMBERED_OPERATIONS {
+    fn record_result(&mut self, command_id: &Text, result: &CommandResult) {
+        if self.operations.len() >= MAX_APPLIED_OPERATIONS {
             self.operations.remove(0);
         }
         self.operations.push(AppliedOperation {
@@ -54,7 +54,7 @@
         operation: GroupOperation,
         token: FencingToken,
         decisions: &mut Vec<Decision>,
-    ) -> Result<(), Finding> {
+    ) -> Result<(), RejectionReason> {
         match operation {
             GroupOperation::Drain(server) => {
                 self.check_not_retired(server)?;
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    fn check_known(&self, server: ServerId) -> Result<(), Finding> {
+    fn check_known(&self, server: ServerId) -> Result<(), RejectionReason> {
         if self.servers.contains_key(&server) {
             Ok(())
         } else {
@@ -85,7 +85,7 @@
         }
     }
 
-    fn check_not_retired(&self, server: ServerId) -> Result<(), Finding> {
+    fn check_not_retired(&self, server: ServerId) -> Result<(), RejectionReason> {
         self.check_known(server)?;
         if self.servers[&server].status == ServerStatus::Retired {
             return Err(format!("{server} is retired"));
@@ -99,7 +99,7 @@
         to: ServerId,
         token: FencingToken,
         decisions: &mut Vec<Decision>,
-    ) -> Result<(), Finding> {
+    ) -> Result<(), RejectionReason> {
         self.check_known(to)?;
         if !self.servers[&to].accepts() {
             return Err(format!("{to} takes no slices at present"));
@@ -118,7 +118,11 @@
 
     /// Splits a slice so that `at` starts one; it is no error when it does
     /// already.
-    pub(super) fn split_at(&mut self, at: Position, token: FencingToken) -> Result<(), Finding> {
+    pub(super) fn split_at(
+        &mut self,
+        at: Position,
+        token: FencingToken,
+    ) -> Result<(), RejectionReason> {
         let slice = self.slices.at(at);
         let slice = slice.ok_or("the position is in no slice of this group")?;
         let holder = slice.phase.holder();
@@ -131,7 +135,11 @@
         Ok(())
     }
 
-    fn isolate(&mut self, range: PositionRange, token: FencingToken) -> Result<(), Finding> {
+    fn isolate(
+        &mut self,
+        range: PositionRange,
+        token: FencingToken,
+    ) -> Result<(), RejectionReason> {
         if range.first > range.last {
             return Err("the range ends before it starts".to_owned());
         }
--- a/crates/ledgelead-ownership/src/state/records.rs
+++ b/crates/ledgelead-ownership/src/state/records.rs
@@ -74,8 +74,8 @@
         revision: Revision,
     ) -> IdempotencyVerdict {
         if let Some(record) = self.by_key.get(&key) {
-            let asked_again = record.owner == owner && record.state == IdempotencyState::Begun;
-            return if asked_again {
+            let is_retry = record.owner == owner && record.state == IdempotencyState::Begun;
+            return if is_retry {
                 IdempotencyVerdict::Fresh
             } else {
                 IdempotencyVerdict::Duplicate(record.state)
@@ -116,11 +116,11 @@
             return;
         };
         record.state = state;
-        let place = (record.begun, key);
+        let age_key = (record.begun, key);
         if state == IdempotencyState::Begun {
-            self.ended.remove(&place);
+            self.ended.remove(&age_key);
         } else {
-            self.ended.insert(place);
+            self.ended.insert(age_key);
         }
     }
 
@@ -158,19 +158,19 @@
     }
 
     fn insert(&mut self, record: IdempotencyRecord) {
-        let place = (record.begun, record.key);
-        self.by_age.insert(place);
+        let age_key = (record.begun, record.key);
+        self.by_age.insert(age_key);
         if record.state != IdempotencyState::Begun {
-            self.ended.insert(place);
+            self.ended.insert(age_key);
         }
         self.by_key.insert(record.key, record);
     }
 
     fn remove(&mut self, key: IdempotencyKey) {
         if let Some(record) = self.by_key.remove(&key) {
-            let place = (record.begun, key);
-            self.by_age.remove(&place);
-            self.ended.remove(&place);
+            let age_key = (record.begun, key);
+            self.by_age.remove(&age_key);
+            self.ended.remove(&age_key);
         }
     }
 }
--- a/crates/ledgelead-ownership/src/state/recovery.rs
+++ b/crates/ledgelead-ownership/src/state/recovery.rs
@@ -77,10 +77,10 @@
         let mut adopted: Vec<Slice> = Vec::new();
         for candidate in candidates {
             let inside = space.covers(&candidate.range);
-            let taken = adopted
+            let claimed = adopted
                 .iter()
                 .any(|slice| slice.range.overlaps(&candidate.range));
-            if inside && !taken {
+            if inside && !claimed {
                 adopted.push(candidate);
             }
         }
@@ -127,30 +127,30 @@
     } else {
         former
     };
-    let mut whole = adopted.clone();
+    let mut table = adopted.clone();
     for old in former.iter() {
         let mut next = Some(old.range.first);
         for slice in adopted
             .iter()
             .filter(|slice| slice.range.overlaps(&old.range))
         {
-            push_free(&mut whole, next, slice.range.first, old);
+            push_free(&mut table, next, slice.range.first, old);
             next = slice.range.last.0.checked_add(1).map(Position);
         }
         if let Some(first) = next
             && first <= old.range.last
         {
-            whole.push(free(first, old.range.last, old));
+            table.push(free(first, old.range.last, old));
         }
     }
-    whole.into_iter().collect()
+    table.into_iter().collect()
 }
 
-fn push_free(whole: &mut Vec<Slice>, from: Option<Position>, until: Position, old: &Slice) {
+fn push_free(table: &mut Vec<Slice>, from: Option<Position>, until: Position, old: &Slice) {
     if let Some(first) = from
         && first < until
     {
-        whole.push(free(first, Position(until.0 - 1), old));
+        table.push(free(first, Position(until.0 - 1), old));
     }
 }
 
--- a/crates/ledgelead-ownership/tests/dispatcher.rs
+++ b/crates/ledgelead-ownership/tests/dispatcher.rs
@@ -40,8 +40,8 @@
         token: FencingToken::default(),
         until,
     });
-    dispatcher.visit(now, &GrantContext { state, authority });
-    dispatcher.take_visited()
+    dispatcher.update_sessions(now, &GrantContext { state, authority });
+    dispatcher.take_updated()
 }
 
 /// An input costs as much as the sessions that it concerns; authority that
