--- a/crates/ledgelead-replication/src/authority.rs
+++ b/crates/ledgelead-replication/src/authority.rs
@@ -1,11 +1,11 @@
-//! Promises and the authority that rests on them
-//! (`docs/design/overview.md`, "Authority, leases, fencing" 1 and 2).
+//! Promises and the authority that depends on them (`docs/design/overview.md`, "Authority,
+//! leases, fencing" 1 and 2).
 //!
-//! Invariant: at any instant of true time, authority is held under one term at
-//! most. A leader's authority ends [`LEADER_LEASE`] after it sent a message that a
-//! majority of voters has taken. Each of these promised, from its receipt and
-//! stretched for drift, to vote for nobody else; every later majority contains
-//! one of them.
+//! Invariant: at any instant of real time, authority is held under at most one term. A
+//! leader's authority ends [`LEADER_LEASE`] after it sent a message that a majority of
+//! voters has acknowledged. Each of these voters promised on receipt to vote for nobody
+//! else for that time, lengthened for clock drift, and every later majority contains at
+//! least one of them.
 
 use crate::leader_state::LeaderState;
 use crate::message::Delegation;
@@ -23,8 +23,8 @@
 }
 
 impl Replica {
-    /// The authority that this replica holds: a leader's own, or the part
-    /// delegated to a follower. `None` when there is none or it has ended.
+    /// The authority that this replica holds: a leader's own, or the part delegated to a
+    /// follower. `None` if it holds none or it has ended.
     pub fn authority(&self, now: Time) -> Option<Authority> {
         let until = match &self.state {
             State::Leader(leader) => self.leader_authority(leader, now),
@@ -37,8 +37,8 @@
         })
     }
 
-    /// On the leader's clock, by when all authority that it gave to the member
-    /// in this term has ended; [`Time::ZERO`] when it gave none.
+    /// For a leader, on its clock: when all authority that it delegated to the member in
+    /// this term has ended; [`Time::ZERO`] if it delegated none.
     pub fn delegated_authority_until(&self, member: Member) -> Time {
         self.delegated_ends
             .get(&member)
@@ -46,16 +46,16 @@
             .unwrap_or(Time::ZERO)
     }
 
-    /// For a leader: by when the authority of every earlier leader of this
-    /// epoch, and of its delegates, has ended. The time of the election as a
-    /// rule, since the voters' promises had run out; later after a transfer,
-    /// which does not wait for promises.
+    /// For a leader: when the authority of every earlier leader of this epoch, and of its
+    /// delegates, has ended. Normally this is the time of the election, because the voters'
+    /// promises had run out by then; it is later after a transfer, which does not wait for
+    /// promises.
     pub fn former_authority_ends(&self) -> Time {
         self.former_authority_ends
     }
 
-    /// Until when this replica votes for nobody else than its leader; a
-    /// leader's own authority binds it in the same way.
+    /// Until when this replica votes only for its leader. A leader is bound by its own
+    /// authority in the same way.
     pub(crate) fn promised_until(&self) -> Time {
         match &self.state {
             State::Leader(leader) => self.promise_until.max(leader.authority_until),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Recomputes the leader's authority from the answers heard so far.
+    /// Recomputes the leader's authority from the replies received so far.
     pub(crate) fn renew_authority(&mut self) {
         let State::Leader(leader) = &self.state else {
             return;
@@ -90,15 +90,14 @@
         until.max(leader.authority_until)
     }
 
-    /// The part of the authority that the next message to a voter carries.
-    /// It starts from the member's own stamp, received at `received`, so it
-    /// ends before the leader's authority whatever the message's delay.
+    /// The part of the authority that the next message delegates to a voter. It counts from
+    /// the member's own timestamp, which the leader received at `received`, so it ends
+    /// before the leader's authority however long the message is delayed.
     ///
-    /// It ends at the latest a promise after the latest message that the
-    /// member itself has taken. A leader's authority lives on while any quorum
-    /// answers; a member that can hear and not answer would otherwise hold a
-    /// part of it without end, and the servers in its care could never be
-    /// taken as lost.
+    /// It ends no later than [`LEADER_LEASE`] after the latest message that the member
+    /// itself has acknowledged. A leader's authority is renewed while any quorum replies.
+    /// Without this limit, a member that receives messages but can't reply would keep its
+    /// delegation forever, and the servers assigned to it could never be marked as lost.
     pub(crate) fn delegate(&mut self, member: Member) -> Option<Delegation> {
         let State::Leader(leader) = &self.state else {
             return None;
--- a/crates/ledgelead-replication/src/election.rs
+++ b/crates/ledgelead-replication/src/election.rs
@@ -1,8 +1,8 @@
-//! Elections: polls (pre-vote), votes, and the steps between the roles.
+//! Elections: pre-votes, votes, and transitions between roles.
 //!
-//! A replica that has promised itself to a leader refuses polls and votes
-//! until the promise has run out, and does not move to a candidate's term for
-//! them. Only a candidate that the leader itself named is exempt.
+//! A replica with a promise to a leader refuses pre-votes and votes until the promise has
+//! run out, and does not adopt the candidate's term. Only a candidate that the leader
+//! itself named as its successor is exempt.
 
 use crate::leader_state::LeaderState;
 use crate::message::*;
@@ -14,16 +14,16 @@
 use ledgelead_types::{Member, Span, Term, Time};
 use std::collections::BTreeSet;
 
-/// How long a poll or an election waits for answers before the next poll, the
-/// random delay not counted.
+/// How long a pre-vote or an election waits for replies before the next pre-vote, not
+/// counting the random delay.
 const ELECTION_TIMEOUT: Span = Span::from_millis(30);
 
-/// How long a replica leaves the field to another whose poll it granted; less
-/// than the other's time between polls, so that one that can't win does not
-/// keep the rest from standing.
+/// How long a replica defers its own candidacy after it granted another's pre-vote. Shorter
+/// than the interval between pre-votes of one replica, so that a replica that can't win
+/// does not block the others.
 const PRE_VOTE_YIELD: Span = Span::from_millis(10);
 
-/// Bound of the random delay before a refused poll is repeated.
+/// Upper bound of the random delay before a refused pre-vote is repeated.
 const PRE_VOTE_RETRY_JITTER: Span = Span::from_millis(5);
 
 impl Replica {
@@ -32,8 +32,8 @@
         self.is_voter()
     }
 
-    /// Asks the voters whether they would vote for this replica. No term
-    /// changes, so a replica that was cut off disturbs nobody on its return.
+    /// Starts a pre-vote. It changes no term, so a replica that was partitioned does not
+    /// disrupt the group when it reconnects.
     pub(crate) fn start_pre_vote(&mut self) {
         if self.now < self.promise_until {
             self.election_at = self.promise_until;
@@ -71,10 +71,10 @@
         self.send(from, Body::PreVoteReply(reply));
     }
 
-    /// Whether a poll of `other` is refused for this replica's own sake. Of
-    /// two replicas that poll at the same time the lower member goes first,
-    /// or both would stand and split the votes. This holds for the first poll
-    /// after a promise alone, as the lower one may be unable to win.
+    /// Whether a pre-vote of `other` is refused in favor of this replica. Of two replicas
+    /// that start a pre-vote at the same time, the lower member goes first; otherwise both
+    /// would campaign and split the votes. This applies only to the first pre-vote after a
+    /// promise, because the lower member may be unable to win.
     fn has_priority_over(&self, other: Member) -> bool {
         match &self.state {
             State::Leader(_) => true,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Leaves the field to a replica that was told it would get this vote.
+    /// Defers this replica's candidacy after it granted a pre-vote.
     fn yield_to_pre_vote(&mut self) {
         if matches!(self.state, State::PreCandidate { .. }) {
             self.state = State::Follower;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Moves to the next term and asks for its votes.
+    /// Starts an election in the next term.
     fn campaign(&mut self, transfer: bool) {
         self.move_to_term(Term(self.term.0.saturating_add(1)));
         self.voted_for = Some(self.identity);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The leader named this replica as its successor.
+    /// Handles the request of the leader to take over from it.
     pub(crate) fn handle_timeout_now(&mut self, from: Member, term: Term) {
         let from_leader = term == self.term && self.leader == Some(from);
         if from_leader && matches!(self.state, State::Follower) && self.may_campaign() {
@@ -192,10 +192,10 @@
         }
     }
 
-    /// Follows in a term; a leader or candidate gives up its role.
+    /// Becomes a follower in a term; a leader or candidate steps down.
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<Member>) {
-        // A leader may have acted, and let others act, until this time: it
-        // must not help to elect another one before.
+        // A leader and its delegates may act until this time, so it must not help to elect
+        // another leader before.
         self.promise_until = self.promised_until();
         self.state = State::Follower;
         self.move_to_term(term);
--- a/crates/ledgelead-replication/src/following.rs
+++ b/crates/ledgelead-replication/src/following.rs
@@ -1,4 +1,4 @@
-//! What a replica does with its leader's messages.
+//! The follower: handling of the leader's messages.
 
 use crate::log::{Log, Snapshot};
 use crate::message::*;
@@ -31,8 +31,8 @@
         let sent = install.sent;
         let agrees = self.log.term_at(install.revision) == Some(install.revision_term);
         if self.has_state && agrees {
-            // The entries behind may be acknowledged already: a snapshot that
-            // was delayed must not drop them.
+            // The entries after the snapshot may be acknowledged already, so a delayed
+            // snapshot must not drop them.
             self.commit_to(install.revision);
         } else if !self.has_state || install.revision > self.commit {
             self.install(install);
@@ -42,8 +42,8 @@
         self.send_append_reply(from, sent, outcome);
     }
 
-    /// Takes the sender for the leader of its term, unless the term has
-    /// passed, and renews the promise to it. Returns whether it leads.
+    /// Follows the sender as the leader of its term and renews the promise to it, unless
+    /// the term is stale. Returns whether the sender is the leader.
     fn accept_leader(&mut self, from: Member, term: Term, sent: Time) -> bool {
         if term < self.term {
             self.send_append_reply(from, sent, AppendOutcome::StaleTerm);
@@ -64,8 +64,8 @@
         true
     }
 
-    /// The delegation runs from this replica's own stamp. No honest leader's
-    /// authority reaches further than a promise from now.
+    /// Records a delegation. It counts from a timestamp of this replica's own clock. The
+    /// authority of a correct leader never extends beyond [`LEADER_LEASE`] from now.
     fn take_delegation(&mut self, delegation: Delegation) {
         if delegation.stamp > self.now {
             return;
@@ -94,8 +94,8 @@
         let snapshot = self.log.snapshot().revision;
         let agrees = self.log.agreement_at(previous) == Some(append.previous_term);
         if !agrees && previous == Revision(0) && self.log.last_revision() == previous {
-            // This replica started from another state than its leader, as one
-            // does that came to know its epoch late.
+            // This replica started from a different state than its leader. This happens
+            // when it learns of its epoch late, with a later snapshot.
             self.has_state = false;
             return AppendOutcome::NeedsSnapshot;
         }
@@ -114,8 +114,8 @@
         AppendOutcome::Matched(Matched { revision: agreed })
     }
 
-    /// Puts one entry in its place and drops what conflicts with it. Returns
-    /// whether it is in place.
+    /// Stores an entry at its position and drops conflicting entries. Returns whether the
+    /// log now holds the entry.
     fn take_entry(&mut self, revision: Revision, entry: Entry) -> bool {
         if revision <= self.log.snapshot().revision {
             return true;
@@ -131,8 +131,8 @@
         self.log.append(entry) == revision
     }
 
-    /// Names the last position that may agree: before the whole run of the
-    /// conflicting term, but not before what is committed.
+    /// Reports the last position that may agree: just before the consecutive entries of the
+    /// conflicting term, but not before the commit position.
     fn mismatch(&self, previous: Revision) -> AppendOutcome {
         let last = self.log.last_revision();
         let hint = if previous > last {
@@ -160,7 +160,7 @@
         });
     }
 
-    /// Moves the commit position forward.
+    /// Advances the commit position.
     pub(crate) fn commit_to(&mut self, revision: Revision) {
         self.commit = self.commit.max(revision.min(self.log.last_revision()));
     }
--- a/crates/ledgelead-replication/src/leader_state.rs
+++ b/crates/ledgelead-replication/src/leader_state.rs
@@ -1,13 +1,13 @@
-//! What only a leader keeps.
+//! State of a leader.
 
 use crate::progress::Progress;
 use ledgelead_types::{Member, Revision, Time};
 use std::collections::BTreeMap;
 
-/// What a replica keeps while it leads.
+/// State that a replica keeps only while it is the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderState {
-    /// Every other member.
+    /// Replication progress of every other member.
     pub progress: BTreeMap<Member, Progress>,
     /// The first entry of its term.
     pub first_revision: Revision,
@@ -15,19 +15,19 @@
     pub elected: Time,
     /// When the next heartbeats are due.
     pub heartbeat_at: Time,
-    /// The latest end of authority that it may have relied on.
+    /// The latest end of authority that it may have acted on.
     pub authority_until: Time,
-    /// The transfer under way.
+    /// The leadership transfer in progress.
     pub transfer: Option<Transfer>,
 }
 
-/// A leadership transfer under way.
+/// A leadership transfer in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
     /// The successor.
     pub to: Member,
-    /// When the attempt is given up.
+    /// When the attempt times out.
     pub until: Time,
-    /// Whether the successor was told.
+    /// Whether the successor was told to start its election.
     pub notified: bool,
 }
--- a/crates/ledgelead-replication/src/leading.rs
+++ b/crates/ledgelead-replication/src/leading.rs
@@ -1,4 +1,4 @@
-//! What a leader does: proposals, appends, answers, commits.
+//! The leader: proposals, appends, replies, commits.
 
 use crate::leader_state::LeaderState;
 use crate::message::*;
@@ -14,15 +14,15 @@
 /// Most bytes of commands in one append, unless a single command is larger.
 pub const MAX_APPEND_BYTES: usize = 32 * 1024;
 
-/// Why a command was not appended. It will not be committed.
+/// Why a command was rejected. It was not appended and will not be committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
         /// The leader, when known.
         leader: Option<Member>,
     },
-    /// Leadership is being handed over; ask the next leader.
+    /// Leadership is being transferred; retry with the next leader.
     Transferring {
         /// The successor.
         to: Member,
@@ -33,7 +33,7 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ProposeError::NotLeader { .. } => formatter.write_str("not the leader"),
-            ProposeError::Transferring { to } => write!(formatter, "handing over to {to}"),
+            ProposeError::Transferring { to } => write!(formatter, "transferring leadership to {to}"),
         }
     }
 }
@@ -41,16 +41,16 @@
 impl std::error::Error for ProposeError {}
 
 impl Replica {
-    /// Appends a command and returns its position. It is sent with the next
-    /// [`Replica::take_ready`], and handed out there once committed; until
-    /// then another leader may still discard it.
+    /// Appends a command and returns its position. The next [`Replica::take_ready`] sends
+    /// it, and a later one delivers it once committed. Until then another leader may still
+    /// discard it.
     pub fn propose(&mut self, now: Time, command: Vec<u8>) -> Result<Revision, ProposeError> {
         self.propose_payload(now, Payload::Command(Bytes(command)))
     }
 
-    /// As [`Replica::propose`], for a command whose decision only the leader
-    /// acts on: the other members apply it when they are next sent something,
-    /// at the latest with a heartbeat. Saves a message and its answer to each.
+    /// Like [`Replica::propose`], for a command whose result only the leader acts on. Other
+    /// members learn of the commit with the next message sent to them, at the latest a
+    /// heartbeat. This saves one message and its reply for each member.
     pub fn propose_lazy(&mut self, now: Time, command: Vec<u8>) -> Result<Revision, ProposeError> {
         self.propose_payload(now, Payload::LazyCommand(Bytes(command)))
     }
@@ -92,7 +92,7 @@
         self.abort_overdue_transfer();
     }
 
-    /// When a leader that hears from no quorum leads no more.
+    /// When the leader steps down unless a quorum replies before.
     pub(crate) fn leadership_ends(&self, leader: &LeaderState) -> Time {
         leader.authority_until.max(leader.elected + LEADER_LEASE)
     }
@@ -131,9 +131,9 @@
         self.notify_successor();
     }
 
-    /// Commits what a majority of voters holds. Only an entry of the leader's
-    /// own term is counted: an older one on a majority can still be replaced
-    /// (Raft, section 5.4.2).
+    /// Commits what a majority of voters holds. Only entries of the leader's own term are
+    /// counted: an older entry can still be replaced even if a majority holds it (Raft,
+    /// section 5.4.2).
     pub(crate) fn advance_commit(&mut self) {
         let State::Leader(leader) = &self.state else {
             return;
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Sends each member what it lacks: entries, the commit position, a
-    /// heartbeat, a snapshot.
+    /// Sends each member what is due: entries, the commit position, a heartbeat or a
+    /// snapshot.
     pub(crate) fn send_appends(&mut self) {
         let State::Leader(leader) = &self.state else {
             return;
@@ -189,8 +189,8 @@
             ProgressState::Probe { waiting } => {
                 progress.state = ProgressState::Probe { waiting: true };
                 let previous = Revision(progress.next.0 - 1);
-                // A member that leaves the first append unanswered may be
-                // gone for long: its heartbeats carry no entries.
+                // A member that has not replied to the first append may be down for a long
+                // time, so its heartbeats carry no entries.
                 let most = if waiting { 0 } else { MAX_APPEND_ENTRIES };
                 Some(self.append_for(member, previous, most))
             }
--- a/crates/ledgelead-replication/src/lib.rs
+++ b/crates/ledgelead-replication/src/lib.rs
@@ -1,15 +1,15 @@
 //! Replication among the diskless replicas of one group.
 //!
-//! [`Replica`] is a pure state machine in the manner of raft-rs: the caller
-//! steps it with messages and with time, then takes a [`Ready`] and carries
-//! out what it holds. It implements Raft (Ongaro and Ousterhout, 2014) with
-//! pre-vote, leader stickiness, learners, single-server membership changes and
-//! snapshots, and adds the promises and delegated authority on which leases
-//! rest (`docs/design/replication.md`, `docs/design/overview.md`).
+//! [`Replica`] is a pure state machine in the manner of raft-rs: the caller passes it
+//! messages and the time, then takes a [`Ready`] and performs the actions in it. It
+//! implements Raft (Ongaro and Ousterhout, 2014) with pre-vote, leader stickiness,
+//! learners, single-server membership changes and snapshots, and adds the follower promises
+//! and delegated authority that server leases depend on (`docs/design/replication.md`,
+//! `docs/design/overview.md`).
 //!
-//! Nothing is kept on disk. A process that restarts has forgotten its votes,
-//! so each vote and promise is bound to a [`ledgelead_types::Member`], one run
-//! of a node's process; a new run joins as a learner.
+//! Nothing is kept on disk. A process loses its votes when it restarts, so each vote and
+//! promise is bound to a [`ledgelead_types::Member`], which names one incarnation of a
+//! node's process. A restarted process joins as a learner.
 
 mod authority;
 mod election;
--- a/crates/ledgelead-replication/src/log.rs
+++ b/crates/ledgelead-replication/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: a snapshot and the entries behind it.
+//! The in-memory log: a snapshot and the entries after it.
 
 use crate::membership::Membership;
 use crate::message::{Entry, Payload};
@@ -23,11 +23,11 @@
 pub(crate) struct Log {
     snapshot: Snapshot,
     entries: VecDeque<Entry>,
-    /// Memberships by the position that set them, the snapshot's first. A
-    /// membership takes force when its entry is appended.
+    /// Memberships by the position that set them, the snapshot's first. A membership takes
+    /// effect when its entry is appended.
     memberships: Vec<(Revision, Membership)>,
-    /// Digest of the state and members at position 0; `None` for a log that
-    /// starts behind it. Logs that start from different states never agree.
+    /// Digest of the state and members at position 0; `None` for a log that starts at a
+    /// later position. Logs that start from different states never match.
     start_digest: Option<u64>,
 }
 
@@ -45,13 +45,14 @@
         }
     }
 
-    /// Digest of the state and members at position 0, while it is kept.
+    /// Digest of the state and members at position 0; `None` if the log no longer starts
+    /// there.
     pub fn start_digest(&self) -> Option<u64> {
         self.start_digest
     }
 
-    /// What an append behind `revision` names to find whether the logs agree
-    /// there: the entry's term, and at position 0 the digest of the start.
+    /// The value that an append after `revision` carries to check that the logs agree
+    /// there: the entry's term, or at position 0 the digest of the initial state.
     pub fn agreement_at(&self, revision: Revision) -> Option<Term> {
         if revision == Revision(0) {
             return self.start_digest.map(Term);
@@ -69,12 +70,12 @@
         &self.memberships[0].1
     }
 
-    /// The membership in force.
+    /// The current membership.
     pub fn membership(&self) -> &Membership {
         &self.memberships[self.memberships.len() - 1].1
     }
 
-    /// Position that set the membership in force.
+    /// Position that set the current membership.
     pub fn membership_revision(&self) -> Revision {
         self.memberships[self.memberships.len() - 1].0
     }
@@ -111,8 +112,8 @@
         self.entries.get(index)
     }
 
-    /// Whether an entry behind `after`, up to `last`, is one of whose commit
-    /// the members should hear at once.
+    /// Whether any entry after `after`, up to `last`, is one whose commit the members must
+    /// learn of without delay.
     pub fn has_non_lazy(&self, after: Revision, last: Revision) -> bool {
         let first = after.max(self.snapshot.revision).0 + 1;
         (first..=last.0).any(|position| {
@@ -121,8 +122,8 @@
         })
     }
 
-    /// Whether a log that ends as given holds everything that this one may
-    /// have committed.
+    /// Whether a log with this end is at least as up to date as this one, so that it holds
+    /// everything that this one may have committed.
     pub fn is_up_to_date(&self, last_term: Term, last_revision: Revision) -> bool {
         (last_term, last_revision) >= (self.last_term(), self.last_revision())
     }
@@ -137,7 +138,7 @@
         revision
     }
 
-    /// Drops every entry behind `last`.
+    /// Drops every entry after `last`.
     pub fn truncate(&mut self, last: Revision) {
         let keep = last.0.saturating_sub(self.snapshot.revision.0) as usize;
         self.entries.truncate(keep);
@@ -146,8 +147,7 @@
             .retain(|(revision, _)| *revision <= last || *revision == first);
     }
 
-    /// First position of the run of entries of one term that ends at
-    /// `revision`.
+    /// First position of the consecutive entries of one term that end at `revision`.
     pub fn first_of_term(&self, revision: Revision) -> Revision {
         let term = self.term_at(revision);
         let mut first = revision;
@@ -160,7 +160,7 @@
         first
     }
 
-    /// Replaces the entries up to `revision` by the state as of it.
+    /// Replaces the entries up to `revision` with the state at that position.
     pub fn compact(&mut self, revision: Revision, state: Vec<u8>) {
         let Some(term) = self.term_at(revision) else {
             return;
--- a/crates/ledgelead-replication/src/membership.rs
+++ b/crates/ledgelead-replication/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes in a group and who only learns.
+//! Voters and learners of a group.
 
 use ledgelead_types::{List, Member};
 use nanoserde::{DeBin, SerBin};
@@ -6,44 +6,44 @@
 /// The members of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Membership {
-    /// Members that vote and promise.
+    /// Members that vote and make promises.
     pub voters: List<Member>,
-    /// Members that receive the log and neither vote nor promise.
+    /// Members that receive the log but neither vote nor make promises.
     pub learners: List<Member>,
 }
 
-/// A change by one member. Two memberships that follow each other differ by
-/// one voter at most, so their majorities overlap.
+/// A change of one member. Consecutive memberships differ by at most one voter, so their
+/// majorities overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// Adds a member that receives the log without a vote.
     AddLearner(Member),
-    /// Gives a learner that has caught up its vote.
+    /// Makes a learner that has caught up a voter.
     Promote(Member),
     /// Removes a voter or learner.
     Remove(Member),
 }
 
-/// Why a membership change was not begun.
+/// Why a membership change was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
         /// The leader, when known.
         leader: Option<Member>,
     },
-    /// The leader has not yet committed an entry of its own term; a change
-    /// before that could be committed by majorities that don't overlap.
+    /// The leader has not yet committed an entry of its own term. A change before that
+    /// could be committed by majorities that don't overlap.
     NotReady,
-    /// The change before is not committed yet.
+    /// The previous change is not committed yet.
     InProgress,
-    /// Leadership is being handed over.
+    /// Leadership is being transferred.
     Transferring,
-    /// The learner to promote lacks entries or is silent.
+    /// The learner to promote lacks entries or is unresponsive.
     NotCaughtUp,
-    /// The member to add is a member already.
+    /// The member to add is already a member.
     AlreadyMember,
-    /// The member to promote is no learner, or the one to remove no member.
+    /// The member to promote is not a learner, or the member to remove is not a member.
     NotMember,
     /// The last voter can't be removed.
     LastVoter,
@@ -53,12 +53,12 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let text = match self {
             MembershipError::NotLeader { .. } => "not the leader",
-            MembershipError::NotReady => "no entry of the present term is committed yet",
-            MembershipError::InProgress => "the change before is not committed yet",
-            MembershipError::Transferring => "leadership is being handed over",
+            MembershipError::NotReady => "no entry of the current term is committed yet",
+            MembershipError::InProgress => "the previous change is not committed yet",
+            MembershipError::Transferring => "leadership is being transferred",
             MembershipError::NotCaughtUp => "the learner has not caught up",
             MembershipError::AlreadyMember => "already a member",
-            MembershipError::NotMember => "not such a member",
+            MembershipError::NotMember => "not a learner or member that this change applies to",
             MembershipError::LastVoter => "the last voter can't be removed",
         };
         formatter.write_str(text)
@@ -68,7 +68,7 @@
 impl std::error::Error for MembershipError {}
 
 impl Membership {
-    /// A membership of voters alone.
+    /// A membership of voters without learners.
     pub fn of_voters(voters: Vec<Member>) -> Membership {
         Membership {
             voters: List(voters),
@@ -81,7 +81,7 @@
         self.voters.contains(&member)
     }
 
-    /// Whether the member votes or learns.
+    /// Whether it is a voter or learner.
     pub fn contains(&self, member: Member) -> bool {
         self.is_voter(member) || self.learners.contains(&member)
     }
@@ -125,7 +125,8 @@
         Ok(next)
     }
 
-    /// The value that a majority of voters has reached, given each voter's.
+    /// The highest value that a majority of voters has reached, given the value of each
+    /// voter.
     pub(crate) fn reached_by_quorum<T: Ord + Copy>(
         &self,
         value_of: impl Fn(Member) -> T,
--- a/crates/ledgelead-replication/src/membership_change.rs
+++ b/crates/ledgelead-replication/src/membership_change.rs
@@ -1,4 +1,4 @@
-//! A leader's changes of the membership, and the transfer of leadership.
+//! Membership changes and leadership transfers by the leader.
 
 use crate::leader_state::Transfer;
 use crate::membership::{MembershipChange, MembershipError};
@@ -8,21 +8,21 @@
 use ledgelead_types::timing::LEADER_LEASE;
 use ledgelead_types::{Member, Revision, Time};
 
-/// Entries that a learner may lack and still be promoted; appends on their
-/// way to it under load.
+/// Entries that a learner may lack and still be promoted. Under load, some appends are
+/// always in flight to it.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 
-/// Why a transfer of leadership was not begun.
+/// Why a leadership transfer was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
         /// The leader, when known.
         leader: Option<Member>,
     },
-    /// Another transfer is under way.
+    /// Another transfer is in progress.
     InProgress,
-    /// The successor is this replica itself, or no voter.
+    /// The successor is this replica itself or not a voter.
     NotAnotherVoter,
 }
 
@@ -30,7 +30,7 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
             TransferError::NotLeader { .. } => "not the leader",
-            TransferError::InProgress => "another transfer is under way",
+            TransferError::InProgress => "another transfer is in progress",
             TransferError::NotAnotherVoter => "the successor must be another voter",
         })
     }
@@ -39,8 +39,8 @@
 impl std::error::Error for TransferError {}
 
 impl Replica {
-    /// Begins a change by one member and returns its position. It takes force
-    /// at once and is final when committed.
+    /// Starts a change of one member and returns its position. It takes effect immediately
+    /// and is final once committed.
     pub fn change_membership(
         &mut self,
         now: Time,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// A voter that lacks much of the log would hold up every commit that
-    /// needs it.
+    /// Checks that a learner is close to the end of the log. A voter that lacks many
+    /// entries would delay every commit that needs it.
     fn check_caught_up(&self, member: Member) -> Result<(), MembershipError> {
         let State::Leader(leader) = &self.state else {
             return Ok(());
@@ -101,8 +101,8 @@
         Err(MembershipError::NotCaughtUp)
     }
 
-    /// Sends a removed member its removal, so that it stops standing for
-    /// election, and forgets it.
+    /// Sends a removed member the entry that removes it, so that it stops starting
+    /// elections, and then drops its progress.
     fn drop_removed_member(&mut self, member: Member) {
         self.send_appends();
         if let State::Leader(leader) = &mut self.state {
@@ -112,9 +112,8 @@
         self.advance_commit();
     }
 
-    /// Hands leadership to another voter once it holds the whole log. New
-    /// proposals are refused meanwhile; the attempt is given up after
-    /// [`LEADER_LEASE`].
+    /// Transfers leadership to another voter once it holds the whole log. New proposals are
+    /// refused meanwhile; the attempt times out after [`LEADER_LEASE`].
     pub fn transfer_leadership(&mut self, now: Time, to: Member) -> Result<(), TransferError> {
         self.advance_clock(now);
         let is_voter = self.log.membership().is_voter(to);
@@ -137,7 +136,7 @@
         Ok(())
     }
 
-    /// Tells the successor to stand once it holds the whole log.
+    /// Tells the successor to start its election once it holds the whole log.
     pub(crate) fn notify_successor(&mut self) {
         let last = self.log.last_revision();
         let State::Leader(leader) = &mut self.state else {
@@ -163,8 +162,8 @@
         }
     }
 
-    /// A leader that removed itself leads until its removal is committed, then
-    /// names the voter that holds most as successor.
+    /// Makes a leader that removed itself step down once its removal is committed. It names
+    /// the voter with the longest matching log as its successor.
     pub(crate) fn step_down_if_removed(&mut self) {
         let removed = !self.log.membership().is_voter(self.identity);
         let final_removal = self.log.membership_revision() <= self.commit;
--- a/crates/ledgelead-replication/src/message.rs
+++ b/crates/ledgelead-replication/src/message.rs
@@ -1,14 +1,14 @@
 //! Messages between the replicas of a group.
 //!
-//! Every collection is one of `ledgelead_types::codec`, so hostile bytes can't
-//! make the decoder allocate more than they are.
+//! Every collection is one of `ledgelead_types::codec`, so malformed input can't make the
+//! decoder allocate more than the size of the input.
 
 use crate::membership::Membership;
 use crate::varint::Varint;
 use ledgelead_types::{Bytes, Epoch, Incarnation, List, Revision, Span, Term, Time};
 use nanoserde::{DeBin, SerBin};
 
-/// One message from a replica to another of the same group.
+/// A message from one replica to another of the same group.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ReplicationMessage {
     /// Generation of the replica set; other generations are ignored.
@@ -17,9 +17,9 @@
     /// The sender's term.
     #[nserde(proxy = "Varint")]
     pub term: Term,
-    /// The run of the receiver's process that is meant.
+    /// The incarnation of the receiver that the message is addressed to.
     pub to: Incarnation,
-    /// What is said.
+    /// The payload.
     pub body: Body,
 }
 
@@ -28,19 +28,20 @@
 pub enum Body {
     /// Leader to member: entries, or a heartbeat when there are none.
     Append(Append),
-    /// Member to leader: answer to [`Body::Append`] and [`Body::Install`].
+    /// Member to leader: reply to [`Body::Append`] and [`Body::Install`].
     AppendReply(AppendReply),
-    /// Leader to member: a snapshot in place of entries that are gone.
+    /// Leader to member: a snapshot in place of entries that were compacted.
     Install(Install),
-    /// Asks whether a vote would be given (pre-vote); changes no term.
+    /// Asks whether the receiver would grant its vote; changes no term.
     PreVote(VoteRequest),
-    /// Answer to [`Body::PreVote`].
+    /// Reply to [`Body::PreVote`].
     PreVoteReply(PreVoteReply),
-    /// Asks for the vote of the sender's term.
+    /// Requests a vote in the sender's term.
     Vote(VoteRequest),
-    /// Answer to [`Body::Vote`].
+    /// Reply to [`Body::Vote`].
     VoteReply(VoteReply),
-    /// Leader to voter: stand for election now, without waiting for promises.
+    /// Leader to voter, during a leadership transfer: start an election now, without
+    /// waiting for promises to run out.
     TimeoutNow,
 }
 
@@ -53,8 +54,8 @@
     /// Position just before the entries.
     #[nserde(proxy = "Varint")]
     pub previous: Revision,
-    /// Term of the entry there; at position 0, where there is none, a digest
-    /// of the state and members that the epoch starts from.
+    /// Term of the entry there. Position 0 has no entry; there it is a digest of the state
+    /// and members that the epoch starts from.
     #[nserde(proxy = "Varint")]
     pub previous_term: Term,
     /// The leader's commit position.
@@ -62,28 +63,28 @@
     pub commit: Revision,
     /// Authority delegated to the receiver.
     pub delegation: Option<Delegation>,
-    /// Whether it is sent for the sake of [`Payload::LazyCommand`]s alone and
-    /// stands for no heartbeat that was due.
+    /// Whether it carries only [`Payload::LazyCommand`]s and does not double as a due
+    /// heartbeat.
     pub lazy: bool,
     /// The entries; none in a heartbeat.
     pub entries: List<Entry>,
 }
 
-/// The part of a leader's authority that a follower is given.
+/// The part of a leader's authority that is delegated to a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Delegation {
-    /// The receiver's own stamp of an earlier [`AppendReply::stamp`].
+    /// A timestamp of the receiver's own clock, from an earlier [`AppendReply::stamp`].
     #[nserde(proxy = "Varint")]
     pub stamp: Time,
-    /// How long after that stamp the authority lasts, on the receiver's
-    /// clock; already shortened for drift.
+    /// How long after that timestamp the authority lasts on the receiver's clock; already
+    /// shortened for clock drift.
     #[nserde(proxy = "Varint")]
     pub span: Span,
 }
 
 impl ReplicationMessage {
-    /// Whether the message replicates [`Payload::LazyCommand`]s alone, or
-    /// answers one that does.
+    /// Whether the message replicates only [`Payload::LazyCommand`]s, or replies to one
+    /// that does.
     pub fn is_lazy(&self) -> bool {
         match &self.body {
             Body::Append(append) => append.lazy,
@@ -99,32 +100,32 @@
     /// Term of the leader that appended it.
     #[nserde(proxy = "Varint")]
     pub term: Term,
-    /// What it decides.
+    /// The content.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Whether members may hear late of its commit.
+    /// Whether members may learn of its commit with a delay.
     pub(crate) fn is_lazy(&self) -> bool {
         matches!(self.payload, Payload::LazyCommand(_))
     }
 }
 
-/// What an entry decides.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum Payload {
-    /// Nothing; a leader's first entry of its term.
+    /// No change; the first entry that a leader appends in its term.
     Noop,
     /// The members from this entry on.
     Membership(Membership),
     /// A command for the caller's state machine.
     Command(Bytes),
-    /// A command whose decision only the leader acts on. Members hear of its
-    /// commit with the next message that goes to them anyway.
+    /// A command whose result only the leader acts on. Members learn of its commit with the
+    /// next message that is sent to them for another reason.
     LazyCommand(Bytes),
 }
 
-/// Answer to an append or an installation.
+/// Reply to an append or a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct AppendReply {
     /// [`Append::sent`] or [`Install::sent`], echoed.
@@ -135,20 +136,20 @@
     pub stamp: Time,
     /// [`Append::lazy`], echoed.
     pub lazy: bool,
-    /// What became of the entries.
+    /// The result.
     pub outcome: AppendOutcome,
 }
 
-/// What became of an append.
+/// The result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub enum AppendOutcome {
     /// The log agrees with the leader's.
     Matched(Matched),
     /// The entry before the appended ones is missing or of another term.
     Mismatch(Mismatch),
-    /// The replica has no state to append to.
+    /// The replica has no state to apply entries to.
     NeedsSnapshot,
-    /// The message's term has passed; the reply carries the present one.
+    /// The message is of an earlier term; the reply carries the current one.
     StaleTerm,
 }
 
@@ -160,7 +161,7 @@
     pub revision: Revision,
 }
 
-/// Where a log may begin to agree with the leader's.
+/// Where to retry after a mismatch.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct Mismatch {
     /// [`Append::previous`], echoed.
@@ -189,7 +190,7 @@
     pub state: Bytes,
 }
 
-/// Asks for a vote, or whether it would be given.
+/// Requests a vote or a pre-vote.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct VoteRequest {
     /// The candidate's last log position.
@@ -198,27 +199,27 @@
     /// Term of the entry there.
     #[nserde(proxy = "Varint")]
     pub last_term: Term,
-    /// Whether the leader asked the candidate to take over, so that promises
-    /// to the leader don't stand against the vote.
+    /// Whether the leader asked the candidate to take over; promises to that leader then
+    /// don't block the vote.
     pub transfer: bool,
 }
 
-/// Whether a vote would be given.
+/// Reply to a pre-vote request.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct PreVoteReply {
-    /// The term that the poll was for.
+    /// The term that the pre-vote was for.
     #[nserde(proxy = "Varint")]
     pub for_term: Term,
-    /// Whether the vote would be given now.
+    /// Whether the vote would be granted now.
     pub granted: bool,
-    /// How long a promise still stands against it.
+    /// How long a promise still blocks it.
     #[nserde(proxy = "Varint")]
     pub wait: Span,
 }
 
-/// Whether the vote was given.
+/// Reply to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct VoteReply {
-    /// Whether it was.
+    /// Whether the vote was granted.
     pub granted: bool,
 }
--- a/crates/ledgelead-replication/src/progress.rs
+++ b/crates/ledgelead-replication/src/progress.rs
@@ -1,26 +1,26 @@
-//! What a leader knows of one member.
+//! Replication progress of one member, as tracked by the leader.
 
 use ledgelead_types::{Revision, Span, Time};
 use std::collections::VecDeque;
 
-/// Appends with entries that may be unanswered at once.
+/// Maximum number of unacknowledged appends with entries.
 pub(crate) const MAX_INFLIGHT_APPENDS: usize = 16;
 
-/// How long a snapshot may be on its way, while later heartbeats are answered
+/// How long a snapshot may be in transit, while the member replies to later heartbeats
 /// without it, before it is sent again.
 const SNAPSHOT_RETRY: Span = Span::from_millis(160);
 
-/// How the leader feeds a member.
+/// How the leader replicates to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProgressState {
-    /// The point of agreement is sought; one append at a time.
+    /// Searching for the last matching position, with one append at a time.
     Probe {
-        /// Whether the append was sent and is unanswered.
+        /// Whether the append was sent and not yet replied to.
         waiting: bool,
     },
-    /// Entries are sent without waiting for answers.
+    /// Sending entries without waiting for replies.
     Replicate,
-    /// A snapshot is on its way.
+    /// A snapshot is in transit.
     Snapshot {
         /// When it was sent.
         sent: Time,
@@ -29,32 +29,32 @@
     },
 }
 
-/// What a leader knows of one member.
+/// Replication progress of one member, as tracked by the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Last position known to agree.
+    /// Last position known to match the leader's log.
     pub matched: Revision,
     /// Next position to send.
     pub next: Revision,
     /// How entries are sent.
     pub state: ProgressState,
-    /// Last positions of unanswered appends with entries.
+    /// Last positions of unacknowledged appends with entries.
     pub inflight: VecDeque<Revision>,
     /// Commit position last sent.
     pub commit_sent: Revision,
     /// Whether a heartbeat is due.
     pub heartbeat_due: bool,
-    /// When the member was last sent an append; each stands for a heartbeat.
+    /// When the member was last sent an append; every append counts as a heartbeat.
     pub append_sent: Time,
-    /// Send time of the latest message that the member has taken.
+    /// Send time of the latest message that the member has acknowledged.
     pub acked_sent: Option<Time>,
-    /// When the member last answered.
+    /// When the member last replied.
     pub last_contact: Option<Time>,
-    /// The member's latest stamp, with the time of its receipt.
+    /// The member's latest timestamp, with the time of receipt.
     pub stamp: Option<ReceivedStamp>,
 }
 
-/// A member's stamp.
+/// A timestamp of a member's clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedStamp {
     /// On the member's clock.
@@ -64,7 +64,8 @@
 }
 
 impl Progress {
-    /// A member of which nothing is known but the leader's own log end.
+    /// The initial progress: nothing is known about the member, and probing starts at the
+    /// end of the leader's log.
     pub fn new(last_revision: Revision) -> Progress {
         Progress {
             matched: Revision(0),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Notes an answer: the promise that it stands for and its stamp.
+    /// Records a reply: the promise that it implies and its timestamp.
     pub fn record_reply(&mut self, now: Time, sent: Time, stamp: Time) {
         self.last_contact = Some(now);
         self.acked_sent = self.acked_sent.max(Some(sent));
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The member agrees up to `revision`.
+    /// Records that the logs match up to `revision`.
     pub fn record_match(&mut self, revision: Revision) {
         self.matched = self.matched.max(revision);
         while self.inflight.front().is_some_and(|last| *last <= revision) {
@@ -112,7 +113,7 @@
         self.next = self.next.max(Revision(self.matched.0 + 1));
     }
 
-    /// The member lacks the entry at `previous` and may agree up to `hint`.
+    /// Records that the logs differ at `previous` and may match up to `hint`.
     pub fn record_mismatch(&mut self, previous: Revision, hint: Revision) {
         let stale = match self.state {
             ProgressState::Probe { .. } => previous.0 + 1 != self.next.0,
@@ -128,7 +129,7 @@
         self.inflight.clear();
     }
 
-    /// Notes an append of `count` entries behind `previous`.
+    /// Records that an append of `count` entries after `previous` was sent.
     pub fn sent_append(&mut self, now: Time, previous: Revision, count: usize, commit: Revision) {
         self.heartbeat_due = false;
         self.append_sent = now;
@@ -140,8 +141,8 @@
         }
     }
 
-    /// The member has no state: it is sent a snapshot, again when the one
-    /// before is overdue.
+    /// Schedules a snapshot for a member that has no state; repeats it if the previous one
+    /// is overdue.
     pub fn require_snapshot(&mut self, now: Time) {
         match self.state {
             ProgressState::Snapshot { .. } => self.retry_snapshot(now),
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Sends the snapshot again when it is overdue.
+    /// Schedules the snapshot again if it is overdue.
     pub fn retry_snapshot(&mut self, now: Time) {
         if let ProgressState::Snapshot { sent, .. } = self.state
             && now.since(sent) >= SNAPSHOT_RETRY
--- a/crates/ledgelead-replication/src/ready.rs
+++ b/crates/ledgelead-replication/src/ready.rs
@@ -1,30 +1,30 @@
-//! What a replica hands to its caller.
+//! Output of a replica for its caller.
 
 use crate::membership::Membership;
 use crate::message::{Entry, Payload, ReplicationMessage};
 use crate::replica::Replica;
 use ledgelead_types::{Member, Revision, Term};
 
-/// A replica's part in its group.
+/// The role of a replica in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Receives the log, does not vote.
+    /// Receives the log but does not vote.
     Learner,
-    /// Votes and follows.
+    /// Votes and follows a leader.
     Follower,
-    /// Stands for election.
+    /// Seeks election.
     Candidate,
-    /// Decides.
+    /// Orders and commits entries.
     Leader,
 }
 
-/// What is to be done after a step, in this order: the state is installed,
-/// the entries are applied, the messages are sent.
+/// The actions to perform after a step, in this order: install the state, apply the
+/// entries, send the messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready {
     /// Messages to send; each may be lost.
     pub messages: Vec<(Member, ReplicationMessage)>,
-    /// Replaces the state machine's state.
+    /// Replacement for the state machine's state.
     pub install: Option<InstalledState>,
     /// Newly committed entries, in order.
     pub committed: Vec<CommittedEntry>,
@@ -39,14 +39,14 @@
     pub revision: Revision,
     /// Term of the leader that appended it.
     pub term: Term,
-    /// What it decides.
+    /// The content.
     pub payload: CommittedPayload,
 }
 
-/// What a committed entry decides.
+/// The content of a committed entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommittedPayload {
-    /// Nothing.
+    /// No change.
     Noop,
     /// The members from this entry on.
     Membership(Membership),
@@ -54,10 +54,10 @@
     Command(Vec<u8>),
 }
 
-/// State of a state machine as of a position.
+/// State of the state machine at a position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstalledState {
-    /// Last position that it includes.
+    /// Last position that the state includes.
     pub revision: Revision,
     /// Members as of that position.
     pub membership: Membership,
@@ -83,8 +83,8 @@
 }
 
 impl Replica {
-    /// Takes what is to be done. Appends are gathered here, so proposals made
-    /// between two calls share one message.
+    /// Takes the pending actions. Appends are created here, so proposals made between two
+    /// calls share one message.
     pub fn take_ready(&mut self) -> Ready {
         self.send_appends();
         self.step_down_if_removed();
--- a/crates/ledgelead-replication/src/replica.rs
+++ b/crates/ledgelead-replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, and the entry points that its caller steps.
+//! The replica: its state and the entry points for its caller.
 
 use crate::leader_state::LeaderState;
 use crate::log::{Log, Snapshot};
@@ -12,17 +12,17 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A point in time that is never reached.
+/// Wakeup time of a replica with nothing scheduled.
 const NEVER: Time = Time(u64::MAX);
 
-/// What a replica starts from.
+/// Initial settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     /// The group.
     pub group: GroupId,
     /// Generation of the replica set.
     pub epoch: Epoch,
-    /// This run of this node's process.
+    /// This node and the incarnation of its process.
     pub identity: Member,
     /// Voters at the start of the epoch.
     pub voters: Vec<Member>,
@@ -31,30 +31,31 @@
     pub start_state: Vec<u8>,
     /// Seed of the election delays.
     pub random_seed: u64,
-    /// All on, except in a simulation that proves its checker.
+    /// Safety checks. All are on, except in simulations that verify that a checker detects
+    /// a missing one.
     pub protections: Protections,
 }
 
-/// What a replica does at present.
+/// The role of a replica, with the data of that role.
 #[derive(Clone, Debug)]
 pub(crate) enum State {
-    /// Follows, or learns.
+    /// Follower or learner.
     Follower,
-    /// Asks whether it would be voted for (pre-vote).
+    /// Collects pre-votes.
     PreCandidate {
-        /// Whether it is the first poll since it followed somebody.
+        /// Whether this is the first pre-vote since it was a follower.
         first: bool,
-        /// Voters that would, itself included.
+        /// Voters that granted the pre-vote, including itself.
         granted: BTreeSet<Member>,
     },
-    /// Stands for election.
+    /// Candidate in an election.
     Candidate {
-        /// Voters that voted for it, itself included.
+        /// Voters that voted for it, including itself.
         granted: BTreeSet<Member>,
-        /// Whether the leader before asked it to.
+        /// Whether the previous leader asked it to.
         transfer: bool,
     },
-    /// Leads.
+    /// Leader.
     Leader(Box<LeaderState>),
 }
 
@@ -66,28 +67,28 @@
     pub(crate) identity: Member,
     pub(crate) protections: Protections,
     pub(crate) random: Pcg64Mcg,
-    /// The latest time that the caller told.
+    /// The latest time passed by the caller.
     pub(crate) now: Time,
     pub(crate) term: Term,
     pub(crate) voted_for: Option<Member>,
     pub(crate) leader: Option<Member>,
     pub(crate) state: State,
-    /// Whether the log starts from the group's state. A replica that isn't
-    /// one of the epoch's first voters has no state until a leader sends it.
+    /// Whether the replica holds the state that the log starts from. A replica that isn't
+    /// one of the epoch's first voters has none until a leader sends it.
     pub(crate) has_state: bool,
     pub(crate) log: Log,
     pub(crate) commit: Revision,
-    /// Last position given to the caller.
+    /// Last position delivered to the caller.
     pub(crate) delivered: Revision,
-    /// Until when it votes for nobody but the leader that it heard last. It
-    /// only grows, whatever term the replica moves to: the authority that
-    /// rests on it does not end earlier.
+    /// Until when it votes only for the last leader that contacted it. It never decreases,
+    /// even when the term changes, because the authority that depends on the promise does
+    /// not end earlier either.
     pub(crate) promise_until: Time,
-    /// When to stand for election, unless a leader is heard before.
+    /// When to start an election, unless a leader makes contact before.
     pub(crate) election_at: Time,
     /// End of the authority delegated to this follower in this term.
     pub(crate) delegated_until: Time,
-    /// End of the authority that this leader gave to each follower.
+    /// End of the authority that this leader delegated to each follower.
     pub(crate) delegated_ends: BTreeMap<Member, Time>,
     pub(crate) former_authority_ends: Time,
     pub(crate) messages: Vec<(Member, ReplicationMessage)>,
@@ -96,11 +97,11 @@
 }
 
 impl Replica {
-    /// A replica at the start of its process. One whose identity isn't among
+    /// Creates a replica at the start of its process. A replica whose identity isn't among
     /// the voters waits as a learner until a leader contacts it.
     ///
-    /// A run of a process makes one replica of a group and epoch at most: a
-    /// second one would have forgotten the votes and promises of the first.
+    /// A process must create at most one replica for each group and epoch: a second one
+    /// would not know the votes and promises of the first.
     pub fn new(settings: ReplicaSettings, now: Time) -> Replica {
         let identity = starting_identity(&settings);
         let has_state = settings.voters.contains(&identity);
@@ -139,7 +140,7 @@
         replica
     }
 
-    /// Takes a message of another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: Time, from: Member, message: ReplicationMessage) {
         self.advance_clock(now);
         let from = self.sender_identity(from);
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Does what is due. Call it at [`Replica::next_wakeup`] or later.
+    /// Performs the actions that are due. Call it at [`Replica::next_wakeup`] or later.
     pub fn tick(&mut self, now: Time) {
         self.advance_clock(now);
         match &self.state {
@@ -173,8 +174,7 @@
         }
     }
 
-    /// When [`Replica::tick`] has something to do, unless a message comes
-    /// before.
+    /// When to call [`Replica::tick`] next, unless a message arrives before.
     pub fn next_wakeup(&self) -> Time {
         match &self.state {
             State::Leader(leader) => {
@@ -189,9 +189,9 @@
         }
     }
 
-    /// Replaces the log up to an applied position by the state machine's
-    /// state as of it. Members that lack an entry that is gone are sent the
-    /// state. A position that wasn't handed out yet is ignored.
+    /// Replaces the log up to an applied position with the state machine's state at that
+    /// position. Members that need a removed entry are sent the state instead. A position
+    /// that wasn't delivered yet is ignored.
     pub fn compact(&mut self, revision: Revision, state: Vec<u8>) {
         let applied = revision <= self.delivered;
         if applied && revision > self.log.snapshot().revision {
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Notes the time, and that a leader which was silent for too long, as
-    /// after a pause of its process, leads no more.
+    /// Advances the replica's time. A leader whose authority has run out, for instance
+    /// because its process was paused, steps down.
     pub(crate) fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
         let State::Leader(leader) = &self.state else {
@@ -228,8 +228,8 @@
         self.messages.push((to, message));
     }
 
-    /// The member that a sender is taken for: itself, unless the check of
-    /// incarnations is switched off and only its node counts.
+    /// The member that a message is attributed to: the sender, or with the incarnation
+    /// check disabled any known member on the same node.
     fn sender_identity(&self, from: Member) -> Member {
         if self.protections.has(Protection::IncarnationCheck) {
             return from;
@@ -240,8 +240,8 @@
     }
 }
 
-/// The member that a starting replica takes itself for: its own run, unless
-/// the check of incarnations is switched off.
+/// The identity of a starting replica: its own, or with the incarnation check disabled that
+/// of the voter on the same node.
 fn starting_identity(settings: &ReplicaSettings) -> Member {
     let identity = settings.identity;
     if settings.protections.has(Protection::IncarnationCheck) {
--- a/crates/ledgelead-replication/src/status.rs
+++ b/crates/ledgelead-replication/src/status.rs
@@ -1,4 +1,4 @@
-//! What a replica tells about itself.
+//! Accessors for a replica's status.
 
 use crate::ready::Role;
 use crate::replica::{Replica, State};
@@ -20,7 +20,7 @@
         self.identity
     }
 
-    /// Its part in the group.
+    /// Its role in the group.
     pub fn role(&self) -> Role {
         match &self.state {
             State::Leader(_) => Role::Leader,
@@ -30,28 +30,28 @@
         }
     }
 
-    /// The present term.
+    /// The current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The leader of the present term, when known.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<Member> {
         self.leader
     }
 
-    /// Members that vote, by the latest membership in the log.
+    /// Voters, by the latest membership in the log.
     pub fn voters(&self) -> &[Member] {
         &self.log.membership().voters
     }
 
-    /// Members that learn, by the latest membership in the log.
+    /// Learners, by the latest membership in the log.
     pub fn learners(&self) -> &[Member] {
         &self.log.membership().learners
     }
 
-    /// Digest of the state and voters that the epoch started from, while the
-    /// log reaches back to them.
+    /// Digest of the state and voters that the epoch started from; `None` if the log no
+    /// longer starts there.
     pub fn start_digest(&self) -> Option<u64> {
         self.log.start_digest()
     }
@@ -66,12 +66,12 @@
         self.log.last_revision()
     }
 
-    /// Number of entries that the log keeps behind its snapshot.
+    /// Number of entries that the log keeps after its snapshot.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// For a leader: last position at which another member is known to agree.
+    /// For a leader: last position at which another member's log is known to match.
     pub fn match_revision(&self, member: Member) -> Option<Revision> {
         let State::Leader(leader) = &self.state else {
             return None;
@@ -79,7 +79,7 @@
         leader.progress.get(&member).map(|known| known.matched)
     }
 
-    /// For a leader: when another member last answered in this term.
+    /// For a leader: when another member last replied in this term.
     pub fn last_contact(&self, member: Member) -> Option<Time> {
         let State::Leader(leader) = &self.state else {
             return None;
@@ -87,8 +87,8 @@
         leader.progress.get(&member)?.last_contact
     }
 
-    /// Whether this replica leads and has committed an entry of its own term,
-    /// so that its state holds everything committed before.
+    /// Whether this replica is the leader and has committed an entry of its own term, so
+    /// that its state includes everything committed before.
     pub fn leader_is_ready(&self) -> bool {
         match &self.state {
             State::Leader(leader) => self.commit >= leader.first_revision,
--- a/crates/ledgelead-replication/src/varint.rs
+++ b/crates/ledgelead-replication/src/varint.rs
@@ -1,5 +1,5 @@
-//! Integers of variable length (LEB128): small numbers take one byte, which
-//! keeps heartbeats small.
+//! Variable-length integers (LEB128). Small numbers take one byte, which keeps heartbeats
+//! small.
 
 use ledgelead_types::{Epoch, Revision, Span, Term, Time};
 use nanoserde::{DeBin, DeBinErr, SerBin};
--- a/crates/ledgelead-replication/tests/replication/elections.rs
+++ b/crates/ledgelead-replication/tests/replication/elections.rs
@@ -1,4 +1,4 @@
-//! Elections, transfers and membership in runs without random faults.
+//! Elections, transfers and membership changes without random faults.
 
 use crate::simulation::{Simulation, member};
 use googletest::prelude::*;
@@ -8,14 +8,14 @@
 use ledgelead_types::{NodeId, Span};
 
 const MILLIS: u64 = 1_000;
-/// Promise, stretched for drift, jitter, and a few milliseconds for the
-/// messages of the poll and the vote.
+/// The promise lengthened for clock drift, the jitter, and a few milliseconds for the
+/// messages of the pre-vote and the vote.
 const ELECTION_BOUND: u64 = 300 * MILLIS;
 
-/// Bytes a second that a node may spend on control messages.
+/// Bytes per second that a node may use for control messages.
 const CONTROL_BUDGET: usize = 14_000;
 
-/// A group with a ready leader.
+/// A group with a leader that is ready.
 fn group(replicas: u32, seed: u64) -> (Simulation, NodeId) {
     group_with(replicas, seed, Protections::default())
 }
@@ -51,7 +51,7 @@
     expect_that!(times[199], le(ELECTION_BOUND));
 }
 
-/// Encoded bytes a second that a leader sends and is sent.
+/// Encoded bytes per second that a leader sends and receives.
 fn leader_bytes_a_second(replicas: u32, load_interval: Option<u64>) -> usize {
     let (mut simulation, leader) = group(replicas, 1);
     simulation.load_interval = load_interval;
@@ -61,8 +61,8 @@
     simulation.bytes[&leader] / 10
 }
 
-/// A leader's control traffic, frames not counted, is below what a node may
-/// spend: idle it takes less than half, and ten commands a second still fit.
+/// A leader's control traffic, without framing, stays within the node's budget: when idle
+/// it takes less than half, and ten commands per second still fit.
 #[gtest]
 fn leader_stays_within_the_control_budget() {
     for replicas in [3, 5] {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Bytes that a leader sends and is sent for a hundred commands.
+/// Bytes that a leader sends and receives for a hundred commands.
 fn cost_of_commands(lazy: bool) -> usize {
     let (mut simulation, leader) = group(3, 1);
     simulation.bytes.clear();
@@ -87,13 +87,13 @@
         simulation.run_for(10 * MILLIS);
     }
     simulation.run_for(100 * MILLIS);
-    expect_that!(simulation.is_level(), eq(true));
+    expect_that!(simulation.all_caught_up(), eq(true));
     expect_that!(simulation.checker.violation, none());
     simulation.bytes[&leader]
 }
 
-/// The commit of a lazy command is told with what is sent next; every member
-/// applies it all the same.
+/// The commit of a lazy command is announced with the next message that is sent anyway, and
+/// every member still applies it.
 #[gtest]
 fn lazy_commands_cost_less_and_are_applied_by_all() {
     let (lazy, eager) = (cost_of_commands(true), cost_of_commands(false));
@@ -101,8 +101,7 @@
     expect_that!(lazy * 10, lt(eager * 7));
 }
 
-/// A new leader doesn't send the same entries to a dead voter with every
-/// heartbeat.
+/// A new leader must not resend the same entries to a dead voter with every heartbeat.
 #[gtest]
 fn a_dead_voter_is_sent_heartbeats_only() {
     let (mut simulation, old) = group(3, 2);
@@ -119,7 +118,7 @@
     expect_that!(bytes, lt(CONTROL_BUDGET / 2));
 }
 
-/// Each replica is restarted in turn under load; a driver replaces it.
+/// Each replica is restarted in turn under load and replaced by its new incarnation.
 #[gtest]
 fn rolling_restart_keeps_every_entry() {
     for seed in 0..20 {
@@ -128,13 +127,13 @@
         for node in 1..=3 {
             let before = simulation.checker.last_revision();
             simulation.restart(NodeId(node));
-            let whole = simulation.run_while(1_000 * MILLIS, |run| !run.is_whole());
+            let whole = simulation.run_while(1_000 * MILLIS, |run| !run.voters_are_running());
             expect_that!(whole, some(anything()));
             expect_that!(simulation.checker.last_revision(), gt(before));
         }
         simulation.load_interval = None;
         simulation.run_for(400 * MILLIS);
-        expect_that!(simulation.is_level(), eq(true));
+        expect_that!(simulation.all_caught_up(), eq(true));
         expect_that!(simulation.checker.violation, none());
         for process in simulation.processes.values() {
             expect_that!(process.member.incarnation.0, eq(2));
@@ -143,10 +142,10 @@
     }
 }
 
-/// A transfer takes little time, and the new leader knows that the authority
-/// of the old one may last.
+/// A transfer is fast, and the new leader knows until when the old leader's authority may
+/// last.
 #[gtest]
-fn transfer_is_quick_and_tells_when_the_former_authority_ends() {
+fn transfer_is_fast_and_reports_the_end_of_the_former_authority() {
     let (mut simulation, old) = group(3, 5);
     let new = NodeId(old.0 % 3 + 1);
     let to = member(new.0, 1);
@@ -165,8 +164,7 @@
     expect_that!(simulation.checker.violation, none());
 }
 
-/// A leader that is cut off steps down, and a paused one wakes without
-/// authority.
+/// A partitioned leader steps down, and a paused one resumes without authority.
 #[gtest]
 fn leader_without_quorum_steps_down() {
     let (mut simulation, leader) = group(3, 8);
@@ -184,11 +182,11 @@
     expect_that!(refused, err(eq(ProposeError::NotLeader { leader: None })));
 }
 
-/// Membership changes are refused when they would be unsafe.
+/// Unsafe membership changes are rejected.
 #[gtest]
 fn unsafe_changes_are_refused() {
     let (mut simulation, leader) = group(3, 3);
-    simulation.driven = false;
+    simulation.replaces_restarted = false;
     let absent = member(9, 1);
     let mut change = |change| simulation.on(leader, |one, now| one.change_membership(now, change));
     let promotion = MembershipChange::Promote(absent);
@@ -201,11 +199,11 @@
     expect_that!(on_follower, err(pat!(MembershipError::NotLeader { .. })));
 }
 
-/// A learner that does not answer is not promoted; a running one is.
+/// An unresponsive learner is not promoted; a responsive one is.
 #[gtest]
-fn silent_learner_is_not_promoted() {
+fn unresponsive_learner_is_not_promoted() {
     let (mut simulation, leader) = group(3, 4);
-    simulation.driven = false;
+    simulation.replaces_restarted = false;
     let learner = member(4, 1);
     simulation.start(learner);
     isolate(&mut simulation, learner.node);
@@ -225,11 +223,11 @@
     expect_that!(role, eq(Role::Follower));
 }
 
-/// A leader that removes itself hands over once its removal is committed.
+/// A leader that removes itself steps down once its removal is committed.
 #[gtest]
 fn removed_leader_steps_down() {
     let (mut simulation, old) = group(3, 6);
-    simulation.driven = false;
+    simulation.replaces_restarted = false;
     let removal = MembershipChange::Remove(member(old.0, 1));
     let removed = simulation.on(old, |one, now| one.change_membership(now, removal));
     expect_that!(removed, ok(anything()));
@@ -246,9 +244,9 @@
     expect_that!(simulation.checker.violation, none());
 }
 
-/// A follower's authority never reaches beyond what the leader noted as given.
+/// A follower's authority never extends beyond the end that the leader recorded for it.
 #[gtest]
-fn delegation_is_noted() {
+fn leader_records_the_end_of_each_delegation() {
     let (mut simulation, leader) = group(3, 7);
     simulation.run_for(200 * MILLIS);
     for node in (1..=3).map(NodeId).filter(|node| *node != leader) {
@@ -263,10 +261,10 @@
     }
 }
 
-/// The checker's proof: entries that count as committed before a quorum holds
-/// them are lost with their leader.
+/// Verifies the checker: if entries count as committed before a quorum holds them, they are
+/// lost with their leader and the checker reports it.
 #[gtest]
-fn acknowledging_before_quorum_is_caught() {
+fn acknowledging_before_quorum_is_detected() {
     for (protections, caught) in [
         (Protections::default(), false),
         (
--- a/crates/ledgelead-replication/tests/replication/main.rs
+++ b/crates/ledgelead-replication/tests/replication/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the replicas: alone, in groups, and under random faults.
+//! Tests of replicas: single, in groups, and under random faults.
 
 mod elections;
 mod messages;
--- a/crates/ledgelead-replication/tests/replication/messages.rs
+++ b/crates/ledgelead-replication/tests/replication/messages.rs
@@ -1,4 +1,4 @@
-//! The wire form: sizes, and decoding of hostile bytes.
+//! The wire format: sizes, and decoding of malformed input.
 
 use ledgelead_replication::*;
 use ledgelead_types::codec::{decode, encode};
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// What the control budget leaves to a heartbeat or its answer, in bytes.
+/// Maximum size in bytes of a heartbeat or its reply, given the budget for control traffic.
 const HEARTBEAT_BYTES: usize = 70;
-/// A clock after 30 days.
+/// The reading of a clock after 30 days.
 const MONTH: Time = Time(30 * 24 * 3_600 * 1_000_000);
 
 fn message(body: Body) -> ReplicationMessage {
@@ -63,17 +63,17 @@
 proptest! {
     #![proptest_config(fixed(7))]
 
-    /// Any bytes are refused or are a message that is written the same way
-    /// again; none make the decoder panic.
+    /// Random bytes are either rejected or decode to a message that survives re-encoding;
+    /// none make the decoder panic.
     #[test]
-    fn hostile_bytes_decode_safely(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_decode_safely(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(message) = decode::<ReplicationMessage>(&bytes) {
             let again = decode::<ReplicationMessage>(&encode(&message));
             prop_assert_eq!(again, Ok(message));
         }
     }
 
-    /// The same for messages with one byte changed or the end cut off.
+    /// The same for valid messages with one byte changed or the end truncated.
     #[test]
     fn damaged_messages_decode_safely(
         command in prop::collection::vec(any::<u8>(), 0..40),
--- a/crates/ledgelead-replication/tests/replication/simulation/checker.rs
+++ b/crates/ledgelead-replication/tests/replication/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! What must be true of every run.
+//! Invariants of every run.
 
 use super::Process;
 use ledgelead_replication::{CommittedEntry, Role};
@@ -6,27 +6,27 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Facts of a run so far, and the first violation.
+/// Observations of a run so far, and the first violation.
 #[derive(Default)]
 pub struct Checker {
     /// Digest of all entries up to each committed position.
     digests: BTreeMap<Revision, u64>,
     leaders: BTreeMap<Term, Leadership>,
-    /// True end of all authority held in each term, by anybody.
+    /// Real time at which all authority of each term ends, whoever holds it.
     authority_ends: BTreeMap<Term, u64>,
     pub violation: Option<String>,
-    /// How often a follower was seen with delegated authority.
+    /// How often a follower was observed with delegated authority.
     pub delegations_seen: u64,
 }
 
 #[derive(Clone, Copy)]
 struct Leadership {
     member: Member,
-    /// True time from which the leader takes itself to be alone.
+    /// Real time from which the leader assumes that no earlier leader has authority.
     former_authority_ends: u64,
 }
 
-/// Digest of everything up to an entry.
+/// Digest of all entries up to and including one entry.
 pub fn digest(before: u64, entry: &CommittedEntry) -> u64 {
     let mut hasher = DefaultHasher::new();
     before.hash(&mut hasher);
@@ -36,8 +36,8 @@
 }
 
 impl Checker {
-    /// A process has applied everything up to a position.
-    pub fn reached(&mut self, revision: Revision, digest: u64) {
+    /// Records that a process has applied everything up to a position.
+    pub fn record_applied(&mut self, revision: Revision, digest: u64) {
         let committed = *self.digests.entry(revision).or_insert(digest);
         if committed != digest {
             self.report(format!("two histories up to {revision:?}"));
@@ -50,20 +50,20 @@
         last.map_or(Revision(0), |(revision, _)| *revision)
     }
 
-    /// Looks at a process after each of its inputs.
+    /// Checks a process; to be called after each of its inputs.
     pub fn observe(&mut self, process: &Process, clock: Time) {
         let replica = &process.replica;
         if replica.role() == Role::Leader {
             let ends = process.true_time(replica.former_authority_ends());
-            self.leads(replica.term(), process.member, ends);
+            self.check_leader(replica.term(), process.member, ends);
         }
         if let Some(authority) = replica.authority(clock) {
             self.delegations_seen += u64::from(replica.role() != Role::Leader);
-            self.holds(authority.term, process.true_time(authority.until));
+            self.check_authority(authority.term, process.true_time(authority.until));
         }
     }
 
-    fn leads(&mut self, term: Term, member: Member, former_authority_ends: u64) {
+    fn check_leader(&mut self, term: Term, member: Member, former_authority_ends: u64) {
         let leadership = Leadership {
             member,
             former_authority_ends,
@@ -78,7 +78,7 @@
         }
     }
 
-    fn holds(&mut self, term: Term, until: u64) {
+    fn check_authority(&mut self, term: Term, until: u64) {
         let end = self.authority_ends.entry(term).or_insert(0);
         *end = until.max(*end);
         let mut later = self.leaders.range(Term(term.0 + 1)..);
--- a/crates/ledgelead-replication/tests/replication/simulation/mod.rs
+++ b/crates/ledgelead-replication/tests/replication/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A group of replicas in virtual time: processes whose clocks run at
-//! different rates, over a network that loses, delays, duplicates and reorders.
+//! A group of replicas in virtual time: processes with clocks of different rates, connected
+//! by a network that loses, delays, duplicates and reorders messages.
 
 mod checker;
 mod faults;
@@ -14,21 +14,21 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Largest difference of a clock's rate from true time, in parts per million:
-/// half of the assumed drift between two clocks, less a margin for the square.
+/// Maximum deviation of a clock's rate from real time, in parts per million: half of the
+/// assumed drift between two clocks, less a margin for the second-order term.
 const RATE_PPM: i64 = 4_900;
-/// Log length at which a process compacts.
+/// Log length above which a process compacts its log.
 const COMPACT_AT: usize = 40;
-/// How often the driver looks for replicas to replace, in microseconds.
-const DRIVER_INTERVAL: u64 = 10_000;
+/// Interval in microseconds between checks for restarted replicas to replace.
+const REPLACEMENT_INTERVAL: u64 = 10_000;
 
-/// One process of one node.
+/// A node's process.
 pub struct Process {
     pub replica: Replica,
     pub member: Member,
     rate_ppm: i64,
     offset: u64,
-    /// No input is handled before this true time.
+    /// No input is handled before this real time.
     pub paused_until: u64,
     digest: u64,
     applied: Revision,
@@ -36,38 +36,38 @@
 }
 
 impl Process {
-    /// The process's clock at a true time.
+    /// The reading of the process's clock at a real time.
     fn clock(&self, at: u64) -> Time {
         let drift = at as i128 * i128::from(self.rate_ppm) / 1_000_000;
         Time((i128::from(self.offset) + i128::from(at) + drift) as u64)
     }
 
-    /// The true time at which the process's clock shows `time`.
+    /// The real time at which the process's clock reads `time`.
     fn true_time(&self, time: Time) -> u64 {
         let local = time.0.saturating_sub(self.offset);
         (u128::from(local) * 1_000_000 / (1_000_000 + self.rate_ppm) as u128) as u64
     }
 }
 
-/// The group, its network and what is known to be true of it.
+/// The group, its network and the checker.
 pub struct Simulation {
-    /// True time in microseconds.
+    /// Real time in microseconds.
     pub now: u64,
     pub processes: BTreeMap<NodeId, Process>,
     pub random: Pcg64Mcg,
     pub faults: Faults,
     pub checker: Checker,
     pub proposals: u64,
-    /// Whether a driver replaces restarted replicas.
-    pub driven: bool,
-    /// True interval between proposals; `None` for no load.
+    /// Whether restarted replicas are replaced in the membership.
+    pub replaces_restarted: bool,
+    /// Interval between proposals in real time; `None` for no load.
     pub load_interval: Option<u64>,
     protections: Protections,
     in_flight: BTreeMap<(u64, u64), (Member, Member, ReplicationMessage)>,
     sent: u64,
-    /// Encoded bytes that each node has sent and been sent.
+    /// Encoded bytes that each node has sent and received.
     pub bytes: BTreeMap<NodeId, usize>,
-    next_drive: u64,
+    next_replacement: u64,
     next_load: u64,
     first_voters: Vec<Member>,
 }
@@ -82,13 +82,13 @@
             faults: Faults::default(),
             checker: Checker::default(),
             proposals: 0,
-            driven: true,
+            replaces_restarted: true,
             load_interval: None,
             protections,
             in_flight: BTreeMap::new(),
             sent: 0,
             bytes: BTreeMap::new(),
-            next_drive: 0,
+            next_replacement: 0,
             next_load: 0,
             first_voters: first_voters.clone(),
         };
@@ -98,7 +98,7 @@
         simulation
     }
 
-    /// Starts a process, in place of the node's one before.
+    /// Starts a process; it replaces the node's previous one.
     pub fn start(&mut self, identity: Member) {
         let rate_ppm = self.random.random_range(-RATE_PPM..=RATE_PPM);
         let offset = self.random.random_range(0..1_000_000_000_u64);
@@ -126,19 +126,19 @@
         self.processes.insert(identity.node, process);
     }
 
-    /// Ends a node's process and starts its next one.
+    /// Ends a node's process and starts its next incarnation.
     pub fn restart(&mut self, node: NodeId) {
         let incarnation = self.processes[&node].member.incarnation.0 + 1;
         self.start(member(node.0, incarnation));
     }
 
-    /// Runs until a true time.
+    /// Runs until a real time.
     pub fn run_until(&mut self, end: u64) {
         while let Some(at) = self.next_event().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             self.deliver();
             self.tick_processes();
-            self.drive();
+            self.propose_and_replace();
         }
         self.now = end;
     }
@@ -147,8 +147,8 @@
         self.run_until(self.now + span);
     }
 
-    /// Runs in small steps until a condition holds, at most for `span`.
-    /// Returns how long it took.
+    /// Runs in small steps while `wait` holds, for at most `span`. Returns how long it
+    /// held, or `None` if it still holds.
     pub fn run_while(&mut self, span: u64, wait: impl Fn(&Simulation) -> bool) -> Option<u64> {
         let start = self.now;
         while wait(self) {
@@ -160,7 +160,7 @@
         Some(self.now - start)
     }
 
-    /// The running node that leads the highest term and is ready.
+    /// The running node that is the ready leader of the highest term.
     pub fn leader(&self) -> Option<NodeId> {
         let ready = self.processes.iter().filter(|(_, process)| {
             process.paused_until <= self.now && process.replica.leader_is_ready()
@@ -169,8 +169,8 @@
         leader.map(|(node, _)| *node)
     }
 
-    /// Whether the committed voters are just the running processes.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the committed voters are exactly the running processes.
+    pub fn voters_are_running(&self) -> bool {
         let latest = self.processes.values().max_by_key(|known| known.applied);
         let running: BTreeSet<Member> = self.processes.values().map(|known| known.member).collect();
         latest.is_some_and(|known| {
@@ -185,14 +185,14 @@
     }
 
     /// Whether every process has applied every committed entry.
-    pub fn is_level(&self) -> bool {
+    pub fn all_caught_up(&self) -> bool {
         let last = self.checker.last_revision();
         self.processes
             .values()
             .all(|process| process.applied == last)
     }
 
-    /// Hands an input to a node's replica and carries out what it asks for.
+    /// Passes an input to a node's replica and performs the resulting actions.
     pub fn on<T>(&mut self, node: NodeId, input: impl FnOnce(&mut Replica, Time) -> T) -> T {
         let now = self.now;
         let process = self.processes.get_mut(&node).expect("the node runs");
@@ -204,12 +204,13 @@
             process.digest = u64::from_le_bytes(state);
             process.applied = installed.revision;
             process.membership = installed.membership;
-            self.checker.reached(installed.revision, process.digest);
+            self.checker
+                .record_applied(installed.revision, process.digest);
         }
         for entry in ready.committed {
             process.digest = checker::digest(process.digest, &entry);
             process.applied = entry.revision;
-            self.checker.reached(entry.revision, process.digest);
+            self.checker.record_applied(entry.revision, process.digest);
             if let CommittedPayload::Membership(membership) = entry.payload {
                 process.membership = membership;
             }
@@ -227,7 +228,7 @@
         result
     }
 
-    /// What a leader counts as held by a member is there.
+    /// Checks that each member still holds what the leader counts as replicated to it.
     fn check_acknowledged(&mut self, leader: NodeId) {
         let leader = &self.processes[&leader].replica;
         let mut followers = self.processes.values().filter(|one| {
@@ -245,7 +246,7 @@
         for node in [from.node, to.node] {
             *self.bytes.entry(node).or_default() += encode(&message).len();
         }
-        if self.faults.cuts(from.node, to.node) {
+        if self.faults.is_partitioned(from.node, to.node) {
             return;
         }
         for delay in self.faults.deliveries(&mut self.random) {
@@ -259,14 +260,18 @@
         let arrival = self.in_flight.keys().next().map(|(at, _)| *at);
         let wakeups = self.processes.values().filter_map(|process| {
             let wakeup = process.replica.next_wakeup();
-            // One microsecond more than the rounded true time, so that the
-            // process's clock has reached the wakeup.
+            // One microsecond more than the rounded real time, so that the process's clock
+            // has reached the wakeup.
             let at = (wakeup < Time(u64::MAX)).then(|| process.true_time(wakeup) + 1)?;
             Some(at.max(process.paused_until))
         });
         let load = self.load_interval.map(|_| self.next_load);
-        let drive = self.driven.then_some(self.next_drive);
-        wakeups.chain(arrival).chain(load).chain(drive).min()
+        let propose_and_replace = self.replaces_restarted.then_some(self.next_replacement);
+        wakeups
+            .chain(arrival)
+            .chain(load)
+            .chain(propose_and_replace)
+            .min()
     }
 
     fn deliver(&mut self) {
@@ -276,7 +281,7 @@
             let (from, to, message) = entry.remove();
             let process = &self.processes[&to.node];
             if process.paused_until > self.now {
-                // The bytes wait in the paused process's socket.
+                // The message waits in the paused process's socket buffer.
                 let key = (process.paused_until, self.sent);
                 self.sent += 1;
                 self.in_flight.insert(key, (from, to, message));
@@ -297,20 +302,20 @@
         }
     }
 
-    fn drive(&mut self) {
+    fn propose_and_replace(&mut self) {
         if let Some(interval) = self.load_interval
             && self.next_load <= self.now
         {
             self.next_load = self.now + interval;
             self.propose();
         }
-        if self.driven && self.next_drive <= self.now {
-            self.next_drive = self.now + DRIVER_INTERVAL;
+        if self.replaces_restarted && self.next_replacement <= self.now {
+            self.next_replacement = self.now + REPLACEMENT_INTERVAL;
             self.replace_restarted();
         }
     }
 
-    /// Proposes at every process that takes itself for a leader.
+    /// Proposes at every process that believes it is the leader.
     pub fn propose(&mut self) {
         let nodes: Vec<NodeId> = self.processes.keys().copied().collect();
         for node in nodes {
@@ -323,7 +328,7 @@
         }
     }
 
-    /// One step towards a membership of just the running processes.
+    /// Performs one membership change toward a membership of exactly the running processes.
     fn replace_restarted(&mut self) {
         let Some(leader) = self.leader() else {
             return;
--- a/crates/ledgelead-replication/tests/replication/single.rs
+++ b/crates/ledgelead-replication/tests/replication/single.rs
@@ -1,4 +1,4 @@
-//! One replica, stepped with messages by hand.
+//! A single replica driven by hand-written messages.
 
 use crate::simulation::member;
 use googletest::prelude::*;
@@ -75,9 +75,9 @@
     message(term, Body::Vote(request))
 }
 
-/// A promise stands against votes of any term, and doesn't move the term.
+/// A promise blocks votes of any term, and the refused request doesn't change the term.
 #[gtest]
-fn promise_stands_against_votes() {
+fn promise_blocks_votes() {
     let mut replica = replica();
     replica.step(START, member(2, 1), append(1, (0, 0), 0));
     replica.take_ready();
@@ -91,7 +91,7 @@
     expect_that!(replica.take_ready().messages[0].1.body, eq(&granted));
 }
 
-/// Messages for another run or of another epoch change nothing.
+/// Messages for another incarnation or of another epoch are ignored.
 #[gtest]
 fn messages_for_others_are_ignored() {
     let mut replica = replica();
@@ -106,7 +106,7 @@
     }
 }
 
-/// A new run of a voter's node has no vote, and no state until it is sent one.
+/// A restarted voter has no vote, and no state until it is sent a snapshot.
 #[gtest]
 fn newcomer_waits_for_a_snapshot() {
     let mut replica = replica_as(member(1, 2));
@@ -141,10 +141,10 @@
     }
 }
 
-/// A voter that started from a later state of its epoch than the leader must
-/// not apply the log to it: it is sent the leader's state first.
+/// A voter that started from a later state than the leader must not apply the log to it, or
+/// entries would be applied twice. It is sent the leader's state first.
 #[gtest]
-fn another_start_is_replaced() {
+fn different_initial_state_is_replaced() {
     let mut replica = replica_from(member(1, 1), b"later".to_vec());
     replica.step(START, member(2, 1), append(1, (0, 0), 1));
     let reply = replica.take_ready().messages.remove(0).1.body;
@@ -174,7 +174,7 @@
     expect_that!(replica.role(), eq(Role::Follower));
 }
 
-/// Delegated authority ends with its term, and with the follower's clock.
+/// Delegated authority ends with its term and when it times out on the follower's clock.
 #[gtest]
 fn delegation_belongs_to_its_term() {
     let mut replica = replica();
@@ -200,7 +200,7 @@
     expect_that!(replica.authority(START), none());
 }
 
-/// A snapshot that was delayed keeps the acknowledged entries behind it.
+/// A delayed snapshot doesn't drop acknowledged entries after it.
 #[gtest]
 fn delayed_snapshot_keeps_later_entries() {
     let mut replica = replica();
@@ -224,20 +224,20 @@
     replica.step(START, member(2, 1), append(1, (0, 0), 0));
     let now = START + lengthened_for_drift(LEADER_LEASE) + ELECTION_JITTER;
     replica.tick(now);
-    let poll = PreVoteReply {
+    let pre_vote = PreVoteReply {
         for_term: Term(2),
         granted: true,
         wait: Span::ZERO,
     };
-    replica.step(now, member(3, 1), message(1, Body::PreVoteReply(poll)));
+    replica.step(now, member(3, 1), message(1, Body::PreVoteReply(pre_vote)));
     let granted = Body::VoteReply(VoteReply { granted: true });
     replica.step(now, member(3, 1), message(2, granted));
     assert_that!(replica.role(), eq(Role::Leader));
     (replica, now)
 }
 
-/// Answers a leader's latest message, which was sent at `now`.
-fn answer(replica: &mut Replica, now: Time, from: Member) {
+/// Replies to the leader's latest message, which was sent at `now`.
+fn reply_to(replica: &mut Replica, now: Time, from: Member) {
     let reply = AppendReply {
         sent: now,
         stamp: now,
@@ -249,16 +249,16 @@
     replica.step(now, from, message(2, Body::AppendReply(reply)));
 }
 
-/// A follower that hears and doesn't answer is given no authority beyond a
-/// promise after its latest answer, however long the others answer.
+/// A follower that receives messages but doesn't reply is delegated no authority beyond
+/// [`LEADER_LEASE`] after its latest reply, however long the others reply.
 #[gtest]
-fn silent_followers_authority_ends() {
+fn authority_of_an_unresponsive_follower_ends() {
     let (mut replica, elected) = elected();
-    answer(&mut replica, elected, member(2, 1));
+    reply_to(&mut replica, elected, member(2, 1));
     let mut latest_given = Time::ZERO;
     for round in 0..10 {
         let now = elected + Span(HEARTBEAT_INTERVAL.0 * round);
-        answer(&mut replica, now, member(3, 1));
+        reply_to(&mut replica, now, member(3, 1));
         replica.tick(now);
         for (to, sent) in replica.take_ready().messages {
             if let Body::Append(Append {
