--- a/crates/ledgelead-ownership/examples/group_cost.rs
+++ b/crates/ledgelead-ownership/examples/group_cost.rs
@@ -1,9 +1,8 @@
-//! CPU time that one group of three replicas takes for a second of virtual
-//! time, by its number of servers:
-//! `cargo run --release -p ledgelead-ownership --example group_cost`.
+//! CPU time that one group of three replicas takes per second of virtual time, by its
+//! number of servers: `cargo run --release -p ledgelead-ownership --example group_cost`.
 //!
-//! The figures include the model servers and the encoding of messages. The
-//! time is the thread's own on the processor, from Linux's scheduler.
+//! The figures include the model servers and the encoding of messages. The time is the CPU
+//! time of the thread, from the Linux scheduler.
 
 #[path = "../tests/model/mod.rs"]
 mod model;
@@ -14,7 +13,7 @@
 use model::{Cluster, configuration};
 use std::time::Duration;
 
-/// Servers of the groups that are measured.
+/// Numbers of servers of the measured groups.
 const SERVERS: [u32; 4] = [14, 50, 125, 500];
 /// Virtual time in which a group forms and settles.
 const FORMING: Span = Span::from_seconds(5);
@@ -31,12 +30,12 @@
         assert!(cluster.all_served(), "the group of {servers} has formed");
         let settled = cost(&mut cluster, MEASURED);
         assert!(cluster.all_served(), "the group of {servers} serves");
-        let of_a_server = settled * 1_000.0 / f64::from(servers);
-        println!("{servers:7}  {forming:12.2}  {settled:12.2}  {of_a_server:21.1}");
+        let per_server = settled * 1_000.0 / f64::from(servers);
+        println!("{servers:7}  {forming:12.2}  {settled:12.2}  {per_server:21.1}");
     }
 }
 
-/// Milliseconds of CPU time for a second of the span.
+/// Milliseconds of CPU time per second of the span.
 fn cost(cluster: &mut Cluster, span: Span) -> f64 {
     let before = processor_time();
     cluster.run(span);
--- a/crates/ledgelead-ownership/src/command.rs
+++ b/crates/ledgelead-ownership/src/command.rs
@@ -1,8 +1,7 @@
 //! Commands of a group's replicated log.
 //!
-//! Every command states what it relies on, and [`crate::state::GroupState`]
-//! checks that when it applies it, so a command that was overtaken changes
-//! nothing.
+//! Every command states its preconditions, and [`crate::state::GroupState`] checks them
+//! when it applies the command, so an outdated command has no effect.
 
 use ledgelead_types::administration::GroupOperation;
 use ledgelead_types::dispatch::{IdempotencyOwner, IdempotencyState};
@@ -10,7 +9,7 @@
 use ledgelead_types::*;
 use nanoserde::{DeBin, SerBin};
 
-/// What the configuration says of a server.
+/// The configured properties of a server.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct ServerDefinition {
     /// The server.
@@ -19,18 +18,18 @@
     pub zone: ZoneId,
     /// `IP:port` of its HTTP interface.
     pub address: Text,
-    /// Requests that it executes at once.
+    /// Maximum number of requests that it executes concurrently.
     pub slots: u16,
-    /// Connections that it accepts.
+    /// Maximum number of connections that it accepts.
     pub max_connections: u16,
 }
 
-/// What a server said it holds, for the rebuilding of a group.
+/// The slices that a server reports to hold, used to rebuild a group.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ServerClaim {
     /// The server.
     pub server: ServerId,
-    /// Run of its process.
+    /// Identifies the run of its process.
     pub run: u64,
     /// Slices that it holds.
     pub held: List<GrantedSlice>,
@@ -43,49 +42,49 @@
     Operator,
     /// The server itself asked for it.
     Server,
-    /// It is to be retired when it holds nothing any more.
+    /// It is to be retired once it holds no slices.
     Retirement,
 }
 
-/// One command. An entry of the log holds a list of them, applied in order.
+/// A command. An entry of the log holds a list of commands, applied in order.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum GroupCommand {
-    /// First command of a leader in its term. A dispatcher grants nothing in
-    /// a term before it has applied this, so it never acts on a state that
-    /// lacks decisions of earlier terms.
+    /// First command of a leader in its term. A dispatcher grants no leases in a term
+    /// before it has applied this command, so it never acts on a state that lacks decisions
+    /// of earlier terms.
     StartLeadership(Member),
     /// Registers a server or changes its definition.
     PutServer(ServerDefinition),
-    /// Forgets a server that owns nothing.
+    /// Removes a server that owns no slices.
     RemoveServer(ServerId),
-    /// Divides the space into equal slices, if there are none.
+    /// Divides the position space into equal slices, if there are none yet.
     CreateSlices {
         /// The group's part of the position space.
         space: PositionRange,
         /// Number of slices.
         count: u32,
     },
-    /// Puts a server into a dispatcher's care.
+    /// Assigns a server to a dispatcher.
     SetDispatcher {
         /// The server.
         server: ServerId,
         /// Its dispatcher from now on.
         dispatcher: Option<Member>,
     },
-    /// The server answers in this run and may be granted leases. One that
-    /// was lost becomes active; one that restarted owns nothing any more.
+    /// The server responds in this run and may be granted leases. A lost server becomes
+    /// active; a restarted server loses its slices.
     Admit {
         /// The server.
         server: ServerId,
-        /// Run of its process.
+        /// Identifies the run of its process.
         run: u64,
     },
-    /// The server is silent and every lease that it had has ended.
+    /// The server is unresponsive and all of its leases have ended.
     Lose {
         /// The server.
         server: ServerId,
-        /// Log position at which its dispatcher stopped granting; the command
-        /// is void when the server was admitted again after it.
+        /// Log position at which its dispatcher stopped granting leases. The command has no
+        /// effect if the server was admitted again after that.
         lapsed_at: Revision,
     },
     /// Starts a drain.
@@ -95,7 +94,7 @@
         /// Why.
         cause: DrainCause,
     },
-    /// Ends a server's part in the group.
+    /// Retires a server from the group.
     Retire(ServerId),
     /// Gives an ownerless slice to a server.
     Assign {
@@ -113,8 +112,8 @@
         /// The next owner.
         to: ServerId,
     },
-    /// Second step of a planned move: the owner has given the slice up and
-    /// executes nothing for it.
+    /// Second step of a planned move: the owner has released the slice and executes no
+    /// requests for it.
     Released {
         /// The slice.
         range: PositionRange,
@@ -126,50 +125,50 @@
         /// First position of the second half.
         at: Position,
     },
-    /// Joins two neighbours of one owner.
+    /// Joins two adjacent slices of one owner.
     Merge {
         /// The slice that ends where the other starts.
         first: PositionRange,
         /// The other.
         second: PositionRange,
     },
-    /// Ends the rebuilding of a group: adopts what the servers hold.
+    /// Ends the rebuild of a group: adopts the slices that the servers hold.
     Recover {
-        /// The group's part of the position space; `None` for a service that
-        /// is not divided by key.
+        /// The group's part of the position space; `None` for a service that is not
+        /// partitioned by key.
         space: Option<PositionRange>,
-        /// What the servers hold.
+        /// The slices that the servers hold.
         claims: List<ServerClaim>,
     },
     /// Begins a request under an idempotency key.
     BeginIdempotent {
-        /// Who asks.
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
-    /// Ends such a request.
+    /// Ends a request under an idempotency key.
     EndIdempotent {
-        /// Who asks.
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
-        /// How it ended; `None` when it was not run, which frees the key.
+        /// How it ended; `None` if it was not executed, which frees the key.
         state: Option<IdempotencyState>,
     },
-    /// Forgets idempotency records begun at or before a revision.
+    /// Removes idempotency records begun at or before a revision.
     ExpireRecords {
         /// The revision.
         through: Revision,
     },
     /// An operator's operation.
     Operate {
-        /// Chosen by the operator; takes effect once.
+        /// Chosen by the operator; each identifier takes effect only once.
         command_id: Text,
         /// What to do.
         operation: GroupOperation,
     },
-    /// Repeats of requests whose records were lost with a quorum have come:
-    /// from now on a key without a record was not begun.
+    /// Enough time has passed for retries of requests whose records were lost with a
+    /// quorum. From now on, a key without a record counts as not begun.
     AssumeRecordsComplete,
 }
--- a/crates/ledgelead-ownership/src/dispatcher.rs
+++ b/crates/ledgelead-ownership/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The lease work of a dispatcher: one session for each server in its care,
-//! and reports to the leader.
+//! The dispatcher's lease handling: one session for each assigned server, and reports to
+//! the leader.
 
 use crate::message::{DispatcherReport, ServerLoad, ServerReport};
 use crate::schedule::Schedule;
@@ -11,12 +11,12 @@
 use ledgelead_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Interval of reports that carry load.
+/// Interval of reports that include load.
 const LOAD_REPORT_INTERVAL: Span = Span::from_seconds(1);
-/// News that the leader has not acted upon are sent again after this.
+/// A status that the leader has not acted on is sent again after this time.
 const REPORT_RETRY_INTERVAL: Span = Span::from_millis(80);
 
-/// A point in time that is never reached.
+/// Wakeup time when nothing is scheduled.
 const NEVER: Time = Time(u64::MAX);
 
 /// A renewal to send.
@@ -26,25 +26,24 @@
     pub server: ServerId,
     /// Its `IP:port`.
     pub address: Text,
-    /// Names the answer.
+    /// Identifies the reply.
     pub sequence: u64,
-    /// What to send.
+    /// The renewal.
     pub renewal: LeaseRenewal,
 }
 
-/// What a dispatcher has to know to grant.
+/// What a dispatcher needs to grant leases.
 pub struct GrantContext<'a> {
-    /// The group's state as applied here.
+    /// The group's state as applied on this replica.
     pub state: &'a GroupState,
-    /// Right to grant; `None` without one.
+    /// Authority to grant leases; `None` if there is none.
     pub authority: Option<GrantAuthority>,
 }
 
-/// The sessions of one replica.
+/// The server sessions of one replica.
 ///
-/// A session is visited when its time has come, when its server has answered
-/// and when the state has changed, so an input costs as much as the sessions
-/// that it concerns, however many there are.
+/// A session is updated when it is scheduled, when its server has replied and when the
+/// state has changed, so the cost of an input depends only on the sessions that it affects.
 pub struct Dispatcher {
     group: GroupId,
     identity: Member,
@@ -59,32 +58,32 @@
     stopping: bool,
     reported: BTreeMap<ServerId, ReportedStatus>,
     schedule: Schedule,
-    /// Sessions to visit whatever their time.
+    /// Sessions to update regardless of their schedule.
     pending: BTreeSet<ServerId>,
-    /// The state has changed since the last visits.
+    /// The state has changed since the last update.
     state_changed: bool,
-    /// Whether there was authority to grant at the last visits.
+    /// Whether there was authority to grant leases at the last update.
     granting: bool,
-    /// End of the authority that is noted as about to end.
+    /// End of the authority, once it is known to end soon.
     ending: Option<Time>,
-    /// Sessions visited since the last report.
+    /// Sessions updated since the last report.
     unreported: BTreeSet<ServerId>,
-    /// Sessions on whose state the leader has to act.
+    /// Sessions with a status that the leader has to act on.
     awaiting_leader: BTreeSet<ServerId>,
-    /// Sessions visited since the last [`Dispatcher::take_updated`].
+    /// Sessions updated since the last [`Dispatcher::take_updated`].
     updated: BTreeSet<ServerId>,
 }
 
-/// What came of visiting the sessions.
+/// Result of updating the sessions.
 #[derive(Debug, Default)]
 pub struct SessionUpdates {
-    /// Servers just found silent beyond their lease.
+    /// Servers just found unresponsive beyond their lease.
     pub unresponsive: Vec<ServerId>,
     /// Renewals to send.
     pub renewals: Vec<Renewal>,
 }
 
-/// What of a session's news must reach the leader at once when it changes.
+/// The part of a session's status that is reported immediately when it changes.
 #[derive(Clone, Debug, PartialEq)]
 struct ReportedStatus {
     run: Option<u64>,
@@ -95,8 +94,9 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher without servers. With `lease_wait` off it takes a silent
-    /// server as lost before its lease has ended, for the proof of the checker.
+    /// A dispatcher without servers. With `lease_wait` off it reports an unresponsive
+    /// server as lost before its lease has ended; this is used to verify that the checker
+    /// detects it.
     pub fn new(
         group: GroupId,
         identity: Member,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether the service is divided by key.
+    /// Sets whether the service is partitioned by key.
     pub fn set_partitioned(&mut self, partitioned: bool, now: Time) {
         if self.partitioned != partitioned {
             self.partitioned = partitioned;
@@ -139,13 +139,13 @@
         }
     }
 
-    /// Servers or slices have changed in the replicated state.
+    /// Records that servers or slices have changed in the replicated state.
     pub fn state_changed(&mut self) {
         self.state_changed = true;
     }
 
-    /// Takes servers into care and out of it as the state says, notes the
-    /// time, and renews the leases that are due.
+    /// Adds and removes sessions to match the assignments in the state, updates timeouts,
+    /// and renews the leases that are due.
     pub fn update_sessions(&mut self, now: Time, context: &GrantContext) -> SessionUpdates {
         let authority = context.authority.filter(|held| now < held.until);
         let all = self.authority_changed(now, authority) || self.state_changed;
@@ -170,8 +170,8 @@
         self.sessions
             .retain(|server, _| is_assigned(state, *server, identity));
         if self.sessions.len() < before {
-            // The leader counts the leases of a former dispatcher from the
-            // report that follows the end of its care.
+            // The leader learns from this report that this dispatcher no longer serves the
+            // removed servers. It counts the end of their leases from the report.
             self.report_due = true;
         }
         for id in state.servers.keys() {
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Notes the right to grant. Returns whether it has come back, or has
-    /// begun to end: then all renewals may be due.
+    /// Records the authority to grant leases. Returns whether it was regained or is about
+    /// to end; in both cases all renewals may be due.
     fn authority_changed(&mut self, now: Time, authority: Option<GrantAuthority>) -> bool {
         let regained = authority.is_some() && !self.granting;
         self.granting = authority.is_some();
@@ -224,8 +224,7 @@
                 });
             }
         }
-        // The end of the authority is watched for all sessions together until
-        // it is near.
+        // Until the end of the authority is near, it is tracked once for all sessions.
         let until = self.ending.unwrap_or(NEVER);
         let authority = authority.map(|held| GrantAuthority { until, ..held });
         self.schedule.set(id, session.next_wakeup(authority));
@@ -233,7 +232,7 @@
         self.updated.insert(id);
     }
 
-    /// Takes in the end of a call to a server.
+    /// Handles the end of a call to a server.
     pub fn replied(
         &mut self,
         now: Time,
@@ -249,7 +248,7 @@
         }
     }
 
-    /// Gateways saw failures of a server.
+    /// Records failures of a server that gateways observed.
     pub fn evidence(&mut self, now: Time, server: ServerId, failures: u32) {
         if let Some(session) = self.sessions.get_mut(&server) {
             session.evidence(now, failures);
@@ -257,18 +256,18 @@
         }
     }
 
-    /// Load of a server's slices as counted on this node.
+    /// Sets the load of a server's slices as counted on this node.
     pub fn slice_loads(&mut self, server: ServerId, loads: Vec<SliceLoad>) {
         self.slice_loads.insert(server, loads);
     }
 
-    /// A new leader has heard nothing yet.
+    /// Schedules a full report: a new leader has received no status yet.
     pub fn leader_changed(&mut self) {
         self.reported.clear();
         self.report_due = true;
     }
 
-    /// The node is stopping; the leader is told at once.
+    /// The node is stopping; this is reported to the leader immediately.
     pub fn stop(&mut self) {
         self.stopping = true;
         self.report_due = true;
@@ -292,8 +291,7 @@
             }
             let mut status = session.status(now);
             if !state.recovering {
-                // Only the rebuilding of a group asks for it, and the list is
-                // long.
+                // The list is long and only needed to rebuild a group.
                 status.held = List::default();
             }
             let key = ReportedStatus {
@@ -335,7 +333,7 @@
         })
     }
 
-    /// The sessions of which there may be something to tell the leader.
+    /// The sessions that may have something to report to the leader.
     fn sessions_to_report(&mut self, with_load: bool, repeat: bool) -> BTreeSet<ServerId> {
         let mut sessions = std::mem::take(&mut self.unreported);
         if with_load || self.report_due {
@@ -346,7 +344,7 @@
         sessions
     }
 
-    /// The servers in this node's care, for its request dispatcher.
+    /// The servers assigned to this node, for its request dispatcher.
     pub fn dispatched(&self, state: &GroupState) -> Vec<DispatchedServer> {
         let entries = self.sessions.keys();
         entries
@@ -354,7 +352,7 @@
             .collect()
     }
 
-    /// A server in this node's care, for its request dispatcher.
+    /// A server assigned to this node, for its request dispatcher.
     pub fn dispatched_server(&self, id: ServerId, state: &GroupState) -> Option<DispatchedServer> {
         let session = self.sessions.get(&id)?;
         let server = state.servers.get(&id)?;
@@ -368,7 +366,7 @@
         })
     }
 
-    /// The servers visited since the last call.
+    /// The servers updated since the last call.
     pub fn take_updated(&mut self) -> BTreeSet<ServerId> {
         std::mem::take(&mut self.updated)
     }
@@ -382,7 +380,7 @@
         times.into_iter().flatten().min().unwrap_or(NEVER)
     }
 
-    /// What a server in this node's care says of its load.
+    /// Load reported by a server that is assigned to this node.
     pub fn load(&self, server: ServerId) -> Option<LoadReport> {
         self.sessions.get(&server).map(ServerSession::load)
     }
--- a/crates/ledgelead-ownership/src/group/applying.rs
+++ b/crates/ledgelead-ownership/src/group/applying.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the replicated log hands over.
+//! Applying the output of the replicated log.
 
 use super::GroupReplica;
 use super::unavailable::UnavailableSlices;
@@ -14,15 +14,15 @@
 use ledgelead_types::protections::Protection;
 use ledgelead_types::*;
 
-/// Entries behind the latest compaction after which the log is compacted.
+/// Number of entries after the latest compaction at which the log is compacted again.
 const COMPACTION_ENTRIES: u64 = 8_192;
 
 impl GroupReplica {
-    /// Takes what the log has ready: state, entries, messages.
+    /// Applies what the log has ready: state, entries, messages.
     pub(super) fn apply_ready(&mut self, now: Time) {
         let ready: Ready = self.replica.take_ready();
         if let Some(installed) = ready.install {
-            // Only replicas of this group encode such states.
+            // The state was encoded by a replica of this group, so decoding does not fail.
             if let Ok(state) = GroupState::restore(&installed.state) {
                 self.state = state;
                 self.state.applied = installed.revision;
@@ -107,7 +107,8 @@
     }
 
     fn apply_command(&mut self, now: Time, revision: Revision, term: Term, bytes: &[u8]) {
-        // Every replica skips the same undecodable entry; none is written.
+        // An entry that can't be decoded is skipped, as on every other replica. No replica
+        // writes such entries.
         let Ok(commands) = decode::<List<GroupCommand>>(bytes) else {
             return;
         };
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Replaces the log by the state as applied.
+    /// Replaces the log with the applied state.
     pub(super) fn compact_log(&mut self) {
         let applied = self.state.applied;
         self.replica.compact(applied, self.state.snapshot());
@@ -204,8 +205,8 @@
     }
 }
 
-/// The answer to each request of an entry. A command decides one thing at
-/// most that is asked for, and the decisions are in the commands' order.
+/// The answer to each request of an entry. Each command produces at most one decision that
+/// is an answer, and the decisions are in the order of the commands.
 fn answers(
     commands: &[GroupCommand],
     origins: Vec<Origin>,
--- a/crates/ledgelead-ownership/src/group/leading.rs
+++ b/crates/ledgelead-ownership/src/group/leading.rs
@@ -1,5 +1,5 @@
-//! The part of a replica that leads: proposing the duties' commands,
-//! publishing routes, writing snapshots behind.
+//! The leader: proposes the commands of its duties, publishes routes and stores snapshots
+//! asynchronously.
 
 use super::GroupReplica;
 use crate::command::GroupCommand;
@@ -13,7 +13,7 @@
 use ledgelead_types::*;
 
 impl GroupReplica {
-    /// Does the leader's duties. Returns whether something was proposed.
+    /// Performs the leader's duties. Returns whether something was proposed.
     pub(super) fn lead(&mut self, now: Time) -> bool {
         let Some(leader) = &self.leader else {
             return false;
@@ -33,11 +33,11 @@
         } = self.reconcile(now);
         if let Some(change) = membership {
             if let MembershipChange::AddLearner(_) = change {
-                // The newcomer is sent the state as it is now, which is
-                // smaller than the entries that led to it.
+                // The learner is sent the current state, which is smaller than the entries
+                // that produced it.
                 self.compact_log();
             }
-            // A refused change is found again by a later turn.
+            // A rejected change is proposed again by a later pass.
             let _ = self.replica.change_membership(now, change);
         }
         let proposed = !commands.is_empty() && self.propose_duties(now, commands);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The node is stopping: its duties go to others.
+    /// Transfers this node's duties to other nodes before it stops.
     pub(super) fn prepare_shutdown(&mut self, now: Time) {
         self.dispatcher.stop();
         if self.leader.is_none() {
@@ -130,13 +130,13 @@
         let successor = others
             .max_by_key(|voter| (self.replica.last_contact(*voter), std::cmp::Reverse(*voter)));
         if let Some(successor) = successor {
-            // Without a transfer the others elect a leader when this one is
-            // silent.
+            // If the transfer is rejected, the others elect a leader once this one stops
+            // responding.
             let _ = self.replica.transfer_leadership(now, successor);
         }
     }
 
-    /// Publishes what changed: routes, servers in care, the group's record.
+    /// Publishes what changed: routes, assigned servers, the group's record.
     pub(super) fn publish(&mut self, now: Time) {
         if std::mem::take(&mut self.ownership_changed) {
             self.publish_routes();
@@ -164,7 +164,7 @@
         self.outputs.push(GroupOutput::Routes(routes));
     }
 
-    /// Publishes all servers in care when there are others than before.
+    /// Publishes all assigned servers if the set of servers has changed.
     fn publish_assigned_servers(&mut self) {
         let present = self.dispatcher.dispatched(&self.state);
         let known = &self.dispatched;
@@ -182,7 +182,7 @@
         self.dispatched = keyed.collect();
     }
 
-    /// Publishes the servers in care that have changed.
+    /// Publishes the assigned servers that have changed.
     fn publish_dispatched(&mut self) {
         for id in self.dispatcher.take_updated() {
             let Some(entry) = self.dispatcher.dispatched_server(id, &self.state) else {
--- a/crates/ledgelead-ownership/src/group/mod.rs
+++ b/crates/ledgelead-ownership/src/group/mod.rs
@@ -1,4 +1,4 @@
-//! One group on one node.
+//! A replica of one group on one node.
 
 mod applying;
 mod leading;
@@ -28,13 +28,13 @@
 use std::sync::Arc;
 use unavailable::UnavailableSlices;
 
-/// Rounds of proposing and applying in one step at most.
+/// Maximum number of rounds of proposing and applying in one step.
 const MAX_ROUNDS: usize = 16;
-/// Least time between two wakeups.
+/// Minimum time between two wakeups.
 const MIN_WAKEUP_DELAY: Span = Span::from_millis(1);
 
-/// One replica of one group: the replicated log and state, the duties of a
-/// leader while it leads, and those of a dispatcher.
+/// One replica of one group: the replicated log and state, the leader's duties while it is
+/// the leader, and the dispatcher's.
 pub struct GroupReplica {
     identity: Member,
     group: GroupId,
@@ -57,19 +57,19 @@
     outputs: Vec<GroupOutput>,
     now: Time,
     next_reconcile: Time,
-    /// State that routes, dispatching or the leader's duties depend on has
-    /// changed since it was published.
+    /// Whether state that routes, dispatching or the leader's duties depend on has changed
+    /// since it was last published.
     ownership_changed: bool,
-    /// The same since the duties took note of it.
+    /// The same since the leader and the dispatcher last observed the state.
     duties_stale: bool,
 }
 
 impl GroupReplica {
-    /// A replica that starts at `now`. One that isn't among the record's
-    /// members is a learner until a leader contacts it.
+    /// Creates a replica that starts at `now`. A replica that isn't among the record's
+    /// members is a learner and waits until a leader contacts it.
     ///
     /// # Errors
-    /// When the record's snapshot can't be decoded.
+    /// If the record's snapshot can't be decoded.
     pub fn new(settings: GroupReplicaSettings, now: Time) -> Result<GroupReplica, DecodeError> {
         let GroupReplicaSettings {
             identity,
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input that arrived at `now`.
     pub fn step(&mut self, now: Time, input: GroupInput) {
         self.now = now;
         match input {
@@ -151,15 +151,14 @@
         self.advance(now);
     }
 
-    /// Does what has become due by `now`.
+    /// Performs what is due at `now`.
     pub fn tick(&mut self, now: Time) {
         self.now = now;
         self.replica.tick(now);
         self.advance(now);
     }
 
-    /// When [`GroupReplica::tick`] has to be called next, if nothing happens
-    /// before.
+    /// When [`GroupReplica::tick`] has to be called next, unless there is an input before.
     pub fn next_wakeup(&self) -> Time {
         let authority = self.grant_authority(self.now);
         let mut next = self.replica.next_wakeup();
@@ -174,7 +173,7 @@
         next.max(self.now + MIN_WAKEUP_DELAY)
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the actions to perform since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<GroupOutput> {
         std::mem::take(&mut self.outputs)
     }
@@ -202,7 +201,7 @@
         self.next_reconcile = now;
     }
 
-    /// Carries on until nothing more follows from what has happened.
+    /// Applies, dispatches and proposes until there is no further progress.
     fn advance(&mut self, now: Time) {
         for _ in 0..MAX_ROUNDS {
             self.apply_ready(now);
@@ -219,7 +218,7 @@
         self.publish(now);
     }
 
-    /// Notes a change of leader or of its term.
+    /// Detects a change of the leader or its term.
     fn note_leader_change(&mut self, now: Time) {
         let term = self.replica.term();
         let present = self.replica.leader().map(|leader| (term, leader));
@@ -232,8 +231,8 @@
         }
     }
 
-    /// The right to grant leases: authority of the present term, once this
-    /// replica has applied the start of that term's leader.
+    /// The authority to grant leases: authority of the current term, once this replica has
+    /// applied the first command of that term's leader.
     fn grant_authority(&self, now: Time) -> Option<GrantAuthority> {
         let authority = self.replica.authority(now)?;
         let current = authority.term == self.state.term;
@@ -267,8 +266,8 @@
             });
         }
         let ready_leader = self.replica.leader().filter(|_| {
-            // A report before the start of the leader's term says nothing
-            // that it could use.
+            // The leader ignores reports until this replica has applied the start of its
+            // term.
             self.replica.term() == self.state.term
         });
         let Some(leader) = ready_leader else {
--- a/crates/ledgelead-ownership/src/group/requesting.rs
+++ b/crates/ledgelead-ownership/src/group/requesting.rs
@@ -1,5 +1,5 @@
-//! Operations and idempotency records: handed to the leader, proposed by it,
-//! answered back.
+//! Requests about operations and idempotency records: sending them to the leader, proposing
+//! them there, and answering them.
 
 use super::GroupReplica;
 use crate::command::GroupCommand;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 impl GroupReplica {
-    /// Takes a request of this node.
+    /// Starts a request of this node.
     pub(super) fn start_request(&mut self, now: Time, input: GroupInput) {
         let (request, waiter) = match input {
             GroupInput::Operate {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Hands the waiting requests to the leader. Returns whether something
-    /// was proposed here.
+    /// Sends the pending requests to the leader. Returns whether something was proposed on
+    /// this replica.
     pub(super) fn forward_requests(&mut self, now: Time) -> bool {
         let Some(leader) = self.replica.leader() else {
             return false;
@@ -77,8 +77,8 @@
         proposed
     }
 
-    /// Operations go apart from requests, so that each message has one
-    /// purpose.
+    /// Operations and requests about records are sent in separate messages, so that each
+    /// message has one purpose.
     fn send_requests(&mut self, leader: Member, due: Vec<NumberedRequest>) {
         let is_operation =
             |asked: &NumberedRequest| matches!(asked.request, GroupRequest::Operate { .. });
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Another replica hands over requests.
+    /// Handles requests from another replica.
     pub(super) fn handle_requests(
         &mut self,
         now: Time,
@@ -111,26 +111,26 @@
         self.answer(now, refused);
     }
 
-    /// Another replica answered.
+    /// Handles an answer from another replica.
     pub(super) fn handle_answer(&mut self, now: Time, number: u64, answer: GroupAnswer) {
         if let Some(ended) = self.requests.answered(now, number, answer) {
             self.end(now, ended);
         }
     }
 
-    /// Gives up on requests whose time is up.
+    /// Ends requests that have timed out.
     ///
-    /// A wish to begin that no leader answered may still have begun the
-    /// record. It is not removed here: the owner may have begun it through
-    /// another replica meanwhile and be running. Only the owner says that it
-    /// was not run.
+    /// A request to begin that no leader answered may still have created the record. The
+    /// record is not removed here, because the owner may have begun it through another
+    /// replica in the meantime and be executing. Only the owner can tell that it was not
+    /// executed.
     pub(super) fn expire_requests(&mut self, now: Time) {
         for ended in self.requests.expire(now) {
             self.end(now, ended);
         }
     }
 
-    /// Answers requests, those of one replica together.
+    /// Sends answers, with all answers for one replica in one message.
     pub(super) fn answer(&mut self, now: Time, answers: Vec<(Origin, GroupAnswer)>) {
         let mut by_replica: BTreeMap<Member, Vec<NumberedAnswer>> = BTreeMap::new();
         for (origin, answer) in answers {
@@ -148,10 +148,10 @@
         }
     }
 
-    /// Proposes a request, or gathers it with others of its kind. Returns
-    /// whether this replica leads and can decide it now. Operations wait until
-    /// a rebuilt group has heard the servers' claims: what its snapshot says of
-    /// slices may be of the past.
+    /// Proposes a request or adds it to the batch of records. Returns whether this replica
+    /// is the leader and can decide it now. Operations are refused until a rebuilt group
+    /// has received the servers' claims, because the slices in its snapshot may be
+    /// outdated.
     fn accept_request(&mut self, now: Time, origin: Origin, request: GroupRequest) -> bool {
         let started = self
             .leader
@@ -173,15 +173,15 @@
         true
     }
 
-    /// Proposes the gathered commands on records when they are due. Returns
-    /// whether something was proposed.
+    /// Proposes the batched commands on records when they are due. Returns whether
+    /// something was proposed.
     pub(super) fn propose_records(&mut self, now: Time) -> bool {
         let Some((commands, origins)) = self.record_batch.take_due(now) else {
             return false;
         };
         let payload = encode(&List(commands));
         let Ok(revision) = self.replica.propose_lazy(now, payload) else {
-            // It leads no more; whoever asked asks again.
+            // This replica is no longer the leader; the requesters will retry.
             let refused = origins.into_iter();
             let refused = refused.map(|origin| (origin, GroupAnswer::NotLeader));
             self.answer(now, refused.collect());
--- a/crates/ledgelead-ownership/src/group/unavailable.rs
+++ b/crates/ledgelead-ownership/src/group/unavailable.rs
@@ -1,14 +1,14 @@
-//! How long slices whose owner was lost have no owner, for metrics.
+//! Measures how long slices have no owner after their owner was lost, for metrics.
 //!
-//! It is counted from the moment at which the leader heard that the owner was
-//! silent, so the wait for its lease is part of it. A leader that was elected
-//! after the loss counts from its own election: it can't know what came before.
+//! The time counts from when the leader learned that the owner was unresponsive, so it
+//! includes the wait for the lease to end. A leader that was elected after the loss counts
+//! from its own election, because it doesn't know when the loss occurred.
 
 use crate::message::ServerReport;
 use ledgelead_types::{PositionRange, ServerId, Span, Time};
 use std::collections::BTreeMap;
 
-/// What this leader knows of silent servers and ownerless slices.
+/// Unresponsive servers and ownerless slices, as known to this leader.
 #[derive(Debug)]
 pub struct UnavailableSlices {
     since: Time,
@@ -17,7 +17,7 @@
 }
 
 impl UnavailableSlices {
-    /// Of a leader elected at `since`.
+    /// Starts tracking for a leader that was elected at `since`.
     pub fn new(since: Time) -> UnavailableSlices {
         UnavailableSlices {
             since,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A dispatcher tells of a server.
+    /// Records a dispatcher's report on a server.
     pub fn record_report(&mut self, now: Time, report: &ServerReport) {
         if report.status.answering {
             self.unresponsive_since.remove(&report.server);
@@ -35,10 +35,11 @@
         }
     }
 
-    /// A slice lost its owner.
+    /// Records that a slice lost its owner.
     pub fn record_loss(&mut self, range: PositionRange, owner: ServerId) {
-        // A server that answers again before it is taken as lost forgot its
-        // slices in a restart, which the leader hears of only then.
+        // A server that responds again before it was marked as lost has restarted and lost
+        // its slices. The leader learns of that restart only now, so the time then counts
+        // from the election.
         let since = self
             .unresponsive_since
             .get(&owner)
@@ -47,7 +48,8 @@
         self.ownerless.insert(range, since);
     }
 
-    /// A slice has an owner; how long it had none, if it was lost before.
+    /// Records that a slice has an owner. Returns how long it had none, if its owner was
+    /// lost.
     pub fn record_regained(&mut self, now: Time, range: PositionRange) -> Option<Span> {
         let since = self.ownerless.remove(&range)?;
         Some(now.since(since))
--- a/crates/ledgelead-ownership/src/group/viewing.rs
+++ b/crates/ledgelead-ownership/src/group/viewing.rs
@@ -1,4 +1,4 @@
-//! What a replica can tell an operator.
+//! Accessors for a replica's status.
 
 use super::GroupReplica;
 use crate::state::GroupState;
@@ -17,17 +17,17 @@
         self.state.epoch
     }
 
-    /// The present term.
+    /// The current term.
     pub fn term(&self) -> Term {
         self.replica.term()
     }
 
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     pub fn leads(&self) -> bool {
         self.leader.is_some()
     }
 
-    /// The leader of the present term, when known.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<Member> {
         self.replica.leader()
     }
@@ -37,36 +37,36 @@
         self.replica.voters()
     }
 
-    /// The replicated state as applied here.
+    /// The replicated state as applied on this replica.
     pub fn state(&self) -> &GroupState {
         &self.state
     }
 
-    /// The routes that this replica published; `None` unless it leads.
+    /// The routes that this replica published; `None` unless it is the leader.
     pub fn routes(&self) -> Option<&GroupRoutes> {
         self.routes.as_ref()
     }
 
-    /// How long the platform's store has lacked a change; `None` unless this
-    /// replica leads.
+    /// How long the platform's store has lacked a change; `None` unless this replica is the
+    /// leader.
     pub fn snapshot_lag(&self, now: Time) -> Option<Span> {
         self.leads().then(|| self.snapshots.lag(now))
     }
 
-    /// Busiest server's load over the mean; `None` unless this replica leads
-    /// and has heard of load.
+    /// The busiest server's load divided by the mean; `None` unless this replica is the
+    /// leader and has received loads.
     pub fn imbalance(&self) -> Option<f64> {
         self.leader.as_ref()?.imbalance(&self.state)
     }
 
-    /// Requests a second of each slice, in order; empty unless this replica
-    /// leads.
+    /// Requests per second of each slice, in order; empty unless this replica is the
+    /// leader.
     pub fn slice_loads(&self) -> Vec<f64> {
         let leader = self.leader.as_ref();
         leader.map_or_else(Vec::new, |leader| leader.slice_loads(&self.state))
     }
 
-    /// What a server in this node's care says of its load.
+    /// Load reported by a server that is assigned to this node.
     pub fn load_report(&self, server: ServerId) -> Option<LoadReport> {
         self.dispatcher.load(server)
     }
--- a/crates/ledgelead-ownership/src/io.rs
+++ b/crates/ledgelead-ownership/src/io.rs
@@ -12,22 +12,23 @@
 use ledgelead_types::*;
 use std::sync::Arc;
 
-/// What a replica of a group starts from.
+/// Initial settings of a group replica.
 #[derive(Clone, Debug)]
 pub struct GroupReplicaSettings {
-    /// This run of this node's process.
+    /// This node and the incarnation of its process.
     pub identity: Member,
     /// The group's record as the platform holds it.
     pub record: GroupRecord,
     /// Seed of every random decision.
     pub random_seed: u64,
-    /// All on, except in a simulation that proves its checker.
+    /// Safety checks. All are on, except in simulations that verify that a checker detects
+    /// a missing one.
     pub protections: Protections,
-    /// The planner, except in an experiment that compares it with others.
+    /// The assigner: the planner, except in experiments that compare it with others.
     pub assigner: AssignerChoice,
 }
 
-/// Something that happened.
+/// An input event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupInput {
     /// A message of another replica arrived.
@@ -41,74 +42,74 @@
     ServerReplied {
         /// The server.
         server: ServerId,
-        /// The call's number in [`GroupOutput::Renew`].
+        /// The sequence number from [`GroupOutput::Renew`].
         sequence: u64,
         /// The answer; `None` when the call failed.
         reply: Option<RenewalReply>,
     },
     /// A newer configuration is in force on this node.
     Configuration(Arc<Configuration>),
-    /// The nodes that live, as the membership sees them.
+    /// The live nodes, as known to the membership.
     LiveNodes(Vec<LiveNode>),
-    /// Load of a server's slices, as this node's request dispatcher counts.
+    /// Load of a server's slices, as counted by this node's request dispatcher.
     SliceLoads {
         /// The server.
         server: ServerId,
         /// Load of each slice.
         loads: Vec<SliceLoad>,
     },
-    /// Gateways saw requests fail at a server.
+    /// Gateways observed failed requests at a server.
     ServerEvidence {
         /// The server.
         server: ServerId,
-        /// How many since the last such input.
+        /// Number of failures since the last such input.
         failures: u32,
     },
     /// An operator's operation.
     Operate {
-        /// Names the end of the operation.
+        /// Identifies the result.
         ticket: u64,
         /// Chosen by the operator.
         command_id: Text,
         /// What to do.
         operation: GroupOperation,
     },
-    /// A request wants to begin under an idempotency key.
+    /// Asks to begin a request under an idempotency key.
     BeginIdempotent {
-        /// Who asks.
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
-    /// Such a request ended.
+    /// A request under an idempotency key ended.
     EndIdempotent {
-        /// Who began it.
+        /// The requester that began it.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
         /// How it ended.
         state: IdempotencyState,
     },
-    /// Such a request was not run: its key is free again.
+    /// A request under an idempotency key was not executed, so its key is freed.
     CancelIdempotent {
-        /// Who began it.
+        /// The requester that began it.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
-    /// A snapshot reached the platform's store.
+    /// A snapshot was stored in the platform's store.
     SnapshotStored {
         /// Its log position.
         revision: Revision,
     },
-    /// The node is stopping: lead no more, and let others dispatch.
+    /// The node is stopping: transfers leadership and dispatching to other nodes.
     TransferLeadership,
 }
 
-/// Something to be done.
+/// An action to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupOutput {
-    /// Send a message to another replica; it may be lost.
+    /// Send a message to another replica. The message may be lost.
     Send {
         /// The receiver.
         to: Member,
@@ -121,35 +122,35 @@
         server: ServerId,
         /// Its `IP:port`.
         address: Text,
-        /// Names the call's end.
+        /// Identifies the end of the call.
         sequence: u64,
-        /// What to send.
+        /// The renewal.
         renewal: LeaseRenewal,
     },
     /// The leader's routes changed.
     Routes(GroupRoutes),
-    /// Store the group's record under its epoch, behind the log.
+    /// Store the group's record under its epoch. The store may lag behind the log.
     StoreSnapshot(GroupRecord, Revision),
     /// An operation ended.
     OperationFinished {
         /// The operation.
         ticket: u64,
-        /// How.
+        /// The result.
         result: CommandResult,
     },
-    /// A wish to begin was decided.
+    /// A request to begin under an idempotency key was decided.
     IdempotencyDecided {
-        /// Who asked.
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
         /// The verdict.
         verdict: IdempotencyVerdict,
     },
-    /// The servers in this node's care from now on.
+    /// The servers assigned to this node from now on.
     Dispatch(Vec<DispatchedServer>),
-    /// One of them has another lease, or became silent or answers again.
+    /// The lease or the responsiveness of an assigned server changed.
     DispatchChanged(DispatchedServer),
-    /// Something worth a log line or a metric.
+    /// An event for logs and metrics.
     Event(Event),
 }
--- a/crates/ledgelead-ownership/src/leader/balance.rs
+++ b/crates/ledgelead-ownership/src/leader/balance.rs
@@ -1,4 +1,4 @@
-//! The bridge to the planner of `ledgelead-balance`.
+//! Connects the leader to the planner of `ledgelead-balance`.
 
 use super::{Leader, LeaderContext};
 use crate::command::GroupCommand;
@@ -13,7 +13,7 @@
 const PLAN_INTERVAL: Span = Span::from_seconds(1);
 
 impl Leader {
-    /// Carries out the planner's moves, splits and merges, once a second.
+    /// Proposes the planner's moves, splits and merges, once per second.
     pub(super) fn balance(&mut self, context: &LeaderContext, commands: &mut Vec<GroupCommand>) {
         if context.now < self.next_plan || context.state.slices.is_empty() {
             return;
@@ -22,8 +22,8 @@
         let Some(input) = self.plan_input(context) else {
             return;
         };
-        // In the planner's order: a later change may name a range that an
-        // earlier split makes.
+        // The order of the planner is kept, because a later change may refer to a range
+        // that an earlier split creates.
         let changes = self.assigner.plan(&input, context.now);
         commands.extend(changes.into_iter().filter_map(command_of));
     }
@@ -68,8 +68,9 @@
         state.slices.iter().map(slice_state).collect()
     }
 
-    /// The planner moves only slices whose owners answer. Those of draining
-    /// servers are moved without it; those of silent ones wait for the lease.
+    /// Whether the planner must not move a slice: it moves only slices with responsive
+    /// owners. Slices of draining servers are moved without the planner, and those of
+    /// unresponsive servers have to wait for the lease to end.
     fn is_immovable(&self, state: &GroupState, slice: &Slice) -> bool {
         match slice.phase {
             SlicePhase::Free => false,
@@ -96,7 +97,7 @@
             .collect()
     }
 
-    /// Load of each slice as its present holder's dispatcher counts it.
+    /// Load of each slice, as counted by the dispatcher of its current holder.
     pub(super) fn loads_by_range(&self, state: &GroupState) -> BTreeMap<PositionRange, SliceLoad> {
         let mut loads = BTreeMap::new();
         for (id, latest) in &self.latest_reports {
@@ -111,8 +112,8 @@
         loads
     }
 
-    /// Busiest server's load over the mean, each for its slots; `None`
-    /// without load.
+    /// The busiest server's load per slot divided by the mean load per slot; `None` without
+    /// load.
     pub fn imbalance(&self, state: &GroupState) -> Option<f64> {
         let loads = self.loads_by_range(state);
         let mut by_server: BTreeMap<ServerId, f64> = BTreeMap::new();
@@ -140,7 +141,7 @@
 
 fn command_of(change: PlannedChange) -> Option<GroupCommand> {
     match change {
-        // Ownerless slices are placed in the same turn by another duty.
+        // Ownerless slices are placed by another duty in the same pass.
         PlannedChange::Assign { .. } => None,
         PlannedChange::Move { range, from, to } => Some(GroupCommand::Release { range, from, to }),
         PlannedChange::Split { at, .. } => Some(GroupCommand::Split { at }),
--- a/crates/ledgelead-ownership/src/leader/dispatchers.rs
+++ b/crates/ledgelead-ownership/src/leader/dispatchers.rs
@@ -1,8 +1,8 @@
-//! Which replica is the dispatcher of which server.
+//! Assignment of servers to dispatchers.
 //!
-//! Followers take the servers, evenly; the leader only when it is alone. All
-//! servers of a service that is not divided by key have one dispatcher, which
-//! sees the whole queue.
+//! Servers are spread evenly over the followers, and assigned to the leader only if no
+//! follower is usable. All servers of a service that is not partitioned by key have the
+//! same dispatcher, which sees the whole queue.
 
 use super::{Leader, LeaderContext, MemberContact};
 use crate::command::GroupCommand;
@@ -11,15 +11,15 @@
 use ledgelead_types::*;
 use std::collections::BTreeMap;
 
-/// A replica that has not answered for this long is no dispatcher. It is
-/// longer than two heartbeats, so one lost message changes nothing.
+/// A replica that has not replied for this long can't be a dispatcher. Longer than two
+/// heartbeats, so one lost message has no effect.
 const DISPATCHER_SILENCE: Span = Span::from_millis(180);
-/// Interval between moves that only even out the dispatchers.
+/// Interval between reassignments that only balance the dispatchers.
 const SPREAD_INTERVAL: Span = Span::from_seconds(1);
 
 impl Leader {
-    /// Puts servers without a usable dispatcher into another's care, and
-    /// evens the numbers out slowly.
+    /// Assigns servers without a usable dispatcher to another one, and gradually balances
+    /// the numbers of servers.
     pub(super) fn place_dispatchers(
         &mut self,
         context: &LeaderContext,
@@ -100,8 +100,8 @@
         .is_some_and(|dispatcher| candidates.contains(&dispatcher))
 }
 
-/// The least busy candidate; for an undivided service the one that has the
-/// others already.
+/// The candidate with the fewest servers; for a service that is not partitioned, the one
+/// that already has the other servers.
 fn least_busy(counts: &BTreeMap<Member, usize>, partitioned: bool) -> Member {
     let entry = if partitioned {
         counts.iter().min_by_key(|(_, count)| **count)
--- a/crates/ledgelead-ownership/src/leader/leases.rs
+++ b/crates/ledgelead-ownership/src/leader/leases.rs
@@ -1,5 +1,5 @@
-//! By when every lease that a server may hold has ended, on the leader's
-//! clock (`docs/design/leases.md`, "The leader's bound").
+//! Upper bounds for the end of every lease that a server may hold, on the leader's clock
+//! (`docs/design/leases.md`, "The leader's bound").
 
 use crate::session::SessionStatus;
 use crate::state::GroupState;
@@ -10,23 +10,24 @@
 /// A replica that may have granted a server a lease in this term.
 #[derive(Clone, Copy, Debug)]
 struct Grantor {
-    /// Reports from an earlier position say nothing of its present care.
+    /// Log position at which it was assigned the server, or at which the server was last
+    /// admitted. Reports from earlier positions don't count.
     since: Revision,
-    /// Position at or behind which its care ended.
+    /// Position at or before which the assignment ended.
     closed: Option<Revision>,
-    /// By when its leases have ended, once it said that it grants no more.
+    /// When its leases have ended; known once it reported that it grants no more.
     ends: Option<Time>,
 }
 
-/// Bounds of all leases of the group's servers.
+/// Bounds of the leases of all servers of the group.
 pub struct LeaseBounds {
-    /// By when the leases of earlier terms have ended.
+    /// When the leases of earlier terms have ended.
     former_ends: Time,
     grantors: BTreeMap<ServerId, BTreeMap<Member, Grantor>>,
 }
 
 impl LeaseBounds {
-    /// At the start of a term.
+    /// Creates the bounds at the start of a term.
     pub fn new(former_ends: Time) -> LeaseBounds {
         LeaseBounds {
             former_ends,
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Takes note of who may grant from now on. Followers learn that an entry
-    /// is committed only from the leader, so the leader is never late here.
+    /// Updates which replicas may grant leases. Followers learn of commits only from the
+    /// leader, so the leader always knows of an assignment first.
     pub fn observe_state(&mut self, state: &GroupState) {
         self.grantors
             .retain(|server, _| state.servers.contains_key(server));
@@ -52,8 +53,8 @@
         }
     }
 
-    /// A replica has applied the log up to a position: where its care had
-    /// ended by then, its last lease ends one lease from now at the latest.
+    /// Records that a replica has applied the log up to a position. For assignments that
+    /// had ended by then, its last lease ends at most one lease duration from now.
     pub fn note_applied(&mut self, now: Time, from: Member, applied: Revision) {
         for grantors in self.grantors.values_mut() {
             let Some(grantor) = grantors.get_mut(&from) else {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// A server's dispatcher says whether it grants.
+    /// Records a dispatcher's report on whether it grants leases to a server.
     pub fn record_status(
         &mut self,
         now: Time,
--- a/crates/ledgelead-ownership/src/leader/members.rs
+++ b/crates/ledgelead-ownership/src/leader/members.rs
@@ -1,12 +1,11 @@
-//! Keeping the replica set whole: replicas that are lost or whose nodes are
-//! stopping are replaced, and replicas are spread over zones, one change at a
-//! time.
+//! Repair of the replica set: replaces replicas that are lost or whose nodes are stopping,
+//! and spreads replicas over zones, one change at a time.
 //!
-//! A replacement first learns the whole log. Then a lost voter is removed
-//! and the replacement is given its vote: the set never has fewer live voters
-//! than before, and the lost one never counts beside its replacement, where
-//! it would make the loss of either fatal. A voter whose node is stopping still
-//! counts, so its replacement votes first.
+//! A replacement first receives the whole log as a learner. Then a lost voter is removed
+//! before the replacement becomes a voter: the number of live voters never decreases, and
+//! the lost voter never counts together with its replacement, which would make any further
+//! loss fatal. A voter whose node is stopping is still live, so its replacement becomes a
+//! voter first.
 
 use super::{Leader, LeaderContext};
 use ledgelead_replication::MembershipChange;
@@ -14,31 +13,30 @@
 use ledgelead_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A voter is replaced when it was silent for this long and the membership
-/// doesn't list its run as live.
+/// A voter is replaced if it was unresponsive for this long and the membership doesn't list
+/// its incarnation as live.
 const MEMBER_SILENCE: Span = Span::from_seconds(2);
-/// Silence after which a voter is replaced whose node runs under another
-/// incarnation: this run is gone for certain.
+/// The same for a voter whose node is live under another incarnation, so that the voter's
+/// process has certainly ended.
 const RESTARTED_SILENCE: Span = Span::from_millis(400);
 /// Interval between attempts at a change.
 const CHANGE_INTERVAL: Span = Span::from_millis(50);
 
-/// A member of the replica set as the leader sees it.
+/// A member of the replica set, as seen by the leader.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberContact {
     /// The member.
     pub member: Member,
     /// Whether it votes; a learner otherwise.
     pub voter: bool,
-    /// When it last answered in this term; the present time for the leader
-    /// itself.
+    /// When it last replied in this term; the current time for the leader itself.
     pub last_contact: Option<Time>,
     /// Whether it holds the whole committed log.
     pub caught_up: bool,
 }
 
 impl Leader {
-    /// The next change of the replica set, if one is called for.
+    /// The next change of the replica set, if one is needed.
     pub(super) fn repair_members(&mut self, context: &LeaderContext) -> Option<MembershipChange> {
         if context.now < self.next_member_change || context.live.is_empty() {
             return None;
@@ -57,8 +55,8 @@
             if !learner.caught_up {
                 return None;
             }
-            // The dead voter goes first: counted along with the new one it
-            // would raise the majority.
+            // The dead voter is removed first: counted together with the new one it would
+            // raise the majority.
             return Some(match dead.filter(|_| full) {
                 Some(dead) => MembershipChange::Remove(dead),
                 None => MembershipChange::Promote(learner.member),
@@ -81,7 +79,7 @@
 struct MembersView<'a> {
     voters: Vec<MemberContact>,
     learners: Vec<MemberContact>,
-    /// Living voters of each zone in which a node lives.
+    /// Number of live voters in each zone with a live node.
     zones: BTreeMap<ZoneId, usize>,
     /// Replicas whose nodes are stopping.
     stopping: &'a BTreeSet<Member>,
@@ -127,14 +125,14 @@
         dead.map(|voter| voter.member)
     }
 
-    /// A voter whose node is stopping. Its replacement votes before it goes:
-    /// the loss of another meanwhile leaves a majority.
+    /// A voter whose node is stopping. Its replacement becomes a voter before it is
+    /// removed, so that the loss of another voter in the meantime leaves a majority.
     fn stopping_voter(&self, context: &LeaderContext) -> Option<Member> {
         let mut members = self.voters.iter().map(|voter| voter.member);
         members.find(|member| *member != context.identity && self.stopping.contains(member))
     }
 
-    /// A voter of the fullest zone, not the leader.
+    /// A voter in the zone with the most voters, other than the leader.
     fn surplus(&self, context: &LeaderContext) -> Option<Member> {
         let others = self
             .voters
@@ -146,7 +144,7 @@
         others.max_by_key(zone_voters).map(|voter| voter.member)
     }
 
-    /// Whether a zone without a voter could take one from a zone with two.
+    /// Whether a voter could move from a zone with two or more voters to a zone with none.
     fn is_spread_unevenly(&self, context: &LeaderContext) -> bool {
         let most = self.zones.values().max().copied().unwrap_or(0);
         let leader_zone = zone_of(context, context.identity);
@@ -160,9 +158,9 @@
         most >= 2 && removable && empty
     }
 
-    /// A live node that is no member, in the zone with the fewest voters. Each
-    /// group has its own order of nodes, so that the groups that a loss leaves
-    /// short don't all take the same node.
+    /// A live node that is not a member, in the zone with the fewest voters. Each group
+    /// orders the nodes differently, so that groups that lost a replica at the same time
+    /// don't all choose the same node.
     fn candidate(&self, context: &LeaderContext) -> Option<Member> {
         let chosen = self.free_nodes(context).min_by_key(|node| {
             let weight = context.group.replica_weight(node.member.node);
--- a/crates/ledgelead-ownership/src/leader/mod.rs
+++ b/crates/ledgelead-ownership/src/leader/mod.rs
@@ -1,9 +1,9 @@
-//! The leader's duties. They read the applied state and what dispatchers
-//! report, and produce commands for the log. Nothing here is replicated: a new
-//! leader starts from the state and hears the rest again.
+//! The leader's duties. They read the applied state and the dispatchers' reports, and
+//! produce commands for the log. Nothing here is replicated: a new leader starts from the
+//! state and receives the reports again.
 //!
-//! One batch of commands is under way at a time; each turn looks at the state
-//! afresh, so a duty that was not carried out is found again.
+//! Only one batch of commands is in progress at a time. Each pass starts from the current
+//! state, so an action that did not take effect is proposed again.
 
 mod balance;
 mod dispatchers;
@@ -31,17 +31,16 @@
 use records::RecordMaintenance;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A duty that waits for a lease to end looks again after this.
+/// Interval between passes while a duty waits for a lease to end.
 const RECHECK_INTERVAL: Span = Span::from_millis(5);
-/// Longest time until the duties are looked at again, so that a silent
-/// dispatcher is noticed.
+/// Maximum time between passes, so that an unresponsive dispatcher is noticed.
 const ROUTINE_INTERVAL: Span = Span::from_millis(20);
-/// A new leader first hears of load before it plans moves.
+/// Time for which a new leader collects loads before it plans moves.
 const FIRST_PLAN_DELAY: Span = Span::from_millis(1_500);
 
-/// What the leader looks at in one turn.
+/// Input of one pass over the leader's duties.
 pub struct LeaderContext<'a> {
-    /// The present time.
+    /// The current time.
     pub now: Time,
     /// This replica.
     pub identity: Member,
@@ -49,9 +48,9 @@
     pub group: GroupId,
     /// Applied state.
     pub state: &'a GroupState,
-    /// Configuration in force on this node, if any.
+    /// Active configuration of this node, if any.
     pub configuration: Option<&'a Configuration>,
-    /// Live nodes as the membership sees them.
+    /// Live nodes, as known to the membership.
     pub live: &'a [LiveNode],
     /// Voters and learners with their latest contact.
     pub members: &'a [MemberContact],
@@ -81,7 +80,7 @@
     }
 }
 
-/// What a turn wants done.
+/// Actions that result from one pass.
 #[derive(Debug, Default, PartialEq)]
 pub struct LeaderActions {
     /// Commands for one entry of the log.
@@ -90,14 +89,14 @@
     pub membership: Option<MembershipChange>,
 }
 
-/// What the leader heard of a server from its present dispatcher.
+/// The latest report on a server from its current dispatcher.
 #[derive(Clone, Debug)]
 struct LatestReport {
     status: SessionStatus,
     load: ServerLoad,
 }
 
-/// The leader's volatile knowledge in one term.
+/// The leader's volatile state in one term.
 pub struct Leader {
     term: Term,
     since: Time,
@@ -114,16 +113,16 @@
     records: RecordMaintenance,
     /// Until when the first placement waits.
     first_placement: Option<Time>,
-    /// Whether a duty waits for a time that is near.
+    /// Whether a duty waits for a deadline in the near future.
     awaits_deadline: bool,
-    /// The configuration that the registered servers are known to follow;
-    /// `None` after a change of them.
+    /// The configuration that the registered servers are known to match; `None` after they
+    /// changed.
     registered: Option<ConfigurationVersion>,
 }
 
 impl Leader {
-    /// A leader elected at `now`. `former_authority_ends`: by when the
-    /// authority of every earlier leader has ended.
+    /// A leader elected at `now`. By `former_authority_ends` the authority of every earlier
+    /// leader has ended.
     pub fn new(
         term: Term,
         now: Time,
@@ -151,7 +150,7 @@
         }
     }
 
-    /// The term that it leads.
+    /// The term in which it is the leader.
     pub fn term(&self) -> Term {
         self.term
     }
@@ -161,12 +160,12 @@
         self.last_proposed > Revision(0)
     }
 
-    /// A batch of commands was proposed at this position.
+    /// Records that a batch of commands was proposed at this position.
     pub fn proposed(&mut self, revision: Revision) {
         self.last_proposed = revision;
     }
 
-    /// Takes in a dispatcher's report.
+    /// Handles a dispatcher's report.
     pub fn handle_report(
         &mut self,
         now: Time,
@@ -200,7 +199,7 @@
         }
     }
 
-    /// Takes note of newly applied state.
+    /// Handles newly applied state.
     pub fn observe_state(&mut self, state: &GroupState) {
         if state.term != self.term {
             return;
@@ -211,7 +210,7 @@
             .retain(|server, _| state.servers.contains_key(server));
     }
 
-    /// Decides what to do now.
+    /// Runs one pass over the duties and returns the resulting actions.
     pub fn reconcile(
         &mut self,
         context: &LeaderContext,
@@ -240,7 +239,7 @@
         }
     }
 
-    /// When the next turn is due, if nothing happens before.
+    /// When the next pass is due, unless there is an input before.
     pub fn next_wakeup(&self, now: Time) -> Time {
         let interval = if self.awaits_deadline {
             RECHECK_INTERVAL
@@ -250,7 +249,7 @@
         now + interval
     }
 
-    /// Requests a second of each slice, as last heard.
+    /// Requests per second of each slice, as last reported.
     pub fn slice_loads(&self, state: &GroupState) -> Vec<f64> {
         let loads = self.loads_by_range(state);
         let load = |slice: &crate::state::Slice| {
--- a/crates/ledgelead-ownership/src/leader/placement.rs
+++ b/crates/ledgelead-ownership/src/leader/placement.rs
@@ -1,4 +1,4 @@
-//! Initial slices, ownerless slices and the emptying of draining servers.
+//! Initial slices, placement of ownerless slices, and moves off draining servers.
 
 use super::{Leader, LeaderContext};
 use crate::command::GroupCommand;
@@ -8,14 +8,14 @@
 use ledgelead_types::*;
 use std::collections::BTreeMap;
 
-/// Most slices in planned moves at once; keeps the number of slices that wait
-/// at a time small.
+/// Maximum number of concurrent planned moves; keeps the number of slices that wait at the
+/// same time small.
 const MAXIMUM_MOVES: usize = 8;
 
-/// How long the first placement waits for servers that don't answer.
+/// How long the first placement waits for unresponsive servers.
 const FIRST_PLACEMENT_WAIT: Span = Span::from_millis(400);
 
-/// What a server has or is to get.
+/// Load and slices that a server has or is to get.
 #[derive(Clone, Copy, Debug, Default)]
 struct AssignedLoad {
     slots: f64,
@@ -24,7 +24,7 @@
 }
 
 impl AssignedLoad {
-    /// By load, and by slices where load says nothing.
+    /// Sort key: by load, then by number of slices.
     fn rank(&self) -> (f64, usize) {
         (self.requests_per_second / self.slots, self.slices)
     }
@@ -35,7 +35,7 @@
     }
 }
 
-/// What each accepting server has or is to get.
+/// Load and slices that each accepting server has or is to get.
 struct AssignedLoads {
     by_server: BTreeMap<ServerId, AssignedLoad>,
     loads: BTreeMap<PositionRange, SliceLoad>,
@@ -74,7 +74,7 @@
         load.map_or(0.0, |load| load.requests_per_second)
     }
 
-    /// The least loaded server, which gets the slice too.
+    /// Chooses the least loaded server and adds the slice to it.
     fn assign_to_least_loaded(&mut self, range: PositionRange) -> Option<ServerId> {
         let load = self.load_of(range);
         let (server, total) = self.by_server.iter_mut().min_by(|(_, left), (_, right)| {
@@ -87,7 +87,7 @@
 }
 
 impl Leader {
-    /// Divides the group's space when its first servers are known.
+    /// Divides the group's position space once its first servers are known.
     pub(super) fn create_slices(&self, context: &LeaderContext, commands: &mut Vec<GroupCommand>) {
         let (Some(space), Some(service)) = (context.space(), context.service()) else {
             return;
@@ -101,8 +101,8 @@
         commands.push(GroupCommand::CreateSlices { space, count });
     }
 
-    /// Gives every ownerless slice to an accepting server, as the planner
-    /// says or else to the least loaded one.
+    /// Assigns every ownerless slice to an accepting server: the one chosen by the planner,
+    /// or else the least loaded one.
     pub(super) fn place_free_slices(
         &mut self,
         context: &LeaderContext,
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The first placement waits for all servers to answer, so that the first
-    /// one to do so isn't given everything.
+    /// The first placement waits for all servers to respond, so that the first one doesn't
+    /// get all slices.
     fn waits_for_servers(&mut self, context: &LeaderContext) -> bool {
         let state = context.state;
         let mut slices = state.slices.iter();
--- a/crates/ledgelead-ownership/src/leader/records.rs
+++ b/crates/ledgelead-ownership/src/leader/records.rs
@@ -1,34 +1,35 @@
-//! Keeping idempotency records: expiry, an end for those whose gateway is
-//! gone, and the doubt about those that were lost with a quorum.
+//! Maintenance of idempotency records: expiry, ending of records whose gateway is gone, and
+//! the period during which records lost with a quorum may be missing.
 
 use super::LeaderContext;
 use crate::command::GroupCommand;
 use ledgelead_types::dispatch::IdempotencyState;
 use ledgelead_types::*;
 
-/// How long a record is kept at least.
+/// Minimum time for which a record is kept.
 const RECORD_RETENTION: Span = Span::from_seconds(600);
-/// Interval at which the leader notes how far the log is, to date records.
+/// Interval at which the leader samples the log position, to determine the age of records.
 const SAMPLE_INTERVAL: Span = Span::from_seconds(10);
 /// Interval of searches for records whose gateway is gone.
 const SEARCH_INTERVAL: Span = Span::from_seconds(2);
-/// How long after a rebuild keys without a record may be repeats of requests
-/// whose records were lost with the quorum.
+/// How long after a rebuild a key without a record may belong to a retry of a request whose
+/// record was lost with the quorum.
 const MISSING_RECORDS_PERIOD: Span = Span::from_seconds(15);
-/// Most such records ended in one batch.
+/// Maximum number of such records ended in one batch.
 const MAXIMUM_ENDED: usize = 256;
 
-/// The leader's knowledge of the records' age.
+/// Tracks the age of the records.
 pub struct RecordMaintenance {
-    /// When the log was how far.
+    /// Log positions by time.
     samples: Vec<(Time, Revision)>,
     next_search: Time,
-    /// When records that may be missing are no longer waited for.
+    /// When missing records are no longer expected.
     missing_records_until: Time,
 }
 
 impl RecordMaintenance {
-    /// At the start of a term. Ages count anew, so a record may live longer.
+    /// Starts at the beginning of a term. Ages start at zero again, so a record may be kept
+    /// longer.
     pub fn new(now: Time) -> RecordMaintenance {
         RecordMaintenance {
             samples: Vec::new(),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Performs the maintenance that is due.
     pub fn maintain(&mut self, context: &LeaderContext, commands: &mut Vec<GroupCommand>) {
         if context.state.records_may_be_missing && context.now >= self.missing_records_until {
             commands.push(GroupCommand::AssumeRecordsComplete);
@@ -62,8 +63,9 @@
         }
     }
 
-    /// Nobody can tell any more how a request of a lost gateway ended. Should
-    /// the gateway live after all, its own word still replaces this.
+    /// Ends records of lost gateways as unknown, because only the gateway knew how the
+    /// request ended. If the gateway turns out to be live, its own report still replaces
+    /// this.
     fn end_orphans(&mut self, context: &LeaderContext, commands: &mut Vec<GroupCommand>) {
         if context.now < self.next_search || context.live.is_empty() {
             return;
--- a/crates/ledgelead-ownership/src/leader/recovery.rs
+++ b/crates/ledgelead-ownership/src/leader/recovery.rs
@@ -1,5 +1,5 @@
-//! Rebuilding a group whose quorum was lost: the servers' claims are heard
-//! for as long as a lease of the former epoch can last, and adopted together.
+//! Rebuild of a group that lost its quorum: the leader collects the servers' claims for as
+//! long as a lease of the former epoch can last, and then adopts them together.
 
 use super::{Leader, LeaderContext};
 use crate::command::{GroupCommand, ServerClaim};
@@ -9,8 +9,8 @@
 impl Leader {
     /// Adopts the claims once every lease of the former epoch has ended.
     ///
-    /// A leader of the former epoch may have had authority until a promise
-    /// after the quorum's loss, and a lease may have been granted last then.
+    /// A leader of the former epoch may have had authority for [`LEADER_LEASE`] after the
+    /// loss of the quorum, and may have granted a lease at the end of that time.
     pub(super) fn recover(&mut self, context: &LeaderContext, commands: &mut Vec<GroupCommand>) {
         if context.configuration.is_none() {
             return;
--- a/crates/ledgelead-ownership/src/leader/servers.rs
+++ b/crates/ledgelead-ownership/src/leader/servers.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Follows the configuration. It is compared again only when it or the
-    /// group's servers and slices have changed.
+    /// Registers and removes servers to match the configuration. They are compared again
+    /// only when the configuration or the group's servers and slices have changed.
     pub(super) fn register_servers(
         &mut self,
         context: &LeaderContext,
@@ -36,13 +36,13 @@
                 unregister(context, *id, server, commands);
             }
         }
-        // A proposal may be refused: what was found is looked for again.
+        // A proposal may be rejected, so differences are checked again in the next pass.
         if commands.len() == before {
             self.registered = Some(configuration.version);
         }
     }
 
-    /// Acts on what dispatchers report.
+    /// Acts on the dispatchers' reports.
     pub(super) fn check_servers(
         &mut self,
         context: &LeaderContext,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Admits a server that answers, or takes a silent one as lost once its
-    /// leases have ended.
+    /// Admits a responsive server, or marks an unresponsive one as lost once its leases
+    /// have ended.
     fn admission_or_loss(
         &mut self,
         context: &LeaderContext,
@@ -129,7 +129,7 @@
     }
 }
 
-/// A planned move goes on when its old owner has given the slice up.
+/// Completes planned moves whose old owner has released the slice.
 fn complete_releases(
     context: &LeaderContext,
     latest: &LatestReport,
@@ -150,7 +150,7 @@
     }
 }
 
-/// A server that is no longer configured is drained, retired and forgotten.
+/// A server that is no longer configured is drained, retired and removed.
 fn unregister(
     context: &LeaderContext,
     id: ServerId,
--- a/crates/ledgelead-ownership/src/lib.rs
+++ b/crates/ledgelead-ownership/src/lib.rs
@@ -1,9 +1,8 @@
-//! Ownership of slices: one group on one node.
+//! Ownership of slices: a replica of one group on one node.
 //!
-//! [`GroupReplica`] composes the group's replicated log, the state that the
-//! log builds, the leader's duties and the sessions of a dispatcher with its
-//! servers. It is a pure state machine (`docs/design/ownership.md`,
-//! `docs/design/leases.md`).
+//! [`GroupReplica`] combines the group's replicated log, the state built from it, the
+//! leader's duties, and the dispatcher's sessions with its servers. It is a pure state
+//! machine (`docs/design/ownership.md`, `docs/design/leases.md`).
 
 pub mod command;
 pub mod dispatcher;
--- a/crates/ledgelead-ownership/src/message.rs
+++ b/crates/ledgelead-ownership/src/message.rs
@@ -13,20 +13,20 @@
 /// A message from one replica of a group to another.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum GroupMessage {
-    /// Elections, heartbeats and the log.
+    /// Elections, heartbeats and log replication.
     Replication(ReplicationMessage),
-    /// A dispatcher tells the leader of its servers.
+    /// A dispatcher's report on its servers to the leader.
     Report(DispatcherReport),
-    /// A replica hands requests to the leader.
+    /// Requests of a replica to the leader.
     Requests(List<NumberedRequest>),
     /// The leader's answers.
     Answers(List<NumberedAnswer>),
 }
 
 impl GroupMessage {
-    /// Whether the message is only there because of callers' requests under
-    /// idempotency keys: the wish to begin one, its end, their replication and
-    /// the answers. A heartbeat that was due anyway is not.
+    /// Whether the message exists only because of callers' requests under idempotency keys:
+    /// to begin or end one, to replicate that, or to answer. A heartbeat that was due
+    /// anyway does not count.
     pub fn is_idempotency_traffic(&self) -> bool {
         match self {
             GroupMessage::Replication(message) => message.is_lazy(),
@@ -44,25 +44,25 @@
     }
 }
 
-/// A request on its way to the leader.
+/// A numbered request to the leader.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct NumberedRequest {
-    /// Names the answer; counted by the sender.
+    /// Number assigned by the sender, which identifies the answer.
     pub number: u64,
     /// The request.
     pub request: GroupRequest,
 }
 
-/// An answer on its way back.
+/// The leader's answer to a numbered request.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct NumberedAnswer {
-    /// The number asked under.
+    /// The number of the request.
     pub number: u64,
     /// The answer.
     pub answer: GroupAnswer,
 }
 
-/// What a dispatcher tells the leader.
+/// A dispatcher's report to the leader.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct DispatcherReport {
     /// Term in which it was sent; the leader of another one ignores it.
@@ -71,11 +71,11 @@
     pub applied: Revision,
     /// The node is stopping: its servers should go to other dispatchers.
     pub stopping: bool,
-    /// Servers of which there is something to tell.
+    /// Servers with something to report.
     pub servers: List<ServerReport>,
 }
 
-/// What a dispatcher tells of one server.
+/// A dispatcher's report on one server.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ServerReport {
     /// The server.
@@ -89,9 +89,9 @@
 /// Load of one server.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct ServerLoad {
-    /// What the server says itself.
+    /// Load reported by the server.
     pub report: LoadReport,
-    /// What the dispatcher counts.
+    /// Load counted by the dispatcher.
     pub slices: List<SliceLoad>,
 }
 
@@ -107,18 +107,18 @@
     },
     /// Begins a request under an idempotency key.
     BeginIdempotent {
-        /// Who asks.
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
-    /// Ends it; `None` when it was not run.
+    /// Ends a request under an idempotency key.
     EndIdempotent {
-        /// Who asks.
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
-        /// How it ended.
+        /// How it ended; `None` if it was not executed.
         state: Option<IdempotencyState>,
     },
 }
@@ -128,10 +128,10 @@
 pub enum GroupAnswer {
     /// An operation ended.
     Operated(CommandResult),
-    /// A wish to begin was decided.
+    /// A request to begin under an idempotency key was decided.
     Idempotency(IdempotencyVerdict),
     /// The end of a request was recorded.
     Ended,
-    /// The asked replica doesn't lead; nothing was decided by it.
+    /// The replica is not the leader and made no decision.
     NotLeader,
 }
--- a/crates/ledgelead-ownership/src/record_batch.rs
+++ b/crates/ledgelead-ownership/src/record_batch.rs
@@ -1,17 +1,16 @@
-//! Commands on idempotency records that the leader gathers into one entry of
-//! the log. An entry costs each replica two messages, however many commands
-//! it holds.
+//! Batching of commands on idempotency records into one log entry by the leader. An entry
+//! costs two messages for each replica, however many commands it contains.
 
 use crate::command::GroupCommand;
 use crate::requests::Origin;
 use ledgelead_types::{Span, Time};
 
-/// How long the first command waits for others.
+/// How long the first command of a batch waits for others.
 const BATCH_DELAY: Span = Span::from_millis(2);
-/// Most commands in one entry.
+/// Maximum number of commands in one entry.
 const MAXIMUM_COMMANDS: usize = 256;
 
-/// Commands gathered, each with its origin.
+/// The batched commands, each with its origin.
 #[derive(Default)]
 pub struct RecordBatch {
     commands: Vec<GroupCommand>,
@@ -20,7 +19,7 @@
 }
 
 impl RecordBatch {
-    /// Adds a command behind those gathered before.
+    /// Appends a command to the batch.
     pub fn add(&mut self, now: Time, origin: Origin, command: GroupCommand) {
         self.commands.push(command);
         self.origins.push(origin);
@@ -30,12 +29,12 @@
         }
     }
 
-    /// When the commands are to be proposed.
+    /// When the batch is to be proposed.
     pub fn due_at(&self) -> Option<Time> {
         self.due
     }
 
-    /// Takes the commands and their origins out, in order, when they are due.
+    /// Takes the commands and their origins, in order, if the batch is due.
     pub fn take_due(&mut self, now: Time) -> Option<(Vec<GroupCommand>, Vec<Origin>)> {
         self.due.take_if(|due| *due <= now)?;
         let commands = std::mem::take(&mut self.commands);
--- a/crates/ledgelead-ownership/src/requests.rs
+++ b/crates/ledgelead-ownership/src/requests.rs
@@ -1,9 +1,9 @@
-//! Requests that only the leader can decide: those of this node that wait for
-//! an answer, and those under way in this node's log while it leads.
+//! Requests that only the leader can decide: those of this node that wait for an answer,
+//! and while this node is the leader those that are in its log.
 //!
-//! A request is sent again until it is answered or its time is up. That is
-//! safe: an operation takes effect once under its identifier, and a wish to
-//! begin is answered the same when its owner repeats it.
+//! A request is sent again until it is answered or times out. That is safe: an operation
+//! takes effect only once per identifier, and a repeated request to begin gets the same
+//! answer.
 
 use crate::message::{GroupAnswer, GroupRequest, NumberedRequest};
 use ledgelead_types::administration::{CommandRejection, CommandResult};
@@ -13,26 +13,26 @@
 
 /// How long a request waits for an answer before it is sent again.
 const RETRY_INTERVAL: Span = Span::from_millis(150);
-/// How long a recorded end waits for company on its way to the leader. It is
-/// not urgent: until it arrives a repeat is refused as a duplicate all the same.
+/// How long the end of an executed request waits to be sent to the leader together with
+/// others. It is not urgent: until it arrives, a retry is refused as a duplicate anyway.
 const END_DELAY: Span = Span::from_millis(100);
-/// How long it waits for an answer before it is sent again.
+/// How long such an end waits for an answer before it is sent again.
 const END_RETRY_INTERVAL: Span = Span::from_millis(500);
-/// How long an operation waits for its end.
+/// Timeout of an operation.
 const OPERATION_TIMEOUT: Span = Span::from_seconds(2);
-/// How long a wish to begin waits.
+/// Timeout of a request to begin under an idempotency key.
 const BEGIN_TIMEOUT: Span = Span::from_seconds(1);
-/// How long the end of a request is tried to be recorded.
+/// Timeout of recording the end of a request.
 const END_TIMEOUT: Span = Span::from_seconds(5);
-/// Most requests that wait at once; more are refused at once.
+/// Maximum number of pending requests; further ones are refused immediately.
 const MAX_PENDING: usize = 16_384;
 
-/// Who waits for an answer on this node.
+/// The receiver of an answer on this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
-    /// An operation's ticket.
+    /// An operation, by its ticket.
     Operation(u64),
-    /// The owner of an idempotency record, by the request itself.
+    /// The owner of an idempotency record, who is named in the request.
     Idempotency,
     /// Nobody.
     Nobody,
@@ -43,9 +43,9 @@
 pub struct PendingRequest {
     /// The request.
     pub request: GroupRequest,
-    /// Who waits.
+    /// The receiver of the answer.
     pub waiter: Waiter,
-    /// Whether it may wait to be sent with others.
+    /// Whether it may be delayed to be sent with others.
     deferred: bool,
     deadline: Time,
     next_send: Time,
@@ -62,27 +62,27 @@
     }
 }
 
-/// Where a proposal came from.
+/// The origin of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A request of this node.
     Local(u64),
-    /// A request of another replica under its own number.
+    /// A request of another replica, with the number that it assigned.
     Replica(Member, u64),
 }
 
-/// A request that ended.
+/// A request that was answered or timed out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedRequest {
     /// The request.
     pub request: GroupRequest,
-    /// Who waits.
+    /// The receiver of the answer.
     pub waiter: Waiter,
     /// The answer.
     pub answer: GroupAnswer,
 }
 
-/// All requests under way.
+/// All pending and proposed requests.
 #[derive(Default)]
 pub struct Requests {
     pending: BTreeMap<u64, PendingRequest>,
@@ -92,10 +92,9 @@
 }
 
 impl Requests {
-    /// Takes a request of this node; `false` when too many wait. A wish to
-    /// begin that waits already is not added again: one that was left
-    /// unanswered would free the key when its time is up, although the other
-    /// was granted.
+    /// Adds a request of this node; `false` if too many are pending. A request to begin
+    /// that is already pending is not added again: if one of the two timed out, it would
+    /// free the key although the other was granted.
     pub fn add(&mut self, now: Time, request: GroupRequest, waiter: Waiter) -> bool {
         if self.has_begin_request(&request) {
             return true;
@@ -108,8 +107,8 @@
             GroupRequest::BeginIdempotent { .. } => BEGIN_TIMEOUT,
             GroupRequest::EndIdempotent { .. } => END_TIMEOUT,
         };
-        // The end of a request that was not run frees its key for a repeat
-        // that may come at once.
+        // The end of a request that was not executed is not deferred: it frees the key for
+        // a retry that may arrive immediately.
         let deferred = matches!(&request, GroupRequest::EndIdempotent { state: Some(_), .. });
         let delay = if deferred { END_DELAY } else { Span::ZERO };
         let pending = PendingRequest {
@@ -125,16 +124,16 @@
         true
     }
 
-    /// Whether this wish to begin waits already.
+    /// Whether this request to begin is already pending.
     fn has_begin_request(&self, request: &GroupRequest) -> bool {
         let is_begin = matches!(request, GroupRequest::BeginIdempotent { .. });
         let mut pending = self.pending.values();
         is_begin && pending.any(|pending| pending.request == *request)
     }
 
-    /// The requests to hand to the leader now, oldest first. With one that is
-    /// due go the ends that wait for company; so a key's end never comes
-    /// behind the next wish to begin under it.
+    /// The requests to send to the leader now, oldest first. Deferred ends are sent along
+    /// with any request that is due, so the end of a key is never sent after the next
+    /// request to begin under it.
     pub fn due(&mut self, now: Time) -> Vec<NumberedRequest> {
         let any = self
             .pending
@@ -158,8 +157,8 @@
         .collect()
     }
 
-    /// Another leader is known: what waits is handed to it at once. What was
-    /// proposed here may have been discarded.
+    /// Handles a change of leader: pending requests are sent to the new one immediately.
+    /// Proposals of this node may have been discarded.
     pub fn leader_changed(&mut self, now: Time) {
         self.proposed.clear();
         for pending in self.pending.values_mut() {
@@ -167,18 +166,18 @@
         }
     }
 
-    /// Requests were proposed in one entry at this position, in this order.
+    /// Records that requests were proposed in one entry at this position, in this order.
     pub fn proposed(&mut self, revision: Revision, origins: Vec<Origin>) {
         self.proposed.insert(revision, origins);
     }
 
-    /// Where the commands of the entry at this position came from, in order;
-    /// none when they were not proposed here for a request.
+    /// The origins of the commands of the entry at this position, in order; empty if they
+    /// were not proposed here for a request.
     pub fn applied(&mut self, revision: Revision) -> Vec<Origin> {
         self.proposed.remove(&revision).unwrap_or_default()
     }
 
-    /// An answer arrived; `None` when nobody waits for it any more.
+    /// Handles an answer; `None` if the request is no longer pending.
     pub fn answered(
         &mut self,
         now: Time,
@@ -199,7 +198,7 @@
         })
     }
 
-    /// Ends the requests whose time is up.
+    /// Ends the requests that have timed out.
     pub fn expire(&mut self, now: Time) -> Vec<FinishedRequest> {
         let mut ended = Vec::new();
         self.pending.retain(|_, pending| {
@@ -229,10 +228,11 @@
     }
 }
 
-/// A replica that was asked and doesn't lead is not asked again before this.
+/// Delay before a request is sent again after the receiver answered that it is not the
+/// leader.
 const NOT_LEADER_DELAY: Span = Span::from_millis(20);
 
-/// The answer to a request that no leader answered in time.
+/// The answer to a request that timed out.
 pub fn timeout_answer(request: &GroupRequest, sent: bool) -> GroupAnswer {
     match request {
         GroupRequest::Operate { .. } if sent => GroupAnswer::Operated(CommandResult::Unknown),
--- a/crates/ledgelead-ownership/src/routes.rs
+++ b/crates/ledgelead-ownership/src/routes.rs
@@ -1,11 +1,11 @@
-//! Routes: what gateways need of a group's state.
+//! Routes: the part of a group's state that gateways need.
 
 use crate::state::{GroupState, Server, Slice, SlicePhase};
 use ledgelead_types::routes::{GroupRoutes, ServerRoute, SliceRoute};
 use ledgelead_types::*;
 
-/// The routes that the state stands for. A slice that is being handed over
-/// has no owner, so that gateways hold its requests.
+/// The routes for a state. A slice that is being released has no owner in the routes, so
+/// gateways hold its requests.
 pub fn routes_of(
     group: GroupId,
     state: &GroupState,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Whether two versions of the routes say the same.
+/// Whether two versions of the routes have the same content.
 pub fn same_content(one: &GroupRoutes, other: &GroupRoutes) -> bool {
     let same_term =
         one.version.epoch == other.version.epoch && one.version.term == other.version.term;
--- a/crates/ledgelead-ownership/src/schedule.rs
+++ b/crates/ledgelead-ownership/src/schedule.rs
@@ -1,9 +1,9 @@
-//! When each server's session has to be looked at next.
+//! Schedule of the next update of each server's session.
 
 use ledgelead_types::{ServerId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One time for each server, in order.
+/// One time per server, in order.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
     in_order: BTreeSet<(Time, ServerId)>,
@@ -11,21 +11,21 @@
 }
 
 impl Schedule {
-    /// Sets a server's time in place of the one before.
+    /// Sets a server's time; replaces any earlier one.
     pub fn set(&mut self, server: ServerId, at: Time) {
         self.remove(server);
         self.in_order.insert((at, server));
         self.by_server.insert(server, at);
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn remove(&mut self, server: ServerId) {
         if let Some(at) = self.by_server.remove(&server) {
             self.in_order.remove(&(at, server));
         }
     }
 
-    /// Forgets all servers.
+    /// Removes all servers.
     pub fn clear(&mut self) {
         *self = Schedule::default();
     }
@@ -35,7 +35,7 @@
         self.in_order.first().map(|(at, _)| *at)
     }
 
-    /// The servers whose time has come.
+    /// The servers that are due.
     pub fn due(&self, now: Time) -> impl Iterator<Item = ServerId> {
         let until = (now, ServerId(u32::MAX));
         self.in_order.range(..=until).map(|(_, server)| *server)
--- a/crates/ledgelead-ownership/src/session/mod.rs
+++ b/crates/ledgelead-ownership/src/session/mod.rs
@@ -1,13 +1,13 @@
-//! A dispatcher's session with one server: renewing its lease and knowing how
-//! long any lease that was granted can last.
+//! A dispatcher's session with one server: renews its lease and tracks how long any granted
+//! lease can last.
 //!
 //! Two bounds are kept, both on this node's clock (`docs/design/leases.md`):
-//! - `usable_until` is early: the lease runs from a stamp that the server took
-//!   after we sent the call which brought it, so it lasts at least until
-//!   `sent + shortened_for_drift(LEASE)` when the server took the renewal.
-//! - `granted_until` is late: the stamp was taken before we received it, so no
-//!   renewal that echoes it lasts beyond `received + lengthened_for_drift(LEASE)`, whether
-//!   or not the renewal was answered.
+//! - `usable_until` is a lower bound: the lease counts from a timestamp of the server's
+//!   clock, taken after we sent the call that returned it. If the server accepted the
+//!   renewal, the lease lasts at least until `sent + shortened_for_drift(LEASE)`.
+//! - `granted_until` is an upper bound: the timestamp was taken before we received it, so
+//!   no renewal that echoes it lasts beyond `received + lengthened_for_drift(LEASE)`,
+//!   whether or not the renewal was answered.
 
 mod renewing;
 mod replying;
@@ -21,82 +21,82 @@
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 
-/// Interval of probes to servers that own nothing because their service is
-/// not divided by key.
+/// Interval of probes to servers that own no slices because their service is not
+/// partitioned by key.
 pub const PROBE_INTERVAL: Span = Span::from_millis(500);
-/// Failed probes after which such a server is lost, when gateways had
-/// failures too.
+/// Failed probes after which such a server is marked as lost, if gateways also observed
+/// failures.
 pub const FAILED_PROBES_WITH_EVIDENCE: u32 = 3;
-/// Failed probes after which it is lost on their account alone.
+/// Failed probes after which it is marked as lost without other evidence.
 pub const FAILED_PROBES: u32 = 6;
-/// How long a gateway's evidence against a server counts.
+/// How long a gateway's evidence against a server is considered.
 const EVIDENCE_WINDOW: Span = Span::from_seconds(3);
-/// How long a call to a server may take.
+/// Timeout of a call to a server.
 const CALL_TIMEOUT: Span = Span::from_millis(240);
-/// Calls to one server at once at most.
+/// Maximum number of concurrent calls to one server.
 const MAXIMUM_CALLS: usize = 4;
-/// A changed set that was not confirmed is sent again after this.
+/// A changed slice set that was not confirmed is sent again after this time.
 const RESEND_INTERVAL: Span = Span::from_millis(40);
-/// A server that is giving slices up is asked this often whether it is done.
+/// Interval at which a server that is releasing slices is asked whether it is done.
 const RELEASE_POLL_INTERVAL: Span = Span::from_millis(20);
-/// When the authority has less than this left, it may be the last one in this
-/// term: the lease is renewed faster, so that it outlasts the election.
+/// When less than this is left of the authority, it may not be renewed in this term. Leases
+/// are then renewed faster, so that they outlast the election.
 pub(crate) const AUTHORITY_ENDING: Span = Span::from_millis(60);
 /// Interval of renewals when the authority is ending.
 const ENDING_RENEW_INTERVAL: Span = Span::from_millis(20);
 
-/// Silence after which a server is taken as lost when the wait for its lease
-/// is switched off, for the proof of the checker.
+/// Time without a reply after which a server is marked as lost if the wait for its lease is
+/// switched off, which is done to verify that the checker detects it.
 const LOSS_TIMEOUT_WITHOUT_LEASE_WAIT: Span = Span::from_millis(200);
 
-/// A point in time that is never reached.
+/// Wakeup time when nothing is scheduled.
 const NEVER: Time = Time(u64::MAX);
 
-/// A right to grant leases.
+/// Authority to grant leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantAuthority {
-    /// Epoch and term of the leader, and the latest entry applied here.
+    /// Epoch and term of the leader, and the latest entry applied on this replica.
     pub token: FencingToken,
     /// Until when it lasts on this node's clock.
     pub until: Time,
 }
 
-/// What a session has to tell the leader.
+/// Status of a session, as reported to the leader.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct SessionStatus {
-    /// Run of the server's process, once it answered.
+    /// Identifies the run of the server's process; `None` before its first reply.
     pub run: Option<u64>,
-    /// Whether it has answered lately.
+    /// Whether it replied to the latest calls.
     pub answering: bool,
-    /// Log position at which the session stopped granting because the server
-    /// was silent; it grants again only after an admission behind this.
+    /// Log position at which the session stopped granting leases because the server was
+    /// unresponsive or restarted; it grants leases again only after a later admission.
     pub lapsed_at: Option<Revision>,
-    /// How long any lease that this session granted can last from now.
+    /// How long from now any lease that this session granted can last.
     pub lease_left: Span,
-    /// Slices that the server has given up.
+    /// Slices that the server has released.
     pub released: List<SliceClaim>,
-    /// Slices that the server said it holds, while the group is rebuilt.
+    /// Slices that the server reported to hold, while the group is being rebuilt.
     pub held: List<GrantedSlice>,
-    /// The server wants to leave.
+    /// Whether the server wants to leave.
     pub leaving: bool,
 }
 
-/// A stamp of the server's clock.
+/// A timestamp of the server's clock.
 #[derive(Clone, Copy, Debug)]
 struct Stamp {
     /// Reading of the server's clock.
     reading: Time,
-    /// When the call that brought it was sent.
+    /// When the call that returned it was sent.
     sent: Time,
     /// When it was received.
     received: Time,
 }
 
-/// A call under way.
+/// A call in progress.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     sent: Time,
-    /// The stamp echoed, with the run that it belongs to.
+    /// The echoed timestamp, with the server's run that it belongs to.
     echoed: Option<(Stamp, u64)>,
 }
 
@@ -127,8 +127,8 @@
 }
 
 impl ServerSession {
-    /// A session that starts at `now`. An earlier session of this node may
-    /// have granted until a moment ago.
+    /// A session that starts at `now`. An earlier session of this node may have granted
+    /// leases until just before.
     pub fn new(server: ServerId, partitioned: bool, lease_wait: bool, now: Time) -> ServerSession {
         ServerSession {
             server,
@@ -156,30 +156,30 @@
         }
     }
 
-    /// Until when the server may surely serve what it holds.
+    /// Until when the server is certain to be allowed to serve its slices.
     pub fn usable_until(&self) -> Option<Time> {
         self.usable_until
     }
 
-    /// Whether the server answered its latest renewals.
+    /// Whether the server replied to its latest renewals.
     pub fn responsive(&self) -> bool {
         self.last_contact.is_some() && self.failures == 0 && self.lapsed_at.is_none()
     }
 
-    /// The server's own report of its load.
+    /// Load reported by the server.
     pub fn load(&self) -> LoadReport {
         self.load
     }
 
-    /// Gateways saw failures of the server.
+    /// Records failures of the server that gateways observed.
     pub fn evidence(&mut self, now: Time, failures: u32) {
         if failures > 0 {
             self.last_evidence = Some(now);
         }
     }
 
-    /// Takes note of newly applied state and of time passing. Returns whether
-    /// the server has just been found silent beyond its lease.
+    /// Handles newly applied state and timeouts. Returns whether the server has just been
+    /// found unresponsive beyond its lease.
     pub fn advance(&mut self, now: Time, state: &GroupState, server: &Server) -> bool {
         if self.lapsed_at.is_some_and(|at| server.admitted > at) {
             self.lapsed_at = None;
@@ -215,7 +215,7 @@
         times.min().unwrap_or(NEVER)
     }
 
-    /// What there is to tell the leader now.
+    /// The current status, to be reported to the leader.
     pub fn status(&self, now: Time) -> SessionStatus {
         SessionStatus {
             run: self.run,
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Whether the leader has to act on the session's state.
+    /// Whether the leader has to act on the session's status.
     pub fn needs_leader(&self, state: &GroupState, server: &Server) -> bool {
         let answered = self.last_contact.is_some();
         let silent = self.lapsed_at.is_some() && server.status != ServerStatus::Lost;
@@ -247,8 +247,8 @@
         now >= self.lapse_time()
     }
 
-    /// When the session lapses if the server stays silent: its lease has
-    /// ended for certain.
+    /// When the session lapses if the server remains unresponsive. All of its leases have
+    /// ended by then.
     fn lapse_time(&self) -> Time {
         let last_contact = self.last_contact.unwrap_or(self.started);
         if !self.lease_wait {
@@ -273,14 +273,15 @@
     fn lapse(&mut self, applied: Revision) {
         self.lapsed_at = Some(applied);
         self.usable_until = None;
-        // Nothing that a lapsed server said before counts as an answer.
+        // Earlier replies of a lapsed server no longer count.
         self.failures = self.failures.max(1);
     }
 
     fn time_out_calls(&mut self, now: Time) {
         let overdue = |call: &Call| now >= call.sent + CALL_TIMEOUT;
         let last_contact = self.last_contact;
-        // A call that a later answer has overtaken proves nothing.
+        // A call that timed out although the server replied after it was sent does not
+        // count as a failure.
         let unanswered =
             |call: &Call| last_contact.is_none_or(|last_contact| last_contact < call.sent);
         let all = self.calls.values();
--- a/crates/ledgelead-ownership/src/session/renewing.rs
+++ b/crates/ledgelead-ownership/src/session/renewing.rs
@@ -1,4 +1,4 @@
-//! When a server's lease is renewed, and with what.
+//! When a server's lease is renewed, and the content of the renewal.
 
 use super::*;
 
@@ -68,8 +68,8 @@
         !self.granting || set_unsent
     }
 
-    /// When to renew early because the authority is about to end and may be
-    /// the last one of this term.
+    /// When to renew early because the authority is about to end and may not be renewed in
+    /// this term.
     pub(super) fn ending_renewal(&self, authority: GrantAuthority) -> Time {
         if !self.partitioned {
             return self.next_renewal;
--- a/crates/ledgelead-ownership/src/session/replying.rs
+++ b/crates/ledgelead-ownership/src/session/replying.rs
@@ -1,9 +1,9 @@
-//! What a server's answers say.
+//! Handling of a server's replies.
 
 use super::*;
 
 impl ServerSession {
-    /// Takes in the end of a call; `None` when it failed.
+    /// Handles the end of a call; `None` if it failed.
     pub fn replied(
         &mut self,
         now: Time,
@@ -35,9 +35,9 @@
         self.failures += 1;
     }
 
-    /// The process behind the address is another one: its clock is another,
-    /// and it holds nothing. What the former run owned is not granted again
-    /// before the leader has admitted this run.
+    /// Handles a restart of the server's process: its clock is a different one, and it
+    /// holds no slices. The slices of the former run are not granted again before the
+    /// leader has admitted this run.
     fn start_run(&mut self, run: u64, now: Time, applied: Revision, server: &Server) {
         self.run = Some(run);
         self.stamp = None;
@@ -48,8 +48,8 @@
         self.stop_for_unadmitted_run(applied, server);
     }
 
-    /// An admission may be of a run that has ended since; then the present one
-    /// still waits for its own.
+    /// Stops granting leases to a run that was not admitted. An admission may refer to a
+    /// run that has ended since; the current run then still needs its own.
     pub(super) fn stop_for_unadmitted_run(&mut self, applied: Revision, server: &Server) {
         let other_run = self.run.is_some() && server.run.is_some() && self.run != server.run;
         if other_run && self.lapsed_at.is_none() {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// A slice is given up when the server holds the set without it and
-    /// doesn't list it among those whose requests are still executing.
+    /// Records released slices. A slice is released when the server holds the set without
+    /// it and doesn't list it among those with requests that are still executing.
     fn record_released(&mut self, reply: &RenewalReply, state: &GroupState, server: &Server) {
         if reply.holding != server.set_changed {
             return;
--- a/crates/ledgelead-ownership/src/snapshots.rs
+++ b/crates/ledgelead-ownership/src/snapshots.rs
@@ -1,29 +1,29 @@
-//! When the leader writes the group's record to the platform's store, behind
-//! the log.
+//! Decides when the leader writes the group's record to the platform's store. The writes
+//! are asynchronous: the store lags behind the log.
 
 use ledgelead_types::{Revision, Span, Time};
 
-/// Least time between two snapshots.
+/// Minimum time between two snapshots.
 const MIN_INTERVAL: Span = Span::from_seconds(1);
-/// Least time between two snapshots when only idempotency records changed;
-/// they are many and each snapshot holds all of them.
+/// Minimum time between two snapshots when only idempotency records changed. There are many
+/// of them, and each snapshot contains all.
 const RECORDS_INTERVAL: Span = Span::from_seconds(10);
-/// Bytes a second that snapshots take on average: the larger one is, the
-/// longer the next one waits. Who may vote is written at once all the same.
+/// Average bytes per second that snapshots may take: the larger a snapshot is, the longer
+/// the next one is delayed. Changes of the voters are exempt from the delay.
 const BYTES_PER_SECOND: u64 = 1_500;
-/// The next one waits for no longer than this, however large one is.
+/// Maximum delay of the next snapshot, however large the last one was.
 const MAX_INTERVAL: Span = Span::from_seconds(60);
-/// A snapshot that was not stored is sent again after this.
+/// A snapshot that was not confirmed as stored is sent again after this time.
 const RETRY_INTERVAL: Span = Span::from_seconds(3);
 
-/// The write-behind of one leader.
+/// Schedules the snapshots of one leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SnapshotWriter {
     stored: Revision,
     sent: Option<(Revision, Time)>,
-    /// How long the next one waits for the size of the last one.
+    /// Delay of the next snapshot because of the size of the last one.
     size_delay: Span,
-    /// Whether the store lacks a change of who votes.
+    /// Whether the store lacks a change of the voters.
     members_dirty: bool,
     /// Since when the store lacks a change of ownership.
     ownership_dirty: Option<Time>,
@@ -32,19 +32,19 @@
 }
 
 impl SnapshotWriter {
-    /// Ownership or servers changed.
+    /// Records a change of ownership or servers.
     pub fn ownership_changed(&mut self, now: Time) {
         self.ownership_dirty.get_or_insert(now);
     }
 
-    /// The voters, or who leads them, changed. Whoever judges whether a quorum
-    /// is lost relies on the store's list.
+    /// Records a change of the voters or of their leader. The list in the store is used to
+    /// decide whether a quorum is lost.
     pub fn members_changed(&mut self, now: Time) {
         self.ownership_changed(now);
         self.members_dirty = true;
     }
 
-    /// Idempotency records changed.
+    /// Records a change of idempotency records.
     pub fn records_changed(&mut self, now: Time) {
         self.records_dirty.get_or_insert(now);
     }
@@ -81,7 +81,7 @@
         self.records_dirty = None;
     }
 
-    /// A snapshot reached the store.
+    /// Records that a snapshot was stored.
     pub fn stored(&mut self, revision: Revision) {
         self.stored = self.stored.max(revision);
     }
--- a/crates/ledgelead-ownership/src/state/apply.rs
+++ b/crates/ledgelead-ownership/src/state/apply.rs
@@ -6,8 +6,8 @@
 use ledgelead_types::*;
 
 impl GroupState {
-    /// Applies one entry of the log and returns what it decided. It depends
-    /// on nothing but the state and its arguments.
+    /// Applies one entry of the log and returns its decisions. The result depends only on
+    /// the state and the arguments.
     pub fn apply(
         &mut self,
         revision: Revision,
@@ -56,7 +56,7 @@
                 token: held_under,
             } => self.released(*range, *held_under, token, decisions),
             GroupCommand::Split { at } => {
-                // A split that was overtaken by a move changes nothing.
+                // A split of a slice that is being moved has no effect.
                 let _ = self.split_at(*at, token);
             }
             GroupCommand::Merge { first, second } => self.merge(*first, *second, token),
@@ -150,7 +150,7 @@
         }
     }
 
-    /// A restarted server has forgotten that it wanted to leave.
+    /// A restarted server no longer wants to leave.
     fn end_drain_by_server(&mut self, id: ServerId, decisions: &mut Vec<Decision>) {
         if self.servers[&id].drain == Some(DrainCause::Server) {
             self.activate(id, decisions);
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Takes a drain back; a lost server stays lost until it answers.
+    /// Cancels a drain; a lost server remains lost until it responds.
     pub(super) fn activate(&mut self, id: ServerId, decisions: &mut Vec<Decision>) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -217,8 +217,8 @@
         decisions.push(Decision::StatusChanged { server: id, status });
     }
 
-    /// Takes every slice from a server that holds no lease any more. One that
-    /// it was giving up goes to the next owner: the move was acknowledged.
+    /// Takes all slices from a server that no longer holds a lease. A slice that it was
+    /// releasing goes to its next owner, because the move was acknowledged.
     fn free_all(
         &mut self,
         id: ServerId,
@@ -245,7 +245,7 @@
         self.mark_changed(Some(id), token);
     }
 
-    /// The next owner of a slice that is being moved, if it may have it now.
+    /// The next owner of a slice that is being moved, if it may get the slice now.
     fn next_owner(&self, slice: &Slice) -> Option<ServerId> {
         let accepts = |next: &ServerId| self.servers.get(next).is_some_and(Server::accepts);
         let next = slice.phase.next_owner().filter(accepts);
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Gives a slice to a server under a new token.
+    /// Assigns a slice to a server under a new token.
     pub(super) fn assign(
         &mut self,
         range: PositionRange,
@@ -313,8 +313,8 @@
         }
     }
 
-    /// Ends a planned move; a next owner that takes no slices any more leaves
-    /// the slice ownerless.
+    /// Completes a planned move. If the next owner no longer accepts slices, the slice has
+    /// no owner.
     fn released(
         &mut self,
         range: PositionRange,
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Notes that a server's slice set changed.
+    /// Records that a server's slice set changed.
     pub(super) fn mark_changed(&mut self, server: Option<ServerId>, token: FencingToken) {
         let server = server.and_then(|id| self.servers.get_mut(&id));
         if let Some(server) = server {
--- a/crates/ledgelead-ownership/src/state/mod.rs
+++ b/crates/ledgelead-ownership/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated state of a group: a deterministic function of its log.
+//! The replicated state of a group, a deterministic function of its log.
 
 mod apply;
 mod operations;
@@ -19,21 +19,21 @@
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 
-/// How many identifiers of operations a group remembers.
+/// Maximum number of operation identifiers that a group keeps.
 pub const MAX_APPLIED_OPERATIONS: usize = 256;
 
-/// A server as the group knows it.
+/// A server of the group.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct Server {
-    /// What the configuration says of it.
+    /// Its configured properties.
     pub definition: ServerDefinition,
-    /// Whether it takes new work.
+    /// Its status, which decides whether it may get new slices.
     pub status: ServerStatus,
-    /// Why it is drained, while it is.
+    /// Why it is being drained; `None` if it is not.
     pub drain: Option<DrainCause>,
-    /// The replica that renews its lease and hands out its slots.
+    /// The replica that renews its lease and assigns its slots to requests.
     pub dispatcher: Option<Member>,
-    /// Run in which it was admitted; `None` before its first contact.
+    /// Run of its process that was admitted; `None` before its first contact.
     pub run: Option<u64>,
     /// Log position of its latest admission.
     pub admitted: Revision,
@@ -42,20 +42,20 @@
 }
 
 impl Server {
-    /// Whether slices may be given to it.
+    /// Whether slices may be assigned to it.
     pub fn accepts(&self) -> bool {
         self.status == ServerStatus::Active && self.run.is_some()
     }
 }
 
-/// What applying an entry decided, for whoever waits for it and for logs.
+/// A decision that resulted from applying an entry, for the requester and for logs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// An operation ended.
     Operated(CommandResult),
-    /// The wish to begin under an idempotency key was decided.
+    /// A request to begin under an idempotency key was decided.
     Idempotency {
-        /// Who asked.
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
@@ -66,20 +66,20 @@
     OwnerChanged {
         /// The slice.
         range: PositionRange,
-        /// Owner before.
+        /// The previous owner.
         from: Option<ServerId>,
-        /// Owner from now on.
+        /// The new owner.
         to: Option<ServerId>,
         /// Token of the assignment.
         token: FencingToken,
-        /// Whether the owner before was lost.
+        /// Whether the previous owner was lost.
         after_loss: bool,
     },
     /// A server's status changed.
     StatusChanged {
         /// The server.
         server: ServerId,
-        /// From now on.
+        /// The new status.
         status: ServerStatus,
     },
 }
@@ -93,7 +93,7 @@
     pub term: Term,
     /// Latest entry applied.
     pub applied: Revision,
-    /// Whether the servers' claims of an earlier epoch have yet to be heard.
+    /// Whether the servers' claims from an earlier epoch have yet to be collected.
     pub recovering: bool,
     /// Whether records that were begun in an earlier epoch may be missing.
     pub records_may_be_missing: bool,
@@ -116,7 +116,7 @@
     pub result: CommandResult,
 }
 
-/// Wire form of [`GroupState`].
+/// Serialized form of [`GroupState`].
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 struct Snapshot {
     epoch: Epoch,
@@ -131,9 +131,9 @@
 }
 
 impl GroupState {
-    /// The state at the start of an epoch, from the snapshot in the group's
-    /// record; an empty snapshot stands for a new group. When the snapshot is
-    /// of an earlier epoch the servers' own claims have to be heard.
+    /// The state at the start of an epoch, from the snapshot in the group's record. An
+    /// empty snapshot means a new group. If the snapshot is from an earlier epoch, the
+    /// servers' claims have to be collected first.
     pub fn start(epoch: Epoch, snapshot: &[u8]) -> Result<GroupState, DecodeError> {
         let mut state = GroupState::default();
         if !snapshot.is_empty() {
@@ -188,8 +188,8 @@
         })
     }
 
-    /// Decides the wish to begin under a key. While records may be missing, a
-    /// key without one may have been begun, so nobody can tell.
+    /// Decides a request to begin under a key. While records may be missing, a request
+    /// without a record may still have been executed, so its state is unknown.
     fn begin_idempotent(
         &mut self,
         owner: IdempotencyOwner,
@@ -205,8 +205,7 @@
         IdempotencyVerdict::Duplicate(unknown)
     }
 
-    /// The slices that a server is granted: those that it holds and is not
-    /// giving up.
+    /// The slices that a server is granted: those that it holds and is not releasing.
     pub fn granted(&self, server: ServerId) -> List<GrantedSlice> {
         let held = |slice: &&Slice| slice.phase == SlicePhase::Held { owner: server };
         self.slices
@@ -219,14 +218,14 @@
             .collect()
     }
 
-    /// Slices that a server is giving up.
+    /// Slices that a server is releasing.
     pub fn releasing(&self, server: ServerId) -> impl Iterator<Item = &Slice> {
         self.slices.concerning(server).filter(move |slice| {
             matches!(slice.phase, SlicePhase::Releasing { from, .. } if from == server)
         })
     }
 
-    /// Number of slices that a server holds, is giving up or is to get.
+    /// Number of slices that a server holds, is releasing or is to get.
     pub fn slice_count(&self, server: ServerId) -> usize {
         self.slices.count_concerning(server)
     }
--- a/crates/ledgelead-ownership/src/state/operations.rs
+++ b/crates/ledgelead-ownership/src/state/operations.rs
@@ -1,4 +1,4 @@
-//! Operators' operations: checked against the state, applied once.
+//! Operators' operations: checked against the state and applied once.
 
 use super::{AppliedOperation, Decision, GroupState, MAX_APPLIED_OPERATIONS, SlicePhase};
 use crate::command::DrainCause;
@@ -6,12 +6,11 @@
 use ledgelead_types::routes::ServerStatus;
 use ledgelead_types::*;
 
-/// Why an operation can't be applied.
+/// Why an operation was rejected.
 type RejectionReason = String;
 
 impl GroupState {
-    /// Applies an operation unless it was applied before under this
-    /// identifier.
+    /// Applies an operation, unless one was already applied under this identifier.
     pub(super) fn operate(
         &mut self,
         command_id: &Text,
@@ -116,8 +115,7 @@
         Ok(())
     }
 
-    /// Splits a slice so that `at` starts one; it is no error when it does
-    /// already.
+    /// Splits a slice at `at`; not an error if a slice already starts there.
     pub(super) fn split_at(
         &mut self,
         at: Position,
--- a/crates/ledgelead-ownership/src/state/records.rs
+++ b/crates/ledgelead-ownership/src/state/records.rs
@@ -1,14 +1,14 @@
-//! Idempotency records: which keys have a request begun under them.
+//! Idempotency records: the keys under which a request was begun.
 //!
-//! Their number is bounded. The oldest record that has ended goes first; when
-//! all records are of requests that may be running, no new one is begun.
+//! Their number is bounded. The oldest ended record is removed first; if all records belong
+//! to requests that may still be executing, no new request can begin.
 
 use ledgelead_types::dispatch::{IdempotencyOwner, IdempotencyState, IdempotencyVerdict};
 use ledgelead_types::{IdempotencyKey, Revision};
 use nanoserde::{DeBin, SerBin};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most records that a group keeps.
+/// Maximum number of records that a group keeps.
 pub const MAXIMUM_RECORDS: usize = 65_536;
 
 /// One record.
@@ -18,9 +18,9 @@
     pub key: IdempotencyKey,
     /// The request that began it.
     pub owner: IdempotencyOwner,
-    /// How far it is.
+    /// The state of the request.
     pub state: IdempotencyState,
-    /// Log position of its beginning.
+    /// Log position at which it was begun.
     pub begun: Revision,
 }
 
@@ -65,8 +65,8 @@
         self.by_age.first().map(|(begun, _)| *begun)
     }
 
-    /// Decides the wish to begin. The same owner may ask again, because its
-    /// first answer may have been lost.
+    /// Decides a request to begin. The same owner may repeat it, because the first answer
+    /// may have been lost.
     pub fn begin(
         &mut self,
         owner: IdempotencyOwner,
@@ -93,10 +93,10 @@
         IdempotencyVerdict::Fresh
     }
 
-    /// Notes how the owner's request ended; `None` when it was not run. A
-    /// record that has ended stays: a wish that was given up by a replica
-    /// which was paused takes itself back late, after another wish of the same
-    /// request was granted and the request was run.
+    /// Records how the owner's request ended; `None` if it was not executed. A record that
+    /// has ended is kept even then, because the cancellation may be late: a paused replica
+    /// may cancel its request to begin after the same owner was granted another one and its
+    /// request was executed.
     pub fn end(
         &mut self,
         owner: IdempotencyOwner,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Dates all records to the start of a new epoch, whose log positions
-    /// start again.
+    /// Resets the age of all records to the start of a new epoch, because log positions
+    /// restart there.
     pub fn restart_ages(&mut self) {
         let records = std::mem::take(&mut self.by_key).into_values();
         *self = records
@@ -136,7 +136,7 @@
             .collect();
     }
 
-    /// Forgets the records begun at or before a revision.
+    /// Removes the records begun at or before a revision.
     pub fn expire(&mut self, through: Revision) {
         while let Some(&(begun, key)) = self.by_age.first() {
             if begun > through {
--- a/crates/ledgelead-ownership/src/state/recovery.rs
+++ b/crates/ledgelead-ownership/src/state/recovery.rs
@@ -1,8 +1,8 @@
-//! Rebuilding the table of slices from what servers say they hold.
+//! Rebuild of the slice table from the servers' claims.
 //!
-//! After the loss of a quorum the snapshot may be older than the last
-//! assignments. Of two claims to a position the one with the higher token is
-//! the later assignment; what nobody claims is ownerless.
+//! After the loss of a quorum, the snapshot may be older than the last assignments. Of two
+//! claims to a position, the one with the higher token is the later assignment. Positions
+//! without a claim have no owner.
 
 use super::{GroupState, Server, Slice, SlicePhase, SliceTable};
 use crate::command::ServerClaim;
@@ -44,7 +44,7 @@
         self.slices.iter().filter_map(moving).collect()
     }
 
-    /// Slices that their former owner has given up go to the next one: the
+    /// Assigns slices that their former owner has released to the next owner, because the
     /// moves were acknowledged.
     fn finish_moves(&mut self, moves: &[(PositionRange, ServerId)], token: FencingToken) {
         for (range, to) in moves {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The claims of known servers that no claim of a higher token overlaps.
+    /// The claims of known servers, without those that overlap a claim with a higher token.
     fn adopt(&self, space: PositionRange, claims: &[ServerClaim]) -> Vec<Slice> {
         let mut candidates: Vec<Slice> = Vec::new();
         for claim in claims {
@@ -90,7 +90,8 @@
 }
 
 impl GroupState {
-    /// A planned move that the snapshot knows goes on: it was acknowledged.
+    /// The phase of a claimed slice. A planned move in the snapshot continues, because it
+    /// was acknowledged.
     fn phase_of_claim(&self, owner: ServerId, held: &GrantedSlice) -> SlicePhase {
         let known = self.slices.exact(held.range);
         let known = known.filter(|slice| slice.token == held.token);
@@ -116,7 +117,7 @@
     }
 }
 
-/// Puts ownerless slices, cut at the former bounds, where nobody claimed.
+/// Fills the gaps between claims with ownerless slices, split at the former boundaries.
 fn fill_gaps(adopted: Vec<Slice>, former: &SliceTable, space: PositionRange) -> SliceTable {
     if adopted.is_empty() && former.is_empty() {
         return SliceTable::default();
--- a/crates/ledgelead-ownership/src/state/slices.rs
+++ b/crates/ledgelead-ownership/src/state/slices.rs
@@ -1,4 +1,4 @@
-//! The table of slices: ranges without gaps or overlaps, in order.
+//! The slice table: ranges in order, without gaps or overlaps.
 
 use ledgelead_types::*;
 use nanoserde::{DeBin, SerBin};
@@ -14,9 +14,9 @@
         /// The server.
         owner: ServerId,
     },
-    /// A server is giving it up in a planned move.
+    /// A server is releasing it in a planned move.
     Releasing {
-        /// The server that gives it up.
+        /// The server that releases it.
         from: ServerId,
         /// The next owner.
         to: ServerId,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The servers that hold the slice, give it up or are to get it.
+    /// The servers that hold the slice, release it or are to get it.
     pub fn servers(self) -> impl Iterator<Item = ServerId> {
         self.holder().into_iter().chain(self.next_owner())
     }
@@ -62,8 +62,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SliceTable {
     by_first: BTreeMap<Position, Slice>,
-    /// First positions of the slices that concern each server. A server has
-    /// few of a large group's slices, and they are looked up on every renewal.
+    /// First positions of the slices of each server. They are looked up on every renewal,
+    /// and each server has only a few of a large group's slices.
     by_server: BTreeMap<ServerId, BTreeSet<Position>>,
 }
 
@@ -93,14 +93,14 @@
         self.by_first.values()
     }
 
-    /// The slices that a server holds, is giving up or is to get, in order.
+    /// The slices that a server holds, is releasing or is to get, in order.
     pub fn concerning(&self, server: ServerId) -> impl Iterator<Item = &Slice> {
         let firsts = self.by_server.get(&server);
         let firsts = firsts.into_iter().flatten();
         firsts.filter_map(|first| self.by_first.get(first))
     }
 
-    /// Number of slices that a server holds, is giving up or is to get.
+    /// Number of slices that a server holds, is releasing or is to get.
     pub fn count_concerning(&self, server: ServerId) -> usize {
         self.by_server.get(&server).map_or(0, BTreeSet::len)
     }
@@ -110,27 +110,27 @@
         self.by_first.is_empty()
     }
 
-    /// The slice that holds a position.
+    /// The slice that contains a position.
     pub fn at(&self, position: Position) -> Option<&Slice> {
         let (_, slice) = self.by_first.range(..=position).next_back()?;
         slice.range.contains(position).then_some(slice)
     }
 
-    /// The slice of exactly this range.
+    /// The slice with exactly this range.
     pub fn exact(&self, range: PositionRange) -> Option<&Slice> {
         self.by_first
             .get(&range.first)
             .filter(|slice| slice.range == range)
     }
 
-    /// Changes who holds the slice of exactly this range.
+    /// Changes the phase of the slice with exactly this range.
     pub fn set_phase(&mut self, range: PositionRange, phase: SlicePhase) {
         if let Some(slice) = self.exact(range).cloned() {
             self.put(Slice { phase, ..slice });
         }
     }
 
-    /// Gives the slice of exactly this range to a server under a new token.
+    /// Assigns the slice with exactly this range to a server under a new token.
     pub fn assign(&mut self, range: PositionRange, owner: ServerId, token: FencingToken) {
         if self.exact(range).is_some() {
             let phase = SlicePhase::Held { owner };
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Splits the slice around a position so that it starts a slice. Both
-    /// halves keep phase and token. False when there is nothing to split.
+    /// Splits a slice at a position. Both halves keep phase and token. False if there is
+    /// nothing to split.
     pub fn split(&mut self, at: Position) -> bool {
         let Some(slice) = self.at(at).cloned() else {
             return false;
@@ -185,8 +185,8 @@
         true
     }
 
-    /// Joins two neighbours in the same phase under the higher token. False
-    /// when they are not such.
+    /// Joins two adjacent slices in the same phase under the higher token. False if they
+    /// are not adjacent or differ in phase.
     pub fn merge(&mut self, first: PositionRange, second: PositionRange) -> bool {
         let (Some(left), Some(right)) = (self.exact(first), self.exact(second)) else {
             return false;
--- a/crates/ledgelead-ownership/tests/dispatcher.rs
+++ b/crates/ledgelead-ownership/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Which sessions a dispatcher visits.
+//! Which sessions a dispatcher updates.
 
 use googletest::prelude::*;
 use ledgelead_ownership::command::*;
@@ -12,7 +12,7 @@
 const SERVERS: u32 = 50;
 const START: Time = Time(1_000_000);
 
-/// A state in which all servers are in the care of one member.
+/// A state in which all servers are assigned to one member.
 fn state() -> GroupState {
     let mut state = GroupState::start(Epoch(1), &[]).expect("empty");
     for server in (0..SERVERS).map(ServerId) {
@@ -30,7 +30,7 @@
     state
 }
 
-fn visited(
+fn updated(
     dispatcher: &mut Dispatcher,
     now: Time,
     state: &GroupState,
@@ -44,33 +44,33 @@
     dispatcher.take_updated()
 }
 
-/// An input costs as much as the sessions that it concerns; authority that
-/// comes back or is about to end concerns all.
+/// An input must update only the sessions that it affects, or its cost would grow with the
+/// number of servers. Authority that is regained or about to end affects all sessions.
 #[gtest]
-fn only_concerned_sessions_are_visited() {
+fn only_affected_sessions_are_updated() {
     let state = state();
     let group = GroupId::default();
     let mut dispatcher = Dispatcher::new(group, Member::default(), true, true, START);
     let ends = Some(START + LEADER_LEASE);
     let all: BTreeSet<ServerId> = (0..SERVERS).map(ServerId).collect();
-    expect_that!(visited(&mut dispatcher, START, &state, ends), eq(&all));
-    expect_that!(visited(&mut dispatcher, START, &state, ends), is_empty());
+    expect_that!(updated(&mut dispatcher, START, &state, ends), eq(&all));
+    expect_that!(updated(&mut dispatcher, START, &state, ends), is_empty());
 
     let one = ServerId(7);
     dispatcher.replied(START, one, 7, None, &state);
-    let concerned = visited(&mut dispatcher, START, &state, ends);
-    expect_that!(concerned, eq(&BTreeSet::from([one])));
+    let affected = updated(&mut dispatcher, START, &state, ends);
+    expect_that!(affected, eq(&BTreeSet::from([one])));
 
     let due = START + RENEW_INTERVAL;
     expect_that!(dispatcher.next_wakeup(None), le(due));
-    expect_that!(visited(&mut dispatcher, due, &state, ends), eq(&all));
+    expect_that!(updated(&mut dispatcher, due, &state, ends), eq(&all));
 
     let ending = START + LEADER_LEASE - Span::from_millis(50);
-    expect_that!(visited(&mut dispatcher, ending, &state, ends), eq(&all));
+    expect_that!(updated(&mut dispatcher, ending, &state, ends), eq(&all));
     let later = Some(ending + LEADER_LEASE);
-    expect_that!(visited(&mut dispatcher, ending, &state, None), is_empty());
-    expect_that!(visited(&mut dispatcher, ending, &state, later), eq(&all));
+    expect_that!(updated(&mut dispatcher, ending, &state, None), is_empty());
+    expect_that!(updated(&mut dispatcher, ending, &state, later), eq(&all));
 
     dispatcher.state_changed();
-    expect_that!(visited(&mut dispatcher, ending, &state, later), eq(&all));
+    expect_that!(updated(&mut dispatcher, ending, &state, later), eq(&all));
 }
--- a/crates/ledgelead-ownership/tests/faults.rs
+++ b/crates/ledgelead-ownership/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Random faults: single ownership holds throughout, and when the faults end
-//! everything is served again.
+//! Random faults: no position ever has two owners, and all positions are served again once
+//! the faults end.
 
 mod model;
 
@@ -16,8 +16,8 @@
 const SERVERS: u32 = 4;
 const NODES: u32 = 5;
 
-/// The group under test: a part of a service's positions, its replicas, and
-/// how many nodes there are for them. It has [`SERVERS`] servers.
+/// The group under test: its part of a service's positions, its number of replicas, and the
+/// number of nodes. It has [`SERVERS`] servers.
 #[derive(Clone, Copy, Debug)]
 struct Shape {
     part: u16,
@@ -27,7 +27,7 @@
 }
 
 impl Shape {
-    /// A server of the group by its place among them.
+    /// A server of the group by its index.
     fn server(self, index: u32) -> ServerId {
         ServerId(index * u32::from(self.parts) + u32::from(self.part))
     }
@@ -47,24 +47,24 @@
     }
 }
 
-/// What a run goes through.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
-struct Course {
+struct Scenario {
     seed: u64,
     network: Network,
     faults: Vec<(u64, Fault)>,
 }
 
-/// A fault, and how long after the one before it comes.
+/// The kinds of faults.
 #[derive(Clone, Debug)]
 enum Fault {
     FreezeServer { server: u32, span: u64 },
     RestartServer { server: u32 },
     FreezeNode { node: u32, span: u64 },
     RestartNode { node: u32 },
-    CutNodes { one: u32, other: u32 },
-    CutServer { server: u32, node: u32 },
-    HealCuts,
+    PartitionNodes { one: u32, other: u32 },
+    PartitionServer { server: u32, node: u32 },
+    HealPartitions,
     Drain { server: u32 },
     Activate { server: u32 },
     Move { position: u64, to: u32 },
@@ -82,10 +82,10 @@
             .prop_map(|server| Fault::RestartServer { server }),
         (node.clone(), 50..2_000_u64).prop_map(|(node, span)| Fault::FreezeNode { node, span }),
         node.clone().prop_map(|node| Fault::RestartNode { node }),
-        (node.clone(), node.clone()).prop_map(|(one, other)| Fault::CutNodes { one, other }),
-        (server.clone(), node).prop_map(|(server, node)| Fault::CutServer { server, node }),
-        Just(Fault::HealCuts),
-        Just(Fault::HealCuts),
+        (node.clone(), node.clone()).prop_map(|(one, other)| Fault::PartitionNodes { one, other }),
+        (server.clone(), node).prop_map(|(server, node)| Fault::PartitionServer { server, node }),
+        Just(Fault::HealPartitions),
+        Just(Fault::HealPartitions),
         server.clone().prop_map(|server| Fault::Drain { server }),
         server.clone().prop_map(|server| Fault::Activate { server }),
         (any::<u64>(), server).prop_map(|(position, to)| Fault::Move { position, to }),
@@ -129,18 +129,20 @@
                 cluster.restart_node(member);
             }
         }
-        Fault::CutNodes { one, other } => cluster.cut.push((one, other)),
-        Fault::CutServer { server, node } => {
-            cluster.cut.push((server_link(shape.server(server)), node));
+        Fault::PartitionNodes { one, other } => cluster.partitions.push((one, other)),
+        Fault::PartitionServer { server, node } => {
+            cluster
+                .partitions
+                .push((server_link(shape.server(server)), node));
         }
-        Fault::HealCuts => cluster.cut.clear(),
+        Fault::HealPartitions => cluster.partitions.clear(),
     }
 }
 
-fn course() -> impl Strategy<Value = Course> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     let faults = proptest::collection::vec((0..1_500_u64, fault()), 1..25);
     let drawn = (any::<u64>(), 0.0..0.1_f64, 1_000..60_000_u64, faults);
-    drawn.prop_map(|(seed, loss, longest_delay, faults)| Course {
+    drawn.prop_map(|(seed, loss, longest_delay, faults)| Scenario {
         seed,
         network: Network {
             loss,
@@ -150,12 +152,13 @@
     })
 }
 
-/// No two servers own a position, and service returns when the faults end.
-fn survives(shape: Shape, course: Course) -> Result<(), TestCaseError> {
-    let mut cluster = shape.cluster(course.seed);
+/// Checks that no two servers own a position, and that all positions are served again once
+/// the faults end.
+fn check_run(shape: Shape, scenario: Scenario) -> Result<(), TestCaseError> {
+    let mut cluster = shape.cluster(scenario.seed);
     cluster.run(Span::from_seconds(1));
-    cluster.network = course.network;
-    for (number, (pause, fault)) in course.faults.into_iter().enumerate() {
+    cluster.network = scenario.network;
+    for (number, (pause, fault)) in scenario.faults.into_iter().enumerate() {
         cluster.run(Span::from_millis(pause));
         inject(&mut cluster, shape, number as u64, fault);
     }
@@ -178,7 +181,7 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     });
-    let result = runner.run(&course(), |course| survives(shape, course));
+    let result = runner.run(&scenario(), |scenario| check_run(shape, scenario));
     expect_that!(result, ok(anything()));
 }
 
--- a/crates/ledgelead-ownership/tests/model/mod.rs
+++ b/crates/ledgelead-ownership/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A few replicas and model servers in virtual time, over a network that
-//! delays and loses messages. Every process has its own clock.
+//! A few replicas and model servers in virtual time, connected by a network that delays and
+//! loses messages. Every process has its own clock.
 
 #![allow(dead_code)]
 
@@ -30,10 +30,10 @@
     part: 0,
 };
 const PPM: i128 = 1_000_000;
-/// Positions at which ownership and availability are sampled.
+/// Number of positions at which ownership and availability are sampled.
 const SAMPLES: u64 = 64;
 
-/// A process's clock: its reading at true time zero and its rate.
+/// A process's clock: its reading at real time zero, and its rate.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
     offset: u64,
@@ -46,7 +46,7 @@
         Time(self.offset + passed as u64)
     }
 
-    /// The first true time at which the clock reads `local` or more.
+    /// The first real time at which the clock reads `local` or more.
     fn true_time(&self, local: Time) -> Time {
         let passed = i128::from(local.0.saturating_sub(self.offset));
         Time(((passed * PPM) / (PPM + self.drift_ppm)) as u64 + 1)
@@ -54,7 +54,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum SimulationEvent {
     Deliver {
         to: Member,
         from: Member,
@@ -83,7 +83,7 @@
     wake_at: Time,
 }
 
-/// How badly the network behaves.
+/// Faults of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
     pub loss: f64,
@@ -96,21 +96,22 @@
     pub servers: BTreeMap<ServerId, ModelServer>,
     server_clocks: BTreeMap<ServerId, Clock>,
     pub network: Network,
-    /// Links that lose everything, by node number; servers are 1000 and up.
-    pub cut: Vec<(u32, u32)>,
+    /// Partitioned links, by node number; servers have numbers from 1000.
+    pub partitions: Vec<(u32, u32)>,
     pub outputs: Vec<(Time, Member, GroupOutput)>,
     /// Bytes of messages between nodes, by sender.
     pub bytes_sent: BTreeMap<Member, u64>,
-    /// Bytes of renewals and their answers, in binary form.
+    /// Bytes of renewals and their replies, in binary form.
     pub renewal_bytes: u64,
     pub record: Option<GroupRecord>,
-    /// Positions that two servers could execute at once, as seen.
+    /// Positions observed to be executable by two servers at once.
     pub violations: Vec<String>,
-    /// Whether violations are looked for; costs the square of the servers.
+    /// Whether violations are checked. The cost grows with the square of the number of
+    /// servers.
     pub checks_owners: bool,
     group: GroupId,
     voters: u32,
-    queue: BTreeMap<(Time, u64), Happening>,
+    queue: BTreeMap<(Time, u64), SimulationEvent>,
     next_event: u64,
     random: Pcg64Mcg,
     configuration: Arc<Configuration>,
@@ -156,7 +157,7 @@
 }
 
 impl Cluster {
-    /// Three replicas on nodes 0 to 2, spare nodes behind them.
+    /// Three replicas on nodes 0 to 2, followed by spare nodes.
     pub fn new(seed: u64, spares: u32, servers: u32, protections: Protections) -> Cluster {
         Cluster::with(
             seed,
@@ -175,8 +176,7 @@
         Cluster::of_group(GROUP, seed, spares, configuration, protections)
     }
 
-    /// As many replicas as the configuration calls for, spare nodes behind
-    /// them.
+    /// As many replicas as configured, followed by spare nodes.
     pub fn of_group(
         group: GroupId,
         seed: u64,
@@ -194,7 +194,7 @@
                 loss: 0.0,
                 longest_delay: Span::from_micros(1_500),
             },
-            cut: Vec::new(),
+            partitions: Vec::new(),
             outputs: Vec::new(),
             bytes_sent: BTreeMap::new(),
             renewal_bytes: 0,
@@ -219,12 +219,12 @@
         for number in 0..voters + spares {
             cluster.start_node(member(number), record.clone());
         }
-        cluster.tell_live_nodes();
+        cluster.announce_live_nodes();
         cluster
     }
 
     fn draw_clock(&mut self) -> Clock {
-        // Two clocks may differ by the whole bound: each by half of it.
+        // The drift bound applies between two clocks, so each may deviate by half of it.
         let half = CLOCK_DRIFT_PPM as i64 / 2 - 50;
         Clock {
             offset: self.random.random_range(1_000_000..1_000_000_000),
@@ -255,7 +255,7 @@
         self.input(identity, GroupInput::Configuration(configuration));
     }
 
-    pub fn tell_live_nodes(&mut self) {
+    pub fn announce_live_nodes(&mut self) {
         let live: Vec<LiveNode> = self
             .nodes
             .iter()
@@ -272,7 +272,7 @@
     /// Ends a node's process.
     pub fn kill_node(&mut self, member: Member) {
         self.nodes.remove(&member);
-        self.tell_live_nodes();
+        self.announce_live_nodes();
     }
 
     pub fn leader(&self) -> Option<Member> {
@@ -289,7 +289,7 @@
         self.server_clocks[&id].local(self.now)
     }
 
-    /// Hands an input to a node, now.
+    /// Passes an input to a node at the current time.
     pub fn input(&mut self, member: Member, input: GroupInput) {
         let now = self.now;
         if let Some(node) = self.nodes.get_mut(&member) {
@@ -299,7 +299,7 @@
         self.drain(member);
     }
 
-    /// Runs until `condition` holds or the time is up; whether it held.
+    /// Runs until `condition` holds, for at most `span`. Returns whether it held.
     pub fn run_until(&mut self, span: Span, condition: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + span;
         loop {
@@ -314,9 +314,9 @@
                 self.now = end;
                 return condition(self);
             }
-            let happening = self.queue.remove(&(at, event)).expect("it is there");
+            let event = self.queue.remove(&(at, event)).expect("it is there");
             self.now = at.max(self.now);
-            self.happen(happening);
+            self.handle_event(event);
         }
     }
 
@@ -324,7 +324,7 @@
         self.run_until(span, |_| false);
     }
 
-    /// Sampled positions without a server that would execute them.
+    /// Sampled positions that no server would execute requests for.
     pub fn unserved(&self) -> Vec<Position> {
         let parts = u64::from(self.configuration.services[0].groups);
         let space = PositionRange::ALL.part(u64::from(self.group.part), parts);
@@ -355,15 +355,16 @@
             })
     }
 
-    fn schedule(&mut self, at: Time, happening: Happening) {
+    fn schedule(&mut self, at: Time, event: SimulationEvent) {
         self.next_event += 1;
-        self.queue.insert((at, self.next_event), happening);
+        self.queue.insert((at, self.next_event), event);
     }
 
-    /// When a message arrives; `None` when it is lost.
+    /// When a message arrives; `None` if it is lost.
     fn arrival(&mut self, from: u32, to: u32) -> Option<Time> {
-        let cut = self.cut.contains(&(from, to)) || self.cut.contains(&(to, from));
-        if cut || self.random.random_bool(self.network.loss) {
+        let partitioned =
+            self.partitions.contains(&(from, to)) || self.partitions.contains(&(to, from));
+        if partitioned || self.random.random_bool(self.network.loss) {
             return None;
         }
         let shortest = 300;
@@ -373,12 +374,12 @@
         Some(self.now + Span(delay))
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver { to, from, bytes } => {
+    fn handle_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Deliver { to, from, bytes } => {
                 if self.postponed(
                     to,
-                    Happening::Deliver {
+                    SimulationEvent::Deliver {
                         to,
                         from,
                         bytes: bytes.clone(),
@@ -389,7 +390,7 @@
                 let message: GroupMessage = decode(&bytes).expect("a message decodes");
                 self.input(to, GroupInput::Message { from, message });
             }
-            Happening::Call {
+            SimulationEvent::Call {
                 server,
                 from,
                 sequence,
@@ -397,13 +398,13 @@
             } => {
                 self.call_server(server, from, sequence, renewal);
             }
-            Happening::Answer {
+            SimulationEvent::Answer {
                 to,
                 server,
                 sequence,
                 reply,
             } => {
-                let again = Happening::Answer {
+                let again = SimulationEvent::Answer {
                     to,
                     server,
                     sequence,
@@ -420,12 +421,13 @@
                     );
                 }
             }
-            Happening::Wake(member) => self.wake(member),
+            SimulationEvent::Wake(member) => self.wake(member),
         }
     }
 
-    /// A frozen process takes in what arrived when it goes on.
-    fn postponed(&mut self, member: Member, happening: Happening) -> bool {
+    /// Reschedules an event of a frozen process to when it resumes. Returns whether the
+    /// event must not be handled now.
+    fn postponed(&mut self, member: Member, event: SimulationEvent) -> bool {
         let Some(node) = self.nodes.get(&member) else {
             return true;
         };
@@ -433,12 +435,12 @@
         if until <= self.now {
             return false;
         }
-        self.schedule(until, happening);
+        self.schedule(until, event);
         true
     }
 
     fn wake(&mut self, member: Member) {
-        if self.postponed(member, Happening::Wake(member)) {
+        if self.postponed(member, SimulationEvent::Wake(member)) {
             return;
         }
         let now = self.now;
@@ -464,7 +466,7 @@
             let until = server.frozen_until;
             self.schedule(
                 until,
-                Happening::Call {
+                SimulationEvent::Call {
                     server: id,
                     from,
                     sequence,
@@ -482,7 +484,7 @@
         if let Some(at) = self.arrival(server_link(id), from.node.0) {
             self.schedule(
                 at,
-                Happening::Answer {
+                SimulationEvent::Answer {
                     to: from,
                     server: id,
                     sequence,
@@ -492,7 +494,7 @@
         }
     }
 
-    /// Two servers must never be able to execute the same position.
+    /// Checks that no two servers can execute requests for the same position.
     fn check_single_owner(&mut self) {
         let executable: Vec<_> = self
             .servers
@@ -526,7 +528,7 @@
         let due = node.wake_at <= self.now || wakeup < node.wake_at;
         if due {
             node.wake_at = wakeup;
-            self.schedule(wakeup, Happening::Wake(member));
+            self.schedule(wakeup, SimulationEvent::Wake(member));
         }
         for output in outputs {
             self.carry_out(member, &output);
@@ -541,12 +543,12 @@
             GroupOutput::Send { to, message } => {
                 let bytes = encode(message);
                 *self.bytes_sent.entry(member).or_default() += bytes.len() as u64;
-                // Some messages arrive twice.
+                // Some messages are duplicated.
                 let copies = 1 + usize::from(self.random.random_bool(self.network.loss));
                 for _ in 0..copies {
                     let (to, from, bytes) = (*to, member, bytes.clone());
                     if let Some(at) = self.arrival(from.node.0, to.node.0) {
-                        self.schedule(at, Happening::Deliver { to, from, bytes });
+                        self.schedule(at, SimulationEvent::Deliver { to, from, bytes });
                     }
                 }
             }
@@ -557,7 +559,7 @@
                 ..
             } => {
                 if let Some(at) = self.arrival(member.node.0, server_link(*server)) {
-                    let call = Happening::Call {
+                    let call = SimulationEvent::Call {
                         server: *server,
                         from: member,
                         sequence: *sequence,
@@ -578,12 +580,12 @@
     }
 }
 
-/// The number of a server in [`Cluster::cut`].
+/// The number of a server in [`Cluster::partitions`].
 pub fn server_link(id: ServerId) -> u32 {
     1_000 + id.0
 }
 
-/// Shorthands of the tests.
+/// Helpers for tests.
 impl Cluster {
     /// A group that has served every position for a while.
     pub fn formed(seed: u64, spares: u32, servers: u32) -> Cluster {
@@ -612,11 +614,11 @@
             let frozen = self.nodes.get_mut(&member).expect("it lives");
             frozen.frozen_until = until;
             frozen.wake_at = until;
-            self.schedule(until, Happening::Wake(member));
+            self.schedule(until, SimulationEvent::Wake(member));
         }
     }
 
-    /// The node's process ends and another run starts, which knows nothing.
+    /// Ends a node's process and starts its next incarnation, which has no state.
     pub fn restart_node(&mut self, member: Member) {
         let incarnation = Incarnation(member.incarnation.0 + 1_000);
         self.nodes.remove(&member);
@@ -627,10 +629,10 @@
             ..member
         };
         self.start_node(identity, settings);
-        self.tell_live_nodes();
+        self.announce_live_nodes();
     }
 
-    /// All replicas are lost; a new epoch starts from the record on new runs.
+    /// Loses all replicas and starts a new epoch from the record, with new incarnations.
     pub fn rebuild(&mut self, mut record: GroupRecord) {
         self.nodes.clear();
         let renewed = |number: u32| Member {
@@ -643,18 +645,18 @@
         for member in members {
             self.start_node(member, record.clone());
         }
-        self.tell_live_nodes();
+        self.announce_live_nodes();
     }
 
-    pub fn cut_server(&mut self, id: ServerId) {
+    pub fn partition_server(&mut self, id: ServerId) {
         let nodes: Vec<u32> = self.nodes.keys().map(|member| member.node.0).collect();
-        self.cut
+        self.partitions
             .extend(nodes.iter().map(|node| (server_link(id), *node)));
     }
 
     /// Ends every fault.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitions.clear();
         self.network = Network {
             loss: 0.0,
             longest_delay: Span::from_micros(1_500),
@@ -666,8 +668,8 @@
         }
     }
 
-    /// Whether a majority of the voters lives, as the live replica with the
-    /// longest log knows them.
+    /// Whether a majority of the voters is live, with the voters known to the live replica
+    /// that has applied the most.
     pub fn quorum_lives(&self) -> bool {
         let known = self.nodes.values();
         let newest = known.max_by_key(|node| node.replica.state().applied);
@@ -734,8 +736,8 @@
         routes.server(id).expect("it is known").status
     }
 
-    /// Owners in published routes whose assignment a later version of the
-    /// routes contradicts: the same token under another owner.
+    /// Published owners that a later version of the routes contradicts with another owner
+    /// under the same token.
     pub fn lost_acknowledgements(&self) -> Vec<String> {
         let mut owners: BTreeMap<(FencingToken, Position), ServerId> = BTreeMap::new();
         let mut lost = Vec::new();
--- a/crates/ledgelead-ownership/tests/model/server.rs
+++ b/crates/ledgelead-ownership/tests/model/server.rs
@@ -1,9 +1,9 @@
-//! A server that obeys the rules of `ledgelead_types::server`.
+//! A model server that implements the rules of `ledgelead_types::server`.
 
 use ledgelead_types::server::*;
 use ledgelead_types::*;
 
-/// A request that a server executes for a slice it has given up.
+/// Requests that a server still executes for a slice that it has released.
 #[derive(Clone, Copy, Debug)]
 pub struct Executing {
     pub slice: GrantedSlice,
@@ -15,7 +15,7 @@
     pub id: ServerId,
     pub run: u64,
     pub alive: bool,
-    /// True time until which the process is frozen.
+    /// Real time until which the process is frozen.
     pub frozen_until: Time,
     pub leaving: bool,
     highest: FencingToken,
@@ -24,7 +24,7 @@
     lease_until: Time,
     started: Time,
     releasing: Vec<Executing>,
-    /// How long requests of a slice go on after it was given up.
+    /// How long requests for a slice continue after it was released.
     pub work_left: Span,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A new process that has forgotten everything.
+    /// Restarts the server with a new process that has no state.
     pub fn restart(&mut self, local: Time) {
         let run = self.run + 1_000;
         *self = ModelServer::new(self.id);
@@ -64,7 +64,7 @@
         self.slices.iter().copied().chain(running).collect()
     }
 
-    /// Whether a request for the position would be started.
+    /// Whether the server would start a request for the position.
     pub fn serves(&self, local: Time, position: Position) -> bool {
         let leased = self.alive && local < self.lease_until;
         leased
@@ -75,7 +75,7 @@
     }
 
     pub fn renew(&mut self, local: Time, renewal: &LeaseRenewal) -> RenewalReply {
-        let verdict = self.judge(local, renewal);
+        let verdict = self.evaluate(local, renewal);
         let releasing = self.releasing.iter().filter(|work| local < work.until);
         let tells_held = verdict != RenewalVerdict::Taken;
         RenewalReply {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn judge(&mut self, local: Time, renewal: &LeaseRenewal) -> RenewalVerdict {
+    fn evaluate(&mut self, local: Time, renewal: &LeaseRenewal) -> RenewalVerdict {
         if renewal.authority < self.highest {
             let highest = self.highest;
             return RenewalVerdict::Fenced { highest };
@@ -119,7 +119,7 @@
                 .iter()
                 .any(|new| new.token == old.token && new.range.overlaps(&old.range))
         };
-        // Without a lease nothing was started lately.
+        // Without a lease no request was started recently.
         let leased = local < self.lease_until;
         let until = local + self.work_left;
         let given_up = self.slices.iter().filter(|old| leased && !kept(old));
--- a/crates/ledgelead-ownership/tests/ownership.rs
+++ b/crates/ledgelead-ownership/tests/ownership.rs
@@ -16,7 +16,7 @@
 const STEP: Span = Span::from_millis(1);
 const SEEDS: u64 = 100;
 
-/// From now until every sampled position is served again.
+/// Milliseconds until every sampled position is served again.
 fn time_until_served(cluster: &mut Cluster) -> f64 {
     let start = cluster.now;
     cluster.run(STEP);
@@ -24,7 +24,8 @@
     cluster.now.since(start).as_millis()
 }
 
-/// Unserved time over many seeds after `lose`, and its maximum.
+/// Runs `lose` with many seeds and returns the maximum time until every position is served
+/// again.
 fn worst_of_seeds(name: &str, lose: impl Fn(&mut Cluster, u64)) -> f64 {
     let mut times = Vec::new();
     for seed in 0..SEEDS {
@@ -77,7 +78,7 @@
 }
 
 #[gtest]
-fn loss_of_leader_and_owner_together_is_healed_within_1000_ms() {
+fn slices_are_served_within_1000_ms_after_loss_of_leader_and_owner() {
     let worst = worst_of_seeds("leader and owner loss", |cluster, seed| {
         lose_server(cluster, ServerId((seed % 4) as u32));
         cluster.kill_node(cluster.leader().expect("a leader"));
@@ -86,7 +87,7 @@
 }
 
 #[gtest]
-fn loss_of_dispatcher_and_owner_together_is_healed_within_1000_ms() {
+fn slices_are_served_within_1000_ms_after_loss_of_dispatcher_and_owner() {
     let worst = worst_of_seeds("dispatcher and owner loss", |cluster, seed| {
         let victim = ServerId((seed % 4) as u32);
         lose_server(cluster, victim);
@@ -96,7 +97,7 @@
 }
 
 #[gtest]
-fn a_frozen_owner_is_relieved_and_owns_nothing_when_it_returns() {
+fn a_frozen_owner_is_replaced_and_owns_nothing_when_it_resumes() {
     let worst = worst_of_seeds("owner frozen", |cluster, seed| {
         let until = cluster.now + Span::from_millis(300 + 20 * seed);
         let server = cluster.servers.get_mut(&ServerId(1)).expect("it exists");
@@ -105,7 +106,7 @@
     expect_that!(worst, lt(700.0));
 }
 
-/// Longest time for which a position was unserved while `span` passed.
+/// Longest time for which a position was unserved within `span`.
 fn longest_gap(cluster: &mut Cluster, span: Span) -> Span {
     let end = cluster.now + span;
     let mut unserved_since: BTreeMap<Position, Time> = BTreeMap::new();
@@ -157,7 +158,7 @@
 }
 
 #[gtest]
-fn a_drain_moves_every_slice_with_short_refusals() {
+fn a_drain_moves_every_slice_with_short_interruptions() {
     let mut cluster = Cluster::formed(3, 0, 4);
     let leader = cluster.leader().expect("a leader");
     let follower = member((leader.node.0 + 1) % 3);
@@ -171,7 +172,7 @@
             .count(),
         eq(0)
     );
-    // Five milliseconds of work that goes on, and a few round trips.
+    // Five milliseconds of requests that continue after the release, and a few round trips.
     expect_that!(longest, lt(Span::from_millis(50)));
     let done = CommandResult::Operated { repeated: false };
     expect_that!(cluster.operation_results(7), eq(&vec![done]));
@@ -180,7 +181,7 @@
 }
 
 #[gtest]
-fn a_leaving_server_is_drained_and_a_retired_one_stays_away() {
+fn a_leaving_server_is_drained_and_a_retired_one_gets_no_slices() {
     let mut cluster = Cluster::formed(4, 0, 4);
     cluster
         .servers
@@ -201,7 +202,7 @@
 }
 
 #[gtest]
-fn a_repeated_operation_applies_once_whoever_is_asked() {
+fn a_repeated_operation_is_applied_once_through_any_node() {
     let mut cluster = Cluster::formed(5, 0, 3);
     let position = Position(u64::MAX / 2);
     for (ticket, node) in [(1, 0), (2, 1), (3, 2)] {
@@ -222,8 +223,9 @@
     expect_that!(owner, some(eq(ServerId(1))));
 }
 
-/// Seed 22 of the storm: a move was decided on a snapshot that was older than
-/// the slice, and forgotten when the servers' claims came in.
+/// After a rebuild, a move must not be decided before the servers' claims are in: it would
+/// be based on the snapshot, which may be older than the slice, and be lost when the claims
+/// replace it.
 #[gtest]
 fn operations_wait_until_a_rebuilt_group_knows_its_slices() {
     let mut cluster = Cluster::formed(9, 0, 3);
@@ -288,11 +290,11 @@
     );
 }
 
-/// Seed 27 of the Bogota scenario: a gateway's first dispatcher was cut off, so
-/// the gateway began its request through another. When the first one's wish
-/// ran out, it removed the record under which the request was running.
+/// A gateway whose first dispatcher is partitioned begins its request through another one.
+/// When the request to begin of the first dispatcher times out, it must not remove the
+/// record under which the request is executing.
 #[gtest]
-fn a_wish_that_runs_out_leaves_the_record_begun_elsewhere() {
+fn a_begin_request_that_times_out_keeps_the_record_begun_elsewhere() {
     let mut cluster = Cluster::formed(21, 0, 3);
     let leader = cluster.leader().expect("a leader");
     let mut followers = (0..3).map(member).filter(|node| *node != leader);
@@ -300,12 +302,12 @@
     let (cut_off, gateway) = (cut_off.expect("of three"), gateway.expect("of three"));
     let others = [leader, gateway];
     let cuts = others.map(|other| (cut_off.node.0, other.node.0));
-    cluster.cut.extend(cuts);
+    cluster.partitions.extend(cuts);
     let owner = cluster.begin_idempotent(gateway, 1, 42);
     let key = IdempotencyKey(42);
     cluster.input(cut_off, GroupInput::BeginIdempotent { owner, key });
     cluster.run(Span::from_millis(1_200));
-    cluster.cut.clear();
+    cluster.partitions.clear();
     cluster.run(Span::from_seconds(2));
     let answers = vec![IdempotencyVerdict::Fresh, IdempotencyVerdict::Unavailable];
     expect_that!(cluster.idempotency_verdicts(owner), eq(&answers));
@@ -315,10 +317,11 @@
     expect_that!(cluster.idempotency_verdicts(repeat), eq(&vec![running]));
 }
 
-/// A wish that is repeated while it waits stays one: a second one left
-/// unanswered would free the key under the request that the first let run.
+/// A request to begin that is repeated while it is pending must not be added twice: if the
+/// second one timed out, it would free the key while the request that the first one granted
+/// is executing.
 #[gtest]
-fn a_repeated_wish_to_begin_is_one() {
+fn a_repeated_begin_request_is_not_added_twice() {
     let mut cluster = Cluster::formed(3, 0, 3);
     cluster.kill_node(member(1));
     cluster.kill_node(member(2));
@@ -331,23 +334,23 @@
     expect_that!(cluster.idempotency_verdicts(owner), eq(&unavailable));
 }
 
-/// Fifty wishes and fifty ends take a few entries of the log, not a hundred,
-/// and the wishes are answered about as soon as one alone.
+/// Fifty requests to begin and fifty ends take a few log entries instead of a hundred, and
+/// the requests to begin are answered about as fast as a single one.
 #[gtest]
-fn commands_on_records_share_entries() {
+fn commands_on_records_share_log_entries() {
     let mut cluster = Cluster::formed(3, 0, 3);
     let leader = cluster.leader().expect("a leader");
     let applied = |cluster: &Cluster| cluster.nodes[&leader].replica.state().applied.0;
     let before = applied(&cluster);
-    let asker = member((leader.node.0 + 1) % 3);
-    let begin = |number| (cluster.begin_idempotent(asker, number, number), number);
+    let requester = member((leader.node.0 + 1) % 3);
+    let begin = |number| (cluster.begin_idempotent(requester, number, number), number);
     let owners: Vec<_> = (0..50).map(begin).collect();
     cluster.run(Span::from_millis(10));
     for (owner, number) in owners {
         let fresh = vec![IdempotencyVerdict::Fresh];
         expect_that!(cluster.idempotency_verdicts(owner), eq(&fresh));
         let (key, state) = (IdempotencyKey(number), IdempotencyState::Answered);
-        cluster.input(asker, GroupInput::EndIdempotent { owner, key, state });
+        cluster.input(requester, GroupInput::EndIdempotent { owner, key, state });
         cluster.run(STEP);
     }
     cluster.run(Span::from_millis(150));
@@ -358,8 +361,8 @@
     expect_that!(cluster.idempotency_verdicts(repeat), eq(&vec![answered]));
 }
 
-/// Seed 1 of the storm: a request ran, its record was lost with the quorum, and
-/// a repeat ran again in the rebuilt group.
+/// After the loss of a quorum, the record of an executed request may be missing. A retry in
+/// the rebuilt group must not be executed again.
 #[gtest]
 fn a_key_whose_record_may_be_lost_is_not_begun_again() {
     let mut cluster = Cluster::formed(12, 0, 3);
@@ -397,7 +400,7 @@
 }
 
 #[gtest]
-fn a_stopping_node_hands_its_duties_over_without_a_gap() {
+fn a_stopping_node_transfers_its_duties_without_interruption() {
     for seed in 0..30 {
         let mut cluster = Cluster::formed(seed, 0, 4);
         cluster.run(Span::from_millis(seed * 9));
@@ -413,8 +416,9 @@
     }
 }
 
-/// Seed 68 of the Bogota scenario: a node was lost, another was stopped as
-/// planned before the first was replaced, and the group had no quorum left.
+/// If a node is lost and another is stopped as planned before the first one is replaced,
+/// the group would lose its quorum. The stopping voter must be replaced while it still
+/// votes.
 #[gtest]
 fn a_stopping_voter_is_replaced_while_it_still_votes() {
     for seed in 0..20 {
@@ -488,7 +492,7 @@
 }
 
 #[gtest]
-fn evidence_alone_ejects_no_server_of_an_undivided_service() {
+fn evidence_alone_removes_no_server_of_an_unpartitioned_service() {
     let settings = configuration(3, Partitioning::None);
     let mut cluster = Cluster::with(10, 0, settings, Protections::default());
     cluster.run(Span::from_seconds(2));
@@ -515,13 +519,13 @@
 }
 
 #[gtest]
-fn without_the_wait_for_leases_two_servers_own_a_position() {
+fn without_the_lease_wait_two_servers_own_a_position() {
     let protections = Protections::without(Protection::LeaseWait);
     let mut found = 0;
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed, 0, 4, protections);
         cluster.run(Span::from_seconds(2));
-        cluster.cut_server(ServerId(0));
+        cluster.partition_server(ServerId(0));
         cluster.run(Span::from_seconds(2));
         found += usize::from(!cluster.violations.is_empty());
     }
@@ -529,7 +533,7 @@
 }
 
 #[gtest]
-fn dispatch_follows_the_lease() {
+fn dispatched_servers_carry_the_current_lease() {
     let cluster = Cluster::formed(11, 0, 3);
     let dispatcher = dispatcher_of(&cluster, ServerId(0));
     let moved = cluster
@@ -548,15 +552,15 @@
 }
 
 #[gtest]
-fn an_idle_group_stays_within_the_budget_of_control_traffic() {
+fn an_idle_group_stays_within_the_control_traffic_budget() {
     let mut cluster = Cluster::formed(12, 0, 14);
     cluster.bytes_sent.clear();
     cluster.renewal_bytes = 0;
     let seconds = 10;
     cluster.run(Span::from_seconds(seconds));
-    let of_a_server = cluster.renewal_bytes / seconds / 14;
-    println!("renewals: {of_a_server} bytes/s a server, without framing");
-    expect_that!(of_a_server, lt(1_300));
+    let per_server = cluster.renewal_bytes / seconds / 14;
+    println!("renewals: {per_server} bytes/s per server, without framing");
+    expect_that!(per_server, lt(1_300));
     let leader = cluster.leader().expect("a leader");
     for (member, bytes) in &cluster.bytes_sent {
         let rate = bytes / seconds;
@@ -571,15 +575,15 @@
 }
 
 #[gtest]
-fn load_moves_from_a_crowded_server() {
+fn load_moves_off_an_overloaded_server() {
     let mut cluster = Cluster::formed(13, 0, 4);
     let heavy = owners(&cluster)
         .into_iter()
         .filter(|(_, held)| held.0 == Some(ServerId(0)));
     let heavy: Vec<PositionRange> = heavy.map(|(range, _)| range).collect();
     let load_of = |range: &PositionRange| {
-        let crowded = heavy.iter().any(|slice| slice.overlaps(range));
-        let per_sixteenth = if crowded { 40.0 } else { 4.0 };
+        let overloaded = heavy.iter().any(|slice| slice.overlaps(range));
+        let per_sixteenth = if overloaded { 40.0 } else { 4.0 };
         per_sixteenth * 16.0 * range.share()
     };
     let mut imbalances = Vec::new();
@@ -608,8 +612,8 @@
     expect_that!(cluster.violations, is_empty());
 }
 
-/// The leader may admit a run that has ended since; the next one must not be
-/// left without an admission of its own.
+/// The leader may admit a run that has ended since. The next run must still get its own
+/// admission.
 #[gtest]
 fn a_server_that_restarts_twice_is_admitted_again() {
     for pause in 0..40 {
@@ -629,9 +633,9 @@
     }
 }
 
-/// A voter that comes to know its epoch late starts from the record's later
-/// snapshot. It is sent the leader's state, so that no entry is applied to a
-/// state that holds it already.
+/// A voter that learns of its epoch late starts from a later snapshot in the record. It
+/// must be sent the leader's state, or entries would be applied to a state that already
+/// includes them.
 #[gtest]
 fn a_late_voter_applies_no_entry_twice() {
     for seed in 0..10 {
@@ -642,7 +646,7 @@
         let record = cluster.record.clone().expect("a snapshot was stored");
         assert_that!(record.members.0, contains(eq(&late)));
         cluster.start_node(late, record);
-        cluster.tell_live_nodes();
+        cluster.announce_live_nodes();
         cluster.run(Span::from_seconds(2));
         let leader = cluster.leader().expect("a leader");
         let of = |member: &Member| cluster.nodes[member].replica.state();
--- a/crates/ledgelead-ownership/tests/state.rs
+++ b/crates/ledgelead-ownership/tests/state.rs
@@ -1,5 +1,4 @@
-//! The replicated state: determinism, snapshots, the table of slices, and
-//! messages that are not what they should be.
+//! The replicated state: determinism, snapshots, the slice table, and malformed messages.
 
 use googletest::prelude::*;
 use ledgelead_ownership::command::*;
@@ -104,8 +103,8 @@
     ]
 }
 
-/// Slices follow each other without gaps, and only known servers hold them.
-fn is_sound(state: &GroupState) -> bool {
+/// Whether the slices have no gaps and are held only by known servers.
+fn is_consistent(state: &GroupState) -> bool {
     let mut next = Some(Position(0));
     for slice in state.slices.iter() {
         if next != Some(slice.range.first) {
@@ -118,15 +117,15 @@
         }
     }
     let complete = state.slices.is_empty() || next.is_none();
-    complete && (0..SERVERS).all(|server| knows_slices_of(state, ServerId(server)))
+    complete && (0..SERVERS).all(|server| index_matches(state, ServerId(server)))
 }
 
-/// Whether the slices of a server are found among all.
-fn knows_slices_of(state: &GroupState, server: ServerId) -> bool {
+/// Whether the index by server matches the table.
+fn index_matches(state: &GroupState, server: ServerId) -> bool {
     let all = state.slices.iter();
-    let concerned = all.filter(|slice| slice.phase.servers().any(|id| id == server));
+    let affected = all.filter(|slice| slice.phase.servers().any(|id| id == server));
     let found = state.slices.concerning(server).count();
-    concerned.eq(state.slices.concerning(server)) && found == state.slice_count(server)
+    affected.eq(state.slices.concerning(server)) && found == state.slice_count(server)
 }
 
 proptest::proptest! {
@@ -140,7 +139,7 @@
     #[test]
     fn apply_is_deterministic_and_a_restored_state_goes_on_the_same(
         commands in proptest::collection::vec(command(), 1..120),
-        cut in 0..120_usize,
+        restore_at in 0..120_usize,
     ) {
         let mut whole = GroupState::start(Epoch(1), &[]).expect("empty");
         let mut restored = whole.clone();
@@ -150,11 +149,11 @@
             let decided = whole.apply(revision, Term(1), &batch);
             let again = restored.apply(revision, Term(1), &batch);
             prop_assert_eq!(decided, again);
-            if index == cut {
+            if index == restore_at {
                 restored = GroupState::restore(&whole.snapshot()).expect("its own bytes");
             }
             prop_assert_eq!(&whole, &restored);
-            prop_assert!(is_sound(&whole), "{:?}", whole.slices);
+            prop_assert!(is_consistent(&whole), "{:?}", whole.slices);
         }
     }
 
@@ -175,7 +174,7 @@
         let sent: List<ServerClaim> = claims.iter().map(claim).collect();
         let space = Some(PositionRange::ALL);
         state.apply(Revision(2), Term(1), &[GroupCommand::Recover { space, claims: sent }]);
-        prop_assert!(is_sound(&state));
+        prop_assert!(is_consistent(&state));
         for (_, range, revision) in claims {
             let slice = state.slices.at(range.first).expect("no gaps");
             prop_assert!(slice.token.revision >= Revision(revision));
@@ -183,7 +182,7 @@
     }
 
     #[test]
-    fn hostile_bytes_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn malformed_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode::<GroupMessage>(&bytes);
         let _ = decode::<List<GroupCommand>>(&bytes);
         let _ = GroupState::restore(&bytes);
@@ -191,7 +190,7 @@
 }
 
 #[gtest]
-fn cut_messages_are_refused() {
+fn truncated_messages_are_rejected() {
     let message = GroupMessage::Requests(List(vec![NumberedRequest {
         number: 7,
         request: GroupRequest::Operate {
@@ -206,7 +205,7 @@
     expect_that!(decode::<GroupMessage>(&bytes), ok(eq(&message)));
 }
 
-/// A large snapshot delays the next one, but not the news of who votes.
+/// A large snapshot delays the next one, but not a change of the voters.
 #[gtest]
 fn snapshots_are_paced_by_their_size() {
     let start = Time(1_000_000);
@@ -250,7 +249,7 @@
     expect_that!(records.len(), eq(MAXIMUM_RECORDS));
 }
 
-/// Two servers, and all positions in one slice that the first of them has.
+/// Commands for two servers and one slice of all positions that the first server holds.
 fn one_slice_at(from: ServerId, to: ServerId) -> Vec<GroupCommand> {
     let range = PositionRange::ALL;
     let mut commands = vec![GroupCommand::CreateSlices {
@@ -269,8 +268,8 @@
     commands
 }
 
-/// Seeds 26 and 199 of the Bogota scenario: the former owner was lost before it
-/// had given the slice up, and the slice went to any server.
+/// If the former owner is lost before it has released the slice, the slice must go to the
+/// acknowledged next owner instead of any server.
 #[gtest]
 fn an_acknowledged_move_outlives_the_loss_of_the_former_owner() {
     let mut state = GroupState::start(Epoch(1), &[]).expect("empty");
@@ -298,8 +297,8 @@
     expect_that!(state.granted(from).is_empty(), eq(true));
 }
 
-/// A request that was answered stays answered when an earlier wish of it is
-/// taken back late; otherwise a repeat would run again.
+/// An answered request keeps its record when an earlier request to begin is canceled late.
+/// Otherwise a retry would be executed again.
 #[gtest]
 fn a_late_cancel_removes_no_ended_record() {
     let owner = |request| IdempotencyOwner {
@@ -316,8 +315,8 @@
     expect_that!(repeat, eq(answered));
 }
 
-/// Seed 21 of the storm: the group was rebuilt while a slice was being moved,
-/// and the former owner kept it although the move had been acknowledged.
+/// If the group is rebuilt while a slice is being moved, the former owner must not keep the
+/// slice, because the move was acknowledged.
 #[gtest]
 fn an_acknowledged_move_outlives_a_rebuild() {
     let (from, to) = (ServerId(0), ServerId(1));
--- a/crates/ledgelead-replication/src/leading.rs
+++ b/crates/ledgelead-replication/src/leading.rs
@@ -33,7 +33,9 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ProposeError::NotLeader { .. } => formatter.write_str("not the leader"),
-            ProposeError::Transferring { to } => write!(formatter, "transferring leadership to {to}"),
+            ProposeError::Transferring { to } => {
+                write!(formatter, "transferring leadership to {to}")
+            }
         }
     }
 }
