--- a/crates/ledgelead-core/src/calls.rs
+++ b/crates/ledgelead-core/src/calls.rs
@@ -1,11 +1,10 @@
-//! Calls that wait for an answer from the platform or a server, and which
-//! subsystem asked.
+//! Open calls to the platform and to servers, with the subsystem that made each.
 
 use crate::io::CallId;
 use ledgelead_types::GroupId;
 use std::collections::BTreeMap;
 
-/// Who waits for a call's answer, with the caller's own number of it.
+/// The subsystem that made a call, with its own number for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOwner {
     /// The configuration keeper.
@@ -16,8 +15,8 @@
     Group(GroupId, u64),
 }
 
-/// Open calls. Every call ends in exactly one answer or failure, so the table
-/// is bounded by what is in flight.
+/// Open calls. Every call ends with exactly one reply or failure, so the table holds only
+/// calls in flight.
 #[derive(Debug, Default)]
 pub(crate) struct OpenCalls {
     next: u64,
@@ -33,7 +32,7 @@
         call
     }
 
-    /// Ends a call; `None` when it is unknown or has ended before.
+    /// Ends a call; `None` if it is unknown or has already ended.
     pub(crate) fn close(&mut self, call: CallId) -> Option<CallOwner> {
         self.owners.remove(&call)
     }
--- a/crates/ledgelead-core/src/groups.rs
+++ b/crates/ledgelead-core/src/groups.rs
@@ -1,14 +1,13 @@
-//! The groups that this node has a replica of.
+//! The groups of which this node has a replica.
 //!
-//! A node becomes a replica when a group's record names its present run as a
-//! voter, or when a group's leader contacts it as a learner. It stops being
-//! one when a record with a higher epoch leaves it out, when the group removed
-//! it, or when the service is gone.
+//! A node becomes a replica when a group's record names its current incarnation as a voter,
+//! or when a group's leader contacts it as a learner. It stops being one when a record with
+//! a higher epoch doesn't include it, when the group removed it, or when the service was
+//! deleted.
 //!
-//! Invariant: one run of a process starts at most one replica of a group in an
-//! epoch. A second one would have forgotten the votes and promises of the
-//! first and could help to elect another leader beside the one that it
-//! promised to follow.
+//! Invariant: a process starts at most one replica of a group in an epoch. A second one
+//! would not know the votes and promises of the first, and could help to elect another
+//! leader beside the one that the first promised to follow.
 
 use ledgelead_ownership::{GroupInput, GroupReplica, GroupReplicaSettings};
 use ledgelead_types::assigner::AssignerChoice;
@@ -20,7 +19,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Multiplier that spreads one random seed over the groups.
+/// Multiplier that derives a different random seed for each group.
 const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// Replicas of groups on this node, and the records of all groups.
@@ -31,15 +30,15 @@
     assigner: AssignerChoice,
     replicas: BTreeMap<GroupId, GroupReplica>,
     records: BTreeMap<GroupId, GroupRecord>,
-    /// Highest epoch in which this run has started a replica, or has failed
-    /// to. Never forgotten, also when the group is gone.
+    /// Highest epoch in which this process has started a replica, or has failed to. Never
+    /// removed, even when the group is gone.
     started: BTreeMap<GroupId, Epoch>,
     configuration: Arc<Configuration>,
     live: Vec<LiveNode>,
 }
 
 impl HostedGroups {
-    /// No group yet.
+    /// Creates an empty set of groups.
     pub(crate) fn new(
         identity: Member,
         random_seed: u64,
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Takes in a group's record; starts a replica when it names this run.
+    /// Applies a group's record; starts a replica if it names this incarnation.
     pub(crate) fn apply_record(&mut self, now: Time, record: GroupRecord) {
         let known = self.records.get(&record.group).map(|record| record.epoch);
         if known.is_some_and(|epoch| epoch > record.epoch) {
@@ -77,8 +76,8 @@
         }
     }
 
-    /// The replica that a message is for. A message of a group whose record
-    /// is known starts a learner: only a leader contacts a node that is none.
+    /// The replica that a message is addressed to. A message of a group with a known record
+    /// starts a learner, because only a leader contacts a node that is not a replica.
     pub(crate) fn replica_for_message(
         &mut self,
         now: Time,
@@ -90,7 +89,7 @@
         self.replicas.get_mut(&group)
     }
 
-    /// Starts the replica of a group, unless this run had one in the epoch.
+    /// Starts the replica of a group, unless this process already had one in the epoch.
     fn start(&mut self, now: Time, group: GroupId) {
         let Some(record) = self.records.get(&group) else {
             return;
@@ -108,8 +107,8 @@
             protections: self.protections,
             assigner: self.assigner,
         };
-        // A record that another version of the program wrote can't be read;
-        // the group goes on with the replicas that can.
+        // A record written by another version of the program may be unreadable. The group
+        // then continues with the replicas that can read it.
         let Ok(mut replica) = GroupReplica::new(settings, now) else {
             return;
         };
@@ -118,10 +117,10 @@
         self.replicas.insert(group, replica);
     }
 
-    /// Puts a configuration in force; replicas of groups that are gone stop.
+    /// Applies a configuration; stops the replicas of groups that no longer exist.
     ///
-    /// The record of a new service may arrive before the configuration that
-    /// creates it: a group of a service that was not given out yet is kept.
+    /// The record of a new service may arrive before the configuration that creates it, so
+    /// a group is kept if its service identifier has not been assigned yet.
     pub(crate) fn apply_configuration(&mut self, now: Time, configuration: Arc<Configuration>) {
         let configured: BTreeSet<GroupId> = configuration.groups().collect();
         let is_kept = |group: &GroupId| {
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Tells the replicas which nodes are live.
+    /// Passes the live nodes to the replicas.
     pub(crate) fn set_live_nodes(&mut self, now: Time, live: Vec<LiveNode>) {
         self.live = live;
         for replica in self.replicas.values_mut() {
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Stops a replica whose group goes on under a higher epoch elsewhere.
+    /// Stops a replica whose group has moved on to a higher epoch.
     pub(crate) fn supersede(&mut self, group: GroupId, epoch: Epoch) {
         let is_older = self
             .records
@@ -154,7 +153,7 @@
         }
     }
 
-    /// Steps a replica, when there is one.
+    /// Steps a replica; returns whether there is one.
     pub(crate) fn step(&mut self, now: Time, group: GroupId, input: GroupInput) -> bool {
         match self.replicas.get_mut(&group) {
             Some(replica) => {
@@ -184,7 +183,7 @@
             .map(|(group, replica)| (*group, replica))
     }
 
-    /// Every replica, to be changed.
+    /// Every replica, mutable.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (GroupId, &mut GroupReplica)> {
         self.replicas
             .iter_mut()
--- a/crates/ledgelead-core/src/groups_tests.rs
+++ b/crates/ledgelead-core/src/groups_tests.rs
@@ -1,4 +1,4 @@
-//! One replica for a group and epoch in one run.
+//! A process starts at most one replica for each group and epoch.
 
 use super::*;
 use googletest::prelude::*;
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn a_group_that_comes_back_in_its_epoch_gets_no_second_replica() {
+fn a_group_that_returns_in_the_same_epoch_gets_no_second_replica() {
     let mut groups = hosting();
     groups.apply_configuration(NOW, configuration(&[], 1));
     expect_that!(groups.replica(GROUP).is_none(), eq(true));
@@ -79,7 +79,7 @@
 }
 
 #[gtest]
-fn an_unreadable_record_is_tried_once_in_its_epoch() {
+fn an_unreadable_record_is_tried_once_per_epoch() {
     let mut groups = HostedGroups::new(
         member(1),
         1,
@@ -97,10 +97,11 @@
     expect_that!(groups.replica(GROUP).is_some(), eq(true));
 }
 
-/// A node that lags behind hears of a new group before its service, and of
-/// the configuration before the one that creates it in between.
+/// A node that lags behind may receive a new group's record first, then an older
+/// configuration without its service, and only then the configuration that creates the
+/// service.
 #[gtest]
-fn a_group_heard_of_before_its_service_keeps_its_replica() {
+fn a_group_received_before_its_service_keeps_its_replica() {
     let mut groups = HostedGroups::new(
         member(1),
         1,
--- a/crates/ledgelead-core/src/inquiries.rs
+++ b/crates/ledgelead-core/src/inquiries.rs
@@ -1,16 +1,15 @@
 //! Views of the whole deployment for an operator's query.
 //!
-//! Loads are known only where they are counted: at leaders and dispatchers.
-//! They are asked for when an operator wants them, which costs nothing at
-//! other times; relaying them to all nodes would cost each node more than its
-//! budget at 500 nodes.
+//! Loads are known only where they are counted: at leaders and dispatchers. They are
+//! requested only for an operator's query, so there is no cost at other times. Broadcasting
+//! them to all nodes would exceed the traffic budget of each node at 500 nodes.
 
 use crate::io::TicketId;
 use ledgelead_types::view::LoadView;
 use ledgelead_types::{NodeId, Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long the other nodes' answers are waited for.
+/// How long an inquiry waits for the answers of other nodes.
 const ANSWER_WAIT: Span = Span::from_millis(500);
 
 /// An inquiry that waits for answers.
@@ -22,18 +21,18 @@
     answers: Vec<LoadView>,
 }
 
-/// An inquiry that has all answers, or waits no longer.
+/// An inquiry that has all answers or has timed out.
 #[derive(Debug)]
 pub(crate) struct EndedInquiry {
     /// The operator's ticket.
     pub(crate) ticket: TicketId,
     /// Nodes that did not answer.
     pub(crate) unanswered: BTreeSet<NodeId>,
-    /// What the others told.
+    /// Answers of the other nodes.
     pub(crate) answers: Vec<LoadView>,
 }
 
-/// Inquiries without all answers yet.
+/// Inquiries in progress.
 #[derive(Debug, Default)]
 pub(crate) struct OpenInquiries {
     next: u64,
@@ -41,7 +40,7 @@
 }
 
 impl OpenInquiries {
-    /// Opens an inquiry to `asked` and returns its number.
+    /// Opens an inquiry to the nodes `asked` and returns its number.
     pub(crate) fn open(&mut self, now: Time, ticket: TicketId, asked: BTreeSet<NodeId>) -> u64 {
         self.next += 1;
         let inquiry = OpenInquiry {
@@ -54,7 +53,7 @@
         self.next
     }
 
-    /// Takes in an answer; one that comes twice counts once.
+    /// Records an answer; duplicates are ignored.
     pub(crate) fn record_answer(&mut self, inquiry: u64, from: NodeId, loads: LoadView) {
         let Some(inquiry) = self.open.get_mut(&inquiry) else {
             return;
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Ends the inquiries that are complete or overdue.
+    /// Ends the inquiries that are complete or have timed out.
     pub(crate) fn end(&mut self, now: Time) -> Vec<EndedInquiry> {
         let ended: Vec<u64> = self
             .open
@@ -83,7 +82,7 @@
             .collect()
     }
 
-    /// When the next inquiry is overdue.
+    /// When the next inquiry times out.
     pub(crate) fn next_wakeup(&self) -> Option<Time> {
         self.open.values().map(|inquiry| inquiry.expires).min()
     }
--- a/crates/ledgelead-core/src/io.rs
+++ b/crates/ledgelead-core/src/io.rs
@@ -1,4 +1,4 @@
-//! The seam between decisions and input/output.
+//! The interface between the core and input/output.
 
 use crate::message::PeerMessage;
 use ledgelead_types::administration::{AdministrationCommand, CommandResult};
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// A node known from the settings, asked first when this one starts.
+/// A node known from the settings, contacted first when this node starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedNode {
     /// The node.
@@ -30,92 +30,93 @@
     pub address: Text,
 }
 
-/// What a node knows before it has heard from anybody.
+/// Initial settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// This machine.
     pub node: NodeId,
-    /// This run, drawn at random by the process.
+    /// The incarnation of this process, chosen at random.
     pub incarnation: Incarnation,
     /// The machine's zone.
     pub zone: ZoneId,
     /// `IP:port` under which other nodes reach this one.
     pub address: Text,
-    /// Nodes to ask first.
+    /// Nodes to contact first.
     pub seeds: Vec<SeedNode>,
-    /// Seed of every random decision of this run.
+    /// Seed of all random decisions.
     pub random_seed: u64,
-    /// All on, except in a simulation that proves its checker.
+    /// Safety checks. All are on, except in simulations that verify that a checker detects
+    /// a missing one.
     pub protections: Protections,
-    /// The planner, except in an experiment that compares it with others.
+    /// The assigner: the planner, except in experiments that compare it with others.
     pub assigner: AssignerChoice,
 }
 
-/// Something that happened to the node.
+/// An input event of the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A message of another node arrived.
+    /// A message from another node arrived.
     Peer {
         /// The sender, authenticated by the transport.
         from: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// A server answered a renewal; `None` when the call failed or timed out.
+    /// A call to renew a server's lease ended; the reply is `None` if it failed or timed
+    /// out.
     ServerReplied {
         /// The call.
         call: CallId,
         /// The server.
         server: ServerId,
-        /// Its answer.
+        /// Its reply.
         reply: Option<RenewalReply>,
     },
-    /// The platform answered.
+    /// The platform replied.
     PlatformReplied {
         /// The call.
         call: CallId,
-        /// Its answer.
+        /// Its reply.
         reply: Result<PlatformReply, PlatformError>,
     },
-    /// A caller's request was read whole.
+    /// A caller's request was read completely.
     RequestArrived(RequestArrival),
     /// An attempt at a server ended.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// Evidence of how.
+        /// How it ended.
         result: AttemptResult,
-        /// Load that the server's answer carried.
+        /// Load that the server's response included.
         load: Option<LoadReport>,
     },
-    /// The caller closed its connection before it had its answer.
+    /// The caller closed its connection before it received its response.
     CallerDisconnected(RequestId),
     /// An operator's command arrived at this node.
     Command {
-        /// Names the command's end.
+        /// Identifies the command's result.
         ticket: TicketId,
         /// The command.
         command: AdministrationCommand,
     },
-    /// An operator's query needs a view of the whole deployment, loads
-    /// included.
+    /// An operator's query needs a view of the whole deployment, including loads.
     Inquire(TicketId),
-    /// The process was asked to stop: accept nothing, finish what is in
-    /// flight, hand roles over, then [`Output::Stopped`].
+    /// The process was asked to stop: the node refuses new requests, finishes those in
+    /// flight and transfers its roles, and then sends [`Output::Stopped`].
     Stop,
 }
 
-/// Something that the node wants done.
+/// An action to perform for the node.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message to another node; it may be lost.
+    /// Send a message to another node. The message may be lost.
     SendPeer {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// From now on the node is reached at this `IP:port`.
+    /// The address of another node, as `IP:port`, has changed.
     PeerAddress {
         /// The node.
         node: NodeId,
@@ -124,7 +125,7 @@
     },
     /// Renew a server's lease.
     RenewLease {
-        /// Names the answer.
+        /// Identifies the reply.
         call: CallId,
         /// The server.
         server: ServerId,
@@ -135,15 +136,15 @@
     },
     /// Call the platform.
     CallPlatform {
-        /// Names the answer.
+        /// Identifies the reply.
         call: CallId,
         /// The call.
         request: PlatformCall,
     },
     /// Send a request to a server.
     Forward(Forward),
-    /// Stop an attempt and ask the server to cancel it; its end is still
-    /// reported.
+    /// Stop an attempt and ask the server to cancel it. The end of the attempt must still
+    /// be reported.
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
@@ -152,44 +153,44 @@
         /// Its `IP:port`.
         address: Text,
     },
-    /// Hold a copy of an attempt's answer beyond the end of its request, for
-    /// repeats under its idempotency key. It may be dropped for want of space.
+    /// Keep a copy of an attempt's response after the end of its request, for retries under
+    /// its idempotency key. It may be dropped for lack of space.
     KeepAnswer(AttemptId),
-    /// Drop a copy held.
+    /// Drop a kept copy.
     ForgetAnswer(AttemptId),
-    /// Answer the caller. With [`Outcome::Answered`] the answer of `attempt`
-    /// is passed on whole. An attempt of another request is one whose answer
-    /// is held; when it was dropped the caller is told
+    /// Respond to the caller. With [`Outcome::Answered`], the response of `attempt` is
+    /// passed on unchanged. If the attempt belongs to another request, its kept response is
+    /// used; if that was dropped, the caller is sent
     /// [`ledgelead_types::UnknownReason::AnswerNotHeld`].
     Respond {
         /// The request.
         request: RequestId,
-        /// What the caller is told.
+        /// The outcome for the caller.
         outcome: Outcome,
-        /// The attempt whose answer is passed on.
+        /// The attempt whose response is passed on.
         attempt: Option<AttemptId>,
-        /// When the caller may try again, for a refusal.
+        /// When the caller may retry, for a refusal.
         retry_after: Option<Span>,
     },
     /// A command ended.
     CommandFinished {
         /// The command.
         ticket: TicketId,
-        /// How.
+        /// The result.
         result: CommandResult,
     },
-    /// The view that an inquiry asked for.
+    /// The view for an inquiry.
     Inquired {
         /// The inquiry.
         ticket: TicketId,
-        /// What this node knows and the others told it.
+        /// What this node knows, with the loads that the others reported.
         view: Box<NodeView>,
     },
-    /// Something worth a log line or a metric.
+    /// An event for logs and metrics.
     Record(Event),
     /// The stop is complete; the process may exit.
     Stopped,
 }
 
-/// A point in time far beyond any run.
+/// Wakeup time when nothing is scheduled.
 pub const NEVER: Time = Time(u64::MAX);
--- a/crates/ledgelead-core/src/lib.rs
+++ b/crates/ledgelead-core/src/lib.rs
@@ -1,9 +1,8 @@
-//! The node's decisions: every subsystem composed behind one step function.
+//! The core of a node: all subsystems behind a single step function.
 //!
-//! [`NodeCore`] has no sockets, threads, clocks or global randomness. The
-//! caller steps it with [`Input`]s and the present time, and carries out the
-//! [`Output`]s: the node's actor over real sockets, the simulation over a
-//! simulated network.
+//! [`NodeCore`] has no sockets, threads, clocks or global randomness. The caller passes it
+//! [`Input`]s and the current time, and performs the [`Output`]s: the node's actor with
+//! real sockets, the simulation with a simulated network.
 
 mod calls;
 mod groups;
--- a/crates/ledgelead-core/src/message.rs
+++ b/crates/ledgelead-core/src/message.rs
@@ -8,22 +8,22 @@
 use ledgelead_types::{GroupId, Incarnation, ServerId, Text};
 use nanoserde::{DeBin, SerBin};
 
-/// One message from a node to another.
+/// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum PeerMessage {
-    /// Failure detection and news of nodes.
+    /// Failure detection and node status updates.
     Membership(MembershipMessage),
-    /// News of configuration, group records and routes.
+    /// Updates of configuration, group records and routes.
     Dissemination(DisseminationMessage),
-    /// From one replica of a group to another. Incarnations bind it to one
-    /// run of each process: a message to an earlier run must not be taken by
-    /// a later one, which has forgotten what the earlier promised.
+    /// From one replica of a group to another. It is bound to the incarnations of both
+    /// processes: a message to an earlier incarnation must not be handled by a later one,
+    /// which doesn't know the promises of the earlier one.
     Group {
         /// The group.
         group: GroupId,
-        /// Run of the sender.
+        /// Incarnation of the sender.
         sender: Incarnation,
-        /// Run that the message is for.
+        /// Incarnation that the message is addressed to.
         receiver: Incarnation,
         /// The message.
         message: GroupMessage,
@@ -32,18 +32,18 @@
     DispatchRequest(DispatchRequest),
     /// From a dispatcher to a gateway.
     DispatchReply(DispatchReply),
-    /// A gateway's own evidence that a server fails, to the group's leader.
+    /// Failures of a server observed by a gateway, to the group's leader.
     ServerEvidence {
         /// The group.
         group: GroupId,
         /// The server.
         server: ServerId,
-        /// Failures seen since the last message.
+        /// Failures observed since the last message.
         failures: u32,
     },
-    /// An operator's command for a group of which the sender is no replica.
+    /// An operator's command for a group of which the sender has no replica.
     Operate {
-        /// Names the answer at the sender.
+        /// Identifies the answer at the sender.
         ticket: u64,
         /// The operator's command identifier.
         command: Text,
@@ -52,35 +52,35 @@
         /// The operation.
         operation: GroupOperation,
     },
-    /// Asks for the receiver's part of the view of the deployment.
+    /// Requests the receiver's part of the view of the deployment.
     Inquire {
-        /// Names the answer at the sender.
+        /// Identifies the answer at the sender.
         inquiry: u64,
     },
     /// The sender's part of the view.
     Inquired {
         /// The inquiry of [`PeerMessage::Inquire`].
         inquiry: u64,
-        /// What the sender alone knows.
+        /// Loads that only the sender knows.
         loads: LoadView,
     },
-    /// How an operation ended.
+    /// The result of an operation.
     Operated {
         /// The ticket of [`PeerMessage::Operate`].
         ticket: u64,
-        /// How.
+        /// The result.
         result: CommandResult,
     },
 }
 
-/// Purpose of a message, for accounts of what control costs.
+/// Purpose of a message, used to measure the cost of control traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageKind {
     /// Failure detection among nodes.
     Membership,
     /// Dissemination of versioned items.
     Dissemination,
-    /// Replication and reports within a group, apart from records.
+    /// Replication and reports within a group, except idempotency records.
     Group,
     /// Permits for callers' requests; grows with the request rate.
     Dispatch,
@@ -102,7 +102,7 @@
         MessageKind::Administration,
     ];
 
-    /// Stable name, as metrics show it.
+    /// Stable name, as shown in metrics.
     pub fn name(self) -> &'static str {
         match self {
             MessageKind::Membership => "membership",
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether the kind counts as control, apart from request traffic.
+    /// Whether the kind counts as control traffic, as opposed to request traffic.
     pub fn is_control(self) -> bool {
         !matches!(self, MessageKind::Dispatch | MessageKind::Records)
     }
--- a/crates/ledgelead-core/src/node_core.rs
+++ b/crates/ledgelead-core/src/node_core.rs
@@ -1,4 +1,4 @@
-//! Composition of the subsystems: which input goes to which of them.
+//! Composition of the subsystems and routing of inputs to them.
 
 use crate::calls::{CallOwner, OpenCalls};
 use crate::groups::HostedGroups;
@@ -32,10 +32,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often the dispatcher's counts of load go to the groups.
+/// Interval at which the dispatcher's load counts are passed to the groups.
 const SLICE_LOAD_INTERVAL: Span = Span::from_seconds(1);
 
-/// All decisions of one node.
+/// The core of one node, which makes all of its decisions.
 pub struct NodeCore {
     pub(crate) settings: NodeSettings,
     pub(crate) membership: Membership,
@@ -57,7 +57,7 @@
 }
 
 impl NodeCore {
-    /// A node that has just started at `now` and knows only its settings.
+    /// Creates a node that starts at `now` with only its settings.
     pub fn new(settings: NodeSettings, now: Time) -> NodeCore {
         let identity = Member {
             node: settings.node,
@@ -123,7 +123,7 @@
         core
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input that arrived at `now`.
     pub fn step(&mut self, now: Time, input: Input) {
         match input {
             Input::Peer { from, message } => self.handle_message(now, from, message),
@@ -158,7 +158,7 @@
         self.pump(now);
     }
 
-    /// Does what has become due by `now`.
+    /// Performs what is due at `now`.
     pub fn tick(&mut self, now: Time) {
         self.membership.tick(now);
         self.dissemination.tick(now);
@@ -177,8 +177,7 @@
         self.pump(now);
     }
 
-    /// When [`NodeCore::tick`] has to be called next, if nothing happens
-    /// before.
+    /// When [`NodeCore::tick`] has to be called next, unless there is an input before.
     pub fn next_wakeup(&self) -> Time {
         let fixed = [
             self.membership.next_wakeup(),
@@ -200,22 +199,22 @@
             .expect("the list is not empty")
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the actions to perform since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The configuration in force on this node.
+    /// The active configuration of this node.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// Version of the configuration in force on this node.
+    /// Version of the active configuration of this node.
     pub fn configuration_version(&self) -> ConfigurationVersion {
         self.configuration.version
     }
 
-    /// Version of the group's routes in force on this node.
+    /// Version of the group's active routes on this node.
     pub fn routes_version(&self, group: GroupId) -> Option<FencingToken> {
         self.routes.get(&group).map(|routes| routes.version)
     }
@@ -340,8 +339,8 @@
         }
     }
 
-    /// Gives an operation to the local replica, or passes an operator's on to
-    /// a node that has one. A command passed on once is not passed on again.
+    /// Passes an operation to the local replica, or forwards an operator's command to a
+    /// node that has one. A forwarded command is not forwarded again.
     fn operate(
         &mut self,
         now: Time,
@@ -381,8 +380,8 @@
         }
     }
 
-    /// A node with a replica of the group: its leader as last published, or
-    /// a voter of its record.
+    /// A node with a replica of the group: the leader from the latest routes, or else a
+    /// voter from its record.
     fn replica_of(&self, group: GroupId) -> Option<NodeId> {
         let by_routes = self.routes.get(&group).map(|routes| routes.leader.node);
         by_routes.or_else(|| {
--- a/crates/ledgelead-core/src/operations.rs
+++ b/crates/ledgelead-core/src/operations.rs
@@ -1,21 +1,21 @@
-//! Operators' commands for groups that this node has no replica of: they are
-//! passed to a replica, and the answer is passed back.
+//! Operators' commands for groups of which this node has no replica: they are forwarded to
+//! a replica, and the result is returned.
 
 use crate::io::TicketId;
 use ledgelead_types::administration::CommandResult;
 use ledgelead_types::{NodeId, Span, Time};
 use std::collections::BTreeMap;
 
-/// How long an answer is waited for. Without one it is not known whether the
-/// operation was decided; asking again under the same command identifier tells.
+/// Timeout of an operation. After it, the result is unknown; a retry under the same command
+/// identifier returns it.
 const ANSWER_WAIT: Span = Span::from_seconds(3);
 
-/// Where an operation's answer goes.
+/// The receiver of an operation's result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Requester {
     /// An operator at this node.
     Operator(TicketId),
-    /// Another node, which passed an operator's command on.
+    /// Another node that forwarded an operator's command.
     Node {
         /// The node.
         node: NodeId,
@@ -24,14 +24,14 @@
     },
 }
 
-/// An operation that waits for its answer.
+/// An operation without a result.
 #[derive(Clone, Copy, Debug)]
 struct OpenOperation {
     requester: Requester,
     expires: Time,
 }
 
-/// Operations without an answer yet.
+/// Operations without a result.
 #[derive(Debug, Default)]
 pub(crate) struct OpenOperations {
     next: u64,
@@ -39,7 +39,7 @@
 }
 
 impl OpenOperations {
-    /// Opens an operation and gives it a ticket.
+    /// Opens an operation and returns its ticket.
     pub(crate) fn open(&mut self, now: Time, requester: Requester) -> u64 {
         self.next += 1;
         let expires = now + ANSWER_WAIT;
@@ -48,14 +48,14 @@
         self.next
     }
 
-    /// Ends an operation; `None` when it ended before.
+    /// Ends an operation; `None` if it has already ended.
     pub(crate) fn close(&mut self, ticket: u64) -> Option<Requester> {
         self.open
             .remove(&ticket)
             .map(|operation| operation.requester)
     }
 
-    /// Ends the operations whose answer is overdue.
+    /// Ends the operations that have timed out.
     pub(crate) fn expire(&mut self, now: Time) -> Vec<(Requester, CommandResult)> {
         let overdue: Vec<u64> = self
             .open
@@ -70,7 +70,7 @@
             .collect()
     }
 
-    /// When the next answer is overdue.
+    /// When the next operation times out.
     pub(crate) fn next_wakeup(&self) -> Option<Time> {
         self.open.values().map(|operation| operation.expires).min()
     }
--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -1,5 +1,5 @@
-//! Carries what one subsystem puts out to those that take it in, until all
-//! are quiet.
+//! Passes the outputs of each subsystem to the subsystems that consume them, until none has
+//! any left.
 
 use crate::calls::CallOwner;
 use crate::io::{Output, TicketId};
@@ -24,12 +24,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Rounds of passing outputs on within one step. Subsystems answer each other
-/// a few times at most; more means a loop, which must not hang the node.
+/// Maximum number of rounds of passing outputs within one step. Subsystems exchange only a
+/// few outputs per step; more rounds indicate a loop, which must not hang the node.
 const MAX_ROUNDS: usize = 64;
 
 impl NodeCore {
-    /// Passes outputs on until no subsystem has any.
+    /// Passes outputs between subsystems until none has any.
     pub(crate) fn pump(&mut self, now: Time) {
         for _ in 0..MAX_ROUNDS {
             let progressed = self.pump_membership(now)
@@ -43,8 +43,8 @@
                 break;
             }
         }
-        // Looking for roles goes through the routes of all groups: too much
-        // for every step of a node that is not asked to stop.
+        // Checking for roles iterates over the routes of all groups, which is too expensive
+        // for every step of a node that is not stopping.
         if self.shutdown.is_leaving() {
             let holds_roles = self.holds_roles();
             if self.shutdown.completes(now, holds_roles) {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Whether this node still leads a group, dispatches a server, or votes
-    /// where another could.
+    /// Whether this node still leads a group, dispatches a server, or is a voter that
+    /// should be replaced first.
     fn holds_roles(&self) -> bool {
         let node = self.settings.node;
         let dispatches = self
@@ -66,10 +66,10 @@
         dispatches || leads || self.awaits_replacement()
     }
 
-    /// Whether a group in which this node votes should replace it first: there
-    /// is a node that could, or the others are no majority at present. Without
-    /// the wait the stop of one replica after the loss of another would take
-    /// the quorum.
+    /// Whether a group in which this node votes should replace it first: another live node
+    /// could take its place, or the other voters alone are currently not a majority.
+    /// Without this wait, stopping one replica after the loss of another would lose the
+    /// quorum.
     fn awaits_replacement(&self) -> bool {
         let live = self.membership.live_nodes();
         let own = self.settings.node;
@@ -103,7 +103,7 @@
         any
     }
 
-    /// Tells every subsystem which nodes are live.
+    /// Passes the live nodes to every subsystem.
     pub(crate) fn live_nodes_changed(&mut self, now: Time) {
         let live = self.membership.live_nodes();
         let others = live
@@ -119,7 +119,7 @@
         self.report_proven_dead(now);
     }
 
-    /// Tells the former which known replicas are dead for certain.
+    /// Reports to the group former which known replicas are proven dead.
     fn report_proven_dead(&mut self, now: Time) {
         let by_records = self
             .groups
@@ -161,8 +161,8 @@
         any
     }
 
-    /// Puts a newer item in force. Bytes that don't decode come from a node
-    /// of another version of the program; they are left alone.
+    /// Applies a newer item. Bytes that can't be decoded come from a node with another
+    /// version of the program and are ignored.
     fn apply_item(&mut self, now: Time, key: ItemKey, value: &[u8]) {
         match key {
             ItemKey::Configuration => {
@@ -238,8 +238,8 @@
         );
         self.gateway.step(now, GatewayInput::Routes(routes.clone()));
         self.dispatcher.step(now, DispatcherInput::Routes(routes));
-        // Asking goes through the members of all groups. Most routes change
-        // owners only; news of the nodes themselves ask again by themselves.
+        // This iterates over the members of all groups. Most route changes affect only
+        // owners, and changes of the nodes themselves trigger the report separately.
         if !has_same_members {
             self.report_proven_dead(now);
         }
@@ -393,7 +393,7 @@
                     self.answer_operation(requester, result);
                 }
             }
-            GroupOutput::IdempotencyDecided {
+            GroupOutput::IdempotencyRecordDecided {
                 owner,
                 key,
                 verdict,
@@ -482,7 +482,7 @@
         }
     }
 
-    /// Brings a gateway's evidence to the group's leader.
+    /// Sends a gateway's evidence to the group's leader.
     fn send_evidence(&mut self, now: Time, group: GroupId, server: ServerId, failures: u32) {
         let Some(leader) = self.routes.get(&group).map(|routes| routes.leader.node) else {
             return;
@@ -500,16 +500,16 @@
         self.send(leader, message);
     }
 
-    /// Asks the group for an idempotency record. Without a replica here the
-    /// record can't be made, so the request must not run.
-    fn begin_idempotent(
+    /// Requests an idempotency record from the group. Without a replica on this node the
+    /// record can't be created, so the request must not be executed.
+    fn begin_idempotency_record(
         &mut self,
         now: Time,
         group: GroupId,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
     ) {
-        let input = GroupInput::BeginIdempotent { owner, key };
+        let input = GroupInput::BeginIdempotencyRecord { owner, key };
         if self.groups.step(now, group, input) {
             return;
         }
@@ -531,7 +531,7 @@
             match output {
                 DispatcherOutput::Reply { to, message } => self.send_to_gateway(now, to, message),
                 DispatcherOutput::BeginOnce { group, owner, key } => {
-                    self.begin_idempotent(now, group, owner, key);
+                    self.begin_idempotency_record(now, group, owner, key);
                 }
                 DispatcherOutput::EndOnce {
                     group,
@@ -540,8 +540,8 @@
                     state,
                 } => {
                     let input = match state {
-                        Some(state) => GroupInput::EndIdempotent { owner, key, state },
-                        None => GroupInput::CancelIdempotent { owner, key },
+                        Some(state) => GroupInput::EndIdempotencyRecord { owner, key, state },
+                        None => GroupInput::CancelIdempotencyRecord { owner, key },
                     };
                     self.groups.step(now, group, input);
                 }
--- a/crates/ledgelead-core/src/shutdown.rs
+++ b/crates/ledgelead-core/src/shutdown.rs
@@ -1,10 +1,10 @@
-//! The planned stop of a node: it takes no new requests, hands its roles
-//! over, finishes what is in flight, and only then reports that it stopped.
+//! The planned stop of a node: it accepts no new requests, transfers its roles, finishes
+//! requests in flight, and only then reports that it has stopped.
 
 use ledgelead_types::{Span, Time};
 
-/// How long a node waits for its roles to be taken over, at the most. Other
-/// nodes recover from a node that leaves before, as from a loss.
+/// Maximum time for which a node waits until its roles are taken over. If it stops before,
+/// other nodes recover as from the loss of a node.
 const HANDOVER_WAIT: Span = Span::from_seconds(5);
 
 /// Progress of a planned stop.
@@ -12,19 +12,19 @@
 pub(crate) enum Shutdown {
     /// Not asked to stop.
     Running,
-    /// Waits for requests in flight and for its roles to be handed over.
+    /// Waiting for requests in flight and for the transfer of its roles.
     Leaving {
-        /// When roles are given up without a successor.
+        /// When the node stops without a successor for its roles.
         deadline: Time,
-        /// Whether no request is in flight any more.
+        /// Whether there are no more requests in flight.
         drained: bool,
     },
-    /// Told that it stopped.
+    /// Stopped.
     Stopped,
 }
 
 impl Shutdown {
-    /// Begins a stop at `now`, unless one is under way.
+    /// Begins a stop at `now`; returns false if one was already begun.
     pub(crate) fn begin(&mut self, now: Time) -> bool {
         if *self != Shutdown::Running {
             return false;
@@ -36,19 +36,19 @@
         true
     }
 
-    /// Notes that no request is in flight any more.
+    /// Records that there are no more requests in flight.
     pub(crate) fn note_drained(&mut self) {
         if let Shutdown::Leaving { drained, .. } = self {
             *drained = true;
         }
     }
 
-    /// Whether a stop is under way.
+    /// Whether a stop is in progress.
     pub(crate) fn is_leaving(&self) -> bool {
         matches!(self, Shutdown::Leaving { .. })
     }
 
-    /// Whether the stop completes now; true exactly once.
+    /// Completes the stop if possible; returns true exactly once.
     pub(crate) fn completes(&mut self, now: Time, holds_roles: bool) -> bool {
         let Shutdown::Leaving { deadline, drained } = *self else {
             return false;
@@ -61,7 +61,7 @@
         false
     }
 
-    /// When the stop has to be looked at again.
+    /// When the stop has to be checked again.
     pub(crate) fn next_wakeup(&self) -> Option<Time> {
         match self {
             Shutdown::Leaving { deadline, .. } => Some(*deadline),
--- a/crates/ledgelead-core/src/view.rs
+++ b/crates/ledgelead-core/src/view.rs
@@ -1,4 +1,4 @@
-//! What the node can tell an operator, alone and with the others' help.
+//! Views for an operator: from this node's own data, and with the data of other nodes.
 
 use crate::inquiries::EndedInquiry;
 use crate::io::{Output, TicketId};
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 impl NodeCore {
-    /// What this node can tell an operator at `now` by itself.
+    /// The view at `now` from this node's own data.
     pub fn view(&self, now: Time) -> NodeView {
         NodeView {
             node: self.settings.node,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What this node alone knows.
+    /// Loads that only this node knows.
     pub(crate) fn load_view(&self, now: Time) -> LoadView {
         let led = self
             .groups
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Asks the leaders and dispatchers of all groups for what they know.
+    /// Requests the loads from the leaders and dispatchers of all groups.
     pub(crate) fn inquire(&mut self, now: Time, ticket: TicketId) {
         let asked = self.nodes_with_roles();
         let inquiry = self.inquiries.open(now, ticket, asked.clone());
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    /// Answers the inquiries that are complete or overdue.
+    /// Finishes the inquiries that are complete or have timed out.
     pub(crate) fn finish_inquiries(&mut self, now: Time) {
         for ended in self.inquiries.end(now) {
             let ticket = ended.ticket;
@@ -129,7 +129,7 @@
     }
 }
 
-/// Fills in what a leader told, unless a leader of a higher term told before.
+/// Fills in the loads from a leader, unless there are loads from a leader of a higher term.
 fn fill_loads(view: &mut GroupView, loads: GroupLoadView) {
     if view.term.is_some_and(|term| term > loads.term) && view.imbalance.is_some() {
         return;
--- a/crates/ledgelead-core/tests/cluster/mod.rs
+++ b/crates/ledgelead-core/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A few nodes, servers and a platform in virtual time, in memory. Messages
-//! between nodes pass through their binary form.
+//! A few nodes, servers and a platform in virtual time and in memory. Messages between
+//! nodes are encoded and decoded.
 
 use ledgelead_configuration::encode_configuration;
 use ledgelead_core::*;
@@ -14,11 +14,11 @@
 use ledgelead_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One way between any two processes.
+/// One-way delay between any two processes.
 const DELAY: Span = Span::from_millis(1);
-/// How long the platform lets a watch wait.
+/// Timeout of a watch on the platform.
 const WATCH_TIMEOUT: Span = Span::from_seconds(5);
-/// How many messages between nodes are kept.
+/// Maximum number of messages between nodes that are recorded.
 const KEPT_MESSAGES: usize = 2_000;
 const SERVERS: u32 = 3;
 pub const CREDENTIAL: &str = "1111111111111111111111111111111111111111111111111111111111111111";
@@ -28,7 +28,7 @@
 };
 
 enum Event {
-    /// For one run of a node's process only.
+    /// An input for one incarnation of a node's process.
     Input(NodeId, Incarnation, Input),
     Wake(NodeId),
     WatchTimeout(NodeId, CallId),
@@ -48,12 +48,12 @@
 
 pub struct Cluster {
     pub now: Time,
-    /// What nodes put out for callers, operators and their process.
+    /// Outputs of the nodes for callers, operators and their process.
     pub outputs: Vec<(NodeId, Output)>,
-    /// Messages between nodes in binary form, the first of them.
+    /// The first messages between nodes, in binary form.
     pub messages: Vec<Vec<u8>>,
-    /// Nodes that no message reaches or leaves.
-    pub cut: BTreeSet<NodeId>,
+    /// Nodes that are partitioned from all others.
+    pub partitioned: BTreeSet<NodeId>,
     nodes: BTreeMap<NodeId, Node>,
     servers: BTreeMap<ServerId, Server>,
     objects: BTreeMap<String, (ObjectVersion, Bytes)>,
@@ -123,14 +123,14 @@
 }
 
 impl Cluster {
-    /// Nodes 1 to `nodes`, which have just started.
+    /// Starts nodes 1 to `nodes`.
     pub fn new(nodes: u32) -> Cluster {
         let stored = (ObjectVersion(1), encode_configuration(&configuration()));
         let mut cluster = Cluster {
             now: Time(1_000_000),
             outputs: Vec::new(),
             messages: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             nodes: BTreeMap::new(),
             servers: (1..=SERVERS)
                 .map(|id| (ServerId(id), Server::default()))
@@ -146,14 +146,14 @@
         cluster
     }
 
-    /// A cluster whose group has formed and serves.
+    /// A cluster with a group that has formed.
     pub fn formed(nodes: u32) -> Cluster {
         let mut cluster = Cluster::new(nodes);
         cluster.run(Span::from_seconds(5));
         cluster
     }
 
-    /// Starts a run of a node's process, in place of one before.
+    /// Starts a node's process; it replaces the previous one.
     pub fn start(&mut self, id: NodeId, incarnation: Incarnation) {
         let seed = |number| SeedNode {
             node: node(number),
@@ -183,7 +183,7 @@
         self.nodes.remove(&id);
     }
 
-    /// Hands an input to a node, now.
+    /// Passes an input to a node at the current time.
     pub fn input(&mut self, id: NodeId, input: Input) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.core.step(self.now, input);
@@ -191,7 +191,7 @@
         self.drain(id);
     }
 
-    /// A caller's request for a key.
+    /// Sends a caller's request for a key.
     pub fn request(&mut self, id: NodeId, request: u64) {
         let arrival = RequestArrival {
             request: RequestId(request),
@@ -203,24 +203,24 @@
         self.input(id, Input::RequestArrived(arrival));
     }
 
-    /// What the caller of a request was told.
+    /// The outcomes that the caller of a request received.
     pub fn outcomes(&self, wanted: u64) -> Vec<Outcome> {
-        let told = self.outputs.iter().filter_map(|(_, output)| match output {
+        let received = self.outputs.iter().filter_map(|(_, output)| match output {
             Output::Respond {
                 request, outcome, ..
             } if request.0 == wanted => Some(*outcome),
             _ => None,
         });
-        told.collect()
+        received.collect()
     }
 
-    /// The group as a node sees it.
+    /// The group, as seen by a node.
     pub fn group(&self, id: NodeId) -> GroupView {
         let view = self.nodes[&id].core.view(self.now);
         view.groups.into_iter().next().unwrap_or_default()
     }
 
-    /// Nodes that take themselves for the group's leader.
+    /// Nodes that consider themselves the group's leader.
     pub fn leaders(&self) -> Vec<NodeId> {
         let all = self.nodes.keys().copied();
         all.filter(|id| self.group(*id).leads).collect()
@@ -235,7 +235,7 @@
             }
             let event = entry.remove();
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = end;
     }
@@ -245,7 +245,7 @@
         self.queue.insert((at, self.next_event), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Input(id, run, input) => {
                 if self.nodes.get(&id).map(|node| node.incarnation) == Some(run) {
@@ -265,7 +265,7 @@
                 let open = |watch: &(NodeId, CallId, Text)| (watch.0, watch.1) == (id, call);
                 if let Some(index) = self.watches.iter().position(open) {
                     self.watches.remove(index);
-                    self.platform_answers(id, call, PlatformReply::Unchanged);
+                    self.platform_replies(id, call, PlatformReply::Unchanged);
                 }
             }
         }
@@ -287,8 +287,8 @@
         }
     }
 
-    /// Hands an input to the present run of a node after a while.
-    fn later(&mut self, id: NodeId, after: Span, input: Input) {
+    /// Passes an input to the current incarnation of a node after a delay.
+    fn schedule_input(&mut self, id: NodeId, after: Span, input: Input) {
         if let Some(node) = self.nodes.get(&id) {
             let run = node.incarnation;
             self.schedule(self.now + after, Event::Input(id, run, input));
@@ -312,7 +312,7 @@
                     server,
                     reply,
                 };
-                self.later(id, DELAY, replied);
+                self.schedule_input(id, DELAY, replied);
             }
             Output::CallPlatform { call, request } => self.call_platform(id, call, request),
             Output::Forward(ref forward) => {
@@ -321,7 +321,7 @@
                     result: AttemptResult::Answered { failure: false },
                     load: None,
                 };
-                self.later(id, DELAY, ended);
+                self.schedule_input(id, DELAY, ended);
                 self.outputs.push((id, output));
             }
             output => self.outputs.push((id, output)),
@@ -334,8 +334,8 @@
         if self.messages.len() < KEPT_MESSAGES {
             self.messages.push(bytes);
         }
-        if !self.cut.contains(&from) && !self.cut.contains(&to) {
-            self.later(to, DELAY, Input::Peer { from, message });
+        if !self.partitioned.contains(&from) && !self.partitioned.contains(&to) {
+            self.schedule_input(to, DELAY, Input::Peer { from, message });
         }
     }
 
@@ -367,7 +367,7 @@
                 PlatformReply::Machines(self.nodes.keys().map(entry).collect())
             }
         };
-        self.platform_answers(id, call, reply);
+        self.platform_replies(id, call, reply);
     }
 
     fn object(&self, name: &Text) -> PlatformReply {
@@ -392,14 +392,14 @@
         self.watches = waiting;
         for (id, call, name) in woken {
             let reply = self.object(&name);
-            self.platform_answers(id, call, reply);
+            self.platform_replies(id, call, reply);
         }
         PlatformReply::Swapped { version }
     }
 
-    fn platform_answers(&mut self, id: NodeId, call: CallId, reply: PlatformReply) {
+    fn platform_replies(&mut self, id: NodeId, call: CallId, reply: PlatformReply) {
         let reply = Ok(reply);
-        self.later(id, DELAY, Input::PlatformReplied { call, reply });
+        self.schedule_input(id, DELAY, Input::PlatformReplied { call, reply });
     }
 }
 
--- a/crates/ledgelead-core/tests/node.rs
+++ b/crates/ledgelead-core/tests/node.rs
@@ -1,4 +1,4 @@
-//! A few whole nodes in virtual time.
+//! A few complete nodes in virtual time.
 
 mod cluster;
 
@@ -37,7 +37,7 @@
     results.collect()
 }
 
-fn inquired(cluster: &Cluster) -> Vec<&NodeView> {
+fn inquiry_views(cluster: &Cluster) -> Vec<&NodeView> {
     let views = cluster
         .outputs
         .iter()
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn an_operation_is_passed_on_to_a_replica_and_answered() {
+fn an_operation_is_forwarded_to_a_replica_and_answered() {
     let mut cluster = Cluster::formed(5);
     let members = cluster.group(node(1)).routes.members;
     let outsiders = (1..=5).map(node);
@@ -104,10 +104,10 @@
     servers
 }
 
-/// Loads are known where they are counted: with a dispatcher that is silent
-/// the loads of its servers are missing, and it is named.
+/// Loads are known only where they are counted. If a dispatcher doesn't answer, the loads
+/// of its servers are missing from the view, and the view names the dispatcher.
 #[gtest]
-fn an_inquiry_gathers_loads_and_names_silent_nodes() {
+fn an_inquiry_collects_loads_and_names_unresponsive_nodes() {
     let mut cluster = Cluster::formed(5);
     let asked = cluster.leaders()[0];
     cluster.input(asked, Input::Inquire(TicketId(1)));
@@ -115,24 +115,24 @@
     let servers = cluster.group(asked).routes.servers;
     let silent = servers[0].dispatcher;
     assert_that!(silent, not(eq(asked)));
-    cluster.cut.insert(silent);
+    cluster.partitioned.insert(silent);
     cluster.input(asked, Input::Inquire(TicketId(2)));
     cluster.run(Span::from_millis(600));
-    let views = inquired(&cluster);
+    let views = inquiry_views(&cluster);
     assert_that!(views.len(), eq(2));
     expect_that!(views[0].silent_nodes, is_empty());
     expect_that!(views[1].silent_nodes, elements_are![eq(&silent)]);
     let all: Vec<ServerId> = servers.iter().map(|route| route.server).collect();
-    let told = servers.iter().filter(|route| route.dispatcher != silent);
-    let told: Vec<ServerId> = told.map(|route| route.server).collect();
+    let received = servers.iter().filter(|route| route.dispatcher != silent);
+    let received: Vec<ServerId> = received.map(|route| route.server).collect();
     expect_that!(
         [servers_of(views[0]), servers_of(views[1])],
-        eq(&[all, told])
+        eq(&[all, received])
     );
 }
 
 #[gtest]
-fn a_planned_stop_hands_over_and_finishes() {
+fn a_planned_stop_transfers_roles_and_finishes() {
     let mut cluster = Cluster::formed(4);
     let stopping = cluster.leaders()[0];
     let other = node(stopping.0 % 4 + 1);
@@ -160,11 +160,11 @@
     expect_that!(cluster.leaders().len(), eq(1));
 }
 
-/// A run that has forgotten its predecessor's votes and promises gives none
-/// itself: with one voter left of three, nobody leads. Two new runs prove that
-/// the quorum is lost, and the group is rebuilt under another epoch.
+/// A restarted process doesn't know the votes and promises of its predecessor, so it must
+/// not vote: with one voter left of three, there is no leader. Two restarted processes
+/// prove that the quorum is lost, and the group is rebuilt under another epoch.
 #[gtest]
-fn a_new_run_is_no_voter() {
+fn a_restarted_node_is_not_a_voter() {
     let mut cluster = Cluster::formed(3);
     let leader = cluster.leaders()[0];
     let restarted = node(leader.0 % 3 + 1);
@@ -184,10 +184,10 @@
     expect_that!(cluster.outcomes(1), elements_are![eq(&Outcome::Answered)]);
 }
 
-/// Bytes of any kind either decode to a message that encodes as itself again,
-/// or are refused; nothing panics.
+/// Random and damaged bytes are either rejected or decode to a message that encodes to the
+/// same bytes again; none cause a panic.
 #[gtest]
-fn hostile_bytes_are_refused_or_decode() {
+fn malformed_bytes_are_rejected_or_decode() {
     let sent = Cluster::formed(4).messages;
     let damage = proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4);
     let damaged = (
@@ -203,14 +203,14 @@
         bytes.truncate(end.index(bytes.len()) + 1);
         bytes
     });
-    let hostile = prop_oneof![proptest::collection::vec(any::<u8>(), 0..200), damaged];
+    let malformed = prop_oneof![proptest::collection::vec(any::<u8>(), 0..200), damaged];
     let mut runner = TestRunner::new(ProptestConfig {
         cases: 20_000,
         rng_seed: RngSeed::Fixed(0x6c65_6467),
         failure_persistence: None,
         ..ProptestConfig::default()
     });
-    let result = runner.run(&hostile, |bytes| {
+    let result = runner.run(&malformed, |bytes| {
         if let Ok(message) = decode::<PeerMessage>(&bytes) {
             let encoded = encode(&message);
             let again = decode::<PeerMessage>(&encoded);
--- a/crates/ledgelead-ownership/src/command.rs
+++ b/crates/ledgelead-ownership/src/command.rs
@@ -141,14 +141,14 @@
         claims: List<ServerClaim>,
     },
     /// Begins a request under an idempotency key.
-    BeginIdempotent {
+    BeginIdempotencyRecord {
         /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
     /// Ends a request under an idempotency key.
-    EndIdempotent {
+    EndIdempotencyRecord {
         /// The requester.
         owner: IdempotencyOwner,
         /// The key.
--- a/crates/ledgelead-ownership/src/group/applying.rs
+++ b/crates/ledgelead-ownership/src/group/applying.rs
@@ -219,7 +219,7 @@
     });
     let answer = |(command, origin): (&GroupCommand, Origin)| {
         let answer = match command {
-            GroupCommand::EndIdempotent { .. } => Some(GroupAnswer::Ended),
+            GroupCommand::EndIdempotencyRecord { .. } => Some(GroupAnswer::Ended),
             _ => asked_for.next(),
         };
         answer.map(|answer| (origin, answer))
@@ -230,8 +230,8 @@
 fn concerns_records(command: &GroupCommand) -> bool {
     matches!(
         command,
-        GroupCommand::BeginIdempotent { .. }
-            | GroupCommand::EndIdempotent { .. }
+        GroupCommand::BeginIdempotencyRecord { .. }
+            | GroupCommand::EndIdempotencyRecord { .. }
             | GroupCommand::ExpireRecords { .. }
             | GroupCommand::AssumeRecordsComplete
     )
--- a/crates/ledgelead-ownership/src/group/mod.rs
+++ b/crates/ledgelead-ownership/src/group/mod.rs
@@ -142,9 +142,9 @@
                 self.dispatcher.evidence(now, server, failures);
             }
             GroupInput::Operate { .. }
-            | GroupInput::BeginIdempotent { .. }
-            | GroupInput::EndIdempotent { .. }
-            | GroupInput::CancelIdempotent { .. } => self.start_request(now, input),
+            | GroupInput::BeginIdempotencyRecord { .. }
+            | GroupInput::EndIdempotencyRecord { .. }
+            | GroupInput::CancelIdempotencyRecord { .. } => self.start_request(now, input),
             GroupInput::SnapshotStored { revision } => self.snapshots.stored(revision),
             GroupInput::TransferLeadership => self.prepare_shutdown(now),
         }
--- a/crates/ledgelead-ownership/src/group/requesting.rs
+++ b/crates/ledgelead-ownership/src/group/requesting.rs
@@ -27,22 +27,24 @@
                 };
                 (request, Waiter::Operation(ticket))
             }
-            GroupInput::BeginIdempotent { owner, key } => {
+            GroupInput::BeginIdempotencyRecord { owner, key } => {
                 if !self.protections.has(Protection::IdempotencyRecord) {
-                    self.idempotency_decided(owner, key, IdempotencyVerdict::Fresh);
+                    self.idempotency_record_decided(owner, key, IdempotencyVerdict::Fresh);
                     return;
                 }
                 (
-                    GroupRequest::BeginIdempotent { owner, key },
+                    GroupRequest::BeginIdempotencyRecord { owner, key },
                     Waiter::Idempotency,
                 )
             }
-            GroupInput::EndIdempotent { owner, key, state } => {
+            GroupInput::EndIdempotencyRecord { owner, key, state } => {
                 let state = Some(state);
-                let request = GroupRequest::EndIdempotent { owner, key, state };
+                let request = GroupRequest::EndIdempotencyRecord { owner, key, state };
                 (request, Waiter::Nobody)
             }
-            GroupInput::CancelIdempotent { owner, key } => (cancel(owner, key), Waiter::Nobody),
+            GroupInput::CancelIdempotencyRecord { owner, key } => {
+                (cancel(owner, key), Waiter::Nobody)
+            }
             _ => return,
         };
         if !self.requests.add(now, request.clone(), waiter) {
@@ -200,8 +202,8 @@
             (
                 Waiter::Idempotency,
                 GroupAnswer::Idempotency(verdict),
-                GroupRequest::BeginIdempotent { owner, key },
-            ) => self.idempotency_decided(owner, key, verdict),
+                GroupRequest::BeginIdempotencyRecord { owner, key },
+            ) => self.idempotency_record_decided(owner, key, verdict),
             (Waiter::Nobody, _, _) => {}
             (waiter, answer, request) => {
                 debug_assert!(false, "{waiter:?}: {answer:?} to {request:?} at {now:?}");
@@ -209,13 +211,13 @@
         }
     }
 
-    fn idempotency_decided(
+    fn idempotency_record_decided(
         &mut self,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
         verdict: IdempotencyVerdict,
     ) {
-        self.outputs.push(GroupOutput::IdempotencyDecided {
+        self.outputs.push(GroupOutput::IdempotencyRecordDecided {
             owner,
             key,
             verdict,
@@ -224,7 +226,7 @@
 }
 
 fn cancel(owner: IdempotencyOwner, key: IdempotencyKey) -> GroupRequest {
-    GroupRequest::EndIdempotent {
+    GroupRequest::EndIdempotencyRecord {
         owner,
         key,
         state: None,
@@ -240,11 +242,11 @@
             command_id,
             operation,
         },
-        GroupRequest::BeginIdempotent { owner, key } => {
-            GroupCommand::BeginIdempotent { owner, key }
+        GroupRequest::BeginIdempotencyRecord { owner, key } => {
+            GroupCommand::BeginIdempotencyRecord { owner, key }
         }
-        GroupRequest::EndIdempotent { owner, key, state } => {
-            GroupCommand::EndIdempotent { owner, key, state }
+        GroupRequest::EndIdempotencyRecord { owner, key, state } => {
+            GroupCommand::EndIdempotencyRecord { owner, key, state }
         }
     }
 }
--- a/crates/ledgelead-ownership/src/io.rs
+++ b/crates/ledgelead-ownership/src/io.rs
@@ -75,14 +75,14 @@
         operation: GroupOperation,
     },
     /// Asks to begin a request under an idempotency key.
-    BeginIdempotent {
+    BeginIdempotencyRecord {
         /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
     /// A request under an idempotency key ended.
-    EndIdempotent {
+    EndIdempotencyRecord {
         /// The requester that began it.
         owner: IdempotencyOwner,
         /// The key.
@@ -91,7 +91,7 @@
         state: IdempotencyState,
     },
     /// A request under an idempotency key was not executed, so its key is freed.
-    CancelIdempotent {
+    CancelIdempotencyRecord {
         /// The requester that began it.
         owner: IdempotencyOwner,
         /// The key.
@@ -139,7 +139,7 @@
         result: CommandResult,
     },
     /// A request to begin under an idempotency key was decided.
-    IdempotencyDecided {
+    IdempotencyRecordDecided {
         /// The requester.
         owner: IdempotencyOwner,
         /// The key.
--- a/crates/ledgelead-ownership/src/leader/records.rs
+++ b/crates/ledgelead-ownership/src/leader/records.rs
@@ -78,7 +78,7 @@
         });
         let ends = orphans
             .take(MAXIMUM_ENDED)
-            .map(|record| GroupCommand::EndIdempotent {
+            .map(|record| GroupCommand::EndIdempotencyRecord {
                 owner: record.owner,
                 key: record.key,
                 state: Some(IdempotencyState::Unknown),
--- a/crates/ledgelead-ownership/src/message.rs
+++ b/crates/ledgelead-ownership/src/message.rs
@@ -106,14 +106,14 @@
         operation: GroupOperation,
     },
     /// Begins a request under an idempotency key.
-    BeginIdempotent {
+    BeginIdempotencyRecord {
         /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
     /// Ends a request under an idempotency key.
-    EndIdempotent {
+    EndIdempotencyRecord {
         /// The requester.
         owner: IdempotencyOwner,
         /// The key.
--- a/crates/ledgelead-ownership/src/requests.rs
+++ b/crates/ledgelead-ownership/src/requests.rs
@@ -104,12 +104,15 @@
         }
         let timeout = match &request {
             GroupRequest::Operate { .. } => OPERATION_TIMEOUT,
-            GroupRequest::BeginIdempotent { .. } => BEGIN_TIMEOUT,
-            GroupRequest::EndIdempotent { .. } => END_TIMEOUT,
+            GroupRequest::BeginIdempotencyRecord { .. } => BEGIN_TIMEOUT,
+            GroupRequest::EndIdempotencyRecord { .. } => END_TIMEOUT,
         };
         // The end of a request that was not executed is not deferred: it frees the key for
         // a retry that may arrive immediately.
-        let deferred = matches!(&request, GroupRequest::EndIdempotent { state: Some(_), .. });
+        let deferred = matches!(
+            &request,
+            GroupRequest::EndIdempotencyRecord { state: Some(_), .. }
+        );
         let delay = if deferred { END_DELAY } else { Span::ZERO };
         let pending = PendingRequest {
             request,
@@ -126,7 +129,7 @@
 
     /// Whether this request to begin is already pending.
     fn has_begin_request(&self, request: &GroupRequest) -> bool {
-        let is_begin = matches!(request, GroupRequest::BeginIdempotent { .. });
+        let is_begin = matches!(request, GroupRequest::BeginIdempotencyRecord { .. });
         let mut pending = self.pending.values();
         is_begin && pending.any(|pending| pending.request == *request)
     }
@@ -239,9 +242,9 @@
         GroupRequest::Operate { .. } => {
             GroupAnswer::Operated(CommandResult::Rejected(CommandRejection::NoLeader))
         }
-        GroupRequest::BeginIdempotent { .. } => {
+        GroupRequest::BeginIdempotencyRecord { .. } => {
             GroupAnswer::Idempotency(IdempotencyVerdict::Unavailable)
         }
-        GroupRequest::EndIdempotent { .. } => GroupAnswer::Ended,
+        GroupRequest::EndIdempotencyRecord { .. } => GroupAnswer::Ended,
     }
 }
--- a/crates/ledgelead-ownership/src/state/apply.rs
+++ b/crates/ledgelead-ownership/src/state/apply.rs
@@ -62,15 +62,15 @@
             GroupCommand::Merge { first, second } => self.merge(*first, *second, token),
             GroupCommand::Recover { space, claims } => self.recover(*space, claims, token),
             GroupCommand::AssumeRecordsComplete => self.records_may_be_missing = false,
-            GroupCommand::BeginIdempotent { owner, key } => {
-                let verdict = self.begin_idempotent(*owner, *key, token.revision);
+            GroupCommand::BeginIdempotencyRecord { owner, key } => {
+                let verdict = self.begin_idempotency_record(*owner, *key, token.revision);
                 decisions.push(Decision::Idempotency {
                     owner: *owner,
                     key: *key,
                     verdict,
                 });
             }
-            GroupCommand::EndIdempotent { owner, key, state } => {
+            GroupCommand::EndIdempotencyRecord { owner, key, state } => {
                 self.records.end(*owner, *key, *state);
             }
             GroupCommand::ExpireRecords { through } => self.records.expire(*through),
--- a/crates/ledgelead-ownership/src/state/mod.rs
+++ b/crates/ledgelead-ownership/src/state/mod.rs
@@ -190,7 +190,7 @@
 
     /// Decides a request to begin under a key. While records may be missing, a request
     /// without a record may still have been executed, so its state is unknown.
-    fn begin_idempotent(
+    fn begin_idempotency_record(
         &mut self,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
--- a/crates/ledgelead-ownership/tests/model/mod.rs
+++ b/crates/ledgelead-ownership/tests/model/mod.rs
@@ -703,14 +703,19 @@
         results.cloned().collect()
     }
 
-    pub fn begin_idempotent(&mut self, node: Member, request: u64, key: u64) -> IdempotencyOwner {
+    pub fn begin_idempotency_record(
+        &mut self,
+        node: Member,
+        request: u64,
+        key: u64,
+    ) -> IdempotencyOwner {
         let owner = IdempotencyOwner {
             gateway: node,
             request: RequestId(request),
         };
         self.input(
             node,
-            GroupInput::BeginIdempotent {
+            GroupInput::BeginIdempotencyRecord {
                 owner,
                 key: IdempotencyKey(key),
             },
@@ -723,7 +728,9 @@
             .outputs
             .iter()
             .filter_map(|(_, _, output)| match output {
-                GroupOutput::IdempotencyDecided { owner, verdict, .. } if *owner == wanted => {
+                GroupOutput::IdempotencyRecordDecided { owner, verdict, .. }
+                    if *owner == wanted =>
+                {
                     Some(*verdict)
                 }
                 _ => None,
--- a/crates/ledgelead-ownership/tests/ownership.rs
+++ b/crates/ledgelead-ownership/tests/ownership.rs
@@ -255,7 +255,7 @@
     }
     cluster.run(Span::from_seconds(1));
     expect_that!(cluster.unserved().len(), eq(64));
-    let once = cluster.begin_idempotent(survivor, 1, 99);
+    let once = cluster.begin_idempotency_record(survivor, 1, 99);
     cluster.operate(survivor, 5, "drain-0", GroupOperation::Drain(ServerId(0)));
     cluster.run(Span::from_seconds(3));
     let unavailable = vec![IdempotencyVerdict::Unavailable];
@@ -266,7 +266,7 @@
 #[gtest]
 fn a_key_begins_once_and_its_record_survives_the_leader() {
     let mut cluster = Cluster::formed(7, 0, 3);
-    let first = cluster.begin_idempotent(member(0), 1, 42);
+    let first = cluster.begin_idempotency_record(member(0), 1, 42);
     cluster.run(Span::from_millis(50));
     expect_that!(
         cluster.idempotency_verdicts(first),
@@ -275,14 +275,17 @@
     cluster.kill_node(cluster.leader().expect("a leader"));
     cluster.run(Span::from_seconds(1));
     let node = *cluster.nodes.keys().next().expect("two are left");
-    let second = cluster.begin_idempotent(node, 2, 42);
+    let second = cluster.begin_idempotency_record(node, 2, 42);
     cluster.run(Span::from_millis(50));
     let running = IdempotencyVerdict::Duplicate(IdempotencyState::Begun);
     expect_that!(cluster.idempotency_verdicts(second), eq(&vec![running]));
     let key = IdempotencyKey(42);
-    cluster.input(node, GroupInput::CancelIdempotent { owner: first, key });
+    cluster.input(
+        node,
+        GroupInput::CancelIdempotencyRecord { owner: first, key },
+    );
     cluster.run(Span::from_millis(50));
-    let third = cluster.begin_idempotent(node, 3, 42);
+    let third = cluster.begin_idempotency_record(node, 3, 42);
     cluster.run(Span::from_millis(50));
     expect_that!(
         cluster.idempotency_verdicts(third),
@@ -303,15 +306,15 @@
     let others = [leader, gateway];
     let cuts = others.map(|other| (cut_off.node.0, other.node.0));
     cluster.partitions.extend(cuts);
-    let owner = cluster.begin_idempotent(gateway, 1, 42);
+    let owner = cluster.begin_idempotency_record(gateway, 1, 42);
     let key = IdempotencyKey(42);
-    cluster.input(cut_off, GroupInput::BeginIdempotent { owner, key });
+    cluster.input(cut_off, GroupInput::BeginIdempotencyRecord { owner, key });
     cluster.run(Span::from_millis(1_200));
     cluster.partitions.clear();
     cluster.run(Span::from_seconds(2));
     let answers = vec![IdempotencyVerdict::Fresh, IdempotencyVerdict::Unavailable];
     expect_that!(cluster.idempotency_verdicts(owner), eq(&answers));
-    let repeat = cluster.begin_idempotent(gateway, 2, 42);
+    let repeat = cluster.begin_idempotency_record(gateway, 2, 42);
     cluster.run(Span::from_millis(50));
     let running = IdempotencyVerdict::Duplicate(IdempotencyState::Begun);
     expect_that!(cluster.idempotency_verdicts(repeat), eq(&vec![running]));
@@ -326,9 +329,9 @@
     cluster.kill_node(member(1));
     cluster.kill_node(member(2));
     cluster.run(Span::from_millis(500));
-    let owner = cluster.begin_idempotent(member(0), 1, 42);
+    let owner = cluster.begin_idempotency_record(member(0), 1, 42);
     cluster.run(Span::from_millis(500));
-    cluster.begin_idempotent(member(0), 1, 42);
+    cluster.begin_idempotency_record(member(0), 1, 42);
     cluster.run(Span::from_seconds(2));
     let unavailable = vec![IdempotencyVerdict::Unavailable];
     expect_that!(cluster.idempotency_verdicts(owner), eq(&unavailable));
@@ -343,19 +346,27 @@
     let applied = |cluster: &Cluster| cluster.nodes[&leader].replica.state().applied.0;
     let before = applied(&cluster);
     let requester = member((leader.node.0 + 1) % 3);
-    let begin = |number| (cluster.begin_idempotent(requester, number, number), number);
+    let begin = |number| {
+        (
+            cluster.begin_idempotency_record(requester, number, number),
+            number,
+        )
+    };
     let owners: Vec<_> = (0..50).map(begin).collect();
     cluster.run(Span::from_millis(10));
     for (owner, number) in owners {
         let fresh = vec![IdempotencyVerdict::Fresh];
         expect_that!(cluster.idempotency_verdicts(owner), eq(&fresh));
         let (key, state) = (IdempotencyKey(number), IdempotencyState::Answered);
-        cluster.input(requester, GroupInput::EndIdempotent { owner, key, state });
+        cluster.input(
+            requester,
+            GroupInput::EndIdempotencyRecord { owner, key, state },
+        );
         cluster.run(STEP);
     }
     cluster.run(Span::from_millis(150));
     expect_that!(applied(&cluster) - before, lt(20));
-    let repeat = cluster.begin_idempotent(leader, 99, 49);
+    let repeat = cluster.begin_idempotency_record(leader, 99, 49);
     cluster.run(Span::from_millis(20));
     let answered = IdempotencyVerdict::Duplicate(IdempotencyState::Answered);
     expect_that!(cluster.idempotency_verdicts(repeat), eq(&vec![answered]));
@@ -366,19 +377,19 @@
 #[gtest]
 fn a_key_whose_record_may_be_lost_is_not_begun_again() {
     let mut cluster = Cluster::formed(12, 0, 3);
-    let first = cluster.begin_idempotent(member(0), 1, 42);
+    let first = cluster.begin_idempotency_record(member(0), 1, 42);
     cluster.run(Span::from_millis(50));
     let fresh = vec![IdempotencyVerdict::Fresh];
     expect_that!(cluster.idempotency_verdicts(first), eq(&fresh));
     cluster.rebuild(cluster.first_record());
     cluster.run(Span::from_seconds(2));
     let node = cluster.leader().expect("a leader");
-    let repeat = cluster.begin_idempotent(node, 2, 42);
+    let repeat = cluster.begin_idempotency_record(node, 2, 42);
     cluster.run(Span::from_seconds(20));
     let unknown = vec![IdempotencyVerdict::Duplicate(IdempotencyState::Unknown)];
     expect_that!(cluster.idempotency_verdicts(repeat), eq(&unknown));
-    let late = cluster.begin_idempotent(node, 3, 42);
-    let other = cluster.begin_idempotent(node, 4, 43);
+    let late = cluster.begin_idempotency_record(node, 3, 42);
+    let other = cluster.begin_idempotency_record(node, 4, 43);
     cluster.run(Span::from_millis(50));
     expect_that!(cluster.idempotency_verdicts(late), eq(&unknown));
     expect_that!(cluster.idempotency_verdicts(other), eq(&fresh));
@@ -388,12 +399,12 @@
 fn a_record_of_a_lost_gateway_ends_as_unknown() {
     let mut cluster = Cluster::formed(14, 1, 3);
     let gateway = cluster.leader().expect("a leader");
-    cluster.begin_idempotent(gateway, 1, 42);
+    cluster.begin_idempotency_record(gateway, 1, 42);
     cluster.run(Span::from_millis(50));
     cluster.kill_node(gateway);
     cluster.run(Span::from_seconds(5));
     let node = *cluster.nodes.keys().next().expect("three are left");
-    let repeat = cluster.begin_idempotent(node, 2, 42);
+    let repeat = cluster.begin_idempotency_record(node, 2, 42);
     cluster.run(Span::from_millis(50));
     let unknown = IdempotencyVerdict::Duplicate(IdempotencyState::Unknown);
     expect_that!(cluster.idempotency_verdicts(repeat), eq(&vec![unknown]));
--- a/crates/ledgelead-ownership/tests/state.rs
+++ b/crates/ledgelead-ownership/tests/state.rs
@@ -87,8 +87,8 @@
         any::<u64>().prop_map(|at| GroupCommand::Split { at: Position(at) }),
         (range(), range()).prop_map(|(first, second)| GroupCommand::Merge { first, second }),
         (owner.clone(), key.clone())
-            .prop_map(|(owner, key)| GroupCommand::BeginIdempotent { owner, key }),
-        (owner, key, ended).prop_map(|(owner, key, state)| GroupCommand::EndIdempotent {
+            .prop_map(|(owner, key)| GroupCommand::BeginIdempotencyRecord { owner, key }),
+        (owner, key, ended).prop_map(|(owner, key, state)| GroupCommand::EndIdempotencyRecord {
             owner,
             key,
             state
