--- a/crates/ledgelead-lab/src/simulation/network.rs
+++ b/crates/ledgelead-lab/src/simulation/network.rs
@@ -1,14 +1,14 @@
-//! The network: latency by zones, jitter, loss, duplication, reordering, and
-//! cuts between zones, regions, single nodes and single servers.
+//! The network: latency by zone, jitter, loss, duplication, reordering, and partitions of
+//! zones, regions, single nodes and single servers.
 
-use super::dice::{Dice, milliseconds, seconds};
+use super::rng::{RandomStream, milliseconds, seconds};
 use crate::scenario::{NetworkSection, PlatformSection, ZoneSection};
 use ledgelead_types::Span;
 use std::collections::BTreeMap;
 
-/// An end of a connection.
+/// An endpoint of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum Endpoint {
     /// A node, by index.
     Node(usize),
     /// A server, by index.
@@ -19,42 +19,42 @@
     Clients,
 }
 
-/// How much worse the network is than usual.
+/// Degradation of the network relative to the scenario.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Degradation {
     /// Added probability of loss.
     pub loss: f64,
     /// Added probability of a duplicate.
     pub duplicate: f64,
-    /// Added probability that a message is delayed beyond later ones.
+    /// Added probability that later messages overtake a message.
     pub reorder: f64,
 }
 
-/// How long a message that others overtake is delayed, at most, in seconds.
+/// Maximum additional delay of a reordered message, in seconds.
 const LONGEST_REORDER_SECONDS: f64 = 0.5;
-/// How long a lost segment of a connection takes to be sent again.
+/// Delay of a retransmitted segment of a connection.
 const RETRANSMISSION: Span = Span::from_millis(200);
 
-/// The network.
+/// The simulated network.
 pub struct Network {
     section: NetworkSection,
     platform_latency: Span,
     regions: Vec<String>,
-    zones: BTreeMap<Place, usize>,
+    zones: BTreeMap<Endpoint, usize>,
     degradation: Degradation,
-    cut_places: BTreeMap<Place, u32>,
+    cut_endpoints: BTreeMap<Endpoint, u32>,
     cut_zones: BTreeMap<usize, u32>,
     cut_regions: u32,
-    dice: Dice,
+    rng: RandomStream,
 }
 
 impl Network {
-    /// A network without cuts.
+    /// Creates a network without partitions.
     pub fn new(
         section: &NetworkSection,
         platform: &PlatformSection,
         zones: &[ZoneSection],
-        dice: Dice,
+        rng: RandomStream,
     ) -> Network {
         Network {
             section: section.clone(),
@@ -62,39 +62,39 @@
             regions: zones.iter().map(|zone| zone.region.clone()).collect(),
             zones: BTreeMap::new(),
             degradation: Degradation::default(),
-            cut_places: BTreeMap::new(),
+            cut_endpoints: BTreeMap::new(),
             cut_zones: BTreeMap::new(),
             cut_regions: 0,
-            dice,
+            rng,
         }
     }
 
-    /// Puts a node or server into a zone.
-    pub fn put(&mut self, place: Place, zone: usize) {
-        self.zones.insert(place, zone);
+    /// Assigns a node or server to a zone.
+    pub fn put(&mut self, endpoint: Endpoint, zone: usize) {
+        self.zones.insert(endpoint, zone);
     }
 
-    /// The network is worse than usual from now on; the default ends it.
+    /// Sets the degradation; the default ends it.
     pub fn degrade(&mut self, degradation: Degradation) {
         self.degradation = degradation;
     }
 
-    /// How much worse than usual the network is.
+    /// The current degradation.
     pub fn degradation(&self) -> Degradation {
         self.degradation
     }
 
-    /// Cuts a node or server off, or ends one such cut.
-    pub fn cut_place(&mut self, place: Place, cut: bool) {
-        count(&mut self.cut_places, place, cut);
+    /// Begins (`cut`) or ends a partition of one endpoint from all others but clients.
+    pub fn cut_endpoint(&mut self, endpoint: Endpoint, cut: bool) {
+        count(&mut self.cut_endpoints, endpoint, cut);
     }
 
-    /// Cuts a zone off from the others and the platform, or ends one such cut.
+    /// Begins (`cut`) or ends a partition of a zone from the other zones and the platform.
     pub fn cut_zone(&mut self, zone: usize, cut: bool) {
         count(&mut self.cut_zones, zone, cut);
     }
 
-    /// Cuts all regions off from each other, or ends one such cut.
+    /// Begins (`cut`) or ends a partition between all regions.
     pub fn cut_regions(&mut self, cut: bool) {
         if cut {
             self.cut_regions += 1;
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Whether messages pass between two places.
-    pub fn connected(&self, from: Place, to: Place) -> bool {
-        if self.cut_places.contains_key(&from) || self.cut_places.contains_key(&to) {
-            return from == Place::Clients || to == Place::Clients;
+    /// Whether messages pass between two endpoints.
+    pub fn connected(&self, from: Endpoint, to: Endpoint) -> bool {
+        if self.cut_endpoints.contains_key(&from) || self.cut_endpoints.contains_key(&to) {
+            return from == Endpoint::Clients || to == Endpoint::Clients;
         }
-        if from == Place::Clients || to == Place::Clients {
+        if from == Endpoint::Clients || to == Endpoint::Clients {
             return true;
         }
         let (from_zone, to_zone) = (self.zones.get(&from), self.zones.get(&to));
@@ -119,7 +119,7 @@
         self.cut_regions == 0 || self.same_region(from_zone, to_zone)
     }
 
-    /// The platform counts as a part of every region.
+    /// The platform belongs to every region.
     fn same_region(&self, from: Option<&usize>, to: Option<&usize>) -> bool {
         match (from, to) {
             (Some(from), Some(to)) => self.regions[*from] == self.regions[*to],
@@ -127,52 +127,52 @@
         }
     }
 
-    /// Whether a place has been cut off in any way.
-    pub fn is_cut(&self, place: Place) -> bool {
-        let zone = self.zones.get(&place);
-        self.cut_places.contains_key(&place)
+    /// Whether an endpoint is affected by any partition.
+    pub fn is_cut(&self, endpoint: Endpoint) -> bool {
+        let zone = self.zones.get(&endpoint);
+        self.cut_endpoints.contains_key(&endpoint)
             || zone.is_some_and(|zone| self.cut_zones.contains_key(zone))
             || self.cut_regions > 0
     }
 
-    /// Delays of the copies of one datagram: none when it is lost.
-    pub fn datagram(&mut self, from: Place, to: Place) -> Delays {
+    /// Delays of the copies of a datagram; none if it is lost.
+    pub fn datagram(&mut self, from: Endpoint, to: Endpoint) -> Delays {
         let loss = self.section.loss_percent / 100.0 + self.degradation.loss;
-        if !self.connected(from, to) || self.dice.chance(loss) {
+        if !self.connected(from, to) || self.rng.chance(loss) {
             return Delays::default();
         }
         let duplicate = self.section.duplicate_percent / 100.0 + self.degradation.duplicate;
         let first = Some(self.delay(from, to));
-        let second = self.dice.chance(duplicate).then(|| self.delay(from, to));
+        let second = self.rng.chance(duplicate).then(|| self.delay(from, to));
         Delays([first, second])
     }
 
-    /// Delay of a message on a connection, which sends lost parts again;
-    /// `None` while the places are cut off from each other.
-    pub fn segment(&mut self, from: Place, to: Place) -> Option<Span> {
+    /// Delay of a message on a connection, which retransmits lost segments; `None` while the
+    /// endpoints are partitioned from each other.
+    pub fn segment(&mut self, from: Endpoint, to: Endpoint) -> Option<Span> {
         if !self.connected(from, to) {
             return None;
         }
         let mut delay = self.delay(from, to);
         let loss = self.section.loss_percent / 100.0 + self.degradation.loss;
-        if self.dice.chance(loss) {
+        if self.rng.chance(loss) {
             delay = delay + RETRANSMISSION;
         }
         Some(delay)
     }
 
-    fn delay(&mut self, from: Place, to: Place) -> Span {
-        let jitter = milliseconds(self.dice.exponential(self.section.jitter_ms));
+    fn delay(&mut self, from: Endpoint, to: Endpoint) -> Span {
+        let jitter = milliseconds(self.rng.exponential(self.section.jitter_ms));
         let mut delay = self.latency(from, to) + jitter;
         let reorder = self.section.reorder_percent / 100.0 + self.degradation.reorder;
-        if self.dice.chance(reorder) {
-            delay = delay + seconds(self.dice.between(0.0, LONGEST_REORDER_SECONDS));
+        if self.rng.chance(reorder) {
+            delay = delay + seconds(self.rng.between(0.0, LONGEST_REORDER_SECONDS));
         }
         delay
     }
 
-    fn latency(&self, from: Place, to: Place) -> Span {
-        if from == Place::Platform || to == Place::Platform {
+    fn latency(&self, from: Endpoint, to: Endpoint) -> Span {
+        if from == Endpoint::Platform || to == Endpoint::Platform {
             return self.platform_latency;
         }
         let (Some(from), Some(to)) = (self.zones.get(&from), self.zones.get(&to)) else {
--- a/crates/ledgelead-node/src/callers/respond.rs
+++ b/crates/ledgelead-node/src/callers/respond.rs
@@ -1,8 +1,8 @@
-//! Writes answers and refusals to callers.
+//! Writes servers' responses and refusals to callers.
 
 use super::headers::{self, HeaderLine, passed_to_caller};
 use super::open_requests::OpenRequest;
-use crate::servers::exchange::WholeAnswer;
+use crate::servers::exchange::BufferedResponse;
 use crate::work_pool::WorkPool;
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{NotRunReason, Outcome, Span, UnknownReason};
@@ -11,66 +11,76 @@
 
 /// Threads that write to callers.
 const THREADS: usize = 16;
-/// Told to a caller when nothing better is known.
+/// Retry delay in a refusal for which the core gives none.
 const DEFAULT_RETRY_AFTER: Span = Span::from_millis(1_000);
 
-/// The end of a request, to be written to its caller.
-pub struct Ending {
+/// A request that has ended; its outcome is to be written to the caller.
+pub struct CompletedRequest {
     /// The request.
     pub request: OpenRequest,
-    /// What the caller is told.
+    /// The outcome that the caller is told.
     pub outcome: Outcome,
-    /// The attempt whose answer is passed on.
+    /// The attempt whose response is forwarded.
     pub attempt: Option<AttemptId>,
-    /// When the caller may try again.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Span>,
 }
 
 /// Starts the threads that write to callers.
 ///
 /// # Errors
-/// When the system gives no more threads.
-pub fn start(thread_name: &str, capacity: usize) -> std::io::Result<WorkPool<Ending>> {
-    WorkPool::start(thread_name, THREADS, capacity, write_ending)
+/// When the system can't create more threads.
+pub fn start(thread_name: &str, capacity: usize) -> std::io::Result<WorkPool<CompletedRequest>> {
+    WorkPool::start(thread_name, THREADS, capacity, write_completed)
 }
 
-fn write_ending(mut ending: Ending) {
-    let answer = ending
+fn write_completed(mut completed: CompletedRequest) {
+    let answer = completed
         .attempt
-        .and_then(|attempt| ending.request.take_answer(attempt));
-    let echo = ending.request.echo.take();
-    let connection = ending.request.connection;
-    let last = ending.request.is_last;
-    let response = match (ending.outcome, answer) {
-        (Outcome::Answered, Some(answer)) => answered(answer, echo.as_deref()),
-        // Without the answer itself, nobody can say more than this.
+        .and_then(|attempt| completed.request.take_response(attempt));
+    let caller_request_id = completed.request.caller_request_id.take();
+    let connection = completed.request.connection;
+    let closes_connection = completed.request.closes_connection;
+    let response = match (completed.outcome, answer) {
+        (Outcome::Answered, Some(answer)) => answered(answer, caller_request_id.as_deref()),
+        // A server answered, but its response is not available here.
         (Outcome::Answered, None) => refusal(
             Outcome::Unknown(UnknownReason::BadAnswer),
             "",
             None,
-            echo.as_deref(),
+            caller_request_id.as_deref(),
+        ),
+        (outcome, _) => refusal(
+            outcome,
+            "",
+            completed.retry_after,
+            caller_request_id.as_deref(),
         ),
-        (outcome, _) => refusal(outcome, "", ending.retry_after, echo.as_deref()),
     };
-    write(connection, response, last);
+    write(connection, response, closes_connection);
 }
 
-/// Writes a response, which may be the last on its connection; a caller that
-/// left is no fault of the node.
-pub fn write(connection: tiny_http::Request, response: Response<Cursor<Vec<u8>>>, is_last: bool) {
-    let written = if is_last {
-        write_last(connection, response)
+/// Writes a response and closes the connection if asked to. A failed write is
+/// logged at debug level only: the caller has disconnected.
+pub fn write(
+    connection: tiny_http::Request,
+    response: Response<Cursor<Vec<u8>>>,
+    closes_connection: bool,
+) {
+    let written = if closes_connection {
+        write_closing(connection, response)
     } else {
         connection.respond(response)
     };
     if let Err(error) = written {
-        log::debug!(target: "callers", "answer not written: {error}");
+        log::debug!(target: "callers", "writing a response failed: {error}");
     }
 }
 
-/// Writes a response that tells the caller to open a new connection for its
-/// next request. `tiny_http` lets nobody set that header.
-fn write_last(
+/// Writes a response with `Connection: close`, which makes the caller open a new
+/// connection for its next request. `tiny_http` doesn't let applications set that
+/// header, so it is inserted into the serialized response.
+fn write_closing(
     connection: tiny_http::Request,
     response: Response<Cursor<Vec<u8>>>,
 ) -> io::Result<()> {
@@ -80,33 +90,36 @@
     let mut bytes = Vec::new();
     response.raw_print(&mut bytes, version, connection.headers(), head_only, None)?;
     let status_end = bytes.iter().position(|byte| *byte == b'\n');
-    let behind_status = status_end.map_or(0, |end| end + 1);
-    bytes.splice(behind_status..behind_status, CLOSE.iter().copied());
+    let after_status = status_end.map_or(0, |end| end + 1);
+    bytes.splice(after_status..after_status, CLOSE.iter().copied());
     let mut writer = connection.into_writer();
     writer.write_all(&bytes)?;
     writer.flush()
 }
 
-fn answered(answer: WholeAnswer, echo: Option<&str>) -> Response<Cursor<Vec<u8>>> {
+fn answered(
+    answer: BufferedResponse,
+    caller_request_id: Option<&str>,
+) -> Response<Cursor<Vec<u8>>> {
     let declared = answer
         .header("Content-Length")
         .and_then(|length| length.parse().ok());
     let mut lines = passed_to_caller(&answer.headers);
     lines.push(HeaderLine::new(headers::OUTCOME, "answered"));
-    // The answer to HEAD declares a length and has no body.
+    // The response to HEAD declares a length and has no body.
     let length = match declared {
         Some(declared) if answer.body.is_empty() => declared,
         _ => answer.body.len(),
     };
-    build(answer.status, lines, answer.body, length, echo)
+    build(answer.status, lines, answer.body, length, caller_request_id)
 }
 
-/// A response that says how a request ended without an answer.
+/// A response that reports how a request ended without a server's response.
 pub fn refusal(
     outcome: Outcome,
     explanation: &str,
     retry_after: Option<Span>,
-    echo: Option<&str>,
+    caller_request_id: Option<&str>,
 ) -> Response<Cursor<Vec<u8>>> {
     let (name, reason) = match outcome {
         Outcome::Answered => ("answered", ""),
@@ -129,10 +142,10 @@
     let separator = if explanation.is_empty() { "" } else { ": " };
     let body = format!("{outcome}{separator}{explanation}\n").into_bytes();
     let length = body.len();
-    build(status, lines, body, length, echo)
+    build(status, lines, body, length, caller_request_id)
 }
 
-/// HTTP status of an outcome without an answer.
+/// HTTP status of an outcome without a server's response.
 pub fn status_of(outcome: Outcome) -> u16 {
     match outcome {
         Outcome::Answered => 200,
@@ -164,12 +177,13 @@
     lines: Vec<HeaderLine>,
     body: Vec<u8>,
     length: usize,
-    echo: Option<&str>,
+    caller_request_id: Option<&str>,
 ) -> Response<Cursor<Vec<u8>>> {
-    let echo = echo.map(|echo| HeaderLine::new(headers::REQUEST_ID, echo));
+    let caller_request_id = caller_request_id
+        .map(|caller_request_id| HeaderLine::new(headers::REQUEST_ID, caller_request_id));
     let lines = lines
         .into_iter()
-        .chain(echo)
+        .chain(caller_request_id)
         .filter_map(|line| Header::from_bytes(line.name.as_bytes(), line.value.as_bytes()).ok())
         .collect();
     let response = Response::new(
@@ -179,6 +193,6 @@
         Some(length),
         None,
     );
-    // The whole body is at hand, so its length is always declared.
+    // The body is complete, so its length is always declared.
     response.with_chunked_threshold(usize::MAX)
 }
--- a/crates/ledgelead-node/src/command_line/operator.rs
+++ b/crates/ledgelead-node/src/command_line/operator.rs
@@ -1,4 +1,4 @@
-//! `query`, `command`, `status` and `watch`: thin clients of a node's
+//! The commands `query`, `command`, `status` and `watch`: thin clients of a node's
 //! administration interface.
 
 mod client;
@@ -6,7 +6,7 @@
 mod show;
 
 use super::RunError;
-use client::{Client, Wanted};
+use client::{Client, ResponseFormat};
 pub use error::OperatorError;
 use lexopt::prelude::*;
 use std::io::{IsTerminal, Write};
@@ -16,56 +16,56 @@
 const DEFAULT_ADDRESS: &str = "127.0.0.1:9080";
 /// Environment variable that holds an operator's credential.
 const CREDENTIAL_VARIABLE: &str = "LEDGELEAD_OPERATOR_TOKEN";
-/// What `status` asks.
+/// The statements that `status` runs.
 const STATUS: &str = "show configuration; show nodes; show groups; show servers";
-/// Pause between two looks of `watch`, in seconds.
+/// Pause between two queries of `watch`, in seconds.
 const DEFAULT_INTERVAL: u64 = 2;
-/// Clears a terminal and goes to its first line.
+/// Escape sequence that clears the terminal and moves the cursor to the first line.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// What an operator wants.
+/// The action of an operator's command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Job {
-    /// Ask once.
+pub enum OperatorAction {
+    /// Run a query once.
     Query,
-    /// Give a command.
+    /// Run a command.
     Command,
-    /// Ask for an overview.
+    /// Show an overview.
     Status,
-    /// Ask again and again.
+    /// Repeat a query.
     Watch,
 }
 
 /// An operator's command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorInvocation {
-    /// What is wanted.
-    pub job: Job,
+    /// The action.
+    pub action: OperatorAction,
     /// `IP:port` of the node's administration interface.
     pub address: String,
-    /// Whether JSON is wanted.
+    /// Whether to print JSON.
     pub json: bool,
-    /// The statement; `None` to read standard input, or for the overview.
+    /// The statement; `None` to read it from standard input, or for the overview.
     pub text: Option<String>,
-    /// The command's identifier; drawn when `None`.
+    /// The command's identifier; random if `None`.
     pub id: Option<String>,
-    /// The version that the command relies on.
+    /// The configuration's version that the command requires.
     pub if_version: Option<u64>,
     /// Whether to wait until the change is in force everywhere.
     pub wait: bool,
-    /// Seconds between two looks.
+    /// Seconds between two queries.
     pub interval: u64,
-    /// Number of looks.
+    /// Number of queries; unlimited if `None`.
     pub count: Option<u64>,
 }
 
-/// Reads the flags; `None` when help is asked for.
+/// Parses the flags; `None` if help is asked for.
 pub(super) fn parse(
     mut parser: lexopt::Parser,
-    job: Job,
+    action: OperatorAction,
 ) -> Result<Option<OperatorInvocation>, RunError> {
     let mut invocation = OperatorInvocation {
-        job,
+        action,
         address: DEFAULT_ADDRESS.to_owned(),
         json: false,
         text: None,
@@ -80,16 +80,20 @@
             Long("help") | Short('h') => return Ok(None),
             Long("address") => invocation.address = parser.value()?.string()?,
             Long("json") => invocation.json = true,
-            Long("id") if job == Job::Command => invocation.id = Some(parser.value()?.string()?),
-            Long("if-version") if job == Job::Command => {
+            Long("id") if action == OperatorAction::Command => {
+                invocation.id = Some(parser.value()?.string()?)
+            }
+            Long("if-version") if action == OperatorAction::Command => {
                 invocation.if_version = Some(parser.value()?.parse()?);
             }
-            Long("wait") if job == Job::Command => invocation.wait = true,
-            Long("interval") if job == Job::Watch => {
+            Long("wait") if action == OperatorAction::Command => invocation.wait = true,
+            Long("interval") if action == OperatorAction::Watch => {
                 invocation.interval = parser.value()?.parse()?
             }
-            Long("count") if job == Job::Watch => invocation.count = Some(parser.value()?.parse()?),
-            Value(value) if job != Job::Status && invocation.text.is_none() => {
+            Long("count") if action == OperatorAction::Watch => {
+                invocation.count = Some(parser.value()?.parse()?)
+            }
+            Value(value) if action != OperatorAction::Status && invocation.text.is_none() => {
                 invocation.text = Some(value.string()?);
             }
             other => return Err(other.unexpected().into()),
@@ -98,25 +102,25 @@
     Ok(Some(invocation))
 }
 
-/// Asks the node and prints what it answers.
+/// Sends the request to the node and prints the response.
 pub(super) fn run(
     invocation: OperatorInvocation,
     output: &mut impl Write,
 ) -> Result<(), OperatorError> {
     let credential = std::env::var(CREDENTIAL_VARIABLE).ok();
     let client = Client::new(&invocation.address, credential);
-    match invocation.job {
-        Job::Query => {
+    match invocation.action {
+        OperatorAction::Query => {
             let text = statement(invocation.text)?;
             query(&client, &text, invocation.json, output)
         }
-        Job::Status => query(&client, STATUS, invocation.json, output),
-        Job::Watch => watch(&client, &invocation, output),
-        Job::Command => command(&client, invocation, output),
+        OperatorAction::Status => query(&client, STATUS, invocation.json, output),
+        OperatorAction::Watch => watch(&client, &invocation, output),
+        OperatorAction::Command => command(&client, invocation, output),
     }
 }
 
-/// The statement, from standard input when none is given.
+/// The statement, read from standard input if none is given.
 fn statement(text: Option<String>) -> Result<String, OperatorError> {
     match text {
         Some(text) => Ok(text),
@@ -131,34 +135,38 @@
     json: bool,
     output: &mut impl Write,
 ) -> Result<(), OperatorError> {
-    let answer = client.query(text, wanted(json))?;
+    let answer = client.query(text, response_format(json))?;
     print(output, &answer)
 }
 
-fn wanted(json: bool) -> Wanted {
-    if json { Wanted::Json } else { Wanted::Text }
+fn response_format(json: bool) -> ResponseFormat {
+    if json {
+        ResponseFormat::Json
+    } else {
+        ResponseFormat::Text
+    }
 }
 
-/// Asks again and again. A look that fails is told, and the next may succeed;
-/// a statement that is wrong or not allowed ends it.
+/// Repeats a query. A transient failure is printed and the query repeated; an invalid
+/// or forbidden statement ends the loop.
 fn watch(
     client: &Client,
     invocation: &OperatorInvocation,
     output: &mut impl Write,
 ) -> Result<(), OperatorError> {
     let text = invocation.text.as_deref().unwrap_or(STATUS);
-    let clears = !invocation.json && std::io::stdout().is_terminal();
-    let mut looks = 0;
+    let clears_screen = !invocation.json && std::io::stdout().is_terminal();
+    let mut polls = 0;
     loop {
-        let answer = client.query(text, wanted(invocation.json));
-        looks += 1;
-        let is_last = invocation.count.is_some_and(|count| looks >= count);
-        if clears {
+        let answer = client.query(text, response_format(invocation.json));
+        polls += 1;
+        let is_last = invocation.count.is_some_and(|count| polls >= count);
+        if clears_screen {
             print(output, CLEAR_SCREEN)?;
         }
         match answer {
             Ok(answer) => print(output, &answer)?,
-            Err(error) if is_last || !error.may_pass() => return Err(error),
+            Err(error) if is_last || !error.is_transient() => return Err(error),
             Err(error) => eprint!("{error}"),
         }
         if is_last {
@@ -190,7 +198,8 @@
     }
 }
 
-/// A reader that closed the pipe wants no more; `watch` ends then.
+/// Writes and flushes `text`. The write fails once the reader has closed the pipe, which
+/// ends `watch`.
 fn print(output: &mut impl Write, text: &str) -> Result<(), OperatorError> {
     let written = output
         .write_all(text.as_bytes())
--- a/crates/ledgelead-node/src/node/mod.rs
+++ b/crates/ledgelead-node/src/node/mod.rs
@@ -1,13 +1,13 @@
-//! Starts and ends a node.
+//! Starts and stops a node.
 
 mod listeners;
 mod node_thread;
 mod serving;
 
 use crate::administration::AdministrationServer;
-use crate::callers::guard::CallerGuard;
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::respond::{self, Ending};
+use crate::callers::proxy::CallerProxy;
+use crate::callers::respond::{self, CompletedRequest};
 use crate::callers::server::CallerServer;
 use crate::file_limit;
 use crate::handle::NodeHandle;
@@ -30,21 +30,21 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Pause between two looks whether a stopping node has answered everything.
-const ANSWER_CHECK_PAUSE: Duration = Duration::from_millis(2);
+/// How often a stopping node checks whether every request was answered.
+const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Starts nodes.
 pub struct Node;
 
-/// A node that runs. Dropping it kills it.
+/// A running node. Dropping it kills it.
 pub struct RunningNode {
-    /// Where callers' requests are accepted.
+    /// Address on which callers' requests are accepted.
     pub http_address: SocketAddr,
-    /// Where operators are served.
+    /// Address of the administration interface.
     pub administration_address: SocketAddr,
-    /// Where other nodes are listened to.
+    /// Address on which connections of other nodes are accepted.
     pub peer_address: SocketAddr,
-    /// This run.
+    /// Identifies this run of the node.
     pub incarnation: Incarnation,
     handle: NodeHandle,
     metrics: Metrics,
@@ -53,25 +53,25 @@
     parts: Parts,
 }
 
-/// What has to be ended.
+/// The parts that are closed when the node ends.
 struct Parts {
-    guard: CallerGuard,
+    proxy: CallerProxy,
     callers: CallerServer,
     administration: AdministrationServer,
-    administration_guard: CallerGuard,
+    administration_proxy: CallerProxy,
     forwarder: Arc<Forwarder>,
-    responders: Arc<WorkPool<Ending>>,
+    responders: Arc<WorkPool<CompletedRequest>>,
     open_requests: Arc<OpenRequests>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Node {
-    /// Starts a node. All its ports listen when this returns.
+    /// Starts a node. All its ports are open when this returns.
     ///
     /// # Errors
-    /// When an address is taken or the system gives no more threads.
+    /// When an address is in use or the system can't create more threads.
     pub fn start(mut settings: Settings) -> Result<RunningNode, StartError> {
-        file_limit::fit(&mut settings.limits);
+        file_limit::lower_connection_limit(&mut settings.limits);
         let listeners = Listeners::bind(&settings)?;
         let http_address = listeners.callers.local_addr()?;
         let administration_address = listeners.administration.local_addr()?;
@@ -81,9 +81,9 @@
         let name = |job: &str| thread_name(settings.node, job);
 
         let metrics = Metrics::new();
-        let most = settings.limits.max_open_requests;
-        let open_requests = Arc::new(OpenRequests::new(most));
-        let responders = Arc::new(respond::start(&name("respond"), most)?);
+        let max_open_requests = settings.limits.max_open_requests;
+        let open_requests = Arc::new(OpenRequests::new(max_open_requests));
+        let responders = Arc::new(respond::start(&name("respond"), max_open_requests)?);
         let (stopped, stop_complete) = mpsc::channel();
         let setup = ThreadSetup {
             node,
@@ -96,9 +96,9 @@
         };
         let (thread, started) = start_thread(&name("actor"), setup)?;
 
-        let served = serve(&settings, listeners, &started, &open_requests, &metrics);
-        let served = match served {
-            Ok(served) => served,
+        let interfaces = serve(&settings, listeners, &started, &open_requests, &metrics);
+        let interfaces = match interfaces {
+            Ok(interfaces) => interfaces,
             Err(error) => {
                 started.handle.kill();
                 join(thread);
@@ -115,10 +115,10 @@
             stopped: stop_complete,
             stop_time: settings.limits.stop_time,
             parts: Parts {
-                guard: served.guard,
-                callers: served.callers,
-                administration: served.administration,
-                administration_guard: served.administration_guard,
+                proxy: interfaces.proxy,
+                callers: interfaces.callers,
+                administration: interfaces.administration,
+                administration_proxy: interfaces.administration_proxy,
                 forwarder: started.forwarder,
                 responders,
                 open_requests,
@@ -129,7 +129,7 @@
 }
 
 impl RunningNode {
-    /// Asks the node from other threads.
+    /// A handle to the node for other threads.
     pub fn handle(&self) -> NodeHandle {
         self.handle.clone()
     }
@@ -139,28 +139,28 @@
         &self.metrics
     }
 
-    /// Asks the node to stop: nothing new is accepted, what is in flight is
-    /// finished, roles are handed over. Returns once that is done, or the
-    /// settings' time for it is over; true when all was finished.
+    /// Stops the node gracefully: new connections are refused, requests in flight are
+    /// finished, and roles are handed over. Returns when that is done or the stop time
+    /// of the settings has passed; true if everything was finished.
     pub fn stop(mut self) -> bool {
-        self.parts.guard.refuse_new();
+        self.parts.proxy.refuse_new();
         self.parts.open_requests.close_connections();
         self.handle.input(Input::Stop);
         let deadline = Instant::now() + self.stop_time;
         let finished = self.stopped.recv_timeout(self.stop_time).is_ok();
         let answered = self.parts.wait_for_answers(deadline);
-        self.parts.guard.finish();
+        self.parts.proxy.finish();
         self.end();
         finished && answered
     }
 
-    /// Ends the node at once, as a crash would: sockets are dropped, nothing
+    /// Ends the node immediately, as a crash would: sockets are dropped, and nothing
     /// is finished or handed over.
     pub fn kill(mut self) {
         self.end();
     }
 
-    /// Waits until the node has ended by itself.
+    /// Waits until the node's thread has ended.
     pub fn wait(&mut self) {
         if let Some(thread) = self.parts.thread.take() {
             join(thread);
@@ -169,8 +169,8 @@
 
     fn end(&mut self) {
         self.handle.kill();
-        self.parts.guard.drop_all();
-        self.parts.administration_guard.drop_all();
+        self.parts.proxy.drop_all();
+        self.parts.administration_proxy.drop_all();
         self.parts.callers.close();
         self.parts.administration.close();
         self.parts.forwarder.close();
@@ -186,14 +186,14 @@
 }
 
 impl Parts {
-    /// Waits until every request that came before the stop was answered to its
-    /// caller's connection.
+    /// Waits until the response to every request that arrived before the stop was
+    /// written to its caller's connection; false if `deadline` passes first.
     fn wait_for_answers(&self, deadline: Instant) -> bool {
         while self.open_requests.count_before_closing() > 0 {
             if Instant::now() >= deadline {
                 return false;
             }
-            thread::sleep(ANSWER_CHECK_PAUSE);
+            thread::sleep(COMPLETION_POLL_INTERVAL);
         }
         self.responders.wait_until_idle(deadline)
     }
--- a/crates/ledgelead-node/src/servers/exchange.rs
+++ b/crates/ledgelead-node/src/servers/exchange.rs
@@ -1,7 +1,8 @@
-//! One HTTP exchange with a server, by `ureq`, with the evidence of its end.
+//! One HTTP exchange with a server, by `ureq`, whose errors tell whether the server
+//! can have received the request.
 
-use super::evidence::{EvidenceConnector, ExchangeControl, with_control};
 use super::resolver::AddressResolver;
+use super::write_tracking::{ExchangeControl, WriteTrackingConnector, with_control};
 use crate::callers::headers::HeaderLine;
 use std::io::{ErrorKind, Read};
 use std::sync::Arc;
@@ -9,24 +10,26 @@
 use ureq::http::{Request, Response, header};
 use ureq::{Agent, Body};
 
-/// Most bytes of an answer's header; each connection holds as many.
+/// Longest header of a response, in bytes; each connection has an input buffer of
+/// this size.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
-/// Bytes of a request that are written at once; each connection holds as many.
-const WRITE_BYTES: usize = 16 * 1024;
+/// Bytes of a request written in one call; each connection has an output buffer of
+/// this size.
+const WRITE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A server's whole answer.
+/// A server's complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers, as sent.
+    /// Headers, as received.
     pub headers: Vec<HeaderLine>,
     /// Body, without transfer encoding.
     pub body: Vec<u8>,
 }
 
-impl WholeAnswer {
-    /// The first header of this name.
+impl BufferedResponse {
+    /// The value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -35,29 +38,30 @@
     }
 }
 
-/// How an exchange failed, as far as evidence goes.
+/// How an exchange failed, and whether the server can have received the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// Nothing was written.
+    /// Nothing was written: the server has not received the request.
     NotSent,
-    /// The connection failed, or the time ran out, after writing began.
+    /// The connection failed or timed out after writing began.
     Lost,
-    /// The answer was cut, malformed or too large.
+    /// The response was truncated, malformed or too large.
     BadAnswer,
 }
 
-/// What an agent of a server is made with.
+/// Connection limits of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentLimits {
-    /// Kept-alive connections that may be idle.
+    /// Largest number of idle keep-alive connections.
     pub idle_connections: usize,
-    /// How long a connection may be idle.
+    /// How long a connection may stay idle before it is closed.
     pub idle_time: Duration,
-    /// How long a connection may take to be opened.
+    /// How long a connection may take to be established.
     pub connect_time: Duration,
 }
 
-/// An agent that adds nothing of its own: no proxy, no redirects, no headers.
+/// An agent that sends requests unchanged: no proxy, no redirects, no headers of its
+/// own.
 pub fn agent(limits: AgentLimits) -> Agent {
     let config = Agent::config_builder()
         .proxy(None)
@@ -75,30 +79,30 @@
         .no_delay(true)
         .input_buffer_size(MAX_HEADER_BYTES)
         .max_response_header_size(MAX_HEADER_BYTES)
-        .output_buffer_size(WRITE_BYTES)
+        .output_buffer_size(WRITE_BUFFER_BYTES)
         .build();
-    Agent::with_parts(config, EvidenceConnector, AddressResolver)
+    Agent::with_parts(config, WriteTrackingConnector, AddressResolver)
 }
 
-/// Sends a request and reads its whole answer.
+/// Sends a request and reads the complete response.
 ///
 /// # Errors
-/// What the failure proves.
+/// [`ExchangeError`], which tells whether the server can have received the request.
 pub fn exchange(
     agent: &Agent,
     request: Request<Vec<u8>>,
     time: Duration,
     max_answer_bytes: usize,
     control: &Arc<ExchangeControl>,
-) -> Result<WholeAnswer, ExchangeError> {
+) -> Result<BufferedResponse, ExchangeError> {
     if control.is_cancelled() || time.is_zero() {
         return Err(ExchangeError::NotSent);
     }
     with_control(control, || {
         let head_only = request.method() == ureq::http::Method::HEAD;
         let response = send(agent, request, time);
-        let response = response.map_err(|error| judge(&error, control))?;
-        read_whole(response, head_only, max_answer_bytes)
+        let response = response.map_err(|error| classify_error(&error, control))?;
+        read_response(response, head_only, max_answer_bytes)
     })
 }
 
@@ -124,8 +128,8 @@
     agent.run(request.timeout_global(Some(time)).build())
 }
 
-/// What a failure before the answer's body proves.
-fn judge(error: &ureq::Error, control: &ExchangeControl) -> ExchangeError {
+/// Classifies a failure before the response's body by whether writing began.
+fn classify_error(error: &ureq::Error, control: &ExchangeControl) -> ExchangeError {
     if !control.writing_began() {
         return ExchangeError::NotSent;
     }
@@ -137,19 +141,19 @@
     }
 }
 
-fn read_whole(
+fn read_response(
     response: Response<Body>,
     head_only: bool,
     max_answer_bytes: usize,
-) -> Result<WholeAnswer, ExchangeError> {
+) -> Result<BufferedResponse, ExchangeError> {
     let (parts, body) = response.into_parts();
     let status = parts.status.as_u16();
     let bodiless = head_only || status == 204 || status == 304;
     let delimited = parts.headers.contains_key(header::CONTENT_LENGTH)
         || parts.headers.contains_key(header::TRANSFER_ENCODING);
     if !bodiless && !delimited {
-        // Only the connection's end would tell the body's end, and a cut
-        // would look the same.
+        // Such a body ends with the connection, so a truncated body could not be
+        // detected.
         return Err(ExchangeError::BadAnswer);
     }
     let mut headers = Vec::with_capacity(parts.headers.len());
@@ -158,7 +162,7 @@
         headers.push(HeaderLine::new(name.as_str(), value));
     }
     let body = read_body(body, max_answer_bytes)?;
-    Ok(WholeAnswer {
+    Ok(BufferedResponse {
         status,
         headers,
         body,
--- a/crates/ledgelead-router/src/events.rs
+++ b/crates/ledgelead-router/src/events.rs
@@ -29,7 +29,7 @@
         sent_after_ms: u64,
         /// Milliseconds that the attempt took.
         took_ms: u64,
-        /// The outcome; one of the names of `Verdict`.
+        /// The outcome; one of the names of `AttemptOutcome`.
         ended: &'static str,
         /// The fencing token of the key's owner, as known to this node.
         fence: Option<u64>,
