--- a/crates/ledgelead-core/tests/cluster/mod.rs
+++ b/crates/ledgelead-core/tests/cluster/mod.rs
@@ -19,7 +19,7 @@
 /// Timeout of a watch on the platform.
 const WATCH_TIMEOUT: Span = Span::from_seconds(5);
 /// Maximum number of messages between nodes that are recorded.
-const KEPT_MESSAGES: usize = 2_000;
+const MAX_RECORDED_MESSAGES: usize = 2_000;
 const SERVERS: u32 = 3;
 pub const CREDENTIAL: &str = "1111111111111111111111111111111111111111111111111111111111111111";
 pub const GROUP: GroupId = GroupId {
@@ -283,7 +283,7 @@
             self.schedule(wakeup, Event::Wake(id));
         }
         for output in outputs {
-            self.carry_out(id, output);
+            self.perform(id, output);
         }
     }
 
@@ -295,7 +295,7 @@
         }
     }
 
-    fn carry_out(&mut self, id: NodeId, output: Output) {
+    fn perform(&mut self, id: NodeId, output: Output) {
         match output {
             Output::SendPeer { to, message } => self.deliver(id, to, &message),
             Output::RenewLease {
@@ -331,7 +331,7 @@
     fn deliver(&mut self, from: NodeId, to: NodeId, message: &PeerMessage) {
         let bytes = encode(message);
         let message = decode(&bytes).expect("a message that was sent decodes");
-        if self.messages.len() < KEPT_MESSAGES {
+        if self.messages.len() < MAX_RECORDED_MESSAGES {
             self.messages.push(bytes);
         }
         if !self.partitioned.contains(&from) && !self.partitioned.contains(&to) {
--- a/crates/ledgelead-ownership/src/command.rs
+++ b/crates/ledgelead-ownership/src/command.rs
@@ -96,7 +96,7 @@
     },
     /// Retires a server from the group.
     Retire(ServerId),
-    /// Gives an ownerless slice to a server.
+    /// Assigns an ownerless slice to a server.
     Assign {
         /// The slice.
         range: PositionRange,
--- a/crates/ledgelead-ownership/src/group/applying.rs
+++ b/crates/ledgelead-ownership/src/group/applying.rs
@@ -112,7 +112,7 @@
         let Ok(commands) = decode::<List<GroupCommand>>(bytes) else {
             return;
         };
-        if commands.iter().all(concerns_records) {
+        if commands.iter().all(is_record_command) {
             self.snapshots.records_changed(now);
         } else {
             self.note_ownership_change();
@@ -227,7 +227,7 @@
     commands.iter().zip(origins).filter_map(answer).collect()
 }
 
-fn concerns_records(command: &GroupCommand) -> bool {
+fn is_record_command(command: &GroupCommand) -> bool {
     matches!(
         command,
         GroupCommand::BeginIdempotencyRecord { .. }
--- a/crates/ledgelead-ownership/src/io.rs
+++ b/crates/ledgelead-ownership/src/io.rs
@@ -17,7 +17,7 @@
 pub struct GroupReplicaSettings {
     /// This node and the incarnation of its process.
     pub identity: Member,
-    /// The group's record as the platform holds it.
+    /// The group's record, as stored on the platform.
     pub record: GroupRecord,
     /// Seed of every random decision.
     pub random_seed: u64,
@@ -31,7 +31,7 @@
 /// An input event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupInput {
-    /// A message of another replica arrived.
+    /// A message from another replica arrived.
     Message {
         /// The sender.
         from: Member,
@@ -47,7 +47,7 @@
         /// The answer; `None` when the call failed.
         reply: Option<RenewalReply>,
     },
-    /// A newer configuration is in force on this node.
+    /// A newer configuration is active on this node.
     Configuration(Arc<Configuration>),
     /// The live nodes, as known to the membership.
     LiveNodes(Vec<LiveNode>),
--- a/crates/ledgelead-ownership/src/leader/dispatchers.rs
+++ b/crates/ledgelead-ownership/src/leader/dispatchers.rs
@@ -13,7 +13,7 @@
 
 /// A replica that has not replied for this long can't be a dispatcher. Longer than two
 /// heartbeats, so one lost message has no effect.
-const DISPATCHER_SILENCE: Span = Span::from_millis(180);
+const DISPATCHER_TIMEOUT: Span = Span::from_millis(180);
 /// Interval between reassignments that only balance the dispatchers.
 const SPREAD_INTERVAL: Span = Span::from_seconds(1);
 
@@ -45,16 +45,16 @@
             *counts.get_mut(&least).expect("a candidate") += 1;
             commands.push(set(*id, least));
         }
-        self.even_out(context, &counts, commands);
+        self.rebalance(context, &counts, commands);
     }
 
     /// Replicas that may be dispatchers now.
     fn candidates(&self, context: &LeaderContext) -> Vec<Member> {
-        let lately = |heard| context.now.since(heard) < DISPATCHER_SILENCE;
+        let is_recent = |last_contact| context.now.since(last_contact) < DISPATCHER_TIMEOUT;
         let usable = |contact: &&MemberContact| {
             let other = contact.member != context.identity;
             let stopping = self.stopping.contains(&contact.member);
-            other && !stopping && contact.last_contact.is_some_and(lately)
+            other && !stopping && contact.last_contact.is_some_and(is_recent)
         };
         let followers = context.dispatchable_members().filter(usable);
         let followers: Vec<Member> = followers.map(|contact| contact.member).collect();
@@ -65,7 +65,7 @@
         }
     }
 
-    fn even_out(
+    fn rebalance(
         &mut self,
         context: &LeaderContext,
         counts: &BTreeMap<Member, usize>,
--- a/crates/ledgelead-ownership/src/leader/leases.rs
+++ b/crates/ledgelead-ownership/src/leader/leases.rs
@@ -60,8 +60,8 @@
             let Some(grantor) = grantors.get_mut(&from) else {
                 continue;
             };
-            let over = grantor.closed.is_some_and(|closed| applied >= closed);
-            if over && grantor.ends.is_none() {
+            let has_ended = grantor.closed.is_some_and(|closed| applied >= closed);
+            if has_ended && grantor.ends.is_none() {
                 grantor.ends = Some(now + lengthened_for_drift(LEASE));
             }
         }
--- a/crates/ledgelead-ownership/src/leader/members.rs
+++ b/crates/ledgelead-ownership/src/leader/members.rs
@@ -15,10 +15,10 @@
 
 /// A voter is replaced if it was unresponsive for this long and the membership doesn't list
 /// its incarnation as live.
-const MEMBER_SILENCE: Span = Span::from_seconds(2);
+const MEMBER_TIMEOUT: Span = Span::from_seconds(2);
 /// The same for a voter whose node is live under another incarnation, so that the voter's
 /// process has certainly ended.
-const RESTARTED_SILENCE: Span = Span::from_millis(400);
+const RESTARTED_MEMBER_TIMEOUT: Span = Span::from_millis(400);
 /// Interval between attempts at a change.
 const CHANGE_INTERVAL: Span = Span::from_millis(50);
 
@@ -112,8 +112,8 @@
         let listed = context.live.iter().find(|live| live.member.node == node);
         match listed {
             Some(live) if live.member == contact.member => false,
-            Some(_) => silence >= RESTARTED_SILENCE,
-            None => silence >= MEMBER_SILENCE,
+            Some(_) => silence >= RESTARTED_MEMBER_TIMEOUT,
+            None => silence >= MEMBER_TIMEOUT,
         }
     }
 
--- a/crates/ledgelead-ownership/src/leader/mod.rs
+++ b/crates/ledgelead-ownership/src/leader/mod.rs
@@ -259,7 +259,7 @@
         state.slices.iter().map(load).collect()
     }
 
-    /// Whether slices may be given to a server.
+    /// Whether slices may be assigned to a server.
     fn accepts(&self, state: &GroupState, id: ServerId) -> bool {
         let admitted = state
             .servers
--- a/crates/ledgelead-ownership/src/snapshots.rs
+++ b/crates/ledgelead-ownership/src/snapshots.rs
@@ -71,7 +71,7 @@
         [ownership, records, retry].into_iter().flatten().min()
     }
 
-    /// A snapshot of so many bytes was sent.
+    /// Records that a snapshot of this size in bytes was sent.
     pub fn sent(&mut self, now: Time, revision: Revision, bytes: usize) {
         self.sent = Some((revision, now));
         let seconds = bytes as f64 / BYTES_PER_SECOND as f64;
--- a/crates/ledgelead-ownership/src/state/apply.rs
+++ b/crates/ledgelead-ownership/src/state/apply.rs
@@ -174,7 +174,8 @@
         self.free_all(id, token, true, decisions);
     }
 
-    /// Starts a drain; a lost server is only marked.
+    /// Starts a drain. A lost server is only marked: the drain takes effect when it is
+    /// admitted again, unless the server itself had requested it.
     pub(super) fn drain(&mut self, id: ServerId, cause: DrainCause, decisions: &mut Vec<Decision>) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -227,7 +228,7 @@
         decisions: &mut Vec<Decision>,
     ) {
         let held = |slice: &&Slice| slice.phase.holder() == Some(id);
-        let held: Vec<Slice> = self.slices.concerning(id).filter(held).cloned().collect();
+        let held: Vec<Slice> = self.slices.of_server(id).filter(held).cloned().collect();
         for slice in held {
             if let Some(next) = self.next_owner(&slice) {
                 self.assign(slice.range, next, token, after_loss, decisions);
--- a/crates/ledgelead-ownership/src/state/mod.rs
+++ b/crates/ledgelead-ownership/src/state/mod.rs
@@ -209,7 +209,7 @@
     pub fn granted(&self, server: ServerId) -> List<GrantedSlice> {
         let held = |slice: &&Slice| slice.phase == SlicePhase::Held { owner: server };
         self.slices
-            .concerning(server)
+            .of_server(server)
             .filter(held)
             .map(|slice| GrantedSlice {
                 range: slice.range,
@@ -220,14 +220,14 @@
 
     /// Slices that a server is releasing.
     pub fn releasing(&self, server: ServerId) -> impl Iterator<Item = &Slice> {
-        self.slices.concerning(server).filter(move |slice| {
+        self.slices.of_server(server).filter(move |slice| {
             matches!(slice.phase, SlicePhase::Releasing { from, .. } if from == server)
         })
     }
 
     /// Number of slices that a server holds, is releasing or is to get.
     pub fn slice_count(&self, server: ServerId) -> usize {
-        self.slices.count_concerning(server)
+        self.slices.count_of_server(server)
     }
 }
 
--- a/crates/ledgelead-ownership/src/state/recovery.rs
+++ b/crates/ledgelead-ownership/src/state/recovery.rs
@@ -96,10 +96,10 @@
         let known = self.slices.exact(held.range);
         let known = known.filter(|slice| slice.token == held.token);
         let moving = known.map(|slice| slice.phase).filter(|phase| {
-            let goes_on = phase
+            let continues = phase
                 .next_owner()
                 .is_some_and(|next| self.servers.contains_key(&next));
-            phase.holder() == Some(owner) && goes_on
+            phase.holder() == Some(owner) && continues
         });
         moving.unwrap_or(SlicePhase::Held { owner })
     }
@@ -122,12 +122,8 @@
     if adopted.is_empty() && former.is_empty() {
         return SliceTable::default();
     }
-    let undivided = SliceTable::undivided(space);
-    let former = if former.is_empty() {
-        &undivided
-    } else {
-        former
-    };
+    let single = SliceTable::single(space);
+    let former = if former.is_empty() { &single } else { former };
     let mut table = adopted.clone();
     for old in former.iter() {
         let mut next = Some(old.range.first);
--- a/crates/ledgelead-ownership/src/state/slices.rs
+++ b/crates/ledgelead-ownership/src/state/slices.rs
@@ -78,8 +78,8 @@
 }
 
 impl SliceTable {
-    /// One ownerless slice.
-    pub fn undivided(space: PositionRange) -> SliceTable {
+    /// A table with a single ownerless slice.
+    pub fn single(space: PositionRange) -> SliceTable {
         let slice = Slice {
             range: space,
             phase: SlicePhase::Free,
@@ -94,14 +94,14 @@
     }
 
     /// The slices that a server holds, is releasing or is to get, in order.
-    pub fn concerning(&self, server: ServerId) -> impl Iterator<Item = &Slice> {
+    pub fn of_server(&self, server: ServerId) -> impl Iterator<Item = &Slice> {
         let firsts = self.by_server.get(&server);
         let firsts = firsts.into_iter().flatten();
         firsts.filter_map(|first| self.by_first.get(first))
     }
 
     /// Number of slices that a server holds, is releasing or is to get.
-    pub fn count_concerning(&self, server: ServerId) -> usize {
+    pub fn count_of_server(&self, server: ServerId) -> usize {
         self.by_server.get(&server).map_or(0, BTreeSet::len)
     }
 
--- a/crates/ledgelead-ownership/tests/faults.rs
+++ b/crates/ledgelead-ownership/tests/faults.rs
@@ -19,14 +19,14 @@
 /// The group under test: its part of a service's positions, its number of replicas, and the
 /// number of nodes. It has [`SERVERS`] servers.
 #[derive(Clone, Copy, Debug)]
-struct Shape {
+struct TestGroup {
     part: u16,
     parts: u16,
     replicas: u8,
     nodes: u32,
 }
 
-impl Shape {
+impl TestGroup {
     /// A server of the group by its index.
     fn server(self, index: u32) -> ServerId {
         ServerId(index * u32::from(self.parts) + u32::from(self.part))
@@ -55,7 +55,8 @@
     faults: Vec<(u64, Fault)>,
 }
 
-/// The kinds of faults.
+/// A fault. Each fault of a [`Scenario`] has the delay in milliseconds after the previous
+/// one.
 #[derive(Clone, Debug)]
 enum Fault {
     FreezeServer { server: u32, span: u64 },
@@ -93,18 +94,18 @@
     ]
 }
 
-fn inject(cluster: &mut Cluster, shape: Shape, number: u64, fault: Fault) {
+fn inject(cluster: &mut Cluster, group: TestGroup, number: u64, fault: Fault) {
     let asked = *cluster.nodes.keys().next().expect("nodes restart at once");
     let mut operate = |operation| {
         let command_id = format!("operation-{number}");
         cluster.operate(asked, number, &command_id, operation);
     };
     match fault {
-        Fault::Drain { server } => operate(GroupOperation::Drain(shape.server(server))),
-        Fault::Activate { server } => operate(GroupOperation::Activate(shape.server(server))),
+        Fault::Drain { server } => operate(GroupOperation::Drain(group.server(server))),
+        Fault::Activate { server } => operate(GroupOperation::Activate(group.server(server))),
         Fault::Move { position, to } => operate(GroupOperation::MoveSlice {
             position: Position(position),
-            to: shape.server(to),
+            to: group.server(to),
         }),
         Fault::Isolate { position } => {
             let position = Position(position);
@@ -116,10 +117,10 @@
         }
         Fault::FreezeServer { server, span } => {
             let until = cluster.now + Span::from_millis(span);
-            cluster.server(shape.server(server).0).frozen_until = until;
+            cluster.server(group.server(server).0).frozen_until = until;
         }
         Fault::RestartServer { server } => {
-            let server = shape.server(server);
+            let server = group.server(server);
             let local = cluster.server_local(server);
             cluster.server(server.0).restart(local);
         }
@@ -133,7 +134,7 @@
         Fault::PartitionServer { server, node } => {
             cluster
                 .partitions
-                .push((server_link(shape.server(server)), node));
+                .push((server_link(group.server(server)), node));
         }
         Fault::HealPartitions => cluster.partitions.clear(),
     }
@@ -154,13 +155,13 @@
 
 /// Checks that no two servers own a position, and that all positions are served again once
 /// the faults end.
-fn check_run(shape: Shape, scenario: Scenario) -> Result<(), TestCaseError> {
-    let mut cluster = shape.cluster(scenario.seed);
+fn check_run(group: TestGroup, scenario: Scenario) -> Result<(), TestCaseError> {
+    let mut cluster = group.cluster(scenario.seed);
     cluster.run(Span::from_seconds(1));
     cluster.network = scenario.network;
     for (number, (pause, fault)) in scenario.faults.into_iter().enumerate() {
         cluster.run(Span::from_millis(pause));
-        inject(&mut cluster, shape, number as u64, fault);
+        inject(&mut cluster, group, number as u64, fault);
     }
     cluster.run(Span::from_seconds(1));
     prop_assert_eq!(&cluster.violations, &Vec::<String>::new());
@@ -174,18 +175,18 @@
     Ok(())
 }
 
-fn check(shape: Shape, cases: u32) {
+fn check(group: TestGroup, cases: u32) {
     let mut runner = TestRunner::new(ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(0x6c65_6467),
         failure_persistence: None,
         ..ProptestConfig::default()
     });
-    let result = runner.run(&scenario(), |scenario| check_run(shape, scenario));
+    let result = runner.run(&scenario(), |scenario| check_run(group, scenario));
     expect_that!(result, ok(anything()));
 }
 
-const WHOLE: Shape = Shape {
+const WHOLE_SPACE: TestGroup = TestGroup {
     part: 0,
     parts: 1,
     replicas: 3,
@@ -194,25 +195,25 @@
 
 #[gtest]
 fn no_two_servers_own_a_position_and_service_returns() {
-    check(WHOLE, 150);
+    check(WHOLE_SPACE, 150);
 }
 
 #[gtest]
 fn the_same_holds_in_another_part_of_the_positions() {
-    let last_part = Shape {
+    let last_part = TestGroup {
         part: 2,
         parts: 3,
-        ..WHOLE
+        ..WHOLE_SPACE
     };
     check(last_part, 100);
 }
 
 #[gtest]
 fn the_same_holds_with_five_replicas() {
-    let five_replicas = Shape {
+    let five_replicas = TestGroup {
         replicas: 5,
         nodes: 7,
-        ..WHOLE
+        ..WHOLE_SPACE
     };
     check(five_replicas, 100);
 }
--- a/crates/ledgelead-ownership/tests/model/mod.rs
+++ b/crates/ledgelead-ownership/tests/model/mod.rs
@@ -503,12 +503,12 @@
             .collect();
         for (index, (one, slices)) in executable.iter().enumerate() {
             for (other, others) in &executable[index + 1..] {
-                let clash = slices.iter().any(|slice| {
+                let conflict = slices.iter().any(|slice| {
                     others
                         .iter()
                         .any(|other| other.range.overlaps(&slice.range))
                 });
-                if clash {
+                if conflict {
                     let text = format!("{one} and {other} at {:?}", self.now);
                     self.violations.push(text);
                 }
@@ -531,14 +531,14 @@
             self.schedule(wakeup, SimulationEvent::Wake(member));
         }
         for output in outputs {
-            self.carry_out(member, &output);
+            self.perform(member, &output);
             if !matches!(output, GroupOutput::Send { .. } | GroupOutput::Renew { .. }) {
                 self.outputs.push((self.now, member, output));
             }
         }
     }
 
-    fn carry_out(&mut self, member: Member, output: &GroupOutput) {
+    fn perform(&mut self, member: Member, output: &GroupOutput) {
         match output {
             GroupOutput::Send { to, message } => {
                 let bytes = encode(message);
--- a/crates/ledgelead-ownership/tests/model/server.rs
+++ b/crates/ledgelead-ownership/tests/model/server.rs
@@ -25,7 +25,7 @@
     started: Time,
     releasing: Vec<Executing>,
     /// How long requests for a slice continue after it was released.
-    pub work_left: Span,
+    pub release_delay: Span,
 }
 
 impl ModelServer {
@@ -42,7 +42,7 @@
             lease_until: Time::ZERO,
             started: Time::ZERO,
             releasing: Vec::new(),
-            work_left: Span::from_millis(5),
+            release_delay: Span::from_millis(5),
         }
     }
 
@@ -105,7 +105,7 @@
             return RenewalVerdict::StampOnly;
         };
         match &renewal.slices {
-            Some(slices) => self.hold(local, slices, renewal.unchanged_since),
+            Some(slices) => self.set_slices(local, slices, renewal.unchanged_since),
             None if self.holding != renewal.unchanged_since => return RenewalVerdict::SetUnknown,
             None => {}
         }
@@ -113,7 +113,7 @@
         RenewalVerdict::Taken
     }
 
-    fn hold(&mut self, local: Time, slices: &List<GrantedSlice>, set: FencingToken) {
+    fn set_slices(&mut self, local: Time, slices: &List<GrantedSlice>, set: FencingToken) {
         let kept = |old: &GrantedSlice| {
             slices
                 .iter()
@@ -121,7 +121,7 @@
         };
         // Without a lease no request was started recently.
         let leased = local < self.lease_until;
-        let until = local + self.work_left;
+        let until = local + self.release_delay;
         let given_up = self.slices.iter().filter(|old| leased && !kept(old));
         let work = given_up.map(|slice| Executing {
             slice: *slice,
--- a/crates/ledgelead-ownership/tests/ownership.rs
+++ b/crates/ledgelead-ownership/tests/ownership.rs
@@ -304,8 +304,8 @@
     let (cut_off, gateway) = (followers.next(), followers.next());
     let (cut_off, gateway) = (cut_off.expect("of three"), gateway.expect("of three"));
     let others = [leader, gateway];
-    let cuts = others.map(|other| (cut_off.node.0, other.node.0));
-    cluster.partitions.extend(cuts);
+    let links = others.map(|other| (cut_off.node.0, other.node.0));
+    cluster.partitions.extend(links);
     let owner = cluster.begin_idempotency_record(gateway, 1, 42);
     let key = IdempotencyKey(42);
     cluster.input(cut_off, GroupInput::BeginIdempotencyRecord { owner, key });
--- a/crates/ledgelead-ownership/tests/state.rs
+++ b/crates/ledgelead-ownership/tests/state.rs
@@ -124,8 +124,8 @@
 fn index_matches(state: &GroupState, server: ServerId) -> bool {
     let all = state.slices.iter();
     let affected = all.filter(|slice| slice.phase.servers().any(|id| id == server));
-    let found = state.slices.concerning(server).count();
-    affected.eq(state.slices.concerning(server)) && found == state.slice_count(server)
+    let found = state.slices.of_server(server).count();
+    affected.eq(state.slices.of_server(server)) && found == state.slice_count(server)
 }
 
 proptest::proptest! {
--- a/crates/ledgelead-replication/src/following.rs
+++ b/crates/ledgelead-replication/src/following.rs
@@ -13,7 +13,7 @@
             return;
         }
         if let Some(delegation) = append.delegation {
-            self.take_delegation(delegation);
+            self.record_delegation(delegation);
         }
         let reply = AppendReply {
             sent: append.sent,
@@ -66,7 +66,7 @@
 
     /// Records a delegation. It counts from a timestamp of this replica's own clock. The
     /// authority of a correct leader never extends beyond [`LEADER_LEASE`] from now.
-    fn take_delegation(&mut self, delegation: Delegation) {
+    fn record_delegation(&mut self, delegation: Delegation) {
         if delegation.stamp > self.now {
             return;
         }
@@ -105,7 +105,7 @@
         let mut revision = previous;
         for entry in append.entries {
             revision = Revision(revision.0.saturating_add(1));
-            if !self.take_entry(revision, entry) {
+            if !self.store_entry(revision, entry) {
                 return self.mismatch(previous);
             }
         }
@@ -116,7 +116,7 @@
 
     /// Stores an entry at its position and drops conflicting entries. Returns whether the
     /// log now holds the entry.
-    fn take_entry(&mut self, revision: Revision, entry: Entry) -> bool {
+    fn store_entry(&mut self, revision: Revision, entry: Entry) -> bool {
         if revision <= self.log.snapshot().revision {
             return true;
         }
--- a/crates/ledgelead-replication/src/log.rs
+++ b/crates/ledgelead-replication/src/log.rs
@@ -167,12 +167,12 @@
         };
         let gone = (revision.0 - self.snapshot.revision.0) as usize;
         self.entries.drain(..gone);
-        let in_force = self
+        let current = self
             .memberships
             .iter()
             .rposition(|(set_at, _)| *set_at <= revision)
             .unwrap_or(0);
-        self.memberships.drain(..in_force);
+        self.memberships.drain(..current);
         self.start_digest = None;
         self.snapshot = Snapshot {
             revision,
--- a/crates/ledgelead-replication/src/status.rs
+++ b/crates/ledgelead-replication/src/status.rs
@@ -15,7 +15,7 @@
         self.epoch
     }
 
-    /// This replica, as the group knows it.
+    /// This replica's identity in the group.
     pub fn identity(&self) -> Member {
         self.identity
     }
--- a/crates/ledgelead-replication/tests/replication/elections.rs
+++ b/crates/ledgelead-replication/tests/replication/elections.rs
@@ -52,7 +52,7 @@
 }
 
 /// Encoded bytes per second that a leader sends and receives.
-fn leader_bytes_a_second(replicas: u32, load_interval: Option<u64>) -> usize {
+fn leader_bytes_per_second(replicas: u32, load_interval: Option<u64>) -> usize {
     let (mut simulation, leader) = group(replicas, 1);
     simulation.load_interval = load_interval;
     simulation.bytes.clear();
@@ -66,8 +66,8 @@
 #[gtest]
 fn leader_stays_within_the_control_budget() {
     for replicas in [3, 5] {
-        let idle = leader_bytes_a_second(replicas, None);
-        let busy = leader_bytes_a_second(replicas, Some(100 * MILLIS));
+        let idle = leader_bytes_per_second(replicas, None);
+        let busy = leader_bytes_per_second(replicas, Some(100 * MILLIS));
         println!("{replicas} replicas: idle {idle} B/s, 10 commands a second {busy} B/s");
         expect_that!(idle, lt(CONTROL_BUDGET / 2));
         expect_that!(busy, lt(CONTROL_BUDGET));
@@ -79,7 +79,7 @@
     let (mut simulation, leader) = group(3, 1);
     simulation.bytes.clear();
     for number in 0..100 {
-        let proposed = simulation.on(leader, |replica, now| match lazy {
+        let proposed = simulation.with_replica(leader, |replica, now| match lazy {
             true => replica.propose_lazy(now, vec![number]),
             false => replica.propose(now, vec![number]),
         });
@@ -149,14 +149,14 @@
     let (mut simulation, old) = group(3, 5);
     let new = NodeId(old.0 % 3 + 1);
     let to = member(new.0, 1);
-    let begun = simulation.on(old, |replica, now| replica.transfer_leadership(now, to));
+    let begun = simulation.with_replica(old, |replica, now| replica.transfer_leadership(now, to));
     expect_that!(begun, ok(anything()));
-    let refused = simulation.on(old, |replica, now| replica.propose(now, vec![1]));
+    let refused = simulation.with_replica(old, |replica, now| replica.propose(now, vec![1]));
     expect_that!(refused, err(eq(ProposeError::Transferring { to })));
     let took = simulation.run_while(30 * MILLIS, |run| run.leader() != Some(new));
     expect_that!(took, some(anything()));
     let ends = simulation.processes[&new].replica.former_authority_ends();
-    let left = simulation.on(new, |_, now| ends.since(now));
+    let left = simulation.with_replica(new, |_, now| ends.since(now));
     expect_that!(
         left,
         gt(lengthened_for_drift(LEADER_LEASE).less(Span::from_millis(30)))
@@ -178,7 +178,7 @@
     let process = simulation.processes.get_mut(&leader).expect("it runs");
     process.paused_until = until;
     simulation.run_until(until - 1);
-    let refused = simulation.on(leader, |replica, now| replica.propose(now, vec![1]));
+    let refused = simulation.with_replica(leader, |replica, now| replica.propose(now, vec![1]));
     expect_that!(refused, err(eq(ProposeError::NotLeader { leader: None })));
 }
 
@@ -188,14 +188,16 @@
     let (mut simulation, leader) = group(3, 3);
     simulation.replaces_restarted = false;
     let absent = member(9, 1);
-    let mut change = |change| simulation.on(leader, |one, now| one.change_membership(now, change));
+    let mut change =
+        |change| simulation.with_replica(leader, |one, now| one.change_membership(now, change));
     let promotion = MembershipChange::Promote(absent);
     expect_that!(change(promotion), err(eq(MembershipError::NotMember)));
     let addition = MembershipChange::AddLearner(absent);
     expect_that!(change(addition), ok(anything()));
     expect_that!(change(promotion), err(eq(MembershipError::InProgress)));
     let other = NodeId(leader.0 % 3 + 1);
-    let on_follower = simulation.on(other, |one, now| one.change_membership(now, addition));
+    let on_follower =
+        simulation.with_replica(other, |one, now| one.change_membership(now, addition));
     expect_that!(on_follower, err(pat!(MembershipError::NotLeader { .. })));
 }
 
@@ -208,15 +210,16 @@
     simulation.start(learner);
     isolate(&mut simulation, learner.node);
     let addition = MembershipChange::AddLearner(learner);
-    let added = simulation.on(leader, |one, now| one.change_membership(now, addition));
+    let added = simulation.with_replica(leader, |one, now| one.change_membership(now, addition));
     expect_that!(added, ok(anything()));
     simulation.run_for(100 * MILLIS);
     let promotion = MembershipChange::Promote(learner);
-    let refused = simulation.on(leader, |one, now| one.change_membership(now, promotion));
+    let refused = simulation.with_replica(leader, |one, now| one.change_membership(now, promotion));
     expect_that!(refused, err(eq(MembershipError::NotCaughtUp)));
     simulation.heal();
     simulation.run_for(200 * MILLIS);
-    let promoted = simulation.on(leader, |one, now| one.change_membership(now, promotion));
+    let promoted =
+        simulation.with_replica(leader, |one, now| one.change_membership(now, promotion));
     expect_that!(promoted, ok(anything()));
     simulation.run_for(200 * MILLIS);
     let role = simulation.processes[&learner.node].replica.role();
@@ -229,7 +232,7 @@
     let (mut simulation, old) = group(3, 6);
     simulation.replaces_restarted = false;
     let removal = MembershipChange::Remove(member(old.0, 1));
-    let removed = simulation.on(old, |one, now| one.change_membership(now, removal));
+    let removed = simulation.with_replica(old, |one, now| one.change_membership(now, removal));
     expect_that!(removed, ok(anything()));
     simulation.run_for(50 * MILLIS);
     let replica = &simulation.processes[&old].replica;
@@ -250,10 +253,10 @@
     let (mut simulation, leader) = group(3, 7);
     simulation.run_for(200 * MILLIS);
     for node in (1..=3).map(NodeId).filter(|node| *node != leader) {
-        let held = simulation.on(node, |one, now| {
+        let held = simulation.with_replica(node, |one, now| {
             one.authority(now).map(|held| held.until.since(now))
         });
-        let given = simulation.on(leader, |one, now| {
+        let given = simulation.with_replica(leader, |one, now| {
             one.delegated_authority_until(member(node.0, 1)).since(now)
         });
         expect_that!(held, some(le(given)));
--- a/crates/ledgelead-replication/tests/replication/simulation/faults.rs
+++ b/crates/ledgelead-replication/tests/replication/simulation/faults.rs
@@ -88,7 +88,8 @@
             8 => {
                 if let Some(leader) = self.leader() {
                     let to = self.processes[&node].member;
-                    let _refused = self.on(leader, |one, now| one.transfer_leadership(now, to));
+                    let _refused =
+                        self.with_replica(leader, |one, now| one.transfer_leadership(now, to));
                 }
             }
             _ => {}
--- a/crates/ledgelead-replication/tests/replication/simulation/mod.rs
+++ b/crates/ledgelead-replication/tests/replication/simulation/mod.rs
@@ -193,7 +193,11 @@
     }
 
     /// Passes an input to a node's replica and performs the resulting actions.
-    pub fn on<T>(&mut self, node: NodeId, input: impl FnOnce(&mut Replica, Time) -> T) -> T {
+    pub fn with_replica<T>(
+        &mut self,
+        node: NodeId,
+        input: impl FnOnce(&mut Replica, Time) -> T,
+    ) -> T {
         let now = self.now;
         let process = self.processes.get_mut(&node).expect("the node runs");
         let clock = process.clock(now);
@@ -287,7 +291,7 @@
                 self.in_flight.insert(key, (from, to, message));
                 continue;
             }
-            self.on(to.node, |replica, now| replica.step(now, from, message));
+            self.with_replica(to.node, |replica, now| replica.step(now, from, message));
         }
     }
 
@@ -297,7 +301,7 @@
             let process = &self.processes[&node];
             let due = process.replica.next_wakeup() <= process.clock(self.now);
             if due && process.paused_until <= self.now {
-                self.on(node, |replica, now| replica.tick(now));
+                self.with_replica(node, |replica, now| replica.tick(now));
             }
         }
     }
@@ -323,7 +327,8 @@
             if process.paused_until <= self.now && process.replica.role() == Role::Leader {
                 self.proposals += 1;
                 let command = self.proposals.to_le_bytes().to_vec();
-                let _refused = self.on(node, |replica, now| replica.propose(now, command));
+                let _refused =
+                    self.with_replica(node, |replica, now| replica.propose(now, command));
             }
         }
     }
@@ -350,7 +355,7 @@
         } else {
             return;
         };
-        let _refused = self.on(leader, |replica, now| {
+        let _refused = self.with_replica(leader, |replica, now| {
             replica.change_membership(now, change)
         });
     }
