--- a/crates/ledgelead-node/src/peer/transport.rs
+++ b/crates/ledgelead-node/src/peer/transport.rs
@@ -77,7 +77,9 @@
         let poll = cx.anymap_get::<MioPoll>();
         let listener = poll
             .add(listener, Interest::READABLE, POLL_PRIORITY, accept)
-            .inspect_err(|error| log::error!(target: "peer", "registering the listener with the poller failed: {error}"))
+            .inspect_err(
+                |error| log::error!(target: "peer", "registering the listener failed: {error}"),
+            )
             .ok()?;
         after!(SWEEP_INTERVAL, [cx], sweep());
         Some(PeerTransport {
@@ -301,7 +303,7 @@
         let stream = match poll.add(stream, interest, POLL_PRIORITY, ready) {
             Ok(stream) => stream,
             Err(error) => {
-                log::warn!(target: "peer", "registering a connection with the poller failed: {error}");
+                log::warn!(target: "peer", "registering a connection failed: {error}");
                 return;
             }
         };
@@ -355,12 +357,12 @@
     /// Closes connections that make no progress.
     fn sweep(&mut self, cx: CX![]) {
         let now = cx.now();
-        let stuck =
+        let is_stalled =
             |since: &Option<Instant>| since.is_some_and(|since| now > since + STALL_TIMEOUT);
         let receivers: Vec<NodeId> = self
             .outgoing
             .iter()
-            .filter(|(_, outgoing)| stuck(&outgoing.pending_since))
+            .filter(|(_, outgoing)| is_stalled(&outgoing.pending_since))
             .map(|(node, _)| *node)
             .collect();
         for node in receivers {
@@ -369,7 +371,7 @@
         let senders: Vec<u64> = self
             .incoming
             .iter()
-            .filter(|(_, incoming)| stuck(&incoming.incomplete_since))
+            .filter(|(_, incoming)| is_stalled(&incoming.incomplete_since))
             .map(|(connection, _)| *connection)
             .collect();
         for connection in senders {
