--- a/crates/ledgelead-core/src/calls.rs
+++ b/crates/ledgelead-core/src/calls.rs
@@ -7,10 +7,10 @@
 /// The subsystem that made a call, with its own number for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOwner {
-    /// The configuration keeper.
-    Keeper(u64),
-    /// The group former.
-    Former(u64),
+    /// The configuration manager.
+    ConfigurationManager(u64),
+    /// The group manager.
+    GroupManager(u64),
     /// A group's dispatcher session.
     Group(GroupId, u64),
 }
--- a/crates/ledgelead-core/src/node_core.rs
+++ b/crates/ledgelead-core/src/node_core.rs
@@ -40,8 +40,8 @@
     pub(crate) settings: NodeSettings,
     pub(crate) membership: Membership,
     pub(crate) dissemination: Dissemination,
-    pub(crate) keeper: ConfigurationKeeper,
-    pub(crate) former: GroupFormer,
+    pub(crate) configuration_manager: ConfigurationKeeper,
+    pub(crate) group_manager: GroupFormer,
     pub(crate) groups: HostedGroups,
     pub(crate) gateway: Gateway,
     pub(crate) dispatcher: Dispatcher,
@@ -75,14 +75,14 @@
                 },
                 now,
             ),
-            keeper: ConfigurationKeeper::new(
+            configuration_manager: ConfigurationKeeper::new(
                 KeeperSettings {
                     node: settings.node,
                     random_seed: seed ^ 2,
                 },
                 now,
             ),
-            former: GroupFormer::new(
+            group_manager: GroupFormer::new(
                 FormerSettings {
                     node: settings.node,
                     random_seed: seed ^ 3,
@@ -162,8 +162,8 @@
     pub fn tick(&mut self, now: Time) {
         self.membership.tick(now);
         self.dissemination.tick(now);
-        self.keeper.tick(now);
-        self.former.tick(now);
+        self.configuration_manager.tick(now);
+        self.group_manager.tick(now);
         for (_, replica) in self.groups.iter_mut() {
             replica.tick(now);
         }
@@ -182,8 +182,8 @@
         let fixed = [
             self.membership.next_wakeup(),
             self.dissemination.next_wakeup(),
-            self.keeper.next_wakeup(),
-            self.former.next_wakeup(),
+            self.configuration_manager.next_wakeup(),
+            self.group_manager.next_wakeup(),
             self.gateway.next_wakeup(),
             self.dispatcher.next_wakeup(),
             self.next_slice_loads,
@@ -313,11 +313,11 @@
         reply: Result<PlatformReply, PlatformError>,
     ) {
         match self.calls.close(call) {
-            Some(CallOwner::Keeper(call)) => self
-                .keeper
+            Some(CallOwner::ConfigurationManager(call)) => self
+                .configuration_manager
                 .step(now, KeeperInput::PlatformReplied { call, reply }),
-            Some(CallOwner::Former(call)) => self
-                .former
+            Some(CallOwner::GroupManager(call)) => self
+                .group_manager
                 .step(now, FormerInput::PlatformReplied { call, reply }),
             Some(CallOwner::Group(..)) | None => {}
         }
@@ -325,7 +325,7 @@
 
     fn handle_command(&mut self, now: Time, ticket: TicketId, command: AdministrationCommand) {
         match command.action {
-            AdministrationAction::Configure(_) => self.keeper.step(
+            AdministrationAction::Configure(_) => self.configuration_manager.step(
                 now,
                 KeeperInput::Command {
                     ticket: ticket.0,
--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -34,8 +34,8 @@
         for _ in 0..MAX_ROUNDS {
             let progressed = self.pump_membership(now)
                 | self.pump_dissemination(now)
-                | self.pump_keeper(now)
-                | self.pump_former(now)
+                | self.pump_configuration_manager(now)
+                | self.pump_group_manager(now)
                 | self.pump_groups(now)
                 | self.pump_gateway(now)
                 | self.pump_dispatcher(now);
@@ -113,13 +113,15 @@
             .collect();
         self.dissemination
             .step(now, DisseminationInput::Peers(others));
-        self.keeper.step(now, KeeperInput::LiveNodes(live.clone()));
-        self.former.step(now, FormerInput::LiveNodes(live.clone()));
+        self.configuration_manager
+            .step(now, KeeperInput::LiveNodes(live.clone()));
+        self.group_manager
+            .step(now, FormerInput::LiveNodes(live.clone()));
         self.groups.set_live_nodes(now, live);
         self.report_proven_dead(now);
     }
 
-    /// Reports to the group former which known replicas are proven dead.
+    /// Reports to the group manager which known replicas are proven dead.
     fn report_proven_dead(&mut self, now: Time) {
         let by_records = self
             .groups
@@ -134,7 +136,7 @@
             .into_iter()
             .filter(|member| self.membership.is_proven_dead(*member))
             .collect();
-        self.former.step(now, FormerInput::ProvenDead(dead));
+        self.group_manager.step(now, FormerInput::ProvenDead(dead));
     }
 
     fn record(&mut self, now: Time, event: Event) {
@@ -196,9 +198,9 @@
                 highest_service: configuration.highest_service,
             },
         );
-        self.keeper
+        self.configuration_manager
             .step(now, KeeperInput::Held(configuration.clone()));
-        self.former
+        self.group_manager
             .step(now, FormerInput::Configuration(configuration.clone()));
         self.groups.apply_configuration(now, configuration.clone());
         self.gateway
@@ -212,7 +214,7 @@
     }
 
     fn apply_record(&mut self, now: Time, record: GroupRecord) {
-        self.former.step(
+        self.group_manager.step(
             now,
             FormerInput::KnownMembers {
                 group: record.group,
@@ -228,7 +230,7 @@
         let routes = Arc::new(routes);
         let before = self.routes.insert(routes.group, routes.clone());
         let has_same_members = before.is_some_and(|before| before.members == routes.members);
-        self.former.step(
+        self.group_manager.step(
             now,
             FormerInput::KnownMembers {
                 group: routes.group,
@@ -245,13 +247,13 @@
         }
     }
 
-    fn pump_keeper(&mut self, now: Time) -> bool {
-        let outputs = self.keeper.take_outputs();
+    fn pump_configuration_manager(&mut self, now: Time) -> bool {
+        let outputs = self.configuration_manager.take_outputs();
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
                 KeeperOutput::CallPlatform { call, request } => {
-                    self.call_platform(CallOwner::Keeper(call), request);
+                    self.call_platform(CallOwner::ConfigurationManager(call), request);
                 }
                 KeeperOutput::Publish(configuration) => {
                     self.publish_configuration(now, &configuration);
@@ -306,13 +308,13 @@
         self.outputs.push(Output::CallPlatform { call, request });
     }
 
-    fn pump_former(&mut self, now: Time) -> bool {
-        let outputs = self.former.take_outputs();
+    fn pump_group_manager(&mut self, now: Time) -> bool {
+        let outputs = self.group_manager.take_outputs();
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
                 FormerOutput::CallPlatform { call, request } => {
-                    self.call_platform(CallOwner::Former(call), request);
+                    self.call_platform(CallOwner::GroupManager(call), request);
                 }
                 FormerOutput::Publish(record) => self.publish_record(now, &record),
                 FormerOutput::SnapshotStored { group, revision } => {
@@ -385,7 +387,7 @@
                 self.publish(now, key, routes.version, encode(&routes));
             }
             GroupOutput::StoreSnapshot(record, revision) => {
-                self.former
+                self.group_manager
                     .step(now, FormerInput::StoreSnapshot { record, revision });
             }
             GroupOutput::OperationFinished { ticket, result } => {
