--- a/crates/ledgelead-ownership/src/dispatcher.rs
+++ b/crates/ledgelead-ownership/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The lease work of a dispatcher: one session for each server in its care,
-//! and reports to the leader.
+//! The dispatcher's lease handling: one session for each assigned server, and reports to
+//! the leader.
 
 use crate::message::{DispatcherReport, ServerLoad, ServerReport};
 use crate::schedule::Schedule;
@@ -11,12 +11,12 @@
 use ledgelead_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Interval of reports that carry load.
+/// Interval of reports that include load.
 const LOAD_REPORT_INTERVAL: Span = Span::from_seconds(1);
-/// News that the leader has not acted upon are sent again after this.
-const NEWS_INTERVAL: Span = Span::from_millis(80);
+/// A status that the leader has not acted on is sent again after this time.
+const REPORT_RETRY_INTERVAL: Span = Span::from_millis(80);
 
-/// A point in time that is never reached.
+/// Wakeup time when nothing is scheduled.
 const NEVER: Time = Time(u64::MAX);
 
 /// A renewal to send.
@@ -26,25 +26,24 @@
     pub server: ServerId,
     /// Its `IP:port`.
     pub address: Text,
-    /// Names the answer.
+    /// Identifies the reply.
     pub sequence: u64,
-    /// What to send.
+    /// The renewal.
     pub renewal: LeaseRenewal,
 }
 
-/// What a dispatcher has to know to grant.
+/// What a dispatcher needs to grant leases.
 pub struct GrantContext<'a> {
-    /// The group's state as applied here.
+    /// The group's state as applied on this replica.
     pub state: &'a GroupState,
-    /// Right to grant; `None` without one.
+    /// Authority to grant leases; `None` if there is none.
     pub authority: Option<GrantAuthority>,
 }
 
-/// The sessions of one replica.
+/// The server sessions of one replica.
 ///
-/// A session is visited when its time has come, when its server has answered
-/// and when the state has changed, so an input costs as much as the sessions
-/// that it concerns, however many there are.
+/// A session is updated when it is scheduled, when its server has replied and when the
+/// state has changed, so the cost of an input depends only on the sessions that it affects.
 pub struct Dispatcher {
     group: GroupId,
     identity: Member,
@@ -54,39 +53,39 @@
     slice_loads: BTreeMap<ServerId, Vec<SliceLoad>>,
     next_sequence: u64,
     next_load_report: Time,
-    next_news: Time,
+    next_retry: Time,
     report_due: bool,
     stopping: bool,
-    news_sent: BTreeMap<ServerId, NewsKey>,
+    reported: BTreeMap<ServerId, ReportedStatus>,
     schedule: Schedule,
-    /// Sessions to visit whatever their time.
-    touched: BTreeSet<ServerId>,
-    /// The state has changed since the last visits.
+    /// Sessions to update regardless of their schedule.
+    pending: BTreeSet<ServerId>,
+    /// The state has changed since the last update.
     state_changed: bool,
-    /// Whether there was authority to grant at the last visits.
+    /// Whether there was authority to grant leases at the last update.
     granting: bool,
-    /// End of the authority that is noted as about to end.
+    /// End of the authority, once it is known to end soon.
     ending: Option<Time>,
-    /// Sessions visited since the last report.
+    /// Sessions updated since the last report.
     unreported: BTreeSet<ServerId>,
-    /// Sessions on whose state the leader has to act.
-    pressing: BTreeSet<ServerId>,
-    /// Sessions visited since the last [`Dispatcher::take_visited`].
-    visited: BTreeSet<ServerId>,
+    /// Sessions with a status that the leader has to act on.
+    awaiting_leader: BTreeSet<ServerId>,
+    /// Sessions updated since the last [`Dispatcher::take_updated`].
+    updated: BTreeSet<ServerId>,
 }
 
-/// What came of visiting the sessions.
+/// Result of updating the sessions.
 #[derive(Debug, Default)]
-pub struct Visits {
-    /// Servers just found silent beyond their lease.
-    pub silent: Vec<ServerId>,
+pub struct SessionUpdates {
+    /// Servers just found unresponsive beyond their lease.
+    pub unresponsive: Vec<ServerId>,
     /// Renewals to send.
     pub renewals: Vec<Renewal>,
 }
 
-/// What of a session's news must reach the leader at once when it changes.
+/// The part of a session's status that is reported immediately when it changes.
 #[derive(Clone, Debug, PartialEq)]
-struct NewsKey {
+struct ReportedStatus {
     run: Option<u64>,
     answering: bool,
     lapsed_at: Option<Revision>,
@@ -95,8 +94,9 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher without servers. With `lease_wait` off it takes a silent
-    /// server as lost before its lease has ended, for the proof of the checker.
+    /// A dispatcher without servers. With `lease_wait` off it reports an unresponsive
+    /// server as lost before its lease has ended; this is used to verify that the checker
+    /// detects it.
     pub fn new(
         group: GroupId,
         identity: Member,
@@ -113,69 +113,69 @@
             slice_loads: BTreeMap::new(),
             next_sequence: 0,
             next_load_report: now + LOAD_REPORT_INTERVAL,
-            next_news: now,
+            next_retry: now,
             report_due: false,
             stopping: false,
-            news_sent: BTreeMap::new(),
+            reported: BTreeMap::new(),
             schedule: Schedule::default(),
-            touched: BTreeSet::new(),
+            pending: BTreeSet::new(),
             state_changed: true,
             granting: false,
             ending: None,
             unreported: BTreeSet::new(),
-            pressing: BTreeSet::new(),
-            visited: BTreeSet::new(),
+            awaiting_leader: BTreeSet::new(),
+            updated: BTreeSet::new(),
         }
     }
 
-    /// Whether the service is divided by key.
+    /// Sets whether the service is partitioned by key.
     pub fn set_partitioned(&mut self, partitioned: bool, now: Time) {
         if self.partitioned != partitioned {
             self.partitioned = partitioned;
             self.sessions.clear();
             self.schedule.clear();
             self.state_changed = true;
-            self.next_news = now;
+            self.next_retry = now;
         }
     }
 
-    /// Servers or slices have changed in the replicated state.
+    /// Records that servers or slices have changed in the replicated state.
     pub fn state_changed(&mut self) {
         self.state_changed = true;
     }
 
-    /// Takes servers into care and out of it as the state says, notes the
-    /// time, and renews the leases that are due.
-    pub fn visit(&mut self, now: Time, context: &GrantContext) -> Visits {
+    /// Adds and removes sessions to match the assignments in the state, updates timeouts,
+    /// and renews the leases that are due.
+    pub fn update_sessions(&mut self, now: Time, context: &GrantContext) -> SessionUpdates {
         let authority = context.authority.filter(|held| now < held.until);
         let all = self.authority_changed(now, authority) || self.state_changed;
         if std::mem::take(&mut self.state_changed) {
-            self.follow_care(now, context.state);
+            self.sync_sessions(now, context.state);
         }
-        let mut due = std::mem::take(&mut self.touched);
+        let mut due = std::mem::take(&mut self.pending);
         if all {
             due.extend(self.sessions.keys());
         }
         due.extend(self.schedule.due(now));
-        let mut visits = Visits::default();
+        let mut updates = SessionUpdates::default();
         for id in due {
-            self.visit_one(now, id, context.state, authority, &mut visits);
+            self.update_session(now, id, context.state, authority, &mut updates);
         }
-        visits
+        updates
     }
 
-    fn follow_care(&mut self, now: Time, state: &GroupState) {
+    fn sync_sessions(&mut self, now: Time, state: &GroupState) {
         let before = self.sessions.len();
         let identity = self.identity;
         self.sessions
-            .retain(|server, _| in_care(state, *server, identity));
+            .retain(|server, _| is_assigned(state, *server, identity));
         if self.sessions.len() < before {
-            // The leader counts the leases of a former dispatcher from the
-            // report that follows the end of its care.
+            // The leader learns from this report that this dispatcher no longer serves the
+            // removed servers. It counts the end of their leases from the report.
             self.report_due = true;
         }
         for id in state.servers.keys() {
-            if in_care(state, *id, identity) && !self.sessions.contains_key(id) {
+            if is_assigned(state, *id, identity) && !self.sessions.contains_key(id) {
                 let session = ServerSession::new(*id, self.partitioned, self.lease_wait, now);
                 self.sessions.insert(*id, session);
                 self.report_due = true;
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Notes the right to grant. Returns whether it has come back, or has
-    /// begun to end: then all renewals may be due.
+    /// Records the authority to grant leases. Returns whether it was regained or is about
+    /// to end; in both cases all renewals may be due.
     fn authority_changed(&mut self, now: Time, authority: Option<GrantAuthority>) -> bool {
         let regained = authority.is_some() && !self.granting;
         self.granting = authority.is_some();
@@ -195,13 +195,13 @@
         regained || newly_ending
     }
 
-    fn visit_one(
+    fn update_session(
         &mut self,
         now: Time,
         id: ServerId,
         state: &GroupState,
         authority: Option<GrantAuthority>,
-        visits: &mut Visits,
+        updates: &mut SessionUpdates,
     ) {
         let server = state.servers.get(&id);
         let (Some(session), Some(server)) = (self.sessions.get_mut(&id), server) else {
@@ -209,14 +209,14 @@
             return;
         };
         if session.advance(now, state, server) {
-            visits.silent.push(id);
+            updates.unresponsive.push(id);
         }
         if let Some(authority) = authority {
             let sequence = self.next_sequence;
             let renewal = session.renewal(now, sequence, state, server, self.group, authority);
             if let Some(renewal) = renewal {
                 self.next_sequence += 1;
-                visits.renewals.push(Renewal {
+                updates.renewals.push(Renewal {
                     server: id,
                     address: server.definition.address.clone(),
                     sequence,
@@ -224,16 +224,15 @@
                 });
             }
         }
-        // The end of the authority is watched for all sessions together until
-        // it is near.
+        // Until the end of the authority is near, it is tracked once for all sessions.
         let until = self.ending.unwrap_or(NEVER);
         let authority = authority.map(|held| GrantAuthority { until, ..held });
         self.schedule.set(id, session.next_wakeup(authority));
         self.unreported.insert(id);
-        self.visited.insert(id);
+        self.updated.insert(id);
     }
 
-    /// Takes in the end of a call to a server.
+    /// Handles the end of a call to a server.
     pub fn replied(
         &mut self,
         now: Time,
@@ -245,30 +244,30 @@
         let server = state.servers.get(&id);
         if let (Some(session), Some(server)) = (self.sessions.get_mut(&id), server) {
             session.replied(now, sequence, reply, state, server);
-            self.touched.insert(id);
+            self.pending.insert(id);
         }
     }
 
-    /// Gateways saw failures of a server.
+    /// Records failures of a server that gateways observed.
     pub fn evidence(&mut self, now: Time, server: ServerId, failures: u32) {
         if let Some(session) = self.sessions.get_mut(&server) {
             session.evidence(now, failures);
-            self.touched.insert(server);
+            self.pending.insert(server);
         }
     }
 
-    /// Load of a server's slices as counted on this node.
+    /// Sets the load of a server's slices as counted on this node.
     pub fn slice_loads(&mut self, server: ServerId, loads: Vec<SliceLoad>) {
         self.slice_loads.insert(server, loads);
     }
 
-    /// A new leader has heard nothing yet.
+    /// Schedules a full report: a new leader has received no status yet.
     pub fn leader_changed(&mut self) {
-        self.news_sent.clear();
+        self.reported.clear();
         self.report_due = true;
     }
 
-    /// The node is stopping; the leader is told at once.
+    /// The node is stopping; this is reported to the leader immediately.
     pub fn stop(&mut self) {
         self.stopping = true;
         self.report_due = true;
@@ -277,45 +276,44 @@
     /// The report to the leader, if one is due.
     pub fn report(&mut self, now: Time, state: &GroupState) -> Option<DispatcherReport> {
         let with_load = now >= self.next_load_report;
-        let repeat = now >= self.next_news;
+        let repeat = now >= self.next_retry;
         let mut servers = Vec::new();
         for id in &self.sessions_to_report(with_load, repeat) {
             let session = self.sessions.get(id);
             let (Some(session), Some(server)) = (session, state.servers.get(id)) else {
-                self.pressing.remove(id);
+                self.awaiting_leader.remove(id);
                 continue;
             };
             if session.needs_leader(state, server) {
-                self.pressing.insert(*id);
+                self.awaiting_leader.insert(*id);
             } else {
-                self.pressing.remove(id);
+                self.awaiting_leader.remove(id);
             }
-            let mut news = session.news(now);
+            let mut status = session.status(now);
             if !state.recovering {
-                // Only the rebuilding of a group asks for it, and the list is
-                // long.
-                news.held = List::default();
+                // The list is long and only needed to rebuild a group.
+                status.held = List::default();
             }
-            let key = NewsKey {
-                run: news.run,
-                answering: news.answering,
-                lapsed_at: news.lapsed_at,
-                released: news.released.len(),
-                leaving: news.leaving,
+            let key = ReportedStatus {
+                run: status.run,
+                answering: status.answering,
+                lapsed_at: status.lapsed_at,
+                released: status.released.len(),
+                leaving: status.leaving,
             };
-            let changed = self.news_sent.get(id) != Some(&key);
-            let pressing = self.pressing.contains(id) && (changed || repeat);
-            if !pressing && !with_load && !self.report_due {
+            let changed = self.reported.get(id) != Some(&key);
+            let awaiting_leader = self.awaiting_leader.contains(id) && (changed || repeat);
+            if !awaiting_leader && !with_load && !self.report_due {
                 continue;
             }
-            self.news_sent.insert(*id, key);
+            self.reported.insert(*id, key);
             let load = with_load.then(|| ServerLoad {
                 report: session.load(),
                 slices: self.slice_loads.get(id).cloned().unwrap_or_default().into(),
             });
             servers.push(ServerReport {
                 server: *id,
-                news,
+                status,
                 load,
             });
         }
@@ -325,7 +323,7 @@
         if with_load {
             self.next_load_report = now + LOAD_REPORT_INTERVAL;
         }
-        self.next_news = now + NEWS_INTERVAL;
+        self.next_retry = now + REPORT_RETRY_INTERVAL;
         self.report_due = false;
         Some(DispatcherReport {
             term: state.term,
@@ -335,18 +333,18 @@
         })
     }
 
-    /// The sessions of which there may be something to tell the leader.
+    /// The sessions that may have something to report to the leader.
     fn sessions_to_report(&mut self, with_load: bool, repeat: bool) -> BTreeSet<ServerId> {
         let mut sessions = std::mem::take(&mut self.unreported);
         if with_load || self.report_due {
             sessions.extend(self.sessions.keys());
         } else if repeat {
-            sessions.extend(&self.pressing);
+            sessions.extend(&self.awaiting_leader);
         }
         sessions
     }
 
-    /// The servers in this node's care, for its request dispatcher.
+    /// The servers assigned to this node, for its request dispatcher.
     pub fn dispatched(&self, state: &GroupState) -> Vec<DispatchedServer> {
         let entries = self.sessions.keys();
         entries
@@ -354,7 +352,7 @@
             .collect()
     }
 
-    /// A server in this node's care, for its request dispatcher.
+    /// A server assigned to this node, for its request dispatcher.
     pub fn dispatched_server(&self, id: ServerId, state: &GroupState) -> Option<DispatchedServer> {
         let session = self.sessions.get(&id)?;
         let server = state.servers.get(&id)?;
@@ -368,9 +366,9 @@
         })
     }
 
-    /// The servers visited since the last call.
-    pub fn take_visited(&mut self) -> BTreeSet<ServerId> {
-        std::mem::take(&mut self.visited)
+    /// The servers updated since the last call.
+    pub fn take_updated(&mut self) -> BTreeSet<ServerId> {
+        std::mem::take(&mut self.updated)
     }
 
     /// When something is due next.
@@ -382,13 +380,13 @@
         times.into_iter().flatten().min().unwrap_or(NEVER)
     }
 
-    /// What a server in this node's care says of its load.
+    /// Load reported by a server that is assigned to this node.
     pub fn load(&self, server: ServerId) -> Option<LoadReport> {
         self.sessions.get(&server).map(ServerSession::load)
     }
 }
 
-fn in_care(state: &GroupState, server: ServerId, identity: Member) -> bool {
+fn is_assigned(state: &GroupState, server: ServerId, identity: Member) -> bool {
     state.servers.get(&server).is_some_and(|server: &Server| {
         server.dispatcher == Some(identity) && server.status != ServerStatus::Retired
     })
--- a/crates/ledgelead-ownership/src/requests.rs
+++ b/crates/ledgelead-ownership/src/requests.rs
@@ -1,11 +1,11 @@
-//! Requests that only the leader can decide: those of this node that wait for
-//! an answer, and those under way in this node's log while it leads.
+//! Requests that only the leader can decide: those of this node that wait for an answer,
+//! and while this node is the leader those that are in its log.
 //!
-//! A request is sent again until it is answered or its time is up. That is
-//! safe: an operation takes effect once under its identifier, and a wish to
-//! begin is answered the same when its owner repeats it.
+//! A request is sent again until it is answered or times out. That is safe: an operation
+//! takes effect only once per identifier, and a repeated request to begin gets the same
+//! answer.
 
-use crate::message::{Asked, GroupAnswer, GroupRequest};
+use crate::message::{GroupAnswer, GroupRequest, NumberedRequest};
 use ledgelead_types::administration::{CommandRejection, CommandResult};
 use ledgelead_types::dispatch::IdempotencyVerdict;
 use ledgelead_types::*;
@@ -13,48 +13,48 @@
 
 /// How long a request waits for an answer before it is sent again.
 const RETRY_INTERVAL: Span = Span::from_millis(150);
-/// How long a recorded end waits for company on its way to the leader. It is
-/// not urgent: until it arrives a repeat is refused as a duplicate all the same.
+/// How long the end of an executed request waits to be sent to the leader together with
+/// others. It is not urgent: until it arrives, a retry is refused as a duplicate anyway.
 const END_DELAY: Span = Span::from_millis(100);
-/// How long it waits for an answer before it is sent again.
+/// How long such an end waits for an answer before it is sent again.
 const END_RETRY_INTERVAL: Span = Span::from_millis(500);
-/// How long an operation waits for its end.
+/// Timeout of an operation.
 const OPERATION_TIMEOUT: Span = Span::from_seconds(2);
-/// How long a wish to begin waits.
+/// Timeout of a request to begin under an idempotency key.
 const BEGIN_TIMEOUT: Span = Span::from_seconds(1);
-/// How long the end of a request is tried to be recorded.
+/// Timeout of recording the end of a request.
 const END_TIMEOUT: Span = Span::from_seconds(5);
-/// Most requests that wait at once; more are refused at once.
-const MAXIMUM_WAITING: usize = 16_384;
+/// Maximum number of pending requests; further ones are refused immediately.
+const MAX_PENDING: usize = 16_384;
 
-/// Who waits for an answer on this node.
+/// The receiver of an answer on this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
-    /// An operation's ticket.
+    /// An operation, by its ticket.
     Operation(u64),
-    /// The owner of an idempotency record, by the request itself.
-    Once,
+    /// The owner of an idempotency record, who is named in the request.
+    Idempotency,
     /// Nobody.
     Nobody,
 }
 
 /// A request of this node.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct PendingRequest {
     /// The request.
     pub request: GroupRequest,
-    /// Who waits.
+    /// The receiver of the answer.
     pub waiter: Waiter,
-    /// Whether it may wait to be sent with others.
-    lazy: bool,
+    /// Whether it may be delayed to be sent with others.
+    deferred: bool,
     deadline: Time,
     next_send: Time,
     sent: bool,
 }
 
-impl Waiting {
+impl PendingRequest {
     fn retry_interval(&self) -> Span {
-        if self.lazy {
+        if self.deferred {
             END_RETRY_INTERVAL
         } else {
             RETRY_INTERVAL
@@ -62,149 +62,156 @@
     }
 }
 
-/// Where a proposal came from.
+/// The origin of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A request of this node.
-    Here(u64),
-    /// A request of another replica under its own number.
+    Local(u64),
+    /// A request of another replica, with the number that it assigned.
     Replica(Member, u64),
 }
 
-/// A request that ended.
+/// A request that was answered or timed out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct FinishedRequest {
     /// The request.
     pub request: GroupRequest,
-    /// Who waits.
+    /// The receiver of the answer.
     pub waiter: Waiter,
     /// The answer.
     pub answer: GroupAnswer,
 }
 
-/// All requests under way.
+/// All pending and proposed requests.
 #[derive(Default)]
 pub struct Requests {
-    waiting: BTreeMap<u64, Waiting>,
+    pending: BTreeMap<u64, PendingRequest>,
     /// Origins of the commands of each entry proposed here, in order.
     proposed: BTreeMap<Revision, Vec<Origin>>,
     next_number: u64,
 }
 
 impl Requests {
-    /// Takes a request of this node; `false` when too many wait. A wish to
-    /// begin that waits already is not added again: one that was left
-    /// unanswered would free the key when its time is up, although the other
-    /// was granted.
+    /// Adds a request of this node; `false` if too many are pending. A request to begin
+    /// that is already pending is not added again: if one of the two timed out, it would
+    /// free the key although the other was granted.
     pub fn add(&mut self, now: Time, request: GroupRequest, waiter: Waiter) -> bool {
-        if self.begins(&request) {
+        if self.has_begin_request(&request) {
             return true;
         }
-        if self.waiting.len() >= MAXIMUM_WAITING {
+        if self.pending.len() >= MAX_PENDING {
             return false;
         }
         let timeout = match &request {
             GroupRequest::Operate { .. } => OPERATION_TIMEOUT,
-            GroupRequest::BeginOnce { .. } => BEGIN_TIMEOUT,
-            GroupRequest::EndOnce { .. } => END_TIMEOUT,
+            GroupRequest::BeginIdempotencyRecord { .. } => BEGIN_TIMEOUT,
+            GroupRequest::EndIdempotencyRecord { .. } => END_TIMEOUT,
         };
-        // The end of a request that was not run frees its key for a repeat
-        // that may come at once.
-        let lazy = matches!(&request, GroupRequest::EndOnce { state: Some(_), .. });
-        let delay = if lazy { END_DELAY } else { Span::ZERO };
-        let waiting = Waiting {
+        // The end of a request that was not executed is not deferred: it frees the key for
+        // a retry that may arrive immediately.
+        let deferred = matches!(
+            &request,
+            GroupRequest::EndIdempotencyRecord { state: Some(_), .. }
+        );
+        let delay = if deferred { END_DELAY } else { Span::ZERO };
+        let pending = PendingRequest {
             request,
             waiter,
-            lazy,
+            deferred,
             deadline: now + timeout,
             next_send: now + delay,
             sent: false,
         };
-        self.waiting.insert(self.next_number, waiting);
+        self.pending.insert(self.next_number, pending);
         self.next_number += 1;
         true
     }
 
-    /// Whether this wish to begin waits already.
-    fn begins(&self, request: &GroupRequest) -> bool {
-        let is_wish = matches!(request, GroupRequest::BeginOnce { .. });
-        let mut waiting = self.waiting.values();
-        is_wish && waiting.any(|waiting| waiting.request == *request)
+    /// Whether this request to begin is already pending.
+    fn has_begin_request(&self, request: &GroupRequest) -> bool {
+        let is_begin = matches!(request, GroupRequest::BeginIdempotencyRecord { .. });
+        let mut pending = self.pending.values();
+        is_begin && pending.any(|pending| pending.request == *request)
     }
 
-    /// The requests to hand to the leader now, oldest first. With one that is
-    /// due go the ends that wait for company; so a key's end never comes
-    /// behind the next wish to begin under it.
-    pub fn due(&mut self, now: Time) -> Vec<Asked> {
+    /// The requests to send to the leader now, oldest first. Deferred ends are sent along
+    /// with any request that is due, so the end of a key is never sent after the next
+    /// request to begin under it.
+    pub fn due(&mut self, now: Time) -> Vec<NumberedRequest> {
         let any = self
-            .waiting
+            .pending
             .values()
-            .any(|waiting| waiting.next_send <= now);
+            .any(|pending| pending.next_send <= now);
         if !any {
             return Vec::new();
         }
-        let due = self.waiting.iter_mut().filter(|(_, waiting)| {
-            let goes_along = waiting.lazy && !waiting.sent;
-            goes_along || waiting.next_send <= now
+        let due = self.pending.iter_mut().filter(|(_, pending)| {
+            let piggybacks = pending.deferred && !pending.sent;
+            piggybacks || pending.next_send <= now
         });
-        due.map(|(number, waiting)| {
-            waiting.next_send = now + waiting.retry_interval();
-            waiting.sent = true;
-            Asked {
+        due.map(|(number, pending)| {
+            pending.next_send = now + pending.retry_interval();
+            pending.sent = true;
+            NumberedRequest {
                 number: *number,
-                request: waiting.request.clone(),
+                request: pending.request.clone(),
             }
         })
         .collect()
     }
 
-    /// Another leader is known: what waits is handed to it at once. What was
-    /// proposed here may have been discarded.
+    /// Handles a change of leader: pending requests are sent to the new one immediately.
+    /// Proposals of this node may have been discarded.
     pub fn leader_changed(&mut self, now: Time) {
         self.proposed.clear();
-        for waiting in self.waiting.values_mut() {
-            waiting.next_send = now;
+        for pending in self.pending.values_mut() {
+            pending.next_send = now;
         }
     }
 
-    /// Requests were proposed in one entry at this position, in this order.
+    /// Records that requests were proposed in one entry at this position, in this order.
     pub fn proposed(&mut self, revision: Revision, origins: Vec<Origin>) {
         self.proposed.insert(revision, origins);
     }
 
-    /// Where the commands of the entry at this position came from, in order;
-    /// none when they were not proposed here for a request.
+    /// The origins of the commands of the entry at this position, in order; empty if they
+    /// were not proposed here for a request.
     pub fn applied(&mut self, revision: Revision) -> Vec<Origin> {
         self.proposed.remove(&revision).unwrap_or_default()
     }
 
-    /// An answer arrived; `None` when nobody waits for it any more.
-    pub fn answered(&mut self, now: Time, number: u64, answer: GroupAnswer) -> Option<Ended> {
+    /// Handles an answer; `None` if the request is no longer pending.
+    pub fn answered(
+        &mut self,
+        now: Time,
+        number: u64,
+        answer: GroupAnswer,
+    ) -> Option<FinishedRequest> {
         if answer == GroupAnswer::NotLeader {
-            if let Some(waiting) = self.waiting.get_mut(&number) {
-                waiting.next_send = waiting.next_send.min(now + NOT_LEADER_DELAY);
+            if let Some(pending) = self.pending.get_mut(&number) {
+                pending.next_send = pending.next_send.min(now + NOT_LEADER_DELAY);
             }
             return None;
         }
-        let waiting = self.waiting.remove(&number)?;
-        Some(Ended {
-            request: waiting.request,
-            waiter: waiting.waiter,
+        let pending = self.pending.remove(&number)?;
+        Some(FinishedRequest {
+            request: pending.request,
+            waiter: pending.waiter,
             answer,
         })
     }
 
-    /// Ends the requests whose time is up.
-    pub fn expire(&mut self, now: Time) -> Vec<Ended> {
+    /// Ends the requests that have timed out.
+    pub fn expire(&mut self, now: Time) -> Vec<FinishedRequest> {
         let mut ended = Vec::new();
-        self.waiting.retain(|_, waiting| {
-            if now < waiting.deadline {
+        self.pending.retain(|_, pending| {
+            if now < pending.deadline {
                 return true;
             }
-            ended.push(Ended {
-                request: waiting.request.clone(),
-                waiter: waiting.waiter,
-                answer: unanswered(&waiting.request, waiting.sent),
+            ended.push(FinishedRequest {
+                request: pending.request.clone(),
+                waiter: pending.waiter,
+                answer: timeout_answer(&pending.request, pending.sent),
             });
             false
         });
@@ -213,28 +220,31 @@
 
     /// When something is due next.
     pub fn next_wakeup(&self, reachable: bool) -> Option<Time> {
-        let due = |waiting: &Waiting| {
+        let due = |pending: &PendingRequest| {
             if reachable {
-                waiting.next_send.min(waiting.deadline)
+                pending.next_send.min(pending.deadline)
             } else {
-                waiting.deadline
+                pending.deadline
             }
         };
-        self.waiting.values().map(due).min()
+        self.pending.values().map(due).min()
     }
 }
 
-/// A replica that was asked and doesn't lead is not asked again before this.
+/// Delay before a request is sent again after the receiver answered that it is not the
+/// leader.
 const NOT_LEADER_DELAY: Span = Span::from_millis(20);
 
-/// The answer to a request that no leader answered in time.
-pub fn unanswered(request: &GroupRequest, sent: bool) -> GroupAnswer {
+/// The answer to a request that timed out.
+pub fn timeout_answer(request: &GroupRequest, sent: bool) -> GroupAnswer {
     match request {
         GroupRequest::Operate { .. } if sent => GroupAnswer::Operated(CommandResult::Unknown),
         GroupRequest::Operate { .. } => {
             GroupAnswer::Operated(CommandResult::Rejected(CommandRejection::NoLeader))
         }
-        GroupRequest::BeginOnce { .. } => GroupAnswer::Once(IdempotencyVerdict::Unavailable),
-        GroupRequest::EndOnce { .. } => GroupAnswer::Ended,
+        GroupRequest::BeginIdempotencyRecord { .. } => {
+            GroupAnswer::Idempotency(IdempotencyVerdict::Unavailable)
+        }
+        GroupRequest::EndIdempotencyRecord { .. } => GroupAnswer::Ended,
     }
 }
--- a/crates/ledgelead-ownership/src/session/replying.rs
+++ b/crates/ledgelead-ownership/src/session/replying.rs
@@ -1,9 +1,9 @@
-//! What a server's answers say.
+//! Handling of a server's replies.
 
 use super::*;
 
 impl ServerSession {
-    /// Takes in the end of a call; `None` when it failed.
+    /// Handles the end of a call; `None` if it failed.
     pub fn replied(
         &mut self,
         now: Time,
@@ -24,20 +24,20 @@
         if self.run != Some(reply.run) {
             self.start_run(reply.run, now, state.applied, server);
         }
-        self.take_stamp(now, call.sent, reply.stamp);
-        self.holding = reply.holding;
+        self.record_stamp(now, call.sent, reply.stamp);
+        self.confirmed_set = reply.holding;
         self.load = reply.load;
         self.leaving = reply.leaving;
-        self.take_verdict(now, call, &reply, state, server);
+        self.apply_verdict(now, call, &reply, state, server);
     }
 
     pub(super) fn call_failed(&mut self) {
         self.failures += 1;
     }
 
-    /// The process behind the address is another one: its clock is another,
-    /// and it holds nothing. What the former run owned is not granted again
-    /// before the leader has admitted this run.
+    /// Handles a restart of the server's process: its clock is a different one, and it
+    /// holds no slices. The slices of the former run are not granted again before the
+    /// leader has admitted this run.
     fn start_run(&mut self, run: u64, now: Time, applied: Revision, server: &Server) {
         self.run = Some(run);
         self.stamp = None;
@@ -48,8 +48,8 @@
         self.stop_for_unadmitted_run(applied, server);
     }
 
-    /// An admission may be of a run that has ended since; then the present one
-    /// still waits for its own.
+    /// Stops granting leases to a run that was not admitted. An admission may refer to a
+    /// run that has ended since; the current run then still needs its own.
     pub(super) fn stop_for_unadmitted_run(&mut self, applied: Revision, server: &Server) {
         let other_run = self.run.is_some() && server.run.is_some() && self.run != server.run;
         if other_run && self.lapsed_at.is_none() {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn take_stamp(&mut self, now: Time, sent: Time, reading: Time) {
+    fn record_stamp(&mut self, now: Time, sent: Time, reading: Time) {
         if self.stamp.is_none_or(|known| reading > known.reading) {
             self.stamp = Some(Stamp {
                 reading,
@@ -67,7 +67,7 @@
         }
     }
 
-    fn take_verdict(
+    fn apply_verdict(
         &mut self,
         now: Time,
         call: Call,
@@ -77,8 +77,8 @@
     ) {
         match reply.verdict {
             RenewalVerdict::Taken => {
-                self.lease_taken(call, reply.run);
-                self.note_released(reply, state, server);
+                self.confirm_lease(call, reply.run);
+                self.record_released(reply, state, server);
             }
             RenewalVerdict::Fenced { .. } => self.usable_until = None,
             RenewalVerdict::SetUnknown => self.next_renewal = now,
@@ -89,7 +89,7 @@
         }
     }
 
-    fn lease_taken(&mut self, call: Call, run: u64) {
+    fn confirm_lease(&mut self, call: Call, run: u64) {
         let Some((stamp, stamped_run)) = call.echoed else {
             return;
         };
@@ -99,9 +99,9 @@
         }
     }
 
-    /// A slice is given up when the server holds the set without it and
-    /// doesn't list it among those whose requests are still executing.
-    fn note_released(&mut self, reply: &RenewalReply, state: &GroupState, server: &Server) {
+    /// Records released slices. A slice is released when the server holds the set without
+    /// it and doesn't list it among those with requests that are still executing.
+    fn record_released(&mut self, reply: &RenewalReply, state: &GroupState, server: &Server) {
         if reply.holding != server.set_changed {
             return;
         }
