--- a/crates/ledgelead-balance/src/baseline.rs
+++ b/crates/ledgelead-balance/src/baseline.rs
@@ -2,7 +2,7 @@
 
 mod bounded_loads;
 mod greedy;
-mod smoothed_view;
+mod smoothed_loads;
 mod static_hash;
 
 pub use bounded_loads::BoundedLoads;
--- a/crates/ledgelead-balance/src/baseline/bounded_loads.rs
+++ b/crates/ledgelead-balance/src/baseline/bounded_loads.rs
@@ -7,7 +7,7 @@
 //! their own here, where the paper has balls of equal weight.
 
 use crate::baseline::Assigner;
-use crate::baseline::smoothed_view::{SmoothedLoads, accepting, change_to};
+use crate::baseline::smoothed_loads::{SmoothedLoads, accepting, change_to};
 use crate::change::PlannedChange;
 use crate::input::{PlanInput, SliceState};
 use ledgelead_types::{ServerId, Time};
--- a/crates/ledgelead-balance/src/baseline/greedy.rs
+++ b/crates/ledgelead-balance/src/baseline/greedy.rs
@@ -2,7 +2,7 @@
 //! for as long as that helps, at any churn.
 
 use crate::baseline::Assigner;
-use crate::baseline::smoothed_view::{SmoothedLoads, accepting, change_to};
+use crate::baseline::smoothed_loads::{SmoothedLoads, accepting, change_to};
 use crate::change::PlannedChange;
 use crate::input::{PlanInput, SliceState};
 use ledgelead_types::{ServerId, Time};
--- a/crates/ledgelead-balance/src/baseline/static_hash.rs
+++ b/crates/ledgelead-balance/src/baseline/static_hash.rs
@@ -1,7 +1,7 @@
 //! Static hashing: the slice's number modulo the number of servers.
 
 use crate::baseline::Assigner;
-use crate::baseline::smoothed_view::{accepting, change_to};
+use crate::baseline::smoothed_loads::{accepting, change_to};
 use crate::change::PlannedChange;
 use crate::input::PlanInput;
 use ledgelead_types::{ServerId, Time};
--- a/crates/ledgelead-membership/src/lib.rs
+++ b/crates/ledgelead-membership/src/lib.rs
@@ -8,9 +8,9 @@
 mod members;
 mod membership;
 mod message;
-mod news;
+mod gossip_queue;
 mod probes;
-mod proofs;
+mod death_proofs;
 mod settings;
 
 pub use dissemination::{
--- a/crates/ledgelead-membership/src/membership.rs
+++ b/crates/ledgelead-membership/src/membership.rs
@@ -11,9 +11,9 @@
 
 use crate::members::{Members, Merge};
 use crate::message::{NodeRecord, NodeStatus, StatusVersion};
-use crate::news::NewsQueue;
+use crate::gossip_queue::NewsQueue;
 use crate::probes::{Probe, ProbeOrder, SentPings};
-use crate::proofs::DeathProofs;
+use crate::death_proofs::DeathProofs;
 use crate::settings::{MembershipInput, MembershipOutput, MembershipSettings};
 use contacts::Contacts;
 use ledgelead_types::dispatch::LiveNode;
--- a/crates/ledgelead-request/src/dispatcher/mod.rs
+++ b/crates/ledgelead-request/src/dispatcher/mod.rs
@@ -10,13 +10,13 @@
 mod fair_queue;
 mod grant;
 mod interface;
-mod once;
+mod idempotency;
 mod queue;
 mod release;
 mod server;
 mod servers;
 mod slice_load;
-mod standing;
+mod standing_queue;
 mod tiers;
 
 pub use interface::{DispatcherInput, DispatcherOutput, DispatcherSettings, ServerSliceLoads};
@@ -32,7 +32,7 @@
 use ledgelead_types::{
     ConfigurationVersion, GroupId, Incarnation, Member, NodeId, ServerId, Span, Time,
 };
-use once::PendingOnce;
+use idempotency::PendingOnce;
 use queue::{Queue, QueueKey, Waiting};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/ledgelead-request/src/dispatcher/queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/queue.rs
@@ -3,7 +3,7 @@
 use super::PermitKey;
 use super::fair_queue::{FairQueue, Ticket};
 use super::server::Work;
-use super::standing::StandingQueue;
+use super::standing_queue::StandingQueue;
 use crate::message::{Acquire, Wanted};
 use ledgelead_types::{GroupId, ServerId, TierId, Time};
 use std::collections::BTreeMap;
--- a/crates/ledgelead-request/src/dispatcher/release.rs
+++ b/crates/ledgelead-request/src/dispatcher/release.rs
@@ -4,7 +4,7 @@
 //! than usual is asked after, so that a lost release costs a slot only for a
 //! short while; when the gateway stays silent the permit ends by itself.
 
-use super::once::owner_of;
+use super::idempotency::owner_of;
 use super::queue::QueueKey;
 use super::{Dispatcher, PermitKey, TimerKey};
 use crate::message::{DispatchReply, PermitEnd, Release};
