--- a/crates/ledgelead-balance/src/baseline/smoothed_loads.rs
+++ b/crates/ledgelead-balance/src/baseline/smoothed_loads.rs
@@ -3,7 +3,7 @@
 
 use crate::change::PlannedChange;
 use crate::input::{PlanInput, ServerState, SliceState};
-use crate::planner::SMOOTHING;
+use crate::planner::SMOOTHING_TIME_CONSTANT;
 use crate::rate::Rate;
 use ledgelead_types::{Position, ServerId, Time};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     /// Takes in one round's loads.
     pub fn observe(&mut self, input: &PlanInput, now: Time) {
         let elapsed = now.since(self.latest.unwrap_or(now)).as_seconds();
-        let part = 1.0 - (-elapsed / SMOOTHING.as_seconds()).exp();
+        let part = 1.0 - (-elapsed / SMOOTHING_TIME_CONSTANT.as_seconds()).exp();
         self.latest = Some(now);
         for slice in &input.slices {
             let Some(load) = slice.reported() else {
--- a/crates/ledgelead-balance/src/lib.rs
+++ b/crates/ledgelead-balance/src/lib.rs
@@ -18,4 +18,4 @@
 pub use change::PlannedChange;
 pub use input::{PlanInput, ServerState, SliceState, UNKNOWN_LOAD};
 pub use ledgelead_types::dispatch::HotPosition;
-pub use planner::{Planner, PlannerMemory, SMOOTHING, plan, plan_owners};
+pub use planner::{Planner, PlannerMemory, SMOOTHING_TIME_CONSTANT, plan, plan_owners};
--- a/crates/ledgelead-balance/src/planner.rs
+++ b/crates/ledgelead-balance/src/planner.rs
@@ -17,7 +17,7 @@
 use round::Round;
 
 /// Time constant of the exponentially weighted mean of a slice's load.
-pub const SMOOTHING: Span = Span::from_seconds(8);
+pub const SMOOTHING_TIME_CONSTANT: Span = Span::from_seconds(8);
 
 /// What the leader keeps between rounds: smoothed loads, cool-downs, churn
 /// spent. It may be lost at any time; the planner then starts from the loads
@@ -134,7 +134,7 @@
 
     fn smooth(&mut self, now: Time) {
         let elapsed = now.since(self.latest_round.unwrap_or(now));
-        let part = 1.0 - (-elapsed.as_seconds() / SMOOTHING.as_seconds()).exp();
+        let part = 1.0 - (-elapsed.as_seconds() / SMOOTHING_TIME_CONSTANT.as_seconds()).exp();
         self.slices.smooth(part);
         self.latest_round = Some(now);
     }
--- a/crates/ledgelead-balance/src/planner/overload.rs
+++ b/crates/ledgelead-balance/src/planner/overload.rs
@@ -1,7 +1,7 @@
 //! Which servers have been too full, or too empty, for long enough to act.
 
 use crate::levels::Level;
-use crate::planner::SMOOTHING;
+use crate::planner::SMOOTHING_TIME_CONSTANT;
 use crate::planner::round::Round;
 use ledgelead_types::{ServerId, Span, Time};
 
@@ -82,7 +82,7 @@
 
 fn is_noise(round: &Round, level: &Level) -> bool {
     let expected = round.levels.mean() * level.weight;
-    let deviation = (expected / (2.0 * SMOOTHING.as_seconds())).sqrt();
+    let deviation = (expected / (2.0 * SMOOTHING_TIME_CONSTANT.as_seconds())).sqrt();
     level.load - expected < NOISE_DEVIATIONS * deviation
 }
 
--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -399,7 +399,7 @@
                 verdict,
             } => self.dispatcher.step(
                 now,
-                DispatcherInput::OnceDecided {
+                DispatcherInput::IdempotencyRecordDecided {
                     owner,
                     key,
                     verdict,
@@ -516,7 +516,7 @@
         let verdict = IdempotencyVerdict::Unavailable;
         self.dispatcher.step(
             now,
-            DispatcherInput::OnceDecided {
+            DispatcherInput::IdempotencyRecordDecided {
                 owner,
                 key,
                 verdict,
@@ -530,10 +530,10 @@
         for output in outputs {
             match output {
                 DispatcherOutput::Reply { to, message } => self.send_to_gateway(now, to, message),
-                DispatcherOutput::BeginOnce { group, owner, key } => {
+                DispatcherOutput::BeginIdempotencyRecord { group, owner, key } => {
                     self.begin_once(now, group, owner, key);
                 }
-                DispatcherOutput::EndOnce {
+                DispatcherOutput::EndIdempotencyRecord {
                     group,
                     owner,
                     key,
--- a/crates/ledgelead-membership/src/gossip_queue.rs
+++ b/crates/ledgelead-membership/src/gossip_queue.rs
@@ -10,11 +10,11 @@
 
 /// Nodes whose record changed, with the transmissions that are left.
 #[derive(Debug, Default)]
-pub(crate) struct NewsQueue {
+pub(crate) struct GossipQueue {
     left: BTreeMap<NodeId, u32>,
 }
 
-impl NewsQueue {
+impl GossipQueue {
     /// Adds a node whose record changed, in a cluster of `nodes`.
     pub(crate) fn push(&mut self, node: NodeId, nodes: usize) {
         let doublings = usize::BITS - nodes.leading_zeros();
--- a/crates/ledgelead-membership/src/lib.rs
+++ b/crates/ledgelead-membership/src/lib.rs
@@ -4,13 +4,13 @@
 //! [`Dissemination`] brings the newest version of every item to every live
 //! node. Both are pure state machines (`docs/design/membership.md`).
 
+mod death_proofs;
 mod dissemination;
+mod gossip_queue;
 mod members;
 mod membership;
 mod message;
-mod gossip_queue;
 mod probes;
-mod death_proofs;
 mod settings;
 
 pub use dissemination::{
@@ -18,5 +18,7 @@
     DisseminationSettings, Item, ItemDelta, ItemHeader, ItemKey, ItemVersion,
 };
 pub use membership::Membership;
-pub use message::{MembershipMessage, News, NodeRecord, NodeStatus, StatusVersion, VersionSight};
+pub use message::{
+    Gossip, MembershipMessage, NodeRecord, NodeStatus, ObservedVersion, StatusVersion,
+};
 pub use settings::{MembershipInput, MembershipOutput, MembershipSettings, SeedAddress};
--- a/crates/ledgelead-membership/src/members.rs
+++ b/crates/ledgelead-membership/src/members.rs
@@ -56,7 +56,7 @@
     /// What is held.
     Same,
     /// Newer; others should hear it.
-    News {
+    Newer {
         /// The live set, a run or an address changed.
         visible: bool,
     },
@@ -119,7 +119,7 @@
     /// Takes in a record; a suspicion runs until `suspect_until`.
     pub(crate) fn merge(&mut self, now: Time, record: &NodeRecord, suspect_until: Time) -> Merge {
         let node = record.member.node;
-        if record.version > StatusVersion::MAX_BELIEVED {
+        if record.version > StatusVersion::MAX_ACCEPTED {
             return Merge::Older;
         }
         let Some(held) = self.entries.get_mut(&node) else {
@@ -147,7 +147,7 @@
             held.record.member,
             held.record.address.clone(),
         );
-        Merge::News {
+        Merge::Newer {
             visible: before != after,
         }
     }
@@ -163,7 +163,7 @@
         };
         self.entries.insert(record.member.node, entry);
         self.next_expiry = self.next_expiry.min(suspect_until);
-        Merge::News { visible: true }
+        Merge::Newer { visible: true }
     }
 
     /// Concludes from an answer that the node lives although it is suspected
--- a/crates/ledgelead-membership/src/membership.rs
+++ b/crates/ledgelead-membership/src/membership.rs
@@ -9,11 +9,11 @@
 mod receiving;
 mod sending;
 
+use crate::death_proofs::DeathProofs;
+use crate::gossip_queue::GossipQueue;
 use crate::members::{Members, Merge};
 use crate::message::{NodeRecord, NodeStatus, StatusVersion};
-use crate::gossip_queue::NewsQueue;
 use crate::probes::{Probe, ProbeOrder, SentPings};
-use crate::death_proofs::DeathProofs;
 use crate::settings::{MembershipInput, MembershipOutput, MembershipSettings};
 use contacts::Contacts;
 use ledgelead_types::dispatch::LiveNode;
@@ -60,7 +60,7 @@
 pub struct Membership {
     own: NodeRecord,
     members: Members,
-    news: NewsQueue,
+    gossip: GossipQueue,
     proofs: DeathProofs,
     sent: SentPings,
     order: ProbeOrder,
@@ -96,7 +96,7 @@
                 configuration: ConfigurationVersion(0),
             },
             members: Members::default(),
-            news: NewsQueue::default(),
+            gossip: GossipQueue::default(),
             proofs: DeathProofs::default(),
             sent: SentPings::starting_at(first_nonce),
             order: ProbeOrder::default(),
@@ -248,7 +248,7 @@
     fn expire_suspicions(&mut self, now: Time) {
         let died = self.members.expire(now);
         for node in died {
-            self.news.remove(node);
+            self.gossip.remove(node);
             self.report(node, false);
         }
     }
@@ -275,9 +275,9 @@
         let size = self.cluster_size();
         match self.members.merge(now, record, until) {
             Merge::Older => {}
-            Merge::Same => self.news.count(node),
-            Merge::News { visible } => {
-                self.news.push(node, size);
+            Merge::Same => self.gossip.count(node),
+            Merge::Newer { visible } => {
+                self.gossip.push(node, size);
                 self.report_change(node, was_live, visible);
             }
         }
@@ -299,7 +299,7 @@
         if is_right || said.version < self.own.version {
             return;
         }
-        if said.version <= StatusVersion::MAX_BELIEVED {
+        if said.version <= StatusVersion::MAX_ACCEPTED {
             self.own.version = said.version.next();
         }
     }
--- a/crates/ledgelead-membership/src/membership/probing.rs
+++ b/crates/ledgelead-membership/src/membership/probing.rs
@@ -51,7 +51,7 @@
         }
         let size = self.cluster_size();
         if self.members.suspect(probe.target, now + span).is_some() {
-            self.news.push(probe.target, size);
+            self.gossip.push(probe.target, size);
         }
     }
 
--- a/crates/ledgelead-membership/src/membership/receiving.rs
+++ b/crates/ledgelead-membership/src/membership/receiving.rs
@@ -2,7 +2,7 @@
 
 use super::{Membership, StateUse};
 use crate::members::Revival;
-use crate::message::{MembershipMessage, News, NodeRecord, NodeStatus};
+use crate::message::{Gossip, MembershipMessage, NodeRecord, NodeStatus};
 use crate::probes::{Purpose, SentPing};
 use crate::settings::MembershipOutput;
 use ledgelead_types::{Member, NodeId, Time};
@@ -17,12 +17,12 @@
         self.take_record(now, &sender);
         self.note_contradiction(&sender);
         match message {
-            MembershipMessage::Ping { nonce, news, .. } => {
-                self.take_news(now, from, news);
+            MembershipMessage::Ping { nonce, gossip, .. } => {
+                self.apply_gossip(now, from, gossip);
                 self.acknowledge(from, nonce);
             }
-            MembershipMessage::Acknowledgement { nonce, news, .. } => {
-                self.take_news(now, from, news);
+            MembershipMessage::Acknowledgement { nonce, gossip, .. } => {
+                self.apply_gossip(now, from, gossip);
                 self.take_acknowledgement(now, &sender, nonce);
             }
             MembershipMessage::IndirectPing { target, nonce, .. } => {
@@ -53,14 +53,14 @@
         }
     }
 
-    fn take_news(&mut self, now: Time, from: NodeId, news: News) {
-        for record in &news.records {
+    fn apply_gossip(&mut self, now: Time, from: NodeId, gossip: Gossip) {
+        for record in &gossip.records {
             self.take_record(now, record);
         }
-        for sight in &news.versions {
+        for sight in &gossip.versions {
             self.members.note_version(sight.node, sight.version);
         }
-        self.compare_live(now, from, news.live_hash);
+        self.compare_live(now, from, gossip.live_hash);
     }
 
     fn take_acknowledgement(&mut self, now: Time, sender: &NodeRecord, nonce: u64) {
@@ -110,7 +110,7 @@
             Revival::Returned => self.report(node, true),
         }
         // The suspicion was this node's own, or is refuted before it spreads.
-        self.news.remove(node);
+        self.gossip.remove(node);
     }
 
     /// Takes in all that another node holds. After a cut, what it holds live
@@ -125,7 +125,7 @@
             self.take_record(now, record);
             if !was_known {
                 // The others know; the sender passes on what is new.
-                self.news.remove(node);
+                self.gossip.remove(node);
             }
             let is_alive = record.status == NodeStatus::Alive;
             if is_alive && state_use == StateUse::Heal {
--- a/crates/ledgelead-membership/src/membership/sending.rs
+++ b/crates/ledgelead-membership/src/membership/sending.rs
@@ -1,7 +1,7 @@
 //! How the membership's messages are put together.
 
 use super::{COMPARISON_INTERVAL, Membership, PERIOD, StateUse};
-use crate::message::{MembershipMessage, News, NodeRecord, NodeStatus, VersionSight};
+use crate::message::{Gossip, MembershipMessage, NodeRecord, NodeStatus, ObservedVersion};
 use crate::probes::Purpose;
 use crate::settings::MembershipOutput;
 use ledgelead_types::codec::encode;
@@ -13,7 +13,7 @@
 
 /// Bytes of records that one message carries at most; with the rest of the
 /// message it fits one datagram.
-const NEWS_BYTES: usize = 1_024;
+const MAX_GOSSIP_BYTES: usize = 1_024;
 /// Configuration versions that one message carries.
 const VERSIONS_PER_MESSAGE: usize = 2;
 /// Contacts asked at once while this node knows nobody.
@@ -29,7 +29,7 @@
         let message = MembershipMessage::Ping {
             sender: self.own.clone(),
             nonce,
-            news: self.news_for(to),
+            gossip: self.gossip_for(to),
         };
         self.send(to, message);
         nonce
@@ -39,7 +39,7 @@
         let message = MembershipMessage::Acknowledgement {
             sender: self.own.clone(),
             nonce,
-            news: self.news_for(to),
+            gossip: self.gossip_for(to),
         };
         self.send(to, message);
     }
@@ -79,7 +79,7 @@
     /// Asks a node that holds other nodes live for all that it holds, unless
     /// news is still about.
     pub(super) fn compare_live(&mut self, now: Time, node: NodeId, their_hash: u64) {
-        let is_due = now >= self.next_comparison && self.news.is_empty();
+        let is_due = now >= self.next_comparison && self.gossip.is_empty();
         if is_due && their_hash != self.live_hash() {
             let jitter = Span(
                 self.random
@@ -131,7 +131,7 @@
 
     /// The news for a message: first how this node holds the receiver, if not
     /// as the live run that it is, so that it can refute; then changes, least often sent first.
-    fn news_for(&mut self, to: NodeId) -> News {
+    fn gossip_for(&mut self, to: NodeId) -> Gossip {
         let mut records = Vec::new();
         let mut bytes = 0;
         let is_contradicted = self.contradicted.contains(&to);
@@ -142,18 +142,18 @@
         if let Some(entry) = doubted {
             records.push(entry.record.clone());
         }
-        for node in self.news.order() {
+        for node in self.gossip.order() {
             let Some(entry) = self.members.get(node).filter(|_| node != to) else {
                 continue;
             };
             bytes += encode(&entry.record).len();
-            if bytes > NEWS_BYTES {
+            if bytes > MAX_GOSSIP_BYTES {
                 break;
             }
             records.push(entry.record.clone());
-            self.news.count(node);
+            self.gossip.count(node);
         }
-        News {
+        Gossip {
             records: List(records),
             live_hash: self.live_hash(),
             versions: self.next_versions(),
@@ -161,7 +161,7 @@
     }
 
     /// Configuration versions of the next nodes in turn.
-    fn next_versions(&mut self) -> List<VersionSight> {
+    fn next_versions(&mut self) -> List<ObservedVersion> {
         let mut sights = List::default();
         for _ in 0..VERSIONS_PER_MESSAGE {
             let start = self
@@ -170,7 +170,7 @@
             let next = self.members.next_live(start);
             self.version_cursor = next.map(|record| record.member.node);
             if let Some(record) = next {
-                sights.push(VersionSight {
+                sights.push(ObservedVersion {
                     node: record.member.node,
                     version: record.configuration,
                 });
--- a/crates/ledgelead-membership/src/message.rs
+++ b/crates/ledgelead-membership/src/message.rs
@@ -11,7 +11,7 @@
 impl StatusVersion {
     /// Highest version that is believed of others. The node itself can always
     /// go above it.
-    pub const MAX_BELIEVED: StatusVersion = StatusVersion(u32::MAX / 2);
+    pub const MAX_ACCEPTED: StatusVersion = StatusVersion(u32::MAX / 2);
 
     /// The next version.
     pub fn next(self) -> StatusVersion {
@@ -63,7 +63,7 @@
 
 /// The configuration in force on a node, as somebody heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct VersionSight {
+pub struct ObservedVersion {
     /// The node.
     pub node: NodeId,
     /// Version in force there.
@@ -72,13 +72,13 @@
 
 /// What travels along with probes.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
-pub struct News {
+pub struct Gossip {
     /// Changes of nodes, bounded in bytes.
     pub records: List<NodeRecord>,
     /// Hash over the live nodes as the sender holds them, itself among them.
     pub live_hash: u64,
     /// Configuration versions of a few nodes in turn.
-    pub versions: List<VersionSight>,
+    pub versions: List<ObservedVersion>,
 }
 
 /// A message between the memberships of two nodes. `sender` is the sender's
@@ -92,7 +92,7 @@
         /// Repeated by the answer.
         nonce: u64,
         /// News.
-        news: News,
+        gossip: Gossip,
     },
     /// Answers a ping.
     Acknowledgement {
@@ -101,7 +101,7 @@
         /// Nonce of the ping.
         nonce: u64,
         /// News.
-        news: News,
+        gossip: Gossip,
     },
     /// Asks the receiver to ping `target` on the sender's behalf.
     IndirectPing {
--- a/crates/ledgelead-membership/tests/membership.rs
+++ b/crates/ledgelead-membership/tests/membership.rs
@@ -101,14 +101,14 @@
         let target = 10 + round % 30;
         let mut record = record_of(&network, target);
         record.status = [NodeStatus::Suspect, NodeStatus::Left][round % 2];
-        let news = News {
+        let gossip = Gossip {
             records: vec![record].into(),
-            ..News::default()
+            ..Gossip::default()
         };
         let message = MembershipMessage::Ping {
             sender: record_of(&network, 5),
             nonce: 1,
-            news,
+            gossip,
         };
         let input = MembershipInput::Message {
             from: liar,
@@ -251,7 +251,7 @@
     let answer = |nonce| MembershipMessage::Acknowledgement {
         sender: speaker(7, 3),
         nonce,
-        news: News::default(),
+        gossip: Gossip::default(),
     };
     membership.tick(Time(1));
     let early = nonce_of_ping(&mut membership);
@@ -274,13 +274,13 @@
     let ping = MembershipMessage::Ping {
         sender: speaker(9, 0),
         nonce: 5,
-        news: News::default(),
+        gossip: Gossip::default(),
     };
     hear(&mut membership, Time(1), ping);
     let tells = |output: &MembershipOutput| {
         matches!(output, MembershipOutput::Send {
-            message: MembershipMessage::Acknowledgement { news, .. }, ..
-        } if news.records.contains(&speaker(7, 3)))
+            message: MembershipMessage::Acknowledgement { gossip, .. }, ..
+        } if gossip.records.contains(&speaker(7, 3)))
     };
     expect_that!(membership.take_outputs().iter().any(tells), eq(true));
 }
--- a/crates/ledgelead-request/src/dispatcher/acquire.rs
+++ b/crates/ledgelead-request/src/dispatcher/acquire.rs
@@ -3,7 +3,7 @@
 
 use super::queue::QueueKey;
 use super::{Dispatcher, PermitKey};
-use crate::message::{Acquire, DispatchReply, Wanted};
+use crate::message::{Acquire, DispatchReply, ServerSelector};
 use ledgelead_types::protections::Protection;
 use ledgelead_types::{NotRunReason, Span, Time};
 
@@ -16,10 +16,10 @@
             self.reply_moved(key);
             return;
         }
-        if let Wanted::Owner { claim, .. } = acquire.wanted {
+        if let ServerSelector::Owner { claim, .. } = acquire.selector {
             self.slice_loads.count(acquire.group, claim.position, now);
         }
-        match acquire.once {
+        match acquire.idempotency_key {
             Some(once) if self.protections.has(Protection::IdempotencyRecord) => {
                 self.begin_once(now, key, acquire, once);
             }
@@ -50,12 +50,12 @@
     /// Whether the server is dispatched here and, as far as this node knows,
     /// still owns the slice.
     pub(super) fn is_in_care(&self, acquire: &Acquire) -> bool {
-        match acquire.wanted {
-            Wanted::Any { .. } => self
+        match acquire.selector {
+            ServerSelector::Any { .. } => self
                 .pools
                 .get(&acquire.group)
                 .is_some_and(|servers| !servers.is_empty()),
-            Wanted::Owner { server, claim } => {
+            ServerSelector::Owner { server, claim } => {
                 let here = self
                     .servers
                     .get(&server)
--- a/crates/ledgelead-request/src/dispatcher/admission.rs
+++ b/crates/ledgelead-request/src/dispatcher/admission.rs
@@ -4,7 +4,7 @@
 use super::queue::{Queue, QueueKey, Waiting};
 use super::server::ServerState;
 use super::{Dispatcher, PermitKey, TimerKey};
-use crate::message::{Acquire, Wanted};
+use crate::message::{Acquire, ServerSelector};
 use ledgelead_types::{NotRunReason, Span, Time};
 
 /// How long work waits here for a server without a lease, or that is silent.
@@ -247,7 +247,7 @@
     /// A hedge takes a free slot of another server, and only when nobody
     /// waits for one.
     fn can_hedge(&self, now: Time, queue: QueueKey, acquire: &Acquire) -> bool {
-        let Wanted::Any { avoid } = acquire.wanted else {
+        let ServerSelector::Any { avoid } = acquire.selector else {
             return false;
         };
         let empty = self
--- a/crates/ledgelead-request/src/dispatcher/grant.rs
+++ b/crates/ledgelead-request/src/dispatcher/grant.rs
@@ -5,7 +5,7 @@
 use super::release::Permit;
 use super::server::ServerState;
 use super::{Dispatcher, PermitKey, TimerKey};
-use crate::message::Wanted;
+use crate::message::ServerSelector;
 use ledgelead_types::protections::Protection;
 use ledgelead_types::{NotRunReason, ServerId, Span, Time};
 
@@ -63,8 +63,8 @@
 
     /// Prefers a server that the request has not tried.
     fn other_than_tried(&self, now: Time, waiting: &Waiting, chosen: ServerId) -> ServerId {
-        match waiting.acquire.wanted {
-            Wanted::Any { avoid: Some(tried) } if tried == chosen => self
+        match waiting.acquire.selector {
+            ServerSelector::Any { avoid: Some(tried) } if tried == chosen => self
                 .choose_server(now, waiting.queue, Some(tried))
                 .unwrap_or(chosen),
             _ => chosen,
@@ -101,7 +101,7 @@
             state.granted(now);
         }
         let records = self.protections.has(Protection::IdempotencyRecord);
-        let once = waiting.acquire.once.filter(|_| records);
+        let once = waiting.acquire.idempotency_key.filter(|_| records);
         let permit = Permit {
             server,
             waited,
--- a/crates/ledgelead-request/src/dispatcher/idempotency.rs
+++ b/crates/ledgelead-request/src/dispatcher/idempotency.rs
@@ -62,7 +62,7 @@
         pending.begins += 1;
         let (group, key) = (pending.acquire.group, pending.once);
         self.outputs
-            .push(DispatcherOutput::BeginOnce { group, owner, key });
+            .push(DispatcherOutput::BeginIdempotencyRecord { group, owner, key });
         self.timers.set(TimerKey::Once(owner), now + BEGIN_INTERVAL);
     }
 
@@ -166,7 +166,7 @@
         }
         self.reply(
             owner.gateway,
-            DispatchReply::OnceEnded {
+            DispatchReply::IdempotencyRecordEnded {
                 gateway: owner.gateway.incarnation,
                 request: owner.request,
             },
@@ -180,7 +180,7 @@
         key: IdempotencyKey,
         state: Option<IdempotencyState>,
     ) {
-        self.outputs.push(DispatcherOutput::EndOnce {
+        self.outputs.push(DispatcherOutput::EndIdempotencyRecord {
             group,
             owner,
             key,
--- a/crates/ledgelead-request/src/dispatcher/interface.rs
+++ b/crates/ledgelead-request/src/dispatcher/interface.rs
@@ -53,8 +53,8 @@
     },
     /// A configuration; an older one than the present is refused.
     Configuration(Arc<Configuration>),
-    /// A group answered [`DispatcherOutput::BeginOnce`].
-    OnceDecided {
+    /// A group answered [`DispatcherOutput::BeginIdempotencyRecord`].
+    IdempotencyRecordDecided {
         /// Who asked.
         owner: IdempotencyOwner,
         /// The key.
@@ -79,7 +79,7 @@
     /// Have the group record that a request begins under a key. Repeated
     /// while no answer comes: the group answers
     /// [`IdempotencyVerdict::Fresh`] again to the owner of the record.
-    BeginOnce {
+    BeginIdempotencyRecord {
         /// The group.
         group: GroupId,
         /// The request.
@@ -89,7 +89,7 @@
     },
     /// Have the group record the end of the request, only if the record is
     /// this owner's.
-    EndOnce {
+    EndIdempotencyRecord {
         /// The group.
         group: GroupId,
         /// The request.
--- a/crates/ledgelead-request/src/dispatcher/mod.rs
+++ b/crates/ledgelead-request/src/dispatcher/mod.rs
@@ -9,8 +9,8 @@
 mod admission;
 mod fair_queue;
 mod grant;
-mod interface;
 mod idempotency;
+mod interface;
 mod queue;
 mod release;
 mod server;
@@ -23,6 +23,7 @@
 
 use crate::message::{DispatchReply, DispatchRequest};
 use crate::timers::Timers;
+use idempotency::PendingOnce;
 use ledgelead_types::configuration::Configuration;
 use ledgelead_types::dispatch::IdempotencyOwner;
 use ledgelead_types::protections::Protections;
@@ -32,7 +33,6 @@
 use ledgelead_types::{
     ConfigurationVersion, GroupId, Incarnation, Member, NodeId, ServerId, Span, Time,
 };
-use idempotency::PendingOnce;
 use queue::{Queue, QueueKey, Waiting};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -125,7 +125,7 @@
             DispatcherInput::Routes(routes) => self.routes_changed(now, routes),
             DispatcherInput::ServerLoad { server, load } => self.server_load(now, server, load),
             DispatcherInput::Configuration(configuration) => self.configure(&configuration),
-            DispatcherInput::OnceDecided {
+            DispatcherInput::IdempotencyRecordDecided {
                 owner,
                 key,
                 verdict,
@@ -214,8 +214,10 @@
             DispatchRequest::Withdraw { gateway, attempt } => {
                 self.withdraw(now, key(gateway, attempt));
             }
-            DispatchRequest::Holding { gateway, attempt } => self.holding(key(gateway, attempt)),
-            DispatchRequest::EndOnce {
+            DispatchRequest::PermitInUse { gateway, attempt } => {
+                self.holding(key(gateway, attempt))
+            }
+            DispatchRequest::EndIdempotencyRecord {
                 gateway,
                 request,
                 group,
--- a/crates/ledgelead-request/src/dispatcher/queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/queue.rs
@@ -4,7 +4,7 @@
 use super::fair_queue::{FairQueue, Ticket};
 use super::server::Work;
 use super::standing_queue::StandingQueue;
-use crate::message::{Acquire, Wanted};
+use crate::message::{Acquire, ServerSelector};
 use ledgelead_types::{GroupId, ServerId, TierId, Time};
 use std::collections::BTreeMap;
 
@@ -20,9 +20,9 @@
 impl QueueKey {
     /// The queue that a wish belongs to.
     pub(super) fn of(acquire: &Acquire) -> QueueKey {
-        match acquire.wanted {
-            Wanted::Owner { server, .. } => QueueKey::Server(server),
-            Wanted::Any { .. } => QueueKey::Pool(acquire.group),
+        match acquire.selector {
+            ServerSelector::Owner { server, .. } => QueueKey::Server(server),
+            ServerSelector::Any { .. } => QueueKey::Pool(acquire.group),
         }
     }
 
--- a/crates/ledgelead-request/src/dispatcher/release.rs
+++ b/crates/ledgelead-request/src/dispatcher/release.rs
@@ -152,7 +152,7 @@
         let server = permit.server;
         self.reply(
             key.gateway,
-            DispatchReply::Check {
+            DispatchReply::CheckPermit {
                 gateway: key.gateway.incarnation,
                 attempt: key.attempt,
             },
@@ -175,7 +175,7 @@
         let waiting: Vec<PermitKey> = self.waiting.keys().copied().filter(of_node).collect();
         for key in waiting {
             let acquire = self.waiting.get(&key).map(|waiting| waiting.acquire);
-            let once = acquire.and_then(|acquire| Some((acquire.group, acquire.once?)));
+            let once = acquire.and_then(|acquire| Some((acquire.group, acquire.idempotency_key?)));
             self.take_waiting(key);
             self.end_as_unknown(key, once);
         }
--- a/crates/ledgelead-request/src/gateway/forward.rs
+++ b/crates/ledgelead-request/src/gateway/forward.rs
@@ -4,7 +4,7 @@
 use super::evidence::{self, Verdict};
 use super::interface::GatewayOutput;
 use super::request::{ActiveRequest, Flight, Search, Stage};
-use crate::message::{PermitEnd, Wanted};
+use crate::message::{PermitEnd, ServerSelector};
 use ledgelead_types::protections::Protection;
 use ledgelead_types::request::{AttemptId, Forward};
 use ledgelead_types::server::{AttemptResult, ServerRefusal};
@@ -35,9 +35,9 @@
             self.hold(now, id);
             return;
         };
-        let ownership = match acquiring.wanted {
-            Wanted::Owner { claim, .. } => Some(claim),
-            Wanted::Any { .. } => None,
+        let ownership = match acquiring.selector {
+            ServerSelector::Owner { claim, .. } => Some(claim),
+            ServerSelector::Any { .. } => None,
         };
         request.sent = request.sent.saturating_add(1);
         request.avoid = Some(server);
--- a/crates/ledgelead-request/src/gateway/idempotency.rs
+++ b/crates/ledgelead-request/src/gateway/idempotency.rs
@@ -59,7 +59,7 @@
         pending.sends += 1;
         let pending = *pending;
         let to = self.record_keeper(&pending);
-        let message = DispatchRequest::EndOnce {
+        let message = DispatchRequest::EndIdempotencyRecord {
             gateway: self.member.incarnation,
             request,
             group: pending.group,
--- a/crates/ledgelead-request/src/gateway/locate.rs
+++ b/crates/ledgelead-request/src/gateway/locate.rs
@@ -3,7 +3,7 @@
 
 use super::Gateway;
 use super::request::{ActiveRequest, Search, Stage, Target};
-use crate::message::{DispatchRequest, Wanted};
+use crate::message::{DispatchRequest, ServerSelector};
 use ledgelead_types::request::OwnershipClaim;
 use ledgelead_types::routes::GroupRoutes;
 use ledgelead_types::{GroupId, NodeId, RequestId, Span, Time};
@@ -20,7 +20,7 @@
 pub(super) struct Location {
     pub(super) group: GroupId,
     pub(super) dispatcher: NodeId,
-    pub(super) wanted: Wanted,
+    pub(super) selector: ServerSelector,
 }
 
 impl Gateway {
@@ -42,7 +42,7 @@
                     .map(|(group, dispatcher)| Location {
                         group,
                         dispatcher,
-                        wanted: Wanted::Any { avoid },
+                        selector: ServerSelector::Any { avoid },
                     })
             }
             Target::Service => {
@@ -50,7 +50,7 @@
                     .map(|(group, dispatcher)| Location {
                         group,
                         dispatcher,
-                        wanted: Wanted::Any { avoid },
+                        selector: ServerSelector::Any { avoid },
                     })
             }
         };
@@ -71,7 +71,7 @@
         Some(Location {
             group,
             dispatcher: route.dispatcher,
-            wanted: Wanted::Owner {
+            selector: ServerSelector::Owner {
                 server,
                 claim: OwnershipClaim {
                     position,
@@ -176,7 +176,7 @@
                 let asked = Location {
                     group: acquiring.group,
                     dispatcher: acquiring.dispatcher,
-                    wanted: acquiring.wanted,
+                    selector: acquiring.selector,
                 };
                 if self.is_current(request, &asked) {
                     return;
--- a/crates/ledgelead-request/src/gateway/permit.rs
+++ b/crates/ledgelead-request/src/gateway/permit.rs
@@ -43,7 +43,7 @@
             stage: Stage::Acquiring(Acquiring {
                 dispatcher: location.dispatcher,
                 group: location.group,
-                wanted: location.wanted,
+                selector: location.selector,
                 first_sent: now,
                 next_send: now + wait,
                 unheard: 1,
@@ -70,11 +70,11 @@
             gateway: self.member.incarnation,
             attempt: request.attempt(search.number),
             group: acquiring.group,
-            wanted: acquiring.wanted,
+            selector: acquiring.selector,
             tier: request.tier,
             caller: request.caller,
             deadline: request.deadline.since(now),
-            once: request.idempotency,
+            idempotency_key: request.idempotency,
             hedge: search.hedge,
         };
         self.send(acquiring.dispatcher, DispatchRequest::Acquire(acquire));
@@ -163,8 +163,8 @@
             DispatchReply::Duplicate { attempt, state, .. } => {
                 self.duplicate(now, from, attempt, state);
             }
-            DispatchReply::Check { attempt, .. } => self.checked(from, attempt),
-            DispatchReply::OnceEnded { request, .. } => self.once_ended(request),
+            DispatchReply::CheckPermit { attempt, .. } => self.checked(from, attempt),
+            DispatchReply::IdempotencyRecordEnded { request, .. } => self.once_ended(request),
         }
     }
 
@@ -271,7 +271,7 @@
     /// when the earlier release was lost.
     fn checked(&mut self, from: NodeId, attempt: AttemptId) {
         if self.runs(attempt) {
-            let message = DispatchRequest::Holding {
+            let message = DispatchRequest::PermitInUse {
                 gateway: self.member.incarnation,
                 attempt,
             };
--- a/crates/ledgelead-request/src/gateway/request.rs
+++ b/crates/ledgelead-request/src/gateway/request.rs
@@ -1,7 +1,7 @@
 //! State of one request between arrival and outcome.
 
 use crate::NEVER;
-use crate::message::Wanted;
+use crate::message::ServerSelector;
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{
     CallerId, GroupId, IdempotencyKey, NodeId, Position, RequestId, ServerId, ServiceId, Span,
@@ -51,7 +51,7 @@
 pub(super) struct Acquiring {
     pub(super) dispatcher: NodeId,
     pub(super) group: GroupId,
-    pub(super) wanted: Wanted,
+    pub(super) selector: ServerSelector,
     pub(super) first_sent: Time,
     pub(super) next_send: Time,
     /// Sent without a reply since.
--- a/crates/ledgelead-request/src/message.rs
+++ b/crates/ledgelead-request/src/message.rs
@@ -27,15 +27,15 @@
         attempt: AttemptId,
     },
     /// The attempt still runs under its permit.
-    Holding {
+    PermitInUse {
         /// Run of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
     /// The request under an idempotency key has its final outcome. Sent
-    /// again until [`DispatchReply::OnceEnded`].
-    EndOnce {
+    /// again until [`DispatchReply::IdempotencyRecordEnded`].
+    EndIdempotencyRecord {
         /// Run of the gateway.
         gateway: Incarnation,
         /// The request.
@@ -52,7 +52,7 @@
 
 /// What a request needs a permit for.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
-pub enum Wanted {
+pub enum ServerSelector {
     /// The owner of the request's key.
     Owner {
         /// The owner, as the gateway's routes have it.
@@ -77,7 +77,7 @@
     /// Group of the server.
     pub group: GroupId,
     /// The server, or any.
-    pub wanted: Wanted,
+    pub selector: ServerSelector,
     /// Tier of the caller.
     pub tier: TierId,
     /// The caller; `None` when the configuration has none.
@@ -85,7 +85,7 @@
     /// Time left until the caller's deadline.
     pub deadline: Span,
     /// Record that has to be begun before the permit.
-    pub once: Option<IdempotencyKey>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// A hedge: refused rather than queued when no slot is free.
     pub hedge: bool,
 }
@@ -172,14 +172,14 @@
         state: IdempotencyState,
     },
     /// Asks whether the attempt still runs: it holds its permit for long.
-    Check {
+    CheckPermit {
         /// Run of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
     /// The final outcome under an idempotency key was taken.
-    OnceEnded {
+    IdempotencyRecordEnded {
         /// Run of the gateway.
         gateway: Incarnation,
         /// The request.
@@ -196,8 +196,8 @@
             | DispatchReply::Refuse { gateway, .. }
             | DispatchReply::Moved { gateway, .. }
             | DispatchReply::Duplicate { gateway, .. }
-            | DispatchReply::Check { gateway, .. }
-            | DispatchReply::OnceEnded { gateway, .. } => gateway,
+            | DispatchReply::CheckPermit { gateway, .. }
+            | DispatchReply::IdempotencyRecordEnded { gateway, .. } => gateway,
         }
     }
 }
--- a/crates/ledgelead-request/tests/dispatcher.rs
+++ b/crates/ledgelead-request/tests/dispatcher.rs
@@ -63,7 +63,7 @@
         gateway: member(GATEWAY).incarnation,
         attempt: attempt(request),
         group: GROUP,
-        wanted: Wanted::Owner {
+        selector: ServerSelector::Owner {
             server: ServerId(0),
             claim: OwnershipClaim {
                 position: Position(0),
@@ -73,7 +73,7 @@
         tier: TierId(1),
         caller: None,
         deadline: Span::from_seconds(10),
-        once: None,
+        idempotency_key: None,
         hedge: false,
     }
 }
@@ -167,7 +167,7 @@
     wish(&mut dispatcher, Time(10), 1);
     replies(&mut dispatcher);
     pass(&mut dispatcher, Time::ZERO + Span::from_millis(250));
-    let check = DispatchReply::Check {
+    let check = DispatchReply::CheckPermit {
         gateway: member(GATEWAY).incarnation,
         attempt: attempt(1),
     };
@@ -235,7 +235,7 @@
     let mut dispatcher = dispatcher_with(Protections::default(), servers);
     for request in 1..=6 {
         let mut any = acquire(request);
-        any.wanted = Wanted::Any { avoid: None };
+        any.selector = ServerSelector::Any { avoid: None };
         send(&mut dispatcher, Time(10), DispatchRequest::Acquire(any));
     }
     expect_that!(permitted(&mut dispatcher).len(), eq(3));
@@ -318,7 +318,7 @@
         next += 1;
         now = now + Span::from_millis(1);
         let mut any = acquire(next);
-        any.wanted = Wanted::Any { avoid: None };
+        any.selector = ServerSelector::Any { avoid: None };
         send(dispatcher, now, DispatchRequest::Acquire(any));
         let server = replies(dispatcher)
             .into_iter()
@@ -355,20 +355,20 @@
     let key = IdempotencyKey(9);
     let once = |request| {
         let mut acquire = acquire(request);
-        acquire.once = Some(key);
+        acquire.idempotency_key = Some(key);
         DispatchRequest::Acquire(acquire)
     };
     let owner = |request| IdempotencyOwner {
         gateway: member(GATEWAY),
         request: RequestId(request),
     };
-    let decide = |request, verdict| DispatcherInput::OnceDecided {
+    let decide = |request, verdict| DispatcherInput::IdempotencyRecordDecided {
         owner: owner(request),
         key,
         verdict,
     };
     send(&mut dispatcher, Time(10), once(1));
-    let begin = DispatcherOutput::BeginOnce {
+    let begin = DispatcherOutput::BeginIdempotencyRecord {
         group: GROUP,
         owner: owner(1),
         key,
@@ -378,7 +378,7 @@
     expect_that!(permitted(&mut dispatcher), elements_are![eq(&1)]);
 
     dispatcher.step(Time(25), DispatcherInput::GatewayLost(member(GATEWAY).node));
-    let ended = DispatcherOutput::EndOnce {
+    let ended = DispatcherOutput::EndIdempotencyRecord {
         group: GROUP,
         owner: owner(1),
         key,
@@ -416,7 +416,7 @@
         } else {
             request * 7_919
         };
-        acquire.wanted = Wanted::Owner {
+        acquire.selector = ServerSelector::Owner {
             server: ServerId(0),
             claim: OwnershipClaim {
                 position: Position(position),
--- a/crates/ledgelead-request/tests/messages.rs
+++ b/crates/ledgelead-request/tests/messages.rs
@@ -15,8 +15,8 @@
     })
 }
 
-fn wanted() -> impl Strategy<Value = Wanted> {
-    let any_server = any::<Option<u32>>().prop_map(|avoid| Wanted::Any {
+fn selector() -> impl Strategy<Value = ServerSelector> {
+    let any_server = any::<Option<u32>>().prop_map(|avoid| ServerSelector::Any {
         avoid: avoid.map(ServerId),
     });
     let owner = (any::<u32>(), any::<u64>(), any::<u64>()).prop_map(|(server, position, term)| {
@@ -24,7 +24,7 @@
             term: Term(term),
             ..FencingToken::default()
         };
-        Wanted::Owner {
+        ServerSelector::Owner {
             server: ServerId(server),
             claim: OwnershipClaim {
                 position: Position(position),
@@ -40,20 +40,20 @@
     let acquire = (
         run,
         attempt(),
-        wanted(),
+        selector(),
         any::<Option<u64>>(),
         any::<bool>(),
     )
-        .prop_map(|(gateway, attempt, wanted, once, hedge)| {
+        .prop_map(|(gateway, attempt, selector, once, hedge)| {
             DispatchRequest::Acquire(Acquire {
                 gateway,
                 attempt,
                 group: GroupId::default(),
-                wanted,
+                selector,
                 tier: TierId(3),
                 caller: None,
                 deadline: Span::from_seconds(1),
-                once: once.map(IdempotencyKey),
+                idempotency_key: once.map(IdempotencyKey),
                 hedge,
             })
         });
--- a/crates/ledgelead-request/tests/support/mod.rs
+++ b/crates/ledgelead-request/tests/support/mod.rs
@@ -82,7 +82,7 @@
     CancelAt(ServerId, GatewayIndex, AttemptId),
     Complete(ServerId, u64),
     End(GatewayIndex, AttemptId, AttemptResult),
-    OnceDecided(IdempotencyOwner, IdempotencyKey, IdempotencyVerdict),
+    IdempotencyRecordDecided(IdempotencyOwner, IdempotencyKey, IdempotencyVerdict),
     Tick,
 }
 
@@ -399,8 +399,8 @@
                 };
                 self.gateways[gateway].step(now, input);
             }
-            Happening::OnceDecided(owner, key, verdict) => {
-                let input = DispatcherInput::OnceDecided {
+            Happening::IdempotencyRecordDecided(owner, key, verdict) => {
+                let input = DispatcherInput::IdempotencyRecordDecided {
                     owner,
                     key,
                     verdict,
@@ -460,12 +460,12 @@
                 let gateway = to.0 as GatewayIndex;
                 self.deliver(|| Happening::ToGateway(gateway, message));
             }
-            DispatcherOutput::BeginOnce { owner, key, .. } => {
+            DispatcherOutput::BeginIdempotencyRecord { owner, key, .. } => {
                 let verdict = self.begin_record(owner, key);
                 let at = self.now + self.shape.hop + self.shape.hop;
-                self.schedule(at, Happening::OnceDecided(owner, key, verdict));
+                self.schedule(at, Happening::IdempotencyRecordDecided(owner, key, verdict));
             }
-            DispatcherOutput::EndOnce {
+            DispatcherOutput::EndIdempotencyRecord {
                 owner, key, state, ..
             } => self.end_record(owner, key, state),
         }
