--- a/crates/ledgelead-balance/src/baseline/bounded_loads.rs
+++ b/crates/ledgelead-balance/src/baseline/bounded_loads.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Points of each server on the ring.
-const POINTS: u64 = 64;
+const POINTS_PER_SERVER: u64 = 64;
 
 /// The baseline with its bound, the policy's target imbalance.
 #[derive(Clone, Debug, Default)]
@@ -93,7 +93,7 @@
     accepting(input)
         .flat_map(|server| {
             let number = u64::from(server.server.0);
-            (1..=POINTS).map(move |point| (hash(number, point), server.server))
+            (1..=POINTS_PER_SERVER).map(move |point| (hash(number, point), server.server))
         })
         .collect()
 }
--- a/crates/ledgelead-balance/src/baseline/greedy.rs
+++ b/crates/ledgelead-balance/src/baseline/greedy.rs
@@ -33,7 +33,7 @@
     fn plan(&mut self, input: &PlanInput, now: Time) -> Vec<PlannedChange> {
         self.loads.observe(input, now);
         let mut round = GreedyRound::new(&self.loads, input);
-        round.place_homeless();
+        round.place_unassigned();
         if self.waits_for_target && round.imbalance() <= input.policy.target_imbalance {
             return round.changes;
         }
@@ -87,10 +87,10 @@
             .min_by(|a, b| key(a).total_cmp(&key(b)))
     }
 
-    fn place_homeless(&mut self) {
+    fn place_unassigned(&mut self) {
         for (index, slice) in self.input.slices.iter().enumerate() {
-            let is_home = slice.owner.is_some_and(|o| self.loads.contains_key(&o));
-            if is_home || slice.moving {
+            let is_placed = slice.owner.is_some_and(|o| self.loads.contains_key(&o));
+            if is_placed || slice.moving {
                 continue;
             }
             if let Some(to) = self.extreme(1.0) {
--- a/crates/ledgelead-balance/src/churn.rs
+++ b/crates/ledgelead-balance/src/churn.rs
@@ -8,11 +8,11 @@
 /// Churn spent in the last minute.
 #[derive(Clone, Debug, Default)]
 pub struct ChurnBudget {
-    spent: VecDeque<Spending>,
+    spent: VecDeque<ChurnEntry>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Spending {
+struct ChurnEntry {
     at: Time,
     percent: f64,
 }
@@ -29,12 +29,12 @@
 
     /// Whether `percent` more keeps the last minute below `limit_percent`.
     pub fn allows(&self, percent: f64, limit_percent: f64) -> bool {
-        let spent: f64 = self.spent.iter().map(|spending| spending.percent).sum();
+        let spent: f64 = self.spent.iter().map(|entry| entry.percent).sum();
         spent + percent <= limit_percent
     }
 
     /// Counts `percent` as spent now.
     pub fn spend(&mut self, percent: f64, now: Time) {
-        self.spent.push_back(Spending { at: now, percent });
+        self.spent.push_back(ChurnEntry { at: now, percent });
     }
 }
--- a/crates/ledgelead-balance/src/planner.rs
+++ b/crates/ledgelead-balance/src/planner.rs
@@ -83,7 +83,7 @@
     pub fn plan(&mut self, now: Time) -> Vec<PlannedChange> {
         self.smooth(now);
         self.churn.expire(now);
-        self.expire_awaited(now);
+        self.expire_pending_changes(now);
         let mut round = Round::new(self, now);
         if round.levels.count() == 0 {
             return Vec::new();
@@ -100,7 +100,7 @@
 
     /// Plans owners for ownerless slices alone.
     pub fn plan_owners(&mut self, now: Time) -> Vec<PlannedChange> {
-        self.expire_awaited(now);
+        self.expire_pending_changes(now);
         let mut round = Round::new(self, now);
         if round.levels.count() > 0 {
             assign::assign_ownerless(&mut round);
@@ -126,10 +126,10 @@
         self.remove_all_but(&input.slices);
     }
 
-    fn expire_awaited(&mut self, now: Time) {
+    fn expire_pending_changes(&mut self, now: Time) {
         let servers = &self.servers;
         self.slices
-            .expire_awaited(now, |server| servers.accepts(server));
+            .expire_pending_changes(now, |server| servers.accepts(server));
     }
 
     fn smooth(&mut self, now: Time) {
--- a/crates/ledgelead-balance/src/planner/assign.rs
+++ b/crates/ledgelead-balance/src/planner/assign.rs
@@ -71,5 +71,5 @@
 fn is_drainable(round: &Round, first: Position) -> bool {
     round
         .slice(first)
-        .is_some_and(|record| record.owner.is_some() && record.is_at_rest(round.now))
+        .is_some_and(|record| record.owner.is_some() && record.has_no_pending_change(round.now))
 }
--- a/crates/ledgelead-balance/src/planner/candidates.rs
+++ b/crates/ledgelead-balance/src/planner/candidates.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 /// Slices looked at from each end of a server's indexes.
-const LOOKED_AT: usize = 32;
+const MAX_EXAMINED: usize = 32;
 /// Load of a position, as a part of the mean server's, worth isolating.
 const ISOLATED_LOAD: f64 = 0.02;
 /// Added to the percentage moved when gains are compared, so that a move that
@@ -19,7 +19,7 @@
 
 /// A way to move load off a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Relief {
+pub enum MoveMethod {
     /// Move a whole slice.
     Move,
     /// Cut the hottest position out; it is moved once it is seen.
@@ -34,7 +34,7 @@
     /// The slice.
     pub record: SliceRecord,
     /// What to do with it.
-    pub relief: Relief,
+    pub method: MoveMethod,
     /// Load that moves in the end, in requests a second.
     pub load: f64,
     /// Positions that move in the end, in percent of the group's.
@@ -51,15 +51,15 @@
             .slice(*first)
             .is_some_and(|record| record.owner == Some(from) && record.is_movable(round.now))
     };
-    let dense = held.by_density().filter(movable).take(LOOKED_AT);
-    let loaded = held.by_load().filter(movable).take(LOOKED_AT);
+    let dense = held.by_density().filter(movable).take(MAX_EXAMINED);
+    let loaded = held.by_load().filter(movable).take(MAX_EXAMINED);
     let firsts: BTreeSet<Position> = dense.chain(loaded).collect();
     let transfer = Transfer::new(round, from, to)?;
     firsts
         .into_iter()
         .filter_map(|first| round.slice(first))
         .flat_map(|record| transfer.candidates(record))
-        .filter(|candidate| transfer.is_worth(candidate))
+        .filter(|candidate| transfer.is_worthwhile(candidate))
         .max_by(|a, b| a.score.total_cmp(&b.score))
 }
 
@@ -82,8 +82,8 @@
     fn candidates(&self, record: &SliceRecord) -> Vec<Candidate> {
         let load = record.smoothed.as_per_second();
         let percent = self.round.percent(record);
-        let mut candidates = vec![self.candidate(record, Relief::Move, load, percent)];
-        if record.is_single() || !self.round.may_split() {
+        let mut candidates = vec![self.candidate(record, MoveMethod::Move, load, percent)];
+        if record.is_single() || !self.round.can_split() {
             return candidates;
         }
         let hottest = record.hottest_rate().as_per_second();
@@ -92,11 +92,11 @@
             && record.range.contains(position)
         {
             let one = self.round.levels.percent(1);
-            candidates.push(self.candidate(record, Relief::Isolate(position), hottest, one));
+            candidates.push(self.candidate(record, MoveMethod::Isolate(position), hottest, one));
         }
         let mean_percent = 100.0 / self.round.levels.count() as f64;
         if percent * 100.0 >= MIN_HALVED_PERCENT * mean_percent {
-            candidates.push(self.candidate(record, Relief::Halve, load / 2.0, percent / 2.0));
+            candidates.push(self.candidate(record, MoveMethod::Halve, load / 2.0, percent / 2.0));
         }
         candidates
     }
@@ -104,13 +104,13 @@
     fn candidate(
         &self,
         record: &SliceRecord,
-        relief: Relief,
+        method: MoveMethod,
         load: f64,
         percent: f64,
     ) -> Candidate {
         Candidate {
             record: record.clone(),
-            relief,
+            method,
             load,
             percent,
             score: self.gain(load) / (percent + FIXED_PERCENT),
@@ -124,7 +124,7 @@
         (self.from.utilization() - from.max(to)) / self.round.levels.mean()
     }
 
-    fn is_worth(&self, candidate: &Candidate) -> bool {
+    fn is_worthwhile(&self, candidate: &Candidate) -> bool {
         let policy = &self.round.planner.policy;
         let gain = self.gain(candidate.load);
         let price = policy.churn_price * candidate.percent;
--- a/crates/ledgelead-balance/src/planner/overload.rs
+++ b/crates/ledgelead-balance/src/planner/overload.rs
@@ -60,7 +60,10 @@
 /// Utilization above the mean, as a part of the mean. A slice of one position
 /// can't be split: where one alone exceeds the mean, it is the reference.
 fn excess(round: &Round, server: ServerId, level: &Level) -> f64 {
-    let reference = round.levels.mean().max(floor(round, server, level));
+    let reference = round
+        .levels
+        .mean()
+        .max(single_slice_floor(round, server, level));
     if reference > 0.0 {
         level.utilization() / reference - 1.0
     } else {
@@ -68,7 +71,7 @@
     }
 }
 
-fn floor(round: &Round, server: ServerId, level: &Level) -> f64 {
+fn single_slice_floor(round: &Round, server: ServerId, level: &Level) -> f64 {
     let most_loaded = round
         .planner
         .slices
--- a/crates/ledgelead-balance/src/planner/rebalance.rs
+++ b/crates/ledgelead-balance/src/planner/rebalance.rs
@@ -1,7 +1,7 @@
 //! Weighted moves: load off servers that are too full, and onto those that
 //! are too empty.
 
-use crate::planner::candidates::{self, Candidate, Relief};
+use crate::planner::candidates::{self, Candidate, MoveMethod};
 use crate::planner::overload;
 use crate::planner::round::Round;
 use ledgelead_types::ServerId;
@@ -9,7 +9,7 @@
 /// Most moves for the sake of balance in one round.
 const MAX_MOVES: usize = 16;
 /// A server fuller than the mean by this factor may give to an empty one.
-const GIVING_UTILIZATION: f64 = 1.02;
+const DONOR_UTILIZATION: f64 = 1.02;
 
 /// Moves load off the servers that have been above the target for a while,
 /// the fullest first.
@@ -29,7 +29,7 @@
     let mut moves = 0;
     for server in shedding {
         while moves < MAX_MOVES && overload::is_unsettled(round, server) {
-            if !relieve(round, server, None) {
+            if !move_load(round, server, None) {
                 break;
             }
             moves += 1;
@@ -44,10 +44,10 @@
     let mut moves = 0;
     for server in servers {
         while moves < MAX_MOVES && overload::is_underfilled(round, server) {
-            let Some(from) = giver(round) else {
+            let Some(from) = donor(round) else {
                 return;
             };
-            if !relieve(round, from, Some(server)) {
+            if !move_load(round, from, Some(server)) {
                 break;
             }
             moves += 1;
@@ -55,14 +55,14 @@
     }
 }
 
-fn giver(round: &Round) -> Option<ServerId> {
+fn donor(round: &Round) -> Option<ServerId> {
     let fullest = round.levels.fullest()?;
     let utilization = round.levels.get(fullest)?.utilization();
-    (utilization > GIVING_UTILIZATION * round.levels.mean()).then_some(fullest)
+    (utilization > DONOR_UTILIZATION * round.levels.mean()).then_some(fullest)
 }
 
 /// Applies the best candidate; whether there was one.
-fn relieve(round: &mut Round, from: ServerId, to: Option<ServerId>) -> bool {
+fn move_load(round: &mut Round, from: ServerId, to: Option<ServerId>) -> bool {
     let target = to.or_else(|| round.levels.emptiest_for(from));
     let Some(to) = target.filter(|to| *to != from) else {
         return false;
@@ -76,16 +76,16 @@
 
 fn apply(round: &mut Round, candidate: &Candidate, from: ServerId, to: ServerId) {
     let record = &candidate.record;
-    match candidate.relief {
-        Relief::Move => {
+    match candidate.method {
+        MoveMethod::Move => {
             round.planner.churn.spend(candidate.percent, round.now);
             round.move_slice(record, to);
         }
-        Relief::Isolate(position) => {
+        MoveMethod::Isolate(position) => {
             round.isolate(record, position);
             round.levels.shift(Some(from), to, candidate.load, 0);
         }
-        Relief::Halve => {
+        MoveMethod::Halve => {
             round.halve(record);
             let width = record.width() / 2;
             round.levels.shift(Some(from), to, candidate.load, width);
--- a/crates/ledgelead-balance/src/planner/reshape.rs
+++ b/crates/ledgelead-balance/src/planner/reshape.rs
@@ -19,7 +19,7 @@
 /// How long a slice keeps its bounds before it is joined with another.
 const MIN_AGE: Span = Span::from_seconds(60);
 /// Slices considered for merges in one round.
-const CONSIDERED: usize = 64;
+const MERGE_SCAN_SLICES: usize = 64;
 /// Most merges in one round.
 const MAX_MERGES: usize = 8;
 
@@ -29,7 +29,7 @@
     let servers: Vec<ServerId> = round.levels.iter().map(|(server, _)| server).collect();
     for server in servers {
         for record in hot_slices(round, server, hot_load) {
-            if round.may_split() {
+            if round.can_split() {
                 split(round, &record);
             }
         }
@@ -44,7 +44,7 @@
         .filter_map(|first| round.slice(first))
         .take_while(|record| record.smoothed.as_per_second() * ORDERING_SLACK > hot_load)
         .filter(|record| record.smoothed.as_per_second() > hot_load)
-        .filter(|record| !record.is_single() && record.is_at_rest(round.now))
+        .filter(|record| !record.is_single() && record.has_no_pending_change(round.now))
         .cloned()
         .collect()
 }
@@ -67,7 +67,7 @@
         .planner
         .slices
         .from(round.planner.merge_cursor)
-        .take(CONSIDERED)
+        .take(MERGE_SCAN_SLICES)
         .map(|record| record.range.first)
         .collect();
     let mut merges = 0;
@@ -78,7 +78,7 @@
         }
         merges += usize::from(reshape_cold(round, *first));
     }
-    let is_end = considered.len() < CONSIDERED;
+    let is_end = considered.len() < MERGE_SCAN_SLICES;
     let last = considered.last().filter(|_| !is_end);
     round.planner.merge_cursor = last.copied().unwrap_or_default();
 }
@@ -88,15 +88,15 @@
     let Some(record) = round.slice(first).cloned() else {
         return false;
     };
-    if !is_idle(round, &record) {
+    if !is_reshapable(round, &record) {
         return false;
     }
     let next = round.planner.slices.next(record.range.last).cloned();
-    if let Some(next) = next.filter(|next| may_merge(round, &record, next)) {
+    if let Some(next) = next.filter(|next| can_merge(round, &record, next)) {
         round.merge(&record, &next);
         return true;
     }
-    let Some(home) = home(round, &record) else {
+    let Some(neighbour_owner) = neighbour_owner(round, &record) else {
         return false;
     };
     let percent = round.percent(&record);
@@ -105,13 +105,13 @@
         return false;
     }
     round.planner.churn.spend(percent, round.now);
-    round.move_slice(&record, home);
+    round.move_slice(&record, neighbour_owner);
     true
 }
 
 /// Whether the slice rests, has had its bounds for a while, and belongs to a
 /// server that sheds no load: such a server may want it as it is.
-fn is_idle(round: &Round, record: &SliceRecord) -> bool {
+fn is_reshapable(round: &Round, record: &SliceRecord) -> bool {
     let owner = record
         .owner
         .and_then(|owner| round.planner.servers.get(owner));
@@ -122,11 +122,11 @@
 
 /// Joined slices are never wider than the widest slice, so merges undo splits
 /// and leave the slices that the service began with.
-fn may_merge(round: &Round, record: &SliceRecord, next: &SliceRecord) -> bool {
+fn can_merge(round: &Round, record: &SliceRecord, next: &SliceRecord) -> bool {
     let mean = round.levels.mean_server_load();
     let load = record.smoothed.as_per_second() + next.smoothed.as_per_second();
     record.owner == next.owner
-        && is_idle(round, next)
+        && is_reshapable(round, next)
         && load <= COLD_LOAD * mean
         && record.width() + next.width() <= round.planner.slices.widest() + ROUNDING
         && !is_isolated_hot(round, record)
@@ -144,7 +144,7 @@
 
 /// The neighbours' owner, when a single position that has cooled down lies
 /// apart.
-fn home(round: &Round, record: &SliceRecord) -> Option<ServerId> {
+fn neighbour_owner(round: &Round, record: &SliceRecord) -> Option<ServerId> {
     if !record.is_single() || !has_cooled(round, record) {
         return None;
     }
@@ -160,7 +160,7 @@
     let is_apart = !beside_own(previous) && !beside_own(next);
     let owner = neighbour
         .owner
-        .filter(|_| neighbour.is_at_rest(round.now))?;
+        .filter(|_| neighbour.has_no_pending_change(round.now))?;
     let accepts = round.planner.servers.accepts(owner);
     (is_apart && accepts).then_some(owner)
 }
--- a/crates/ledgelead-balance/src/planner/round.rs
+++ b/crates/ledgelead-balance/src/planner/round.rs
@@ -4,14 +4,14 @@
 use crate::levels::Levels;
 use crate::planner::Planner;
 use crate::slice_record::{PlannedOwner, SliceRecord};
-use crate::slice_table::COOL_DOWN;
+use crate::slice_table::COOLDOWN;
 use ledgelead_types::{Position, ServerId, Span, Time};
 
 /// How long a change that was asked for is awaited before it is planned anew.
-const AWAIT: Span = Span::from_seconds(5);
+const CHANGE_TIMEOUT: Span = Span::from_seconds(5);
 /// How long a slice of one position that was moved stays where it is: its
 /// move is nearly free, and hot positions change fast.
-const SINGLE_COOL_DOWN: Span = Span::from_seconds(10);
+const SINGLE_COOLDOWN: Span = Span::from_seconds(10);
 /// Most splits, and most merges, in one round.
 const MAX_RESHAPES: usize = 16;
 /// Slices that may be made by splitting for each server.
@@ -61,7 +61,7 @@
     pub fn assign(&mut self, record: &SliceRecord, to: ServerId) {
         let range = record.range;
         self.changes.push(PlannedChange::Assign { range, to });
-        self.expect_owner(record, to, record.cool_until);
+        self.expect_owner(record, to, record.cooldown_until);
     }
 
     /// Hands a slice over to `to`.
@@ -71,18 +71,18 @@
         };
         let range = record.range;
         self.changes.push(PlannedChange::Move { range, from, to });
-        let cool_down = if record.is_single() {
-            SINGLE_COOL_DOWN
+        let cooldown = if record.is_single() {
+            SINGLE_COOLDOWN
         } else {
-            COOL_DOWN
+            COOLDOWN
         };
-        self.expect_owner(record, to, self.now + cool_down);
+        self.expect_owner(record, to, self.now + cooldown);
     }
 
     /// Whether one more slice may be split in this round. The number of
     /// slices is bounded by what the service began with, as far as the widest
     /// slice still shows it, and a number for each server.
-    pub fn may_split(&self) -> bool {
+    pub fn can_split(&self) -> bool {
         let slices = &self.planner.slices;
         let unsplit = slices.width().div_ceil(slices.widest().max(1));
         let most = unsplit + (MAX_SPLITS_PER_SERVER * self.levels.count()) as u128;
@@ -116,10 +116,10 @@
             first: first.range,
             second: second.range,
         });
-        let until = self.now + AWAIT;
+        let until = self.now + CHANGE_TIMEOUT;
         let slices = &mut self.planner.slices;
-        slices.await_reshaping(first.range.first, until);
-        slices.await_reshaping(second.range.first, until);
+        slices.record_reshaping(first.range.first, until);
+        slices.record_reshaping(second.range.first, until);
     }
 
     fn split(&mut self, record: &SliceRecord, bounds: &[Position]) {
@@ -131,19 +131,19 @@
             }
         }
         self.splits += 1;
-        let until = self.now + AWAIT;
+        let until = self.now + CHANGE_TIMEOUT;
         self.planner
             .slices
-            .await_reshaping(record.range.first, until);
+            .record_reshaping(record.range.first, until);
     }
 
-    fn expect_owner(&mut self, record: &SliceRecord, to: ServerId, cool_until: Time) {
+    fn expect_owner(&mut self, record: &SliceRecord, to: ServerId, cooldown_until: Time) {
         let load = record.smoothed.as_per_second();
         self.levels.shift(record.holder(), to, load, record.width());
-        let until = self.now + AWAIT;
+        let until = self.now + CHANGE_TIMEOUT;
         let planned = PlannedOwner { to, until };
         self.planner
             .slices
-            .await_owner(record.range.first, planned, cool_until);
+            .record_planned_owner(record.range.first, planned, cooldown_until);
     }
 }
--- a/crates/ledgelead-balance/src/slice_record.rs
+++ b/crates/ledgelead-balance/src/slice_record.rs
@@ -37,7 +37,7 @@
     /// Until when a split or merge of it is awaited.
     pub reshaping_until: Time,
     /// Until when it stays where it is.
-    pub cool_until: Time,
+    pub cooldown_until: Time,
     /// When it got its present bounds.
     pub shaped_at: Time,
 }
@@ -56,13 +56,13 @@
             moving: state.moving,
             planned: None,
             reshaping_until: Time::ZERO,
-            cool_until: Time::ZERO,
+            cooldown_until: Time::ZERO,
             shaped_at: now,
         }
     }
 
     /// Whether `state` says nothing new.
-    pub fn shows(&self, state: &SliceState) -> bool {
+    pub fn matches(&self, state: &SliceState) -> bool {
         self.owner == state.owner
             && state.reported().is_none_or(|load| self.reported == load)
             && self.hottest == state.hottest
@@ -90,13 +90,13 @@
     }
 
     /// Whether no change of it is under way.
-    pub fn is_at_rest(&self, now: Time) -> bool {
+    pub fn has_no_pending_change(&self, now: Time) -> bool {
         !self.moving && self.planned.is_none() && self.reshaping_until <= now
     }
 
     /// Whether it may change owner for the sake of balance.
     pub fn is_movable(&self, now: Time) -> bool {
-        self.is_at_rest(now) && self.cool_until <= now
+        self.has_no_pending_change(now) && self.cooldown_until <= now
     }
 
     /// Load of the hottest position, never above the slice's own.
--- a/crates/ledgelead-balance/src/slice_table.rs
+++ b/crates/ledgelead-balance/src/slice_table.rs
@@ -17,7 +17,7 @@
 
 /// How long a slice that changed owner stays where it is. It holds for moves
 /// that an operator asked for as well.
-pub const COOL_DOWN: Span = Span::from_seconds(60);
+pub const COOLDOWN: Span = Span::from_seconds(60);
 
 /// Largest ratio of two loads that the indexes may hold in the wrong order.
 pub const ORDERING_SLACK: f64 = 1.125;
@@ -39,15 +39,15 @@
 
 /// Where a slice stands in the indexes.
 #[derive(Clone, Copy, PartialEq)]
-struct Standing {
+struct IndexKeys {
     by_load: IndexKey,
     by_density: IndexKey,
 }
 
-impl Standing {
-    fn of(record: &SliceRecord) -> Standing {
+impl IndexKeys {
+    fn of(record: &SliceRecord) -> IndexKeys {
         let first = record.range.first;
-        Standing {
+        IndexKeys {
             by_load: (magnitude(record.smoothed.as_per_second()), first),
             by_density: (magnitude(record.density()), first),
         }
@@ -78,23 +78,23 @@
     fn add(&mut self, record: &SliceRecord) {
         self.load += record.smoothed;
         self.width += record.width();
-        self.insert(Standing::of(record));
+        self.insert(IndexKeys::of(record));
     }
 
     fn remove(&mut self, record: &SliceRecord) {
         self.load -= record.smoothed;
         self.width -= record.width();
-        self.withdraw(Standing::of(record));
+        self.withdraw(IndexKeys::of(record));
     }
 
-    fn insert(&mut self, standing: Standing) {
-        self.by_load.insert(standing.by_load);
-        self.by_density.insert(standing.by_density);
+    fn insert(&mut self, keys: IndexKeys) {
+        self.by_load.insert(keys.by_load);
+        self.by_density.insert(keys.by_density);
     }
 
-    fn withdraw(&mut self, standing: Standing) {
-        self.by_load.remove(&standing.by_load);
-        self.by_density.remove(&standing.by_density);
+    fn withdraw(&mut self, keys: IndexKeys) {
+        self.by_load.remove(&keys.by_load);
+        self.by_density.remove(&keys.by_density);
     }
 }
 
@@ -104,8 +104,8 @@
     records: BTreeMap<Position, SliceRecord>,
     held: BTreeMap<ServerId, HeldSlices>,
     ownerless: BTreeSet<Position>,
-    settling: BTreeSet<Position>,
-    awaited: BTreeSet<Position>,
+    unsettled: BTreeSet<Position>,
+    pending_changes: BTreeSet<Position>,
     widths: BTreeMap<u128, usize>,
     load: Rate,
     width: u128,
@@ -182,14 +182,14 @@
 
     /// Moves every smoothed load towards the reported one.
     pub fn smooth(&mut self, part: f64) {
-        let mut settling = std::mem::take(&mut self.settling);
-        settling.retain(|first| self.smooth_one(*first, part));
-        self.settling = settling;
+        let mut unsettled = std::mem::take(&mut self.unsettled);
+        unsettled.retain(|first| self.smooth_one(*first, part));
+        self.unsettled = unsettled;
     }
 
     /// Gives up awaited changes that are late or whose server is not fit.
-    pub fn expire_awaited(&mut self, now: Time, fit: impl Fn(ServerId) -> bool) {
-        for first in self.awaited.clone() {
+    pub fn expire_pending_changes(&mut self, now: Time, is_fit: impl Fn(ServerId) -> bool) {
+        for first in self.pending_changes.clone() {
             let Some(record) = self.records.get(&first) else {
                 continue;
             };
@@ -197,22 +197,27 @@
                 continue;
             };
             let late = planned.until <= now && !record.moving;
-            if late || !fit(planned.to) {
+            if late || !is_fit(planned.to) {
                 self.update(first, |record| record.planned = None);
             }
         }
     }
 
     /// Remembers that a new owner was asked for.
-    pub fn await_owner(&mut self, first: Position, planned: PlannedOwner, cool_until: Time) {
+    pub fn record_planned_owner(
+        &mut self,
+        first: Position,
+        planned: PlannedOwner,
+        cooldown_until: Time,
+    ) {
         self.update(first, |record| {
             record.planned = Some(planned);
-            record.cool_until = cool_until;
+            record.cooldown_until = cooldown_until;
         });
     }
 
     /// Remembers that a split or merge was asked for.
-    pub fn await_reshaping(&mut self, first: Position, until: Time) {
+    pub fn record_reshaping(&mut self, first: Position, until: Time) {
         self.update(first, |record| record.reshaping_until = until);
     }
 
@@ -222,7 +227,7 @@
             return false;
         };
         let former_load = record.smoothed;
-        let former = Standing::of(record);
+        let former = IndexKeys::of(record);
         record.smoothed = former_load.approached(record.reported, part);
         self.load -= former_load;
         self.load += record.smoothed;
@@ -231,10 +236,10 @@
         {
             held.load -= former_load;
             held.load += record.smoothed;
-            let standing = Standing::of(record);
-            if standing != former {
+            let keys = IndexKeys::of(record);
+            if keys != former {
                 held.withdraw(former);
-                held.insert(standing);
+                held.insert(keys);
             }
         }
         record.smoothed != record.reported
@@ -242,7 +247,7 @@
 
     fn observe_known(&mut self, state: &SliceState, now: Time) {
         let first = state.range.first;
-        if self.get(first).is_some_and(|record| record.shows(state)) {
+        if self.get(first).is_some_and(|record| record.matches(state)) {
             return;
         }
         self.update(first, |record| {
@@ -260,7 +265,7 @@
             if has_new_owner && !state.moving {
                 let planned = record.planned.take().map(|planned| planned.to);
                 if planned != state.owner {
-                    record.cool_until = now + COOL_DOWN;
+                    record.cooldown_until = now + COOLDOWN;
                 }
             }
         });
@@ -282,7 +287,7 @@
             record.smoothed += ancestor.estimate(&shared);
             record.has_load |= ancestor.has_load;
             if !record.is_single() {
-                record.cool_until = record.cool_until.max(ancestor.cool_until);
+                record.cooldown_until = record.cooldown_until.max(ancestor.cooldown_until);
             }
             self.put_remainders(ancestor, &state.range);
         }
@@ -339,8 +344,8 @@
             }
         }
         self.ownerless.remove(&first);
-        self.settling.remove(&first);
-        self.awaited.remove(&first);
+        self.unsettled.remove(&first);
+        self.pending_changes.remove(&first);
         if let Some(holder) = record.holder()
             && let Some(held) = self.held.get_mut(&holder)
         {
@@ -361,10 +366,10 @@
             self.ownerless.insert(first);
         }
         if record.smoothed != record.reported {
-            self.settling.insert(first);
+            self.unsettled.insert(first);
         }
         if record.planned.is_some() {
-            self.awaited.insert(first);
+            self.pending_changes.insert(first);
         }
         if let Some(holder) = record.holder() {
             self.held.entry(holder).or_default().add(&record);
--- a/crates/ledgelead-membership/src/death_proofs.rs
+++ b/crates/ledgelead-membership/src/death_proofs.rs
@@ -10,14 +10,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most runs that are remembered of one node; the oldest is forgotten first.
-const MAX_RUNS: usize = 16;
+const MAX_INCARNATIONS: usize = 16;
 
 /// Most nodes of which runs are remembered; far above any deployment.
 const MAX_NODES: usize = 4_096;
 
 /// One run of a node's process.
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct KnownIncarnation {
     incarnation: Incarnation,
     first_heard: Time,
     is_over: bool,
@@ -26,24 +26,27 @@
 /// Runs of every node and which of them are over.
 #[derive(Debug, Default)]
 pub(crate) struct DeathProofs {
-    runs: BTreeMap<NodeId, Vec<Run>>,
-    doubted: BTreeSet<NodeId>,
+    incarnations: BTreeMap<NodeId, Vec<KnownIncarnation>>,
+    unproven: BTreeSet<NodeId>,
 }
 
 impl DeathProofs {
     /// Notes that a run was heard of.
     pub(crate) fn note(&mut self, now: Time, member: Member) {
-        if self.runs.len() >= MAX_NODES && !self.runs.contains_key(&member.node) {
+        if self.incarnations.len() >= MAX_NODES && !self.incarnations.contains_key(&member.node) {
             return;
         }
-        let runs = self.runs.entry(member.node).or_default();
-        if runs.iter().any(|run| run.incarnation == member.incarnation) {
+        let incarnations = self.incarnations.entry(member.node).or_default();
+        if incarnations
+            .iter()
+            .any(|known| known.incarnation == member.incarnation)
+        {
             return;
         }
-        if runs.len() == MAX_RUNS {
-            runs.remove(0);
+        if incarnations.len() == MAX_INCARNATIONS {
+            incarnations.remove(0);
         }
-        runs.push(Run {
+        incarnations.push(KnownIncarnation {
             incarnation: member.incarnation,
             first_heard: now,
             is_over: false,
@@ -53,20 +56,20 @@
     /// Takes in that a run answered a ping sent at `sent`. Returns whether
     /// this proves something new.
     pub(crate) fn answered(&mut self, member: Member, sent: Time) -> bool {
-        let runs = self.runs.entry(member.node).or_default();
-        let over = |run: &&mut Run| {
-            run.incarnation != member.incarnation && run.first_heard <= sent && !run.is_over
+        let incarnations = self.incarnations.entry(member.node).or_default();
+        let over = |known: &&mut KnownIncarnation| {
+            known.incarnation != member.incarnation && known.first_heard <= sent && !known.is_over
         };
         let mut proves = false;
-        for run in runs.iter_mut().filter(over) {
-            run.is_over = true;
+        for known in incarnations.iter_mut().filter(over) {
+            known.is_over = true;
             proves = true;
         }
-        let open = runs
+        let open = incarnations
             .iter()
-            .any(|run| run.incarnation != member.incarnation && !run.is_over);
+            .any(|known| known.incarnation != member.incarnation && !known.is_over);
         if !open {
-            self.doubted.remove(&member.node);
+            self.unproven.remove(&member.node);
         }
         proves
     }
@@ -75,9 +78,9 @@
     /// whether this proves something new.
     pub(crate) fn machine_gone(&mut self, now: Time, node: NodeId) -> bool {
         let mut proves = false;
-        for run in self.runs.entry(node).or_default() {
-            let is_new = run.first_heard < now && !run.is_over;
-            run.is_over |= is_new;
+        for known in self.incarnations.entry(node).or_default() {
+            let is_new = known.first_heard < now && !known.is_over;
+            known.is_over |= is_new;
             proves |= is_new;
         }
         proves
@@ -85,29 +88,32 @@
 
     /// Whether the run is over for certain.
     pub(crate) fn is_over(&self, member: Member) -> bool {
-        self.runs.get(&member.node).is_some_and(|runs| {
-            runs.iter()
-                .any(|run| run.incarnation == member.incarnation && run.is_over)
-        })
+        self.incarnations
+            .get(&member.node)
+            .is_some_and(|incarnations| {
+                incarnations
+                    .iter()
+                    .any(|known| known.incarnation == member.incarnation && known.is_over)
+            })
     }
 
     /// Asks for a proof: the node should be pinged.
-    pub(crate) fn doubt(&mut self, node: NodeId) {
-        self.doubted.insert(node);
+    pub(crate) fn request_proof(&mut self, node: NodeId) {
+        self.unproven.insert(node);
     }
 
     /// Keeps the doubts about some nodes: one that is not live can't answer.
-    pub(crate) fn keep_doubts(&mut self, keep: impl Fn(NodeId) -> bool) {
-        self.doubted.retain(|node| keep(*node));
+    pub(crate) fn retain_unproven(&mut self, keep: impl Fn(NodeId) -> bool) {
+        self.unproven.retain(|node| keep(*node));
     }
 
     /// Nodes that should be pinged for a proof.
-    pub(crate) fn doubted(&self) -> impl Iterator<Item = NodeId> {
-        self.doubted.iter().copied()
+    pub(crate) fn unproven(&self) -> impl Iterator<Item = NodeId> {
+        self.unproven.iter().copied()
     }
 
     /// Whether any node should be pinged for a proof.
-    pub(crate) fn has_doubts(&self) -> bool {
-        !self.doubted.is_empty()
+    pub(crate) fn has_unproven(&self) -> bool {
+        !self.unproven.is_empty()
     }
 }
--- a/crates/ledgelead-membership/src/dissemination/mod.rs
+++ b/crates/ledgelead-membership/src/dissemination/mod.rs
@@ -24,7 +24,7 @@
 use rand_pcg::Pcg64Mcg;
 use rumors::Rumors;
 use std::collections::{BTreeMap, BTreeSet};
-use store::{ItemStore, Verdict};
+use store::{ItemStore, PutResult};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Random nodes that each round of a rumour tells.
@@ -32,18 +32,18 @@
 /// Up to this many peers all are told at once, by the node that has the news
 /// first. The others then only offer it, to few, in case that node or its
 /// messages were lost.
-const TELL_ALL: usize = 8;
+const MAX_FULL_FANOUT_PEERS: usize = 8;
 /// Nodes to which one that was told together with all others offers the item.
-const CONFIRMING_FANOUT: usize = 2;
+const CONFIRMATION_FANOUT: usize = 2;
 /// Largest value that is pushed whole; larger ones are offered first.
-const PUSH_BYTES: usize = 512;
+const MAX_PUSH_BYTES: usize = 512;
 /// One digest comparison in this time.
 const DIGEST_INTERVAL: Span = Span::from_seconds(1);
 /// How long an item that was asked for may take before another node is asked.
 const REQUEST_TIMEOUT: Span = Span::from_millis(100);
 /// Bytes of values that one message carries at most, unless one value alone
 /// is larger.
-const MESSAGE_BYTES: usize = 256 * 1_024;
+const MAX_MESSAGE_BYTES: usize = 256 * 1_024;
 
 /// What the dissemination of one node starts from.
 #[derive(Clone, Copy, Debug)]
@@ -119,7 +119,7 @@
     /// The change that led to the version held, to be passed on.
     deltas: BTreeMap<ItemKey, ItemDelta>,
     /// Items whose newest version this node was the first to have.
-    own: BTreeSet<ItemKey>,
+    published_here: BTreeSet<ItemKey>,
     next_digest: Time,
     random: Pcg64Mcg,
     outputs: Vec<DisseminationOutput>,
@@ -137,7 +137,7 @@
             rumors: Rumors::default(),
             requested: BTreeMap::new(),
             deltas: BTreeMap::new(),
-            own: BTreeSet::new(),
+            published_here: BTreeSet::new(),
             next_digest: now + phase,
             random,
             outputs: Vec::new(),
@@ -202,7 +202,7 @@
         match message {
             DisseminationMessage::Items(items) => {
                 for item in items {
-                    self.own.remove(&item.key);
+                    self.published_here.remove(&item.key);
                     self.take_item(now, item, None);
                 }
             }
@@ -221,8 +221,8 @@
 
     fn publish(&mut self, now: Time, key: ItemKey, version: ItemVersion, value: Bytes) {
         let delta = self.delta_to(key, version, &value);
-        if self.store.wants(key, version) {
-            self.own.insert(key);
+        if self.store.would_accept(key, version) {
+            self.published_here.insert(key);
         }
         let item = Item {
             key,
@@ -235,7 +235,7 @@
     /// What changes from the version held, unless the whole is small.
     fn delta_to(&self, key: ItemKey, version: ItemVersion, value: &Bytes) -> Option<ItemDelta> {
         let (base, held) = self.store.get(key)?;
-        if value.0.len() <= PUSH_BYTES {
+        if value.0.len() <= MAX_PUSH_BYTES {
             return None;
         }
         Some(ItemDelta {
@@ -248,7 +248,7 @@
 
     fn take_delta(&mut self, now: Time, from: NodeId, delta: ItemDelta) {
         let ItemHeader { key, version } = delta.header;
-        if !self.store.wants(key, version) {
+        if !self.store.would_accept(key, version) {
             return;
         }
         let held = self.store.get(key).filter(|(held, _)| *held == delta.base);
@@ -257,7 +257,7 @@
             self.take_offer(now, from, &[delta.header]);
             return;
         };
-        self.own.remove(&key);
+        self.published_here.remove(&key);
         let item = Item {
             key,
             version,
@@ -273,9 +273,9 @@
             value,
         } = item;
         self.requested.remove(&key);
-        let is_small = value.0.len() <= PUSH_BYTES;
-        let verdict = self.store.put(key, version, value.clone());
-        if verdict == Verdict::Refused {
+        let is_small = value.0.len() <= MAX_PUSH_BYTES;
+        let result = self.store.put(key, version, value.clone());
+        if result == PutResult::Refused {
             return;
         }
         self.outputs.push(DisseminationOutput::Updated {
@@ -287,15 +287,15 @@
         if let Some(delta) = delta {
             self.deltas.insert(key, delta);
         }
-        if verdict == Verdict::Newer {
+        if result == PutResult::Newer {
             self.rumors.start(now, key);
-            self.tell(key, is_small);
+            self.announce(key, is_small);
         }
     }
 
     /// Tells of an item at once.
-    fn tell(&mut self, key: ItemKey, is_small: bool) {
-        if self.all_are_told(key) {
+    fn announce(&mut self, key: ItemKey, is_small: bool) {
+        if self.is_announced_to_all(key) {
             return;
         }
         if is_small {
@@ -312,22 +312,24 @@
     /// The change to push. Where news comes to each node several times, a large
     /// change is offered like a whole item.
     fn pushed_delta(&self, key: ItemKey) -> Option<ItemDelta> {
-        let comes_once = self.peers.len() <= TELL_ALL;
+        let is_delivered_once = self.peers.len() <= MAX_FULL_FANOUT_PEERS;
         let delta = self.deltas.get(&key)?;
-        let is_pushed = comes_once || delta.patch.0.len() <= PUSH_BYTES;
+        let is_pushed = is_delivered_once || delta.patch.0.len() <= MAX_PUSH_BYTES;
         is_pushed.then(|| delta.clone())
     }
 
     /// Whether the node that had the item first tells every node of it.
-    fn all_are_told(&self, key: ItemKey) -> bool {
-        self.peers.len() <= TELL_ALL && !self.own.contains(&key)
+    fn is_announced_to_all(&self, key: ItemKey) -> bool {
+        self.peers.len() <= MAX_FULL_FANOUT_PEERS && !self.published_here.contains(&key)
     }
 
     /// Asks for the offered items that are newer, each of one node at a time.
     fn take_offer(&mut self, now: Time, from: NodeId, headers: &[ItemHeader]) {
         let mut wanted = List::default();
         for header in headers {
-            if self.store.wants(header.key, header.version) && !self.is_requested(now, header) {
+            if self.store.would_accept(header.key, header.version)
+                && !self.is_requested(now, header)
+            {
                 self.requested.insert(header.key, (header.version, now));
                 wanted.push(header.key);
             }
@@ -370,7 +372,7 @@
                 continue;
             };
             let size = item.value.0.len();
-            if bytes + size > MESSAGE_BYTES && !items.is_empty() {
+            if bytes + size > MAX_MESSAGE_BYTES && !items.is_empty() {
                 self.send(to, DisseminationMessage::Items(std::mem::take(&mut items)));
                 bytes = 0;
             }
@@ -399,9 +401,9 @@
     }
 
     fn choose_peers(&mut self, key: ItemKey) -> Vec<NodeId> {
-        let count = if self.all_are_told(key) {
-            CONFIRMING_FANOUT
-        } else if self.peers.len() <= TELL_ALL {
+        let count = if self.is_announced_to_all(key) {
+            CONFIRMATION_FANOUT
+        } else if self.peers.len() <= MAX_FULL_FANOUT_PEERS {
             return self.peers.clone();
         } else {
             FANOUT
@@ -433,9 +435,9 @@
         let store = &self.store;
         self.rumors.retain(|key| store.get(key).is_some());
         self.deltas.retain(|key, _| store.get(*key).is_some());
-        self.own.retain(|key| store.get(*key).is_some());
+        self.published_here.retain(|key| store.get(*key).is_some());
         self.requested
-            .retain(|key, (version, _)| store.wants(*key, *version));
+            .retain(|key, (version, _)| store.would_accept(*key, *version));
     }
 
     fn send(&mut self, to: NodeId, message: DisseminationMessage) {
--- a/crates/ledgelead-membership/src/dissemination/patch.rs
+++ b/crates/ledgelead-membership/src/dissemination/patch.rs
@@ -8,9 +8,9 @@
 
 /// Bytes that have to agree for a part of the base to be found again. Below
 /// the size of one slice in a group's routes, above what slices have in common.
-const BLOCK: usize = 32;
+const BLOCK_BYTES: usize = 32;
 /// Most bytes that applying a patch makes.
-const MAXIMUM_RESULT: usize = 4 * 1_024 * 1_024;
+const MAX_RESULT_BYTES: usize = 4 * 1_024 * 1_024;
 
 /// One step of making the new bytes, in order.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
@@ -23,7 +23,7 @@
 
 /// What makes `new` of `base`; `None` unless it is less than half of `new`.
 pub(super) fn difference(base: &[u8], new: &[u8]) -> Option<Bytes> {
-    if base.len().max(new.len()) > MAXIMUM_RESULT {
+    if base.len().max(new.len()) > MAX_RESULT_BYTES {
         return None;
     }
     let patch = encode(&List(steps(base, new)));
@@ -62,8 +62,8 @@
 /// Where each block of the base starts; the first of equal ones.
 fn blocks_of(base: &[u8]) -> HashMap<&[u8], usize> {
     let mut blocks = HashMap::new();
-    for (index, block) in base.chunks_exact(BLOCK).enumerate() {
-        blocks.entry(block).or_insert(index * BLOCK);
+    for (index, block) in base.chunks_exact(BLOCK_BYTES).enumerate() {
+        blocks.entry(block).or_insert(index * BLOCK_BYTES);
     }
     blocks
 }
@@ -75,7 +75,7 @@
     new: &[u8],
     position: usize,
 ) -> Option<(usize, usize)> {
-    let wanted = new.get(position..position + BLOCK)?;
+    let wanted = new.get(position..position + BLOCK_BYTES)?;
     let offset = *blocks.get(wanted)?;
     let pairs = base[offset..].iter().zip(&new[position..]);
     let length = pairs.take_while(|(old, new)| old == new).count();
@@ -95,7 +95,7 @@
             }
             Step::Insert(bytes) => result.extend_from_slice(&bytes.0),
         }
-        if result.len() > MAXIMUM_RESULT {
+        if result.len() > MAX_RESULT_BYTES {
             return None;
         }
     }
--- a/crates/ledgelead-membership/src/dissemination/store.rs
+++ b/crates/ledgelead-membership/src/dissemination/store.rs
@@ -12,7 +12,7 @@
 
 /// Whether an item was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum PutResult {
     /// Strictly newer than what was held.
     Newer,
     /// Taken although it is older, because the protection is switched off.
@@ -82,36 +82,36 @@
     }
 
     /// Whether this version would be taken.
-    pub(super) fn wants(&self, key: ItemKey, version: ItemVersion) -> bool {
-        self.judge(key, version) != Verdict::Refused
+    pub(super) fn would_accept(&self, key: ItemKey, version: ItemVersion) -> bool {
+        self.classify(key, version) != PutResult::Refused
     }
 
     /// Takes an item if it is newer.
-    pub(super) fn put(&mut self, key: ItemKey, version: ItemVersion, value: Bytes) -> Verdict {
-        let verdict = self.judge(key, version);
-        if verdict != Verdict::Refused {
+    pub(super) fn put(&mut self, key: ItemKey, version: ItemVersion, value: Bytes) -> PutResult {
+        let result = self.classify(key, version);
+        if result != PutResult::Refused {
             self.forget(key);
             self.hash ^= hash_of(key, version);
             self.items.insert(key, (version, value));
         }
-        verdict
+        result
     }
 
-    fn judge(&self, key: ItemKey, version: ItemVersion) -> Verdict {
+    fn classify(&self, key: ItemKey, version: ItemVersion) -> PutResult {
         let held = self.items.get(&key).map(|(version, _)| *version);
         let has_room = held.is_some() || self.items.len() < MAX_ITEMS;
         if !has_room || self.is_removed(key) || held == Some(version) {
-            return Verdict::Refused;
+            return PutResult::Refused;
         }
         if held < Some(version) {
-            return Verdict::Newer;
+            return PutResult::Newer;
         }
         let is_ordered =
             key != ItemKey::Configuration || self.protections.has(Protection::ConfigurationOrder);
         if is_ordered {
-            Verdict::Refused
+            PutResult::Refused
         } else {
-            Verdict::Older
+            PutResult::Older
         }
     }
 
--- a/crates/ledgelead-membership/src/members.rs
+++ b/crates/ledgelead-membership/src/members.rs
@@ -234,7 +234,7 @@
     }
 
     /// Shortens a suspicion, never below the present.
-    pub(crate) fn hasten(&mut self, node: NodeId, until: Time) {
+    pub(crate) fn shorten_suspicion(&mut self, node: NodeId, until: Time) {
         if let Some(entry) = self.entries.get_mut(&node)
             && let Conclusion::Suspect { until: held } = &mut entry.conclusion
         {
--- a/crates/ledgelead-membership/src/membership.rs
+++ b/crates/ledgelead-membership/src/membership.rs
@@ -39,7 +39,7 @@
 const SUSPICION_WITH_HINT: f64 = 0.5;
 /// A node that was not run for this long was paused; what it missed meanwhile
 /// is no evidence against others.
-const PAUSE: Span = Span::from_seconds(1);
+const PAUSE_THRESHOLD: Span = Span::from_seconds(1);
 /// Least time between two comparisons of the whole state.
 pub(crate) const COMPARISON_INTERVAL: Span = Span::from_seconds(5);
 /// Nodes told directly by one that leaves; gossip tells the others.
@@ -66,16 +66,16 @@
     order: ProbeOrder,
     probe: Option<Probe>,
     contacts: Contacts,
-    told_addresses: BTreeMap<NodeId, Text>,
-    asked_for_state: BTreeMap<NodeId, StateUse>,
+    announced_addresses: BTreeMap<NodeId, Text>,
+    requested_states: BTreeMap<NodeId, StateUse>,
     contradicted: BTreeSet<NodeId>,
     leaving_machines: BTreeSet<NodeId>,
     version_cursor: Option<NodeId>,
     next_period: Time,
     next_state_request: Time,
     next_comparison: Time,
-    doubts_due: bool,
-    last_run: Time,
+    proof_probes_due: bool,
+    last_call: Time,
     random: Pcg64Mcg,
     outputs: Vec<MembershipOutput>,
 }
@@ -102,16 +102,16 @@
             order: ProbeOrder::default(),
             probe: None,
             contacts: Contacts::new(node, settings.seeds),
-            told_addresses: BTreeMap::new(),
-            asked_for_state: BTreeMap::new(),
+            announced_addresses: BTreeMap::new(),
+            requested_states: BTreeMap::new(),
             contradicted: BTreeSet::new(),
             leaving_machines: BTreeSet::new(),
             version_cursor: None,
             next_period: now,
             next_state_request: now,
             next_comparison: now + COMPARISON_INTERVAL,
-            doubts_due: false,
-            last_run: now,
+            proof_probes_due: false,
+            last_call: now,
             random,
             outputs: Vec::new(),
         }
@@ -119,7 +119,7 @@
 
     /// Takes in what happened at `now`.
     pub fn step(&mut self, now: Time, input: MembershipInput) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match input {
             MembershipInput::Message { from, message } => self.receive(now, from, message),
             MembershipInput::MachineList(machines) => self.take_machine_list(now, machines),
@@ -130,11 +130,11 @@
 
     /// Does what has become due by `now`.
     pub fn tick(&mut self, now: Time) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.expire_suspicions(now);
         self.probe_indirectly(now);
-        if self.doubts_due {
-            self.probe_doubted(now);
+        if self.proof_probes_due {
+            self.probe_unproven(now);
         }
         if now >= self.next_period {
             self.begin_period(now);
@@ -144,9 +144,9 @@
     /// When [`Membership::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         let indirect = self.probe.and_then(|probe| probe.indirect_at);
-        let doubts = self.doubts_due.then_some(self.last_run);
+        let proof_probes = self.proof_probes_due.then_some(self.last_call);
         let soonest = self.next_period.min(self.members.next_expiry());
-        [indirect, doubts]
+        [indirect, proof_probes]
             .into_iter()
             .flatten()
             .fold(soonest, Time::min)
@@ -206,21 +206,21 @@
         if self.proofs.is_over(member) {
             return true;
         }
-        self.proofs.note(self.last_run, member);
+        self.proofs.note(self.last_call, member);
         let held = self.members.get(member.node);
         if held.is_some_and(|entry| entry.is_live() && entry.record.member != member) {
-            self.proofs.doubt(member.node);
-            self.doubts_due = true;
+            self.proofs.request_proof(member.node);
+            self.proof_probes_due = true;
         }
         false
     }
 
     /// After a pause every deadline is put off by its length: answers that
     /// arrived meanwhile are still to be read.
-    fn notice_pause(&mut self, now: Time) {
-        let gap = now.since(self.last_run);
-        self.last_run = self.last_run.max(now);
-        if gap > PAUSE {
+    fn detect_pause(&mut self, now: Time) {
+        let gap = now.since(self.last_call);
+        self.last_call = self.last_call.max(now);
+        if gap > PAUSE_THRESHOLD {
             self.members.postpone_suspicions(gap);
             self.probe = None;
         }
@@ -294,13 +294,13 @@
 
     /// Raises the own version above what others say, if that is not that this
     /// run lives.
-    fn refute(&mut self, said: &NodeRecord) {
-        let is_right = said.member == self.own.member && said.status == self.own.status;
-        if is_right || said.version < self.own.version {
+    fn refute(&mut self, claimed: &NodeRecord) {
+        let is_accurate = claimed.member == self.own.member && claimed.status == self.own.status;
+        if is_accurate || claimed.version < self.own.version {
             return;
         }
-        if said.version <= StatusVersion::MAX_ACCEPTED {
-            self.own.version = said.version.next();
+        if claimed.version <= StatusVersion::MAX_ACCEPTED {
+            self.own.version = claimed.version.next();
         }
     }
 
@@ -319,8 +319,8 @@
             let is_live = self.is_live(machine.node);
             match machine.state {
                 MachineState::Live => {}
-                MachineState::Leaving => self.members.hasten(machine.node, soon),
-                MachineState::Gone if is_live => self.members.hasten(machine.node, soon),
+                MachineState::Leaving => self.members.shorten_suspicion(machine.node, soon),
+                MachineState::Gone if is_live => self.members.shorten_suspicion(machine.node, soon),
                 MachineState::Gone => self.take_machine_gone(now, machine.node),
             }
         }
--- a/crates/ledgelead-membership/src/membership/probing.rs
+++ b/crates/ledgelead-membership/src/membership/probing.rs
@@ -15,7 +15,7 @@
 /// Probes of each dead node in a period, by all live nodes together.
 const DEAD_PROBES_PER_PERIOD: f64 = 4.0;
 /// Nodes that one node pings in a period for proof of an earlier run's end.
-const DOUBT_PROBES: usize = 8;
+const MAX_PROOF_PROBES: usize = 8;
 
 impl Membership {
     pub(super) fn begin_period(&mut self, now: Time) {
@@ -36,7 +36,7 @@
                 is_answered: false,
             });
         self.probe_dead(now, live.len());
-        self.doubts_due = self.proofs.has_doubts();
+        self.proof_probes_due = self.proofs.has_unproven();
         self.ask_contacts(live.is_empty());
     }
 
@@ -89,13 +89,13 @@
         }
     }
 
-    pub(super) fn probe_doubted(&mut self, now: Time) {
-        self.doubts_due = false;
+    pub(super) fn probe_unproven(&mut self, now: Time) {
+        self.proof_probes_due = false;
         let members = &self.members;
         self.proofs
-            .keep_doubts(|node| members.get(node).is_some_and(Entry::is_live));
-        let doubted: Vec<NodeId> = self.proofs.doubted().take(DOUBT_PROBES).collect();
-        for node in doubted {
+            .retain_unproven(|node| members.get(node).is_some_and(Entry::is_live));
+        let unproven: Vec<NodeId> = self.proofs.unproven().take(MAX_PROOF_PROBES).collect();
+        for node in unproven {
             self.ping(now, node, Purpose::Own);
         }
     }
--- a/crates/ledgelead-membership/src/membership/receiving.rs
+++ b/crates/ledgelead-membership/src/membership/receiving.rs
@@ -31,7 +31,7 @@
             }
             MembershipMessage::IndirectAcknowledgement { target, nonce, .. } => {
                 self.take_record(now, &target);
-                if self.conclude_reached(target.member.node, nonce) {
+                if self.mark_probe_answered(target.member.node, nonce) {
                     self.revive(target.member);
                 }
             }
@@ -57,8 +57,8 @@
         for record in &gossip.records {
             self.take_record(now, record);
         }
-        for sight in &gossip.versions {
-            self.members.note_version(sight.node, sight.version);
+        for observed in &gossip.versions {
+            self.members.note_version(observed.node, observed.version);
         }
         self.compare_live(now, from, gossip.live_hash);
     }
@@ -73,17 +73,19 @@
         }
         match purpose {
             Purpose::Own => self.note_answered(now, sender, nonce),
-            Purpose::Relay { requester, nonce } => self.pass_on(requester, sender, nonce),
+            Purpose::Relay { requester, nonce } => {
+                self.relay_acknowledgement(requester, sender, nonce)
+            }
         }
     }
 
     fn note_answered(&mut self, now: Time, sender: &NodeRecord, nonce: u64) {
         let was_dead = self.is_held_dead(sender.member.node);
-        self.conclude_reached(sender.member.node, nonce);
+        self.mark_probe_answered(sender.member.node, nonce);
         self.revive(sender.member);
         if was_dead {
             // The cut may hide others too: ask for all that this node holds.
-            self.ask_after_cut(now, sender.member.node);
+            self.request_state_after_partition(now, sender.member.node);
         }
     }
 
@@ -92,7 +94,7 @@
     }
 
     /// Marks the present probe as answered if the nonce is its own.
-    fn conclude_reached(&mut self, node: NodeId, nonce: u64) -> bool {
+    fn mark_probe_answered(&mut self, node: NodeId, nonce: u64) -> bool {
         let probe = self.probe.as_mut();
         let Some(probe) = probe.filter(|probe| probe.nonce == nonce && probe.target == node) else {
             return false;
@@ -116,7 +118,7 @@
     /// Takes in all that another node holds. After a cut, what it holds live
     /// is live here as well: it could reach nodes while this one could not.
     fn take_state(&mut self, now: Time, from: NodeId, records: &[NodeRecord]) {
-        let Some(state_use) = self.asked_for_state.remove(&from) else {
+        let Some(state_use) = self.requested_states.remove(&from) else {
             return;
         };
         for record in records {
--- a/crates/ledgelead-membership/src/membership/sending.rs
+++ b/crates/ledgelead-membership/src/membership/sending.rs
@@ -53,7 +53,7 @@
         self.send(helper, message);
     }
 
-    pub(super) fn pass_on(&mut self, to: NodeId, target: &NodeRecord, nonce: u64) {
+    pub(super) fn relay_acknowledgement(&mut self, to: NodeId, target: &NodeRecord, nonce: u64) {
         let message = MembershipMessage::IndirectAcknowledgement {
             sender: self.own.clone(),
             target: target.clone(),
@@ -69,7 +69,7 @@
 
     /// Asks a node that was out of reach for all that it holds, at most once
     /// in a period.
-    pub(super) fn ask_after_cut(&mut self, now: Time, node: NodeId) {
+    pub(super) fn request_state_after_partition(&mut self, now: Time, node: NodeId) {
         if now >= self.next_state_request {
             self.next_state_request = now + PERIOD;
             self.send_join(node, StateUse::Heal);
@@ -91,14 +91,14 @@
     }
 
     fn send_join(&mut self, to: NodeId, state_use: StateUse) {
-        self.asked_for_state.insert(to, state_use);
+        self.requested_states.insert(to, state_use);
         let sender = self.own.clone();
         self.send(to, MembershipMessage::Join { sender });
     }
 
     /// Asks contacts that are not held live; at once while nobody is.
     pub(super) fn ask_contacts(&mut self, is_alone: bool) {
-        let silent: Vec<NodeId> = self
+        let not_live: Vec<NodeId> = self
             .contacts
             .nodes()
             .filter(|node| !self.is_live(*node))
@@ -108,7 +108,7 @@
             return;
         }
         let count = if is_alone { CONTACTS_AT_START } else { 1 };
-        let asked: BTreeSet<NodeId> = silent.sample(&mut self.random, count).copied().collect();
+        let asked: BTreeSet<NodeId> = not_live.sample(&mut self.random, count).copied().collect();
         for node in asked {
             self.send_join(node, StateUse::Heal);
         }
@@ -135,11 +135,11 @@
         let mut records = Vec::new();
         let mut bytes = 0;
         let is_contradicted = self.contradicted.contains(&to);
-        let doubted = self
+        let unproven = self
             .members
             .get(to)
             .filter(|entry| entry.record.status != NodeStatus::Alive || is_contradicted);
-        if let Some(entry) = doubted {
+        if let Some(entry) = unproven {
             records.push(entry.record.clone());
         }
         for node in self.gossip.order() {
@@ -162,7 +162,7 @@
 
     /// Configuration versions of the next nodes in turn.
     fn next_versions(&mut self) -> List<ObservedVersion> {
-        let mut sights = List::default();
+        let mut observed = List::default();
         for _ in 0..VERSIONS_PER_MESSAGE {
             let start = self
                 .version_cursor
@@ -170,20 +170,20 @@
             let next = self.members.next_live(start);
             self.version_cursor = next.map(|record| record.member.node);
             if let Some(record) = next {
-                sights.push(ObservedVersion {
+                observed.push(ObservedVersion {
                     node: record.member.node,
                     version: record.configuration,
                 });
             }
         }
-        sights
+        observed
     }
 
     fn send(&mut self, to: NodeId, message: MembershipMessage) {
         if let Some(address) = self.address_of(to)
-            && self.told_addresses.get(&to) != Some(&address)
+            && self.announced_addresses.get(&to) != Some(&address)
         {
-            self.told_addresses.insert(to, address.clone());
+            self.announced_addresses.insert(to, address.clone());
             self.outputs
                 .push(MembershipOutput::Address { node: to, address });
         }
--- a/crates/ledgelead-membership/src/probes.rs
+++ b/crates/ledgelead-membership/src/probes.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 /// How long the answer to a ping is recognised.
-const REMEMBERED: Span = Span::from_seconds(5);
+const PING_TTL: Span = Span::from_seconds(5);
 /// Most pings that are remembered; the oldest is forgotten first.
-const MAX_PINGS: usize = 512;
+const MAX_TRACKED_PINGS: usize = 512;
 
 /// For whom a ping was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,8 +55,8 @@
     /// Notes a ping and returns its nonce.
     pub(crate) fn send(&mut self, now: Time, target: NodeId, purpose: Purpose) -> u64 {
         self.by_nonce
-            .retain(|_, ping| now.since(ping.sent) < REMEMBERED);
-        if self.by_nonce.len() >= MAX_PINGS {
+            .retain(|_, ping| now.since(ping.sent) < PING_TTL);
+        if self.by_nonce.len() >= MAX_TRACKED_PINGS {
             self.by_nonce.pop_first();
         }
         let nonce = self.next_nonce;
--- a/crates/ledgelead-request/src/dispatcher/acquire.rs
+++ b/crates/ledgelead-request/src/dispatcher/acquire.rs
@@ -9,10 +9,10 @@
 
 impl Dispatcher {
     pub(super) fn acquire(&mut self, now: Time, key: PermitKey, acquire: Acquire) {
-        if self.repeat_reply(key) {
+        if self.reply_again(key) {
             return;
         }
-        if !self.is_in_care(&acquire) {
+        if !self.is_dispatched_here(&acquire) {
             self.reply_moved(key);
             return;
         }
@@ -20,21 +20,21 @@
             self.slice_loads.count(acquire.group, claim.position, now);
         }
         match acquire.idempotency_key {
-            Some(once) if self.protections.has(Protection::IdempotencyRecord) => {
-                self.begin_once(now, key, acquire, once);
+            Some(idempotency_key) if self.protections.has(Protection::IdempotencyRecord) => {
+                self.begin_record(now, key, acquire, idempotency_key);
             }
             _ => self.admit(now, key, acquire, now),
         }
     }
 
     /// Answers a wish that is known already as before.
-    fn repeat_reply(&mut self, key: PermitKey) -> bool {
+    fn reply_again(&mut self, key: PermitKey) -> bool {
         if let Some(permit) = self.permits.get(&key) {
             let (server, waited) = (permit.server, permit.waited);
             self.reply_permit(key, server, waited);
             return true;
         }
-        let waits = self.waiting.contains_key(&key) || self.begins(key);
+        let waits = self.waiting.contains_key(&key) || self.awaits_record(key);
         if waits {
             self.reply(
                 key.gateway,
@@ -49,7 +49,7 @@
 
     /// Whether the server is dispatched here and, as far as this node knows,
     /// still owns the slice.
-    pub(super) fn is_in_care(&self, acquire: &Acquire) -> bool {
+    pub(super) fn is_dispatched_here(&self, acquire: &Acquire) -> bool {
         match acquire.selector {
             ServerSelector::Any { .. } => self
                 .pools
--- a/crates/ledgelead-request/src/dispatcher/admission.rs
+++ b/crates/ledgelead-request/src/dispatcher/admission.rs
@@ -8,25 +8,25 @@
 use ledgelead_types::{NotRunReason, Span, Time};
 
 /// How long work waits here for a server without a lease, or that is silent.
-pub(super) const UNUSABLE_HOLD: Span = Span::from_millis(1_000);
+pub(super) const UNUSABLE_TIMEOUT: Span = Span::from_millis(1_000);
 
 /// Wishes that may wait for each slot.
-const QUEUED_PER_SLOT: usize = 64;
+const MAX_QUEUED_PER_SLOT: usize = 64;
 
 /// Time of the whole capacity that a tier keeps of an unused share.
-const CREDIT: Span = Span::from_millis(500);
+const MAX_CREDIT: Span = Span::from_millis(500);
 
 /// Shortest interval between permits that the credit is reckoned with, also
 /// while none was measured.
-const CREDIT_INTERVAL: Span = Span::from_millis(1);
+const MIN_CREDIT_INTERVAL: Span = Span::from_millis(1);
 
 /// Bounds of the advice when to come back.
-const SHORTEST_RETRY: Span = Span::from_millis(50);
-const LONGEST_RETRY: Span = Span::from_seconds(5);
+const MIN_RETRY_AFTER: Span = Span::from_millis(50);
+const MAX_RETRY_AFTER: Span = Span::from_seconds(5);
 
 /// When to come back to keys without a usable server: about the time that a
 /// lost server's keys take to be served again.
-pub(super) const NO_SERVER_RETRY: Span = Span::from_millis(1_000);
+pub(super) const NO_SERVER_RETRY_AFTER: Span = Span::from_millis(1_000);
 
 /// What a queue can do, from the servers behind it.
 #[derive(Clone, Copy, Debug)]
@@ -55,11 +55,11 @@
 
     /// Requests of the whole capacity that a tier may keep as a credit.
     fn credit(&self) -> f64 {
-        CREDIT.as_seconds()
+        MAX_CREDIT.as_seconds()
             / self
                 .interval()
                 .as_seconds()
-                .max(CREDIT_INTERVAL.as_seconds())
+                .max(MIN_CREDIT_INTERVAL.as_seconds())
     }
 
     /// Time that queued work keeps in reserve before its deadline. Work that
@@ -81,17 +81,17 @@
         let deadline = arrived + acquire.deadline;
         self.queues.entry(queue).or_insert_with(Queue::new);
         if acquire.hedge && !self.can_hedge(now, queue, &acquire) {
-            self.refuse(key, NotRunReason::Overloaded, SHORTEST_RETRY);
+            self.refuse(key, NotRunReason::Overloaded, MIN_RETRY_AFTER);
             return;
         }
         if self.is_unusable_for_long(now, queue) {
-            self.refuse(key, NotRunReason::NoServer, NO_SERVER_RETRY);
+            self.refuse(key, NotRunReason::NoServer, NO_SERVER_RETRY_AFTER);
             return;
         }
         let capacity = self.capacity(now, queue);
         let remaining = deadline.since(now);
         if let Err((reason, excess)) = self.fits_wait(queue, &acquire, capacity, remaining) {
-            let retry_after = excess.max(SHORTEST_RETRY).min(LONGEST_RETRY);
+            let retry_after = excess.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
             self.refuse(key, reason, retry_after);
             return;
         }
@@ -137,7 +137,7 @@
         let mut measured = 0;
         let mut service_micros = 0;
         let mut long_service_time = Span::ZERO;
-        for state in self.servers_behind(queue) {
+        for state in self.servers_of(queue) {
             if state.is_usable(now, work, self.protections) {
                 limit += state.limit(now, work);
                 slots += u32::from(state.settings.slots).max(1);
@@ -159,7 +159,7 @@
         }
     }
 
-    pub(super) fn servers_behind(&self, queue: QueueKey) -> impl Iterator<Item = &ServerState> {
+    pub(super) fn servers_of(&self, queue: QueueKey) -> impl Iterator<Item = &ServerState> {
         let (one, pool) = match queue {
             QueueKey::Server(server) => (self.servers.get(&server), &[][..]),
             QueueKey::Pool(group) => (None, self.pools.get(&group).map_or(&[][..], Vec::as_slice)),
@@ -210,7 +210,7 @@
         acquire: &Acquire,
         capacity: QueueCapacity,
     ) -> bool {
-        let most = QUEUED_PER_SLOT * capacity.limit.max(1) as usize;
+        let most = MAX_QUEUED_PER_SLOT * capacity.limit.max(1) as usize;
         let Some(queue) = self.queues.get_mut(&queue_key) else {
             return false;
         };
@@ -241,7 +241,7 @@
     fn drain_time(&self, queue: QueueKey, capacity: QueueCapacity) -> Span {
         let length = self.queues.get(&queue).map_or(0, |queue| queue.fair.len());
         let drain = capacity.interval().times(length as f64);
-        drain.max(SHORTEST_RETRY).min(LONGEST_RETRY)
+        drain.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER)
     }
 
     /// A hedge takes a free slot of another server, and only when nobody
@@ -259,19 +259,19 @@
                 && state.has_free_slot(now)
                 && self.may_serve(state, now, queue)
         };
-        empty && self.servers_behind(queue).any(free)
+        empty && self.servers_of(queue).any(free)
     }
 
     fn is_unusable_for_long(&mut self, now: Time, queue: QueueKey) -> bool {
         let since = self.refresh_usability(now, queue);
-        since.is_some_and(|since| now >= since + UNUSABLE_HOLD)
+        since.is_some_and(|since| now >= since + UNUSABLE_TIMEOUT)
     }
 
     /// Notes since when none of the queue's servers may get work.
     pub(super) fn refresh_usability(&mut self, now: Time, queue: QueueKey) -> Option<Time> {
         let protections = self.protections;
         let usable = self
-            .servers_behind(queue)
+            .servers_of(queue)
             .any(|state| state.is_usable(now, queue.work(), protections));
         let queue = self.queues.get_mut(&queue)?;
         queue.unusable_since = if usable {
@@ -283,13 +283,13 @@
     }
 
     /// The latest moment at which a waiting wish could have been served.
-    pub(super) fn waited_too_long(&mut self, now: Time, key: PermitKey) {
+    pub(super) fn refuse_overdue(&mut self, now: Time, key: PermitKey) {
         let Some(queue) = self.take_waiting(key) else {
             return;
         };
         let unusable = self.refresh_usability(now, queue).is_some();
         if unusable {
-            self.refuse(key, NotRunReason::NoServer, NO_SERVER_RETRY);
+            self.refuse(key, NotRunReason::NoServer, NO_SERVER_RETRY_AFTER);
             return;
         }
         let capacity = self.capacity(now, queue);
--- a/crates/ledgelead-request/src/dispatcher/grant.rs
+++ b/crates/ledgelead-request/src/dispatcher/grant.rs
@@ -1,6 +1,6 @@
 //! Grants: free slots go to the waiting wishes in fair order.
 
-use super::admission::{NO_SERVER_RETRY, UNUSABLE_HOLD};
+use super::admission::{NO_SERVER_RETRY_AFTER, UNUSABLE_TIMEOUT};
 use super::queue::{QueueKey, Waiting};
 use super::release::Permit;
 use super::server::ServerState;
@@ -26,7 +26,7 @@
             return;
         }
         let unusable_since = self.refresh_usability(now, queue);
-        if unusable_since.is_some_and(|since| now >= since + UNUSABLE_HOLD) {
+        if unusable_since.is_some_and(|since| now >= since + UNUSABLE_TIMEOUT) {
             self.refuse_all(queue, NotRunReason::NoServer);
             return;
         }
@@ -51,18 +51,18 @@
             };
             if waiting.deadline <= now {
                 queue.fair.refund(waiting.acquire.tier, &self.shares);
-                self.refuse(key, NotRunReason::DeadlineTooClose, NO_SERVER_RETRY);
+                self.refuse(key, NotRunReason::DeadlineTooClose, NO_SERVER_RETRY_AFTER);
                 continue;
             }
             let waited = now.since(waiting.arrived);
             queue.waited(now, waiting.acquire.tier, waited, slot_time);
-            let server = self.other_than_tried(now, &waiting, server);
+            let server = self.prefer_untried(now, &waiting, server);
             self.grant(now, key, &waiting, server);
         }
     }
 
     /// Prefers a server that the request has not tried.
-    fn other_than_tried(&self, now: Time, waiting: &Waiting, chosen: ServerId) -> ServerId {
+    fn prefer_untried(&self, now: Time, waiting: &Waiting, chosen: ServerId) -> ServerId {
         match waiting.acquire.selector {
             ServerSelector::Any { avoid: Some(tried) } if tried == chosen => self
                 .choose_server(now, waiting.queue, Some(tried))
@@ -78,7 +78,7 @@
         queue: QueueKey,
         avoid: Option<ServerId>,
     ) -> Option<ServerId> {
-        self.servers_behind(queue)
+        self.servers_of(queue)
             .filter(|state| Some(state.settings.server) != avoid)
             .filter(|state| self.may_serve(state, now, queue))
             .filter(|state| state.has_room(now, queue.work()))
@@ -101,23 +101,24 @@
             state.granted(now);
         }
         let records = self.protections.has(Protection::IdempotencyRecord);
-        let once = waiting.acquire.idempotency_key.filter(|_| records);
+        let idempotency_key = waiting.acquire.idempotency_key.filter(|_| records);
         let permit = Permit {
             server,
             waited,
             deadline: waiting.deadline,
-            once: once.map(|once| (waiting.acquire.group, once)),
+            idempotency_key: idempotency_key
+                .map(|idempotency_key| (waiting.acquire.group, idempotency_key)),
             unanswered_checks: 0,
         };
         self.permits.insert(key, permit);
-        self.plan_check(now, key, server);
+        self.schedule_check(now, key, server);
         self.reply_permit(key, server, waited);
     }
 
     /// Refuses everything in a queue.
     pub(super) fn refuse_all(&mut self, queue: QueueKey, reason: NotRunReason) {
         for key in self.take_all(queue) {
-            self.refuse(key, reason, NO_SERVER_RETRY);
+            self.refuse(key, reason, NO_SERVER_RETRY_AFTER);
         }
     }
 
--- a/crates/ledgelead-request/src/dispatcher/idempotency.rs
+++ b/crates/ledgelead-request/src/dispatcher/idempotency.rs
@@ -6,7 +6,7 @@
 //! they come through different nodes.
 
 use super::DispatcherOutput;
-use super::admission::NO_SERVER_RETRY;
+use super::admission::NO_SERVER_RETRY_AFTER;
 use super::{Dispatcher, PermitKey, TimerKey};
 use crate::message::{Acquire, DispatchReply};
 use ledgelead_types::dispatch::{IdempotencyOwner, IdempotencyState, IdempotencyVerdict};
@@ -15,121 +15,122 @@
 
 /// Time between two wishes to begin a record, and wishes at most.
 const BEGIN_INTERVAL: Span = Span::from_millis(100);
-const MOST_BEGINS: u8 = 10;
+const MAX_BEGIN_SENDS: u8 = 10;
 
 /// A wish whose record the group has not begun yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PendingOnce {
+pub(super) struct PendingRecord {
     key: PermitKey,
     acquire: Acquire,
-    once: IdempotencyKey,
+    idempotency_key: IdempotencyKey,
     arrived: Time,
-    begins: u8,
+    awaits_record: u8,
 }
 
 impl Dispatcher {
-    pub(super) fn begin_once(
+    pub(super) fn begin_record(
         &mut self,
         now: Time,
         key: PermitKey,
         acquire: Acquire,
-        once: IdempotencyKey,
+        idempotency_key: IdempotencyKey,
     ) {
         let owner = owner_of(key);
-        let pending = PendingOnce {
+        let pending = PendingRecord {
             key,
             acquire,
-            once,
+            idempotency_key,
             arrived: now,
-            begins: 0,
+            awaits_record: 0,
         };
-        self.pending_once.insert(owner, pending);
-        self.repeat_begin(now, owner);
+        self.pending_records.insert(owner, pending);
+        self.resend_begin(now, owner);
     }
 
     /// Asks the group again; refuses when it has not answered for long.
-    pub(super) fn repeat_begin(&mut self, now: Time, owner: IdempotencyOwner) {
-        let Some(pending) = self.pending_once.get_mut(&owner) else {
+    pub(super) fn resend_begin(&mut self, now: Time, owner: IdempotencyOwner) {
+        let Some(pending) = self.pending_records.get_mut(&owner) else {
             return;
         };
         let expired = now >= pending.arrived + pending.acquire.deadline;
-        if expired || pending.begins >= MOST_BEGINS {
+        if expired || pending.awaits_record >= MAX_BEGIN_SENDS {
             let key = pending.key;
-            self.pending_once.remove(&owner);
-            self.refuse(key, NotRunReason::NoServer, NO_SERVER_RETRY);
+            self.pending_records.remove(&owner);
+            self.refuse(key, NotRunReason::NoServer, NO_SERVER_RETRY_AFTER);
             return;
         }
-        pending.begins += 1;
-        let (group, key) = (pending.acquire.group, pending.once);
+        pending.awaits_record += 1;
+        let (group, key) = (pending.acquire.group, pending.idempotency_key);
         self.outputs
             .push(DispatcherOutput::BeginIdempotencyRecord { group, owner, key });
-        self.timers.set(TimerKey::Once(owner), now + BEGIN_INTERVAL);
+        self.timers
+            .set(TimerKey::Record(owner), now + BEGIN_INTERVAL);
     }
 
     /// Whether this very wish waits for its record.
-    pub(super) fn begins(&self, key: PermitKey) -> bool {
-        self.pending_once
+    pub(super) fn awaits_record(&self, key: PermitKey) -> bool {
+        self.pending_records
             .get(&owner_of(key))
             .is_some_and(|pending| pending.key == key)
     }
 
     /// Forgets a wish that waits for its record.
-    pub(super) fn forget_begin(&mut self, key: PermitKey) {
-        if self.begins(key) {
+    pub(super) fn forget_pending_record(&mut self, key: PermitKey) {
+        if self.awaits_record(key) {
             let owner = owner_of(key);
-            self.pending_once.remove(&owner);
-            self.timers.clear(TimerKey::Once(owner));
+            self.pending_records.remove(&owner);
+            self.timers.clear(TimerKey::Record(owner));
         }
     }
 
     /// Forgets the wishes of a lost node that wait for their records, which
     /// may have been begun.
-    pub(super) fn forget_begins_of(&mut self, node: NodeId) {
+    pub(super) fn forget_pending_records_of(&mut self, node: NodeId) {
         let owners: Vec<IdempotencyOwner> = self
-            .pending_once
+            .pending_records
             .keys()
             .copied()
             .filter(|owner| owner.gateway.node == node)
             .collect();
         for owner in owners {
-            self.timers.clear(TimerKey::Once(owner));
-            if let Some(pending) = self.pending_once.remove(&owner) {
-                let record = (pending.acquire.group, pending.once);
+            self.timers.clear(TimerKey::Record(owner));
+            if let Some(pending) = self.pending_records.remove(&owner) {
+                let record = (pending.acquire.group, pending.idempotency_key);
                 self.end_as_unknown(pending.key, Some(record));
             }
         }
     }
 
-    pub(super) fn once_decided(
+    pub(super) fn record_decided(
         &mut self,
         now: Time,
         owner: IdempotencyOwner,
-        once: IdempotencyKey,
+        idempotency_key: IdempotencyKey,
         verdict: IdempotencyVerdict,
     ) {
         let matches = self
-            .pending_once
+            .pending_records
             .get(&owner)
-            .is_some_and(|pending| pending.once == once);
+            .is_some_and(|pending| pending.idempotency_key == idempotency_key);
         if !matches {
             return;
         }
-        let Some(pending) = self.pending_once.remove(&owner) else {
+        let Some(pending) = self.pending_records.remove(&owner) else {
             return;
         };
-        self.timers.clear(TimerKey::Once(owner));
+        self.timers.clear(TimerKey::Record(owner));
         match verdict {
-            IdempotencyVerdict::Fresh => self.admit_begun(now, &pending),
+            IdempotencyVerdict::Fresh => self.admit_recorded(now, &pending),
             IdempotencyVerdict::Duplicate(state) => self.reply_duplicate(pending.key, state),
             IdempotencyVerdict::Unavailable => {
-                self.refuse(pending.key, NotRunReason::NoServer, NO_SERVER_RETRY);
+                self.refuse(pending.key, NotRunReason::NoServer, NO_SERVER_RETRY_AFTER);
             }
         }
     }
 
     /// The server may have left this node's care meanwhile.
-    fn admit_begun(&mut self, now: Time, pending: &PendingOnce) {
-        if self.is_in_care(&pending.acquire) {
+    fn admit_recorded(&mut self, now: Time, pending: &PendingRecord) {
+        if self.is_dispatched_here(&pending.acquire) {
             self.admit(now, pending.key, pending.acquire, pending.arrived);
         } else {
             self.reply_moved(pending.key);
@@ -149,7 +150,7 @@
 
     /// The gateway says how the request ended. Wishes of it that came late
     /// are dropped with it.
-    pub(super) fn end_once(
+    pub(super) fn end_record(
         &mut self,
         now: Time,
         owner: IdempotencyOwner,
@@ -157,12 +158,12 @@
         key: IdempotencyKey,
         state: Option<IdempotencyState>,
     ) {
-        if let Some(pending) = self.pending_once.remove(&owner) {
-            self.timers.clear(TimerKey::Once(owner));
+        if let Some(pending) = self.pending_records.remove(&owner) {
+            self.timers.clear(TimerKey::Record(owner));
             self.withdraw(now, pending.key);
         }
         if self.protections.has(Protection::IdempotencyRecord) {
-            self.output_end_once(owner, group, key, state);
+            self.output_end_record(owner, group, key, state);
         }
         self.reply(
             owner.gateway,
@@ -173,7 +174,7 @@
         );
     }
 
-    pub(super) fn output_end_once(
+    pub(super) fn output_end_record(
         &mut self,
         owner: IdempotencyOwner,
         group: GroupId,
--- a/crates/ledgelead-request/src/dispatcher/mod.rs
+++ b/crates/ledgelead-request/src/dispatcher/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::message::{DispatchReply, DispatchRequest};
 use crate::timers::Timers;
-use idempotency::PendingOnce;
+use idempotency::PendingRecord;
 use ledgelead_types::configuration::Configuration;
 use ledgelead_types::dispatch::IdempotencyOwner;
 use ledgelead_types::protections::Protections;
@@ -60,7 +60,7 @@
     /// A lost attempt that may still occupy its slot.
     Linger(PermitKey),
     /// A record that the group has not begun yet.
-    Once(IdempotencyOwner),
+    Record(IdempotencyOwner),
     /// A queue with work: leases, drains and ejections change with time.
     Queue(QueueKey),
 }
@@ -80,7 +80,7 @@
     waiting: BTreeMap<PermitKey, Waiting>,
     permits: BTreeMap<PermitKey, Permit>,
     lingering: BTreeMap<PermitKey, ServerId>,
-    pending_once: BTreeMap<IdempotencyOwner, PendingOnce>,
+    pending_records: BTreeMap<IdempotencyOwner, PendingRecord>,
     slice_loads: SliceLoads,
     timers: Timers<TimerKey>,
     outputs: Vec<DispatcherOutput>,
@@ -102,7 +102,7 @@
             waiting: BTreeMap::new(),
             permits: BTreeMap::new(),
             lingering: BTreeMap::new(),
-            pending_once: BTreeMap::new(),
+            pending_records: BTreeMap::new(),
             slice_loads: SliceLoads::default(),
             timers: Timers::new(),
             outputs: Vec::new(),
@@ -129,7 +129,7 @@
                 owner,
                 key,
                 verdict,
-            } => self.once_decided(now, owner, key, verdict),
+            } => self.record_decided(now, owner, key, verdict),
             DispatcherInput::GatewayLost(node) => self.gateway_lost(now, node),
         }
     }
@@ -138,10 +138,10 @@
     pub fn tick(&mut self, now: Time) {
         while let Some(key) = self.timers.pop_due(now) {
             match key {
-                TimerKey::Waiting(key) => self.waited_too_long(now, key),
+                TimerKey::Waiting(key) => self.refuse_overdue(now, key),
                 TimerKey::Permit(key) => self.check_permit(now, key),
                 TimerKey::Linger(key) => self.end_linger(now, key),
-                TimerKey::Once(owner) => self.repeat_begin(now, owner),
+                TimerKey::Record(owner) => self.resend_begin(now, owner),
                 TimerKey::Queue(queue) => self.pump(now, queue),
             }
         }
@@ -229,7 +229,7 @@
                     incarnation: gateway,
                 };
                 let owner = IdempotencyOwner { gateway, request };
-                self.end_once(now, owner, group, key, state);
+                self.end_record(now, owner, group, key, state);
             }
         }
     }
--- a/crates/ledgelead-request/src/dispatcher/release.rs
+++ b/crates/ledgelead-request/src/dispatcher/release.rs
@@ -13,11 +13,11 @@
 
 /// Least time that a permit is out before it is asked after, and the mean
 /// service times that it stands for.
-const SHORTEST_CHECK: Span = Span::from_millis(200);
+const MIN_CHECK_INTERVAL: Span = Span::from_millis(200);
 const CHECK_SERVICE_TIMES: f64 = 4.0;
 
 /// Checks without an answer after which the gateway counts as gone.
-const MOST_UNANSWERED_CHECKS: u8 = 5;
+const MAX_UNANSWERED_CHECKS: u8 = 5;
 
 /// How long a permit lasts beyond the request's deadline.
 const PERMIT_MARGIN: Span = Span::from_millis(500);
@@ -32,7 +32,7 @@
     pub(super) waited: Span,
     pub(super) deadline: Time,
     /// Group and key of the record that the request has begun.
-    pub(super) once: Option<(GroupId, IdempotencyKey)>,
+    pub(super) idempotency_key: Option<(GroupId, IdempotencyKey)>,
     pub(super) unanswered_checks: u8,
 }
 
@@ -55,7 +55,7 @@
     /// The gateway has given the wish up and uses no permit for it.
     pub(super) fn withdraw(&mut self, now: Time, key: PermitKey) {
         self.take_waiting(key);
-        self.forget_begin(key);
+        self.forget_pending_record(key);
         if let Some(permit) = self.permits.remove(&key) {
             self.timers.clear(TimerKey::Permit(key));
             self.free(now, permit.server);
@@ -68,11 +68,11 @@
         };
         state.freed();
         let group = state.settings.group;
-        self.pump_behind(now, server, group);
+        self.pump_queues_of(now, server, group);
     }
 
     /// Grants from every queue that the server stands behind.
-    pub(super) fn pump_behind(&mut self, now: Time, server: ServerId, group: GroupId) {
+    pub(super) fn pump_queues_of(&mut self, now: Time, server: ServerId, group: GroupId) {
         for queue in [QueueKey::Server(server), QueueKey::Pool(group)] {
             if self.queues.contains_key(&queue) {
                 self.pump(now, queue);
@@ -99,7 +99,7 @@
     fn may_eject_another(&self, now: Time, group: GroupId) -> bool {
         let servers = self.pools.get(&group).map_or(0, Vec::len);
         let ejected = self
-            .servers_behind(QueueKey::Pool(group))
+            .servers_of(QueueKey::Pool(group))
             .filter(|state| state.ejected_until(now).is_some())
             .count();
         (ejected + 1) * 3 <= servers
@@ -128,11 +128,11 @@
             })
     }
 
-    pub(super) fn plan_check(&mut self, now: Time, key: PermitKey, server: ServerId) {
+    pub(super) fn schedule_check(&mut self, now: Time, key: PermitKey, server: ServerId) {
         let interval = self
             .service_time(server)
             .times(CHECK_SERVICE_TIMES)
-            .max(SHORTEST_CHECK);
+            .max(MIN_CHECK_INTERVAL);
         self.timers.set(TimerKey::Permit(key), now + interval);
     }
 
@@ -142,7 +142,7 @@
             return;
         };
         let expired = now >= permit.deadline + PERMIT_MARGIN;
-        if expired || permit.unanswered_checks >= MOST_UNANSWERED_CHECKS {
+        if expired || permit.unanswered_checks >= MAX_UNANSWERED_CHECKS {
             let permit = *permit;
             self.permits.remove(&key);
             self.linger(now, key, &permit);
@@ -157,7 +157,7 @@
                 attempt: key.attempt,
             },
         );
-        self.plan_check(now, key, server);
+        self.schedule_check(now, key, server);
     }
 
     /// The gateway says that the permit is in use.
@@ -175,29 +175,30 @@
         let waiting: Vec<PermitKey> = self.waiting.keys().copied().filter(of_node).collect();
         for key in waiting {
             let acquire = self.waiting.get(&key).map(|waiting| waiting.acquire);
-            let once = acquire.and_then(|acquire| Some((acquire.group, acquire.idempotency_key?)));
+            let idempotency_key =
+                acquire.and_then(|acquire| Some((acquire.group, acquire.idempotency_key?)));
             self.take_waiting(key);
-            self.end_as_unknown(key, once);
+            self.end_as_unknown(key, idempotency_key);
         }
         let permits: Vec<PermitKey> = self.permits.keys().copied().filter(of_node).collect();
         for key in permits {
             if let Some(permit) = self.permits.remove(&key) {
                 self.timers.clear(TimerKey::Permit(key));
                 self.linger(now, key, &permit);
-                self.end_as_unknown(key, permit.once);
+                self.end_as_unknown(key, permit.idempotency_key);
             }
         }
-        self.forget_begins_of(node);
+        self.forget_pending_records_of(node);
     }
 
     pub(super) fn end_as_unknown(
         &mut self,
         key: PermitKey,
-        once: Option<(GroupId, IdempotencyKey)>,
+        idempotency_key: Option<(GroupId, IdempotencyKey)>,
     ) {
-        if let Some((group, once)) = once {
+        if let Some((group, idempotency_key)) = idempotency_key {
             let state = Some(IdempotencyState::Unknown);
-            self.output_end_once(owner_of(key), group, once, state);
+            self.output_end_record(owner_of(key), group, idempotency_key, state);
         }
     }
 }
--- a/crates/ledgelead-request/src/dispatcher/server.rs
+++ b/crates/ledgelead-request/src/dispatcher/server.rs
@@ -15,12 +15,12 @@
 const PERMIT_GAP: Span = Span::from_millis(4);
 
 /// Permits beyond those that the gap needs on average: service times vary.
-const SPARE: f64 = 0.5;
+const SPARE_PERMITS: f64 = 0.5;
 
 /// Permits beyond the slots at most, for each slot. A server that refuses as
 /// busy lowers the bound to what it takes; answers raise it again.
-const MOST_PIPELINED_PER_SLOT: u32 = 2;
-const ANSWERS_TO_RAISE: u32 = 512;
+const MAX_PIPELINED_PER_SLOT: u32 = 2;
+const ANSWERS_PER_INCREASE: u32 = 512;
 
 /// How long a draining server may still serve its own keys, so that they are
 /// served until they have moved. Unkeyed work stops at once.
@@ -28,16 +28,16 @@
 
 /// How long a server that just came into this node's care is trusted with one
 /// slot less, unless it has told its load before.
-const TAKEOVER_CAUTION: Span = Span::from_millis(250);
+const TAKEOVER_LIMIT_TIME: Span = Span::from_millis(250);
 
 /// How long requests that a former dispatcher permitted are counted at most.
-const INHERITED_LIMIT: Span = Span::from_seconds(2);
+const INHERITED_PERMITS_TTL: Span = Span::from_seconds(2);
 
 /// Failures in a row that eject a server, and for how long; the span doubles
 /// with each ejection in a row.
 const FAILURES_TO_EJECT: u32 = 5;
 const FIRST_EJECTION: Span = Span::from_seconds(1);
-const MOST_EJECTION_DOUBLINGS: u32 = 4;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
 /// Quantile of the service time for which queued work keeps time in reserve,
 /// and the samples that its estimate needs.
@@ -58,7 +58,7 @@
     /// Slots in use, in thousandths of all.
     used_thousandths: u32,
     cold: bool,
-    waiting_there: u16,
+    waiting_at_server: u16,
     last_granted: Time,
 }
 
@@ -73,7 +73,7 @@
     long_service_time: QuantileSpan,
     /// Permits beyond the slots that may be out.
     pipelined: u32,
-    most_pipelined: u32,
+    max_pipelined: u32,
     /// Answers since the bound changed.
     answers: u32,
     reported: bool,
@@ -96,7 +96,7 @@
             service_time: MeanSpan::default(),
             long_service_time: QuantileSpan::new(LONG_SERVICE_QUANTILE),
             pipelined: 1,
-            most_pipelined: u32::from(settings.slots).max(1) * MOST_PIPELINED_PER_SLOT,
+            max_pipelined: u32::from(settings.slots).max(1) * MAX_PIPELINED_PER_SLOT,
             answers: 0,
             reported: false,
             since: now,
@@ -123,8 +123,8 @@
     /// Takes a load report in. Requests that the server executes beyond our
     /// permits were permitted by a former dispatcher.
     pub(super) fn reported(&mut self, report: LoadReport) {
-        let there = u32::from(report.executing) + u32::from(report.waiting);
-        let beyond = there.saturating_sub(self.in_use);
+        let at_server = u32::from(report.executing) + u32::from(report.waiting);
+        let beyond = at_server.saturating_sub(self.in_use);
         if !self.reported {
             self.inherited = beyond;
         } else {
@@ -159,11 +159,11 @@
     /// Permits that may be out at once.
     pub(super) fn limit(&self, now: Time, work: Work) -> u32 {
         let slots = u32::from(self.settings.slots).max(1);
-        let cautious = !self.reported && now < self.since + TAKEOVER_CAUTION;
+        let is_takeover_limited = !self.reported && now < self.since + TAKEOVER_LIMIT_TIME;
         let on_probation = work == Work::Unkeyed && self.ejections > 0;
         if on_probation {
             1
-        } else if cautious {
+        } else if is_takeover_limited {
             (slots - 1).max(1)
         } else if self.report.cold {
             cold_limit(slots, work)
@@ -187,12 +187,12 @@
         let queueing = f64::from(slots + self.pipelined) / f64::from(slots);
         let served_in_gap =
             f64::from(slots) * PERMIT_GAP.as_seconds() * queueing / at_server.as_seconds();
-        ((served_in_gap + SPARE).ceil() as u32).clamp(1, self.most_pipelined)
+        ((served_in_gap + SPARE_PERMITS).ceil() as u32).clamp(1, self.max_pipelined)
     }
 
     /// Permits out, those of a former dispatcher included.
     pub(super) fn used(&self, now: Time) -> u32 {
-        let inherits = now < self.since + INHERITED_LIMIT;
+        let inherits = now < self.since + INHERITED_PERMITS_TTL;
         self.in_use + if inherits { self.inherited } else { 0 }
     }
 
@@ -213,7 +213,7 @@
             pipelined: !self.has_free_slot(now),
             used_thousandths: self.used(now) * 1_000 / slots,
             cold: self.report.cold,
-            waiting_there: self.report.waiting,
+            waiting_at_server: self.report.waiting,
             last_granted: self.last_granted,
         }
     }
@@ -242,7 +242,7 @@
             PermitEnd::Answered => {
                 self.service_time.add(service_time);
                 self.long_service_time.add(service_time);
-                self.raise_bound();
+                self.count_answer();
                 self.pipelined = self.pipelined_by_measurement();
                 self.failures = 0;
                 self.ejections = 0;
@@ -253,8 +253,8 @@
                 self.failures >= FAILURES_TO_EJECT || self.ejections > 0
             }
             PermitEnd::Busy => {
-                self.most_pipelined = self.pipelined.saturating_sub(1).max(1);
-                self.pipelined = self.pipelined.min(self.most_pipelined);
+                self.max_pipelined = self.pipelined.saturating_sub(1).max(1);
+                self.pipelined = self.pipelined.min(self.max_pipelined);
                 self.answers = 0;
                 false
             }
@@ -262,18 +262,18 @@
         }
     }
 
-    fn raise_bound(&mut self) {
+    fn count_answer(&mut self) {
         self.answers += 1;
-        if self.answers >= ANSWERS_TO_RAISE {
-            let most = u32::from(self.settings.slots).max(1) * MOST_PIPELINED_PER_SLOT;
-            self.most_pipelined = (self.most_pipelined + 1).min(most);
+        if self.answers >= ANSWERS_PER_INCREASE {
+            let most = u32::from(self.settings.slots).max(1) * MAX_PIPELINED_PER_SLOT;
+            self.max_pipelined = (self.max_pipelined + 1).min(most);
             self.answers = 0;
         }
     }
 
     /// Takes the server out of the choice for a while.
     pub(super) fn eject(&mut self, now: Time) {
-        let doublings = self.ejections.min(MOST_EJECTION_DOUBLINGS);
+        let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
         let span = FIRST_EJECTION.times(f64::from(1_u32 << doublings));
         self.ejections += 1;
         self.failures = 0;
--- a/crates/ledgelead-request/src/dispatcher/servers.rs
+++ b/crates/ledgelead-request/src/dispatcher/servers.rs
@@ -33,10 +33,10 @@
         let left_empty = present.is_empty();
         self.pools.insert(group, present.clone());
         if left_empty {
-            self.move_all(QueueKey::Pool(group));
+            self.redirect_all(QueueKey::Pool(group));
         }
         for server in present {
-            self.pump_behind(now, server, group);
+            self.pump_queues_of(now, server, group);
         }
     }
 
@@ -46,14 +46,14 @@
             return;
         };
         state.configure(settings, now);
-        self.pump_behind(now, settings.server, settings.group);
+        self.pump_queues_of(now, settings.server, settings.group);
     }
 
     /// A server that left this node's care: who waits for it is sent back to
     /// the routes, and its permits are the next dispatcher's to count.
     fn forget_server(&mut self, server: ServerId) {
         self.servers.remove(&server);
-        self.move_all(QueueKey::Server(server));
+        self.redirect_all(QueueKey::Server(server));
         let permits: Vec<PermitKey> = self
             .permits
             .iter()
@@ -76,7 +76,7 @@
         }
     }
 
-    fn move_all(&mut self, queue: QueueKey) {
+    fn redirect_all(&mut self, queue: QueueKey) {
         for key in self.take_all(queue) {
             self.reply_moved(key);
         }
@@ -99,7 +99,7 @@
             .waiting
             .iter()
             .filter(|(_, waiting)| waiting.acquire.group == group)
-            .filter(|(_, waiting)| !self.is_in_care(&waiting.acquire))
+            .filter(|(_, waiting)| !self.is_dispatched_here(&waiting.acquire))
             .map(|(&key, _)| key)
             .collect();
         for key in superseded {
@@ -115,6 +115,6 @@
         };
         state.reported(load);
         let group = state.settings.group;
-        self.pump_behind(now, server, group);
+        self.pump_queues_of(now, server, group);
     }
 }
--- a/crates/ledgelead-request/src/dispatcher/standing_queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/standing_queue.rs
@@ -16,25 +16,25 @@
 use ledgelead_types::{Span, TierId, Time};
 
 /// How long every wait has to be above the target before it is limited.
-const STANDING: Span = Span::from_seconds(1);
+const STANDING_TIME: Span = Span::from_seconds(1);
 
 /// Weight of a wish in the share of a tier's wishes that meet the limit.
-const WISH_WEIGHT: f64 = 0.02;
+const REQUEST_WEIGHT: f64 = 0.02;
 /// Share of wishes that is assumed to meet a new limit.
-const FIRST_SHARE: f64 = 0.1;
+const INITIAL_LIMITED_SHARE: f64 = 0.1;
 /// Share of wishes that meet the limit below which the limit goes.
-const FEW_REFUSED: f64 = 0.02;
+const MIN_LIMITED_SHARE: f64 = 0.02;
 /// Weight of a wish or a grant in the excess.
 const EXCESS_WEIGHT: f64 = 0.01;
 /// Excess from which an overload is heavy: one and a half times the capacity.
-const HEAVY: f64 = 0.2;
+const HEAVY_EXCESS: f64 = 0.2;
 /// Service times that the target has under the slightest overload, beyond
 /// the one that it always has.
-const MOST_BEYOND_ONE: f64 = 7.0;
+const MAX_EXTRA_SERVICE_TIMES: f64 = 7.0;
 
 /// Wishes that may always wait, so that a returned permit finds work: the
 /// limit costs no capacity.
-const LEAST_QUEUED: usize = 3;
+const MIN_QUEUED: usize = 3;
 
 /// Waits of one tier in one queue.
 #[derive(Clone, Copy, Debug, Default)]
@@ -54,19 +54,19 @@
             return;
         }
         let since = *self.above_since.get_or_insert(now);
-        if now >= since + STANDING && self.over_limit.is_none() {
-            self.over_limit = Some(FIRST_SHARE);
+        if now >= since + STANDING_TIME && self.over_limit.is_none() {
+            self.over_limit = Some(INITIAL_LIMITED_SHARE);
         }
     }
 
     /// Takes a wish in; whether it meets the limit.
-    fn meets_limit(&mut self, over_target: bool) -> bool {
+    fn is_limited(&mut self, over_target: bool) -> bool {
         let Some(share) = &mut self.over_limit else {
             return false;
         };
         let sample = if over_target { 1.0 } else { 0.0 };
-        move_towards(share, sample, WISH_WEIGHT);
-        if *share < FEW_REFUSED {
+        move_towards(share, sample, REQUEST_WEIGHT);
+        if *share < MIN_LIMITED_SHARE {
             *self = StandingQueue::default();
         }
         over_target
@@ -76,8 +76,8 @@
 impl Queue {
     /// Wait to which a tier is limited whose queue stands.
     pub(super) fn target_wait(&self, service_time: Span) -> Span {
-        let slight = 1.0 - (self.excess / HEAVY).clamp(0.0, 1.0);
-        service_time.times(1.0 + MOST_BEYOND_ONE * slight)
+        let slight = 1.0 - (self.excess / HEAVY_EXCESS).clamp(0.0, 1.0);
+        service_time.times(1.0 + MAX_EXTRA_SERVICE_TIMES * slight)
     }
 
     /// Takes in how long a wish has waited that is served now.
@@ -93,10 +93,10 @@
     pub(super) fn is_over_limit(&mut self, tier: TierId, wait: Span, service_time: Span) -> bool {
         move_towards(&mut self.excess, 1.0, EXCESS_WEIGHT);
         let over_target = wait > self.target_wait(service_time)
-            && self.fair.len() >= LEAST_QUEUED
+            && self.fair.len() >= MIN_QUEUED
             && !self.fair.has_credit(tier);
         let standing = self.standing.entry(tier).or_default();
-        standing.meets_limit(over_target)
+        standing.is_limited(over_target)
     }
 }
 
--- a/crates/ledgelead-request/src/dispatcher/tiers.rs
+++ b/crates/ledgelead-request/src/dispatcher/tiers.rs
@@ -8,7 +8,7 @@
 const UNKNOWN_TIER_SHARE: f64 = 0.01;
 
 /// Least share of any tier, so that none starves.
-const LEAST_SHARE: f64 = 0.001;
+const MIN_SHARE: f64 = 0.001;
 
 /// Percent in a whole.
 const WHOLE_PERCENT: f64 = 100.0;
@@ -36,7 +36,7 @@
             .map(|tier| {
                 let minimum = f64::from(tier.guaranteed_percent) / WHOLE_PERCENT * scale;
                 let weighted = rest * f64::from(tier.weight) / weights.max(1.0);
-                (tier.id, (minimum + weighted).max(LEAST_SHARE))
+                (tier.id, (minimum + weighted).max(MIN_SHARE))
             })
             .collect();
         TierShares { shares }
--- a/crates/ledgelead-request/src/gateway/accept.rs
+++ b/crates/ledgelead-request/src/gateway/accept.rs
@@ -18,10 +18,10 @@
 const MAX_DEADLINE: Span = Span::from_seconds(300);
 
 /// When to try a stopping node's neighbours.
-const STOPPING_RETRY: Span = Span::from_millis(50);
+const STOPPING_RETRY_AFTER: Span = Span::from_millis(50);
 
 /// When to try a node again that has no configuration yet.
-const UNCONFIGURED_RETRY: Span = Span::from_millis(500);
+const UNCONFIGURED_RETRY_AFTER: Span = Span::from_millis(500);
 
 /// Why a request is not accepted.
 struct Rejection {
@@ -100,10 +100,12 @@
         arrival: &RequestArrival,
     ) -> Result<ActiveRequest, Rejection> {
         if self.stopping {
-            return Err(Rejection::new(NotRunReason::Stopping).retry_after(STOPPING_RETRY));
+            return Err(Rejection::new(NotRunReason::Stopping).retry_after(STOPPING_RETRY_AFTER));
         }
         if !self.directory.is_configured() {
-            return Err(Rejection::new(NotRunReason::NoServer).retry_after(UNCONFIGURED_RETRY));
+            return Err(
+                Rejection::new(NotRunReason::NoServer).retry_after(UNCONFIGURED_RETRY_AFTER)
+            );
         }
         let service = self
             .directory
@@ -113,7 +115,7 @@
         let (caller, tier) = match identity {
             Identity::Anonymous(tier) => (None, tier),
             Identity::Caller(caller) => (Some(caller), caller.tier),
-            Identity::Stranger => {
+            Identity::Unknown => {
                 let rejection = Rejection::new(NotRunReason::Unauthorized);
                 return Err(rejection.of(&service, TierId::default()));
             }
@@ -174,14 +176,14 @@
         sent: 0,
         retries: 0,
         search: None,
-        flights: Vec::new(),
-        maybe_ran: None,
+        sent_attempts: Vec::new(),
+        possibly_run: None,
         held_since: None,
         unreachable_since: None,
         holds: 0,
         avoid: None,
         hedge_at: None,
-        once_record: None,
+        idempotency_record: None,
     }
 }
 
--- a/crates/ledgelead-request/src/gateway/answer_cache.rs
+++ b/crates/ledgelead-request/src/gateway/answer_cache.rs
@@ -9,17 +9,17 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long an answer is held, and how many at once.
-const KEPT_FOR: Span = Span::from_seconds(60);
-const MOST_KEPT: usize = 4_096;
+const CACHE_TTL: Span = Span::from_seconds(60);
+const MAX_CACHED: usize = 4_096;
 
 /// Answers held, by key and by age.
 #[derive(Debug, Default)]
-pub(super) struct KeptAnswers {
+pub(super) struct AnswerCache {
     by_key: BTreeMap<IdempotencyKey, AttemptId>,
     by_age: VecDeque<(Time, IdempotencyKey)>,
 }
 
-impl KeptAnswers {
+impl AnswerCache {
     /// The attempt whose answer is held under a key.
     pub(super) fn get(&self, key: IdempotencyKey) -> Option<AttemptId> {
         self.by_key.get(&key).copied()
@@ -36,10 +36,10 @@
     }
 
     /// Takes out the oldest that is past its time or beyond the number.
-    fn take_surplus(&mut self, now: Time) -> Option<AttemptId> {
-        let &(kept_at, key) = self.by_age.front()?;
-        let is_surplus = self.by_age.len() > MOST_KEPT || now >= kept_at + KEPT_FOR;
-        if !is_surplus {
+    fn take_evictable(&mut self, now: Time) -> Option<AttemptId> {
+        let &(cached_at, key) = self.by_age.front()?;
+        let is_evictable = self.by_age.len() > MAX_CACHED || now >= cached_at + CACHE_TTL;
+        if !is_evictable {
             return None;
         }
         self.by_age.pop_front();
@@ -49,30 +49,30 @@
 
 impl Gateway {
     /// Holds the answer of a request under a key, once it is passed on.
-    pub(super) fn keep_answer(
+    pub(super) fn cache_answer(
         &mut self,
         now: Time,
         request: &ActiveRequest,
         outcome: Outcome,
         attempt: Option<AttemptId>,
     ) {
-        self.forget_old_answers(now);
-        let (Some(record), Some(attempt)) = (request.once_record, attempt) else {
+        self.evict_answers(now);
+        let (Some(record), Some(attempt)) = (request.idempotency_record, attempt) else {
             return;
         };
         let is_own = attempt.request == request.id;
         if outcome != Outcome::Answered || !is_own {
             return;
         }
-        if self.kept.add(now, record.key, attempt) {
+        if self.answer_cache.add(now, record.key, attempt) {
             self.outputs.push(GatewayOutput::KeepAnswer(attempt));
         }
-        self.forget_old_answers(now);
+        self.evict_answers(now);
     }
 
     /// Drops what is past its time or beyond the number.
-    pub(super) fn forget_old_answers(&mut self, now: Time) {
-        while let Some(attempt) = self.kept.take_surplus(now) {
+    pub(super) fn evict_answers(&mut self, now: Time) {
+        while let Some(attempt) = self.answer_cache.take_evictable(now) {
             self.outputs.push(GatewayOutput::ForgetAnswer(attempt));
         }
     }
--- a/crates/ledgelead-request/src/gateway/directory.rs
+++ b/crates/ledgelead-request/src/gateway/directory.rs
@@ -71,7 +71,7 @@
     /// A configured caller.
     Caller(CallerEntry),
     /// Callers are configured and this is none of them.
-    Stranger,
+    Unknown,
 }
 
 struct RouteTable {
@@ -203,7 +203,7 @@
         }
         match self.callers.get(credential_sha256) {
             Some(&caller) => Identity::Caller(caller),
-            None => Identity::Stranger,
+            None => Identity::Unknown,
         }
     }
 
--- a/crates/ledgelead-request/src/gateway/evidence.rs
+++ b/crates/ledgelead-request/src/gateway/evidence.rs
@@ -9,7 +9,7 @@
 use ledgelead_types::{NotRunReason, Span, Time, UnknownReason};
 
 /// Failures in a row from which a server is reported.
-const FAILURES_REPORTED: u32 = 3;
+const FAILURES_BEFORE_REPORT: u32 = 3;
 
 /// Least time between two reports of the same server.
 pub const EVIDENCE_INTERVAL: Span = Span::from_millis(100);
@@ -28,11 +28,11 @@
 
 /// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum AttemptOutcome {
     /// Pass the answer on whole.
-    PassOn,
+    ForwardAnswer,
     /// Send the request again, while budget and deadline allow.
-    SendAgain(RetryCause),
+    Retry(RetryCause),
     /// It was not run, and sending it again is of no use.
     NotRun(NotRunReason),
     /// It may have run.
@@ -40,39 +40,47 @@
 }
 
 /// The evidence rule: what an attempt's end proves of a request.
-pub(super) fn judge(result: AttemptResult, repeatable: bool, protections: Protections) -> Verdict {
+pub(super) fn classify_result(
+    result: AttemptResult,
+    repeatable: bool,
+    protections: Protections,
+) -> AttemptOutcome {
     match result {
-        AttemptResult::Answered { .. } => Verdict::PassOn,
+        AttemptResult::Answered { .. } => AttemptOutcome::ForwardAnswer,
         AttemptResult::NotSent => {
-            Verdict::SendAgain(RetryCause::NotStarted(NotRunReason::NoServer))
+            AttemptOutcome::Retry(RetryCause::NotStarted(NotRunReason::NoServer))
         }
-        AttemptResult::Refused(refusal) => judge_refusal(refusal),
+        AttemptResult::Refused(refusal) => classify_refusal(refusal),
         AttemptResult::Lost => {
-            judge_maybe_run(UnknownReason::ConnectionLost, repeatable, protections)
+            classify_possibly_run(UnknownReason::ConnectionLost, repeatable, protections)
         }
         AttemptResult::BadAnswer => {
-            judge_maybe_run(UnknownReason::BadAnswer, repeatable, protections)
+            classify_possibly_run(UnknownReason::BadAnswer, repeatable, protections)
         }
     }
 }
 
-fn judge_refusal(refusal: ServerRefusal) -> Verdict {
+fn classify_refusal(refusal: ServerRefusal) -> AttemptOutcome {
     match refusal {
         ServerRefusal::NotOwner | ServerRefusal::LeaseExpired | ServerRefusal::Draining => {
-            Verdict::SendAgain(RetryCause::Relocate)
+            AttemptOutcome::Retry(RetryCause::Relocate)
         }
         ServerRefusal::Busy | ServerRefusal::Cancelled => {
-            Verdict::SendAgain(RetryCause::NotStarted(NotRunReason::Overloaded))
+            AttemptOutcome::Retry(RetryCause::NotStarted(NotRunReason::Overloaded))
         }
-        ServerRefusal::DeadlinePassed => Verdict::NotRun(NotRunReason::DeadlineTooClose),
+        ServerRefusal::DeadlinePassed => AttemptOutcome::NotRun(NotRunReason::DeadlineTooClose),
     }
 }
 
-fn judge_maybe_run(reason: UnknownReason, repeatable: bool, protections: Protections) -> Verdict {
+fn classify_possibly_run(
+    reason: UnknownReason,
+    repeatable: bool,
+    protections: Protections,
+) -> AttemptOutcome {
     if repeatable || !protections.has(Protection::UnknownNotRetried) {
-        return Verdict::SendAgain(RetryCause::MaybeRun(reason));
+        return AttemptOutcome::Retry(RetryCause::MaybeRun(reason));
     }
-    Verdict::Unknown(reason)
+    AttemptOutcome::Unknown(reason)
 }
 
 /// Whether the end of an attempt speaks against its server.
@@ -99,10 +107,10 @@
             return None;
         }
         self.failures = self.failures.saturating_add(1);
-        let lately = self
+        let reported_recently = self
             .reported
             .is_some_and(|reported| now.since(reported) < EVIDENCE_INTERVAL);
-        if self.failures < FAILURES_REPORTED || lately {
+        if self.failures < FAILURES_BEFORE_REPORT || reported_recently {
             return None;
         }
         self.reported = Some(now);
--- a/crates/ledgelead-request/src/gateway/finish.rs
+++ b/crates/ledgelead-request/src/gateway/finish.rs
@@ -1,8 +1,8 @@
 //! Finish: the one outcome of a request, and what it leaves behind.
 
-use super::forward::take_flight;
+use super::forward::take_sent_attempt;
 use super::interface::GatewayOutput;
-use super::request::{ActiveRequest, Flight};
+use super::request::{ActiveRequest, SentAttempt};
 use super::{Gateway, TimerKey};
 use crate::message::PermitEnd;
 use ledgelead_types::event::Event;
@@ -12,17 +12,17 @@
 
 /// How long the end of a cancelled attempt is awaited before its permit is
 /// given back as lost.
-const DETACHED_LIMIT: Span = Span::from_seconds(1);
+const DETACHED_TIMEOUT: Span = Span::from_seconds(1);
 
 /// When to come back after a refusal for which nothing better is known.
-const DEFAULT_RETRY: Span = Span::from_millis(500);
+const DEFAULT_RETRY_AFTER: Span = Span::from_millis(500);
 
 /// When the caller of a refused request may come back.
-fn advice(outcome: Outcome) -> Option<Span> {
+fn default_retry_after(outcome: Outcome) -> Option<Span> {
     match outcome {
         Outcome::NotRun(
             NotRunReason::NoServer | NotRunReason::Overloaded | NotRunReason::DeadlineTooClose,
-        ) => Some(DEFAULT_RETRY),
+        ) => Some(DEFAULT_RETRY_AFTER),
         _ => None,
     }
 }
@@ -49,17 +49,17 @@
         if let Some(caller) = request.caller {
             self.limits.leave(caller);
         }
-        self.keep_answer(now, &request, outcome, attempt);
+        self.cache_answer(now, &request, outcome, attempt);
         self.outputs.push(GatewayOutput::Respond {
             request: id,
             outcome,
             attempt,
-            retry_after: retry_after.or(advice(outcome)),
+            retry_after: retry_after.or(default_retry_after(outcome)),
         });
-        for flight in &request.flights {
-            self.cancel(now, request.attempt(flight.number), flight);
+        for sent_attempt in &request.sent_attempts {
+            self.cancel(now, request.attempt(sent_attempt.number), sent_attempt);
         }
-        self.end_once(now, &request, outcome);
+        self.end_record(now, &request, outcome);
         self.record(now, &request, outcome);
     }
 
@@ -75,36 +75,36 @@
             }));
     }
 
-    fn cancel(&mut self, now: Time, attempt: AttemptId, flight: &Flight) {
+    fn cancel(&mut self, now: Time, attempt: AttemptId, sent_attempt: &SentAttempt) {
         self.outputs.push(GatewayOutput::Cancel {
             attempt,
-            server: flight.server,
-            address: flight.address.clone(),
+            server: sent_attempt.server,
+            address: sent_attempt.address.clone(),
         });
-        self.detached.insert(attempt, flight.clone());
+        self.detached.insert(attempt, sent_attempt.clone());
         self.timers
-            .set(TimerKey::Detached(attempt), now + DETACHED_LIMIT);
+            .set(TimerKey::Detached(attempt), now + DETACHED_TIMEOUT);
     }
 
     /// Cancels one attempt of a request that goes on without it.
-    pub(super) fn give_up_attempt(&mut self, now: Time, attempt: AttemptId) {
+    pub(super) fn cancel_attempt(&mut self, now: Time, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&attempt.request) else {
             return;
         };
-        if let Some(flight) = take_flight(request, attempt.number) {
-            self.cancel(now, attempt, &flight);
+        if let Some(sent_attempt) = take_sent_attempt(request, attempt.number) {
+            self.cancel(now, attempt, &sent_attempt);
         }
     }
 
-    pub(super) fn take_detached(&mut self, attempt: AttemptId) -> Option<Flight> {
+    pub(super) fn take_detached(&mut self, attempt: AttemptId) -> Option<SentAttempt> {
         self.timers.clear(TimerKey::Detached(attempt));
         self.detached.remove(&attempt)
     }
 
     pub(super) fn forget_detached(&mut self, now: Time, attempt: AttemptId) {
-        if let Some(flight) = self.detached.remove(&attempt) {
-            let held = now.since(flight.sent_at);
-            self.release(flight.dispatcher, attempt, PermitEnd::Lost, held);
+        if let Some(sent_attempt) = self.detached.remove(&attempt) {
+            let held = now.since(sent_attempt.sent_at);
+            self.release(sent_attempt.dispatcher, attempt, PermitEnd::Lost, held);
         }
     }
 
@@ -119,8 +119,8 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let outcome = match request.maybe_ran {
-            Some(reason) => self.honest_or_not(reason),
+        let outcome = match request.possibly_run {
+            Some(reason) => self.unknown_outcome(reason),
             None => Outcome::NotRun(reason),
         };
         self.finish(now, id, outcome, None, retry_after);
@@ -139,7 +139,7 @@
             return;
         };
         request.search = None;
-        if request.flights.is_empty() {
+        if request.sent_attempts.is_empty() {
             self.finish_not_run(now, id, reason, retry_after);
         }
     }
@@ -149,7 +149,7 @@
             return;
         };
         let outcome = if request.may_have_run() {
-            self.honest_or_not(UnknownReason::DeadlinePassed)
+            self.unknown_outcome(UnknownReason::DeadlinePassed)
         } else if request.held_since.is_some() {
             Outcome::NotRun(NotRunReason::NoServer)
         } else {
@@ -172,7 +172,7 @@
 
     /// What a caller is told of a request that may have run. With
     /// [`Protection::AccurateNotRun`] off, for the checker's own proof, a lie.
-    pub(super) fn honest_or_not(&self, reason: UnknownReason) -> Outcome {
+    pub(super) fn unknown_outcome(&self, reason: UnknownReason) -> Outcome {
         if self.protections.has(Protection::AccurateNotRun) {
             Outcome::Unknown(reason)
         } else {
--- a/crates/ledgelead-request/src/gateway/forward.rs
+++ b/crates/ledgelead-request/src/gateway/forward.rs
@@ -1,9 +1,9 @@
 //! Forward: the attempt at a server, and what its end leads to.
 
 use super::Gateway;
-use super::evidence::{self, Verdict};
+use super::evidence::{self, AttemptOutcome};
 use super::interface::GatewayOutput;
-use super::request::{ActiveRequest, Flight, Search, Stage};
+use super::request::{ActiveRequest, Search, SentAttempt, Stage};
 use crate::message::{PermitEnd, ServerSelector};
 use ledgelead_types::protections::Protection;
 use ledgelead_types::request::{AttemptId, Forward};
@@ -49,7 +49,7 @@
             deadline: request.deadline.since(now),
             tier: request.tier,
         };
-        request.flights.push(Flight {
+        request.sent_attempts.push(SentAttempt {
             number,
             group: acquiring.group,
             server,
@@ -58,68 +58,75 @@
             sent_at: now,
         });
         self.outputs.push(GatewayOutput::Forward(forward));
-        self.plan_hedge(now, id);
+        self.schedule_hedge(now, id);
     }
 
     /// Takes the end of an attempt in. The permit goes back; an attempt whose
     /// request has its outcome, or that is not known, changes nothing else.
     pub(super) fn attempt_ended(&mut self, now: Time, attempt: AttemptId, result: AttemptResult) {
-        if let Some(flight) = self.take_detached(attempt) {
-            self.give_permit_back(now, attempt, &flight, result);
-            self.answer_crossed(now, attempt, result);
+        if let Some(sent_attempt) = self.take_detached(attempt) {
+            self.return_permit(now, attempt, &sent_attempt, result);
+            self.deliver_mismatched_answer(now, attempt, result);
             return;
         }
         let Some(request) = self.requests.get_mut(&attempt.request) else {
             return;
         };
-        let Some(flight) = take_flight(request, attempt.number) else {
+        let Some(sent_attempt) = take_sent_attempt(request, attempt.number) else {
             return;
         };
         let (service, repeatable) = (request.service, request.repeatable);
         request.hedge_at = None;
-        self.give_permit_back(now, attempt, &flight, result);
+        self.return_permit(now, attempt, &sent_attempt, result);
         if matches!(result, AttemptResult::Answered { failure: false }) {
-            let latency = now.since(flight.sent_at);
+            let latency = now.since(sent_attempt.sent_at);
             self.service_state(service).answered(latency);
         }
-        if !self.answer_crossed(now, attempt, result) {
-            let verdict = evidence::judge(result, repeatable, self.protections);
-            self.follow(now, attempt, verdict);
+        if !self.deliver_mismatched_answer(now, attempt, result) {
+            let attempt_outcome = evidence::classify_result(result, repeatable, self.protections);
+            self.apply_outcome(now, attempt, attempt_outcome);
         }
         self.reschedule(attempt.request);
     }
 
-    fn follow(&mut self, now: Time, attempt: AttemptId, verdict: Verdict) {
+    fn apply_outcome(&mut self, now: Time, attempt: AttemptId, attempt_outcome: AttemptOutcome) {
         let id = attempt.request;
-        match verdict {
-            Verdict::PassOn => self.finish(now, id, Outcome::Answered, Some(attempt), None),
-            Verdict::SendAgain(cause) => self.send_again(now, attempt, cause),
-            Verdict::NotRun(reason) => {
+        match attempt_outcome {
+            AttemptOutcome::ForwardAnswer => {
+                self.finish(now, id, Outcome::Answered, Some(attempt), None)
+            }
+            AttemptOutcome::Retry(cause) => self.retry_request(now, attempt, cause),
+            AttemptOutcome::NotRun(reason) => {
                 self.withdraw(id);
                 self.end_search_not_run(now, id, reason, None);
             }
-            Verdict::Unknown(reason) => {
-                let outcome = self.honest_or_not(reason);
+            AttemptOutcome::Unknown(reason) => {
+                let outcome = self.unknown_outcome(reason);
                 self.finish(now, id, outcome, None, None);
             }
         }
     }
 
-    fn give_permit_back(
+    fn return_permit(
         &mut self,
         now: Time,
         attempt: AttemptId,
-        flight: &Flight,
+        sent_attempt: &SentAttempt,
         result: AttemptResult,
     ) {
-        let service_time = now.since(flight.sent_at);
-        self.release(flight.dispatcher, attempt, permit_end(result), service_time);
+        let service_time = now.since(sent_attempt.sent_at);
+        self.release(
+            sent_attempt.dispatcher,
+            attempt,
+            permit_end(result),
+            service_time,
+        );
         let failed = evidence::is_server_failure(result);
-        let count = self.failure_counts.entry(flight.server).or_default();
+        let count = self.failure_counts.entry(sent_attempt.server).or_default();
         if let Some(failures) = count.observe(now, failed) {
             self.outputs.push(GatewayOutput::Evidence {
-                group: flight.group,
-                server: flight.server,
+                group: sent_attempt.group,
+                server: sent_attempt.server,
                 failures,
             });
         }
@@ -128,12 +135,17 @@
     /// Only for the checker's own proof, with [`Protection::AnswerMatch`]
     /// off: hands an answer to the oldest request in flight, whichever
     /// attempt it belongs to.
-    fn answer_crossed(&mut self, now: Time, attempt: AttemptId, result: AttemptResult) -> bool {
+    fn deliver_mismatched_answer(
+        &mut self,
+        now: Time,
+        attempt: AttemptId,
+        result: AttemptResult,
+    ) -> bool {
         let answered = matches!(result, AttemptResult::Answered { .. });
         if self.protections.has(Protection::AnswerMatch) || !answered {
             return false;
         }
-        let in_flight = |request: &&ActiveRequest| !request.flights.is_empty();
+        let in_flight = |request: &&ActiveRequest| !request.sent_attempts.is_empty();
         let Some(oldest) = self.requests.values().find(in_flight) else {
             return false;
         };
@@ -144,12 +156,12 @@
 }
 
 /// Takes an attempt that is at a server out of its request.
-pub(super) fn take_flight(request: &mut ActiveRequest, number: u8) -> Option<Flight> {
+pub(super) fn take_sent_attempt(request: &mut ActiveRequest, number: u8) -> Option<SentAttempt> {
     let index = request
-        .flights
+        .sent_attempts
         .iter()
-        .position(|flight| flight.number == number)?;
-    Some(request.flights.remove(index))
+        .position(|sent_attempt| sent_attempt.number == number)?;
+    Some(request.sent_attempts.remove(index))
 }
 
 /// What the dispatcher is told of an attempt's end.
--- a/crates/ledgelead-request/src/gateway/hedge.rs
+++ b/crates/ledgelead-request/src/gateway/hedge.rs
@@ -7,7 +7,7 @@
 
 impl Gateway {
     /// Sets when the request is hedged, if it may be.
-    pub(super) fn plan_hedge(&mut self, now: Time, id: RequestId) {
+    pub(super) fn schedule_hedge(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
--- a/crates/ledgelead-request/src/gateway/idempotency.rs
+++ b/crates/ledgelead-request/src/gateway/idempotency.rs
@@ -14,12 +14,12 @@
 
 /// Time between two sends, and sends at most. A record whose end is never
 /// heard stays "begun" until its window ends: a repeat is refused, not run.
-const ONCE_END_INTERVAL: Span = Span::from_millis(200);
-const ONCE_END_SENDS: u8 = 10;
+const RECORD_END_INTERVAL: Span = Span::from_millis(200);
+const MAX_RECORD_END_SENDS: u8 = 10;
 
 /// An end that no dispatcher has confirmed yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PendingOnceEnd {
+pub(super) struct PendingRecordEnd {
     group: GroupId,
     key: IdempotencyKey,
     state: Option<IdempotencyState>,
@@ -28,8 +28,8 @@
 }
 
 impl Gateway {
-    pub(super) fn end_once(&mut self, now: Time, request: &ActiveRequest, outcome: Outcome) {
-        let Some(record) = request.once_record else {
+    pub(super) fn end_record(&mut self, now: Time, request: &ActiveRequest, outcome: Outcome) {
+        let Some(record) = request.idempotency_record else {
             return;
         };
         let state = match outcome {
@@ -37,28 +37,28 @@
             Outcome::Unknown(_) => Some(IdempotencyState::Unknown),
             Outcome::NotRun(_) => None,
         };
-        let pending = PendingOnceEnd {
+        let pending = PendingRecordEnd {
             group: record.group,
             key: record.key,
             state,
             dispatcher: record.dispatcher,
             sends: 0,
         };
-        self.once_ends.insert(request.id, pending);
-        self.repeat_once_end(now, request.id);
+        self.pending_record_ends.insert(request.id, pending);
+        self.resend_record_end(now, request.id);
     }
 
-    pub(super) fn repeat_once_end(&mut self, now: Time, request: RequestId) {
-        let Some(pending) = self.once_ends.get_mut(&request) else {
+    pub(super) fn resend_record_end(&mut self, now: Time, request: RequestId) {
+        let Some(pending) = self.pending_record_ends.get_mut(&request) else {
             return;
         };
-        if pending.sends >= ONCE_END_SENDS {
-            self.once_ends.remove(&request);
+        if pending.sends >= MAX_RECORD_END_SENDS {
+            self.pending_record_ends.remove(&request);
             return;
         }
         pending.sends += 1;
         let pending = *pending;
-        let to = self.record_keeper(&pending);
+        let to = self.record_dispatcher(&pending);
         let message = DispatchRequest::EndIdempotencyRecord {
             gateway: self.member.incarnation,
             request,
@@ -68,12 +68,12 @@
         };
         self.send(to, message);
         self.timers
-            .set(TimerKey::OnceEnd(request), now + ONCE_END_INTERVAL);
+            .set(TimerKey::RecordEnd(request), now + RECORD_END_INTERVAL);
     }
 
     /// The dispatcher that began the record; any other of the group once it
     /// has stayed silent.
-    fn record_keeper(&self, pending: &PendingOnceEnd) -> NodeId {
+    fn record_dispatcher(&self, pending: &PendingRecordEnd) -> NodeId {
         if pending.sends <= 1 {
             return pending.dispatcher;
         }
@@ -89,8 +89,8 @@
         of_group[usize::from(pending.sends) % of_group.len()]
     }
 
-    pub(super) fn once_ended(&mut self, request: RequestId) {
-        self.once_ends.remove(&request);
-        self.timers.clear(TimerKey::OnceEnd(request));
+    pub(super) fn record_ended(&mut self, request: RequestId) {
+        self.pending_record_ends.remove(&request);
+        self.timers.clear(TimerKey::RecordEnd(request));
     }
 }
--- a/crates/ledgelead-request/src/gateway/limits.rs
+++ b/crates/ledgelead-request/src/gateway/limits.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// When a caller above its concurrency may try again.
-const CONCURRENCY_RETRY: Span = Span::from_millis(100);
+const CONCURRENCY_RETRY_AFTER: Span = Span::from_millis(100);
 
 struct CallerUse {
     rate: RateLimit,
@@ -28,7 +28,7 @@
             in_flight: 0,
         });
         if caller.max_concurrent > 0 && used.in_flight >= caller.max_concurrent {
-            return Err(CONCURRENCY_RETRY);
+            return Err(CONCURRENCY_RETRY_AFTER);
         }
         if caller.max_requests_per_second > 0 {
             used.rate.set_rate(per_second);
--- a/crates/ledgelead-request/src/gateway/locate.rs
+++ b/crates/ledgelead-request/src/gateway/locate.rs
@@ -12,8 +12,8 @@
 
 /// First and longest wait between two attempts to locate a held request. New
 /// routes end the wait, so it matters only when a refusal came before them.
-const FIRST_HOLD_WAIT: Span = Span::from_millis(10);
-const LONGEST_HOLD_WAIT: Span = Span::from_millis(100);
+const MIN_HOLD_WAIT: Span = Span::from_millis(10);
+const MAX_HOLD_WAIT: Span = Span::from_millis(100);
 
 /// Where to ask for a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,29 +30,32 @@
     }
 
     /// As [`Gateway::locate`], away from a dispatcher that is silent.
-    pub(super) fn locate_avoiding(&mut self, now: Time, id: RequestId, silent: Option<NodeId>) {
+    pub(super) fn locate_avoiding(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        avoid_dispatcher: Option<NodeId>,
+    ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let (target, service, avoid) = (request.target, request.service, request.avoid);
         let location = match target {
             Target::Key { group, position } => self.locate_owner(group, position),
-            Target::Group(group) => {
-                self.choose_dispatcher(service, Some(group), silent)
-                    .map(|(group, dispatcher)| Location {
-                        group,
-                        dispatcher,
-                        selector: ServerSelector::Any { avoid },
-                    })
-            }
-            Target::Service => {
-                self.choose_dispatcher(service, None, silent)
-                    .map(|(group, dispatcher)| Location {
-                        group,
-                        dispatcher,
-                        selector: ServerSelector::Any { avoid },
-                    })
-            }
+            Target::Group(group) => self
+                .choose_dispatcher(service, Some(group), avoid_dispatcher)
+                .map(|(group, dispatcher)| Location {
+                    group,
+                    dispatcher,
+                    selector: ServerSelector::Any { avoid },
+                }),
+            Target::Service => self.choose_dispatcher(service, None, avoid_dispatcher).map(
+                |(group, dispatcher)| Location {
+                    group,
+                    dispatcher,
+                    selector: ServerSelector::Any { avoid },
+                },
+            ),
         };
         match location {
             Some(location) => self.acquire(now, id, location),
@@ -87,7 +90,7 @@
         &mut self,
         service: ledgelead_types::ServiceId,
         group: Option<GroupId>,
-        silent: Option<NodeId>,
+        avoid_dispatcher: Option<NodeId>,
     ) -> Option<(GroupId, NodeId)> {
         let candidates = self.directory.candidates(service);
         if candidates.is_empty() {
@@ -100,9 +103,9 @@
         };
         let mut fitting = in_order.filter(fits);
         let first = fitting.next()?;
-        let chosen = if Some(first.dispatcher) == silent {
+        let chosen = if Some(first.dispatcher) == avoid_dispatcher {
             fitting
-                .find(|candidate| Some(candidate.dispatcher) != silent)
+                .find(|candidate| Some(candidate.dispatcher) != avoid_dispatcher)
                 .unwrap_or(first)
         } else {
             first
@@ -122,9 +125,9 @@
             return;
         }
         request.held_since.get_or_insert(now);
-        let doubled = FIRST_HOLD_WAIT.times(f64::from(1_u32 << request.holds.min(4)));
+        let doubled = MIN_HOLD_WAIT.times(f64::from(1_u32 << request.holds.min(4)));
         request.holds = request.holds.saturating_add(1);
-        let wait = doubled.min(LONGEST_HOLD_WAIT).times(jitter);
+        let wait = doubled.min(MAX_HOLD_WAIT).times(jitter);
         request.search = Some(Search {
             number: request.last_number,
             hedge: false,
@@ -173,12 +176,12 @@
                 }
             }
             Stage::Acquiring(acquiring) => {
-                let asked = Location {
+                let location = Location {
                     group: acquiring.group,
                     dispatcher: acquiring.dispatcher,
                     selector: acquiring.selector,
                 };
-                if self.is_current(request, &asked) {
+                if self.is_current(request, &location) {
                     return;
                 }
                 self.withdraw(id);
@@ -188,17 +191,17 @@
     }
 
     /// Whether the routes still lead where the request was sent.
-    fn is_current(&self, request: &ActiveRequest, asked: &Location) -> bool {
+    fn is_current(&self, request: &ActiveRequest, location: &Location) -> bool {
         match request.target {
             Target::Key { group, position } => {
-                self.locate_owner(group, position).as_ref() == Some(asked)
+                self.locate_owner(group, position).as_ref() == Some(location)
             }
             Target::Group(_) | Target::Service => self
                 .directory
                 .candidates(request.service)
                 .iter()
                 .any(|candidate| {
-                    candidate.group == asked.group && candidate.dispatcher == asked.dispatcher
+                    candidate.group == location.group && candidate.dispatcher == location.dispatcher
                 }),
         }
     }
--- a/crates/ledgelead-request/src/gateway/mod.rs
+++ b/crates/ledgelead-request/src/gateway/mod.rs
@@ -26,17 +26,17 @@
 use crate::estimate::MeanSpan;
 use crate::message::DispatchRequest;
 use crate::timers::Timers;
-use answer_cache::KeptAnswers;
+use answer_cache::AnswerCache;
 use directory::Directory;
 use evidence::FailureCount;
-use idempotency::PendingOnceEnd;
+use idempotency::PendingRecordEnd;
 use ledgelead_types::protections::{Protection, Protections};
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{Member, NodeId, RequestId, ServerId, ServiceId, Time};
 use limits::CallerLimits;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use request::{ActiveRequest, Flight};
+use request::{ActiveRequest, SentAttempt};
 use service_state::ServiceState;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
 enum TimerKey {
     Request(RequestId),
     Detached(AttemptId),
-    OnceEnd(RequestId),
+    RecordEnd(RequestId),
 }
 
 /// All decisions about requests that this node accepted.
@@ -61,9 +61,9 @@
     searching: BTreeMap<ServiceId, BTreeSet<RequestId>>,
     /// Attempts whose request has its outcome: their end only gives the
     /// permit back.
-    detached: BTreeMap<AttemptId, Flight>,
-    once_ends: BTreeMap<RequestId, PendingOnceEnd>,
-    kept: KeptAnswers,
+    detached: BTreeMap<AttemptId, SentAttempt>,
+    pending_record_ends: BTreeMap<RequestId, PendingRecordEnd>,
+    answer_cache: AnswerCache,
     /// Round trip to each dispatcher.
     round_trips: BTreeMap<NodeId, MeanSpan>,
     failure_counts: BTreeMap<ServerId, FailureCount>,
@@ -86,8 +86,8 @@
             requests: BTreeMap::new(),
             searching: BTreeMap::new(),
             detached: BTreeMap::new(),
-            once_ends: BTreeMap::new(),
-            kept: KeptAnswers::default(),
+            pending_record_ends: BTreeMap::new(),
+            answer_cache: AnswerCache::default(),
             round_trips: BTreeMap::new(),
             failure_counts: BTreeMap::new(),
             timers: Timers::new(),
@@ -121,7 +121,7 @@
             match key {
                 TimerKey::Request(request) => self.request_due(now, request),
                 TimerKey::Detached(attempt) => self.forget_detached(now, attempt),
-                TimerKey::OnceEnd(request) => self.repeat_once_end(now, request),
+                TimerKey::RecordEnd(request) => self.resend_record_end(now, request),
             }
         }
         self.report_drained();
@@ -150,7 +150,7 @@
     /// idempotency record its end.
     fn report_drained(&mut self) {
         let waits = self.protections.has(Protection::StopWaitsForInFlight);
-        let empty = self.requests.is_empty() && self.once_ends.is_empty();
+        let empty = self.requests.is_empty() && self.pending_record_ends.is_empty();
         if !self.stopping || self.drained || (waits && !empty) {
             return;
         }
--- a/crates/ledgelead-request/src/gateway/permit.rs
+++ b/crates/ledgelead-request/src/gateway/permit.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use super::locate::Location;
-use super::request::{Acquiring, ActiveRequest, HOLD_LIMIT, OnceRecord, Search, Stage, Target};
+use super::request::{Acquiring, ActiveRequest, BegunRecord, HOLD_LIMIT, Search, Stage, Target};
 use crate::message::{Acquire, DispatchReply, DispatchRequest, PermitEnd, Release};
 use ledgelead_types::dispatch::IdempotencyState;
 use ledgelead_types::request::AttemptId;
@@ -12,18 +12,18 @@
 
 /// Shortest and longest wait for a dispatcher's reply before the wish is
 /// sent again, and the round trips that it stands for.
-const SHORTEST_REPLY_WAIT: Span = Span::from_millis(50);
-const LONGEST_REPLY_WAIT: Span = Span::from_millis(200);
+const MIN_REPLY_WAIT: Span = Span::from_millis(50);
+const MAX_REPLY_WAIT: Span = Span::from_millis(200);
 const REPLY_WAIT_ROUND_TRIPS: f64 = 4.0;
 
 /// How often a wish that waits in a dispatcher's queue is confirmed.
 const QUEUED_CONFIRM_INTERVAL: Span = Span::from_millis(250);
 
 /// Sends without a reply after which a request that may go elsewhere does.
-const UNHEARD_BEFORE_ELSEWHERE: u32 = 2;
+const UNANSWERED_BEFORE_REDISPATCH: u32 = 2;
 
 /// When to come back after a request with the same key.
-const DUPLICATE_RETRY: Span = Span::from_millis(200);
+const DUPLICATE_RETRY_AFTER: Span = Span::from_millis(200);
 
 impl Gateway {
     /// Asks a dispatcher for a permit.
@@ -46,11 +46,11 @@
                 selector: location.selector,
                 first_sent: now,
                 next_send: now + wait,
-                unheard: 1,
+                unanswered_sends: 1,
             }),
         });
         if let Some(key) = request.idempotency {
-            request.once_record = Some(OnceRecord {
+            request.idempotency_record = Some(BegunRecord {
                 key,
                 group: location.group,
                 dispatcher: location.dispatcher,
@@ -82,16 +82,16 @@
 
     /// How long to wait for a reply, from the observed round trip; doubled
     /// with each send that stayed unheard.
-    fn reply_wait(&self, dispatcher: NodeId, unheard: u32) -> Span {
+    fn reply_wait(&self, dispatcher: NodeId, unanswered_sends: u32) -> Span {
         let round_trip = self
             .round_trips
             .get(&dispatcher)
             .copied()
             .unwrap_or_default()
             .or(Span::ZERO);
-        let factor = REPLY_WAIT_ROUND_TRIPS * f64::from(1_u32 << unheard.min(4));
-        let first = SHORTEST_REPLY_WAIT.times(f64::from(1_u32 << unheard.min(4)));
-        round_trip.times(factor).max(first).min(LONGEST_REPLY_WAIT)
+        let factor = REPLY_WAIT_ROUND_TRIPS * f64::from(1_u32 << unanswered_sends.min(4));
+        let first = MIN_REPLY_WAIT.times(f64::from(1_u32 << unanswered_sends.min(4)));
+        round_trip.times(factor).max(first).min(MAX_REPLY_WAIT)
     }
 
     /// Takes a waiting search up, or repeats a wish that had no reply.
@@ -107,22 +107,22 @@
             }
             Stage::Acquiring(acquiring) => {
                 if now >= acquiring.next_send {
-                    self.repeat_acquire(now, id, &acquiring);
+                    self.resend_acquire(now, id, &acquiring);
                 }
             }
         }
     }
 
-    fn repeat_acquire(&mut self, now: Time, id: RequestId, acquiring: &Acquiring) {
-        let wait = self.reply_wait(acquiring.dispatcher, acquiring.unheard);
+    fn resend_acquire(&mut self, now: Time, id: RequestId, acquiring: &Acquiring) {
+        let wait = self.reply_wait(acquiring.dispatcher, acquiring.unanswered_sends);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if acquiring.unheard > 0 {
+        if acquiring.unanswered_sends > 0 {
             request.held_since.get_or_insert(acquiring.first_sent);
         }
         let may_go_elsewhere = !matches!(request.target, Target::Key { .. });
-        if may_go_elsewhere && acquiring.unheard >= UNHEARD_BEFORE_ELSEWHERE {
+        if may_go_elsewhere && acquiring.unanswered_sends >= UNANSWERED_BEFORE_REDISPATCH {
             self.withdraw(id);
             self.locate_avoiding(now, id, Some(acquiring.dispatcher));
             return;
@@ -132,7 +132,7 @@
             ..
         }) = &mut request.search
         {
-            acquiring.unheard += 1;
+            acquiring.unanswered_sends += 1;
             acquiring.next_send = now + wait;
         }
         self.send_acquire(now, id);
@@ -151,7 +151,7 @@
                 server,
                 waited,
                 ..
-            } => self.permitted(now, from, attempt, server, waited),
+            } => self.permit_granted(now, from, attempt, server, waited),
             DispatchReply::Queued { attempt, .. } => self.queued(now, from, attempt),
             DispatchReply::Refuse {
                 attempt,
@@ -163,18 +163,18 @@
             DispatchReply::Duplicate { attempt, state, .. } => {
                 self.duplicate(now, from, attempt, state);
             }
-            DispatchReply::CheckPermit { attempt, .. } => self.checked(from, attempt),
-            DispatchReply::IdempotencyRecordEnded { request, .. } => self.once_ended(request),
+            DispatchReply::CheckPermit { attempt, .. } => self.permit_check(from, attempt),
+            DispatchReply::IdempotencyRecordEnded { request, .. } => self.record_ended(request),
         }
     }
 
-    fn awaits(&mut self, from: NodeId, attempt: AttemptId) -> Option<&mut Acquiring> {
+    fn awaited_permit(&mut self, from: NodeId, attempt: AttemptId) -> Option<&mut Acquiring> {
         self.requests
             .get_mut(&attempt.request)?
             .acquiring(from, attempt.number)
     }
 
-    fn permitted(
+    fn permit_granted(
         &mut self,
         now: Time,
         from: NodeId,
@@ -182,8 +182,8 @@
         server: ServerId,
         waited: Span,
     ) {
-        let Some(&mut acquiring) = self.awaits(from, attempt) else {
-            if !self.runs(attempt) {
+        let Some(&mut acquiring) = self.awaited_permit(from, attempt) else {
+            if !self.is_running(attempt) {
                 self.release(from, attempt, PermitEnd::Unused, Span::ZERO);
             }
             return;
@@ -195,10 +195,10 @@
     }
 
     fn queued(&mut self, now: Time, from: NodeId, attempt: AttemptId) {
-        let Some(acquiring) = self.awaits(from, attempt) else {
+        let Some(acquiring) = self.awaited_permit(from, attempt) else {
             return;
         };
-        acquiring.unheard = 0;
+        acquiring.unanswered_sends = 0;
         acquiring.next_send = now + QUEUED_CONFIRM_INTERVAL;
         if let Some(request) = self.requests.get_mut(&attempt.request) {
             request.held_since = None;
@@ -214,7 +214,7 @@
         reason: NotRunReason,
         retry_after: Span,
     ) {
-        if self.awaits(from, attempt).is_none() {
+        if self.awaited_permit(from, attempt).is_none() {
             return;
         }
         self.end_search_not_run(now, attempt.request, reason, Some(retry_after));
@@ -222,7 +222,7 @@
     }
 
     fn moved(&mut self, now: Time, from: NodeId, attempt: AttemptId) {
-        if self.awaits(from, attempt).is_none() {
+        if self.awaited_permit(from, attempt).is_none() {
             return;
         }
         self.hold(now, attempt.request);
@@ -232,23 +232,23 @@
     /// Another request holds the key. Its record is not this request's to
     /// end.
     fn duplicate(&mut self, now: Time, from: NodeId, attempt: AttemptId, state: IdempotencyState) {
-        if self.awaits(from, attempt).is_none() {
+        if self.awaited_permit(from, attempt).is_none() {
             return;
         }
         let id = attempt.request;
         if let Some(request) = self.requests.get_mut(&id) {
             request.search = None;
-            request.once_record = None;
+            request.idempotency_record = None;
         }
-        self.forget_old_answers(now);
-        if let Some(first) = self.answer_held_for(id) {
+        self.evict_answers(now);
+        if let Some(first) = self.cached_answer_for(id) {
             self.finish(now, id, Outcome::Answered, Some(first), None);
             return;
         }
         match state {
             IdempotencyState::Begun => {
                 let reason = NotRunReason::DuplicateInProgress;
-                self.finish_not_run(now, id, reason, Some(DUPLICATE_RETRY));
+                self.finish_not_run(now, id, reason, Some(DUPLICATE_RETRY_AFTER));
             }
             IdempotencyState::Answered => {
                 let outcome = Outcome::Unknown(UnknownReason::AnswerNotHeld);
@@ -262,32 +262,32 @@
     }
 
     /// The earlier attempt whose answer is held under the request's key.
-    fn answer_held_for(&self, id: RequestId) -> Option<AttemptId> {
+    fn cached_answer_for(&self, id: RequestId) -> Option<AttemptId> {
         let key = self.requests.get(&id)?.idempotency?;
-        self.kept.get(key)
+        self.answer_cache.get(key)
     }
 
     /// A permit is held for long: says that it is in use, or gives it back
     /// when the earlier release was lost.
-    fn checked(&mut self, from: NodeId, attempt: AttemptId) {
-        if self.runs(attempt) {
+    fn permit_check(&mut self, from: NodeId, attempt: AttemptId) {
+        if self.is_running(attempt) {
             let message = DispatchRequest::PermitInUse {
                 gateway: self.member.incarnation,
                 attempt,
             };
             self.send(from, message);
-        } else if self.awaits(from, attempt).is_none() {
+        } else if self.awaited_permit(from, attempt).is_none() {
             self.release(from, attempt, PermitEnd::Unused, Span::ZERO);
         }
     }
 
     /// Whether the attempt is at a server, for a caller or only to be ended.
-    fn runs(&self, attempt: AttemptId) -> bool {
+    fn is_running(&self, attempt: AttemptId) -> bool {
         let awaited = self.requests.get(&attempt.request).is_some_and(|request| {
             request
-                .flights
+                .sent_attempts
                 .iter()
-                .any(|flight| flight.number == attempt.number)
+                .any(|sent_attempt| sent_attempt.number == attempt.number)
         });
         awaited || self.detached.contains_key(&attempt)
     }
--- a/crates/ledgelead-request/src/gateway/request.rs
+++ b/crates/ledgelead-request/src/gateway/request.rs
@@ -55,12 +55,12 @@
     pub(super) first_sent: Time,
     pub(super) next_send: Time,
     /// Sent without a reply since.
-    pub(super) unheard: u32,
+    pub(super) unanswered_sends: u32,
 }
 
 /// An attempt that was given to a server.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Flight {
+pub(super) struct SentAttempt {
     pub(super) number: u8,
     pub(super) group: GroupId,
     pub(super) server: ServerId,
@@ -71,7 +71,7 @@
 
 /// Where the idempotency record of a request may have been begun.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct OnceRecord {
+pub(super) struct BegunRecord {
     pub(super) key: IdempotencyKey,
     pub(super) group: GroupId,
     pub(super) dispatcher: NodeId,
@@ -97,9 +97,9 @@
     /// Retries taken from the budget.
     pub(super) retries: u8,
     pub(super) search: Option<Search>,
-    pub(super) flights: Vec<Flight>,
+    pub(super) sent_attempts: Vec<SentAttempt>,
     /// An earlier attempt may have run: "not run" can't be said any more.
-    pub(super) maybe_ran: Option<UnknownReason>,
+    pub(super) possibly_run: Option<UnknownReason>,
     /// Since when there is no owner, dispatcher or server for it.
     pub(super) held_since: Option<Time>,
     /// Since when the owner of its key can't be reached.
@@ -108,7 +108,7 @@
     pub(super) holds: u8,
     pub(super) avoid: Option<ServerId>,
     pub(super) hedge_at: Option<Time>,
-    pub(super) once_record: Option<OnceRecord>,
+    pub(super) idempotency_record: Option<BegunRecord>,
 }
 
 impl ActiveRequest {
@@ -132,7 +132,7 @@
 
     /// Whether an attempt was sent that may have run.
     pub(super) fn may_have_run(&self) -> bool {
-        self.maybe_ran.is_some() || !self.flights.is_empty()
+        self.possibly_run.is_some() || !self.sent_attempts.is_empty()
     }
 
     /// When something has to be done for it at the latest.
--- a/crates/ledgelead-request/src/gateway/retry.rs
+++ b/crates/ledgelead-request/src/gateway/retry.rs
@@ -15,22 +15,22 @@
 
 /// First and longest backoff; the wait is drawn between zero and it.
 const FIRST_BACKOFF: Span = Span::from_millis(10);
-const LONGEST_BACKOFF: Span = Span::from_millis(200);
+const MAX_BACKOFF: Span = Span::from_millis(200);
 
 /// When to come back after the retries are used up.
-const EXHAUSTED_RETRY: Span = Span::from_millis(500);
+const EXHAUSTED_RETRY_AFTER: Span = Span::from_millis(500);
 
 impl Gateway {
     /// Sends the request again after an attempt, if it may.
-    pub(super) fn send_again(&mut self, now: Time, attempt: AttemptId, cause: RetryCause) {
+    pub(super) fn retry_request(&mut self, now: Time, attempt: AttemptId, cause: RetryCause) {
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         if let RetryCause::MaybeRun(reason) = cause {
-            request.maybe_ran = Some(reason);
+            request.possibly_run = Some(reason);
         }
-        if !request.flights.is_empty() {
+        if !request.sent_attempts.is_empty() {
             return;
         }
         self.withdraw(id);
@@ -40,7 +40,7 @@
                 self.record_retry(attempt);
             }
             RetryCause::NotStarted(NotRunReason::NoServer) if self.has_owner(id) => {
-                self.await_owner(now, attempt);
+                self.wait_for_owner(now, attempt);
             }
             RetryCause::NotStarted(reason) => self.back_off(now, attempt, reason),
             RetryCause::MaybeRun(_) => self.back_off(now, attempt, NotRunReason::NoServer),
@@ -56,16 +56,16 @@
             .values()
             .filter(|request| request.repeatable)
             .flat_map(|request| {
-                let at_server = request.flights.iter();
+                let at_server = request.sent_attempts.iter();
                 at_server
-                    .filter(|flight| flight.server == server)
-                    .map(|flight| request.attempt(flight.number))
+                    .filter(|sent_attempt| sent_attempt.server == server)
+                    .map(|sent_attempt| request.attempt(sent_attempt.number))
             })
             .collect();
         for attempt in attempts {
-            self.give_up_attempt(now, attempt);
+            self.cancel_attempt(now, attempt);
             let cause = RetryCause::MaybeRun(UnknownReason::ConnectionLost);
-            self.send_again(now, attempt, cause);
+            self.retry_request(now, attempt, cause);
             self.reschedule(attempt.request);
         }
     }
@@ -79,14 +79,14 @@
     /// The owner of the request's key can't be reached. Retries after a few
     /// milliseconds would all end before its lease has, so the request waits
     /// for new routes, for as long as a loss may take to heal.
-    fn await_owner(&mut self, now: Time, attempt: AttemptId) {
+    fn wait_for_owner(&mut self, now: Time, attempt: AttemptId) {
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         let since = *request.unreachable_since.get_or_insert(now);
         if now.since(since) >= HOLD_LIMIT {
-            self.finish_not_run(now, id, NotRunReason::NoServer, Some(EXHAUSTED_RETRY));
+            self.finish_not_run(now, id, NotRunReason::NoServer, Some(EXHAUSTED_RETRY_AFTER));
             return;
         }
         self.hold(now, id);
@@ -96,7 +96,7 @@
     fn back_off(&mut self, now: Time, attempt: AttemptId, reason: NotRunReason) {
         let id = attempt.request;
         let Some(wait) = self.backoff(id) else {
-            self.finish_not_run(now, id, reason, Some(EXHAUSTED_RETRY));
+            self.finish_not_run(now, id, reason, Some(EXHAUSTED_RETRY_AFTER));
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
@@ -127,7 +127,7 @@
         }
         let longest = FIRST_BACKOFF
             .times(f64::from(1_u32 << request.retries))
-            .min(LONGEST_BACKOFF);
+            .min(MAX_BACKOFF);
         request.retries += 1;
         let service = request.service;
         if !self.service_state(service).retries.take() {
--- a/crates/ledgelead-request/src/gateway/service_state.rs
+++ b/crates/ledgelead-request/src/gateway/service_state.rs
@@ -6,11 +6,11 @@
 
 /// Retries a request: 15 percent, so that retries alone can't turn a
 /// shortage into a collapse.
-const RETRY_SHARE: f64 = 0.15;
+const RETRIES_PER_REQUEST: f64 = 0.15;
 const RETRY_BURST: f64 = 20.0;
 
 /// Hedges a request: 3 percent.
-const HEDGE_SHARE: f64 = 0.03;
+const HEDGES_PER_REQUEST: f64 = 0.03;
 const HEDGE_BURST: f64 = 5.0;
 
 /// Quantile of the observed latency after which a request is hedged, and the
@@ -28,8 +28,8 @@
 impl Default for ServiceState {
     fn default() -> Self {
         ServiceState {
-            retries: ShareBudget::new(RETRY_SHARE, RETRY_BURST),
-            hedges: ShareBudget::new(HEDGE_SHARE, HEDGE_BURST),
+            retries: ShareBudget::new(RETRIES_PER_REQUEST, RETRY_BURST),
+            hedges: ShareBudget::new(HEDGES_PER_REQUEST, HEDGE_BURST),
             latency: QuantileSpan::new(HEDGE_QUANTILE),
         }
     }
