--- a/crates/ledgelead-request/examples/dispatch_options.rs
+++ b/crates/ledgelead-request/examples/dispatch_options.rs
@@ -1,11 +1,11 @@
-//! Compares ways to divide the slots of servers among gateways, under the
-//! same arrivals and service times in virtual time:
-//! `cargo run --release --example dispatch_options -p ledgelead-request`.
+//! Compares ways to divide server slots among gateways, with the same arrivals and service
+//! times in virtual time: `cargo run --release --example dispatch_options -p
+//! ledgelead-request`.
 //!
-//! The dispatcher with permits is this crate's code; the others are models of
-//! a few lines. What each knows is in [`Choice`]. The service is not divided
-//! by key, has 14 servers of 2 slots, 3 gateways, exponential service times
-//! of 20 ms, and hops of 1 ms; deadline 2 s.
+//! The dispatcher with permits is this crate's code; the others are small models. What each
+//! one knows is described at [`Choice`]. The service is not partitioned by key and has 14
+//! servers with 2 slots each, 3 gateways, exponential service times with a mean of 20 ms,
+//! hops of 1 ms, and a deadline of 2 s.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -26,22 +26,22 @@
 const DEADLINE: Span = Span::from_seconds(2);
 const MIX: [f64; 3] = [0.1, 0.3, 0.6];
 const LOADS: [f64; 5] = [0.5, 0.8, 0.95, 2.0, 5.0];
-/// Age of a probed figure: the probe's own time.
+/// Age of a probed queue length when it is used: the duration of the probe.
 const PROBE_TIME: Span = Span::from_millis(6);
 
-/// How a request finds its server.
+/// How a request is assigned to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Choice {
-    /// Each gateway takes turns; servers queue.
+    /// Each gateway assigns round-robin; servers queue.
     RoundRobin,
     /// Each gateway sends to the server with the fewest of its own requests.
     LeastInFlight,
-    /// Two servers are probed for each request; the shorter queue gets it.
+    /// Two servers are probed for each request; the one with the shorter queue is chosen.
     TwoProbes,
-    /// Each gateway owns every third server and queues for it by itself.
+    /// Each gateway exclusively uses every third server and queues for it by itself.
     LeasedSlots,
-    /// One queue with full knowledge and no delay but one hop to the server
-    /// and one back; strict order of tiers. The limit.
+    /// One queue with full knowledge and no delay except one hop to the server and one back;
+    /// strict priority of tiers. This is the upper bound.
     Ideal,
 }
 
@@ -51,7 +51,7 @@
     service: Span,
 }
 
-/// A queue in front of some slots.
+/// A queue with a number of slots.
 #[derive(Default)]
 struct Station {
     waiting: [VecDeque<usize>; 3],
@@ -64,14 +64,13 @@
     }
 }
 
-/// Model of one choice: stations with queues, requests that reach them after
-/// one hop.
+/// Model of one option: stations with queues that requests reach after one hop.
 struct Model {
     choice: Choice,
     jobs: Vec<Job>,
     stations: Vec<Station>,
     slots: usize,
-    /// By time and kind: arrivals at stations before departures.
+    /// Ordered by time and kind, with arrivals at stations before departures.
     events: BTreeSet<(Time, bool, usize, usize)>,
     in_flight: Vec<[usize; SERVERS]>,
     history: BTreeMap<usize, VecDeque<(Time, usize)>>,
@@ -105,12 +104,12 @@
             let event = self.events.first().copied();
             let arrival = self.jobs.get(next).map(|job| job.arrived);
             match (event, arrival) {
-                (Some((at, ..)), Some(arrived)) if at <= arrived => self.happen(),
+                (Some((at, ..)), Some(arrived)) if at <= arrived => self.handle_next_event(),
                 (_, Some(_)) => {
                     self.send(next);
                     next += 1;
                 }
-                (Some(_), None) => self.happen(),
+                (Some(_), None) => self.handle_next_event(),
                 (None, None) => return self,
             }
         }
@@ -158,7 +157,7 @@
         seen.map_or(0, |&(_, length)| length)
     }
 
-    fn happen(&mut self) {
+    fn handle_next_event(&mut self) {
         let Some((now, departs, station, job)) = self.events.pop_first() else {
             return;
         };
@@ -186,7 +185,8 @@
         }
     }
 
-    /// Starts what fits; work past its deadline is dropped at the server.
+    /// Starts as many jobs as there are free slots; jobs past their deadline are dropped at
+    /// the server.
     fn start(&mut self, now: Time, station: usize) {
         while self.stations[station].busy < self.slots {
             let waiting = &mut self.stations[station].waiting;
@@ -211,7 +211,7 @@
     }
 }
 
-/// The same arrivals as the world's, with service times drawn alike.
+/// The arrivals of the world, with service times from the same distribution.
 fn jobs(world: &World) -> Vec<Job> {
     let mut random = Pcg64Mcg::seed_from_u64(17);
     let mut jobs: Vec<Job> = world
@@ -258,14 +258,14 @@
     println!("| load | dispatch | goodput | p50 ms | p99 ms | top tier p99 ms |");
     println!("|---|---|---|---|---|---|");
     for load in LOADS {
-        let mut world = World::new(Shape {
+        let mut world = World::new(WorldOptions {
             gateways: GATEWAYS,
             servers: SERVERS as u32,
             slots: SLOTS as u16,
             service_time: SERVICE_TIME,
             hop: HOP,
             tiers: three_tiers(),
-            ..Shape::default()
+            ..WorldOptions::default()
         });
         open_loop(&mut world, load, SECONDS, &MIX, DEADLINE);
         let end = Time::ZERO + WARM_UP + Span::from_seconds(SECONDS);
--- a/crates/ledgelead-request/src/dispatcher/acquire.rs
+++ b/crates/ledgelead-request/src/dispatcher/acquire.rs
@@ -1,5 +1,5 @@
-//! A gateway's wish for a permit: repeats, changed ownership, records of
-//! idempotency keys, then admission.
+//! Handles a gateway's permit request: resends, changed ownership, idempotency records, then
+//! admission.
 
 use super::queue::QueueKey;
 use super::{Dispatcher, PermitKey};
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Answers a wish that is known already as before.
+    /// Repeats the reply to a permit request that is already known; returns whether it was
+    /// known.
     fn reply_again(&mut self, key: PermitKey) -> bool {
         if let Some(permit) = self.permits.get(&key) {
             let (server, waited) = (permit.server, permit.waited);
@@ -47,8 +48,8 @@
         waits
     }
 
-    /// Whether the server is dispatched here and, as far as this node knows,
-    /// still owns the slice.
+    /// Whether this node dispatches the server and, as far as it knows, the server still
+    /// owns the slice.
     pub(super) fn is_dispatched_here(&self, acquire: &Acquire) -> bool {
         match acquire.selector {
             ServerSelector::Any { .. } => self
@@ -114,7 +115,7 @@
         );
     }
 
-    /// Takes a waiting wish out, if it waits.
+    /// Removes a waiting permit request from its queue, if it is waiting.
     pub(super) fn take_waiting(&mut self, key: PermitKey) -> Option<QueueKey> {
         let waiting = self.waiting.remove(&key)?;
         self.timers.clear(super::TimerKey::Waiting(key));
--- a/crates/ledgelead-request/src/dispatcher/admission.rs
+++ b/crates/ledgelead-request/src/dispatcher/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: a wish that can't be served by its deadline is refused at once;
-//! a full queue gives up the work with the least claim.
+//! Admission: a permit request that can't be served by its deadline is refused at once, and
+//! a full queue drops work of the tier that exceeds its share the most.
 
 use super::queue::{Queue, QueueKey, Waiting};
 use super::server::ServerState;
@@ -7,53 +7,53 @@
 use crate::message::{Acquire, ServerSelector};
 use ledgelead_types::{NotRunReason, Span, Time};
 
-/// How long work waits here for a server without a lease, or that is silent.
+/// How long work waits for a server that has no lease or is unresponsive.
 pub(super) const UNUSABLE_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// Wishes that may wait for each slot.
+/// Maximum number of permit requests queued per slot.
 const MAX_QUEUED_PER_SLOT: usize = 64;
 
-/// Time of the whole capacity that a tier keeps of an unused share.
+/// Maximum credit of a tier for an unused share, as time of the whole capacity.
 const MAX_CREDIT: Span = Span::from_millis(500);
 
-/// Shortest interval between permits that the credit is reckoned with, also
-/// while none was measured.
+/// Lower bound of the interval between permits when the credit is computed; also used while
+/// nothing has been measured.
 const MIN_CREDIT_INTERVAL: Span = Span::from_millis(1);
 
-/// Bounds of the advice when to come back.
+/// Bounds of the retry delay that is advised.
 const MIN_RETRY_AFTER: Span = Span::from_millis(50);
 const MAX_RETRY_AFTER: Span = Span::from_seconds(5);
 
-/// When to come back to keys without a usable server: about the time that a
-/// lost server's keys take to be served again.
+/// Retry delay for keys without a usable server: about the time until the keys of a lost
+/// server are served again.
 pub(super) const NO_SERVER_RETRY_AFTER: Span = Span::from_millis(1_000);
 
-/// What a queue can do, from the servers behind it.
+/// Capacity of a queue, summed over the servers that serve it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QueueCapacity {
-    /// Permits that may be out at once.
+    /// Maximum number of permits in use at once.
     pub(super) limit: u32,
     /// Slots of the servers.
     pub(super) slots: u32,
-    /// Mean time of a permit; zero while nothing was measured.
+    /// Mean time that a permit is in use; zero while nothing has been measured.
     pub(super) service_time: Span,
-    /// Time that all but a few permits keep below.
+    /// Time that all but a few permits stay below.
     pub(super) long_service_time: Span,
 }
 
 impl QueueCapacity {
-    /// Time in which one permit comes back, on average.
+    /// Mean time between two returned permits.
     fn interval(&self) -> Span {
         self.service_time.times(1.0 / f64::from(self.limit.max(1)))
     }
 
-    /// Mean time of a request in a slot: the time of a permit without the
-    /// wait behind the permits beyond the slots.
+    /// Mean time that a request occupies a slot: the time of a permit without the wait
+    /// caused by the permits beyond the slots.
     pub(super) fn slot_time(&self) -> Span {
         self.interval().times(f64::from(self.slots.min(self.limit)))
     }
 
-    /// Requests of the whole capacity that a tier may keep as a credit.
+    /// Maximum credit of a tier, in requests of the whole capacity.
     fn credit(&self) -> f64 {
         MAX_CREDIT.as_seconds()
             / self
@@ -62,10 +62,10 @@
                 .max(MIN_CREDIT_INTERVAL.as_seconds())
     }
 
-    /// Time that queued work keeps in reserve before its deadline. Work that
-    /// starts later would often be cut: the slot is wasted and the caller is
-    /// told "unknown" where "not run" was possible. A tight deadline keeps
-    /// half of its time for waiting, as long as the mean fits in.
+    /// Time before the deadline at which queued work must have started. Work that starts
+    /// later would often be aborted: the slot is wasted, and the caller gets "unknown" where
+    /// "not run" was possible. With a tight deadline half of the remaining time is kept for
+    /// waiting, as long as the mean service time fits into the other half.
     fn reserve(&self, remaining: Span) -> Span {
         self.long_service_time
             .min(remaining.times(0.5))
@@ -74,8 +74,8 @@
 }
 
 impl Dispatcher {
-    /// Queues the wish, grants it, or refuses it. `arrived` is when it came
-    /// to this dispatcher.
+    /// Queues the permit request, grants it, or refuses it. `arrived` is when it reached
+    /// this dispatcher.
     pub(super) fn admit(&mut self, now: Time, key: PermitKey, acquire: Acquire, arrived: Time) {
         let queue = QueueKey::of(&acquire);
         let deadline = arrived + acquire.deadline;
@@ -129,7 +129,7 @@
         self.timers.set(TimerKey::Waiting(key), latest_start);
     }
 
-    /// What the usable servers behind a queue can do.
+    /// Capacity of the usable servers of a queue.
     pub(super) fn capacity(&self, now: Time, queue: QueueKey) -> QueueCapacity {
         let work = queue.work();
         let mut limit = 0;
@@ -168,9 +168,10 @@
         one.into_iter().chain(of_pool)
     }
 
-    /// Whether the expected wait leaves time to run, and keeps the limit of a
-    /// standing queue; otherwise why not, and when to come back. A tier's wait is the work ahead of it over its own share
-    /// of the capacity, and never longer than all the work over all of it.
+    /// Whether the expected wait leaves enough time to run and respects the wait limit of a
+    /// standing queue; otherwise the reason and the retry delay. The wait of a tier is the
+    /// work queued before it divided by its share of the capacity, and at most the time to
+    /// serve the whole queue with the whole capacity.
     fn fits_wait(
         &mut self,
         queue: QueueKey,
@@ -202,8 +203,8 @@
         Ok(())
     }
 
-    /// Makes sure that one more wish has room; the tier whose queue is longest
-    /// for its share loses its latest.
+    /// Ensures that one more permit request fits into the queue, by dropping the latest
+    /// request of the tier whose queue is longest for its share.
     fn make_room(
         &mut self,
         queue_key: QueueKey,
@@ -237,15 +238,14 @@
         true
     }
 
-    /// Time in which the present queue is served.
+    /// Time to serve the current queue.
     fn drain_time(&self, queue: QueueKey, capacity: QueueCapacity) -> Span {
         let length = self.queues.get(&queue).map_or(0, |queue| queue.fair.len());
         let drain = capacity.interval().times(length as f64);
         drain.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER)
     }
 
-    /// A hedge takes a free slot of another server, and only when nobody
-    /// waits for one.
+    /// A hedge is only given a free slot of another server, and only when nothing is queued.
     fn can_hedge(&self, now: Time, queue: QueueKey, acquire: &Acquire) -> bool {
         let ServerSelector::Any { avoid } = acquire.selector else {
             return false;
@@ -267,7 +267,7 @@
         since.is_some_and(|since| now >= since + UNUSABLE_TIMEOUT)
     }
 
-    /// Notes since when none of the queue's servers may get work.
+    /// Updates and returns since when no server of the queue is usable.
     pub(super) fn refresh_usability(&mut self, now: Time, queue: QueueKey) -> Option<Time> {
         let protections = self.protections;
         let usable = self
@@ -282,7 +282,7 @@
         queue.unusable_since
     }
 
-    /// The latest moment at which a waiting wish could have been served.
+    /// Refuses a permit request that has waited until its latest possible start.
     pub(super) fn refuse_overdue(&mut self, now: Time, key: PermitKey) {
         let Some(queue) = self.take_waiting(key) else {
             return;
--- a/crates/ledgelead-request/src/dispatcher/fair_queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/fair_queue.rs
@@ -1,26 +1,24 @@
-//! A queue that divides contested capacity among tiers by their shares:
-//! start-time fair queueing (Goyal, Vin and Cheng, 1996).
+//! Divides contested capacity among tiers by their shares, using start-time fair queueing
+//! (Goyal, Vin and Cheng, 1996).
 //!
-//! Each tier is a first-in first-out queue with a start tag; the tier with
-//! the lowest start tag is served, and its tag grows by the inverse of its
-//! share. Whoever has work gets at least its share, and what nobody claims
-//! goes to the others.
+//! Each tier is a first-in first-out queue with a start tag. The tier with the lowest start
+//! tag is served, and its tag grows by the inverse of its share. A tier with work gets at
+//! least its share, and unused capacity goes to the others.
 //!
-//! A tier that used less than its share keeps the difference as a credit, up
-//! to a bound that the caller gives (borrowed virtual time: Duda and Cheriton,
-//! 1999). Without it a tier that asks for a little less than its share still
-//! waits behind the others whenever its requests come in a bunch. The bound
-//! limits how long the others stand back.
+//! A tier that uses less than its share keeps the difference as a credit, up to a bound
+//! given by the caller (borrowed virtual time: Duda and Cheriton, 1999). Without a credit, a
+//! tier that uses slightly less than its share would still wait behind the others whenever
+//! its requests arrive in bursts. The bound limits how long the other tiers are delayed.
 //!
-//! Within a tier the order is that of arrival. The earliest deadline first
-//! would let a caller buy priority with a short deadline, and under overload
-//! it serves those first who are about to be late.
+//! Within a tier the order is the order of arrival. With the earliest deadline first, a
+//! caller could gain priority by a short deadline, and under overload the requests that are
+//! about to miss their deadline would be served first.
 
 use super::tiers::TierShares;
 use ledgelead_types::TierId;
 use std::collections::BTreeMap;
 
-/// Place in a queue.
+/// Identifies an entry of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ticket {
     tier: TierId,
@@ -65,14 +63,14 @@
         self.tiers.get(&tier).map_or(0, |queue| queue.entries.len())
     }
 
-    /// Whether a tier has used less than its share of late.
+    /// Whether a tier has recently used less than its share.
     pub(super) fn has_credit(&self, tier: TierId) -> bool {
         self.tiers
             .get(&tier)
             .is_none_or(|queue| queue.start < self.virtual_time)
     }
 
-    /// Sum of the shares of the tiers that have work.
+    /// Sum of the shares of the tiers with queued entries.
     pub(super) fn active_share(&self, shares: &TierShares) -> f64 {
         self.tiers
             .iter()
@@ -81,8 +79,8 @@
             .sum()
     }
 
-    /// Puts an entry behind the others of its tier. `credit` is the most that
-    /// a tier keeps of an unused share, in requests of the whole capacity.
+    /// Appends an entry to the queue of its tier. `credit` is the maximum credit of a tier,
+    /// in requests of the whole capacity.
     pub(super) fn push(&mut self, tier: TierId, key: K, credit: f64) -> Ticket {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -100,7 +98,7 @@
         Ticket { tier, sequence }
     }
 
-    /// Takes an entry out of the middle; costs its tier nothing.
+    /// Removes an entry from any place in the queue, without charging its tier.
     pub(super) fn remove(&mut self, ticket: Ticket) -> Option<K> {
         let key = self
             .tiers
@@ -111,7 +109,7 @@
         Some(key)
     }
 
-    /// Takes the next entry out. Equal start tags go to the larger share.
+    /// Removes the next entry. Between equal start tags, the larger share goes first.
     pub(super) fn pop(&mut self, shares: &TierShares) -> Option<K> {
         let tier = self.next_tier(shares)?;
         let queue = self.tiers.get_mut(&tier)?;
@@ -122,7 +120,7 @@
         Some(key)
     }
 
-    /// Gives back the turn of an entry that was popped and not served.
+    /// Reverts the charge for an entry that was removed but not served.
     pub(super) fn refund(&mut self, tier: TierId, shares: &TierShares) {
         if let Some(queue) = self.tiers.get_mut(&tier) {
             queue.start -= 1.0 / shares.share(tier);
@@ -141,8 +139,8 @@
             .map(|(_, _, tier)| tier)
     }
 
-    /// The tier whose queue is longest for its share: the first to lose work
-    /// when there is too much.
+    /// The tier whose queue is longest relative to its share, which is the first to lose
+    /// work on overload.
     pub(super) fn most_crowded(&self, shares: &TierShares) -> Option<TierId> {
         let crowding =
             |tier: TierId, queue: &TierQueue<K>| queue.entries.len() as f64 / shares.share(tier);
@@ -155,14 +153,14 @@
             .map(|(&tier, _)| tier)
     }
 
-    /// Takes out the latest entry of a tier.
+    /// Removes the latest entry of a tier.
     pub(super) fn pop_latest(&mut self, tier: TierId) -> Option<K> {
         let (_, key) = self.tiers.get_mut(&tier)?.entries.pop_last()?;
         self.length -= 1;
         Some(key)
     }
 
-    /// Every entry, in no order that matters to fairness.
+    /// All entries, in no particular order.
     pub(super) fn entries(&self) -> impl Iterator<Item = K> + '_ {
         self.tiers
             .values()
--- a/crates/ledgelead-request/src/dispatcher/grant.rs
+++ b/crates/ledgelead-request/src/dispatcher/grant.rs
@@ -1,4 +1,4 @@
-//! Grants: free slots go to the waiting wishes in fair order.
+//! Grants free slots to the waiting permit requests in fair order.
 
 use super::admission::{NO_SERVER_RETRY_AFTER, UNUSABLE_TIMEOUT};
 use super::queue::{QueueKey, Waiting};
@@ -9,12 +9,12 @@
 use ledgelead_types::protections::Protection;
 use ledgelead_types::{NotRunReason, ServerId, Span, Time};
 
-/// How often a queue with work is looked at again: leases, drains, ejections
-/// and cautious starts end with time alone.
+/// How often a non-empty queue is checked again, because leases, drains, ejections and the
+/// reduced limits after a takeover end by time alone.
 const QUEUE_RECHECK: Span = Span::from_millis(100);
 
 impl Dispatcher {
-    /// Grants what can be granted.
+    /// Grants as many permits as possible.
     pub(super) fn pump(&mut self, now: Time, queue: QueueKey) {
         self.grant_all(now, queue);
         let waits = self
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Prefers a server that the request has not tried.
+    /// Prefers a server that the request has not tried yet.
     fn prefer_untried(&self, now: Time, waiting: &Waiting, chosen: ServerId) -> ServerId {
         match waiting.acquire.selector {
             ServerSelector::Any { avoid: Some(tried) } if tried == chosen => self
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The best server with room, if any.
+    /// The preferred server with a free permit, if any.
     fn choose_server(
         &self,
         now: Time,
@@ -86,7 +86,7 @@
             .map(|state| state.settings.server)
     }
 
-    /// Whether a server may get work of this queue.
+    /// Whether a server may be given work of this queue.
     pub(super) fn may_serve(&self, state: &ServerState, now: Time, queue: QueueKey) -> bool {
         let ejected = match queue {
             QueueKey::Server(_) => false,
@@ -100,14 +100,13 @@
         if let Some(state) = self.servers.get_mut(&server) {
             state.granted(now);
         }
-        let records = self.protections.has(Protection::IdempotencyRecord);
-        let idempotency_key = waiting.acquire.idempotency_key.filter(|_| records);
+        let uses_records = self.protections.has(Protection::IdempotencyRecord);
+        let idempotency_key = waiting.acquire.idempotency_key.filter(|_| uses_records);
         let permit = Permit {
             server,
             waited,
             deadline: waiting.deadline,
-            idempotency_key: idempotency_key
-                .map(|idempotency_key| (waiting.acquire.group, idempotency_key)),
+            idempotency_record: idempotency_key.map(|key| (waiting.acquire.group, key)),
             unanswered_checks: 0,
         };
         self.permits.insert(key, permit);
@@ -115,14 +114,14 @@
         self.reply_permit(key, server, waited);
     }
 
-    /// Refuses everything in a queue.
+    /// Refuses all permit requests of a queue.
     pub(super) fn refuse_all(&mut self, queue: QueueKey, reason: NotRunReason) {
         for key in self.take_all(queue) {
             self.refuse(key, reason, NO_SERVER_RETRY_AFTER);
         }
     }
 
-    /// Takes everything out of a queue.
+    /// Removes all permit requests of a queue.
     pub(super) fn take_all(&mut self, queue: QueueKey) -> Vec<PermitKey> {
         let keys: Vec<PermitKey> = self
             .queues
--- a/crates/ledgelead-request/src/dispatcher/idempotency.rs
+++ b/crates/ledgelead-request/src/dispatcher/idempotency.rs
@@ -1,9 +1,9 @@
-//! Records of idempotency keys: begun by the group before a permit is given,
-//! ended when the gateway says how the request ended.
+//! Records of idempotency keys: the group begins them before a permit is given and ends them
+//! when the gateway reports the request's outcome.
 //!
-//! Invariant: a request under a key gets a permit only after the group's
-//! quorum holds its record. Without it two requests under one key run when
-//! they come through different nodes.
+//! Invariant: a request with an idempotency key gets a permit only after a quorum of the
+//! group has stored its record. Otherwise two requests with the same key could run when they
+//! arrive through different nodes.
 
 use super::DispatcherOutput;
 use super::admission::NO_SERVER_RETRY_AFTER;
@@ -13,11 +13,11 @@
 use ledgelead_types::protections::Protection;
 use ledgelead_types::{GroupId, IdempotencyKey, NodeId, NotRunReason, Span, Time};
 
-/// Time between two wishes to begin a record, and wishes at most.
+/// Time between two attempts to begin a record, and the maximum number of attempts.
 const BEGIN_INTERVAL: Span = Span::from_millis(100);
 const MAX_BEGIN_SENDS: u8 = 10;
 
-/// A wish whose record the group has not begun yet.
+/// A permit request whose record the group has not begun yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRecord {
     key: PermitKey,
@@ -47,7 +47,8 @@
         self.resend_begin(now, owner);
     }
 
-    /// Asks the group again; refuses when it has not answered for long.
+    /// Asks the group to begin the record, again if needed; refuses the permit request after
+    /// too many unanswered attempts or past its deadline.
     pub(super) fn resend_begin(&mut self, now: Time, owner: IdempotencyOwner) {
         let Some(pending) = self.pending_records.get_mut(&owner) else {
             return;
@@ -67,14 +68,14 @@
             .set(TimerKey::Record(owner), now + BEGIN_INTERVAL);
     }
 
-    /// Whether this very wish waits for its record.
+    /// Whether this permit request waits for its record.
     pub(super) fn awaits_record(&self, key: PermitKey) -> bool {
         self.pending_records
             .get(&owner_of(key))
             .is_some_and(|pending| pending.key == key)
     }
 
-    /// Forgets a wish that waits for its record.
+    /// Removes a permit request that waits for its record.
     pub(super) fn forget_pending_record(&mut self, key: PermitKey) {
         if self.awaits_record(key) {
             let owner = owner_of(key);
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Forgets the wishes of a lost node that wait for their records, which
-    /// may have been begun.
+    /// Removes the permit requests of a lost node that wait for their records. The records
+    /// may have been begun, so they are ended as unknown.
     pub(super) fn forget_pending_records_of(&mut self, node: NodeId) {
         let owners: Vec<IdempotencyOwner> = self
             .pending_records
@@ -128,7 +129,8 @@
         }
     }
 
-    /// The server may have left this node's care meanwhile.
+    /// Admits a permit request whose record was begun, unless the server is no longer
+    /// dispatched by this node.
     fn admit_recorded(&mut self, now: Time, pending: &PendingRecord) {
         if self.is_dispatched_here(&pending.acquire) {
             self.admit(now, pending.key, pending.acquire, pending.arrived);
@@ -148,8 +150,8 @@
         );
     }
 
-    /// The gateway says how the request ended. Wishes of it that came late
-    /// are dropped with it.
+    /// Handles the outcome reported by the gateway. Permit requests for the same request
+    /// that are still pending are dropped.
     pub(super) fn end_record(
         &mut self,
         now: Time,
@@ -190,7 +192,7 @@
     }
 }
 
-/// The request that a wish or permit belongs to.
+/// The request that a permit or permit request belongs to.
 pub(super) fn owner_of(key: PermitKey) -> IdempotencyOwner {
     IdempotencyOwner {
         gateway: key.gateway,
--- a/crates/ledgelead-request/src/dispatcher/interface.rs
+++ b/crates/ledgelead-request/src/dispatcher/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a dispatcher and what comes out.
+//! Settings, inputs and outputs of the dispatcher.
 
 use crate::message::{DispatchReply, DispatchRequest};
 use ledgelead_types::configuration::Configuration;
@@ -11,18 +11,18 @@
 use ledgelead_types::{GroupId, IdempotencyKey, NodeId, ServerId};
 use std::sync::Arc;
 
-/// What a dispatcher knows from the start.
+/// Initial settings of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
     /// This node.
     pub node: NodeId,
     /// Seed of its random decisions.
     pub random_seed: u64,
-    /// All on, except in a simulation that proves its checker.
+    /// Protections in force; all are on except in simulations that verify their checker.
     pub protections: Protections,
 }
 
-/// Something that happened.
+/// An input to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatcherInput {
     /// A gateway's message.
@@ -32,53 +32,53 @@
         /// The message.
         message: DispatchRequest,
     },
-    /// The whole set of a group's servers in this node's care.
+    /// The complete set of a group's servers that this node dispatches.
     Servers {
         /// The group.
         group: GroupId,
-        /// Its servers here.
+        /// The group's servers dispatched here.
         servers: Vec<DispatchedServer>,
     },
-    /// A server in this node's care has another lease, other settings, or
-    /// became silent or answers again. One that isn't in care is ignored.
+    /// The lease, settings or responsiveness of a server dispatched by this node changed.
+    /// Ignored for other servers.
     ServerChanged(DispatchedServer),
-    /// Routes of a group; older ones than the present are refused.
+    /// Routes of a group; ignored if older than the current ones.
     Routes(Arc<GroupRoutes>),
-    /// A server told its load.
+    /// A server reported its load.
     ServerLoad {
         /// The server.
         server: ServerId,
-        /// What it says.
+        /// The report.
         load: LoadReport,
     },
-    /// A configuration; an older one than the present is refused.
+    /// A configuration; ignored if older than the current one.
     Configuration(Arc<Configuration>),
     /// A group answered [`DispatcherOutput::BeginIdempotencyRecord`].
     IdempotencyRecordDecided {
-        /// Who asked.
+        /// The request that asked.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
         /// The answer.
         verdict: IdempotencyVerdict,
     },
-    /// A gateway's node is lost; what it holds is free.
+    /// The node of a gateway is lost; its permits and permit requests are freed.
     GatewayLost(NodeId),
 }
 
-/// Something to be done.
+/// An action that the caller of the dispatcher has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatcherOutput {
-    /// Send a message to a gateway; it may be lost.
+    /// Send a message to a gateway. The message may be lost.
     Reply {
         /// Node of the gateway.
         to: NodeId,
         /// The message.
         message: DispatchReply,
     },
-    /// Have the group record that a request begins under a key. Repeated
-    /// while no answer comes: the group answers
-    /// [`IdempotencyVerdict::Fresh`] again to the owner of the record.
+    /// Ask the group to record that a request begins under an idempotency key. Repeated
+    /// until an answer arrives; the group answers [`IdempotencyVerdict::Fresh`] each time to
+    /// the owner of the record.
     BeginIdempotencyRecord {
         /// The group.
         group: GroupId,
@@ -87,8 +87,8 @@
         /// The key.
         key: IdempotencyKey,
     },
-    /// Have the group record the end of the request, only if the record is
-    /// this owner's.
+    /// Ask the group to record the end of the request, which it does only if the record
+    /// belongs to this owner.
     EndIdempotencyRecord {
         /// The group.
         group: GroupId,
@@ -96,19 +96,19 @@
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
-        /// How it ended; `None` removes the record, because the request was
-        /// not run and never will be.
+        /// How it ended. `None` removes the record, because the request was not run and
+        /// never will be.
         state: Option<IdempotencyState>,
     },
 }
 
-/// Loads of the slices of one server.
+/// Loads of one server's slices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSliceLoads {
     /// The group.
     pub group: GroupId,
     /// The owner of the slices.
     pub server: ServerId,
-    /// Its slices in the order of their positions.
+    /// Its slices, ordered by position.
     pub slices: Vec<SliceLoad>,
 }
--- a/crates/ledgelead-request/src/dispatcher/mod.rs
+++ b/crates/ledgelead-request/src/dispatcher/mod.rs
@@ -1,9 +1,9 @@
-//! The dispatcher: hands out the slots of the servers in this node's care, in
-//! priority order over all gateways.
+//! The dispatcher: assigns the slots of the servers dispatched by this node, in priority
+//! order across all gateways.
 //!
-//! A service divided by key has one queue a server; another has one queue a
-//! group over all its servers here. A permit entitles a gateway to send one
-//! attempt to one server.
+//! A service that is partitioned by key has one queue per server, any other service one
+//! queue per group for all servers of the group here. A permit entitles a gateway to send
+//! one attempt to one server.
 
 mod acquire;
 mod admission;
@@ -43,29 +43,29 @@
 use std::sync::Arc;
 use tiers::TierShares;
 
-/// Names a wish or permit: an attempt of one run of a gateway.
+/// Identifies a permit or permit request: an attempt of one incarnation of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PermitKey {
     gateway: Member,
     attempt: AttemptId,
 }
 
-/// What a due time belongs to.
+/// What a timer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKey {
-    /// A waiting wish that can't be served in time any more.
+    /// A waiting permit request, at the latest time at which it can be granted.
     Waiting(PermitKey),
-    /// A permit that is out for long.
+    /// A permit that has been in use for long.
     Permit(PermitKey),
     /// A lost attempt that may still occupy its slot.
     Linger(PermitKey),
     /// A record that the group has not begun yet.
     Record(IdempotencyOwner),
-    /// A queue with work: leases, drains and ejections change with time.
+    /// A non-empty queue: leases, drains and ejections change with time.
     Queue(QueueKey),
 }
 
-/// All decisions about the slots of the servers in this node's care.
+/// State machine for the slots of the servers dispatched by this node.
 pub struct Dispatcher {
     node: NodeId,
     protections: Protections,
@@ -73,7 +73,7 @@
     configuration_version: Option<ConfigurationVersion>,
     shares: TierShares,
     servers: BTreeMap<ServerId, ServerState>,
-    /// Servers here, by group.
+    /// Servers dispatched here, by group.
     pools: BTreeMap<GroupId, Vec<ServerId>>,
     routes: BTreeMap<GroupId, Arc<GroupRoutes>>,
     queues: BTreeMap<QueueKey, Queue>,
@@ -87,7 +87,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that has no servers yet.
+    /// A dispatcher without servers.
     pub fn new(settings: DispatcherSettings, _now: Time) -> Dispatcher {
         Dispatcher {
             node: settings.node,
@@ -114,7 +114,7 @@
         self.node
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input at `now`.
     pub fn step(&mut self, now: Time, input: DispatcherInput) {
         match input {
             DispatcherInput::Message { from, message } => self.message(now, from, message),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Does what has become due by `now`.
+    /// Handles the timers that are due at `now`.
     pub fn tick(&mut self, now: Time) {
         while let Some(key) = self.timers.pop_due(now) {
             match key {
@@ -152,18 +152,18 @@
         self.timers.next()
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the outputs produced since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<DispatcherOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Load of the slices of the servers here.
+    /// Load of the slices of the servers dispatched here.
     pub fn slice_loads(&self, now: Time) -> Vec<ServerSliceLoads> {
         let is_here = |server| self.servers.contains_key(&server);
         self.slice_loads.loads(now, is_here)
     }
 
-    /// Load of the servers here.
+    /// Load of the servers dispatched here.
     pub fn server_views(&self, now: Time) -> Vec<ServerLoadView> {
         self.servers
             .iter()
@@ -178,7 +178,7 @@
             .collect()
     }
 
-    /// Wishes that wait for this server, or for any of its group.
+    /// Number of permit requests queued for this server or for any server of its group.
     fn queued_for(&self, server: ServerId, group: GroupId) -> u32 {
         let length = |key: QueueKey| self.queues.get(&key).map_or(0, |queue| queue.fair.len());
         let queued = length(QueueKey::Server(server)) + length(QueueKey::Pool(group));
@@ -215,7 +215,7 @@
                 self.withdraw(now, key(gateway, attempt));
             }
             DispatchRequest::PermitInUse { gateway, attempt } => {
-                self.holding(key(gateway, attempt))
+                self.confirm_permit(key(gateway, attempt))
             }
             DispatchRequest::EndIdempotencyRecord {
                 gateway,
@@ -241,7 +241,8 @@
         });
     }
 
-    /// Spreads the return of refused callers: up to half as long again.
+    /// Adds up to half of the span at random, so that refused callers don't all retry at
+    /// once.
     fn jittered(&mut self, span: Span) -> Span {
         let factor: f64 = self.random.random_range(1.0..1.5);
         span.times(factor)
--- a/crates/ledgelead-request/src/dispatcher/queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/queue.rs
@@ -1,4 +1,4 @@
-//! The queues and what waits in them.
+//! Queues of waiting permit requests.
 
 use super::PermitKey;
 use super::fair_queue::{FairQueue, Ticket};
@@ -8,17 +8,17 @@
 use ledgelead_types::{GroupId, ServerId, TierId, Time};
 use std::collections::BTreeMap;
 
-/// What a queue is for.
+/// Identifies a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum QueueKey {
-    /// Keys that one server owns.
+    /// Work for keys owned by one server.
     Server(ServerId),
-    /// Work that any server of the group here may take.
+    /// Work for any server of the group dispatched here.
     Pool(GroupId),
 }
 
 impl QueueKey {
-    /// The queue that a wish belongs to.
+    /// The queue that a permit request belongs to.
     pub(super) fn of(acquire: &Acquire) -> QueueKey {
         match acquire.selector {
             ServerSelector::Owner { server, .. } => QueueKey::Server(server),
@@ -35,15 +35,15 @@
     }
 }
 
-/// A queue in fair order.
+/// A fair queue with its overload state.
 #[derive(Debug)]
 pub(super) struct Queue {
     pub(super) fair: FairQueue<PermitKey>,
-    /// Since when none of its servers may get work.
+    /// Since when none of its servers is usable.
     pub(super) unusable_since: Option<Time>,
-    /// Waits of each tier.
+    /// Waiting times of each tier.
     pub(super) standing: BTreeMap<TierId, StandingQueue>,
-    /// Recent wishes less grants, over their sum.
+    /// Recent permit requests minus grants, divided by their sum.
     pub(super) excess: f64,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// A wish that waits.
+/// A waiting permit request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
     pub(super) acquire: Acquire,
--- a/crates/ledgelead-request/src/dispatcher/release.rs
+++ b/crates/ledgelead-request/src/dispatcher/release.rs
@@ -1,8 +1,8 @@
-//! Permits that are out: their return, their check, their loss.
+//! Permits in use: release, checks and loss.
 //!
-//! A release is sent once and may be lost. A permit that is out for longer
-//! than usual is asked after, so that a lost release costs a slot only for a
-//! short while; when the gateway stays silent the permit ends by itself.
+//! A release is sent once and may be lost. The dispatcher therefore checks permits that are
+//! in use for longer than usual, so that a lost release occupies a slot only for a short
+//! time. If the gateway does not reply, the permit ends without it.
 
 use super::idempotency::owner_of;
 use super::queue::QueueKey;
@@ -11,33 +11,33 @@
 use ledgelead_types::dispatch::IdempotencyState;
 use ledgelead_types::{GroupId, IdempotencyKey, NodeId, ServerId, Span, Time};
 
-/// Least time that a permit is out before it is asked after, and the mean
-/// service times that it stands for.
+/// Minimum time before a permit is checked, and the time in mean service times.
 const MIN_CHECK_INTERVAL: Span = Span::from_millis(200);
 const CHECK_SERVICE_TIMES: f64 = 4.0;
 
-/// Checks without an answer after which the gateway counts as gone.
+/// Unanswered checks after which the gateway is considered gone.
 const MAX_UNANSWERED_CHECKS: u8 = 5;
 
-/// How long a permit lasts beyond the request's deadline.
+/// How long a permit remains valid after the request's deadline.
 const PERMIT_MARGIN: Span = Span::from_millis(500);
 
 /// Service time assumed before any was measured.
 const ASSUMED_SERVICE_TIME: Span = Span::from_millis(20);
 
-/// A permit that is out.
+/// A permit in use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Permit {
     pub(super) server: ServerId,
     pub(super) waited: Span,
     pub(super) deadline: Time,
-    /// Group and key of the record that the request has begun.
-    pub(super) idempotency_key: Option<(GroupId, IdempotencyKey)>,
+    /// Group and key of the request's idempotency record.
+    pub(super) idempotency_record: Option<(GroupId, IdempotencyKey)>,
     pub(super) unanswered_checks: u8,
 }
 
 impl Dispatcher {
-    /// Takes a permit back. A release of a wish that waits withdraws it.
+    /// Handles a returned permit. The release of a permit request that is still waiting
+    /// withdraws it.
     pub(super) fn release(&mut self, now: Time, key: PermitKey, release: Release) {
         let Some(permit) = self.permits.remove(&key) else {
             self.withdraw(now, key);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The gateway has given the wish up and uses no permit for it.
+    /// The gateway no longer needs a permit for the attempt.
     pub(super) fn withdraw(&mut self, now: Time, key: PermitKey) {
         self.take_waiting(key);
         self.forget_pending_record(key);
@@ -71,7 +71,7 @@
         self.pump_queues_of(now, server, group);
     }
 
-    /// Grants from every queue that the server stands behind.
+    /// Grants permits from every queue that the server serves.
     pub(super) fn pump_queues_of(&mut self, now: Time, server: ServerId, group: GroupId) {
         for queue in [QueueKey::Server(server), QueueKey::Pool(group)] {
             if self.queues.contains_key(&queue) {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Never more than a third of a group's servers here: a fault that all
-    /// share must not take the whole service away.
+    /// At most a third of a group's servers here are ejected at the same time, so that a
+    /// fault common to all of them does not take the whole service down.
     fn may_eject_another(&self, now: Time, group: GroupId) -> bool {
         let servers = self.pools.get(&group).map_or(0, Vec::len);
         let ejected = self
@@ -105,8 +105,8 @@
         (ejected + 1) * 3 <= servers
     }
 
-    /// Keeps the slot of a lost attempt for one service time: the server may
-    /// still be at it.
+    /// Keeps the slot of a lost attempt occupied for one service time, because the server
+    /// may still be processing it.
     fn linger(&mut self, now: Time, key: PermitKey, permit: &Permit) {
         let service = self.service_time(permit.server);
         let until = (now + service).min(permit.deadline.max(now));
@@ -136,7 +136,7 @@
         self.timers.set(TimerKey::Permit(key), now + interval);
     }
 
-    /// Asks after a permit that is out for long, or ends it.
+    /// Checks a permit that has been in use for long, or ends it.
     pub(super) fn check_permit(&mut self, now: Time, key: PermitKey) {
         let Some(permit) = self.permits.get_mut(&key) else {
             return;
@@ -160,32 +160,32 @@
         self.schedule_check(now, key, server);
     }
 
-    /// The gateway says that the permit is in use.
-    pub(super) fn holding(&mut self, key: PermitKey) {
+    /// The gateway confirms that the permit is in use.
+    pub(super) fn confirm_permit(&mut self, key: PermitKey) {
         if let Some(permit) = self.permits.get_mut(&key) {
             permit.unanswered_checks = 0;
         }
     }
 
-    /// Frees what a lost node's gateway holds. Its once-only requests end as
-    /// unknown: it may live on behind a cut and hold a permit of another
-    /// dispatcher, so that "not run" is only its own to say.
+    /// Frees what a lost node's gateway holds. Its requests with idempotency keys end as
+    /// unknown: the node may still be running behind a network partition and hold a permit
+    /// of another dispatcher, so only the gateway itself can report "not run".
     pub(super) fn gateway_lost(&mut self, now: Time, node: NodeId) {
         let of_node = |key: &PermitKey| key.gateway.node == node;
         let waiting: Vec<PermitKey> = self.waiting.keys().copied().filter(of_node).collect();
         for key in waiting {
             let acquire = self.waiting.get(&key).map(|waiting| waiting.acquire);
-            let idempotency_key =
+            let idempotency_record =
                 acquire.and_then(|acquire| Some((acquire.group, acquire.idempotency_key?)));
             self.take_waiting(key);
-            self.end_as_unknown(key, idempotency_key);
+            self.end_as_unknown(key, idempotency_record);
         }
         let permits: Vec<PermitKey> = self.permits.keys().copied().filter(of_node).collect();
         for key in permits {
             if let Some(permit) = self.permits.remove(&key) {
                 self.timers.clear(TimerKey::Permit(key));
                 self.linger(now, key, &permit);
-                self.end_as_unknown(key, permit.idempotency_key);
+                self.end_as_unknown(key, permit.idempotency_record);
             }
         }
         self.forget_pending_records_of(node);
@@ -194,9 +194,9 @@
     pub(super) fn end_as_unknown(
         &mut self,
         key: PermitKey,
-        idempotency_key: Option<(GroupId, IdempotencyKey)>,
+        idempotency_record: Option<(GroupId, IdempotencyKey)>,
     ) {
-        if let Some((group, idempotency_key)) = idempotency_key {
+        if let Some((group, idempotency_key)) = idempotency_record {
             let state = Some(IdempotencyState::Unknown);
             self.output_end_record(owner_of(key), group, idempotency_key, state);
         }
--- a/crates/ledgelead-request/src/dispatcher/server.rs
+++ b/crates/ledgelead-request/src/dispatcher/server.rs
@@ -1,4 +1,4 @@
-//! One server in a dispatcher's care: its slots, status, health and load.
+//! State of a server dispatched by this node: slots, status, health and load.
 
 use crate::estimate::{DecayingRate, MeanSpan, QuantileSpan};
 use crate::message::PermitEnd;
@@ -8,54 +8,54 @@
 use ledgelead_types::server::LoadReport;
 use ledgelead_types::{Span, Time};
 
-/// Time from the end of a request at the server to the start of the next one
-/// that its returned permit allows: answer, release, permit and request, one
-/// hop each. Permits beyond the slots fill this gap with a request that waits
-/// at the server. The measurement is in `docs/design/request-path.md`.
+/// Time between the end of a request at the server and the start of the next request allowed
+/// by the returned permit: answer, release, permit and request take one hop each. Permits
+/// beyond the slots fill this gap with a request that waits at the server. The measurement
+/// is in `docs/design/request-path.md`.
 const PERMIT_GAP: Span = Span::from_millis(4);
 
-/// Permits beyond those that the gap needs on average: service times vary.
+/// Added to the mean number of permits that fill the gap, because service times vary.
 const SPARE_PERMITS: f64 = 0.5;
 
-/// Permits beyond the slots at most, for each slot. A server that refuses as
-/// busy lowers the bound to what it takes; answers raise it again.
+/// Maximum number of permits beyond the slots, per slot. A server that refuses requests as
+/// busy lowers its bound to what it accepts; every so many answers raise it by one.
 const MAX_PIPELINED_PER_SLOT: u32 = 2;
 const ANSWERS_PER_INCREASE: u32 = 512;
 
-/// How long a draining server may still serve its own keys, so that they are
-/// served until they have moved. Unkeyed work stops at once.
+/// How long a draining server may still serve its own keys while they are handed over. Work
+/// without keys stops at once.
 const DRAIN_GRACE: Span = Span::from_millis(1_500);
 
-/// How long a server that just came into this node's care is trusted with one
-/// slot less, unless it has told its load before.
+/// How long a server that this node has just started to dispatch is given one slot less,
+/// unless it has already reported its load.
 const TAKEOVER_LIMIT_TIME: Span = Span::from_millis(250);
 
-/// How long requests that a former dispatcher permitted are counted at most.
+/// Maximum time for which requests permitted by the previous dispatcher are counted.
 const INHERITED_PERMITS_TTL: Span = Span::from_seconds(2);
 
-/// Failures in a row that eject a server, and for how long; the span doubles
-/// with each ejection in a row.
+/// Consecutive failures that eject a server, and the duration of the ejection, which doubles
+/// with each consecutive ejection.
 const FAILURES_TO_EJECT: u32 = 5;
 const FIRST_EJECTION: Span = Span::from_seconds(1);
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
-/// Quantile of the service time for which queued work keeps time in reserve,
-/// and the samples that its estimate needs.
+/// Quantile of the service time that is reserved for queued work, and the samples required
+/// for the estimate.
 const LONG_SERVICE_QUANTILE: f64 = 0.95;
 const LONG_SERVICE_SAMPLES: u32 = 20;
 
-/// Kind of work a permit is for.
+/// Kind of work that a permit is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Work {
     Keyed,
     Unkeyed,
 }
 
-/// Order in which servers are preferred; the least is best.
+/// Order of preference among servers; the lowest value is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
     pipelined: bool,
-    /// Slots in use, in thousandths of all.
+    /// Slots in use, in thousandths of all slots.
     used_thousandths: u32,
     cold: bool,
     waiting_at_server: u16,
@@ -71,10 +71,10 @@
     pub(super) rate: DecayingRate,
     pub(super) service_time: MeanSpan,
     long_service_time: QuantileSpan,
-    /// Permits beyond the slots that may be out.
+    /// Number of permits beyond the slots that may be in use.
     pipelined: u32,
     max_pipelined: u32,
-    /// Answers since the bound changed.
+    /// Answers since the bound last changed.
     answers: u32,
     reported: bool,
     since: Time,
@@ -111,7 +111,7 @@
         state
     }
 
-    /// Takes new settings; counts and health stay.
+    /// Applies new settings; counters and health are kept.
     pub(super) fn configure(&mut self, settings: DispatchedServer, now: Time) {
         self.settings = settings;
         self.draining_since = match settings.status {
@@ -120,8 +120,8 @@
         };
     }
 
-    /// Takes a load report in. Requests that the server executes beyond our
-    /// permits were permitted by a former dispatcher.
+    /// Applies a load report. Requests at the server in excess of this dispatcher's permits
+    /// were permitted by the previous dispatcher.
     pub(super) fn reported(&mut self, report: LoadReport) {
         let at_server = u32::from(report.executing) + u32::from(report.waiting);
         let beyond = at_server.saturating_sub(self.in_use);
@@ -134,7 +134,7 @@
         self.report = report;
     }
 
-    /// Whether the server may get work of this kind now.
+    /// Whether the server may currently be given work of this kind.
     pub(super) fn is_usable(&self, now: Time, work: Work, protections: Protections) -> bool {
         let leased = match work {
             Work::Keyed => self.settings.lease_until.is_some_and(|until| now < until),
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Permits that may be out at once.
+    /// Maximum number of permits in use at once.
     pub(super) fn limit(&self, now: Time, work: Work) -> u32 {
         let slots = u32::from(self.settings.slots).max(1);
         let is_takeover_limited = !self.reported && now < self.since + TAKEOVER_LIMIT_TIME;
@@ -172,12 +172,11 @@
         }
     }
 
-    /// Permits beyond the slots: as many requests as the slots would serve
-    /// during the gap and a little more, at least one, at most as many as the
-    /// server takes. One until enough was
-    /// measured: a few short requests must not open the door. What a gateway
-    /// measures holds two hops and, on a busy server, the wait behind the
-    /// permits beyond the slots; both are taken off.
+    /// Permits beyond the slots: the number of requests that the slots would serve during
+    /// the gap, rounded up with a reserve, at least one and at most what the server accepts.
+    /// It is one until enough samples exist, so that a few short requests don't raise the
+    /// limit. The measured time contains two hops and, on a busy server, the wait caused by
+    /// the permits beyond the slots; both are subtracted.
     fn pipelined_by_measurement(&self) -> u32 {
         if self.long_service_time().is_none() {
             return 1;
@@ -190,23 +189,23 @@
         ((served_in_gap + SPARE_PERMITS).ceil() as u32).clamp(1, self.max_pipelined)
     }
 
-    /// Permits out, those of a former dispatcher included.
+    /// Permits in use, including those of the previous dispatcher.
     pub(super) fn used(&self, now: Time) -> u32 {
         let inherits = now < self.since + INHERITED_PERMITS_TTL;
         self.in_use + if inherits { self.inherited } else { 0 }
     }
 
-    /// Whether a permit may be given now.
+    /// Whether another permit may be given now.
     pub(super) fn has_room(&self, now: Time, work: Work) -> bool {
         self.used(now) < self.limit(now, work)
     }
 
-    /// Whether one of its slots is free, as far as the permits tell.
+    /// Whether a slot is free according to the permits in use.
     pub(super) fn has_free_slot(&self, now: Time) -> bool {
         self.used(now) < u32::from(self.settings.slots).max(1)
     }
 
-    /// Where the server stands among those with room.
+    /// The server's rank among those with free permits.
     pub(super) fn preference(&self, now: Time) -> Preference {
         let slots = u32::from(self.settings.slots).max(1);
         Preference {
@@ -218,25 +217,24 @@
         }
     }
 
-    /// Counts a permit out.
+    /// Counts a granted permit.
     pub(super) fn granted(&mut self, now: Time) {
         self.in_use += 1;
         self.last_granted = now;
         self.rate.count(now);
     }
 
-    /// Counts a permit back in.
+    /// Counts a returned permit.
     pub(super) fn freed(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// Time that all but a few requests keep below, once it is known.
+    /// Time that all but a few requests stay below, once there are enough samples.
     pub(super) fn long_service_time(&self) -> Option<Span> {
         self.long_service_time.after(LONG_SERVICE_SAMPLES)
     }
 
-    /// Takes in how a permit's use ended; whether the server now deserves to
-    /// be ejected.
+    /// Records the end of a permit; returns whether the server should be ejected.
     pub(super) fn observe(&mut self, end: PermitEnd, service_time: Span) -> bool {
         match end {
             PermitEnd::Answered => {
@@ -271,7 +269,7 @@
         }
     }
 
-    /// Takes the server out of the choice for a while.
+    /// Excludes the server from selection for some time.
     pub(super) fn eject(&mut self, now: Time) {
         let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
         let span = FIRST_EJECTION.times(f64::from(1_u32 << doublings));
@@ -280,14 +278,14 @@
         self.ejected_until = Some(now + span);
     }
 
-    /// Until when the server is ejected, if it is.
+    /// End of the current ejection, if the server is ejected.
     pub(super) fn ejected_until(&self, now: Time) -> Option<Time> {
         self.ejected_until.filter(|&until| now < until)
     }
 }
 
-/// A cold server starts with half its slots; its own keys can't go elsewhere
-/// and get all of them, with nothing waiting there.
+/// A cold server starts with half of its slots for work without keys. For the keys that it
+/// owns, which no other server can serve, it gets all slots but no permits beyond them.
 fn cold_limit(slots: u32, work: Work) -> u32 {
     match work {
         Work::Keyed => slots,
--- a/crates/ledgelead-request/src/dispatcher/servers.rs
+++ b/crates/ledgelead-request/src/dispatcher/servers.rs
@@ -1,4 +1,4 @@
-//! The servers in this node's care, as they come, change and go.
+//! Tracks the servers dispatched by this node as they are added, changed and removed.
 
 use super::queue::QueueKey;
 use super::server::ServerState;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// Takes the whole set of a group's servers here.
+    /// Applies the complete set of a group's servers dispatched here.
     pub(super) fn servers_changed(
         &mut self,
         now: Time,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes what changed of one server here.
+    /// Applies changes of one server dispatched here.
     pub(super) fn server_changed(&mut self, now: Time, settings: DispatchedServer) {
         let Some(state) = self.servers.get_mut(&settings.server) else {
             return;
@@ -49,8 +49,8 @@
         self.pump_queues_of(now, settings.server, settings.group);
     }
 
-    /// A server that left this node's care: who waits for it is sent back to
-    /// the routes, and its permits are the next dispatcher's to count.
+    /// Removes a server that this node no longer dispatches. Gateways that wait for it are
+    /// redirected to their routes, and its permits are counted by the next dispatcher.
     fn forget_server(&mut self, server: ServerId) {
         self.servers.remove(&server);
         self.redirect_all(QueueKey::Server(server));
@@ -84,8 +84,8 @@
         self.timers.clear(TimerKey::Queue(queue));
     }
 
-    /// Takes new routes; who waits for a slice that has another owner now is
-    /// sent back to the routes.
+    /// Applies new routes. Permit requests for slices with a new owner are redirected to the
+    /// routes.
     pub(super) fn routes_changed(&mut self, now: Time, routes: Arc<GroupRoutes>) {
         let group = routes.group;
         if let Some(present) = self.routes.get(&group)
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes a server's own report in.
+    /// Applies a load report of a server.
     pub(super) fn server_load(&mut self, now: Time, server: ServerId, load: LoadReport) {
         let Some(state) = self.servers.get_mut(&server) else {
             return;
--- a/crates/ledgelead-request/src/dispatcher/slice_load.rs
+++ b/crates/ledgelead-request/src/dispatcher/slice_load.rs
@@ -1,5 +1,4 @@
-//! Requests a second of each slice and of its hottest positions, in bounded
-//! memory.
+//! Request rates of slices and of their hottest positions, in bounded memory.
 
 use super::interface::ServerSliceLoads;
 use crate::estimate::DecayingRate;
@@ -8,14 +7,14 @@
 use ledgelead_types::{GroupId, Position, PositionRange, ServerId, Time};
 use std::collections::BTreeMap;
 
-/// Positions that the sketch of a slice keeps.
+/// Number of positions tracked per slice.
 const SKETCH_SIZE: usize = 8;
 
-/// Share of its slice's load from which a position stands out.
+/// Minimum share of the slice's load for a position to be reported as hot.
 const HOT_SHARE: f64 = 0.2;
 
-/// A position with its rate; `error` is what the rate may owe to the position
-/// whose counter it took over.
+/// A position with its rate. `error` is the maximum part of the rate that belongs to the
+/// positions that used this counter before.
 #[derive(Clone, Copy, Debug)]
 struct SketchEntry {
     position: Position,
@@ -23,8 +22,8 @@
     error: DecayingRate,
 }
 
-/// Space-saving sketch (Metwally, Agrawal and El Abbadi, 2005) over decaying
-/// rates: a new position takes over the lowest counter.
+/// Space-saving sketch (Metwally, Agrawal and El Abbadi, 2005) over decaying rates: a new
+/// position replaces the one with the lowest counter and continues from its rate.
 #[derive(Clone, Debug, Default)]
 struct HotSketch {
     entries: Vec<SketchEntry>,
@@ -50,7 +49,7 @@
         });
     }
 
-    /// Removes the lowest counter of a full sketch; its rate.
+    /// Removes the lowest counter if the sketch is full, and returns its rate.
     fn make_room(&mut self, now: Time) -> DecayingRate {
         if self.entries.len() < SKETCH_SIZE {
             return DecayingRate::default();
@@ -65,7 +64,7 @@
         }
     }
 
-    /// The hottest position, by the rate that is surely its own.
+    /// The hottest position, by its guaranteed rate.
     fn hottest(&self, now: Time) -> Option<HotPosition> {
         self.entries
             .iter()
@@ -80,8 +79,8 @@
     }
 }
 
-/// Rate of a slice. Its time constant is short, since the planner smooths the
-/// rates itself: smoothed twice, a hot key is seen too late.
+/// Rate of a slice. Its time constant is short because the planner smooths the rates itself;
+/// smoothing twice would delay the detection of hot keys.
 type SliceRate = DecayingRate<2>;
 
 #[derive(Clone, Debug)]
@@ -92,15 +91,15 @@
     sketch: HotSketch,
 }
 
-/// Loads of the slices of every group that this node has heard of.
+/// Loads of the slices of all groups with known routes.
 #[derive(Debug, Default)]
 pub(super) struct SliceLoads {
     groups: BTreeMap<GroupId, BTreeMap<Position, SliceCounter>>,
 }
 
 impl SliceLoads {
-    /// Takes a group's slices. A slice that was split or merged starts with
-    /// what its positions carried, as if spread evenly.
+    /// Applies a group's slices. A slice that was split or merged starts with the load of
+    /// its positions, assumed to be evenly distributed.
     pub(super) fn route(&mut self, routes: &GroupRoutes, now: Time) {
         let before = self.groups.remove(&routes.group).unwrap_or_default();
         let counters = routes
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Loads of the slices of the servers that `is_here` picks.
+    /// Loads of the slices whose owners satisfy `is_here`.
     pub(super) fn loads(
         &self,
         now: Time,
@@ -169,7 +168,7 @@
     }
 }
 
-/// The counter of a slice, from the counters that held its positions before.
+/// Derives the counter of a slice from the counters that covered its positions before.
 fn inherit(
     before: &BTreeMap<Position, SliceCounter>,
     range: PositionRange,
@@ -211,7 +210,7 @@
     }
 }
 
-/// Share of `of` that lies in `within`.
+/// The share of `of` that lies within `within`.
 fn overlap_share(of: &PositionRange, within: &PositionRange) -> f64 {
     let overlap = PositionRange {
         first: of.first.max(within.first),
--- a/crates/ledgelead-request/src/dispatcher/standing_queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/standing_queue.rs
@@ -1,53 +1,53 @@
-//! Standing queues: a tier whose work has waited too long for some time is
-//! offered more than it gets, and a long queue only makes all of it late.
+//! Standing queues: if the work of a tier waits too long for some time, more work is offered
+//! than served, and a long queue only delays all of it.
 //!
-//! As in controlled delay (Nichols and Jacobson, 2012) a queue that drains
-//! now and then is a burst, which may use the time up to its deadlines; one
-//! that does not is an overload, and the wait is limited to a target from then
-//! on. The limit goes when few wishes meet it.
+//! As in controlled delay (CoDel; Nichols and Jacobson, 2012), a queue that drains from time
+//! to time is a burst, which may use the time up to its deadlines. A queue that never drains
+//! is an overload, and its wait is then limited to a target. The limit is lifted when few
+//! permit requests are affected by it.
 //!
-//! Under a heavy overload the target is one service time: waiting longer
-//! serves nobody, since there is always other work. Under a slight one it is
-//! several, since a short queue would refuse work that a free slot could have
-//! taken a moment later. A tier that has used less than its share meets no
-//! limit.
+//! Under heavy overload the target is one service time: longer waits gain nothing, since
+//! there is always other work. Under slight overload it is several service times, because a
+//! short queue would refuse work that a free slot could take a moment later. Tiers that have
+//! used less than their share are not limited.
 
 use super::queue::Queue;
 use ledgelead_types::{Span, TierId, Time};
 
-/// How long every wait has to be above the target before it is limited.
+/// How long all waits must exceed the target before they are limited.
 const STANDING_TIME: Span = Span::from_seconds(1);
 
-/// Weight of a wish in the share of a tier's wishes that meet the limit.
+/// Weight of one permit request in the share of the tier's permit requests that exceed the
+/// limit.
 const REQUEST_WEIGHT: f64 = 0.02;
-/// Share of wishes that is assumed to meet a new limit.
+/// Initial value of that share when the limit is introduced.
 const INITIAL_LIMITED_SHARE: f64 = 0.1;
-/// Share of wishes that meet the limit below which the limit goes.
+/// The limit is lifted when the share falls below this value.
 const MIN_LIMITED_SHARE: f64 = 0.02;
-/// Weight of a wish or a grant in the excess.
+/// Weight of one permit request or grant in the excess.
 const EXCESS_WEIGHT: f64 = 0.01;
 /// Excess from which an overload is heavy: one and a half times the capacity.
 const HEAVY_EXCESS: f64 = 0.2;
-/// Service times that the target has under the slightest overload, beyond
-/// the one that it always has.
+/// Maximum of the target in service times, in addition to the one that always applies;
+/// reached under the slightest overload.
 const MAX_EXTRA_SERVICE_TIMES: f64 = 7.0;
 
-/// Wishes that may always wait, so that a returned permit finds work: the
-/// limit costs no capacity.
+/// Number of permit requests that may always wait, so that a returned permit finds work and
+/// the limit costs no capacity.
 const MIN_QUEUED: usize = 3;
 
-/// Waits of one tier in one queue.
+/// Waiting times of one tier in one queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StandingQueue {
-    /// Since when every wait was above the target.
+    /// Since when all waits exceed the target.
     above_since: Option<Time>,
-    /// Share of wishes that meet the limit, while it holds.
+    /// While the wait is limited, the share of permit requests that exceed the limit.
     over_limit: Option<f64>,
 }
 
 impl StandingQueue {
-    /// Takes in how long a wish has waited that is served now. Nothing stands
-    /// while no service time was measured and the target is zero.
+    /// Records the wait of a permit request that is now granted. While no service time is
+    /// measured the target is zero, and the queue never counts as standing.
     fn served(&mut self, now: Time, waited: Span, target: Span) {
         if waited <= target || target == Span::ZERO {
             self.above_since = None;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes a wish in; whether it meets the limit.
+    /// Records a new permit request; returns whether the limit applies to it.
     fn is_limited(&mut self, over_target: bool) -> bool {
         let Some(share) = &mut self.over_limit else {
             return false;
@@ -74,13 +74,13 @@
 }
 
 impl Queue {
-    /// Wait to which a tier is limited whose queue stands.
+    /// The maximum wait for a tier with a standing queue.
     pub(super) fn target_wait(&self, service_time: Span) -> Span {
         let slight = 1.0 - (self.excess / HEAVY_EXCESS).clamp(0.0, 1.0);
         service_time.times(1.0 + MAX_EXTRA_SERVICE_TIMES * slight)
     }
 
-    /// Takes in how long a wish has waited that is served now.
+    /// Records how long a permit request that is now granted has waited.
     pub(super) fn waited(&mut self, now: Time, tier: TierId, waited: Span, service_time: Span) {
         let target = self.target_wait(service_time);
         let standing = self.standing.entry(tier).or_default();
@@ -88,8 +88,8 @@
         move_towards(&mut self.excess, -1.0, EXCESS_WEIGHT);
     }
 
-    /// Takes a new wish in; whether its expected wait is above its tier's
-    /// limit.
+    /// Records a new permit request; returns whether its expected wait exceeds the limit of
+    /// its tier.
     pub(super) fn is_over_limit(&mut self, tier: TierId, wait: Span, service_time: Span) -> bool {
         move_towards(&mut self.excess, 1.0, EXCESS_WEIGHT);
         let over_target = wait > self.target_wait(service_time)
--- a/crates/ledgelead-request/src/dispatcher/tiers.rs
+++ b/crates/ledgelead-request/src/dispatcher/tiers.rs
@@ -1,16 +1,16 @@
-//! Shares of contested capacity, from weights and guaranteed minimums.
+//! Shares of tiers in contested capacity, derived from weights and guaranteed minimums.
 
 use ledgelead_types::TierId;
 use ledgelead_types::configuration::Configuration;
 use std::collections::BTreeMap;
 
-/// Share of a tier that the configuration does not name.
+/// Share of a tier that is not configured.
 const UNKNOWN_TIER_SHARE: f64 = 0.01;
 
-/// Least share of any tier, so that none starves.
+/// Minimum share of any tier, which prevents starvation.
 const MIN_SHARE: f64 = 0.001;
 
-/// Percent in a whole.
+/// The whole, in percent.
 const WHOLE_PERCENT: f64 = 100.0;
 
 /// Share of each tier, from 0 to 1.
@@ -20,8 +20,8 @@
 }
 
 impl TierShares {
-    /// Each tier gets its guaranteed share, and the rest is divided by
-    /// weight. Guarantees that exceed the whole are scaled to it.
+    /// Each tier gets its guaranteed share, and the remainder is divided by weight.
+    /// Guarantees that exceed 100 percent are scaled down to it.
     pub(super) fn of(configuration: &Configuration) -> TierShares {
         let tiers = &configuration.tiers;
         let guaranteed: f64 = tiers
--- a/crates/ledgelead-request/src/estimate.rs
+++ b/crates/ledgelead-request/src/estimate.rs
@@ -1,4 +1,4 @@
-//! Small estimators of durations and rates.
+//! Online estimators of durations and event rates.
 
 use ledgelead_types::{Span, Time};
 
@@ -15,7 +15,7 @@
 }
 
 impl MeanSpan {
-    /// Takes a sample in.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, sample: Span) {
         let sample = sample.as_micros() as f64;
         self.mean_micros = Some(match self.mean_micros {
@@ -24,16 +24,16 @@
         });
     }
 
-    /// The mean, or `default` without a sample.
+    /// The mean, or `default` when there are no samples.
     pub(crate) fn or(&self, default: Span) -> Span {
         self.mean_micros
             .map_or(default, |mean| Span::from_micros(mean as u64))
     }
 }
 
-/// Moving estimate of a quantile by stochastic approximation (Robbins and
-/// Monro, 1951): a step up for a sample above, a smaller one down for one
-/// below, in the ratio of the quantile.
+/// Moving quantile estimate by stochastic approximation (Robbins and Monro, 1951): a sample
+/// above the estimate raises it by a step times the quantile, a sample below lowers it by a
+/// step times one minus the quantile.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuantileSpan {
     quantile: f64,
@@ -42,7 +42,7 @@
 }
 
 impl QuantileSpan {
-    /// Estimates this quantile, from 0 to 1.
+    /// An estimator of this quantile, given from 0 to 1.
     pub(crate) fn new(quantile: f64) -> QuantileSpan {
         QuantileSpan {
             quantile,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes a sample in.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, sample: Span) {
         let sample = sample.as_micros() as f64;
         self.samples = self.samples.saturating_add(1);
@@ -67,13 +67,13 @@
         }
     }
 
-    /// The estimate, once there are `least` samples.
+    /// The estimate, or `None` while there are fewer than `least` samples.
     pub(crate) fn after(&self, least: u32) -> Option<Span> {
         (self.samples >= least).then(|| Span::from_micros(self.micros as u64))
     }
 }
 
-/// Events a second, older ones weighing exponentially less.
+/// Events per second, with exponentially decaying weight of older events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRate<const SECONDS: u32 = 10> {
     per_second: f64,
--- a/crates/ledgelead-request/src/gateway/accept.rs
+++ b/crates/ledgelead-request/src/gateway/accept.rs
@@ -1,5 +1,5 @@
-//! Accept and classify: service, key, caller and its tier, deadline, whether
-//! the request is repeatable; then the caller's limits.
+//! Accepts and classifies a request: service, key, caller and its tier, deadline, whether
+//! the request is repeatable; then applies the caller's limits.
 
 use super::Gateway;
 use super::directory::{Identity, ServiceEntry};
@@ -14,16 +14,16 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Longest deadline that is kept; a later one counts as this.
+/// Upper bound of a request's deadline; longer ones are reduced to it.
 const MAX_DEADLINE: Span = Span::from_seconds(300);
 
-/// When to try a stopping node's neighbours.
+/// Retry delay for requests to a stopping node, which other nodes can serve.
 const STOPPING_RETRY_AFTER: Span = Span::from_millis(50);
 
-/// When to try a node again that has no configuration yet.
+/// Retry delay while this node has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Span = Span::from_millis(500);
 
-/// Why a request is not accepted.
+/// Why a request is rejected, and what the response and its event state.
 struct Rejection {
     reason: NotRunReason,
     retry_after: Option<Span>,
@@ -58,7 +58,7 @@
 }
 
 impl Gateway {
-    /// Takes a request in, or answers it at once.
+    /// Accepts a request and starts its first attempt, or answers it with the rejection.
     pub(super) fn accept(&mut self, now: Time, arrival: RequestArrival) {
         let id = arrival.request;
         if self.requests.contains_key(&id) {
@@ -187,7 +187,7 @@
     }
 }
 
-/// Where the request may go.
+/// The servers that may run the request.
 fn target(
     arrival: &RequestArrival,
     service: &ServiceEntry,
@@ -207,9 +207,8 @@
     })
 }
 
-/// Hash of the idempotency key within its caller, service and routing key:
-/// the same words of another caller, or for another routing key, are another
-/// key.
+/// Hash of the idempotency key together with its caller, service and routing key. The same
+/// key from another caller or for another routing key is a different key.
 fn idempotency_key(
     arrival: &RequestArrival,
     service: &ServiceEntry,
--- a/crates/ledgelead-request/src/gateway/answer_cache.rs
+++ b/crates/ledgelead-request/src/gateway/answer_cache.rs
@@ -1,5 +1,6 @@
-//! Answers held for repeats under the same idempotency key, at the gateway
-//! that passed the first one on. The bodies are with the input and output.
+//! Cache of answers for retries under the same idempotency key, kept by the gateway that
+//! delivered the first answer. It holds attempt identifiers; the bodies are kept by the I/O
+//! layer.
 
 use super::Gateway;
 use super::interface::GatewayOutput;
@@ -8,11 +9,11 @@
 use ledgelead_types::{IdempotencyKey, Outcome, Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long an answer is held, and how many at once.
+/// How long an answer is cached, and how many are cached at once.
 const CACHE_TTL: Span = Span::from_seconds(60);
 const MAX_CACHED: usize = 4_096;
 
-/// Answers held, by key and by age.
+/// Cached answers, by key and by age.
 #[derive(Debug, Default)]
 pub(super) struct AnswerCache {
     by_key: BTreeMap<IdempotencyKey, AttemptId>,
@@ -20,12 +21,13 @@
 }
 
 impl AnswerCache {
-    /// The attempt whose answer is held under a key.
+    /// The attempt whose answer is cached under a key.
     pub(super) fn get(&self, key: IdempotencyKey) -> Option<AttemptId> {
         self.by_key.get(&key).copied()
     }
 
-    /// Holds one more; a key has one answer, which stays.
+    /// Adds an answer; returns whether it was added. The first answer of a key is never
+    /// replaced.
     fn add(&mut self, now: Time, key: IdempotencyKey, attempt: AttemptId) -> bool {
         if self.by_key.contains_key(&key) {
             return false;
@@ -35,7 +37,7 @@
         true
     }
 
-    /// Takes out the oldest that is past its time or beyond the number.
+    /// Removes the oldest answer if it has expired or exceeds the maximum number.
     fn take_evictable(&mut self, now: Time) -> Option<AttemptId> {
         let &(cached_at, key) = self.by_age.front()?;
         let is_evictable = self.by_age.len() > MAX_CACHED || now >= cached_at + CACHE_TTL;
@@ -48,7 +50,7 @@
 }
 
 impl Gateway {
-    /// Holds the answer of a request under a key, once it is passed on.
+    /// Caches the answer of a request with an idempotency key when it is delivered.
     pub(super) fn cache_answer(
         &mut self,
         now: Time,
@@ -70,7 +72,7 @@
         self.evict_answers(now);
     }
 
-    /// Drops what is past its time or beyond the number.
+    /// Drops answers that have expired or exceed the maximum number.
     pub(super) fn evict_answers(&mut self, now: Time) {
         while let Some(attempt) = self.answer_cache.take_evictable(now) {
             self.outputs.push(GatewayOutput::ForgetAnswer(attempt));
--- a/crates/ledgelead-request/src/gateway/directory.rs
+++ b/crates/ledgelead-request/src/gateway/directory.rs
@@ -1,5 +1,5 @@
-//! Indexes over the configuration and the routes, built when they change, so
-//! that a request needs only look-ups.
+//! Indexes over the configuration and the routes, rebuilt when these change, so that a
+//! request only needs lookups.
 
 use ledgelead_types::configuration::{Configuration, Partitioning};
 use ledgelead_types::routes::{GroupRoutes, ServerRoute, ServerStatus, SliceRoute};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// A service, as requests need it.
+/// The configuration of a service that requests need.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceEntry {
     pub(super) id: ServiceId,
@@ -19,7 +19,7 @@
 }
 
 impl ServiceEntry {
-    /// The group whose part of the position space holds a position.
+    /// The group that is responsible for a position.
     pub(super) fn group_of(&self, position: Position) -> GroupId {
         let parts = u64::from(self.groups);
         let guess = ((u128::from(position.0) * u128::from(parts)) >> u64::BITS) as u64;
@@ -32,8 +32,8 @@
         self.group(part)
     }
 
-    /// The group that keeps the record of an idempotency key of a service
-    /// that is not divided by key.
+    /// The group that stores the record of an idempotency key, for a service that is not
+    /// partitioned by key.
     pub(super) fn group_of_hash(&self, hash: u64) -> GroupId {
         self.group(hash % u64::from(self.groups))
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// A caller, as requests need it.
+/// The configuration of a caller that requests need.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallerEntry {
     pub(super) id: CallerId,
@@ -55,22 +55,22 @@
     pub(super) max_concurrent: u32,
 }
 
-/// A dispatcher that can give a permit for an unkeyed service, once for each
-/// of its active servers.
+/// A dispatcher that can give permits for a service without keys. It is listed once per
+/// active server of its own, so that a uniform choice is proportional to its servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Candidate {
     pub(super) group: GroupId,
     pub(super) dispatcher: NodeId,
 }
 
-/// Who a credential stands for.
+/// Result of looking up a credential.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Identity {
-    /// The configuration names no callers: everybody has the first tier.
+    /// No callers are configured: everybody gets the first tier.
     Anonymous(TierId),
     /// A configured caller.
     Caller(CallerEntry),
-    /// Callers are configured and this is none of them.
+    /// Callers are configured, and the credential belongs to none of them.
     Unknown,
 }
 
@@ -79,7 +79,7 @@
     server_index: HashMap<ServerId, usize>,
 }
 
-/// What this node knows of services, callers, owners and dispatchers.
+/// This node's index of services, callers, owners and dispatchers.
 #[derive(Default)]
 pub(super) struct Directory {
     configuration: Option<Arc<Configuration>>,
@@ -91,12 +91,13 @@
 }
 
 impl Directory {
-    /// Whether any configuration has come.
+    /// Whether a configuration has been received.
     pub(super) fn is_configured(&self) -> bool {
         self.configuration.is_some()
     }
 
-    /// Takes a configuration unless it is older than the present one.
+    /// Applies a configuration unless it is older than the current one; returns whether it
+    /// was applied.
     pub(super) fn configure(&mut self, configuration: Arc<Configuration>) -> bool {
         if let Some(present) = &self.configuration
             && configuration.version < present.version
@@ -145,7 +146,8 @@
             .collect();
     }
 
-    /// Takes a group's routes unless they are older than the present ones.
+    /// Applies a group's routes unless they are older than the current ones; returns whether
+    /// they were applied.
     pub(super) fn route(&mut self, routes: Arc<GroupRoutes>) -> bool {
         let group = routes.group;
         if let Some(present) = self.routes.get(&group)
@@ -217,7 +219,7 @@
         table.routes.servers.get(index)
     }
 
-    /// Servers of the group that are lost by the present routes.
+    /// Servers of the group that the current routes mark as lost.
     pub(super) fn lost_servers(&self, group: GroupId) -> Vec<ServerId> {
         let Some(table) = self.routes.get(&group) else {
             return Vec::new();
@@ -235,7 +237,7 @@
         Some(self.server(group, server)?.address.clone())
     }
 
-    /// Dispatchers of the service's active servers.
+    /// Dispatchers of the service, one entry per active server.
     pub(super) fn candidates(&self, service: ServiceId) -> &[Candidate] {
         self.candidates.get(&service).map_or(&[], Vec::as_slice)
     }
--- a/crates/ledgelead-request/src/gateway/evidence.rs
+++ b/crates/ledgelead-request/src/gateway/evidence.rs
@@ -1,26 +1,25 @@
-//! What the end of an attempt proves, and what may be done then.
+//! Derives from the result of an attempt whether the request was run, and what may follow.
 //!
-//! Invariant: a request that may not be repeated is sent again only after
-//! evidence that it was not run. Without this rule a lost answer makes an
-//! application or a commission run twice.
+//! Invariant: a request that is not repeatable is retried only after evidence that it was
+//! not run. Otherwise a lost answer would run its side effects twice.
 
 use ledgelead_types::protections::{Protection, Protections};
 use ledgelead_types::server::{AttemptResult, ServerRefusal};
 use ledgelead_types::{NotRunReason, Span, Time, UnknownReason};
 
-/// Failures in a row from which a server is reported.
+/// Consecutive failures after which a server is reported.
 const FAILURES_BEFORE_REPORT: u32 = 3;
 
-/// Least time between two reports of the same server.
+/// Minimum time between two reports of the same server.
 pub const EVIDENCE_INTERVAL: Span = Span::from_millis(100);
 
-/// Why a request is sent again.
+/// Why a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryCause {
-    /// The server refused because ownership or its status has changed: wait
-    /// for new routes. Takes nothing from the retry budget.
+    /// The server refused because ownership or its status has changed: wait for new routes.
+    /// Does not use the retry budget.
     Relocate,
-    /// The server had no room, or no connection came about.
+    /// The server had no free slot, or no connection could be established.
     NotStarted(NotRunReason),
     /// The attempt may have run; the request is repeatable.
     MaybeRun(UnknownReason),
@@ -29,17 +28,17 @@
 /// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptOutcome {
-    /// Pass the answer on whole.
+    /// Deliver the answer to the caller.
     ForwardAnswer,
-    /// Send the request again, while budget and deadline allow.
+    /// Retry the request while budget and deadline allow it.
     Retry(RetryCause),
-    /// It was not run, and sending it again is of no use.
+    /// The request was not run, and a retry would not help.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
-/// The evidence rule: what an attempt's end proves of a request.
+/// Decides what follows from an attempt's result.
 pub(super) fn classify_result(
     result: AttemptResult,
     repeatable: bool,
@@ -83,7 +82,7 @@
     AttemptOutcome::Unknown(reason)
 }
 
-/// Whether the end of an attempt speaks against its server.
+/// Whether the result counts as a failure of the server.
 pub(super) fn is_server_failure(result: AttemptResult) -> bool {
     match result {
         AttemptResult::Answered { failure } => failure,
@@ -92,7 +91,7 @@
     }
 }
 
-/// A server's failures in a row, as this gateway saw them.
+/// Consecutive failures of a server, as observed by this gateway.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FailureCount {
     failures: u32,
@@ -100,7 +99,7 @@
 }
 
 impl FailureCount {
-    /// Takes an attempt's end in; the failures to be reported, if any.
+    /// Records an attempt's result; returns the number of failures if a report is due.
     pub(super) fn observe(&mut self, now: Time, failed: bool) -> Option<u32> {
         if !failed {
             self.failures = 0;
--- a/crates/ledgelead-request/src/gateway/finish.rs
+++ b/crates/ledgelead-request/src/gateway/finish.rs
@@ -1,4 +1,5 @@
-//! Finish: the one outcome of a request, and what it leaves behind.
+//! Finishes requests: exactly one outcome each, followed by the cleanup of attempts, limits
+//! and idempotency records.
 
 use super::forward::take_sent_attempt;
 use super::interface::GatewayOutput;
@@ -10,14 +11,13 @@
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{NotRunReason, Outcome, RequestId, Span, Time, UnknownReason};
 
-/// How long the end of a cancelled attempt is awaited before its permit is
-/// given back as lost.
+/// How long a cancelled attempt is awaited before its permit is released as lost.
 const DETACHED_TIMEOUT: Span = Span::from_seconds(1);
 
-/// When to come back after a refusal for which nothing better is known.
+/// Retry delay advised when nothing more specific is known.
 const DEFAULT_RETRY_AFTER: Span = Span::from_millis(500);
 
-/// When the caller of a refused request may come back.
+/// The retry delay advised for an outcome without a more specific one.
 fn default_retry_after(outcome: Outcome) -> Option<Span> {
     match outcome {
         Outcome::NotRun(
@@ -28,8 +28,8 @@
 }
 
 impl Gateway {
-    /// Answers the caller and forgets the request. Attempts still at servers
-    /// are cancelled; their ends only give permits back.
+    /// Answers the caller and removes the request. Attempts still in progress at servers are
+    /// cancelled; when they end, only their permits are released.
     pub(super) fn finish(
         &mut self,
         now: Time,
@@ -86,7 +86,7 @@
             .set(TimerKey::Detached(attempt), now + DETACHED_TIMEOUT);
     }
 
-    /// Cancels one attempt of a request that goes on without it.
+    /// Cancels one attempt while the request itself continues.
     pub(super) fn cancel_attempt(&mut self, now: Time, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&attempt.request) else {
             return;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// "Not run", unless an earlier attempt may have run: then unknown.
+    /// Finishes the request as "not run", or as unknown if an earlier attempt may have run.
     pub(super) fn finish_not_run(
         &mut self,
         now: Time,
@@ -126,8 +126,8 @@
         self.finish(now, id, outcome, None, retry_after);
     }
 
-    /// A search came to nothing: the request ends, unless an attempt beside
-    /// it still runs.
+    /// Ends the search for a permit without one. The request finishes unless another attempt
+    /// is still in progress.
     pub(super) fn end_search_not_run(
         &mut self,
         now: Time,
@@ -170,8 +170,8 @@
         self.finish(now, id, outcome, None, None);
     }
 
-    /// What a caller is told of a request that may have run. With
-    /// [`Protection::AccurateNotRun`] off, for the checker's own proof, a lie.
+    /// The outcome of a request that may have run. With [`Protection::AccurateNotRun`] off
+    /// it wrongly claims "not run", which the simulation's checker has to detect.
     pub(super) fn unknown_outcome(&self, reason: UnknownReason) -> Outcome {
         if self.protections.has(Protection::AccurateNotRun) {
             Outcome::Unknown(reason)
--- a/crates/ledgelead-request/src/gateway/forward.rs
+++ b/crates/ledgelead-request/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! Forward: the attempt at a server, and what its end leads to.
+//! Sends attempts to servers and handles their results.
 
 use super::Gateway;
 use super::evidence::{self, AttemptOutcome};
@@ -11,7 +11,7 @@
 use ledgelead_types::{Outcome, RequestId, ServerId, Time};
 
 impl Gateway {
-    /// Sends the request to the server that its permit names.
+    /// Sends the request to the server named by its permit.
     pub(super) fn forward(&mut self, now: Time, id: RequestId, server: ServerId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -61,8 +61,8 @@
         self.schedule_hedge(now, id);
     }
 
-    /// Takes the end of an attempt in. The permit goes back; an attempt whose
-    /// request has its outcome, or that is not known, changes nothing else.
+    /// Handles the result of an attempt. The permit is released; if the request is already
+    /// finished or the attempt unknown, nothing else changes.
     pub(super) fn attempt_ended(&mut self, now: Time, attempt: AttemptId, result: AttemptResult) {
         if let Some(sent_attempt) = self.take_detached(attempt) {
             self.return_permit(now, attempt, &sent_attempt, result);
@@ -132,9 +132,9 @@
         }
     }
 
-    /// Only for the checker's own proof, with [`Protection::AnswerMatch`]
-    /// off: hands an answer to the oldest request in flight, whichever
-    /// attempt it belongs to.
+    /// With [`Protection::AnswerMatch`] off, hands an answer to the oldest request in
+    /// flight, whichever attempt it belongs to, which the simulation's checker has to
+    /// detect.
     fn deliver_mismatched_answer(
         &mut self,
         now: Time,
@@ -155,7 +155,7 @@
     }
 }
 
-/// Takes an attempt that is at a server out of its request.
+/// Removes a sent attempt from its request.
 pub(super) fn take_sent_attempt(request: &mut ActiveRequest, number: u8) -> Option<SentAttempt> {
     let index = request
         .sent_attempts
@@ -164,7 +164,7 @@
     Some(request.sent_attempts.remove(index))
 }
 
-/// What the dispatcher is told of an attempt's end.
+/// The end of the permit that is reported to the dispatcher.
 fn permit_end(result: AttemptResult) -> PermitEnd {
     match result {
         AttemptResult::Answered { failure: false } => PermitEnd::Answered,
--- a/crates/ledgelead-request/src/gateway/hedge.rs
+++ b/crates/ledgelead-request/src/gateway/hedge.rs
@@ -1,12 +1,12 @@
-//! Hedging: a second attempt at another server for a repeatable request of a
-//! service that is not divided by key, when the first takes longer than most.
+//! Hedging: a second attempt at another server for a repeatable request of a service that is
+//! not partitioned by key, when the first attempt takes longer than most do.
 
 use super::Gateway;
 use super::request::{Search, Stage, Target};
 use ledgelead_types::{RequestId, Time};
 
 impl Gateway {
-    /// Sets when the request is hedged, if it may be.
+    /// Sets the time of the hedge, if the request may be hedged.
     pub(super) fn schedule_hedge(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Starts the second attempt when it is due and the budget allows.
+    /// Starts the second attempt when it is due and the hedging budget allows it.
     pub(super) fn hedge_if_due(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/ledgelead-request/src/gateway/idempotency.rs
+++ b/crates/ledgelead-request/src/gateway/idempotency.rs
@@ -1,10 +1,9 @@
-//! The end of an idempotency record, told to a dispatcher of its group until
-//! it confirms.
+//! Reports the end of an idempotency record to a dispatcher of its group until one confirms
+//! it.
 //!
-//! Only the gateway that accepted the request may say "not run": it alone
-//! knows that no attempt will follow. The record is removed then; the group
-//! removes it only for the same owner, so a message that comes late can't
-//! remove the record of another request.
+//! Only the gateway that accepted the request may report "not run", since it alone knows
+//! that no further attempt follows. The record is then removed. The group removes it only
+//! for the same owner, so a delayed message can't remove the record of another request.
 
 use super::request::ActiveRequest;
 use super::{Gateway, TimerKey};
@@ -12,12 +11,13 @@
 use ledgelead_types::dispatch::IdempotencyState;
 use ledgelead_types::{GroupId, IdempotencyKey, NodeId, Outcome, RequestId, Span, Time};
 
-/// Time between two sends, and sends at most. A record whose end is never
-/// heard stays "begun" until its window ends: a repeat is refused, not run.
+/// Time between two sends, and the maximum number of sends. If the end never arrives, the
+/// record stays "begun" until its window ends, and a retry under the key is refused rather
+/// than run.
 const RECORD_END_INTERVAL: Span = Span::from_millis(200);
 const MAX_RECORD_END_SENDS: u8 = 10;
 
-/// An end that no dispatcher has confirmed yet.
+/// An end of a record that no dispatcher has confirmed yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRecordEnd {
     group: GroupId,
@@ -71,8 +71,8 @@
             .set(TimerKey::RecordEnd(request), now + RECORD_END_INTERVAL);
     }
 
-    /// The dispatcher that began the record; any other of the group once it
-    /// has stayed silent.
+    /// The dispatcher that began the record; after the first unconfirmed send, the other
+    /// dispatchers of the group in turn.
     fn record_dispatcher(&self, pending: &PendingRecordEnd) -> NodeId {
         if pending.sends <= 1 {
             return pending.dispatcher;
--- a/crates/ledgelead-request/src/gateway/interface.rs
+++ b/crates/ledgelead-request/src/gateway/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a gateway and what comes out.
+//! Settings, inputs and outputs of the gateway.
 
 use crate::message::{DispatchReply, DispatchRequest};
 use ledgelead_types::configuration::Configuration;
@@ -10,34 +10,34 @@
 use ledgelead_types::{GroupId, Member, NodeId, Outcome, RequestId, ServerId, Span, Text, ZoneId};
 use std::sync::Arc;
 
-/// What a gateway knows from the start.
+/// Initial settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// This node, in its present run.
+    /// This node and the incarnation of its process.
     pub member: Member,
     /// Its zone.
     pub zone: ZoneId,
     /// Seed of its random decisions.
     pub random_seed: u64,
-    /// All on, except in a simulation that proves its checker.
+    /// Protections in force; all are on except in simulations that verify their checker.
     pub protections: Protections,
 }
 
-/// Something that happened.
+/// An input to the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayInput {
-    /// A caller's request was read whole.
+    /// A caller's request has been read completely.
     Arrived(RequestArrival),
     /// An attempt at a server ended.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// Evidence of how.
+        /// How it ended.
         result: AttemptResult,
-        /// Load that the server's answer carried.
+        /// Load reported with the server's answer.
         load: Option<LoadReport>,
     },
-    /// The caller closed its connection before it had its answer.
+    /// The caller closed its connection before receiving an answer.
     CallerLeft(RequestId),
     /// A dispatcher replied.
     Dispatch {
@@ -46,18 +46,18 @@
         /// Its reply.
         message: DispatchReply,
     },
-    /// A configuration; an older one than the present is refused.
+    /// A configuration; ignored if older than the current one.
     Configuration(Arc<Configuration>),
-    /// Routes of a group; older ones than the present are refused.
+    /// Routes of a group; ignored if older than the current ones.
     Routes(Arc<GroupRoutes>),
-    /// Accept nothing more; [`GatewayOutput::Drained`] tells the end.
+    /// Accept no more requests; [`GatewayOutput::Drained`] reports the completion.
     Stop,
 }
 
-/// Something to be done.
+/// An action that the caller of the gateway has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayOutput {
-    /// Send a message to a dispatcher; it may be lost.
+    /// Send a message to a dispatcher. The message may be lost.
     Dispatch {
         /// The dispatcher.
         to: NodeId,
@@ -66,8 +66,7 @@
     },
     /// Send a request to a server.
     Forward(Forward),
-    /// Stop an attempt and ask the server to cancel it; its end is still
-    /// reported.
+    /// Abort an attempt and ask the server to cancel it. Its end is still reported.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
@@ -76,35 +75,34 @@
         /// Its `IP:port`.
         address: Text,
     },
-    /// Hold a copy of an attempt's answer, for repeats under its idempotency
-    /// key.
+    /// Keep a copy of an attempt's answer for retries under its idempotency key.
     KeepAnswer(AttemptId),
-    /// Drop a copy held.
+    /// Drop a kept copy.
     ForgetAnswer(AttemptId),
     /// Answer the caller.
     Respond {
         /// The request.
         request: RequestId,
-        /// What the caller is told.
+        /// The outcome reported to the caller.
         outcome: Outcome,
-        /// The attempt whose answer is passed on whole; one of another request
-        /// when its answer is held.
+        /// The attempt whose answer is delivered. It belongs to another request when a kept
+        /// answer is delivered.
         attempt: Option<AttemptId>,
-        /// When the caller may try again, for a refusal.
+        /// For a refusal, when the caller may retry.
         retry_after: Option<Span>,
     },
-    /// This gateway's own evidence that a server fails; sent at most every
-    /// [`super::evidence::EVIDENCE_INTERVAL`] for a server.
+    /// This gateway observes a server failing. Sent at most once every
+    /// [`super::evidence::EVIDENCE_INTERVAL`] for each server.
     Evidence {
         /// Group of the server.
         group: GroupId,
         /// The server.
         server: ServerId,
-        /// Attempts that failed in a row.
+        /// Consecutive failed attempts.
         failures: u32,
     },
-    /// Something worth a log line or a metric.
+    /// An event for the log and the metrics.
     Event(Event),
-    /// After a stop: nothing is in flight any more.
+    /// After a stop: all requests are finished and all idempotency records are ended.
     Drained,
 }
--- a/crates/ledgelead-request/src/gateway/limits.rs
+++ b/crates/ledgelead-request/src/gateway/limits.rs
@@ -1,11 +1,11 @@
-//! Limits of each caller on this node: rate and concurrency.
+//! Per-caller limits on this node: request rate and concurrency.
 
 use super::directory::CallerEntry;
 use crate::token_bucket::RateLimit;
 use ledgelead_types::{CallerId, Span, Time};
 use std::collections::BTreeMap;
 
-/// When a caller above its concurrency may try again.
+/// Retry delay for a caller that exceeds its concurrency limit.
 const CONCURRENCY_RETRY_AFTER: Span = Span::from_millis(100);
 
 struct CallerUse {
@@ -13,14 +13,14 @@
     in_flight: u32,
 }
 
-/// What the callers use at present.
+/// Current usage of each caller.
 #[derive(Default)]
 pub(super) struct CallerLimits {
     uses: BTreeMap<CallerId, CallerUse>,
 }
 
 impl CallerLimits {
-    /// Counts a request in, or tells when to try again.
+    /// Counts a request in, or returns when to retry if a limit is exceeded.
     pub(super) fn enter(&mut self, caller: &CallerEntry, now: Time) -> Result<(), Span> {
         let per_second = f64::from(caller.max_requests_per_second);
         let used = self.uses.entry(caller.id).or_insert_with(|| CallerUse {
--- a/crates/ledgelead-request/src/gateway/locate.rs
+++ b/crates/ledgelead-request/src/gateway/locate.rs
@@ -1,5 +1,5 @@
-//! Locate: group, slice, owner, token and dispatcher of a request; and what
-//! new routes change.
+//! Determines group, slice, owner, fencing token and dispatcher of a request, and reacts to
+//! new routes.
 
 use super::Gateway;
 use super::request::{ActiveRequest, Search, Stage, Target};
@@ -10,12 +10,12 @@
 use rand::RngExt;
 use std::sync::Arc;
 
-/// First and longest wait between two attempts to locate a held request. New
-/// routes end the wait, so it matters only when a refusal came before them.
+/// First and longest delay between two attempts to locate a held request. New routes end the
+/// delay early, so it only matters when a refusal arrives before the routes it refers to.
 const MIN_HOLD_WAIT: Span = Span::from_millis(10);
 const MAX_HOLD_WAIT: Span = Span::from_millis(100);
 
-/// Where to ask for a permit.
+/// The dispatcher to ask for a permit, and the servers to ask for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Location {
     pub(super) group: GroupId,
@@ -24,12 +24,12 @@
 }
 
 impl Gateway {
-    /// Starts a search, or takes a waiting one up again.
+    /// Starts a search for a permit, or continues a waiting one.
     pub(super) fn locate(&mut self, now: Time, id: RequestId) {
         self.locate_avoiding(now, id, None);
     }
 
-    /// As [`Gateway::locate`], away from a dispatcher that is silent.
+    /// Like [`Gateway::locate`], but avoids a dispatcher that does not reply.
     pub(super) fn locate_avoiding(
         &mut self,
         now: Time,
@@ -84,8 +84,8 @@
         })
     }
 
-    /// A dispatcher in proportion to the active servers in its care. With one
-    /// dispatcher for the group there is no choice to make.
+    /// Picks a dispatcher with a probability proportional to its active servers. A group
+    /// with a single dispatcher leaves no choice.
     fn choose_dispatcher(
         &mut self,
         service: ledgelead_types::ServiceId,
@@ -113,8 +113,8 @@
         Some((chosen.group, chosen.dispatcher))
     }
 
-    /// Waits, for a bounded time, for an owner, a dispatcher or a server that
-    /// takes the request.
+    /// Holds the request, for a bounded time, until an owner, a dispatcher or a server can
+    /// take it.
     pub(super) fn hold(&mut self, now: Time, id: RequestId) {
         let jitter: f64 = self.random.random_range(0.5..1.0);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -138,7 +138,7 @@
         });
     }
 
-    /// Takes new routes and sends the searches that they concern elsewhere.
+    /// Applies new routes and redirects the searches that they affect.
     pub(super) fn routes_changed(&mut self, now: Time, routes: Arc<GroupRoutes>) {
         let group = routes.group;
         let service = group.service;
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Whether the routes still lead where the request was sent.
+    /// Whether the current routes still lead to the location that was asked.
     fn is_current(&self, request: &ActiveRequest, location: &Location) -> bool {
         match request.target {
             Target::Key { group, position } => {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes back the wish that a search has sent.
+    /// Withdraws the permit request that a search has sent.
     pub(super) fn withdraw(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/crates/ledgelead-request/src/gateway/mod.rs
+++ b/crates/ledgelead-request/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! The gateway: answers for every request that this node accepted.
+//! The gateway: responsible for every request that this node accepted.
 //!
-//! Phases, each a module: [`accept`] (with classification and limits),
-//! [`locate`], [`permit`], [`forward`], [`finish`]. A request ends in exactly
-//! one [`GatewayOutput::Respond`].
+//! Each phase is a module: [`accept`] (with classification and limits), [`locate`],
+//! [`permit`], [`forward`], [`finish`]. Each request ends in exactly one
+//! [`GatewayOutput::Respond`].
 
 pub mod evidence;
 
@@ -40,7 +40,7 @@
 use service_state::ServiceState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a due time belongs to.
+/// What a timer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKey {
     Request(RequestId),
@@ -48,7 +48,7 @@
     RecordEnd(RequestId),
 }
 
-/// All decisions about requests that this node accepted.
+/// State machine for the requests accepted by this node.
 pub struct Gateway {
     member: Member,
     protections: Protections,
@@ -57,14 +57,13 @@
     limits: CallerLimits,
     services: BTreeMap<ServiceId, ServiceState>,
     requests: BTreeMap<RequestId, ActiveRequest>,
-    /// Requests with a search, by service: new routes concern them.
+    /// Requests that search for a permit, by service; new routes may affect them.
     searching: BTreeMap<ServiceId, BTreeSet<RequestId>>,
-    /// Attempts whose request has its outcome: their end only gives the
-    /// permit back.
+    /// Attempts that outlive their request: when they end, only the permit is released.
     detached: BTreeMap<AttemptId, SentAttempt>,
     pending_record_ends: BTreeMap<RequestId, PendingRecordEnd>,
     answer_cache: AnswerCache,
-    /// Round trip to each dispatcher.
+    /// Round-trip time to each dispatcher.
     round_trips: BTreeMap<NodeId, MeanSpan>,
     failure_counts: BTreeMap<ServerId, FailureCount>,
     timers: Timers<TimerKey>,
@@ -74,7 +73,7 @@
 }
 
 impl Gateway {
-    /// A gateway that knows no configuration and no routes yet.
+    /// A gateway without configuration and routes.
     pub fn new(settings: GatewaySettings, _now: Time) -> Gateway {
         Gateway {
             member: settings.member,
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input at `now`.
     pub fn step(&mut self, now: Time, input: GatewayInput) {
         match input {
             GatewayInput::Arrived(arrival) => self.accept(now, arrival),
@@ -115,7 +114,7 @@
         self.report_drained();
     }
 
-    /// Does what has become due by `now`.
+    /// Handles the timers that are due at `now`.
     pub fn tick(&mut self, now: Time) {
         while let Some(key) = self.timers.pop_due(now) {
             match key {
@@ -132,12 +131,12 @@
         self.timers.next()
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the outputs produced since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<GatewayOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Requests accepted here that have no outcome yet.
+    /// Number of accepted requests without an outcome.
     pub fn in_flight(&self) -> u32 {
         u32::try_from(self.requests.len()).unwrap_or(u32::MAX)
     }
@@ -146,8 +145,8 @@
         self.stopping = true;
     }
 
-    /// A stop is complete when every request has its outcome and every
-    /// idempotency record its end.
+    /// Reports the completion of a stop once every request is finished and every idempotency
+    /// record is ended.
     fn report_drained(&mut self) {
         let waits = self.protections.has(Protection::StopWaitsForInFlight);
         let empty = self.requests.is_empty() && self.pending_record_ends.is_empty();
@@ -166,8 +165,7 @@
         self.services.entry(service).or_default()
     }
 
-    /// Brings the timer and the index of searching requests up to date after
-    /// a change of the request.
+    /// Updates the timer and the index of searching requests after a change of the request.
     fn reschedule(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -181,7 +179,7 @@
         }
     }
 
-    /// What is due for a request, most pressing first.
+    /// Handles the timer of a request, deadlines first.
     fn request_due(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/crates/ledgelead-request/src/gateway/permit.rs
+++ b/crates/ledgelead-request/src/gateway/permit.rs
@@ -1,4 +1,4 @@
-//! Permit: the wish sent to a dispatcher, its repetition, and the replies.
+//! Requests permits from dispatchers, resends the requests, and handles the replies.
 
 use super::Gateway;
 use super::locate::Location;
@@ -10,23 +10,25 @@
     NodeId, NotRunReason, Outcome, RequestId, ServerId, Span, Time, UnknownReason,
 };
 
-/// Shortest and longest wait for a dispatcher's reply before the wish is
-/// sent again, and the round trips that it stands for.
+/// Bounds of the wait for a dispatcher's reply before the permit request is resent, and the
+/// wait in round-trip times.
 const MIN_REPLY_WAIT: Span = Span::from_millis(50);
 const MAX_REPLY_WAIT: Span = Span::from_millis(200);
 const REPLY_WAIT_ROUND_TRIPS: f64 = 4.0;
 
-/// How often a wish that waits in a dispatcher's queue is confirmed.
+/// How often a permit request that is queued at a dispatcher is resent as a check that it is
+/// still queued.
 const QUEUED_CONFIRM_INTERVAL: Span = Span::from_millis(250);
 
-/// Sends without a reply after which a request that may go elsewhere does.
+/// Unanswered sends after which another dispatcher is asked, if another one can serve the
+/// request.
 const UNANSWERED_BEFORE_REDISPATCH: u32 = 2;
 
-/// When to come back after a request with the same key.
+/// Retry delay while another request with the same idempotency key is in progress.
 const DUPLICATE_RETRY_AFTER: Span = Span::from_millis(200);
 
 impl Gateway {
-    /// Asks a dispatcher for a permit.
+    /// Requests a permit from a dispatcher.
     pub(super) fn acquire(&mut self, now: Time, id: RequestId, location: Location) {
         let wait = self.reply_wait(location.dispatcher, 0);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -80,8 +82,8 @@
         self.send(acquiring.dispatcher, DispatchRequest::Acquire(acquire));
     }
 
-    /// How long to wait for a reply, from the observed round trip; doubled
-    /// with each send that stayed unheard.
+    /// How long to wait for a reply, derived from the observed round-trip time and doubled
+    /// with each unanswered send.
     fn reply_wait(&self, dispatcher: NodeId, unanswered_sends: u32) -> Span {
         let round_trip = self
             .round_trips
@@ -94,7 +96,7 @@
         round_trip.times(factor).max(first).min(MAX_REPLY_WAIT)
     }
 
-    /// Takes a waiting search up, or repeats a wish that had no reply.
+    /// Continues a waiting search, or resends a permit request that was not answered.
     pub(super) fn continue_search(&mut self, now: Time, id: RequestId) {
         let Some(search) = self.requests.get(&id).and_then(|request| request.search) else {
             return;
@@ -138,9 +140,9 @@
         self.send_acquire(now, id);
     }
 
-    /// Takes a dispatcher's reply in. One for an attempt that is no longer
-    /// awaited, or from a dispatcher that is no longer asked, changes nothing
-    /// but that an unwanted permit is given back.
+    /// Handles a dispatcher's reply. A reply for an attempt that is not waiting for one, or
+    /// from a dispatcher that is no longer asked, has no effect, except that an unneeded
+    /// permit is released.
     pub(super) fn dispatch_replied(&mut self, now: Time, from: NodeId, message: DispatchReply) {
         if message.gateway() != self.member.incarnation {
             return;
@@ -229,8 +231,8 @@
         self.reschedule(attempt.request);
     }
 
-    /// Another request holds the key. Its record is not this request's to
-    /// end.
+    /// Another request holds the idempotency key. Its record must not be ended by this
+    /// request.
     fn duplicate(&mut self, now: Time, from: NodeId, attempt: AttemptId, state: IdempotencyState) {
         if self.awaited_permit(from, attempt).is_none() {
             return;
@@ -261,14 +263,14 @@
         }
     }
 
-    /// The earlier attempt whose answer is held under the request's key.
+    /// The earlier attempt whose answer is cached under the request's idempotency key.
     fn cached_answer_for(&self, id: RequestId) -> Option<AttemptId> {
         let key = self.requests.get(&id)?.idempotency?;
         self.answer_cache.get(key)
     }
 
-    /// A permit is held for long: says that it is in use, or gives it back
-    /// when the earlier release was lost.
+    /// Answers a dispatcher that checks a long-held permit: confirms that it is in use, or
+    /// releases it again when the earlier release was lost.
     fn permit_check(&mut self, from: NodeId, attempt: AttemptId) {
         if self.is_running(attempt) {
             let message = DispatchRequest::PermitInUse {
@@ -281,7 +283,8 @@
         }
     }
 
-    /// Whether the attempt is at a server, for a caller or only to be ended.
+    /// Whether the attempt is in progress at a server, whether or not its request still
+    /// waits for it.
     fn is_running(&self, attempt: AttemptId) -> bool {
         let awaited = self.requests.get(&attempt.request).is_some_and(|request| {
             request
@@ -308,8 +311,8 @@
         self.send(to, DispatchRequest::Release(release));
     }
 
-    /// The bounded wait for an owner, dispatcher or server is over: the
-    /// request has its outcome at once.
+    /// The request was held for the maximum time; it ends unless another attempt is in
+    /// progress.
     pub(super) fn hold_ended(&mut self, now: Time, id: RequestId) {
         self.withdraw(id);
         self.end_search_not_run(now, id, NotRunReason::NoServer, Some(HOLD_LIMIT));
--- a/crates/ledgelead-request/src/gateway/request.rs
+++ b/crates/ledgelead-request/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! State of one request between arrival and outcome.
+//! State of a request between its arrival and its outcome.
 
 use crate::NEVER;
 use crate::message::ServerSelector;
@@ -8,27 +8,27 @@
     Text, TierId, Time, UnknownReason,
 };
 
-/// How long a request waits at most, in all, for an owner, a dispatcher or a
-/// server that takes it.
+/// Maximum total time that a request is held until an owner, a dispatcher or a server can
+/// take it.
 pub(super) const HOLD_LIMIT: Span = Span::from_millis(1_200);
 
-/// Where a request may go.
+/// The servers that may run a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Target {
-    /// To the owner of a position.
+    /// The owner of a position.
     Key { group: GroupId, position: Position },
-    /// To any server of a group, which holds its idempotency record.
+    /// Any server of a group; the group stores the request's idempotency record.
     Group(GroupId),
-    /// To any server of the service.
+    /// Any server of the service.
     Service,
 }
 
-/// The way to a permit.
+/// A search for a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Search {
     /// Number of the attempt that the permit will be for.
     pub(super) number: u8,
-    /// A second attempt beside one that runs.
+    /// Whether this is a hedge, started while another attempt is in progress.
     pub(super) hedge: bool,
     pub(super) stage: Stage,
 }
@@ -36,17 +36,17 @@
 /// Stages of a search.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// Waits to be located again.
+    /// Waiting until the request is located again.
     Waiting {
         retry_at: Time,
-        /// New routes end the wait early.
+        /// Whether new routes end the wait early.
         wake_on_routes: bool,
     },
-    /// Has asked a dispatcher.
+    /// A permit has been requested from a dispatcher.
     Acquiring(Acquiring),
 }
 
-/// A wish for a permit that was sent to a dispatcher.
+/// A permit request that was sent to a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Acquiring {
     pub(super) dispatcher: NodeId,
@@ -54,11 +54,11 @@
     pub(super) selector: ServerSelector,
     pub(super) first_sent: Time,
     pub(super) next_send: Time,
-    /// Sent without a reply since.
+    /// Number of sends since the last reply.
     pub(super) unanswered_sends: u32,
 }
 
-/// An attempt that was given to a server.
+/// An attempt that was sent to a server.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct SentAttempt {
     pub(super) number: u8,
@@ -77,7 +77,7 @@
     pub(super) dispatcher: NodeId,
 }
 
-/// A request that has no outcome yet.
+/// A request without an outcome.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveRequest {
     pub(super) id: RequestId,
@@ -85,26 +85,26 @@
     pub(super) target: Target,
     pub(super) tier: TierId,
     pub(super) caller: Option<CallerId>,
-    /// Running it more than once does no harm.
+    /// Whether running it more than once is harmless.
     pub(super) repeatable: bool,
     pub(super) idempotency: Option<IdempotencyKey>,
     pub(super) arrived: Time,
     pub(super) deadline: Time,
     /// Number of the latest attempt, whether it was sent or not.
     pub(super) last_number: u8,
-    /// Attempts that were given to servers.
+    /// Number of attempts sent to servers.
     pub(super) sent: u8,
-    /// Retries taken from the budget.
+    /// Retries taken from the retry budget.
     pub(super) retries: u8,
     pub(super) search: Option<Search>,
     pub(super) sent_attempts: Vec<SentAttempt>,
-    /// An earlier attempt may have run: "not run" can't be said any more.
+    /// Set once an attempt may have run; "not run" is then no longer a valid outcome.
     pub(super) possibly_run: Option<UnknownReason>,
-    /// Since when there is no owner, dispatcher or server for it.
+    /// Since when no owner, dispatcher or server can take the request.
     pub(super) held_since: Option<Time>,
-    /// Since when the owner of its key can't be reached.
+    /// Since when the owner of its key has been unreachable.
     pub(super) unreachable_since: Option<Time>,
-    /// Waits taken while held; spaces them out.
+    /// Number of delays while held; the delay grows with it.
     pub(super) holds: u8,
     pub(super) avoid: Option<ServerId>,
     pub(super) hedge_at: Option<Time>,
@@ -112,7 +112,7 @@
 }
 
 impl ActiveRequest {
-    /// The next attempt's number; `None` when they are used up.
+    /// Number of the next attempt; `None` when all numbers are used.
     pub(super) fn next_number(&mut self) -> Option<u8> {
         self.last_number = self.last_number.checked_add(1)?;
         Some(self.last_number)
@@ -125,17 +125,17 @@
         }
     }
 
-    /// When the request gives up waiting for an owner.
+    /// When the request stops being held.
     pub(super) fn hold_ends(&self) -> Time {
         self.held_since.map_or(NEVER, |since| since + HOLD_LIMIT)
     }
 
-    /// Whether an attempt was sent that may have run.
+    /// Whether any attempt was sent that may have run.
     pub(super) fn may_have_run(&self) -> bool {
         self.possibly_run.is_some() || !self.sent_attempts.is_empty()
     }
 
-    /// When something has to be done for it at the latest.
+    /// When the request's timer is due.
     pub(super) fn due(&self) -> Time {
         let search_due = match &self.search {
             None => NEVER,
@@ -152,7 +152,7 @@
         self.deadline.min(search_due).min(hedge_due)
     }
 
-    /// The wish that waits for a reply of this dispatcher to this attempt.
+    /// The pending permit request of this attempt at this dispatcher.
     pub(super) fn acquiring(&mut self, from: NodeId, number: u8) -> Option<&mut Acquiring> {
         let search = self.search.as_mut()?;
         if search.number != number {
--- a/crates/ledgelead-request/src/gateway/retry.rs
+++ b/crates/ledgelead-request/src/gateway/retry.rs
@@ -1,5 +1,4 @@
-//! Sending a request again: budget, backoff with full jitter, bounded
-//! attempts.
+//! Retries: budget, backoff with full jitter, and a maximum number of attempts.
 
 use super::Gateway;
 use super::evidence::RetryCause;
@@ -10,18 +9,18 @@
 use ledgelead_types::{NotRunReason, RequestId, ServerId, Span, Time, UnknownReason};
 use rand::RngExt;
 
-/// Retries of one request at most, beyond its first attempt.
+/// Maximum number of retries after the first attempt of a request.
 const MAX_RETRIES: u8 = 3;
 
-/// First and longest backoff; the wait is drawn between zero and it.
+/// First and longest backoff; the actual delay is random between zero and the backoff.
 const FIRST_BACKOFF: Span = Span::from_millis(10);
 const MAX_BACKOFF: Span = Span::from_millis(200);
 
-/// When to come back after the retries are used up.
+/// Retry delay advised to the caller when the retries are exhausted.
 const EXHAUSTED_RETRY_AFTER: Span = Span::from_millis(500);
 
 impl Gateway {
-    /// Sends the request again after an attempt, if it may.
+    /// Retries the request after an attempt, if allowed.
     pub(super) fn retry_request(&mut self, now: Time, attempt: AttemptId, cause: RetryCause) {
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(&id) else {
@@ -47,9 +46,9 @@
         }
     }
 
-    /// A server was found lost: repeatable requests that are at it are sent
-    /// elsewhere. The others wait for an answer until their deadline; sending
-    /// them again could run them twice.
+    /// A server was found lost: repeatable requests in progress there are retried elsewhere.
+    /// Other requests wait for an answer until their deadline, because a retry could run
+    /// them twice.
     pub(super) fn server_lost(&mut self, now: Time, server: ServerId) {
         let attempts: Vec<AttemptId> = self
             .requests
@@ -70,15 +69,15 @@
         }
     }
 
-    /// Whether only the owner of the request's key may run it.
+    /// Whether only the owner of a key may run the request.
     fn has_owner(&self, id: RequestId) -> bool {
         let target = self.requests.get(&id).map(|request| request.target);
         matches!(target, Some(Target::Key { .. }))
     }
 
-    /// The owner of the request's key can't be reached. Retries after a few
-    /// milliseconds would all end before its lease has, so the request waits
-    /// for new routes, for as long as a loss may take to heal.
+    /// The owner of the request's key is unreachable. Retries within milliseconds would all
+    /// end before its lease expires, so the request is held for new routes for as long as
+    /// recovery from the loss may take.
     fn wait_for_owner(&mut self, now: Time, attempt: AttemptId) {
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(&id) else {
@@ -119,7 +118,7 @@
         self.record_retry(attempt);
     }
 
-    /// The wait before the next retry; `None` when there is none left.
+    /// The delay before the next retry; `None` when retries or budget are exhausted.
     fn backoff(&mut self, id: RequestId) -> Option<Span> {
         let request = self.requests.get_mut(&id)?;
         if request.retries >= MAX_RETRIES {
--- a/crates/ledgelead-request/src/gateway/service_state.rs
+++ b/crates/ledgelead-request/src/gateway/service_state.rs
@@ -1,20 +1,20 @@
-//! What a gateway learns of each service: budgets and observed latency.
+//! Retry and hedging budgets and observed latency of each service.
 
 use crate::estimate::QuantileSpan;
 use crate::token_bucket::ShareBudget;
 use ledgelead_types::Span;
 
-/// Retries a request: 15 percent, so that retries alone can't turn a
-/// shortage into a collapse.
+/// Retries per request: 15 percent, so that retries alone cannot turn a capacity shortage
+/// into a collapse.
 const RETRIES_PER_REQUEST: f64 = 0.15;
 const RETRY_BURST: f64 = 20.0;
 
-/// Hedges a request: 3 percent.
+/// Hedges per request: 3 percent.
 const HEDGES_PER_REQUEST: f64 = 0.03;
 const HEDGE_BURST: f64 = 5.0;
 
-/// Quantile of the observed latency after which a request is hedged, and the
-/// samples that the estimate needs.
+/// Quantile of the observed latency after which a request is hedged, and the samples
+/// required for the estimate.
 const HEDGE_QUANTILE: f64 = 0.95;
 const HEDGE_SAMPLES: u32 = 100;
 
@@ -36,18 +36,18 @@
 }
 
 impl ServiceState {
-    /// Counts an arrival.
+    /// Counts an arrived request into the budgets.
     pub(super) fn arrived(&mut self) {
         self.retries.deposit();
         self.hedges.deposit();
     }
 
-    /// Takes in how long an answered attempt took.
+    /// Records the latency of an answered attempt.
     pub(super) fn answered(&mut self, latency: Span) {
         self.latency.add(latency);
     }
 
-    /// How long an attempt runs before it is hedged.
+    /// How long an attempt runs before it is hedged; `None` without enough samples.
     pub(super) fn hedge_delay(&self) -> Option<Span> {
         self.latency.after(HEDGE_SAMPLES)
     }
--- a/crates/ledgelead-request/src/lib.rs
+++ b/crates/ledgelead-request/src/lib.rs
@@ -1,8 +1,8 @@
-//! The life of a request: [`Gateway`] accepts it and answers for it,
-//! [`Dispatcher`] hands out the slots of servers in priority order.
+//! Request handling: a [`Gateway`] accepts requests and answers them, a [`Dispatcher`]
+//! assigns the slots of servers in priority order.
 //!
-//! Both are pure: time comes in with each call, randomness from a seed. The
-//! reasons are in `docs/design/request-path.md`.
+//! Both are state machines without I/O: time is passed in with each call, and randomness
+//! comes from a seed. The reasons are in `docs/design/request-path.md`.
 
 pub mod dispatcher;
 pub mod gateway;
@@ -16,5 +16,5 @@
 pub use gateway::{Gateway, GatewayInput, GatewayOutput, GatewaySettings};
 pub use message::{DispatchReply, DispatchRequest};
 
-/// A point in time far beyond any run.
+/// A time that is never reached.
 pub(crate) const NEVER: ledgelead_types::Time = ledgelead_types::Time(u64::MAX);
--- a/crates/ledgelead-request/src/message.rs
+++ b/crates/ledgelead-request/src/message.rs
@@ -1,8 +1,8 @@
-//! Messages between a gateway and a dispatcher.
+//! Messages between gateways and dispatchers.
 //!
-//! Any of them may be lost, late, doubled or reordered. Each names the
-//! gateway's run and the attempt, so that a message of an earlier run or of
-//! an attempt that has ended can be told apart.
+//! Any message may be lost, delayed, duplicated or reordered. Each names the incarnation of
+//! the gateway and the attempt, so that messages of an earlier incarnation or of a finished
+//! attempt are recognized.
 
 use ledgelead_types::dispatch::IdempotencyState;
 use ledgelead_types::request::{AttemptId, OwnershipClaim};
@@ -14,92 +14,92 @@
 /// From a gateway to a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub enum DispatchRequest {
-    /// Asks for a permit. Sent again while no reply comes; a dispatcher that
-    /// has the attempt already repeats its reply.
+    /// Requests a permit. Resent until a reply arrives; a dispatcher that already has the
+    /// attempt repeats its reply.
     Acquire(Acquire),
-    /// Gives a permit back.
+    /// Returns a permit.
     Release(Release),
-    /// The attempt needs no permit any more.
+    /// The attempt no longer needs a permit.
     Withdraw {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The attempt still runs under its permit.
+    /// The attempt is still in progress under its permit.
     PermitInUse {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The request under an idempotency key has its final outcome. Sent
-    /// again until [`DispatchReply::IdempotencyRecordEnded`].
+    /// The request with an idempotency key has its final outcome. Resent until
+    /// [`DispatchReply::IdempotencyRecordEnded`] arrives.
     EndIdempotencyRecord {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The request.
         request: RequestId,
-        /// Group that holds the record.
+        /// Group that stores the record.
         group: GroupId,
         /// The key.
         key: IdempotencyKey,
-        /// What the record says from now on; `None` removes it, because the
-        /// request was not run and never will be.
+        /// New state of the record. `None` removes the record, because the request was not
+        /// run and never will be.
         state: Option<IdempotencyState>,
     },
 }
 
-/// What a request needs a permit for.
+/// Which servers a permit is requested for.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub enum ServerSelector {
     /// The owner of the request's key.
     Owner {
-        /// The owner, as the gateway's routes have it.
+        /// The owner according to the gateway's routes.
         server: ServerId,
-        /// The key's position and the slice's token.
+        /// The key's position and the slice's fencing token.
         claim: OwnershipClaim,
     },
     /// Any server of the group.
     Any {
-        /// A server that an earlier or parallel attempt has tried.
+        /// A server that an earlier or concurrent attempt has tried.
         avoid: Option<ServerId>,
     },
 }
 
-/// Wish for a permit.
+/// Request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct Acquire {
-    /// Run of the gateway.
+    /// Incarnation of the gateway.
     pub gateway: Incarnation,
     /// The attempt that the permit is for.
     pub attempt: AttemptId,
     /// Group of the server.
     pub group: GroupId,
-    /// The server, or any.
+    /// The servers that the permit may be for.
     pub selector: ServerSelector,
     /// Tier of the caller.
     pub tier: TierId,
-    /// The caller; `None` when the configuration has none.
+    /// The caller; `None` if no callers are configured.
     pub caller: Option<CallerId>,
     /// Time left until the caller's deadline.
     pub deadline: Span,
-    /// Record that has to be begun before the permit.
+    /// Key of the record that has to be begun before the permit is given.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// A hedge: refused rather than queued when no slot is free.
+    /// Whether this is a hedge, which is refused instead of queued when no slot is free.
     pub hedge: bool,
 }
 
 /// Return of a permit.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct Release {
-    /// Run of the gateway.
+    /// Incarnation of the gateway.
     pub gateway: Incarnation,
     /// The attempt.
     pub attempt: AttemptId,
     /// How the attempt ended.
     pub end: PermitEnd,
-    /// Time from sending to the end.
+    /// Time from sending the attempt to its end.
     pub service_time: Span,
 }
 
@@ -108,17 +108,17 @@
 pub enum PermitEnd {
     /// Nothing was sent.
     Unused,
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered,
-    /// A whole answer came; it is a failure of the server.
+    /// A complete answer arrived and reports a failure of the server.
     ServerFailure,
-    /// No connection; nothing was written.
+    /// No connection could be established; nothing was sent.
     NotSent,
-    /// The server had no room.
+    /// The server had no free slot.
     Busy,
     /// The server refused for another reason.
     Refused,
-    /// The attempt ended without a whole answer; the server may still be at it.
+    /// The attempt ended without a complete answer; the server may still be processing it.
     Lost,
 }
 
@@ -127,7 +127,7 @@
 pub enum DispatchReply {
     /// The attempt may be sent to the server.
     Permit {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
@@ -136,51 +136,51 @@
         /// Time that the attempt spent at the dispatcher.
         waited: Span,
     },
-    /// The attempt waits in the queue.
+    /// The attempt is queued.
     Queued {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// There will be no permit.
+    /// No permit is given.
     Refuse {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// The reason.
         reason: NotRunReason,
-        /// When to try again.
+        /// When to retry.
         retry_after: Span,
     },
-    /// The server is not in this node's care, or the slice has another owner:
-    /// look the routes up again.
+    /// The server is not dispatched by this node, or the slice has another owner: the
+    /// gateway has to consult its routes again.
     Moved {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
     /// Another request holds the idempotency key.
     Duplicate {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
-        /// State of the other request.
+        /// State of the other request's record.
         state: IdempotencyState,
     },
-    /// Asks whether the attempt still runs: it holds its permit for long.
+    /// Asks whether the attempt, which has held its permit for long, is still in progress.
     CheckPermit {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The final outcome under an idempotency key was taken.
+    /// Confirms the final outcome under an idempotency key.
     IdempotencyRecordEnded {
-        /// Run of the gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
         /// The request.
         request: RequestId,
@@ -188,7 +188,7 @@
 }
 
 impl DispatchReply {
-    /// The gateway's run that the reply is meant for.
+    /// Incarnation of the gateway that the reply is addressed to.
     pub fn gateway(&self) -> Incarnation {
         match *self {
             DispatchReply::Permit { gateway, .. }
--- a/crates/ledgelead-request/src/timers.rs
+++ b/crates/ledgelead-request/src/timers.rs
@@ -1,10 +1,10 @@
-//! One due time for each key, ordered.
+//! Ordered timers, one due time per key.
 
 use crate::NEVER;
 use ledgelead_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Due times of keys; each key has at most one. All operations O(log n).
+/// Due times by key; each key has at most one. All operations are O(log n).
 #[derive(Debug)]
 pub(crate) struct Timers<K> {
     due_of: BTreeMap<K, Time>,
@@ -27,14 +27,14 @@
         self.order.insert((due, key));
     }
 
-    /// Forgets a key.
+    /// Removes the due time of a key.
     pub(crate) fn clear(&mut self, key: K) {
         if let Some(due) = self.due_of.remove(&key) {
             self.order.remove(&(due, key));
         }
     }
 
-    /// Takes out the first key that is due by `now`.
+    /// Removes and returns the first key that is due at `now`.
     pub(crate) fn pop_due(&mut self, now: Time) -> Option<K> {
         let &(due, key) = self.order.first()?;
         if due > now {
--- a/crates/ledgelead-request/src/token_bucket.rs
+++ b/crates/ledgelead-request/src/token_bucket.rs
@@ -1,9 +1,9 @@
-//! Token buckets: a rate with a bounded burst, and a budget that is a share
-//! of the requests.
+//! Token buckets: a rate with a bounded burst, and a budget proportional to the number of
+//! requests.
 
 use ledgelead_types::{Span, Time};
 
-/// Tokens that flow in with time.
+/// A bucket that refills with time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateLimit {
     per_second: f64,
@@ -12,7 +12,7 @@
 }
 
 impl RateLimit {
-    /// A full bucket that holds one second's worth of tokens.
+    /// A full bucket that holds the tokens of one second.
     pub(crate) fn new(per_second: f64, now: Time) -> RateLimit {
         RateLimit {
             per_second,
@@ -21,13 +21,13 @@
         }
     }
 
-    /// Changes the rate; tokens at hand stay, up to the new burst.
+    /// Changes the rate. Available tokens are kept up to the new burst size.
     pub(crate) fn set_rate(&mut self, per_second: f64) {
         self.per_second = per_second;
         self.tokens = self.tokens.min(per_second.max(1.0));
     }
 
-    /// Takes a token, or tells when there will be one.
+    /// Takes a token, or returns the time until one is available.
     pub(crate) fn take(&mut self, now: Time) -> Result<(), Span> {
         let inflow = now.since(self.updated).as_seconds() * self.per_second;
         self.tokens = (self.tokens + inflow).min(self.per_second.max(1.0));
@@ -41,7 +41,7 @@
     }
 }
 
-/// A budget that grows with each request by a share of a token.
+/// A bucket that is refilled by a fraction of a token with each request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShareBudget {
     share: f64,
@@ -50,7 +50,7 @@
 }
 
 impl ShareBudget {
-    /// A full budget.
+    /// A full bucket.
     pub(crate) fn new(share: f64, burst: f64) -> ShareBudget {
         ShareBudget {
             share,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Counts a request.
+    /// Adds the share of one request.
     pub(crate) fn deposit(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.burst);
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token; returns whether one was available.
     pub(crate) fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/ledgelead-request/tests/dispatcher.rs
+++ b/crates/ledgelead-request/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's answers, one by one.
+//! Replies of the dispatcher to single inputs.
 
 mod support;
 
@@ -13,15 +13,15 @@
 use ledgelead_types::server::LoadReport;
 use ledgelead_types::*;
 use std::sync::Arc;
-use support::{GROUP, Shape, dispatched, member, routes, token};
+use support::{GROUP, WorldOptions, dispatched, member, routes, token};
 
 const GATEWAY: usize = 1;
 
-fn shape() -> Shape {
-    Shape {
+fn options() -> WorldOptions {
+    WorldOptions {
         partitioning: Partitioning::Hash,
         servers: 2,
-        ..Shape::default()
+        ..WorldOptions::default()
     }
 }
 
@@ -32,7 +32,7 @@
         protections,
     };
     let mut dispatcher = Dispatcher::new(settings, Time::ZERO);
-    let routes = DispatcherInput::Routes(Arc::new(routes(&shape(), 1)));
+    let routes = DispatcherInput::Routes(Arc::new(routes(&options(), 1)));
     dispatcher.step(Time::ZERO, routes);
     let group = GROUP;
     dispatcher.step(Time::ZERO, DispatcherInput::Servers { group, servers });
@@ -47,7 +47,7 @@
 }
 
 fn dispatcher() -> Dispatcher {
-    dispatcher_with(Protections::default(), dispatched(&shape()))
+    dispatcher_with(Protections::default(), dispatched(&options()))
 }
 
 fn attempt(request: u64) -> AttemptId {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A wish for the first server, which owns position 0.
+/// A permit request for the first server, which owns position 0.
 fn acquire(request: u64) -> Acquire {
     Acquire {
         gateway: member(GATEWAY).incarnation,
@@ -83,11 +83,11 @@
     dispatcher.step(now, DispatcherInput::Message { from, message });
 }
 
-fn wish(dispatcher: &mut Dispatcher, now: Time, request: u64) {
+fn request_permit(dispatcher: &mut Dispatcher, now: Time, request: u64) {
     send(dispatcher, now, DispatchRequest::Acquire(acquire(request)));
 }
 
-fn give_back(dispatcher: &mut Dispatcher, now: Time, request: u64, end: PermitEnd) {
+fn release_permit(dispatcher: &mut Dispatcher, now: Time, request: u64, end: PermitEnd) {
     let release = Release {
         gateway: member(GATEWAY).incarnation,
         attempt: attempt(request),
@@ -128,8 +128,8 @@
         .collect()
 }
 
-/// Lets time pass, doing what falls due.
-fn pass(dispatcher: &mut Dispatcher, until: Time) {
+/// Advances the time and handles the timers that become due.
+fn advance_to(dispatcher: &mut Dispatcher, until: Time) {
     while dispatcher.next_wakeup() <= until {
         let now = dispatcher.next_wakeup();
         dispatcher.tick(now);
@@ -137,42 +137,42 @@
 }
 
 #[gtest]
-fn hands_out_two_slots_and_one_more_then_queues() {
+fn grants_two_slots_and_one_more_then_queues() {
     let mut dispatcher = dispatcher();
     for request in 1..=5 {
-        wish(&mut dispatcher, Time(10), request);
+        request_permit(&mut dispatcher, Time(10), request);
     }
     expect_that!(
         permitted(&mut dispatcher),
         elements_are![eq(&1), eq(&2), eq(&3)]
     );
-    give_back(&mut dispatcher, Time(20), 2, PermitEnd::Answered);
-    give_back(&mut dispatcher, Time(21), 2, PermitEnd::Answered);
+    release_permit(&mut dispatcher, Time(20), 2, PermitEnd::Answered);
+    release_permit(&mut dispatcher, Time(21), 2, PermitEnd::Answered);
     expect_that!(permitted(&mut dispatcher), elements_are![eq(&4)]);
 }
 
 #[gtest]
-fn repeats_its_reply_to_a_repeated_wish() {
+fn repeats_its_reply_to_a_resent_permit_request() {
     let mut dispatcher = dispatcher();
-    wish(&mut dispatcher, Time(10), 1);
+    request_permit(&mut dispatcher, Time(10), 1);
     let first = replies(&mut dispatcher);
-    wish(&mut dispatcher, Time(20), 1);
+    request_permit(&mut dispatcher, Time(20), 1);
     expect_that!(replies(&mut dispatcher), eq(&first));
     expect_that!(dispatcher.server_views(Time(20))[0].slots_in_use, eq(1));
 }
 
 #[gtest]
-fn a_lost_release_costs_a_slot_only_until_it_is_asked_after() {
+fn a_lost_release_occupies_a_slot_only_until_the_permit_is_checked() {
     let mut dispatcher = dispatcher();
-    wish(&mut dispatcher, Time(10), 1);
+    request_permit(&mut dispatcher, Time(10), 1);
     replies(&mut dispatcher);
-    pass(&mut dispatcher, Time::ZERO + Span::from_millis(250));
+    advance_to(&mut dispatcher, Time::ZERO + Span::from_millis(250));
     let check = DispatchReply::CheckPermit {
         gateway: member(GATEWAY).incarnation,
         attempt: attempt(1),
     };
     expect_that!(replies(&mut dispatcher), elements_are![eq(&check)]);
-    give_back(&mut dispatcher, Time(260_000), 1, PermitEnd::Unused);
+    release_permit(&mut dispatcher, Time(260_000), 1, PermitEnd::Unused);
     expect_that!(
         dispatcher.server_views(Time(260_000))[0].slots_in_use,
         eq(0)
@@ -180,35 +180,35 @@
 }
 
 #[gtest]
-fn a_silent_or_lost_gateway_holds_no_slot_for_good() {
+fn an_unresponsive_or_lost_gateway_does_not_occupy_slots_forever() {
     let mut silent = dispatcher();
-    wish(&mut silent, Time(10), 1);
-    pass(&mut silent, Time::ZERO + Span::from_seconds(3));
+    request_permit(&mut silent, Time(10), 1);
+    advance_to(&mut silent, Time::ZERO + Span::from_seconds(3));
     expect_that!(silent.server_views(Time(0))[0].slots_in_use, eq(0));
 
     let mut lost = dispatcher();
     for request in 1..=5 {
-        wish(&mut lost, Time(10), request);
+        request_permit(&mut lost, Time(10), request);
     }
     lost.step(Time(20), DispatcherInput::GatewayLost(member(GATEWAY).node));
-    pass(&mut lost, Time::ZERO + Span::from_millis(100));
+    advance_to(&mut lost, Time::ZERO + Span::from_millis(100));
     expect_that!(lost.server_views(Time(0))[0].slots_in_use, eq(0));
     expect_that!(lost.server_views(Time(0))[0].queued, eq(0));
 }
 
 #[gtest]
-fn no_permit_without_a_lease_and_an_honest_refusal_in_time() {
-    let mut servers = dispatched(&shape());
+fn without_a_lease_no_permit_is_granted_and_requests_are_refused_in_time() {
+    let mut servers = dispatched(&options());
     servers[0].lease_until = Some(Time(5));
     let mut dispatcher = dispatcher_with(Protections::default(), servers);
-    wish(&mut dispatcher, Time(10), 1);
+    request_permit(&mut dispatcher, Time(10), 1);
     expect_that!(replies(&mut dispatcher), is_empty());
-    pass(&mut dispatcher, Time::ZERO + Span::from_millis(1_200));
+    advance_to(&mut dispatcher, Time::ZERO + Span::from_millis(1_200));
     expect_that!(
         refusals(&mut dispatcher),
         elements_are![eq(&NotRunReason::NoServer)]
     );
-    wish(&mut dispatcher, Time::ZERO + Span::from_millis(1_300), 2);
+    request_permit(&mut dispatcher, Time::ZERO + Span::from_millis(1_300), 2);
     expect_that!(
         refusals(&mut dispatcher),
         elements_are![eq(&NotRunReason::NoServer)]
@@ -216,13 +216,13 @@
 }
 
 #[gtest]
-fn a_draining_server_gets_no_unkeyed_work_and_keyed_work_only_for_a_moment() {
+fn a_draining_server_gets_no_unkeyed_work_and_keyed_work_only_briefly() {
     let later = Time::ZERO + Span::from_seconds(2);
     let permits_at = |protections, at| {
-        let mut servers = dispatched(&shape());
+        let mut servers = dispatched(&options());
         servers[0].status = ServerStatus::Draining;
         let mut dispatcher = dispatcher_with(protections, servers);
-        wish(&mut dispatcher, at, 1);
+        request_permit(&mut dispatcher, at, 1);
         permitted(&mut dispatcher).len()
     };
     expect_that!(permits_at(Protections::default(), Time(10)), eq(1));
@@ -230,7 +230,7 @@
     let off = Protections::without(Protection::DrainStopsWork);
     expect_that!(permits_at(off, later), eq(1));
 
-    let mut servers = dispatched(&shape());
+    let mut servers = dispatched(&options());
     servers[0].status = ServerStatus::Draining;
     let mut dispatcher = dispatcher_with(Protections::default(), servers);
     for request in 1..=6 {
@@ -242,17 +242,17 @@
 }
 
 #[gtest]
-fn sends_who_waits_for_a_moved_slice_back_to_the_routes() {
+fn redirects_requests_that_wait_for_a_moved_slice() {
     let mut dispatcher = dispatcher();
     for request in 1..=4 {
-        wish(&mut dispatcher, Time(10), request);
+        request_permit(&mut dispatcher, Time(10), request);
     }
     replies(&mut dispatcher);
-    let mut moved = routes(&shape(), 2);
+    let mut moved = routes(&options(), 2);
     moved.slices[0].owner = Some(ServerId(1));
     moved.slices[0].token = token(2);
     dispatcher.step(Time(20), DispatcherInput::Routes(Arc::new(moved)));
-    wish(&mut dispatcher, Time(30), 5);
+    request_permit(&mut dispatcher, Time(30), 5);
     let gateway = member(GATEWAY).incarnation;
     let moved = |request| DispatchReply::Moved {
         gateway,
@@ -265,9 +265,9 @@
 }
 
 #[gtest]
-fn counts_what_a_former_dispatcher_has_permitted() {
+fn counts_permits_of_the_previous_dispatcher() {
     let mut dispatcher = dispatcher_with(Protections::default(), vec![]);
-    let servers = dispatched(&shape());
+    let servers = dispatched(&options());
     let group = GROUP;
     dispatcher.step(Time(10), DispatcherInput::Servers { group, servers });
     let load = |executing| DispatcherInput::ServerLoad {
@@ -279,39 +279,39 @@
     };
     dispatcher.step(Time(20), load(2));
     for request in 1..=4 {
-        wish(&mut dispatcher, Time(30), request);
+        request_permit(&mut dispatcher, Time(30), request);
     }
     expect_that!(permitted(&mut dispatcher), elements_are![eq(&1)]);
     dispatcher.step(Time(40), load(1));
     expect_that!(permitted(&mut dispatcher), elements_are![eq(&2), eq(&3)]);
 }
 
-/// A renewed lease lets the waiting go on; a server that isn't in this node's
-/// care does not come into it so.
+/// A renewed lease lets queued work continue. A change of a server that this node does not
+/// dispatch is ignored.
 #[gtest]
-fn a_changed_server_is_taken_alone() {
-    let mut servers = dispatched(&shape());
+fn a_change_of_one_server_is_applied() {
+    let mut servers = dispatched(&options());
     let renewed = servers[0];
     servers[0].lease_until = None;
     let mut dispatcher = dispatcher_with(Protections::default(), servers);
-    wish(&mut dispatcher, Time(10), 1);
+    request_permit(&mut dispatcher, Time(10), 1);
     expect_that!(permitted(&mut dispatcher), is_empty());
     dispatcher.step(Time(20), DispatcherInput::ServerChanged(renewed));
     expect_that!(permitted(&mut dispatcher), elements_are![eq(&1)]);
     let mut empty = dispatcher_with(Protections::default(), vec![]);
     empty.step(Time(20), DispatcherInput::ServerChanged(renewed));
-    wish(&mut empty, Time(30), 1);
+    request_permit(&mut empty, Time(30), 1);
     expect_that!(permitted(&mut empty), is_empty());
 }
 
 #[gtest]
 fn ejects_a_failing_server_but_never_more_than_a_third() {
-    let shape = Shape {
+    let options = WorldOptions {
         partitioning: Partitioning::None,
         servers: 3,
-        ..Shape::default()
+        ..WorldOptions::default()
     };
-    let mut dispatcher = dispatcher_with(Protections::default(), dispatched(&shape));
+    let mut dispatcher = dispatcher_with(Protections::default(), dispatched(&options));
     let mut now = Time(10);
     let mut next = 0;
     let mut served_by = |dispatcher: &mut Dispatcher, fails: &dyn Fn(ServerId) -> bool| {
@@ -332,7 +332,7 @@
         } else {
             PermitEnd::Answered
         };
-        give_back(dispatcher, now, next, end);
+        release_permit(dispatcher, now, next, end);
         server
     };
     for _ in 0..60 {
@@ -350,10 +350,10 @@
 }
 
 #[gtest]
-fn no_permit_under_a_key_before_its_record_is_begun() {
+fn no_permit_for_an_idempotency_key_before_its_record_is_begun() {
     let mut dispatcher = dispatcher();
     let key = IdempotencyKey(9);
-    let once = |request| {
+    let with_key = |request| {
         let mut acquire = acquire(request);
         acquire.idempotency_key = Some(key);
         DispatchRequest::Acquire(acquire)
@@ -367,7 +367,7 @@
         key,
         verdict,
     };
-    send(&mut dispatcher, Time(10), once(1));
+    send(&mut dispatcher, Time(10), with_key(1));
     let begin = DispatcherOutput::BeginIdempotencyRecord {
         group: GROUP,
         owner: owner(1),
@@ -386,7 +386,7 @@
     };
     expect_that!(dispatcher.take_outputs(), elements_are![eq(&ended)]);
 
-    send(&mut dispatcher, Time(30), once(2));
+    send(&mut dispatcher, Time(30), with_key(2));
     let begun = IdempotencyVerdict::Duplicate(IdempotencyState::Begun);
     dispatcher.step(Time(40), decide(2, begun));
     let duplicate = DispatchReply::Duplicate {
@@ -396,7 +396,7 @@
     };
     expect_that!(replies(&mut dispatcher), elements_are![eq(&duplicate)]);
 
-    send(&mut dispatcher, Time(50), once(3));
+    send(&mut dispatcher, Time(50), with_key(3));
     dispatcher.step(Time(60), decide(3, IdempotencyVerdict::Unavailable));
     expect_that!(
         refusals(&mut dispatcher),
@@ -405,7 +405,7 @@
 }
 
 #[gtest]
-fn tells_the_load_of_slices_and_the_position_that_stands_out() {
+fn reports_the_load_of_slices_and_their_hot_positions() {
     let mut dispatcher = dispatcher();
     let mut now = Time(0);
     for request in 0..2_000 {
@@ -424,7 +424,7 @@
             },
         };
         send(&mut dispatcher, now, DispatchRequest::Acquire(acquire));
-        give_back(&mut dispatcher, now, request, PermitEnd::Answered);
+        release_permit(&mut dispatcher, now, request, PermitEnd::Answered);
     }
     let loads = dispatcher.slice_loads(now);
     let slice = loads[0].slices[0];
--- a/crates/ledgelead-request/tests/messages.rs
+++ b/crates/ledgelead-request/tests/messages.rs
@@ -1,4 +1,5 @@
-//! The messages between gateways and dispatchers decode safely.
+//! Messages between gateways and dispatchers survive a round trip, and damaged ones are
+//! rejected without a panic.
 
 use ledgelead_request::message::*;
 use ledgelead_types::codec::{decode, encode};
@@ -36,15 +37,15 @@
 }
 
 fn request() -> impl Strategy<Value = DispatchRequest> {
-    let run = any::<u64>().prop_map(Incarnation);
+    let incarnation = any::<u64>().prop_map(Incarnation);
     let acquire = (
-        run,
+        incarnation,
         attempt(),
         selector(),
         any::<Option<u64>>(),
         any::<bool>(),
     )
-        .prop_map(|(gateway, attempt, selector, once, hedge)| {
+        .prop_map(|(gateway, attempt, selector, key, hedge)| {
             DispatchRequest::Acquire(Acquire {
                 gateway,
                 attempt,
@@ -53,7 +54,7 @@
                 tier: TierId(3),
                 caller: None,
                 deadline: Span::from_seconds(1),
-                idempotency_key: once.map(IdempotencyKey),
+                idempotency_key: key.map(IdempotencyKey),
                 hedge,
             })
         });
@@ -99,13 +100,13 @@
     })]
 
     #[test]
-    fn what_was_encoded_decodes_the_same(request in request(), reply in reply()) {
+    fn messages_survive_a_round_trip(request in request(), reply in reply()) {
         prop_assert_eq!(decode::<DispatchRequest>(&encode(&request)), Ok(request));
         prop_assert_eq!(decode::<DispatchReply>(&encode(&reply)), Ok(reply));
     }
 
     #[test]
-    fn cut_messages_are_refused(request in request(), reply in reply(), part in 0.0..1.0_f64) {
+    fn truncated_messages_are_rejected(request in request(), reply in reply(), part in 0.0..1.0_f64) {
         let bytes = encode(&request);
         let cut = (bytes.len() as f64 * part) as usize;
         prop_assert!(decode::<DispatchRequest>(&bytes[..cut]).is_err());
@@ -115,7 +116,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_decoded_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(request) = decode::<DispatchRequest>(&bytes) {
             prop_assert_eq!(encode(&request).len(), bytes.len());
         }
--- a/crates/ledgelead-request/tests/overload.rs
+++ b/crates/ledgelead-request/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Priority and goodput when capacity runs short. Virtual time, fixed seeds.
+//! Priorities and goodput under overload, in virtual time with fixed seeds.
 
 mod support;
 
@@ -12,12 +12,12 @@
 const DEADLINE: Span = Span::from_seconds(2);
 
 fn run(partitioning: Partitioning, load: f64, mix: &[f64]) -> World {
-    let mut world = World::new(Shape {
+    let mut world = World::new(WorldOptions {
         partitioning,
         servers: 7,
         service_time: Span::from_millis(20),
         tiers: three_tiers(),
-        ..Shape::default()
+        ..WorldOptions::default()
     });
     open_loop(&mut world, load, SECONDS, mix, DEADLINE);
     world.run(Time::ZERO + WARM_UP + Span::from_seconds(SECONDS + 5));
@@ -25,22 +25,25 @@
 }
 
 #[gtest]
-fn goodput_stays_and_the_top_tier_is_protected() {
+fn goodput_is_kept_and_the_top_tier_is_protected_under_overload() {
     for partitioning in [Partitioning::None, Partitioning::Hash] {
         let mix = [0.1, 0.3, 0.6];
-        let calm = figures(&run(partitioning, 0.8, &mix))["gold"].clone();
+        let without_overload = figures(&run(partitioning, 0.8, &mix))["gold"].clone();
         for load in [2.0, 3.0] {
             let world = run(partitioning, load, &mix);
             let gold = figures(&world)["gold"].clone();
             expect_that!(goodput(&world, SECONDS), ge(0.95));
             expect_that!(gold.answered, eq(gold.arrived));
-            expect_that!(gold.p99.as_millis(), le(1.5 * calm.p99.as_millis()));
+            expect_that!(
+                gold.p99.as_millis(),
+                le(1.5 * without_overload.p99.as_millis())
+            );
         }
     }
 }
 
-/// Guaranteed: 40, 10 and 5 percent, and the rest by weight 6, 3 and 1. All
-/// three tiers ask for three times the capacity together.
+/// Guaranteed shares of 40, 10 and 5 percent; the remainder is divided by the weights 6, 3
+/// and 1. All three tiers together request three times the capacity.
 #[gtest]
 fn no_tier_starves_and_each_gets_its_share() {
     let world = run(Partitioning::None, 3.0, &[0.4, 0.3, 0.3]);
@@ -53,32 +56,32 @@
     }
 }
 
-/// Service times of the order of the permit's round trip: more than one
-/// permit beyond the slots keeps the servers busy.
+/// With service times close to the round trip of a permit, more than one permit beyond the
+/// slots is needed to keep the servers busy.
 #[gtest]
 fn short_requests_keep_the_servers_busy() {
-    let mut world = World::new(Shape {
+    let mut world = World::new(WorldOptions {
         servers: 7,
         service_time: Span::from_millis(10),
         hop: Span::from_millis(1),
-        ..Shape::default()
+        ..WorldOptions::default()
     });
     open_loop(&mut world, 2.0, 3, &[], DEADLINE);
     world.run(Time::ZERO + WARM_UP + Span::from_seconds(8));
     expect_that!(goodput(&world, 3), ge(0.95));
 }
 
-/// A tier alone gets the whole capacity, whatever its share.
+/// A tier without competition gets the whole capacity, whatever its share.
 #[gtest]
-fn an_idle_share_goes_to_who_has_work() {
+fn an_unused_share_goes_to_tiers_with_work() {
     let world = run(Partitioning::None, 2.0, &[0.0, 0.0, 1.0]);
     expect_that!(goodput(&world, SECONDS), ge(0.95));
 }
 
-/// What is refused under overload is told when to come back, and work that
-/// can't be served is told so long before its deadline.
+/// Under overload a refusal contains a retry delay, and work that can't be served is refused
+/// long before its deadline.
 #[gtest]
-fn refusals_come_early_and_say_when_to_come_back() {
+fn refusals_are_early_and_contain_a_retry_delay() {
     let world = run(Partitioning::None, 5.0, &[0.1, 0.3, 0.6]);
     let mut refused = 0;
     let mut at_once = 0;
--- a/crates/ledgelead-request/tests/promises.rs
+++ b/crates/ledgelead-request/tests/promises.rs
@@ -1,6 +1,5 @@
-//! The promises of the request path under lost, late, doubled and reordered
-//! messages and answers; and that the same checks fail when the fitting
-//! protection is off.
+//! Guarantees of request handling with lost, delayed, duplicated and reordered messages and
+//! answers. The same checks must fail when the matching protection is off.
 
 mod support;
 
@@ -16,7 +15,7 @@
 
 const REQUESTS: u64 = 300;
 
-/// How often each promise was broken.
+/// Number of violations of each guarantee.
 #[derive(Debug, Default, PartialEq)]
 struct Violations {
     not_one_response: usize,
@@ -26,7 +25,7 @@
     ran_twice_under_a_key: usize,
 }
 
-fn judge(world: &World) -> Violations {
+fn count_violations(world: &World) -> Violations {
     let mut violations = Violations::default();
     let mut runs_of_key: BTreeMap<String, usize> = BTreeMap::new();
     for (key, (_, arrival)) in &world.arrivals {
@@ -53,8 +52,8 @@
     violations
 }
 
-/// Whether an attempt is of the request itself, or of the request under the
-/// same idempotency key that was answered first at the same gateway.
+/// Whether an attempt belongs to the request itself, or to the request with the same
+/// idempotency key that was answered first at the same gateway.
 fn is_own_or_first(world: &World, key: (GatewayIndex, RequestId), attempt: AttemptId) -> bool {
     if attempt.request == key.1 {
         return true;
@@ -76,10 +75,10 @@
     same_key && passed_on
 }
 
-/// Three hundred requests of every kind within three seconds, some of which
-/// share an idempotency key, some of whose callers leave.
-fn run(shape: Shape) -> World {
-    let mut world = World::new(shape);
+/// Three hundred requests of all kinds within three seconds. Some share an idempotency key,
+/// and some callers disconnect.
+fn run(options: WorldOptions) -> World {
+    let mut world = World::new(options);
     for id in 0..REQUESTS {
         let at = Time(id * 10_000);
         let gateway = (id % 3) as GatewayIndex;
@@ -116,18 +115,18 @@
         .prop_map(
             |(lose, double, lost, cut, doubled, refused, delay)| Faults {
                 lose_message: lose,
-                double_message: double,
+                duplicate_message: double,
                 lose_answer: lost,
-                cut_answer: cut,
-                double_answer: doubled,
+                truncate_answer: cut,
+                duplicate_answer: doubled,
                 refuse_connection: refused,
                 largest_delay: Span::from_millis(delay),
             },
         )
 }
 
-fn shape(seed: u64, keyed: bool, faults: Faults) -> Shape {
-    Shape {
+fn options(seed: u64, keyed: bool, faults: Faults) -> WorldOptions {
+    WorldOptions {
         seed,
         faults,
         partitioning: if keyed {
@@ -135,7 +134,7 @@
         } else {
             Partitioning::None
         },
-        ..Shape::default()
+        ..WorldOptions::default()
     }
 }
 
@@ -148,9 +147,9 @@
     })]
 
     #[test]
-    fn every_promise_holds_under_faults(seed: u64, keyed: bool, faults in faults()) {
-        let world = run(shape(seed, keyed, faults));
-        prop_assert_eq!(judge(&world), Violations::default());
+    fn all_guarantees_hold_under_faults(seed: u64, keyed: bool, faults in faults()) {
+        let world = run(options(seed, keyed, faults));
+        prop_assert_eq!(count_violations(&world), Violations::default());
         for (index, gateway) in world.gateways.iter().enumerate() {
             prop_assert_eq!(gateway.in_flight(), 0);
             prop_assert!(world.drained[index].is_some());
@@ -158,50 +157,50 @@
     }
 
     #[test]
-    fn permits_never_exceed_the_slots_and_one(seed: u64, keyed: bool, delay in 0..20_u64) {
+    fn permits_never_exceed_the_slots_plus_one(seed: u64, keyed: bool, delay in 0..20_u64) {
         let faults = Faults {
             largest_delay: Span::from_millis(delay),
             ..Faults::default()
         };
-        let mut shape = shape(seed, keyed, faults);
-        shape.service_time = Span::from_millis(60);
-        let slots = usize::from(shape.slots);
-        let world = run(shape);
-        prop_assert!(world.most_at_a_server <= slots + 1);
+        let mut options = options(seed, keyed, faults);
+        options.service_time = Span::from_millis(60);
+        let slots = usize::from(options.slots);
+        let world = run(options);
+        prop_assert!(world.max_at_a_server <= slots + 1);
     }
 }
 
-fn sabotaged(protection: Protection) -> Violations {
+fn violations_without(protection: Protection) -> Violations {
     let faults = Faults {
         lose_answer: 0.2,
-        cut_answer: 0.1,
+        truncate_answer: 0.1,
         largest_delay: Span::from_millis(5),
         ..Faults::default()
     };
-    let mut shape = shape(11, false, faults);
-    shape.protections = Protections::without(protection);
-    judge(&run(shape))
+    let mut options = options(11, false, faults);
+    options.protections = Protections::without(protection);
+    count_violations(&run(options))
 }
 
 #[gtest]
-fn the_checks_fail_without_the_protections() {
-    let retried = sabotaged(Protection::UnknownNotRetried);
+fn the_checks_fail_with_a_protection_off() {
+    let retried = violations_without(Protection::UnknownNotRetried);
     expect_that!(retried.ran_twice, gt(0));
-    let crossed = sabotaged(Protection::AnswerMatch);
+    let crossed = violations_without(Protection::AnswerMatch);
     expect_that!(crossed.wrong_answer, gt(0));
-    let dishonest = sabotaged(Protection::AccurateNotRun);
+    let dishonest = violations_without(Protection::AccurateNotRun);
     expect_that!(dishonest.ran_after_not_run, gt(0));
-    let forgotten = sabotaged(Protection::IdempotencyRecord);
+    let forgotten = violations_without(Protection::IdempotencyRecord);
     expect_that!(forgotten.ran_twice_under_a_key, gt(0));
 }
 
 #[gtest]
-fn a_stop_waits_for_what_is_in_flight_unless_sabotaged() {
+fn a_stop_waits_for_requests_in_flight_unless_the_protection_is_off() {
     let stopped_at = |protections| {
-        let mut shape = shape(3, false, Faults::default());
-        shape.service_time = Span::from_millis(300);
-        shape.protections = protections;
-        let mut world = World::new(shape);
+        let mut options = options(3, false, Faults::default());
+        options.service_time = Span::from_millis(300);
+        options.protections = protections;
+        let mut world = World::new(options);
         world.arrive(Time::ZERO, 0, request(1));
         world.stop(Time(20_000), 0);
         world.arrive(Time(30_000), 0, request(2));
@@ -217,8 +216,8 @@
 }
 
 #[gtest]
-fn a_repeat_gets_the_first_answer_where_it_is_held() {
-    let mut world = World::new(Shape::default());
+fn a_retry_gets_the_first_answer_at_the_gateway_that_keeps_it() {
+    let mut world = World::new(WorldOptions::default());
     for (id, at, gateway) in [(1, 0, 0), (2, 1_000, 0), (3, 1_000, 1), (4, 70_000, 0)] {
         let mut arrival = request(id);
         arrival.repeatable = false;
@@ -227,7 +226,7 @@
         world.arrive(Time::ZERO + Span::from_millis(at), gateway, arrival);
     }
     world.run(Time::ZERO + Span::from_seconds(75));
-    let told = |gateway, id| {
+    let response_of = |gateway, id| {
         let response = world.responses[&(gateway, RequestId(id))][0];
         (
             response.outcome,
@@ -235,9 +234,15 @@
         )
     };
     let not_held = Outcome::Unknown(UnknownReason::AnswerNotHeld);
-    expect_that!(told(0, 1), eq((Outcome::Answered, Some(RequestId(1)))));
-    expect_that!(told(0, 2), eq((Outcome::Answered, Some(RequestId(1)))));
-    expect_that!(told(1, 3), eq((not_held, None)));
-    expect_that!(told(0, 4), eq((not_held, None)), "no longer held");
+    expect_that!(
+        response_of(0, 1),
+        eq((Outcome::Answered, Some(RequestId(1))))
+    );
+    expect_that!(
+        response_of(0, 2),
+        eq((Outcome::Answered, Some(RequestId(1))))
+    );
+    expect_that!(response_of(1, 3), eq((not_held, None)));
+    expect_that!(response_of(0, 4), eq((not_held, None)), "no longer held");
     expect_that!(world.executions.len(), eq(1));
 }
--- a/crates/ledgelead-request/tests/request_life.rs
+++ b/crates/ledgelead-request/tests/request_life.rs
@@ -1,4 +1,4 @@
-//! The life of single requests.
+//! Handling of single requests from arrival to outcome.
 
 mod support;
 
@@ -7,17 +7,17 @@
 use ledgelead_types::*;
 use support::*;
 
-fn keyed() -> Shape {
-    Shape {
+fn keyed() -> WorldOptions {
+    WorldOptions {
         partitioning: Partitioning::Hash,
-        ..Shape::default()
+        ..WorldOptions::default()
     }
 }
 
 #[gtest]
-fn answers_a_request_of_either_kind() {
-    for shape in [Shape::default(), keyed()] {
-        let mut world = World::new(shape);
+fn answers_requests_with_and_without_a_key() {
+    for options in [WorldOptions::default(), keyed()] {
+        let mut world = World::new(options);
         world.arrive(Time(1_000), 0, request(1));
         world.run(Time::ZERO + Span::from_seconds(1));
         expect_that!(world.response(0, 1).outcome, eq(Outcome::Answered));
@@ -25,13 +25,13 @@
     }
 }
 
-/// The whole story of a request whose first connection is refused.
+/// Complete trace of a request whose first connection is refused.
 #[gtest]
 fn a_request_with_a_retry() {
-    let mut shape = Shape::default();
-    shape.faults.refuse_connection = 0.5;
-    shape.seed = 4;
-    let mut world = World::new(shape);
+    let mut options = WorldOptions::default();
+    options.faults.refuse_connection = 0.5;
+    options.seed = 4;
+    let mut world = World::new(options);
     world.trace = Some(Vec::new());
     world.arrive(Time(1_000), 0, request(1));
     world.run(Time::ZERO + Span::from_seconds(1));
@@ -39,8 +39,8 @@
 }
 
 #[gtest]
-fn a_deadline_is_told_as_what_is_known_of_it() {
-    let mut world = World::new(Shape::default());
+fn a_passed_deadline_reports_whether_the_request_may_have_run() {
+    let mut world = World::new(WorldOptions::default());
     world.frozen = (0..3).map(ServerId).collect();
     let mut sent = request(1);
     sent.deadline = Some(Span::from_millis(300));
@@ -52,14 +52,14 @@
     expect_that!(response.at, eq(Time(301_000)));
 }
 
-/// All messages to dispatchers are lost: the request is given up after the
-/// bounded wait, not at its deadline, with advice when to come back.
+/// All messages to dispatchers are lost: the request ends after the bounded hold time
+/// instead of at its deadline, with a retry delay.
 #[gtest]
-fn a_silent_dispatcher_ends_the_wait_early() {
-    for shape in [Shape::default(), keyed()] {
-        let mut shape = shape;
-        shape.faults.lose_message = 1.0;
-        let mut world = World::new(shape);
+fn an_unresponsive_dispatcher_ends_the_request_before_its_deadline() {
+    for options in [WorldOptions::default(), keyed()] {
+        let mut options = options;
+        options.faults.lose_message = 1.0;
+        let mut world = World::new(options);
         let mut patient = request(1);
         patient.deadline = Some(Span::from_seconds(60));
         world.arrive(Time(1_000), 0, patient);
@@ -73,8 +73,8 @@
 }
 
 #[gtest]
-fn strangers_and_unknown_services_are_turned_away() {
-    let mut world = World::new(Shape {
+fn unknown_callers_and_unknown_services_are_rejected() {
+    let mut world = World::new(WorldOptions {
         tiers: load::three_tiers(),
         ..keyed()
     });
@@ -98,10 +98,10 @@
     );
 }
 
-/// One of three servers takes requests and never answers.
+/// One of three servers accepts requests but never answers.
 #[gtest]
-fn a_repeatable_request_is_hedged_after_most_would_have_been_answered() {
-    let mut world = World::new(Shape::default());
+fn a_repeatable_request_is_hedged_after_most_latencies_have_passed() {
+    let mut world = World::new(WorldOptions::default());
     for id in 0..600 {
         let mut repeatable = request(id);
         repeatable.repeatable = true;
@@ -125,11 +125,11 @@
     expect_that!(second_attempts, ge(5));
 }
 
-/// The routes tell that a server is lost: what may be repeated goes
-/// elsewhere at once, what may not waits for its answer.
+/// The routes report a lost server: its repeatable requests are retried elsewhere at once,
+/// the others wait for their answers.
 #[gtest]
-fn a_lost_server_sends_only_repeatable_requests_elsewhere() {
-    let mut world = World::new(Shape::default());
+fn requests_at_a_lost_server_are_retried_only_if_repeatable() {
+    let mut world = World::new(WorldOptions::default());
     world.frozen = (0..3).map(ServerId).collect();
     for id in [1, 2] {
         let mut arrival = request(id);
@@ -143,7 +143,7 @@
         .map(|(_, forward)| forward.server)
         .collect();
     world.frozen.clear();
-    world.lose_servers(&lost);
+    world.mark_servers_lost(&lost);
     world.run(Time::ZERO + Span::from_seconds(3));
     expect_that!(world.response(0, 1).outcome, eq(Outcome::Answered));
     expect_that!(world.response(0, 1).at, lt(Time(300_000)));
@@ -153,19 +153,19 @@
 }
 
 #[gtest]
-fn a_caller_keeps_to_its_rate_and_concurrency() {
-    let mut shape = Shape {
+fn rate_and_concurrency_of_a_caller_are_limited() {
+    let mut options = WorldOptions {
         tiers: load::three_tiers(),
-        ..Shape::default()
+        ..WorldOptions::default()
     };
-    shape.service_time = Span::from_millis(1);
+    options.service_time = Span::from_millis(1);
     let limited = |limit: fn(&mut CallerConfiguration)| {
-        let mut configuration = configuration(&shape);
+        let mut configuration = configuration(&options);
         for caller in &mut configuration.callers.0 {
             limit(caller);
         }
         configuration.version = ConfigurationVersion(2);
-        let mut world = World::new(shape.clone());
+        let mut world = World::new(options.clone());
         world.configure(configuration);
         for id in 0..20 {
             let mut arrival = request(id);
--- a/crates/ledgelead-request/tests/support/load.rs
+++ b/crates/ledgelead-request/tests/support/load.rs
@@ -1,19 +1,19 @@
-//! Open-loop load and what came of it.
+//! Open-loop load and its results.
 
 use super::*;
 
-/// Length of the warm-up that the figures leave out.
+/// Warm-up time that is excluded from the results.
 pub const WARM_UP: Span = Span::from_seconds(2);
 
-/// Poisson arrivals for `seconds` at `load` times the servers' capacity,
-/// divided among the tiers by `mix`; the last part of `mix` goes to the last
-/// tier. Gateways take turns at random.
+/// Poisson arrivals for `seconds` at `load` times the servers' capacity, divided among the
+/// tiers by `mix`; the remainder goes to the last tier. The gateway of each request is
+/// random.
 pub fn open_loop(world: &mut World, load: f64, seconds: u64, mix: &[f64], deadline: Span) {
-    let mut random = Pcg64Mcg::seed_from_u64(world.shape.seed + 99);
-    let slots = f64::from(world.shape.servers) * f64::from(world.shape.slots);
-    let per_second = load * slots / world.shape.service_time.as_seconds();
+    let mut random = Pcg64Mcg::seed_from_u64(world.options.seed + 99);
+    let slots = f64::from(world.options.servers) * f64::from(world.options.slots);
+    let per_second = load * slots / world.options.service_time.as_seconds();
     let tiers: Vec<Text> = world
-        .shape
+        .options
         .tiers
         .iter()
         .map(|tier| tier.name.clone())
@@ -41,12 +41,12 @@
             arrival.credential_sha256 = name.clone();
         }
         arrival.deadline = Some(deadline);
-        let gateway = random.random_range(0..world.shape.gateways);
+        let gateway = random.random_range(0..world.options.gateways);
         world.arrive(at, gateway, arrival);
     }
 }
 
-/// What came of one tier's requests after the warm-up.
+/// Results of one tier's requests after the warm-up.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TierFigures {
     pub arrived: usize,
@@ -57,7 +57,7 @@
     pub p99: Span,
 }
 
-/// Figures of each tier, by the name of its callers' credential.
+/// Results of each tier, by the credential of its callers.
 pub fn figures(world: &World) -> BTreeMap<String, TierFigures> {
     let mut by_tier: BTreeMap<String, TierFigures> = BTreeMap::new();
     let mut latencies: BTreeMap<String, Vec<Span>> = BTreeMap::new();
@@ -93,8 +93,8 @@
     by_tier
 }
 
-/// Requests answered after the warm-up and before the load ends, over what the
-/// servers could have served meanwhile.
+/// Requests answered between the warm-up and the end of the load, divided by what the
+/// servers could have served in that time.
 pub fn goodput(world: &World, seconds: u64) -> f64 {
     let (from, until) = (WARM_UP, WARM_UP + Span::from_seconds(seconds));
     let in_window = |response: &&Response| {
@@ -103,12 +103,12 @@
     };
     let responses = world.responses.values().filter_map(|all| all.first());
     let answered = responses.filter(in_window).count();
-    let slots = f64::from(world.shape.servers) * f64::from(world.shape.slots);
-    let capacity = slots * seconds as f64 / world.shape.service_time.as_seconds();
+    let slots = f64::from(world.options.servers) * f64::from(world.options.slots);
+    let capacity = slots * seconds as f64 / world.options.service_time.as_seconds();
     answered as f64 / capacity
 }
 
-/// Three tiers as an operator might sell them.
+/// Three example tiers.
 pub fn three_tiers() -> Vec<TierConfiguration> {
     let tier = |id: u8, name: &str, weight, guaranteed_percent| TierConfiguration {
         id: TierId(id),
