--- a/crates/ledgelead-request/tests/support/mod.rs
+++ b/crates/ledgelead-request/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Gateways, dispatchers and model servers in virtual time, joined by links
-//! that lose, double, delay and reorder as told.
+//! Gateways, dispatchers and simulated servers in virtual time, connected by links that
+//! lose, duplicate, delay and reorder messages as configured.
 
 #![allow(dead_code)]
 
@@ -20,33 +20,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Zero-based number of a gateway.
+/// Zero-based index of a gateway.
 pub type GatewayIndex = usize;
 
-/// What goes wrong, as probabilities.
+/// Fault probabilities.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub lose_message: f64,
-    pub double_message: f64,
+    pub duplicate_message: f64,
     pub lose_answer: f64,
-    pub cut_answer: f64,
-    pub double_answer: f64,
+    pub truncate_answer: f64,
+    pub duplicate_answer: f64,
     pub refuse_connection: f64,
     pub largest_delay: Span,
 }
 
-/// The shape of a run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct WorldOptions {
     pub partitioning: Partitioning,
     pub gateways: usize,
     pub servers: u32,
     pub slots: u16,
     /// Mean of the exponential service time.
     pub service_time: Span,
-    /// One way between any two processes.
+    /// One-way latency between any two processes.
     pub hop: Span,
-    /// Requests that a server queues itself beyond its slots.
+    /// Number of requests that a server queues beyond its slots.
     pub server_queue: usize,
     pub tiers: Vec<TierConfiguration>,
     pub seed: u64,
@@ -54,9 +54,9 @@
     pub protections: Protections,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for WorldOptions {
+    fn default() -> WorldOptions {
+        WorldOptions {
             partitioning: Partitioning::None,
             gateways: 3,
             servers: 3,
@@ -72,7 +72,7 @@
     }
 }
 
-enum Happening {
+enum WorldEvent {
     Arrive(GatewayIndex, RequestArrival),
     Leave(GatewayIndex, RequestId),
     Stop(GatewayIndex),
@@ -86,7 +86,7 @@
     Tick,
 }
 
-/// What a caller was told.
+/// The response to a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Response {
     pub outcome: Outcome,
@@ -102,26 +102,26 @@
     next: u64,
 }
 
-/// A whole run.
+/// State of a simulation run.
 pub struct World {
     pub now: Time,
-    pub shape: Shape,
+    pub options: WorldOptions,
     pub gateways: Vec<Gateway>,
     pub dispatcher: Dispatcher,
     pub responses: BTreeMap<(GatewayIndex, RequestId), Vec<Response>>,
     pub arrivals: BTreeMap<(GatewayIndex, RequestId), (Time, RequestArrival)>,
     pub forwards: Vec<(GatewayIndex, Forward)>,
-    /// Executions started, by request.
+    /// Start times of executions, by request.
     pub executions: BTreeMap<(GatewayIndex, RequestId), Vec<Time>>,
     pub completed: u64,
-    pub most_at_a_server: usize,
+    pub max_at_a_server: usize,
     pub drained: Vec<Option<Time>>,
     pub trace: Option<Vec<String>>,
     pub frozen: Vec<ServerId>,
     records: BTreeMap<IdempotencyKey, (IdempotencyOwner, IdempotencyState)>,
     servers: BTreeMap<ServerId, ServerModel>,
-    happenings: BTreeMap<(Time, u64), Happening>,
-    next_happening: u64,
+    events: BTreeMap<(Time, u64), WorldEvent>,
+    next_event: u64,
     random: Pcg64Mcg,
 }
 
@@ -148,9 +148,9 @@
     }
 }
 
-/// Callers are named after their tiers.
-pub fn configuration(shape: &Shape) -> Configuration {
-    let callers = shape.tiers.iter().map(|tier| CallerConfiguration {
+/// Each caller has the name of its tier.
+pub fn configuration(options: &WorldOptions) -> Configuration {
+    let callers = options.tiers.iter().map(|tier| CallerConfiguration {
         id: CallerId(u32::from(tier.id.0)),
         name: tier.name.clone(),
         credential_sha256: tier.name.clone(),
@@ -162,32 +162,32 @@
         services: List(vec![ServiceConfiguration {
             id: SERVICE,
             name: SERVICE_NAME.into(),
-            partitioning: shape.partitioning,
+            partitioning: options.partitioning,
             groups: 1,
             replicas: 3,
             default_deadline_ms: 2_000,
             ..ServiceConfiguration::default()
         }]),
-        tiers: List(shape.tiers.clone()),
+        tiers: List(options.tiers.clone()),
         callers: callers.collect(),
         ..Configuration::default()
     }
 }
 
-pub fn routes(shape: &Shape, revision: u64) -> GroupRoutes {
-    let servers = (0..shape.servers).map(|id| ServerRoute {
+pub fn routes(options: &WorldOptions, revision: u64) -> GroupRoutes {
+    let servers = (0..options.servers).map(|id| ServerRoute {
         server: ServerId(id),
         address: format!("10.0.0.{id}:80").as_str().into(),
         dispatcher: DISPATCHER,
-        slots: shape.slots,
+        slots: options.slots,
         ..ServerRoute::default()
     });
-    let slices = (0..shape.servers).map(|id| SliceRoute {
-        range: PositionRange::ALL.part(u64::from(id), u64::from(shape.servers)),
+    let slices = (0..options.servers).map(|id| SliceRoute {
+        range: PositionRange::ALL.part(u64::from(id), u64::from(options.servers)),
         owner: Some(ServerId(id)),
         token: token(1),
     });
-    let slices = if shape.partitioning == Partitioning::None {
+    let slices = if options.partitioning == Partitioning::None {
         List::default()
     } else {
         slices.collect()
@@ -201,12 +201,12 @@
     }
 }
 
-pub fn dispatched(shape: &Shape) -> Vec<DispatchedServer> {
-    (0..shape.servers)
+pub fn dispatched(options: &WorldOptions) -> Vec<DispatchedServer> {
+    (0..options.servers)
         .map(|id| DispatchedServer {
             group: GROUP,
             server: ServerId(id),
-            slots: shape.slots,
+            slots: options.slots,
             status: ServerStatus::Active,
             lease_until: Some(Time(u64::MAX)),
             responsive: true,
@@ -215,23 +215,23 @@
 }
 
 impl World {
-    pub fn new(shape: Shape) -> World {
+    pub fn new(options: WorldOptions) -> World {
         let now = Time::ZERO;
-        let gateways = (0..shape.gateways)
+        let gateways = (0..options.gateways)
             .map(|index| {
                 let settings = GatewaySettings {
                     member: member(index),
                     zone: ZoneId(0),
-                    random_seed: shape.seed + index as u64,
-                    protections: shape.protections,
+                    random_seed: options.seed + index as u64,
+                    protections: options.protections,
                 };
                 Gateway::new(settings, now)
             })
             .collect();
         let settings = DispatcherSettings {
             node: DISPATCHER,
-            random_seed: shape.seed,
-            protections: shape.protections,
+            random_seed: options.seed,
+            protections: options.protections,
         };
         let mut world = World {
             now,
@@ -242,26 +242,26 @@
             forwards: Vec::new(),
             executions: BTreeMap::new(),
             completed: 0,
-            most_at_a_server: 0,
-            drained: vec![None; shape.gateways],
+            max_at_a_server: 0,
+            drained: vec![None; options.gateways],
             trace: None,
             frozen: Vec::new(),
             records: BTreeMap::new(),
-            servers: (0..shape.servers)
+            servers: (0..options.servers)
                 .map(|id| (ServerId(id), ServerModel::default()))
                 .collect(),
-            happenings: BTreeMap::new(),
-            next_happening: 0,
-            random: Pcg64Mcg::seed_from_u64(shape.seed),
-            shape,
+            events: BTreeMap::new(),
+            next_event: 0,
+            random: Pcg64Mcg::seed_from_u64(options.seed),
+            options,
         };
-        world.inform();
+        world.send_configuration_and_routes();
         world
     }
 
-    fn inform(&mut self) {
-        let configuration = Arc::new(configuration(&self.shape));
-        let routes = Arc::new(routes(&self.shape, 1));
+    fn send_configuration_and_routes(&mut self) {
+        let configuration = Arc::new(configuration(&self.options));
+        let routes = Arc::new(routes(&self.options, 1));
         for gateway in &mut self.gateways {
             gateway.step(self.now, GatewayInput::Configuration(configuration.clone()));
             gateway.step(self.now, GatewayInput::Routes(routes.clone()));
@@ -271,13 +271,13 @@
             DispatcherInput::Routes(routes),
             DispatcherInput::Servers {
                 group: GROUP,
-                servers: dispatched(&self.shape),
+                servers: dispatched(&self.options),
             },
         ];
         for input in inputs {
             self.dispatcher.step(self.now, input);
         }
-        for server in 0..self.shape.servers {
+        for server in 0..self.options.servers {
             let input = DispatcherInput::ServerLoad {
                 server: ServerId(server),
                 load: LoadReport::default(),
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Gives every process another configuration.
+    /// Sends a new configuration to all processes.
     pub fn configure(&mut self, configuration: Configuration) {
         let configuration = Arc::new(configuration);
         for gateway in &mut self.gateways {
@@ -297,10 +297,10 @@
         self.dispatcher.step(self.now, input);
     }
 
-    /// Has the group find servers lost.
-    pub fn lose_servers(&mut self, lost: &[ServerId]) {
-        let mut routes = routes(&self.shape, 2);
-        let mut servers = dispatched(&self.shape);
+    /// Marks servers as lost in the group's routes.
+    pub fn mark_servers_lost(&mut self, lost: &[ServerId]) {
+        let mut routes = routes(&self.options, 2);
+        let mut servers = dispatched(&self.options);
         for server in lost {
             routes.servers[server.0 as usize].status = ServerStatus::Lost;
             servers[server.0 as usize].status = ServerStatus::Lost;
@@ -315,24 +315,24 @@
         self.collect();
     }
 
-    fn schedule(&mut self, at: Time, happening: Happening) {
-        self.happenings.insert((at, self.next_happening), happening);
-        self.next_happening += 1;
+    fn schedule(&mut self, at: Time, event: WorldEvent) {
+        self.events.insert((at, self.next_event), event);
+        self.next_event += 1;
     }
 
     pub fn arrive(&mut self, at: Time, gateway: GatewayIndex, arrival: RequestArrival) {
-        self.schedule(at, Happening::Arrive(gateway, arrival));
+        self.schedule(at, WorldEvent::Arrive(gateway, arrival));
     }
 
     pub fn leave(&mut self, at: Time, gateway: GatewayIndex, request: RequestId) {
-        self.schedule(at, Happening::Leave(gateway, request));
+        self.schedule(at, WorldEvent::Leave(gateway, request));
     }
 
     pub fn stop(&mut self, at: Time, gateway: GatewayIndex) {
-        self.schedule(at, Happening::Stop(gateway));
+        self.schedule(at, WorldEvent::Stop(gateway));
     }
 
-    /// Runs until nothing is left to happen before `until`.
+    /// Runs until no event is left before `until`.
     pub fn run(&mut self, until: Time) {
         loop {
             let wake = self
@@ -343,7 +343,7 @@
                 .min()
                 .unwrap_or(until);
             let next = self
-                .happenings
+                .events
                 .first_key_value()
                 .map_or(until, |(&(at, _), _)| at);
             let at = wake.min(next).max(self.now);
@@ -352,45 +352,45 @@
                 return;
             }
             self.now = at;
-            let happening = if next <= at {
-                self.happenings.pop_first().map(|(_, happening)| happening)
+            let event = if next <= at {
+                self.events.pop_first().map(|(_, event)| event)
             } else {
                 None
             };
-            self.happen(happening.unwrap_or(Happening::Tick));
+            self.handle_event(event.unwrap_or(WorldEvent::Tick));
             self.collect();
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle_event(&mut self, event: WorldEvent) {
         let now = self.now;
-        match happening {
-            Happening::Arrive(gateway, arrival) => {
+        match event {
+            WorldEvent::Arrive(gateway, arrival) => {
                 self.note(|| format!("{} arrives", arrival.request));
                 let key = (gateway, arrival.request);
                 self.arrivals.insert(key, (now, arrival.clone()));
                 self.gateways[gateway].step(now, GatewayInput::Arrived(arrival));
             }
-            Happening::Leave(gateway, request) => {
+            WorldEvent::Leave(gateway, request) => {
                 self.gateways[gateway].step(now, GatewayInput::CallerLeft(request));
             }
-            Happening::Stop(gateway) => self.gateways[gateway].step(now, GatewayInput::Stop),
-            Happening::ToDispatcher(gateway, message) => {
+            WorldEvent::Stop(gateway) => self.gateways[gateway].step(now, GatewayInput::Stop),
+            WorldEvent::ToDispatcher(gateway, message) => {
                 let from = member(gateway).node;
                 let input = DispatcherInput::Message { from, message };
                 self.dispatcher.step(now, input);
             }
-            Happening::ToGateway(gateway, message) => {
+            WorldEvent::ToGateway(gateway, message) => {
                 let from = DISPATCHER;
                 let input = GatewayInput::Dispatch { from, message };
                 self.gateways[gateway].step(now, input);
             }
-            Happening::Reach(gateway, forward) => self.reach(gateway, forward),
-            Happening::CancelAt(server, gateway, attempt) => {
+            WorldEvent::Reach(gateway, forward) => self.forward_to_server(gateway, forward),
+            WorldEvent::CancelAt(server, gateway, attempt) => {
                 self.cancel_at(server, gateway, attempt);
             }
-            Happening::Complete(server, execution) => self.complete(server, execution),
-            Happening::End(gateway, attempt, result) => {
+            WorldEvent::Complete(server, execution) => self.complete(server, execution),
+            WorldEvent::End(gateway, attempt, result) => {
                 self.note(|| format!("attempt {} ended: {result:?}", attempt.number));
                 let input = GatewayInput::AttemptEnded {
                     attempt,
@@ -399,7 +399,7 @@
                 };
                 self.gateways[gateway].step(now, input);
             }
-            Happening::IdempotencyRecordDecided(owner, key, verdict) => {
+            WorldEvent::IdempotencyRecordDecided(owner, key, verdict) => {
                 let input = DispatcherInput::IdempotencyRecordDecided {
                     owner,
                     key,
@@ -407,7 +407,7 @@
                 };
                 self.dispatcher.step(now, input);
             }
-            Happening::Tick => {
+            WorldEvent::Tick => {
                 self.dispatcher.tick(now);
                 for gateway in &mut self.gateways {
                     gateway.tick(now);
@@ -421,22 +421,22 @@
     }
 
     fn delay(&mut self) -> Span {
-        let most = self.shape.faults.largest_delay.as_micros();
+        let most = self.options.faults.largest_delay.as_micros();
         let extra = if most == 0 {
             0
         } else {
             self.random.random_range(0..most)
         };
-        self.shape.hop + Span::from_micros(extra)
+        self.options.hop + Span::from_micros(extra)
     }
 
-    /// Delivers a message none, one or two times.
-    fn deliver(&mut self, make: impl Fn() -> Happening) {
-        if !self.chance(self.shape.faults.lose_message) {
+    /// Delivers a message zero, one or two times.
+    fn deliver(&mut self, make: impl Fn() -> WorldEvent) {
+        if !self.chance(self.options.faults.lose_message) {
             let at = self.now + self.delay();
             self.schedule(at, make());
         }
-        if self.chance(self.shape.faults.double_message) {
+        if self.chance(self.options.faults.duplicate_message) {
             let at = self.now + self.delay();
             self.schedule(at, make());
         }
@@ -458,12 +458,15 @@
             DispatcherOutput::Reply { to, message } => {
                 self.note(|| format!("dispatcher: {message:?}"));
                 let gateway = to.0 as GatewayIndex;
-                self.deliver(|| Happening::ToGateway(gateway, message));
+                self.deliver(|| WorldEvent::ToGateway(gateway, message));
             }
             DispatcherOutput::BeginIdempotencyRecord { owner, key, .. } => {
                 let verdict = self.begin_record(owner, key);
-                let at = self.now + self.shape.hop + self.shape.hop;
-                self.schedule(at, Happening::IdempotencyRecordDecided(owner, key, verdict));
+                let at = self.now + self.options.hop + self.options.hop;
+                self.schedule(
+                    at,
+                    WorldEvent::IdempotencyRecordDecided(owner, key, verdict),
+                );
             }
             DispatcherOutput::EndIdempotencyRecord {
                 owner, key, state, ..
@@ -504,25 +507,25 @@
         match output {
             GatewayOutput::Dispatch { message, .. } => {
                 self.note(|| format!("gateway: {message:?}"));
-                self.deliver(|| Happening::ToDispatcher(gateway, message));
+                self.deliver(|| WorldEvent::ToDispatcher(gateway, message));
             }
             GatewayOutput::Forward(forward) => {
                 self.note(|| format!("forward {} to {}", forward.attempt.number, forward.server));
                 self.forwards.push((gateway, forward.clone()));
-                let refused = self.chance(self.shape.faults.refuse_connection);
+                let refused = self.chance(self.options.faults.refuse_connection);
                 let at = self.now + self.delay();
                 if refused {
                     let result = AttemptResult::NotSent;
-                    self.schedule(at, Happening::End(gateway, forward.attempt, result));
+                    self.schedule(at, WorldEvent::End(gateway, forward.attempt, result));
                 } else {
-                    self.schedule(at, Happening::Reach(gateway, forward));
+                    self.schedule(at, WorldEvent::Reach(gateway, forward));
                 }
             }
             GatewayOutput::Cancel {
                 attempt, server, ..
             } => {
                 let at = self.now + self.delay();
-                self.schedule(at, Happening::CancelAt(server, gateway, attempt));
+                self.schedule(at, WorldEvent::CancelAt(server, gateway, attempt));
             }
             GatewayOutput::Respond {
                 request,
@@ -550,12 +553,12 @@
         }
     }
 
-    fn reach(&mut self, gateway: GatewayIndex, forward: Forward) {
+    fn forward_to_server(&mut self, gateway: GatewayIndex, forward: Forward) {
         let server = forward.server;
         if self.frozen.contains(&server) {
             return;
         }
-        let (slots, queue) = (usize::from(self.shape.slots), self.shape.server_queue);
+        let (slots, queue) = (usize::from(self.options.slots), self.options.server_queue);
         let Some(model) = self.servers.get_mut(&server) else {
             return;
         };
@@ -569,12 +572,12 @@
         }
         let model = &self.servers[&server];
         let here = model.executing.len() + model.waiting.len();
-        self.most_at_a_server = self.most_at_a_server.max(here);
+        self.max_at_a_server = self.max_at_a_server.max(here);
     }
 
     fn execute(&mut self, gateway: GatewayIndex, forward: &Forward) {
         let draw: f64 = self.random.random_range(f64::MIN_POSITIVE..1.0);
-        let service = self.shape.service_time.times(-draw.ln());
+        let service = self.options.service_time.times(-draw.ln());
         let now = self.now;
         let Some(model) = self.servers.get_mut(&forward.server) else {
             return;
@@ -590,7 +593,7 @@
             .push(now);
         self.schedule(
             now + service,
-            Happening::Complete(forward.server, execution),
+            WorldEvent::Complete(forward.server, execution),
         );
     }
 
@@ -605,21 +608,21 @@
             self.execute(gateway, &forward);
         }
         self.completed += 1;
-        let result = if self.chance(self.shape.faults.lose_answer) {
+        let result = if self.chance(self.options.faults.lose_answer) {
             AttemptResult::Lost
-        } else if self.chance(self.shape.faults.cut_answer) {
+        } else if self.chance(self.options.faults.truncate_answer) {
             AttemptResult::BadAnswer
         } else {
             AttemptResult::Answered { failure: false }
         };
         self.end(gateway, attempt, result);
-        if self.chance(self.shape.faults.double_answer) {
+        if self.chance(self.options.faults.duplicate_answer) {
             self.end(gateway, attempt, result);
         }
     }
 
-    /// A cancel takes a waiting request out; an executing one goes on, and
-    /// its answer comes late.
+    /// A cancellation removes a waiting request. A request in execution continues, and its
+    /// answer arrives late.
     fn cancel_at(&mut self, server: ServerId, gateway: GatewayIndex, attempt: AttemptId) {
         let Some(model) = self.servers.get_mut(&server) else {
             return;
@@ -636,7 +639,7 @@
 
     fn end(&mut self, gateway: GatewayIndex, attempt: AttemptId, result: AttemptResult) {
         let at = self.now + self.delay();
-        self.schedule(at, Happening::End(gateway, attempt, result));
+        self.schedule(at, WorldEvent::End(gateway, attempt, result));
     }
 
     fn note(&mut self, line: impl FnOnce() -> String) {
@@ -649,13 +652,13 @@
         }
     }
 
-    /// The one response of a request.
+    /// The only response to a request.
     pub fn response(&self, gateway: GatewayIndex, request: u64) -> Response {
         self.responses[&(gateway, RequestId(request))][0]
     }
 }
 
-/// A plain request.
+/// A minimal request.
 pub fn request(id: u64) -> RequestArrival {
     RequestArrival {
         request: RequestId(id),
