--- a/crates/ledgelead-balance/examples/compare/main.rs
+++ b/crates/ledgelead-balance/examples/compare/main.rs
@@ -1,10 +1,9 @@
-//! Compares the planner with the baselines on one workload: keys with Zipf
-//! popularity, of which the hottest change within minutes, while servers are
-//! drained, lost and come back. Virtual time; one seed, one run.
+//! Compares the planner with the baselines on one workload: keys with Zipf popularity, of
+//! which the hottest change within minutes, while servers are drained, lost and restarted.
+//! Virtual time; one seed per run.
 //!
-//! `cargo run --release -p ledgelead-balance --example compare -- [--seeds A..B]
-//! [--exponent X] [--minutes N] [--lag SECONDS] [--load FACTOR]
-//! [--slices-per-server N]`
+//! `cargo run --release -p ledgelead-balance --example compare -- [--seeds A..B] [--exponent
+//! X] [--minutes N] [--lag SECONDS] [--load FACTOR] [--slices-per-server N]`
 
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -87,7 +86,7 @@
     Ok(options)
 }
 
-/// A service that weighs imbalance, and one that weighs churn.
+/// One service tuned for low imbalance, and one tuned for low churn.
 fn deployments(options: &Options) -> [Deployment; 2] {
     let imbalance_first = Deployment {
         name: "vacantes",
--- a/crates/ledgelead-balance/examples/compare/run.rs
+++ b/crates/ledgelead-balance/examples/compare/run.rs
@@ -1,4 +1,4 @@
-//! One run of one assigner in virtual time.
+//! Runs one assigner in virtual time.
 
 use crate::support::Cluster;
 use crate::workload::Workload;
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 
 const KEYS: usize = 20_000;
-/// Seconds before anything is measured.
+/// Seconds before the measurement starts.
 const WARM_UP: u64 = 300;
 /// Seconds between two changes among the hottest keys.
 const HOT_KEY_INTERVAL: u64 = 10;
-/// Seconds from one loss of a server, or one planned stop, to the next.
+/// Seconds from one loss or planned stop of a server to the next.
 const SERVER_CHANGE_INTERVAL: u64 = 1_200;
-/// Seconds for which a server that leaves is drained, and is then gone.
+/// Seconds for which a leaving server is drained before it stops.
 const DRAINING: u64 = 60;
 const GONE: u64 = 240;
-/// Seconds for which a server that came back is cold.
+/// Seconds for which a restarted server is cold.
 const COLD: u64 = 60;
 
-/// What is simulated.
+/// Parameters of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     pub name: &'static str,
@@ -32,7 +32,7 @@
     pub slots: f64,
     pub requests_per_second: f64,
     pub exponent: f64,
-    /// Seconds by which reported loads are late.
+    /// Delay of reported loads, in seconds.
     pub lag: usize,
     pub slices_per_server: u64,
     pub seconds: u64,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Runs an assigner; the workload depends on the seed alone.
+/// Runs an assigner; the workload depends only on the seed.
 pub fn run(deployment: &Deployment, assigner: &mut dyn Assigner, seed: u64) -> Measures {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut simulation = Simulation {
@@ -89,7 +89,7 @@
 struct Simulation {
     deployment: Deployment,
     workload: Rc<Workload>,
-    /// The workload of the last seconds, the latest first.
+    /// The workload of the last seconds, latest first.
     reported: VecDeque<Rc<Workload>>,
     cluster: Cluster,
     random: Pcg64Mcg,
@@ -117,7 +117,10 @@
         if let Err(error) = self.cluster.apply(&changes) {
             panic!("{}: second {second}: {error}", self.deployment.name);
         }
-        assert!(self.cluster.is_whole(), "second {second}: gap or overlap");
+        assert!(
+            self.cluster.covers_space(),
+            "second {second}: gap or overlap"
+        );
     }
 
     fn complete_moves(&mut self, is_measured: bool) {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// By turns, a server is drained and stopped, or lost; each comes back.
+    /// Alternately drains and stops a server, or loses one; each is restarted later.
     fn change_servers(&mut self, second: u64) {
         let phase = second % SERVER_CHANGE_INTERVAL;
         let turn = second / SERVER_CHANGE_INTERVAL;
@@ -148,7 +151,7 @@
         if phase == WARM_UP + DRAINING {
             let state = self.cluster.servers.iter().find(|s| s.server == server);
             self.absent.extend(state.map(|s| (turn, s.clone())));
-            self.cluster.lose(server);
+            self.cluster.remove_server(server);
         }
         if phase == WARM_UP + DRAINING + GONE
             && let Some(state) = self.absent.remove(&turn)
@@ -171,7 +174,7 @@
         }
     }
 
-    /// One second's counts: Poisson, by its normal approximation.
+    /// Reports the counts of one second, Poisson distributed by normal approximation.
     fn report_loads(&mut self) {
         let rate = self.deployment.requests_per_second;
         let Some(workload) = self.reported.back() else {
--- a/crates/ledgelead-balance/examples/compare/workload.rs
+++ b/crates/ledgelead-balance/examples/compare/workload.rs
@@ -1,4 +1,4 @@
-//! Keys with Zipf popularity whose hottest ones change within minutes.
+//! A workload of keys with Zipf popularity, of which the hottest change within minutes.
 
 use ledgelead_balance::HotPosition;
 use ledgelead_types::{Position, PositionRange};
@@ -7,12 +7,12 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Ranks among which hot keys change places with cold ones.
+/// Number of top ranks at which hot keys are swapped with cold ones.
 const MOVING_RANKS: usize = 34;
-/// Ranks among which the hottest key of a slice is searched.
+/// Number of top ranks that are searched for the hottest key of a slice.
 const LISTED_RANKS: usize = 400;
 
-/// How popular each key is, at any moment.
+/// The current popularity of each key.
 #[derive(Clone)]
 pub struct Workload {
     positions: Vec<Position>,
@@ -23,8 +23,8 @@
 }
 
 impl Workload {
-    /// `keys` keys at random positions, the one of rank `r` as popular as
-    /// `r` to the power of `-exponent`.
+    /// `keys` keys at random positions; the popularity of the key with rank `r` is `r` to
+    /// the power of `-exponent`.
     pub fn new(keys: usize, exponent: f64, random: &mut Pcg64Mcg) -> Workload {
         let mut positions: Vec<Position> = (0..keys).map(|_| Position(random.random())).collect();
         positions.sort();
@@ -48,7 +48,7 @@
         workload
     }
 
-    /// One of the hottest keys cools down and another takes its rank.
+    /// Replaces one of the hottest keys with another key.
     pub fn move_hot_key(&mut self, random: &mut Pcg64Mcg) {
         let hot = random.random_range(0..MOVING_RANKS);
         let cold = random.random_range(MOVING_RANKS..self.by_rank.len());
@@ -57,14 +57,14 @@
         self.index();
     }
 
-    /// Share of all requests that fall into a range.
+    /// Share of all requests that belong to a range.
     pub fn share(&self, range: PositionRange) -> f64 {
         let first = self.positions.partition_point(|key| *key < range.first);
         let end = self.positions.partition_point(|key| *key <= range.last);
         self.cumulated[end] - self.cumulated[first]
     }
 
-    /// The hottest key of a range, its rate a share of all requests.
+    /// The hottest key of a range, with its rate as a share of all requests.
     pub fn hottest(&self, range: PositionRange) -> Option<HotPosition> {
         self.listed
             .range(range.first..=range.last)
@@ -75,7 +75,7 @@
             })
     }
 
-    /// Share of all requests that go to the hottest key.
+    /// Share of all requests that belong to the hottest key.
     pub fn hottest_share(&self) -> f64 {
         self.weights[self.by_rank[0]]
     }
--- a/crates/ledgelead-balance/examples/planner_cost.rs
+++ b/crates/ledgelead-balance/examples/planner_cost.rs
@@ -1,4 +1,4 @@
-//! Prints the time of one round of planning against the number of slices.
+//! Prints the duration of a planning round by number of slices.
 //!
 //! `cargo run --release -p ledgelead-balance --example planner_cost`
 
@@ -13,7 +13,7 @@
 const SLOTS: f64 = 2.0;
 const ROUNDS: u64 = 101;
 const SIZES: [u64; 4] = [100, 1_000, 10_000, 100_000];
-/// Slices changed a round in the column where it doesn't grow with the size.
+/// Number of slices changed per round in the column with a constant number of changes.
 const FEW: usize = 10;
 
 fn main() {
--- a/crates/ledgelead-balance/src/baseline.rs
+++ b/crates/ledgelead-balance/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Other ways to assign slices, to compare the planner with.
+//! Alternative assigners that the planner is compared with.
 
 mod bounded_loads;
 mod greedy;
@@ -15,12 +15,12 @@
 use ledgelead_types::Time;
 use ledgelead_types::assigner::AssignerChoice;
 
-/// Decides an assignment, round by round.
+/// Plans an assignment in rounds.
 pub trait Assigner {
     /// Plans one round.
     fn plan(&mut self, input: &PlanInput, now: Time) -> Vec<PlannedChange>;
 
-    /// Plans owners for ownerless slices alone, between two rounds.
+    /// Plans owners only for slices without one, between two rounds.
     fn plan_owners(&mut self, input: &PlanInput, now: Time) -> Vec<PlannedChange> {
         let mut changes = self.plan(input, now);
         changes.retain(|change| matches!(change, PlannedChange::Assign { .. }));
@@ -38,7 +38,7 @@
     }
 }
 
-/// A new assigner without memory.
+/// A new assigner without state from earlier rounds.
 pub fn new_assigner(choice: AssignerChoice) -> Box<dyn Assigner> {
     match choice {
         AssignerChoice::Planner => Box::new(PlannerMemory::default()),
--- a/crates/ledgelead-balance/src/baseline/bounded_loads.rs
+++ b/crates/ledgelead-balance/src/baseline/bounded_loads.rs
@@ -1,10 +1,10 @@
-//! Consistent hashing with bounded loads: V. Mirrokni, M. Thorup,
-//! M. Zadimoghaddam, "Consistent Hashing with Bounded Loads" (SODA 2018).
+//! Consistent hashing with bounded loads: V. Mirrokni, M. Thorup, M. Zadimoghaddam,
+//! "Consistent Hashing with Bounded Loads" (SODA 2018).
 //!
-//! Servers lie on a ring at several points. A slice belongs to the first
-//! server clockwise from its own point that isn't full; full is the mean
-//! load for the server's capacity times a constant. Slices have loads of
-//! their own here, where the paper has balls of equal weight.
+//! Each server is placed on a ring at several points. A slice is assigned to the first
+//! server clockwise from its own point that is not full. A server is full at the mean load
+//! for its capacity times a constant. Unlike the balls of equal weight in the paper, slices
+//! have individual loads.
 
 use crate::baseline::Assigner;
 use crate::baseline::smoothed_loads::{SmoothedLoads, accepting, change_to};
@@ -17,7 +17,7 @@
 /// Points of each server on the ring.
 const POINTS_PER_SERVER: u64 = 64;
 
-/// The baseline with its bound, the policy's target imbalance.
+/// The baseline; its bound is the policy's target imbalance.
 #[derive(Clone, Debug, Default)]
 pub struct BoundedLoads {
     loads: SmoothedLoads,
@@ -44,7 +44,7 @@
 }
 
 impl BoundedLoads {
-    /// Load that each server may still take; negative when it is overfull.
+    /// Load that each server can still accept; negative if it exceeds its bound.
     fn room(&self, input: &PlanInput) -> BTreeMap<ServerId, f64> {
         let loads = self.loads.by_server(input);
         let total: f64 = input.slices.iter().map(|slice| self.loads.of(slice)).sum();
@@ -58,8 +58,8 @@
             .collect()
     }
 
-    /// The first server clockwise with room: where the slice is, it needs no
-    /// more room than there is.
+    /// The first server clockwise that has room. The slice's current owner needs no
+    /// additional room for it.
     fn place(
         &self,
         slice: &SliceState,
--- a/crates/ledgelead-balance/src/baseline/greedy.rs
+++ b/crates/ledgelead-balance/src/baseline/greedy.rs
@@ -1,5 +1,5 @@
-//! A greedy rebalancer: whole slices from the fullest server to the emptiest
-//! for as long as that helps, at any churn.
+//! A greedy rebalancer: moves whole slices from the server with the highest utilization to
+//! the one with the lowest while this helps, with unlimited churn.
 
 use crate::baseline::Assigner;
 use crate::baseline::smoothed_loads::{SmoothedLoads, accepting, change_to};
@@ -8,11 +8,11 @@
 use ledgelead_types::{ServerId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Least gain of a move, as a part of the mean utilization, so that a round
-/// ends and doesn't chase noise alone.
+/// Minimum gain of a move, relative to the mean utilization, so that a round terminates and
+/// noise alone causes no moves.
 const MIN_GAIN: f64 = 0.01;
 
-/// The baseline with the loads that it remembers.
+/// The baseline with its smoothed loads.
 #[derive(Clone, Debug, Default)]
 pub struct Greedy {
     loads: SmoothedLoads,
@@ -20,7 +20,7 @@
 }
 
 impl Greedy {
-    /// A variant that does nothing below the policy's target imbalance.
+    /// A variant that makes no moves while the imbalance is within the policy's target.
     pub fn above_target() -> Greedy {
         Greedy {
             waits_for_target: true,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Applies the move with the largest gain; whether there was one.
+    /// Applies the move with the largest gain; returns whether there was one.
     fn move_best(&mut self) -> bool {
         let (Some(from), Some(to)) = (self.extreme(-1.0), self.extreme(1.0)) else {
             return false;
--- a/crates/ledgelead-balance/src/baseline/smoothed_loads.rs
+++ b/crates/ledgelead-balance/src/baseline/smoothed_loads.rs
@@ -1,5 +1,5 @@
-//! Loads smoothed as the planner smooths them, so that the baselines don't
-//! chase noise that the planner doesn't see.
+//! Loads smoothed in the same way as in the planner, so that the baselines don't react to
+//! noise that the planner does not see.
 
 use crate::change::PlannedChange;
 use crate::input::{PlanInput, ServerState, SliceState};
@@ -8,7 +8,7 @@
 use ledgelead_types::{Position, ServerId, Time};
 use std::collections::BTreeMap;
 
-/// Smoothed loads of slices, in requests a second.
+/// Smoothed loads of slices, in requests per second.
 #[derive(Clone, Debug, Default)]
 pub struct SmoothedLoads {
     loads: BTreeMap<Position, Rate>,
@@ -16,7 +16,7 @@
 }
 
 impl SmoothedLoads {
-    /// Takes in one round's loads.
+    /// Applies the loads of one round.
     pub fn observe(&mut self, input: &PlanInput, now: Time) {
         let elapsed = now.since(self.latest.unwrap_or(now)).as_seconds();
         let part = 1.0 - (-elapsed / SMOOTHING_TIME_CONSTANT.as_seconds()).exp();
@@ -36,7 +36,7 @@
         load.copied().unwrap_or_default().as_per_second()
     }
 
-    /// Sum of the loads of each accepting server's slices.
+    /// Sum of the slice loads of each accepting server.
     pub fn by_server(&self, input: &PlanInput) -> BTreeMap<ServerId, f64> {
         let mut loads: BTreeMap<ServerId, f64> = accepting(input)
             .map(|server| (server.server, 0.0))
@@ -50,12 +50,12 @@
     }
 }
 
-/// The servers that may be given slices.
+/// The servers that accept slices.
 pub fn accepting(input: &PlanInput) -> impl Iterator<Item = &ServerState> {
     input.servers.iter().filter(|server| server.accepting)
 }
 
-/// The change that brings a slice to `to`; `None` when it is there already.
+/// The change that assigns a slice to `to`; `None` if `to` already owns it.
 pub fn change_to(slice: &SliceState, to: ServerId) -> Option<PlannedChange> {
     let range = slice.range;
     match slice.owner {
--- a/crates/ledgelead-balance/src/baseline/static_hash.rs
+++ b/crates/ledgelead-balance/src/baseline/static_hash.rs
@@ -1,4 +1,4 @@
-//! Static hashing: the slice's number modulo the number of servers.
+//! Static hashing: the index of the slice modulo the number of servers.
 
 use crate::baseline::Assigner;
 use crate::baseline::smoothed_loads::{accepting, change_to};
@@ -6,7 +6,7 @@
 use crate::input::PlanInput;
 use ledgelead_types::{ServerId, Time};
 
-/// Gives each slice to a server by number alone, whatever the loads are.
+/// Assigns each slice by its index alone, regardless of load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StaticHash;
 
--- a/crates/ledgelead-balance/src/change.rs
+++ b/crates/ledgelead-balance/src/change.rs
@@ -1,40 +1,40 @@
-//! What the planner asks for.
+//! Changes that the planner requests.
 
 use ledgelead_types::{Position, PositionRange, ServerId};
 
-/// One change of the assignment. The changes of one round are valid when they
-/// are applied in their order: a later one may name a range that an earlier
-/// split made. A change that is not applied is planned again after a while.
+/// A change of the assignment. The changes of a round are valid when applied in order: a
+/// later change may name a range created by an earlier split. A change that is not applied
+/// is planned again after some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlannedChange {
     /// Gives a slice without an owner to a server.
     Assign {
         /// The slice.
         range: PositionRange,
-        /// Its owner to be.
+        /// The new owner.
         to: ServerId,
     },
-    /// Hands a slice over while its owner lives.
+    /// Hands a slice over from an owner that is live.
     Move {
         /// The slice.
         range: PositionRange,
-        /// Its present owner.
+        /// Its current owner.
         from: ServerId,
-        /// Its owner to be.
+        /// The new owner.
         to: ServerId,
     },
-    /// Cuts a slice in two with the same owner.
+    /// Splits a slice into two with the same owner.
     Split {
         /// The slice.
         range: PositionRange,
         /// First position of the second half.
         at: Position,
     },
-    /// Joins two adjacent slices of one owner.
+    /// Merges two adjacent slices of one owner.
     Merge {
         /// The slice with the lower positions.
         first: PositionRange,
-        /// The slice that follows it.
+        /// The slice that follows.
         second: PositionRange,
     },
 }
--- a/crates/ledgelead-balance/src/input.rs
+++ b/crates/ledgelead-balance/src/input.rs
@@ -1,12 +1,12 @@
-//! What the planner knows of a group's slices and servers.
+//! The planner's input: slices and servers of a group.
 
 use crate::rate::Rate;
 use ledgelead_types::configuration::BalanceConfiguration;
 use ledgelead_types::dispatch::HotPosition;
 use ledgelead_types::{PositionRange, ServerId, ZoneId};
 
-/// Stands for a load that was not reported: the planner keeps its estimate.
-/// Zero would say that the slice is idle.
+/// Marks a load that was not reported: the planner keeps its estimate. Zero would mean that
+/// the slice is idle.
 pub const UNKNOWN_LOAD: f64 = f64::NAN;
 
 /// A slice with its load.
@@ -16,17 +16,17 @@
     pub range: PositionRange,
     /// The server that owns it, if any.
     pub owner: Option<ServerId>,
-    /// Its load in requests a second, or [`UNKNOWN_LOAD`] while nobody has
-    /// reported it under its present bounds.
+    /// Its load in requests per second, or [`UNKNOWN_LOAD`] while no load has been reported
+    /// for its current bounds.
     pub requests_per_second: f64,
-    /// The position that draws the most load, when one stands out.
+    /// The position with the highest load, if one stands out.
     pub hottest: Option<HotPosition>,
-    /// Whether its hand-over is under way; it is then left alone.
+    /// Whether a handover is in progress; such a slice is not changed.
     pub moving: bool,
 }
 
 impl SliceState {
-    /// Its load, when it is known.
+    /// Its load, if known.
     pub(crate) fn reported(&self) -> Option<Rate> {
         let is_known = !self.requests_per_second.is_nan();
         is_known.then(|| Rate::per_second(self.requests_per_second))
@@ -40,22 +40,22 @@
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Requests that it executes at once.
+    /// Requests that it executes concurrently.
     pub capacity: f64,
-    /// Whether it may be given slices; a server that is draining may not, and
-    /// its slices are moved off.
+    /// Whether slices may be assigned to it. A draining server does not accept slices, and
+    /// its slices are moved away.
     pub accepting: bool,
-    /// Whether it started lately and carries less than its capacity.
+    /// Whether it has recently started and can't use its full capacity yet.
     pub cold: bool,
 }
 
-/// One round's view of a group.
+/// State of a group in one round.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanInput {
     /// All slices of the group.
     pub slices: Vec<SliceState>,
-    /// All servers of the group that live.
+    /// All live servers of the group.
     pub servers: Vec<ServerState>,
-    /// The operator's price of churn.
+    /// The operator's policy on imbalance and churn.
     pub policy: BalanceConfiguration,
 }
--- a/crates/ledgelead-balance/src/levels.rs
+++ b/crates/ledgelead-balance/src/levels.rs
@@ -1,22 +1,21 @@
-//! How full each accepting server is, as one round sees it and changes it.
+//! Load and utilization of each accepting server, updated with the changes of a round.
 
 use crate::server_table::ServerTable;
 use crate::slice_table::SliceTable;
 use ledgelead_types::{ServerId, Time, ZoneId};
 use std::collections::BTreeMap;
 
-/// Servers this close to the least full one, as a part of the mean, count as
-/// equally full; the slice then stays in its zone.
+/// Servers whose utilization exceeds the lowest one by at most this part of the mean count
+/// as equal; a slice then stays in its zone.
 const ZONE_PREFERENCE: f64 = 0.02;
-/// How much an even spread of positions counts against an even spread of
-/// load when a slice is given an owner: today's cold positions are tomorrow's
-/// hot ones.
+/// Weight of an even spread of positions relative to an even spread of load when a slice is
+/// assigned, because positions that are cold now may become hot later.
 const WIDTH_WEIGHT: f64 = 0.25;
 
-/// One server's load and positions.
+/// Load and positions of one server.
 #[derive(Clone, Copy, Debug)]
 pub struct Level {
-    /// Requests a second.
+    /// Requests per second.
     pub load: f64,
     /// Share of the group's positions.
     pub width_share: f64,
@@ -27,7 +26,7 @@
 }
 
 impl Level {
-    /// Requests a second for each unit of capacity.
+    /// Requests per second for each unit of capacity.
     pub fn utilization(&self) -> f64 {
         self.load / self.weight
     }
@@ -74,17 +73,17 @@
         self.levels.len()
     }
 
-    /// Mean utilization if all load were spread evenly.
+    /// Utilization if the load were spread evenly.
     pub fn mean(&self) -> f64 {
         self.load / self.weight
     }
 
-    /// Mean load of a server of mean capacity.
+    /// Load of a server with mean capacity if the load were spread evenly.
     pub fn mean_server_load(&self) -> f64 {
         self.load / self.count().max(1) as f64
     }
 
-    /// Share of the group's positions in `width` positions, in percent.
+    /// The share of `width` positions in the group's positions, in percent.
     pub fn percent(&self, width: u128) -> f64 {
         100.0 * width as f64 / self.group_width
     }
@@ -94,7 +93,7 @@
         self.levels.get(&server)
     }
 
-    /// All levels in the order of the servers.
+    /// All levels, ordered by server.
     pub fn iter(&self) -> impl Iterator<Item = (ServerId, &Level)> {
         self.levels.iter().map(|(server, level)| (*server, level))
     }
@@ -106,8 +105,8 @@
             .map(|(server, _)| server)
     }
 
-    /// The server other than `from` with the lowest utilization, or one in
-    /// the same zone that is about as empty.
+    /// The server other than `from` with the lowest utilization, or one in the zone of
+    /// `from` with about the same utilization.
     pub fn emptiest_for(&self, from: ServerId) -> Option<ServerId> {
         let zone = self.levels.get(&from).map(|level| level.zone);
         let slack = self.mean() * ZONE_PREFERENCE;
@@ -121,8 +120,7 @@
             .map(|(server, _)| server)
     }
 
-    /// The server that is best given a slice that nobody serves, by load and
-    /// by width.
+    /// The best server for a slice without an owner, by load and by width.
     pub fn best_owner(&self, load: f64, width: u128) -> Option<ServerId> {
         let mean = self.mean();
         let width_share = width as f64 / self.group_width;
@@ -140,7 +138,7 @@
             .map(|(server, _)| server)
     }
 
-    /// Counts load and positions as moved.
+    /// Accounts for moved load and positions.
     pub fn shift(&mut self, from: Option<ServerId>, to: ServerId, load: f64, width: u128) {
         let width_share = width as f64 / self.group_width;
         if let Some(level) = from.and_then(|from| self.levels.get_mut(&from)) {
--- a/crates/ledgelead-balance/src/lib.rs
+++ b/crates/ledgelead-balance/src/lib.rs
@@ -1,7 +1,7 @@
-//! Placement of slices on servers by load, and sketches of hot keys.
+//! Load-based placement of slices on servers, and sketches that detect hot keys.
 //!
-//! The planner is pure: loads, servers, policy and time go in, changes come
-//! out. See `docs/design/assignment.md`.
+//! The planner is a pure function of loads, servers, policy and time. See
+//! `docs/design/assignment.md`.
 
 pub mod baseline;
 pub mod change;
--- a/crates/ledgelead-balance/src/planner.rs
+++ b/crates/ledgelead-balance/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner of a group's assignment: `docs/design/assignment.md`.
+//! Plans the assignment of a group's slices: `docs/design/assignment.md`.
 
 mod assign;
 mod candidates;
@@ -19,34 +19,33 @@
 /// Time constant of the exponentially weighted mean of a slice's load.
 pub const SMOOTHING_TIME_CONSTANT: Span = Span::from_seconds(8);
 
-/// What the leader keeps between rounds: smoothed loads, cool-downs, churn
-/// spent. It may be lost at any time; the planner then starts from the loads
-/// of the moment.
+/// State that the leader keeps between rounds: smoothed loads, cooldowns and recent churn.
+/// It may be lost at any time; the planner then starts from the current loads.
 #[derive(Clone, Debug, Default)]
 pub struct PlannerMemory {
     planner: Planner,
 }
 
-/// Plans one round from a whole view of the group.
+/// Plans one round from the complete state of the group.
 ///
-/// The cost of comparing the view with the memory grows with the number of
-/// slices; [`Planner`] is for callers that know what changed.
+/// The cost of comparing it with the previous state grows with the number of slices; callers
+/// that know what changed use [`Planner`].
 pub fn plan(input: &PlanInput, memory: &mut PlannerMemory, now: Time) -> Vec<PlannedChange> {
     memory.planner.observe_all(input, now);
     memory.planner.plan(now)
 }
 
-/// Plans owners for ownerless slices alone, between two rounds. Nothing else
-/// is planned, so nothing that the caller would drop is awaited or paid for.
+/// Plans owners only for slices without one, between two rounds. No other change is planned,
+/// so none that the caller would drop is awaited or counted as churn.
 pub fn plan_owners(input: &PlanInput, memory: &mut PlannerMemory, now: Time) -> Vec<PlannedChange> {
     memory.planner.observe_all(input, now);
     memory.planner.plan_owners(now)
 }
 
-/// The planner with its indexes, told of changes alone.
+/// The planner with its indexes, updated by changes only.
 ///
-/// Invariant: the records of slices never overlap, so a slice that is
-/// observed with new bounds replaces whatever it overlaps.
+/// Invariant: the slice records never overlap, so a slice that is observed with new bounds
+/// replaces all records that it overlaps.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     policy: BalanceConfiguration,
@@ -68,18 +67,18 @@
         self.servers.replace(servers, now);
     }
 
-    /// Takes in a slice that is new or has changed in any way.
+    /// Applies a slice that is new or has changed in any way.
     pub fn observe(&mut self, slice: &SliceState, now: Time) {
         self.slices.observe(slice, now);
     }
 
-    /// Forgets a range that the group no longer holds.
+    /// Removes a range that no longer belongs to the group.
     pub fn remove(&mut self, range: PositionRange) {
         self.slices.remove(&range);
     }
 
-    /// Plans one round. Its cost grows with the slices that changed and with
-    /// the servers, not with all slices.
+    /// Plans one round. The cost grows with the number of changed slices and of servers, not
+    /// with the number of all slices.
     pub fn plan(&mut self, now: Time) -> Vec<PlannedChange> {
         self.smooth(now);
         self.churn.expire(now);
@@ -98,7 +97,7 @@
         round.changes
     }
 
-    /// Plans owners for ownerless slices alone.
+    /// Plans owners only for slices without one.
     pub fn plan_owners(&mut self, now: Time) -> Vec<PlannedChange> {
         self.expire_pending_changes(now);
         let mut round = Round::new(self, now);
@@ -108,8 +107,8 @@
         round.changes
     }
 
-    /// Busiest server's smoothed load over the mean, each for its capacity;
-    /// `None` without load.
+    /// Highest utilization of a server relative to the mean, from smoothed loads and with
+    /// respect to each server's capacity; `None` without load.
     pub fn imbalance(&self, now: Time) -> Option<f64> {
         let levels = crate::levels::Levels::new(&self.slices, &self.servers, now);
         let fullest = levels.fullest()?;
--- a/crates/ledgelead-balance/src/planner/assign.rs
+++ b/crates/ledgelead-balance/src/planner/assign.rs
@@ -1,17 +1,17 @@
-//! Owners for slices that have none, and for those of servers that leave.
+//! Assigns slices without an owner, and moves slices off servers that are leaving.
 
 use crate::planner::round::Round;
 use crate::slice_record::SliceRecord;
 use ledgelead_types::{Position, ServerId};
 
-/// Slices of one leaving server that are moved off in a round at least.
+/// Minimum number of slices moved off one leaving server per round.
 const MIN_DRAIN_MOVES: usize = 4;
-/// Part of a leaving server's slices that is moved off in a round: the number
-/// of hand-overs at once stays bounded, and all are done within a few rounds.
+/// Divisor for the part of a leaving server's slices that is moved in a round: the number of
+/// concurrent handovers stays bounded, and all are done within a few rounds.
 const DRAIN_DIVISOR: usize = 2;
 
-/// Gives every slice without an owner to a server, the most loaded first.
-/// The same server is named again until it is seen to be the owner.
+/// Assigns every slice without an owner to a server, the most loaded first. The same server
+/// is named again until it is observed as the owner.
 pub fn assign_ownerless(round: &mut Round) {
     let mut slices: Vec<SliceRecord> = round
         .planner
@@ -32,7 +32,7 @@
     }
 }
 
-/// Moves slices off servers that accept none any more.
+/// Moves slices off servers that no longer accept slices.
 pub fn drain_leaving(round: &mut Round) {
     let leaving: Vec<ServerId> = round
         .planner
@@ -67,7 +67,7 @@
     }
 }
 
-/// A slice whose split or merge is under way would change under the move.
+/// A slice with a pending split or merge would change during the move.
 fn is_drainable(round: &Round, first: Position) -> bool {
     round
         .slice(first)
--- a/crates/ledgelead-balance/src/planner/candidates.rs
+++ b/crates/ledgelead-balance/src/planner/candidates.rs
@@ -1,4 +1,4 @@
-//! What could be moved off a server, and what each move is worth.
+//! Options for moving load off a server, and their value.
 
 use crate::levels::Level;
 use crate::planner::round::Round;
@@ -6,44 +6,44 @@
 use ledgelead_types::{Position, ServerId};
 use std::collections::BTreeSet;
 
-/// Slices looked at from each end of a server's indexes.
+/// Number of slices examined at the end of each of a server's indexes.
 const MAX_EXAMINED: usize = 32;
-/// Load of a position, as a part of the mean server's, worth isolating.
+/// Load of a position that is worth isolating, relative to the mean server load.
 const ISOLATED_LOAD: f64 = 0.02;
-/// Added to the percentage moved when gains are compared, so that a move that
-/// is nearly free doesn't beat every other for a tiny gain.
+/// Added to the moved percentage when gains are compared, so that an almost free move does
+/// not win with a tiny gain.
 const FIXED_PERCENT: f64 = 0.1;
-/// Narrowest slice that is halved for a finer move, in percent of the mean
+/// Width of the narrowest slice that is halved for a smaller move, in percent of the mean
 /// server's share.
 const MIN_HALVED_PERCENT: f64 = 3.0;
 
-/// A way to move load off a server.
+/// A method to move load off a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MoveMethod {
     /// Move a whole slice.
     Move,
-    /// Cut the hottest position out; it is moved once it is seen.
+    /// Split off the hottest position; it is moved once the split is observed.
     Isolate(Position),
-    /// Cut the slice in two; one half is moved once it is seen.
+    /// Split the slice in half; one half is moved once the split is observed.
     Halve,
 }
 
-/// A way to move load with its worth.
+/// A possible move and its value.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The slice.
     pub record: SliceRecord,
-    /// What to do with it.
+    /// The method.
     pub method: MoveMethod,
-    /// Load that moves in the end, in requests a second.
+    /// Load that is eventually moved, in requests per second.
     pub load: f64,
-    /// Positions that move in the end, in percent of the group's.
+    /// Positions that are eventually moved, in percent of the group's positions.
     pub percent: f64,
     score: f64,
 }
 
-/// The candidate that sheds the most imbalance for each share of the position
-/// space that moves from one server to another, among those worth their price.
+/// The candidate that reduces the imbalance most in relation to the share of the position
+/// space that changes servers, among those worth their cost.
 pub fn best(round: &Round, from: ServerId, to: ServerId) -> Option<Candidate> {
     let held = round.planner.slices.held_by(from)?;
     let movable = |first: &Position| {
@@ -63,7 +63,7 @@
         .max_by(|a, b| a.score.total_cmp(&b.score))
 }
 
-/// A pair of servers between which load could move.
+/// A pair of servers between which load could be moved.
 struct Transfer<'a> {
     round: &'a Round<'a>,
     from: Level,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Imbalance of the fuller of both servers that moving `load` sheds.
+    /// Reduction of the imbalance of the server with the higher utilization when `load`
+    /// moves.
     fn gain(&self, load: f64) -> f64 {
         let from = (self.from.load - load) / self.from.weight;
         let to = (self.to.load + load) / self.to.weight;
--- a/crates/ledgelead-balance/src/planner/overload.rs
+++ b/crates/ledgelead-balance/src/planner/overload.rs
@@ -1,4 +1,4 @@
-//! Which servers have been too full, or too empty, for long enough to act.
+//! Detects servers that have been overloaded or underfilled long enough to act.
 
 use crate::levels::Level;
 use crate::planner::SMOOTHING_TIME_CONSTANT;
@@ -7,18 +7,18 @@
 
 /// How long a server must be out of balance before slices are moved for it.
 const PERSISTENCE: Span = Span::from_seconds(3);
-/// A server that was overloaded sheds load until the excess is this part of
-/// what the target permits.
+/// An overloaded server sheds load until its excess falls to this part of the excess that
+/// the target permits.
 const SETTLED_PART: f64 = 0.5;
-/// An excess within so many standard deviations of a Poisson process, counted
-/// over the time of smoothing, is taken for noise.
+/// An excess within this number of standard deviations of a Poisson process, counted over
+/// the smoothing time, is treated as noise.
 const NOISE_DEVIATIONS: f64 = 2.0;
-/// Utilization, as a part of the mean, below which a server is filled, and up
-/// to which.
+/// A server is filled when its utilization falls below the first value, up to the second;
+/// both are relative to the mean.
 const UNDERFILLED: f64 = 0.5;
 const FILLED: f64 = 0.75;
 
-/// Brings the servers' marks up to date.
+/// Updates the overload and underfill state of the servers.
 pub fn update(round: &mut Round) {
     let now = round.now;
     let levels: Vec<(ServerId, Level)> = round.levels.iter().map(|(s, l)| (s, *l)).collect();
@@ -39,14 +39,14 @@
     }
 }
 
-/// Whether the server still is fuller than it should be left.
+/// Whether the server still has to shed load.
 pub fn is_unsettled(round: &Round, server: ServerId) -> bool {
     let allowed = (round.planner.policy.target_imbalance - 1.0).max(0.0);
     let level = round.levels.get(server);
     level.is_some_and(|level| excess(round, server, level) > allowed * SETTLED_PART)
 }
 
-/// Whether the server has long been so empty that it is given more.
+/// Whether the server has had a low utilization for long enough to be given more.
 pub fn is_underfilled(round: &Round, server: ServerId) -> bool {
     let since = round
         .planner
@@ -57,8 +57,8 @@
     has_persisted(since, round.now) && round.levels.get(server).is_some_and(is_empty)
 }
 
-/// Utilization above the mean, as a part of the mean. A slice of one position
-/// can't be split: where one alone exceeds the mean, it is the reference.
+/// Utilization in excess of the mean, relative to the mean. A slice with a single position
+/// can't be split; if one alone exceeds the mean, its utilization replaces the mean.
 fn excess(round: &Round, server: ServerId, level: &Level) -> f64 {
     let reference = round
         .levels
--- a/crates/ledgelead-balance/src/planner/rebalance.rs
+++ b/crates/ledgelead-balance/src/planner/rebalance.rs
@@ -1,18 +1,18 @@
-//! Weighted moves: load off servers that are too full, and onto those that
-//! are too empty.
+//! Load-based moves from overloaded servers, and to underfilled ones.
 
 use crate::planner::candidates::{self, Candidate, MoveMethod};
 use crate::planner::overload;
 use crate::planner::round::Round;
 use ledgelead_types::ServerId;
 
-/// Most moves for the sake of balance in one round.
+/// Maximum number of moves for balance per round.
 const MAX_MOVES: usize = 16;
-/// A server fuller than the mean by this factor may give to an empty one.
+/// A server whose utilization exceeds the mean by this factor may give load to an
+/// underfilled one.
 const DONOR_UTILIZATION: f64 = 1.02;
 
-/// Moves load off the servers that have been above the target for a while,
-/// the fullest first.
+/// Moves load off servers that have been above the target for some time, highest utilization
+/// first.
 pub fn relieve_overloaded(round: &mut Round) {
     let mut shedding: Vec<ServerId> = round
         .planner
@@ -37,8 +37,7 @@
     }
 }
 
-/// Gives load to servers that have been far below the mean for a while, such
-/// as one that has joined.
+/// Moves load to servers that have been far below the mean for some time, such as new ones.
 pub fn fill_underfilled(round: &mut Round) {
     let servers: Vec<ServerId> = round.levels.iter().map(|(server, _)| server).collect();
     let mut moves = 0;
@@ -61,7 +60,7 @@
     (utilization > DONOR_UTILIZATION * round.levels.mean()).then_some(fullest)
 }
 
-/// Applies the best candidate; whether there was one.
+/// Applies the best candidate; returns whether there was one.
 fn move_load(round: &mut Round, from: ServerId, to: Option<ServerId>) -> bool {
     let target = to.or_else(|| round.levels.emptiest_for(from));
     let Some(to) = target.filter(|to| *to != from) else {
--- a/crates/ledgelead-balance/src/planner/reshape.rs
+++ b/crates/ledgelead-balance/src/planner/reshape.rs
@@ -1,26 +1,26 @@
-//! Splits of hot slices before they are in the way, merges of cold ones, and
-//! the way home for positions that were isolated and have cooled down.
+//! Splits hot slices before they obstruct the balance, merges cold ones, and moves isolated
+//! positions that have cooled down back to the owner of their neighbours.
 
 use crate::planner::round::Round;
 use crate::slice_record::SliceRecord;
 use crate::slice_table::ORDERING_SLACK;
 use ledgelead_types::{Position, ServerId, Span};
 
-/// Load, as a part of the mean server's, above which a slice is split.
+/// Load above which a slice is split, relative to the mean server load.
 const HOT_LOAD: f64 = 0.5;
-/// Load, as a part of the mean server's, up to which two slices are joined.
-/// Far below half of [`HOT_LOAD`], so that what was joined isn't split again.
+/// Maximum total load for merging two slices, relative to the mean server load. It is far
+/// below half of [`HOT_LOAD`], so that a merged slice is not split again.
 const COLD_LOAD: f64 = 0.2;
-/// Part of the least load worth a move up to which an isolated position has
-/// cooled down: what is brought home isn't moved off again.
+/// An isolated position has cooled down when its load falls to this part of the minimum load
+/// worth moving, so that it is not moved away again.
 const COOLED_PART: f64 = 0.5;
-/// Equal parts of a range differ by so many positions at most.
+/// Maximum difference in positions between equal parts of a range.
 const ROUNDING: u128 = 1;
-/// How long a slice keeps its bounds before it is joined with another.
+/// Minimum age of a slice's bounds before it is merged.
 const MIN_AGE: Span = Span::from_seconds(60);
-/// Slices considered for merges in one round.
+/// Number of slices examined for merges per round.
 const MERGE_SCAN_SLICES: usize = 64;
-/// Most merges in one round.
+/// Maximum number of merges per round.
 const MAX_MERGES: usize = 8;
 
 /// Splits slices that carry a large part of a server's load.
@@ -60,8 +60,8 @@
     }
 }
 
-/// Considers the next few slices, in the order of positions over the rounds,
-/// for joining them with the slice that follows.
+/// Examines the next slices, in the order of positions across rounds, for merging with their
+/// successors.
 pub fn merge_cold(round: &mut Round) {
     let considered: Vec<Position> = round
         .planner
@@ -83,7 +83,8 @@
     round.planner.merge_cursor = last.copied().unwrap_or_default();
 }
 
-/// Whether something was done with the slice.
+/// Merges the slice, or moves it back to its neighbours' owner; returns whether either was
+/// done.
 fn reshape_cold(round: &mut Round, first: Position) -> bool {
     let Some(record) = round.slice(first).cloned() else {
         return false;
@@ -109,8 +110,8 @@
     true
 }
 
-/// Whether the slice rests, has had its bounds for a while, and belongs to a
-/// server that sheds no load: such a server may want it as it is.
+/// Whether the slice has no pending change, has kept its bounds for some time, and belongs
+/// to a server that is not shedding load, which may need the slice as it is.
 fn is_reshapable(round: &Round, record: &SliceRecord) -> bool {
     let owner = record
         .owner
@@ -120,8 +121,8 @@
         && owner.is_some_and(|owner| owner.accepting && !owner.shedding)
 }
 
-/// Joined slices are never wider than the widest slice, so merges undo splits
-/// and leave the slices that the service began with.
+/// A merged slice is never wider than the widest slice, so merges undo splits but leave the
+/// service's original slices.
 fn can_merge(round: &Round, record: &SliceRecord, next: &SliceRecord) -> bool {
     let mean = round.levels.mean_server_load();
     let load = record.smoothed.as_per_second() + next.smoothed.as_per_second();
@@ -142,8 +143,8 @@
     record.smoothed.as_per_second() <= COOLED_PART * least
 }
 
-/// The neighbours' owner, when a single position that has cooled down lies
-/// apart.
+/// The owner of the neighbours of a single position that has cooled down and is owned by
+/// another server.
 fn neighbour_owner(round: &Round, record: &SliceRecord) -> Option<ServerId> {
     if !record.is_single() || !has_cooled(round, record) {
         return None;
--- a/crates/ledgelead-balance/src/planner/round.rs
+++ b/crates/ledgelead-balance/src/planner/round.rs
@@ -1,4 +1,4 @@
-//! One round of planning: what it reads, and what it has decided so far.
+//! State of one planning round: its inputs and the changes decided so far.
 
 use crate::change::PlannedChange;
 use crate::levels::Levels;
@@ -7,27 +7,27 @@
 use crate::slice_table::COOLDOWN;
 use ledgelead_types::{Position, ServerId, Span, Time};
 
-/// How long a change that was asked for is awaited before it is planned anew.
+/// How long a requested change is awaited before it is planned again.
 const CHANGE_TIMEOUT: Span = Span::from_seconds(5);
-/// How long a slice of one position that was moved stays where it is: its
-/// move is nearly free, and hot positions change fast.
+/// Cooldown of a moved slice with a single position: the move is almost free, and hot
+/// positions change quickly.
 const SINGLE_COOLDOWN: Span = Span::from_seconds(10);
-/// Most splits, and most merges, in one round.
-const MAX_RESHAPES: usize = 16;
-/// Slices that may be made by splitting for each server.
+/// Maximum number of splits per round.
+const MAX_SPLITS: usize = 16;
+/// Number of slices per server that may be created by splits.
 const MAX_SPLITS_PER_SERVER: usize = 64;
-/// Least part of the mean server's load that is worth a change.
+/// Minimum load that justifies a change, relative to the mean server load.
 const WORTHWHILE_LOAD: f64 = 0.01;
-/// The same as a part of the mean slice's load, where slices are many.
+/// The same relative to the mean slice load; it applies when there are many slices.
 const WORTHWHILE_PART_OF_SLICE: f64 = 0.5;
 
 /// One round of planning.
 pub struct Round<'a> {
-    /// The planner's memory.
+    /// The planner's state.
     pub planner: &'a mut Planner,
-    /// The present time.
+    /// The current time.
     pub now: Time,
-    /// How full each accepting server is after the changes so far.
+    /// Levels of the accepting servers after the changes so far.
     pub levels: Levels,
     /// The changes so far.
     pub changes: Vec<PlannedChange>,
@@ -35,7 +35,7 @@
 }
 
 impl<'a> Round<'a> {
-    /// A round that has decided nothing yet.
+    /// A round without changes.
     pub fn new(planner: &'a mut Planner, now: Time) -> Round<'a> {
         let levels = Levels::new(&planner.slices, &planner.servers, now);
         Round {
@@ -52,12 +52,12 @@
         self.planner.slices.get(first)
     }
 
-    /// Share of the group's positions in a slice, in percent.
+    /// The share of a slice in the group's positions, in percent.
     pub fn percent(&self, record: &SliceRecord) -> f64 {
         self.levels.percent(record.width())
     }
 
-    /// Gives a slice without an owner to `to`.
+    /// Assigns a slice without an owner to `to`.
     pub fn assign(&mut self, record: &SliceRecord, to: ServerId) {
         let range = record.range;
         self.changes.push(PlannedChange::Assign { range, to });
@@ -79,38 +79,38 @@
         self.expect_owner(record, to, self.now + cooldown);
     }
 
-    /// Whether one more slice may be split in this round. The number of
-    /// slices is bounded by what the service began with, as far as the widest
-    /// slice still shows it, and a number for each server.
+    /// Whether another slice may be split in this round. The number of slices is bounded by
+    /// the service's original number, as estimated from the widest slice, plus a number per
+    /// server.
     pub fn can_split(&self) -> bool {
         let slices = &self.planner.slices;
         let unsplit = slices.width().div_ceil(slices.widest().max(1));
         let most = unsplit + (MAX_SPLITS_PER_SERVER * self.levels.count()) as u128;
-        self.splits < MAX_RESHAPES && ((slices.count() + self.splits) as u128) < most
+        self.splits < MAX_SPLITS && ((slices.count() + self.splits) as u128) < most
     }
 
-    /// Load, as a part of the mean server's, below which nothing is done.
+    /// Load below which no change is made, relative to the mean server load.
     pub fn worthwhile_part(&self) -> f64 {
         let slices = self.planner.slices.count().max(1) as f64;
         let slices_per_server = slices / self.levels.count() as f64;
         WORTHWHILE_LOAD.min(WORTHWHILE_PART_OF_SLICE / slices_per_server)
     }
 
-    /// Cuts a slice in the middle.
+    /// Splits a slice in the middle.
     pub fn halve(&mut self, record: &SliceRecord) {
         let first = record.range.first.0;
         let at = Position(first + (record.range.last.0 - first) / 2 + 1);
         self.split(record, &[at]);
     }
 
-    /// Cuts one position out into a slice of its own.
+    /// Splits off one position as a slice of its own.
     pub fn isolate(&mut self, record: &SliceRecord, position: Position) {
         let after = position.0.checked_add(1).map(Position);
         let bounds: Vec<Position> = std::iter::once(position).chain(after).collect();
         self.split(record, &bounds);
     }
 
-    /// Joins two slices.
+    /// Merges two slices.
     pub fn merge(&mut self, first: &SliceRecord, second: &SliceRecord) {
         self.changes.push(PlannedChange::Merge {
             first: first.range,
--- a/crates/ledgelead-balance/src/server_table.rs
+++ b/crates/ledgelead-balance/src/server_table.rs
@@ -1,29 +1,29 @@
-//! The servers of a group: their weight in the balance, and how long their
-//! load has been out of it.
+//! Servers of a group: their weight in the balance, and since when they have been out of
+//! balance.
 
 use crate::input::ServerState;
 use ledgelead_types::{ServerId, Span, Time, ZoneId};
 use std::collections::BTreeMap;
 
-/// Part of its capacity that a server is given load for when it starts cold.
+/// Part of its capacity that load is planned for when a server starts cold.
 const COLD_START_PART: f64 = 0.25;
-/// How long a cold server's weight takes to grow to its whole capacity.
+/// Time until the weight of a cold server reaches its full capacity.
 const COLD_RAMP: Span = Span::from_seconds(60);
-/// Least capacity, so that a report of none divides nothing by zero.
+/// Minimum capacity, which avoids a division by zero.
 const MIN_CAPACITY: f64 = 0.01;
 
-/// What the planner remembers of one server.
+/// State kept for one server.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
     /// Its zone.
     pub zone: ZoneId,
     /// Whether it may be given slices.
     pub accepting: bool,
-    /// Since when its load is above the target.
+    /// Since when its load has been above the target.
     pub overloaded_since: Option<Time>,
-    /// Whether its load is being moved off until it is well below the target.
+    /// Whether it sheds load until it is well below the target.
     pub shedding: bool,
-    /// Since when its load is far below the mean.
+    /// Since when its load has been far below the mean.
     pub underfilled_since: Option<Time>,
     capacity: f64,
     cold_since: Option<Time>,
@@ -54,8 +54,7 @@
 }
 
 impl ServerTable {
-    /// Replaces the set of live servers. What is known of those that stay is
-    /// kept.
+    /// Replaces the set of live servers. The state of the remaining servers is kept.
     pub fn replace(&mut self, servers: &[ServerState], now: Time) {
         let mut former = std::mem::take(&mut self.records);
         for state in servers {
@@ -85,12 +84,12 @@
         self.records.get(&server)
     }
 
-    /// The server's record, to change.
+    /// The server's record, mutable.
     pub fn get_mut(&mut self, server: ServerId) -> Option<&mut ServerRecord> {
         self.records.get_mut(&server)
     }
 
-    /// All servers in the order of their identifiers.
+    /// All servers, ordered by identifier.
     pub fn iter(&self) -> impl Iterator<Item = (ServerId, &ServerRecord)> {
         self.records
             .iter()
--- a/crates/ledgelead-balance/src/sketch.rs
+++ b/crates/ledgelead-balance/src/sketch.rs
@@ -1,9 +1,8 @@
-//! Finds hot positions without state for each key.
+//! Detects hot positions without state for every key.
 //!
-//! The Space-Saving algorithm of A. Metwally, D. Agrawal and A. El Abbadi,
-//! "Efficient Computation of Frequent and Top-k Elements in Data Streams"
-//! (ICDT 2005), with counts that decay, so that yesterday's hot position
-//! gives way to today's.
+//! Uses the Space-Saving algorithm of A. Metwally, D. Agrawal and A. El Abbadi, "Efficient
+//! Computation of Frequent and Top-k Elements in Data Streams" (ICDT 2005), with decaying
+//! counts, so that positions that have cooled down are replaced by current ones.
 
 use ledgelead_types::dispatch::HotPosition;
 use ledgelead_types::{Position, PositionRange, Span, Time};
@@ -14,17 +13,17 @@
 /// How often [`HotPositions`] decays its counters.
 const DECAY_INTERVAL: Span = Span::from_seconds(1);
 
-/// What the sketch knows of one position.
+/// Estimated count of one position.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// Never below the true count.
+    /// Upper bound of the true count.
     pub count: f64,
-    /// By how much the count may exceed the true one.
+    /// Maximum amount by which `count` exceeds the true count.
     pub error: f64,
 }
 
 impl Estimate {
-    /// Never above the true count.
+    /// Lower bound of the true count.
     pub fn guaranteed(&self) -> f64 {
         self.count - self.error
     }
@@ -32,9 +31,9 @@
 
 /// Counts the most frequent positions with a fixed number of counters.
 ///
-/// With `n` the sum of all counts and `k` the number of counters, every
-/// position counted more than `n / k` has a counter, and no counter exceeds
-/// the true count by more than `n / k`. Decay scales all of it alike.
+/// With `n` as the sum of all counts and `k` as the number of counters, every position
+/// counted more than `n / k` times has a counter, and no counter exceeds the true count by
+/// more than `n / k`. Decay scales all of these alike.
 #[derive(Clone, Debug)]
 pub struct SpaceSaving {
     capacity: usize,
@@ -44,7 +43,7 @@
 }
 
 impl SpaceSaving {
-    /// A sketch with at most `capacity` counters, one at least.
+    /// A sketch with at most `capacity` counters, and at least one.
     pub fn new(capacity: usize) -> SpaceSaving {
         SpaceSaving {
             capacity: capacity.max(1),
@@ -79,30 +78,30 @@
         }
     }
 
-    /// What is known of a position that has a counter.
+    /// The estimate of a position that has a counter.
     pub fn estimate(&self, position: Position) -> Option<Estimate> {
         self.counters.get(&position).copied()
     }
 
-    /// The positions with counters in a range, in their order.
+    /// The positions with counters in a range, in order.
     pub fn in_range(&self, range: PositionRange) -> impl Iterator<Item = (Position, Estimate)> {
         self.counters
             .range(range.first..=range.last)
             .map(|(position, estimate)| (*position, *estimate))
     }
 
-    /// Sum of all counts, with their decay.
+    /// Sum of all counts, decayed.
     pub fn total(&self) -> f64 {
         self.total
     }
 
-    /// By how much a count may be wrong at most.
+    /// Maximum error of a count.
     pub fn error_bound(&self) -> f64 {
         self.total / self.capacity as f64
     }
 
-    /// Evicts the least counter when all are in use. Its count is the most
-    /// that a position without a counter can have been seen.
+    /// Evicts the lowest counter if all are in use. Its count is the maximum that a position
+    /// without a counter can have.
     fn make_room(&mut self) -> Estimate {
         if self.counters.len() < self.capacity {
             return Estimate::default();
@@ -137,7 +136,7 @@
 }
 
 impl HotPositions {
-    /// With at most `capacity` counters.
+    /// A sketch with at most `capacity` counters.
     pub fn new(capacity: usize) -> HotPositions {
         HotPositions {
             sketch: SpaceSaving::new(capacity),
@@ -151,8 +150,8 @@
         self.sketch.observe(position);
     }
 
-    /// The position in a range with the highest rate that is certain; `None`
-    /// when no position stands out from the sketch's error.
+    /// The position in a range with the highest guaranteed rate; `None` if no position
+    /// exceeds the sketch's error.
     pub fn hottest_in(&mut self, range: PositionRange, now: Time) -> Option<HotPosition> {
         self.decay(now);
         let (position, estimate) = self
--- a/crates/ledgelead-balance/src/slice_table.rs
+++ b/crates/ledgelead-balance/src/slice_table.rs
@@ -1,7 +1,7 @@
 //! All slices of a group, indexed by position, holder, load and density.
 //!
-//! Every change costs the logarithm of the number of slices; a round then
-//! reads only the ends of the indexes.
+//! A change costs the logarithm of the number of slices; a round then only reads the ends of
+//! the indexes.
 
 use crate::input::SliceState;
 use crate::rate::Rate;
@@ -10,20 +10,20 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Leading bits of a number that order the indexes: the exponent and three
-/// bits of the fraction. A load that changes by less than an eighth mostly
-/// keeps its place, so smoothing rarely touches the indexes.
+/// Shift that leaves the bits of a number that order the indexes: the exponent and three
+/// bits of the fraction. A load that changes by less than an eighth usually keeps its place,
+/// so smoothing rarely updates the indexes.
 const ORDERING_SHIFT: u32 = 49;
 
-/// How long a slice that changed owner stays where it is. It holds for moves
-/// that an operator asked for as well.
+/// How long a slice that changed owner may not be moved for balance. This includes moves
+/// requested by an operator.
 pub const COOLDOWN: Span = Span::from_seconds(60);
 
-/// Largest ratio of two loads that the indexes may hold in the wrong order.
+/// Maximum ratio of two loads that the indexes may have in the wrong order.
 pub const ORDERING_SLACK: f64 = 1.125;
 
-/// The slices that one server holds, in the order of load and of density, but
-/// for [`ORDERING_SLACK`].
+/// The slices held by one server, ordered by load and by density with a tolerance of
+/// [`ORDERING_SLACK`].
 #[derive(Clone, Debug, Default)]
 pub struct HeldSlices {
     /// Sum of their smoothed loads.
@@ -34,10 +34,10 @@
     by_density: BTreeSet<IndexKey>,
 }
 
-/// Magnitude of a load or density, and the slice.
+/// Magnitude of a load or density, and the first position of the slice.
 type IndexKey = (u64, Position);
 
-/// Where a slice stands in the indexes.
+/// Keys of a slice in the indexes.
 #[derive(Clone, Copy, PartialEq)]
 struct IndexKeys {
     by_load: IndexKey,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The bits of numbers that are not negative are in the order of the numbers.
+/// The bits of non-negative floating-point numbers have the order of the numbers.
 fn magnitude(number: f64) -> u64 {
     number.to_bits() >> ORDERING_SHIFT
 }
@@ -65,12 +65,12 @@
         self.by_load.len()
     }
 
-    /// First positions of the slices, the most loaded first.
+    /// First positions of the slices, highest load first.
     pub fn by_load(&self) -> impl Iterator<Item = Position> + '_ {
         self.by_load.iter().rev().map(|(_, first)| *first)
     }
 
-    /// First positions of the slices, the densest first.
+    /// First positions of the slices, highest density first.
     pub fn by_density(&self) -> impl Iterator<Item = Position> + '_ {
         self.by_density.iter().rev().map(|(_, first)| *first)
     }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Slices by their first position. The records never overlap.
+/// Slices by first position. The records never overlap.
 #[derive(Clone, Debug, Default)]
 pub struct SliceTable {
     records: BTreeMap<Position, SliceRecord>,
@@ -112,7 +112,7 @@
 }
 
 impl SliceTable {
-    /// Takes in a slice that is new or has changed.
+    /// Applies a slice that is new or has changed.
     pub fn observe(&mut self, state: &SliceState, now: Time) {
         let known = self.records.get(&state.range.first);
         if known.is_some_and(|record| record.range == state.range) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Forgets the slices, or parts of slices, in a range.
+    /// Removes the slices, or parts of slices, in a range.
     pub fn remove(&mut self, range: &PositionRange) {
         for record in self.take_overlapping(range) {
             self.put_remainders(&record, range);
@@ -145,7 +145,7 @@
         self.records.get(&Position(last.0.checked_add(1)?))
     }
 
-    /// Slices from `first` on, in the order of their positions.
+    /// Slices from `first` on, ordered by position.
     pub fn from(&self, first: Position) -> impl Iterator<Item = &SliceRecord> {
         self.records.range(first..).map(|(_, record)| record)
     }
@@ -155,7 +155,7 @@
         self.ownerless.iter().copied()
     }
 
-    /// What a server holds.
+    /// The slices held by a server.
     pub fn held_by(&self, server: ServerId) -> Option<&HeldSlices> {
         self.held.get(&server)
     }
@@ -180,14 +180,14 @@
         self.widths.last_key_value().map_or(0, |(width, _)| *width)
     }
 
-    /// Moves every smoothed load towards the reported one.
+    /// Moves all smoothed loads towards the reported ones.
     pub fn smooth(&mut self, part: f64) {
         let mut unsettled = std::mem::take(&mut self.unsettled);
         unsettled.retain(|first| self.smooth_one(*first, part));
         self.unsettled = unsettled;
     }
 
-    /// Gives up awaited changes that are late or whose server is not fit.
+    /// Drops pending changes of owner that are late or whose new owner is not fit.
     pub fn expire_pending_changes(&mut self, now: Time, is_fit: impl Fn(ServerId) -> bool) {
         for first in self.pending_changes.clone() {
             let Some(record) = self.records.get(&first) else {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Remembers that a new owner was asked for.
+    /// Records a requested change of owner.
     pub fn record_planned_owner(
         &mut self,
         first: Position,
@@ -216,12 +216,13 @@
         });
     }
 
-    /// Remembers that a split or merge was asked for.
+    /// Records a requested split or merge.
     pub fn record_reshaping(&mut self, first: Position, until: Time) {
         self.update(first, |record| record.reshaping_until = until);
     }
 
-    /// Whether the slice's smoothed load still differs from the reported one.
+    /// Updates the smoothed load of a slice; returns whether it still differs from the
+    /// reported one.
     fn smooth_one(&mut self, first: Position, part: f64) -> bool {
         let Some(record) = self.records.get_mut(&first) else {
             return false;
@@ -271,8 +272,8 @@
         });
     }
 
-    /// A slice with new bounds starts from the smoothed loads of the slices
-    /// that it was cut or joined from: its own figures lag behind.
+    /// A slice with new bounds starts with the smoothed loads of the slices that it was
+    /// split or merged from, because its own measurements lag behind.
     fn observe_new(&mut self, state: &SliceState, now: Time) {
         let mut record = SliceRecord::new(state, now);
         let ancestors = self.take_overlapping(&state.range);
--- a/crates/ledgelead-balance/tests/planner.rs
+++ b/crates/ledgelead-balance/tests/planner.rs
@@ -14,9 +14,9 @@
 use proptest::test_runner::RngSeed;
 use support::Cluster;
 
-/// Rounds after which a stable load must have been balanced.
+/// Rounds after which a constant load must be balanced.
 const SETTLING_ROUNDS: u64 = 900;
-/// Rounds in which nothing may be planned then.
+/// Following rounds, in which no change may be planned.
 const QUIET_ROUNDS: u64 = 300;
 const MINUTE: u64 = 60;
 
@@ -32,11 +32,11 @@
     HotKey(usize, f64),
     Accepting(usize, bool),
     Lose(usize),
-    LoseMemory,
+    LoseState,
 }
 
 #[derive(Clone, Debug)]
-struct Story {
+struct Scenario {
     servers: u32,
     slices: u64,
     keys: Vec<Key>,
@@ -44,7 +44,7 @@
     events: Vec<Event>,
 }
 
-fn story() -> impl Strategy<Value = Story> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     let key = (any::<u64>(), 0.0..40.0_f64, 0..20_u8).prop_map(|(position, rate, hot)| Key {
         position: Position(position),
         requests_per_second: if hot == 0 { rate * 20.0 } else { rate },
@@ -55,7 +55,7 @@
             2 => Event::Accepting(index, false),
             3 => Event::Accepting(index, true),
             4 => Event::Lose(index),
-            5 => Event::LoseMemory,
+            5 => Event::LoseState,
             _ => Event::Nothing,
         });
     let policy = (1.02..1.5_f64, 0.0..0.2_f64, 0.0..10.0_f64).prop_map(|(target, price, cap)| {
@@ -72,7 +72,7 @@
         policy,
         proptest::collection::vec(event, 150),
     )
-        .prop_map(|(servers, slices, keys, policy, events)| Story {
+        .prop_map(|(servers, slices, keys, policy, events)| Scenario {
             servers,
             slices,
             keys,
@@ -107,29 +107,29 @@
     }
 }
 
-/// Plays a story; says which change of which round was invalid.
-fn play(
-    story: &Story,
+/// Runs a scenario; returns the round and change that was invalid.
+fn run_scenario(
+    scenario: &Scenario,
     mut assign: impl FnMut(&PlanInput, Time, &Event) -> Vec<PlannedChange>,
 ) -> std::result::Result<Vec<Vec<PlannedChange>>, String> {
-    let mut cluster = Cluster::new(story.servers, 2.0, story.slices);
-    let mut keys = story.keys.clone();
+    let mut cluster = Cluster::new(scenario.servers, 2.0, scenario.slices);
+    let mut keys = scenario.keys.clone();
     let mut rounds = Vec::new();
-    for (round, event) in story.events.iter().enumerate() {
+    for (round, event) in scenario.events.iter().enumerate() {
         for completed in cluster.complete_moves() {
             let owner = cluster.slices[&completed.range.first].owner;
             if owner == Some(completed.from) {
                 return Err(format!("round {round}: {completed:?} changed no owner"));
             }
         }
-        happen(&mut cluster, &mut keys, event);
+        apply_event(&mut cluster, &mut keys, event);
         report_loads(&mut cluster, &keys);
-        let input = cluster.input(story.policy);
+        let input = cluster.input(scenario.policy);
         let changes = assign(&input, at(round as u64), event);
         cluster
             .apply(&changes)
             .map_err(|error| format!("round {round}: {error}"))?;
-        if !cluster.is_whole() {
+        if !cluster.covers_space() {
             return Err(format!("round {round}: gap or overlap"));
         }
         rounds.push(changes);
@@ -137,7 +137,7 @@
     Ok(rounds)
 }
 
-fn happen(cluster: &mut Cluster, keys: &mut [Key], event: &Event) {
+fn apply_event(cluster: &mut Cluster, keys: &mut [Key], event: &Event) {
     let servers = cluster.servers.len();
     match *event {
         Event::HotKey(index, rate) if !keys.is_empty() => {
@@ -149,7 +149,7 @@
         }
         Event::Lose(index) if servers > 1 => {
             let server = cluster.servers[index % servers].server;
-            cluster.lose(server);
+            cluster.remove_server(server);
         }
         _ => {}
     }
@@ -158,26 +158,27 @@
 proptest! {
     #![proptest_config(config(60))]
 
-    /// Every change names slices that exist, at rest, and servers that accept;
-    /// the space stays covered. Also when the memory is lost in between.
+    /// Every change names existing slices without pending changes and accepting servers, and
+    /// the slices always cover the whole space. This also holds when the planner's state is
+    /// lost during the run.
     #[test]
-    fn changes_are_valid(story in story()) {
+    fn changes_are_valid(scenario in scenario()) {
         let mut memory = PlannerMemory::default();
-        let played = play(&story, |input, now, event| {
-            if matches!(event, Event::LoseMemory) {
+        let result = run_scenario(&scenario, |input, now, event| {
+            if matches!(event, Event::LoseState) {
                 memory = PlannerMemory::default();
             }
             plan(input, &mut memory, now)
         });
-        prop_assert!(played.is_ok(), "{:?}", played);
+        prop_assert!(result.is_ok(), "{:?}", result);
     }
 
-    /// In any minute, moves from servers that stay keep within the cap.
+    /// Within any minute, moves off remaining servers stay within the churn limit.
     #[test]
-    fn churn_cap_is_kept(story in story()) {
+    fn churn_limit_is_kept(scenario in scenario()) {
         let mut memory = PlannerMemory::default();
         let mut spent: Vec<(u64, f64)> = Vec::new();
-        let played = play(&story, |input, now, _| {
+        let result = run_scenario(&scenario, |input, now, _| {
             let changes = plan(input, &mut memory, now);
             let second = now.as_seconds() as u64;
             let stays = |server: ServerId| {
@@ -190,23 +191,23 @@
             }
             changes
         });
-        prop_assert!(played.is_ok(), "{:?}", played);
+        prop_assert!(result.is_ok(), "{:?}", result);
         for (start, _) in &spent {
             let minute = *start..start + MINUTE;
             let sum: f64 = spent.iter().filter(|(s, _)| minute.contains(s)).map(|(_, p)| p).sum();
-            prop_assert!(sum <= story.policy.max_churn_percent_per_minute + 1e-9);
+            prop_assert!(sum <= scenario.policy.max_churn_percent_per_minute + 1e-9);
         }
     }
 
-    /// The same story gives the same changes, and a planner that is told of
-    /// changed slices alone decides as one that is shown all of them.
+    /// The same scenario gives the same changes, and a planner that is only given the
+    /// changed slices decides like one that is given all of them.
     #[test]
-    fn incremental_equals_whole_view(story in story()) {
+    fn incremental_equals_whole_view(scenario in scenario()) {
         let mut memory = PlannerMemory::default();
-        let whole = play(&story, |input, now, _| plan(input, &mut memory, now));
+        let whole = run_scenario(&scenario, |input, now, _| plan(input, &mut memory, now));
         let mut planner = Planner::default();
         let mut known = Vec::new();
-        let told = play(&story, |input, now, _| {
+        let told = run_scenario(&scenario, |input, now, _| {
             planner.configure(input.policy);
             planner.set_servers(&input.servers, now);
             for slice in input.slices.iter().filter(|slice| !known.contains(*slice)) {
@@ -218,9 +219,9 @@
         prop_assert_eq!(whole, told);
     }
 
-    /// The baselines keep the same rules.
+    /// The baselines plan only valid changes.
     #[test]
-    fn baselines_are_valid(story in story()) {
+    fn baselines_are_valid(scenario in scenario()) {
         let assigners: [Box<dyn Assigner>; 4] = [
             Box::new(StaticHash),
             Box::new(BoundedLoads::default()),
@@ -228,8 +229,8 @@
             Box::new(Greedy::above_target()),
         ];
         for mut assigner in assigners {
-            let played = play(&story, |input, now, _| assigner.plan(input, now));
-            prop_assert!(played.is_ok(), "{:?}", played);
+            let result = run_scenario(&scenario, |input, now, _| assigner.plan(input, now));
+            prop_assert!(result.is_ok(), "{:?}", result);
         }
     }
 }
@@ -237,15 +238,15 @@
 proptest! {
     #![proptest_config(config(30))]
 
-    /// Under a load that doesn't change, planning comes to an end.
+    /// With a constant load, no changes are planned after some time.
     #[test]
-    fn stable_load_comes_to_rest(story in story()) {
-        let quiet = Story {
+    fn constant_load_stops_causing_changes(scenario in scenario()) {
+        let quiet = Scenario {
             events: vec![Event::Nothing; (SETTLING_ROUNDS + QUIET_ROUNDS) as usize],
-            ..story
+            ..scenario
         };
         let mut memory = PlannerMemory::default();
-        let rounds = play(&quiet, |input, now, _| plan(input, &mut memory, now)).unwrap();
+        let rounds = run_scenario(&quiet, |input, now, _| plan(input, &mut memory, now)).unwrap();
         let late: Vec<&PlannedChange> =
             rounds[SETTLING_ROUNDS as usize..].iter().flatten().collect();
         prop_assert!(late.is_empty(), "{:?}", late);
@@ -260,8 +261,8 @@
     (0..count).map(key).collect()
 }
 
-fn quiet_story(servers: u32, slices: u64, keys: Vec<Key>, rounds: usize) -> Story {
-    Story {
+fn static_scenario(servers: u32, slices: u64, keys: Vec<Key>, rounds: usize) -> Scenario {
+    Scenario {
         servers,
         slices,
         keys,
@@ -271,7 +272,7 @@
 }
 
 #[gtest]
-fn ownerless_slices_are_all_assigned_at_once_and_evenly() {
+fn slices_without_owner_are_all_assigned_at_once_and_evenly() {
     let mut memory = PlannerMemory::default();
     let input = Cluster::new(14, 2.0, 112).input(BalanceConfiguration::default());
     let changes = plan(&input, &mut memory, Time::ZERO);
@@ -285,13 +286,13 @@
 }
 
 #[gtest]
-fn leaving_server_is_emptied_within_seconds_whatever_the_cap() {
-    let mut story = quiet_story(4, 64, even_keys(640, 1.0), 30);
-    story.policy.max_churn_percent_per_minute = 0.0;
-    story.events[10] = Event::Accepting(1, false);
+fn leaving_server_is_emptied_within_seconds_regardless_of_the_churn_limit() {
+    let mut scenario = static_scenario(4, 64, even_keys(640, 1.0), 30);
+    scenario.policy.max_churn_percent_per_minute = 0.0;
+    scenario.events[10] = Event::Accepting(1, false);
     let mut memory = PlannerMemory::default();
     let mut left = Vec::new();
-    let played = play(&story, |input, now, _| {
+    let result = run_scenario(&scenario, |input, now, _| {
         let owned = input
             .slices
             .iter()
@@ -299,17 +300,17 @@
         left.push(owned.count());
         plan(input, &mut memory, now)
     });
-    expect_that!(played, ok(anything()));
+    expect_that!(result, ok(anything()));
     expect_that!(left[10], eq(16));
     expect_that!(left[15], eq(0));
 }
 
 #[gtest]
-fn single_key_far_above_the_mean_is_the_floor_and_moves_nothing_wide() {
-    let mut story = quiet_story(8, 64, even_keys(400, 1.0), 600);
-    story.events[10] = Event::HotKey(100, 400.0);
+fn single_key_far_above_the_mean_causes_no_moves_of_wide_slices() {
+    let mut scenario = static_scenario(8, 64, even_keys(400, 1.0), 600);
+    scenario.events[10] = Event::HotKey(100, 400.0);
     let mut memory = PlannerMemory::default();
-    let rounds = play(&story, |input, now, _| plan(input, &mut memory, now)).unwrap();
+    let rounds = run_scenario(&scenario, |input, now, _| plan(input, &mut memory, now)).unwrap();
     let moves = rounds.iter().flatten();
     let percent: f64 = moves
         .filter_map(|change| match change {
@@ -327,9 +328,9 @@
     keys[100].requests_per_second = 30.0;
     keys[101].requests_per_second = 30.0;
     let hot = [keys[100].position, keys[101].position];
-    let story = quiet_story(8, 64, keys, 120);
+    let scenario = static_scenario(8, 64, keys, 120);
     let mut memory = PlannerMemory::default();
-    let rounds = play(&story, |input, now, _| {
+    let rounds = run_scenario(&scenario, |input, now, _| {
         let mut input = input.clone();
         if now == Time::ZERO {
             let slices = input.slices.iter_mut();
@@ -350,22 +351,22 @@
 }
 
 #[gtest]
-fn without_churn_allowed_hot_positions_stay_where_they_are() {
-    let mut story = quiet_story(4, 32, even_keys(320, 1.0), 120);
-    story.policy.max_churn_percent_per_minute = 0.0;
-    story.events[10] = Event::HotKey(100, 17.0);
-    story.events[11] = Event::HotKey(101, 17.0);
+fn hot_positions_are_not_moved_without_allowed_churn() {
+    let mut scenario = static_scenario(4, 32, even_keys(320, 1.0), 120);
+    scenario.policy.max_churn_percent_per_minute = 0.0;
+    scenario.events[10] = Event::HotKey(100, 17.0);
+    scenario.events[11] = Event::HotKey(101, 17.0);
     let mut memory = PlannerMemory::default();
-    let rounds = play(&story, |input, now, _| plan(input, &mut memory, now)).unwrap();
+    let rounds = run_scenario(&scenario, |input, now, _| plan(input, &mut memory, now)).unwrap();
     expect_that!(rounds[1..].iter().flatten().count(), eq(0));
 }
 
 #[gtest]
-fn slices_of_unknown_load_keep_their_estimate() {
-    let mut story = quiet_story(4, 64, even_keys(640, 1.0), 120);
-    story.events[0] = Event::HotKey(100, 30.0);
+fn slices_with_unknown_load_keep_their_estimate() {
+    let mut scenario = static_scenario(4, 64, even_keys(640, 1.0), 120);
+    scenario.events[0] = Event::HotKey(100, 30.0);
     let mut memory = PlannerMemory::default();
-    let rounds = play(&story, |input, now, _| {
+    let rounds = run_scenario(&scenario, |input, now, _| {
         let mut input = input.clone();
         let of_server = |server| move |slice: &&mut SliceState| owned_by(slice, server);
         if now > Time::ZERO {
@@ -383,14 +384,14 @@
 }
 
 #[gtest]
-fn planning_owners_alone_leaves_the_rest_for_the_round() {
-    let mut story = quiet_story(4, 32, even_keys(320, 1.0), 40);
-    story.events[10] = Event::HotKey(100, 17.0);
-    story.events[11] = Event::HotKey(101, 17.0);
+fn planning_owners_only_leaves_other_changes_to_the_next_round() {
+    let mut scenario = static_scenario(4, 32, even_keys(320, 1.0), 40);
+    scenario.events[10] = Event::HotKey(100, 17.0);
+    scenario.events[11] = Event::HotKey(101, 17.0);
     let mut alone = PlannerMemory::default();
     let mut beside = PlannerMemory::default();
-    let expected = play(&story, |input, now, _| plan(input, &mut alone, now)).unwrap();
-    let planned = play(&story, |input, now, _| {
+    let expected = run_scenario(&scenario, |input, now, _| plan(input, &mut alone, now)).unwrap();
+    let planned = run_scenario(&scenario, |input, now, _| {
         plan_owners(input, &mut beside, now);
         plan(input, &mut beside, now)
     });
@@ -399,7 +400,7 @@
 }
 
 #[gtest]
-fn cold_server_is_given_less_until_it_is_warm() {
+fn cold_server_is_given_less_load_until_it_is_warm() {
     let mut cluster = Cluster::new(4, 2.0, 64);
     let mut memory = PlannerMemory::default();
     cluster.servers[0].cold = true;
--- a/crates/ledgelead-balance/tests/sketch.rs
+++ b/crates/ledgelead-balance/tests/sketch.rs
@@ -1,4 +1,4 @@
-//! The sketch's error bound.
+//! Error bounds of the sketch.
 
 use googletest::prelude::*;
 use ledgelead_balance::sketch::{HotPositions, SpaceSaving};
@@ -30,10 +30,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// No count is too low, none too high by more than the bound, and what is
-    /// more frequent than the bound has a counter.
+    /// No count is below the true one or exceeds it by more than the bound, and every
+    /// position that is more frequent than the bound has a counter.
     #[test]
-    fn counts_keep_within_the_bound(
+    fn counts_stay_within_the_error_bound(
         capacity in 1..30_usize,
         steps in proptest::collection::vec(step(), 0..1_500),
     ) {
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn yesterdays_hot_position_gives_way() {
+fn cooled_down_hot_position_is_replaced() {
     let mut hot = HotPositions::new(4);
     let at = |millis| Time::ZERO + Span::from_millis(millis);
     for millis in 0..60_000 {
--- a/crates/ledgelead-balance/tests/support/mod.rs
+++ b/crates/ledgelead-balance/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! A group's slices and servers, to which planned changes are applied under
-//! the rules that the ownership of slices keeps.
+//! Slices and servers of a group, to which planned changes are applied under the rules of
+//! slice ownership.
 
 use ledgelead_balance::{PlanInput, PlannedChange, ServerState, SliceState};
 use ledgelead_types::configuration::BalanceConfiguration;
 use ledgelead_types::{Position, PositionRange, ServerId, ZoneId};
 use std::collections::BTreeMap;
 
-/// Slices with the owner that a hand-over under way leads to.
+/// Slices with their owner, and the new owner of a handover in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Cluster {
     pub slices: BTreeMap<Position, SliceState>,
@@ -14,7 +14,7 @@
     arriving: BTreeMap<Position, ServerId>,
 }
 
-/// A hand-over that was completed.
+/// A completed handover.
 #[derive(Clone, Copy, Debug)]
 pub struct CompletedMove {
     pub range: PositionRange,
@@ -22,8 +22,7 @@
 }
 
 impl Cluster {
-    /// `servers` servers over three zones and `slices` equal slices without
-    /// owners.
+    /// `servers` servers in three zones and `slices` equal slices without owners.
     pub fn new(servers: u32, slots: f64, slices: u64) -> Cluster {
         let servers = (0..servers)
             .map(|number| ServerState {
@@ -45,7 +44,7 @@
         }
     }
 
-    /// The planner's view.
+    /// The input of the planner.
     pub fn input(&self, policy: BalanceConfiguration) -> PlanInput {
         PlanInput {
             slices: self.slices.values().cloned().collect(),
@@ -55,7 +54,7 @@
     }
 
     /// Whether the slices cover the whole space without gap or overlap.
-    pub fn is_whole(&self) -> bool {
+    pub fn covers_space(&self) -> bool {
         let mut next = Some(0);
         for slice in self.slices.values() {
             if Some(slice.range.first.0) != next || slice.range.first > slice.range.last {
@@ -66,7 +65,7 @@
         next.is_none()
     }
 
-    /// Applies changes in their order; says which one is invalid.
+    /// Applies changes in order; returns the first invalid one.
     pub fn apply(&mut self, changes: &[PlannedChange]) -> Result<(), String> {
         for change in changes {
             self.apply_one(change)
@@ -75,7 +74,7 @@
         Ok(())
     }
 
-    /// Completes the hand-overs under way.
+    /// Completes the handovers in progress.
     pub fn complete_moves(&mut self) -> Vec<CompletedMove> {
         let arriving = std::mem::take(&mut self.arriving);
         let mut completed = Vec::new();
@@ -91,8 +90,8 @@
         completed
     }
 
-    /// Takes a server away with all that it owned.
-    pub fn lose(&mut self, server: ServerId) {
+    /// Removes a server together with its ownership.
+    pub fn remove_server(&mut self, server: ServerId) {
         self.servers.retain(|state| state.server != server);
         self.arriving.retain(|_, to| *to != server);
         for (first, slice) in &mut self.slices {
@@ -106,20 +105,20 @@
     fn apply_one(&mut self, change: &PlannedChange) -> Option<()> {
         match *change {
             PlannedChange::Assign { range, to } => {
-                let slice = self.resting(range)?;
+                let slice = self.slice_without_handover(range)?;
                 let is_ownerless = slice.owner.is_none();
                 (is_ownerless && self.accepts(to)).then_some(())?;
                 self.slice(range)?.owner = Some(to);
             }
             PlannedChange::Move { range, from, to } => {
-                let slice = self.resting(range)?;
+                let slice = self.slice_without_handover(range)?;
                 let is_owner = slice.owner == Some(from) && from != to;
                 (is_owner && self.accepts(to)).then_some(())?;
                 self.slice(range)?.moving = true;
                 self.arriving.insert(range.first, to);
             }
             PlannedChange::Split { range, at } => {
-                let slice = self.resting(range)?;
+                let slice = self.slice_without_handover(range)?;
                 let (left, right) = range.split_at(at)?;
                 self.put(SliceState {
                     range: left,
@@ -131,8 +130,8 @@
                 });
             }
             PlannedChange::Merge { first, second } => {
-                let left = self.resting(first)?;
-                let right = self.resting(second)?;
+                let left = self.slice_without_handover(first)?;
+                let right = self.slice_without_handover(second)?;
                 let is_adjacent = first.last.0.checked_add(1) == Some(second.first.0);
                 (is_adjacent && left.owner == right.owner).then_some(())?;
                 self.slices.remove(&second.first);
@@ -149,7 +148,7 @@
         Some(())
     }
 
-    fn resting(&self, range: PositionRange) -> Option<SliceState> {
+    fn slice_without_handover(&self, range: PositionRange) -> Option<SliceState> {
         let slice = self.slices.get(&range.first)?;
         (slice.range == range && !slice.moving).then(|| slice.clone())
     }
