--- a/crates/ledgelead-balance/src/sketch.rs
+++ b/crates/ledgelead-balance/src/sketch.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// Rates of the hottest positions, in requests a second.
+/// Rates of the hottest positions, in requests per second.
 #[derive(Clone, Debug)]
 pub struct HotPositions {
     sketch: SpaceSaving,
--- a/crates/ledgelead-membership/examples/gossip_cost.rs
+++ b/crates/ledgelead-membership/examples/gossip_cost.rs
@@ -1,5 +1,5 @@
-//! Prints the bytes a second that membership and dissemination send per node,
-//! at several sizes, in virtual time and without frames of the transport.
+//! Prints the bytes per second that membership and dissemination send per node at several
+//! cluster sizes, in virtual time and without the transport's framing.
 //!
 //! `cargo run --release -p ledgelead-membership --example gossip_cost`
 
@@ -11,7 +11,7 @@
 use ledgelead_types::{Bytes, GroupId, Revision, ServiceId, Span};
 
 const SECONDS: u64 = 60;
-/// A configuration of 1,000 servers in the nodes' binary form.
+/// Size of a configuration with 1,000 servers in the nodes' binary format.
 const CONFIGURATION_BYTES: usize = 60_000;
 
 fn main() {
@@ -34,7 +34,7 @@
         let changing = totals(&network);
         let rate = |from: u64, to: u64| (to - from) as f64 / SECONDS as f64 / count as f64;
         let spread = time_to_reach_all(&mut network);
-        let found = time_to_find_a_death(&mut network);
+        let found = time_to_detect_a_dead_node(&mut network);
         println!(
             "{count:5}  {:10.0}  {:10.0}  {:13.0}  {:8.0}  {:11}  {:7.0}  {:7.1}",
             rate(0, joined.0),
@@ -46,10 +46,14 @@
             found.as_seconds(),
         );
     }
-    println!("Bytes a second that one node sends, on average over {SECONDS} s.");
-    println!("joining: membership from the start of all at once; then both in calm");
-    println!("changing: dissemination while one configuration of 60 kB changes each second");
-    println!("news: until all nodes hold a configuration; death: until all know of one");
+    println!("Bytes per second sent by one node, mean over {SECONDS} s.");
+    println!(
+        "joining: membership while all nodes start at once; the next two columns: without changes"
+    );
+    println!("changing: dissemination while a configuration of 60 kB changes every second");
+    println!(
+        "news: until all nodes have a new configuration; death: until all nodes have detected one"
+    );
 }
 
 fn publish(network: &mut Network, revision: u64) {
@@ -78,7 +82,7 @@
     network.dissemination_input(0, input);
 }
 
-/// Until every node holds a new configuration.
+/// Time until every node has a new configuration.
 fn time_to_reach_all(network: &mut Network) -> Span {
     let published = network.now;
     let revision = 1_000;
@@ -96,8 +100,8 @@
     network.now.since(published)
 }
 
-/// Until every other node holds one dead that has just stopped.
-fn time_to_find_a_death(network: &mut Network) -> Span {
+/// Time until all other nodes consider a stopped node dead.
+fn time_to_detect_a_dead_node(network: &mut Network) -> Span {
     let stopped = network.now;
     network.set_running(network.nodes.len() - 1, false);
     while network.disagreements() > 0 {
--- a/crates/ledgelead-membership/src/death_proofs.rs
+++ b/crates/ledgelead-membership/src/death_proofs.rs
@@ -1,29 +1,29 @@
-//! Proof that an earlier run of a node's process is over.
+//! Proof that an earlier incarnation of a node's process has ended.
 //!
-//! A machine runs one process of the node at a time. So when a run answers a
-//! ping that was sent after another run of the same node was first heard of,
-//! the other one is over. A run that is merely *said* to be replaced is not
-//! proven dead: the order of two rumours proves nothing, and a run that lives
-//! and is taken for dead could lead a group next to its successor.
+//! A machine runs one process of the node at a time. When an incarnation answers a ping that
+//! was sent after another incarnation of the same node was first seen, the other incarnation
+//! has ended. An incarnation that is only *reported* as replaced is not proven dead: the
+//! order of two reports proves nothing, and an incarnation that is still running but
+//! considered dead could lead a group at the same time as its successor.
 
 use ledgelead_types::{Incarnation, Member, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most runs that are remembered of one node; the oldest is forgotten first.
+/// Maximum number of incarnations kept for a node; the oldest is dropped first.
 const MAX_INCARNATIONS: usize = 16;
 
-/// Most nodes of which runs are remembered; far above any deployment.
+/// Maximum number of nodes with known incarnations; far above any deployment.
 const MAX_NODES: usize = 4_096;
 
-/// One run of a node's process.
+/// An incarnation of a node's process.
 #[derive(Clone, Copy, Debug)]
 struct KnownIncarnation {
     incarnation: Incarnation,
-    first_heard: Time,
-    is_over: bool,
+    first_seen: Time,
+    has_ended: bool,
 }
 
-/// Runs of every node and which of them are over.
+/// Incarnations of all nodes, and which of them have ended.
 #[derive(Debug, Default)]
 pub(crate) struct DeathProofs {
     incarnations: BTreeMap<NodeId, Vec<KnownIncarnation>>,
@@ -31,7 +31,7 @@
 }
 
 impl DeathProofs {
-    /// Notes that a run was heard of.
+    /// Records that an incarnation was seen.
     pub(crate) fn note(&mut self, now: Time, member: Member) {
         if self.incarnations.len() >= MAX_NODES && !self.incarnations.contains_key(&member.node) {
             return;
@@ -48,61 +48,62 @@
         }
         incarnations.push(KnownIncarnation {
             incarnation: member.incarnation,
-            first_heard: now,
-            is_over: false,
+            first_seen: now,
+            has_ended: false,
         });
     }
 
-    /// Takes in that a run answered a ping sent at `sent`. Returns whether
-    /// this proves something new.
+    /// Records that an incarnation answered a ping sent at `sent`; returns whether this
+    /// proves the end of another one.
     pub(crate) fn answered(&mut self, member: Member, sent: Time) -> bool {
         let incarnations = self.incarnations.entry(member.node).or_default();
         let over = |known: &&mut KnownIncarnation| {
-            known.incarnation != member.incarnation && known.first_heard <= sent && !known.is_over
+            known.incarnation != member.incarnation && known.first_seen <= sent && !known.has_ended
         };
         let mut proves = false;
         for known in incarnations.iter_mut().filter(over) {
-            known.is_over = true;
+            known.has_ended = true;
             proves = true;
         }
         let open = incarnations
             .iter()
-            .any(|known| known.incarnation != member.incarnation && !known.is_over);
+            .any(|known| known.incarnation != member.incarnation && !known.has_ended);
         if !open {
             self.unproven.remove(&member.node);
         }
         proves
     }
 
-    /// Takes in that the platform lists the machine as switched off. Returns
-    /// whether this proves something new.
+    /// Records that the platform lists the machine as switched off; returns whether this
+    /// proves the end of an incarnation.
     pub(crate) fn machine_gone(&mut self, now: Time, node: NodeId) -> bool {
         let mut proves = false;
         for known in self.incarnations.entry(node).or_default() {
-            let is_new = known.first_heard < now && !known.is_over;
-            known.is_over |= is_new;
+            let is_new = known.first_seen < now && !known.has_ended;
+            known.has_ended |= is_new;
             proves |= is_new;
         }
         proves
     }
 
-    /// Whether the run is over for certain.
-    pub(crate) fn is_over(&self, member: Member) -> bool {
+    /// Whether the end of the incarnation is proven.
+    pub(crate) fn has_ended(&self, member: Member) -> bool {
         self.incarnations
             .get(&member.node)
             .is_some_and(|incarnations| {
                 incarnations
                     .iter()
-                    .any(|known| known.incarnation == member.incarnation && known.is_over)
+                    .any(|known| known.incarnation == member.incarnation && known.has_ended)
             })
     }
 
-    /// Asks for a proof: the node should be pinged.
+    /// Requests a proof: the node should be pinged.
     pub(crate) fn request_proof(&mut self, node: NodeId) {
         self.unproven.insert(node);
     }
 
-    /// Keeps the doubts about some nodes: one that is not live can't answer.
+    /// Retains the requests of the nodes selected by `keep`; a node that is not live can't
+    /// answer.
     pub(crate) fn retain_unproven(&mut self, keep: impl Fn(NodeId) -> bool) {
         self.unproven.retain(|node| keep(*node));
     }
--- a/crates/ledgelead-membership/src/dissemination/message.rs
+++ b/crates/ledgelead-membership/src/dissemination/message.rs
@@ -1,16 +1,16 @@
-//! Items and the messages that carry them.
+//! Disseminated items and the messages that carry them.
 
 use ledgelead_types::{Bytes, FencingToken, GroupId, List};
 use nanoserde::{DeBin, SerBin};
 
-/// Names an item.
+/// Identifies an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum ItemKey {
     /// The configuration.
     Configuration,
     /// A group's record as read from the platform's store.
     GroupRecord(GroupId),
-    /// A group's routes as its leader publishes them.
+    /// A group's routes as published by its leader.
     Routes(GroupId),
 }
 
@@ -24,22 +24,22 @@
     }
 }
 
-/// Version of an item. The configuration uses the revision only.
+/// Version of an item. The configuration only uses the revision.
 pub type ItemVersion = FencingToken;
 
-/// An item's name and version.
+/// Identifier and version of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ItemHeader {
     /// The item.
     pub key: ItemKey,
-    /// The version held.
+    /// The sender's version.
     pub version: ItemVersion,
 }
 
 /// An item.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct Item {
-    /// Its name.
+    /// Its identifier.
     pub key: ItemKey,
     /// Its version.
     pub version: ItemVersion,
@@ -47,35 +47,36 @@
     pub value: Bytes,
 }
 
-/// An item as a change of the version before.
+/// A new version of an item as a difference to an earlier version.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ItemDelta {
     /// The item.
     pub header: ItemHeader,
-    /// The version that it is a change of.
+    /// The version that the patch applies to.
     pub base: ItemVersion,
-    /// What changed.
+    /// The difference.
     pub patch: Bytes,
-    /// Hash of the content that results.
+    /// Hash of the resulting content.
     pub hash: u64,
 }
 
-/// A message between the disseminations of two nodes.
+/// A message of the dissemination protocol.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum DisseminationMessage {
-    /// Items, pushed or asked for.
+    /// Items, pushed or requested.
     Items(List<Item>),
-    /// A change of a large item. A node that lacks its base asks for the whole.
+    /// The difference to an earlier version of a large item. A node without the base version
+    /// requests the whole item.
     Delta(ItemDelta),
-    /// The sender holds these versions.
+    /// Identifiers and versions that the sender can provide.
     Offer(List<ItemHeader>),
-    /// Asks for items.
+    /// Requests items.
     Request(List<ItemKey>),
-    /// Hash over the names and versions of all items that the sender holds.
+    /// Hash over the identifiers and versions of all items of the sender.
     Summary {
         /// The hash.
         hash: u64,
     },
-    /// Answers a summary that differs: all that the sender holds.
+    /// Reply to a summary with a different hash: all identifiers and versions of the sender.
     Digest(List<ItemHeader>),
 }
--- a/crates/ledgelead-membership/src/dissemination/mod.rs
+++ b/crates/ledgelead-membership/src/dissemination/mod.rs
@@ -1,12 +1,13 @@
-//! Versioned items that every live node holds in their newest version:
-//! configuration, group records and routes.
+//! Dissemination of versioned items (configuration, group records and routes) to every live
+//! node.
 //!
-//! News is pushed epidemically (Demers et al.: "Epidemic algorithms for
-//! replicated database maintenance", 1987): a small item whole, a large one as
-//! a change of the version before when that is small, else as an offer that a
-//! node which lacks it takes up once. Whoever was missed or cut off is repaired
-//! by comparing digests with one random node a second.
-//! Invariant: the held version of an item never decreases.
+//! New versions are pushed epidemically (Demers et al.: "Epidemic algorithms for replicated
+//! database maintenance", 1987). A small item is sent whole. A large item is sent as a
+//! difference to the previous version if that is small, otherwise it is offered, and a node
+//! that lacks it requests it once. Nodes that were missed or partitioned are repaired by
+//! comparing digests with one random node per second.
+//!
+//! Invariant: the version of an item held by a node never decreases.
 
 mod message;
 mod patch;
@@ -27,36 +28,36 @@
 use store::{ItemStore, PutResult};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Random nodes that each round of a rumour tells.
+/// Number of random nodes that receive each round of a rumor.
 const FANOUT: usize = 4;
-/// Up to this many peers all are told at once, by the node that has the news
-/// first. The others then only offer it, to few, in case that node or its
-/// messages were lost.
+/// Up to this number of peers, the node that has the new version first sends it to all of
+/// them. The others only offer it to a few nodes, in case that node or its messages were
+/// lost.
 const MAX_FULL_FANOUT_PEERS: usize = 8;
-/// Nodes to which one that was told together with all others offers the item.
+/// Number of nodes to which the item is offered by a node that received it together with all
+/// others.
 const CONFIRMATION_FANOUT: usize = 2;
-/// Largest value that is pushed whole; larger ones are offered first.
+/// Maximum size of a value that is pushed whole; larger values are offered first.
 const MAX_PUSH_BYTES: usize = 512;
-/// One digest comparison in this time.
+/// Interval of digest comparisons.
 const DIGEST_INTERVAL: Span = Span::from_seconds(1);
-/// How long an item that was asked for may take before another node is asked.
+/// How long to wait for a requested item before requesting it from another node.
 const REQUEST_TIMEOUT: Span = Span::from_millis(100);
-/// Bytes of values that one message carries at most, unless one value alone
-/// is larger.
+/// Maximum total size of the values in one message; a single larger value is sent alone.
 const MAX_MESSAGE_BYTES: usize = 256 * 1_024;
 
-/// What the dissemination of one node starts from.
+/// Initial settings of the dissemination.
 #[derive(Clone, Copy, Debug)]
 pub struct DisseminationSettings {
     /// This node.
     pub node: NodeId,
-    /// Seed of every random decision.
+    /// Seed of all random decisions.
     pub random_seed: u64,
-    /// All on, except in a simulation that proves its checker.
+    /// Protections in force; all are on except in simulations that verify their checker.
     pub protections: Protections,
 }
 
-/// Something that the dissemination hears of.
+/// An input to the dissemination.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DisseminationInput {
     /// This node has a new version of an item.
@@ -68,37 +69,37 @@
         /// Its content.
         value: Bytes,
     },
-    /// A message of another node arrived.
+    /// A message from another node.
     Message {
         /// The sender, authenticated by the transport.
         from: NodeId,
         /// The message.
         message: DisseminationMessage,
     },
-    /// The live nodes without this one.
+    /// The live nodes except this one.
     Peers(Vec<NodeId>),
-    /// The groups of the configuration in force. Items of groups that were
-    /// removed are dropped and not taken again.
+    /// The groups of the configuration in force. Items of removed groups are dropped and no
+    /// longer accepted.
     Configured {
         /// Every configured group.
         groups: BTreeSet<GroupId>,
-        /// Highest service identifier that was ever given out. A group of a
-        /// higher one is new rather than removed.
+        /// Highest service identifier ever assigned. A group of a service with a higher
+        /// identifier is new rather than removed.
         highest_service: ServiceId,
     },
 }
 
-/// Something that the dissemination wants done.
+/// An action that the caller of the dissemination has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DisseminationOutput {
-    /// Send a message; it may be lost.
+    /// Send a message. The message may be lost.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: DisseminationMessage,
     },
-    /// A strictly newer version than the one held before.
+    /// A strictly newer version of an item was received or published.
     Updated {
         /// The item.
         key: ItemKey,
@@ -109,16 +110,16 @@
     },
 }
 
-/// One node's copy of all items.
+/// One node's replica of all items.
 pub struct Dissemination {
     node: NodeId,
     peers: Vec<NodeId>,
     store: ItemStore,
     rumors: Rumors,
     requested: BTreeMap<ItemKey, (ItemVersion, Time)>,
-    /// The change that led to the version held, to be passed on.
+    /// Differences that led to the current versions, kept to be passed on.
     deltas: BTreeMap<ItemKey, ItemDelta>,
-    /// Items whose newest version this node was the first to have.
+    /// Items whose current version was published by this node.
     published_here: BTreeSet<ItemKey>,
     next_digest: Time,
     random: Pcg64Mcg,
@@ -126,7 +127,7 @@
 }
 
 impl Dissemination {
-    /// A node that holds nothing.
+    /// A node without items.
     pub fn new(settings: DisseminationSettings, now: Time) -> Dissemination {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let phase = Span(random.random_range(0..DIGEST_INTERVAL.as_micros()));
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input at `now`.
     pub fn step(&mut self, now: Time, input: DisseminationInput) {
         match input {
             DisseminationInput::Publish {
@@ -153,15 +154,15 @@
                 value,
             } => self.publish(now, key, version, value),
             DisseminationInput::Message { from, message } => self.receive(now, from, message),
-            DisseminationInput::Peers(peers) => self.take_peers(peers),
+            DisseminationInput::Peers(peers) => self.apply_peers(peers),
             DisseminationInput::Configured {
                 groups,
                 highest_service,
-            } => self.take_groups(groups, highest_service),
+            } => self.apply_groups(groups, highest_service),
         }
     }
 
-    /// Does what has become due by `now`.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Time) {
         for key in self.rumors.take_due(now) {
             self.offer(key);
@@ -178,22 +179,22 @@
         rumor.map_or(self.next_digest, |due| due.min(self.next_digest))
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the outputs produced since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<DisseminationOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The version held of an item, and its content.
+    /// The current version and content of an item.
     pub fn get(&self, key: ItemKey) -> Option<(ItemVersion, &Bytes)> {
         self.store.get(key)
     }
 
-    /// Number of items held.
+    /// Number of items.
     pub fn len(&self) -> usize {
         self.store.len()
     }
 
-    /// Whether no item is held.
+    /// Whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.store.len() == 0
     }
@@ -203,11 +204,11 @@
             DisseminationMessage::Items(items) => {
                 for item in items {
                     self.published_here.remove(&item.key);
-                    self.take_item(now, item, None);
+                    self.apply_item(now, item, None);
                 }
             }
-            DisseminationMessage::Delta(delta) => self.take_delta(now, from, delta),
-            DisseminationMessage::Offer(headers) => self.take_offer(now, from, &headers),
+            DisseminationMessage::Delta(delta) => self.apply_delta(now, from, delta),
+            DisseminationMessage::Offer(headers) => self.request_offered(now, from, &headers),
             DisseminationMessage::Request(keys) => self.send_items(from, &keys),
             DisseminationMessage::Summary { hash } => {
                 if hash != self.store.hash() {
@@ -215,7 +216,7 @@
                     self.send(from, DisseminationMessage::Digest(headers));
                 }
             }
-            DisseminationMessage::Digest(headers) => self.take_digest(now, from, &headers),
+            DisseminationMessage::Digest(headers) => self.apply_digest(now, from, &headers),
         }
     }
 
@@ -229,10 +230,11 @@
             version,
             value,
         };
-        self.take_item(now, item, delta);
+        self.apply_item(now, item, delta);
     }
 
-    /// What changes from the version held, unless the whole is small.
+    /// The difference to the current version, unless the value is small or the difference is
+    /// not.
     fn delta_to(&self, key: ItemKey, version: ItemVersion, value: &Bytes) -> Option<ItemDelta> {
         let (base, held) = self.store.get(key)?;
         if value.0.len() <= MAX_PUSH_BYTES {
@@ -246,7 +248,7 @@
         })
     }
 
-    fn take_delta(&mut self, now: Time, from: NodeId, delta: ItemDelta) {
+    fn apply_delta(&mut self, now: Time, from: NodeId, delta: ItemDelta) {
         let ItemHeader { key, version } = delta.header;
         if !self.store.would_accept(key, version) {
             return;
@@ -254,7 +256,7 @@
         let held = self.store.get(key).filter(|(held, _)| *held == delta.base);
         let value = held.and_then(|(_, base)| patch::apply(&base.0, &delta.patch));
         let Some(value) = value.filter(|value| xxh3_64(value) == delta.hash) else {
-            self.take_offer(now, from, &[delta.header]);
+            self.request_offered(now, from, &[delta.header]);
             return;
         };
         self.published_here.remove(&key);
@@ -263,10 +265,10 @@
             version,
             value: Bytes(value),
         };
-        self.take_item(now, item, Some(delta));
+        self.apply_item(now, item, Some(delta));
     }
 
-    fn take_item(&mut self, now: Time, item: Item, delta: Option<ItemDelta>) {
+    fn apply_item(&mut self, now: Time, item: Item, delta: Option<ItemDelta>) {
         let Item {
             key,
             version,
@@ -293,7 +295,7 @@
         }
     }
 
-    /// Tells of an item at once.
+    /// Announces a new version at once.
     fn announce(&mut self, key: ItemKey, is_small: bool) {
         if self.is_announced_to_all(key) {
             return;
@@ -309,8 +311,8 @@
         }
     }
 
-    /// The change to push. Where news comes to each node several times, a large
-    /// change is offered like a whole item.
+    /// The difference to push. If each node receives an announcement several times, a large
+    /// difference is offered like a whole item.
     fn pushed_delta(&self, key: ItemKey) -> Option<ItemDelta> {
         let is_delivered_once = self.peers.len() <= MAX_FULL_FANOUT_PEERS;
         let delta = self.deltas.get(&key)?;
@@ -318,13 +320,13 @@
         is_pushed.then(|| delta.clone())
     }
 
-    /// Whether the node that had the item first tells every node of it.
+    /// Whether the publisher of the item announces it to every node itself.
     fn is_announced_to_all(&self, key: ItemKey) -> bool {
         self.peers.len() <= MAX_FULL_FANOUT_PEERS && !self.published_here.contains(&key)
     }
 
-    /// Asks for the offered items that are newer, each of one node at a time.
-    fn take_offer(&mut self, now: Time, from: NodeId, headers: &[ItemHeader]) {
+    /// Requests the offered items that are newer, each from one node at a time.
+    fn request_offered(&mut self, now: Time, from: NodeId, headers: &[ItemHeader]) {
         let mut wanted = List::default();
         for header in headers {
             if self.store.would_accept(header.key, header.version)
@@ -346,9 +348,9 @@
         })
     }
 
-    /// Another node's list, which differs from this one's: sends what is
-    /// newer here and asks for what is newer there.
-    fn take_digest(&mut self, now: Time, from: NodeId, headers: &[ItemHeader]) {
+    /// Handles another node's digest that differs from this node's: sends items that are
+    /// newer here and requests items that are newer there.
+    fn apply_digest(&mut self, now: Time, from: NodeId, headers: &[ItemHeader]) {
         let theirs: BTreeMap<ItemKey, ItemVersion> = headers
             .iter()
             .map(|header| (header.key, header.version))
@@ -361,7 +363,7 @@
             .map(|header| header.key)
             .collect();
         self.send_items(from, &newer_here);
-        self.take_offer(now, from, headers);
+        self.request_offered(now, from, headers);
     }
 
     fn send_items(&mut self, to: NodeId, keys: &[ItemKey]) {
@@ -419,9 +421,9 @@
         }
     }
 
-    /// A node that had no peers was cut off or has just started; it compares
-    /// at once.
-    fn take_peers(&mut self, peers: Vec<NodeId>) {
+    /// A node without peers was partitioned or has just started; it compares digests as soon
+    /// as it has peers.
+    fn apply_peers(&mut self, peers: Vec<NodeId>) {
         let was_alone = self.peers.is_empty();
         self.peers = peers;
         self.peers.retain(|node| *node != self.node);
@@ -430,7 +432,7 @@
         }
     }
 
-    fn take_groups(&mut self, groups: BTreeSet<GroupId>, highest_service: ServiceId) {
+    fn apply_groups(&mut self, groups: BTreeSet<GroupId>, highest_service: ServiceId) {
         self.store.configure(groups, highest_service);
         let store = &self.store;
         self.rumors.retain(|key| store.get(key).is_some());
--- a/crates/ledgelead-membership/src/dissemination/patch.rs
+++ b/crates/ledgelead-membership/src/dissemination/patch.rs
@@ -1,27 +1,28 @@
-//! The difference between two versions of an item's bytes. It knows nothing of
-//! what the bytes mean: routes, configuration and records share it.
+//! Differences between two versions of an item's bytes, independent of their meaning, so
+//! that routes, configuration and records share the code.
 
 use ledgelead_types::codec::{decode, encode};
 use ledgelead_types::{Bytes, List};
 use nanoserde::{DeBin, SerBin};
 use std::collections::HashMap;
 
-/// Bytes that have to agree for a part of the base to be found again. Below
-/// the size of one slice in a group's routes, above what slices have in common.
+/// Minimum number of matching bytes for a part of the base to be reused. It is below the
+/// size of one slice in a group's routes and above the length that different slices have in
+/// common.
 const BLOCK_BYTES: usize = 32;
-/// Most bytes that applying a patch makes.
+/// Maximum size of the result of a patch.
 const MAX_RESULT_BYTES: usize = 4 * 1_024 * 1_024;
 
-/// One step of making the new bytes, in order.
+/// A step in building the new bytes.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 enum Step {
-    /// Repeats a part of the base.
+    /// Copies a part of the base.
     Copy { offset: u32, length: u32 },
-    /// Adds bytes that the base lacks.
+    /// Inserts bytes that the base lacks.
     Insert(Bytes),
 }
 
-/// What makes `new` of `base`; `None` unless it is less than half of `new`.
+/// A patch from `base` to `new`; `None` unless it is smaller than half of `new`.
 pub(super) fn difference(base: &[u8], new: &[u8]) -> Option<Bytes> {
     if base.len().max(new.len()) > MAX_RESULT_BYTES {
         return None;
@@ -59,7 +60,7 @@
     }
 }
 
-/// Where each block of the base starts; the first of equal ones.
+/// Start of each block of the base; the first one of equal blocks.
 fn blocks_of(base: &[u8]) -> HashMap<&[u8], usize> {
     let mut blocks = HashMap::new();
     for (index, block) in base.chunks_exact(BLOCK_BYTES).enumerate() {
@@ -68,7 +69,7 @@
     blocks
 }
 
-/// The part of the base that continues as `new` does from `position`.
+/// The part of the base that matches `new` from `position` on.
 fn find(
     base: &[u8],
     blocks: &HashMap<&[u8], usize>,
@@ -82,7 +83,7 @@
     Some((offset, length))
 }
 
-/// The bytes that a patch makes of its base; `None` when it doesn't fit.
+/// Applies a patch to its base; `None` if it does not fit.
 pub(super) fn apply(base: &[u8], patch: &Bytes) -> Option<Vec<u8>> {
     let steps = decode::<List<Step>>(&patch.0).ok()?;
     let mut result = Vec::new();
--- a/crates/ledgelead-membership/src/dissemination/patch_tests.rs
+++ b/crates/ledgelead-membership/src/dissemination/patch_tests.rs
@@ -1,4 +1,4 @@
-//! Patches make the new bytes, and damaged ones do no harm.
+//! Patches produce the new bytes, and damaged patches are handled without a panic.
 
 use super::patch::{apply, difference};
 use proptest::prelude::*;
@@ -12,30 +12,30 @@
         ..ProptestConfig::default()
     })]
 
-    /// A patch makes the new bytes of the base, and is small when little
-    /// was cut out and put in.
+    /// A patch produces the new bytes from the base, and is small when few bytes were
+    /// removed and inserted.
     #[test]
-    fn patches_make_the_new_bytes(
+    fn patches_produce_the_new_bytes(
         base in prop::collection::vec(any::<u8>(), 500..3_000),
-        cut in 0..400_usize,
-        place: prop::sample::Index,
-        put in prop::collection::vec(any::<u8>(), 0..60),
+        removed in 0..400_usize,
+        start_index: prop::sample::Index,
+        inserted in prop::collection::vec(any::<u8>(), 0..60),
     ) {
-        let start = place.index(base.len());
-        let end = (start + cut).min(base.len());
+        let start = start_index.index(base.len());
+        let end = (start + removed).min(base.len());
         let mut new = base.clone();
-        new.splice(start..end, put.iter().copied());
+        new.splice(start..end, inserted.iter().copied());
         if let Some(patch) = difference(&base, &new) {
-            prop_assert!(patch.0.len() < put.len() + 160);
+            prop_assert!(patch.0.len() < inserted.len() + 160);
             prop_assert_eq!(apply(&base, &patch), Some(new));
         } else {
-            prop_assert!(new.len() < 2 * (put.len() + 160));
+            prop_assert!(new.len() < 2 * (inserted.len() + 160));
         }
     }
 
-    /// Damaged patches are refused or make some bytes; none panic.
+    /// Damaged patches are rejected or produce some bytes; none causes a panic.
     #[test]
-    fn damaged_patches_do_no_harm(
+    fn damaged_patches_cause_no_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..100),
         base in prop::collection::vec(any::<u8>(), 0..100),
     ) {
--- a/crates/ledgelead-membership/src/dissemination/rumors.rs
+++ b/crates/ledgelead-membership/src/dissemination/rumors.rs
@@ -1,14 +1,14 @@
-//! New items that are still offered to further random nodes.
+//! New versions of items that are still being offered to random nodes.
 
 use super::message::ItemKey;
 use ledgelead_types::{Span, Time};
 use std::collections::BTreeMap;
 
-/// When, after the first telling, an item is offered again. The rounds after
-/// the first reach nearly all of the nodes that it missed.
+/// Delays after the first announcement at which an item is offered again. These rounds reach
+/// nearly all nodes that the first one missed.
 const ROUNDS: [Span; 2] = [Span::from_millis(60), Span::from_millis(180)];
 
-/// Items in their first moments, each with its next round.
+/// Recently updated items with their next round.
 #[derive(Debug, Default)]
 pub(super) struct Rumors {
     rounds: BTreeMap<ItemKey, Round>,
@@ -27,7 +27,7 @@
 }
 
 impl Rumors {
-    /// Starts the rounds of an item that has just become newer.
+    /// Starts the rounds of an item with a new version.
     pub(super) fn start(&mut self, now: Time, key: ItemKey) {
         let round = Round {
             started: now,
@@ -36,7 +36,7 @@
         self.rounds.insert(key, round);
     }
 
-    /// Items to offer by `now`; each goes on to its next round.
+    /// Items due to be offered at `now`; each advances to its next round.
     pub(super) fn take_due(&mut self, now: Time) -> Vec<ItemKey> {
         let mut due = Vec::new();
         for (key, round) in &mut self.rounds {
@@ -54,7 +54,7 @@
         self.rounds.values().map(Round::due).min()
     }
 
-    /// Keeps only some items.
+    /// Retains the items selected by `keep`.
     pub(super) fn retain(&mut self, keep: impl Fn(ItemKey) -> bool) {
         self.rounds.retain(|key, _| keep(*key));
     }
--- a/crates/ledgelead-membership/src/dissemination/store.rs
+++ b/crates/ledgelead-membership/src/dissemination/store.rs
@@ -1,4 +1,4 @@
-//! The items that one node holds.
+//! The items stored by one node.
 
 use super::message::{Item, ItemHeader, ItemKey, ItemVersion};
 use ledgelead_types::codec::encode;
@@ -7,21 +7,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most items that are held; far above the groups of any deployment.
+/// Maximum number of items; far above the number of groups in any deployment.
 const MAX_ITEMS: usize = 16_384;
 
-/// Whether an item was taken.
+/// Result of storing a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PutResult {
-    /// Strictly newer than what was held.
+    /// Strictly newer than the current version.
     Newer,
-    /// Taken although it is older, because the protection is switched off.
+    /// Accepted although it is older, because the protection is off.
     Older,
-    /// Not newer, or of a group that was removed.
+    /// Not newer, or of a removed group.
     Refused,
 }
 
-/// Items by name, with a hash over their versions.
+/// Items by identifier, with a hash over their versions.
 #[derive(Debug)]
 pub(super) struct ItemStore {
     items: BTreeMap<ItemKey, (ItemVersion, Bytes)>,
@@ -32,7 +32,7 @@
 }
 
 impl ItemStore {
-    /// No items.
+    /// An empty store.
     pub(super) fn new(protections: Protections) -> ItemStore {
         ItemStore {
             items: BTreeMap::new(),
@@ -43,13 +43,13 @@
         }
     }
 
-    /// The version and content held.
+    /// The current version and content.
     pub(super) fn get(&self, key: ItemKey) -> Option<(ItemVersion, &Bytes)> {
         let (version, value) = self.items.get(&key)?;
         Some((*version, value))
     }
 
-    /// The item held.
+    /// The current item.
     pub(super) fn item(&self, key: ItemKey) -> Option<Item> {
         let (version, value) = self.get(key)?;
         let value = value.clone();
@@ -65,12 +65,12 @@
         self.items.len()
     }
 
-    /// Hash over names and versions; 0 without items.
+    /// Hash over identifiers and versions; 0 without items.
     pub(super) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Names and versions of all items.
+    /// Identifiers and versions of all items.
     pub(super) fn headers(&self) -> List<ItemHeader> {
         self.items
             .iter()
@@ -81,12 +81,12 @@
             .collect()
     }
 
-    /// Whether this version would be taken.
+    /// Whether this version would be stored.
     pub(super) fn would_accept(&self, key: ItemKey, version: ItemVersion) -> bool {
         self.classify(key, version) != PutResult::Refused
     }
 
-    /// Takes an item if it is newer.
+    /// Stores a version if it is newer.
     pub(super) fn put(&mut self, key: ItemKey, version: ItemVersion, value: Bytes) -> PutResult {
         let result = self.classify(key, version);
         if result != PutResult::Refused {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Drops the items of groups that are not configured any more.
+    /// Drops the items of groups that are no longer configured.
     pub(super) fn configure(&mut self, groups: BTreeSet<GroupId>, highest_service: ServiceId) {
         self.groups = groups;
         self.highest_service = highest_service;
@@ -130,9 +130,9 @@
         }
     }
 
-    /// Whether the item's group was removed. Identifiers of services are
-    /// never used again, so one that was given out and is not configured was
-    /// removed, while a higher one is in a configuration yet to arrive.
+    /// Whether the item's group was removed. Service identifiers are never reused: one that
+    /// was assigned and is not configured was removed, and a higher one belongs to a
+    /// configuration that has not arrived yet.
     fn is_removed(&self, key: ItemKey) -> bool {
         key.group().is_some_and(|group| {
             group.service <= self.highest_service && !self.groups.contains(&group)
@@ -146,8 +146,8 @@
     }
 }
 
-/// The hash of all items is the exclusive or of theirs, so it does not depend
-/// on the order in which they came.
+/// The hash of all items is the exclusive or of the hashes of each, so it does not depend on
+/// the order of their arrival.
 fn hash_of(key: ItemKey, version: ItemVersion) -> u64 {
     xxh3_64(&encode(&ItemHeader { key, version }))
 }
--- a/crates/ledgelead-membership/src/gossip_queue.rs
+++ b/crates/ledgelead-membership/src/gossip_queue.rs
@@ -1,37 +1,37 @@
-//! Which changes still have to be passed on, and how often.
+//! Changes that still have to be gossiped, and how often.
 
 use ledgelead_types::NodeId;
 use std::collections::BTreeMap;
 
-/// Transmissions of a change besides one for every doubling of the cluster. A
-/// change that every node passes on log2(n) + 2 times misses one of 500 nodes
-/// with a chance below e^-11; losses take some of that margin.
+/// Transmissions of a change in addition to one per doubling of the cluster size. A change
+/// that every node transmits log2(n) + 2 times misses one of 500 nodes with a probability
+/// below e^-11; message loss uses up some of that margin.
 const SPARE_TRANSMISSIONS: u32 = 2;
 
-/// Nodes whose record changed, with the transmissions that are left.
+/// Nodes with changed records, and the remaining transmissions of each.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
     left: BTreeMap<NodeId, u32>,
 }
 
 impl GossipQueue {
-    /// Adds a node whose record changed, in a cluster of `nodes`.
+    /// Adds a node whose record changed, in a cluster of `nodes` nodes.
     pub(crate) fn push(&mut self, node: NodeId, nodes: usize) {
         let doublings = usize::BITS - nodes.leading_zeros();
         self.left.insert(node, doublings + SPARE_TRANSMISSIONS);
     }
 
-    /// Whether there is nothing to pass on.
+    /// Whether no change is left to transmit.
     pub(crate) fn is_empty(&self) -> bool {
         self.left.is_empty()
     }
 
-    /// Passes a node's record on no more.
+    /// Stops the transmission of a node's record.
     pub(crate) fn remove(&mut self, node: NodeId) {
         self.left.remove(&node);
     }
 
-    /// Nodes to pass on, those sent least often first.
+    /// Nodes to transmit, the least transmitted first.
     pub(crate) fn order(&self) -> Vec<NodeId> {
         let mut nodes: Vec<_> = self
             .left
@@ -42,8 +42,8 @@
         nodes.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// Counts one transmission of a node's record, or one receipt of what is
-    /// known: others spread it as well.
+    /// Counts a transmission of a node's record. Receiving the same record counts too,
+    /// because then other nodes are spreading it.
     pub(crate) fn count(&mut self, node: NodeId) {
         if let Some(left) = self.left.get_mut(&node) {
             *left -= 1;
--- a/crates/ledgelead-membership/src/lib.rs
+++ b/crates/ledgelead-membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Node membership and dissemination of versioned items.
+//! Cluster membership and dissemination of versioned items.
 //!
-//! [`Membership`] tells which nodes are live (SWIM, Das et al. 2002);
-//! [`Dissemination`] brings the newest version of every item to every live
-//! node. Both are pure state machines (`docs/design/membership.md`).
+//! [`Membership`] determines which nodes are live (SWIM, Das et al. 2002); [`Dissemination`]
+//! delivers the newest version of every item to every live node. Both are state machines
+//! without I/O (`docs/design/membership.md`).
 
 mod death_proofs;
 mod dissemination;
--- a/crates/ledgelead-membership/src/members.rs
+++ b/crates/ledgelead-membership/src/members.rs
@@ -1,40 +1,40 @@
-//! What this node holds of every other node.
+//! State kept for each other node.
 
 use crate::message::{NodeRecord, NodeStatus, StatusVersion};
 use ledgelead_types::{ConfigurationVersion, Member, NodeId, Span, Time};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// How long a node that died or left is remembered, so that a cut that lasts
-/// an hour heals without the platform.
+/// How long a node that is dead or has left is remembered, so that a partition of an hour
+/// heals without the platform.
 const FORGET_AFTER: Span = Span::from_seconds(2 * 60 * 60);
-/// Most nodes that are remembered; far above any deployment.
+/// Maximum number of remembered nodes; far above any deployment.
 const MAX_NODES: usize = 4_096;
 
-/// This node's conclusion about another.
+/// This node's conclusion about another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Conclusion {
     /// Live.
     Alive,
-    /// Live until this time, unless it refutes.
+    /// Considered live until this time unless it refutes the suspicion.
     Suspect { until: Time },
-    /// Did not refute.
+    /// The suspicion was not refuted.
     Dead { since: Time },
-    /// Said that it stops.
+    /// It announced that it stops.
     Left { since: Time },
 }
 
-/// One other node.
+/// State of one other node.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// The record that superseded all others heard.
+    /// The received record that supersedes all others.
     pub(crate) record: NodeRecord,
-    /// What this node concludes.
+    /// The conclusion of this node.
     pub(crate) conclusion: Conclusion,
 }
 
 impl Entry {
-    /// Whether the node counts as live.
+    /// Whether the node is considered live.
     pub(crate) fn is_live(&self) -> bool {
         matches!(
             self.conclusion,
@@ -42,34 +42,34 @@
         )
     }
 
-    /// Whether the node is thought dead, but might only be out of reach.
+    /// Whether the node is considered dead, although it may only be unreachable.
     pub(crate) fn is_dead(&self) -> bool {
         matches!(self.conclusion, Conclusion::Dead { .. })
     }
 }
 
-/// What became of a record that was heard.
+/// Result of merging a received record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Merge {
-    /// Older than what is held, or not to be believed.
+    /// Older than the current record, or not accepted.
     Older,
-    /// What is held.
+    /// Equal to the current record.
     Same,
-    /// Newer; others should hear it.
+    /// Newer; to be gossiped.
     Newer {
-        /// The live set, a run or an address changed.
+        /// Whether the live set, an incarnation or an address changed.
         visible: bool,
     },
 }
 
-/// What an answer changed about a node.
+/// Effect of an answer on the conclusion about a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Revival {
-    /// Nothing.
+    /// No change.
     None,
-    /// It was suspected.
+    /// The node was suspected.
     Cleared,
-    /// It was thought dead.
+    /// The node was considered dead.
     Returned,
 }
 
@@ -77,8 +77,8 @@
 #[derive(Debug)]
 pub(crate) struct Members {
     entries: BTreeMap<NodeId, Entry>,
-    /// No suspicion runs out before this time. It may be too early, which
-    /// costs one look, and is never too late.
+    /// No suspicion expires before this time. It may be too early, which costs one needless
+    /// check, but is never too late.
     next_expiry: Time,
 }
 
@@ -97,26 +97,26 @@
         self.entries.get(&node)
     }
 
-    /// All entries in the order of their nodes.
+    /// All entries, ordered by node.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (NodeId, &Entry)> {
         self.entries.iter().map(|(node, entry)| (*node, entry))
     }
 
-    /// Live nodes in their order.
+    /// Live nodes in order.
     pub(crate) fn live(&self) -> impl Iterator<Item = NodeId> {
         self.iter()
             .filter(|(_, entry)| entry.is_live())
             .map(|(node, _)| node)
     }
 
-    /// Dead nodes in their order.
+    /// Dead nodes in order.
     pub(crate) fn dead(&self) -> impl Iterator<Item = NodeId> {
         self.iter()
             .filter(|(_, entry)| entry.is_dead())
             .map(|(node, _)| node)
     }
 
-    /// Takes in a record; a suspicion runs until `suspect_until`.
+    /// Merges a record; a new suspicion lasts until `suspect_until`.
     pub(crate) fn merge(&mut self, now: Time, record: &NodeRecord, suspect_until: Time) -> Merge {
         let node = record.member.node;
         if record.version > StatusVersion::MAX_ACCEPTED {
@@ -166,8 +166,8 @@
         Merge::Newer { visible: true }
     }
 
-    /// Concludes from an answer that the node lives although it is suspected
-    /// or thought dead at the same version.
+    /// Marks a node that answered as live if it is suspected or considered dead at the same
+    /// version.
     pub(crate) fn revive(&mut self, member: Member) -> Revival {
         let held = self.entries.get_mut(&member.node);
         let Some(entry) = held.filter(|entry| entry.record.member == member) else {
@@ -183,14 +183,14 @@
         revival
     }
 
-    /// The live node that follows in the order of identifiers.
+    /// The next live node in the order of identifiers.
     pub(crate) fn next_live(&self, after: Bound<NodeId>) -> Option<&NodeRecord> {
         let mut following = self.entries.range((after, Bound::Unbounded));
         let (_, entry) = following.find(|(_, entry)| entry.is_live())?;
         Some(&entry.record)
     }
 
-    /// Suspects a live node that is not suspected yet; `None` if it is.
+    /// Suspects a live node; `None` if it is not live or already suspected.
     pub(crate) fn suspect(&mut self, node: NodeId, until: Time) -> Option<&NodeRecord> {
         let entry = self.entries.get_mut(&node)?;
         if entry.conclusion != Conclusion::Alive {
@@ -202,7 +202,7 @@
         Some(&entry.record)
     }
 
-    /// Ends suspicions that ran out; returns the nodes that are dead now.
+    /// Expires suspicions; returns the nodes that are now dead.
     pub(crate) fn expire(&mut self, now: Time) -> Vec<NodeId> {
         let mut died = Vec::new();
         if now < self.next_expiry {
@@ -223,7 +223,7 @@
         died
     }
 
-    /// Forgets nodes that died or left long ago.
+    /// Removes nodes that died or left long ago.
     pub(crate) fn forget(&mut self, now: Time) {
         self.entries.retain(|_, entry| match entry.conclusion {
             Conclusion::Dead { since } | Conclusion::Left { since } => {
@@ -233,7 +233,7 @@
         });
     }
 
-    /// Shortens a suspicion, never below the present.
+    /// Shortens a suspicion to end at `until`.
     pub(crate) fn shorten_suspicion(&mut self, node: NodeId, until: Time) {
         if let Some(entry) = self.entries.get_mut(&node)
             && let Conclusion::Suspect { until: held } = &mut entry.conclusion
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Puts every suspicion off by the time that this process was stopped.
+    /// Extends all suspicions by the time for which this process was paused.
     pub(crate) fn postpone_suspicions(&mut self, span: Span) {
         for entry in self.entries.values_mut() {
             if let Conclusion::Suspect { until } = &mut entry.conclusion {
@@ -252,12 +252,12 @@
         }
     }
 
-    /// No suspicion runs out before this time.
+    /// No suspicion expires before this time.
     pub(crate) fn next_expiry(&self) -> Time {
         self.next_expiry
     }
 
-    /// Notes which configuration is in force on a node.
+    /// Records which configuration is in force on a node.
     pub(crate) fn note_version(&mut self, node: NodeId, version: ConfigurationVersion) {
         if let Some(entry) = self.entries.get_mut(&node) {
             entry.record.configuration = entry.record.configuration.max(version);
@@ -265,9 +265,9 @@
     }
 }
 
-fn note_configuration(held: &mut NodeRecord, heard: &NodeRecord) {
-    if held.member == heard.member {
-        held.configuration = held.configuration.max(heard.configuration);
+fn note_configuration(held: &mut NodeRecord, received: &NodeRecord) {
+    if held.member == received.member {
+        held.configuration = held.configuration.max(received.configuration);
     }
 }
 
--- a/crates/ledgelead-membership/src/membership.rs
+++ b/crates/ledgelead-membership/src/membership.rs
@@ -1,8 +1,8 @@
-//! The state machine of one node's membership, after SWIM (Das, Gupta,
-//! Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002), with two differences stated in
-//! `docs/design/membership.md`: no node tells another that a third is dead,
-//! and a run of a process replaces an earlier one by raising its version.
+//! State machine of the membership of one node, after SWIM (Das, Gupta, Motivala: "SWIM:
+//! Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002),
+//! with two differences described in `docs/design/membership.md`: no node tells another that
+//! a third one is dead, and a new incarnation of a process replaces the previous one by
+//! raising its version.
 
 mod contacts;
 mod probing;
@@ -27,36 +27,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One probe a node in this time (SWIM's protocol period).
+/// Interval in which one node is probed (SWIM's protocol period).
 pub(crate) const PERIOD: Span = Span::from_millis(500);
-/// Periods for which a suspicion lasts at least.
+/// Minimum duration of a suspicion, in periods.
 const SUSPICION_PERIODS: f64 = 3.0;
-/// Further periods for every tenfold size of the cluster, because the
-/// refutation needs time to spread.
+/// Additional periods for each factor of ten in cluster size, because the refutation needs
+/// time to spread.
 const SUSPICION_PERIODS_PER_DECADE: f64 = 2.0;
-/// What is left of a suspicion when the platform says as well that the
-/// machine leaves.
+/// Factor for the duration of a suspicion when the platform also reports that the machine is
+/// leaving.
 const SUSPICION_WITH_HINT: f64 = 0.5;
-/// A node that was not run for this long was paused; what it missed meanwhile
-/// is no evidence against others.
+/// If the process was not run for longer than this, it was paused; messages missed in the
+/// meantime are no evidence against other nodes.
 const PAUSE_THRESHOLD: Span = Span::from_seconds(1);
-/// Least time between two comparisons of the whole state.
+/// Minimum time between two comparisons of the whole state.
 pub(crate) const COMPARISON_INTERVAL: Span = Span::from_seconds(5);
-/// Nodes told directly by one that leaves; gossip tells the others.
+/// Number of nodes notified directly by a leaving node; gossip reaches the others.
 const LEAVE_FANOUT: usize = 8;
 
-/// What another node's whole state is asked for.
+/// Why another node's whole state was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StateUse {
-    /// This node was cut off or has just started: what the other holds live is
-    /// live.
+    /// This node was partitioned or has just started: nodes that are live for the other node
+    /// are live.
     Heal,
-    /// The two hold different nodes live although there is no news: learn of
+    /// The live sets of both nodes differ although there is nothing left to gossip: learn of
     /// nodes that gossip missed.
     Compare,
 }
 
-/// One node's view of which nodes are live.
+/// One node's view of the live nodes.
 pub struct Membership {
     own: NodeRecord,
     members: Members,
@@ -81,7 +81,7 @@
 }
 
 impl Membership {
-    /// A node that has heard of nobody. It asks its seeds at the first tick.
+    /// A node that knows no other nodes. It contacts its seeds at the first tick.
     pub fn new(settings: MembershipSettings, now: Time) -> Membership {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let first_nonce = random.next_u64();
@@ -117,18 +117,18 @@
         }
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input at `now`.
     pub fn step(&mut self, now: Time, input: MembershipInput) {
         self.detect_pause(now);
         match input {
             MembershipInput::Message { from, message } => self.receive(now, from, message),
-            MembershipInput::MachineList(machines) => self.take_machine_list(now, machines),
+            MembershipInput::MachineList(machines) => self.apply_machine_list(now, machines),
             MembershipInput::ConfigurationVersion(version) => self.own.configuration = version,
             MembershipInput::Leave => self.leave(),
         }
     }
 
-    /// Does what has become due by `now`.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Time) {
         self.detect_pause(now);
         self.expire_suspicions(now);
@@ -152,12 +152,12 @@
             .fold(soonest, Time::min)
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the outputs produced since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<MembershipOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Live nodes, this one among them, in the order of their identifiers.
+    /// Live nodes including this one, ordered by identifier.
     pub fn live_nodes(&self) -> Vec<LiveNode> {
         let own = (self.own.status == NodeStatus::Alive).then_some(&self.own);
         let others = self.members.iter().filter(|(_, entry)| entry.is_live());
@@ -173,7 +173,7 @@
         nodes
     }
 
-    /// Every node that is known, this one among them.
+    /// All known nodes including this one.
     pub fn nodes(&self) -> Vec<NodeStatusView> {
         let own = (&self.own, self.own.status == NodeStatus::Alive);
         let others = self.members.iter();
@@ -186,7 +186,7 @@
         nodes
     }
 
-    /// The run of a node's process, as last heard.
+    /// The last known incarnation of a node's process.
     pub fn incarnation_of(&self, node: NodeId) -> Option<Incarnation> {
         if node == self.own.member.node {
             return Some(self.own.member.incarnation);
@@ -195,15 +195,15 @@
         Some(entry.record.member.incarnation)
     }
 
-    /// Whether this run of a node's process is over for certain: a later run
-    /// answered this node itself, or the platform lists the machine as gone.
-    /// Asking about a run that others say is replaced makes this node ping
-    /// the successor; [`MembershipOutput::Changed`] tells when it is proven.
+    /// Whether this incarnation of a node's process has certainly ended: a later incarnation
+    /// answered this node directly, or the platform lists the machine as gone. A query about
+    /// an incarnation that is reported as replaced makes this node ping the successor;
+    /// [`MembershipOutput::Changed`] is sent when the end is proven.
     pub fn is_proven_dead(&mut self, member: Member) -> bool {
         if member.node == self.own.member.node {
             return member.incarnation != self.own.member.incarnation;
         }
-        if self.proofs.is_over(member) {
+        if self.proofs.has_ended(member) {
             return true;
         }
         self.proofs.note(self.last_call, member);
@@ -215,8 +215,8 @@
         false
     }
 
-    /// After a pause every deadline is put off by its length: answers that
-    /// arrived meanwhile are still to be read.
+    /// After a pause all suspicions are extended by its length, since answers that arrived
+    /// in the meantime have not been read yet.
     fn detect_pause(&mut self, now: Time) {
         let gap = now.since(self.last_call);
         self.last_call = self.last_call.max(now);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Hash over the live nodes and their runs; independent of their order.
+    /// Hash over the live nodes and their incarnations, independent of their order.
     fn live_hash(&self) -> u64 {
         let own = (self.own.status == NodeStatus::Alive).then_some(self.own.member);
         let others = self.members.iter().filter(|(_, entry)| entry.is_live());
@@ -262,8 +262,8 @@
         self.outputs.push(MembershipOutput::Changed);
     }
 
-    /// Takes in what somebody says of another node.
-    fn take_record(&mut self, now: Time, record: &NodeRecord) {
+    /// Applies a received record of any node.
+    fn apply_record(&mut self, now: Time, record: &NodeRecord) {
         if record.member.node == self.own.member.node {
             self.refute(record);
             return;
@@ -292,8 +292,8 @@
         }
     }
 
-    /// Raises the own version above what others say, if that is not that this
-    /// run lives.
+    /// Raises this node's version above the claimed one, unless the claim is that this
+    /// incarnation has its actual status.
     fn refute(&mut self, claimed: &NodeRecord) {
         let is_accurate = claimed.member == self.own.member && claimed.status == self.own.status;
         if is_accurate || claimed.version < self.own.version {
@@ -308,7 +308,7 @@
         self.members.get(node).is_some_and(|entry| entry.is_live())
     }
 
-    fn take_machine_list(&mut self, now: Time, machines: Vec<MachineEntry>) {
+    fn apply_machine_list(&mut self, now: Time, machines: Vec<MachineEntry>) {
         self.leaving_machines = machines
             .iter()
             .filter(|machine| machine.state != MachineState::Live)
@@ -321,13 +321,13 @@
                 MachineState::Live => {}
                 MachineState::Leaving => self.members.shorten_suspicion(machine.node, soon),
                 MachineState::Gone if is_live => self.members.shorten_suspicion(machine.node, soon),
-                MachineState::Gone => self.take_machine_gone(now, machine.node),
+                MachineState::Gone => self.apply_machine_gone(now, machine.node),
             }
         }
-        self.contacts.take_machine_list(machines);
+        self.contacts.apply_machine_list(machines);
     }
 
-    fn take_machine_gone(&mut self, now: Time, node: NodeId) {
+    fn apply_machine_gone(&mut self, now: Time, node: NodeId) {
         let is_other = node != self.own.member.node;
         if is_other && self.proofs.machine_gone(now, node) {
             self.outputs.push(MembershipOutput::Changed);
--- a/crates/ledgelead-membership/src/membership/contacts.rs
+++ b/crates/ledgelead-membership/src/membership/contacts.rs
@@ -1,11 +1,11 @@
-//! Nodes to speak to besides those that the membership holds live.
+//! Nodes to contact in addition to the live nodes of the membership.
 
 use crate::settings::SeedAddress;
 use ledgelead_types::platform::{MachineEntry, MachineState};
 use ledgelead_types::{NodeId, Text};
 use std::collections::BTreeMap;
 
-/// Seeds of the settings, and machines of the platform's latest list.
+/// Seeds from the settings, and machines from the platform's latest list.
 #[derive(Debug)]
 pub(super) struct Contacts {
     own: NodeId,
@@ -14,7 +14,7 @@
 }
 
 impl Contacts {
-    /// The seeds but for the node itself.
+    /// The seeds except the node itself.
     pub(super) fn new(own: NodeId, seeds: Vec<SeedAddress>) -> Contacts {
         let seeds = seeds
             .into_iter()
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Takes in the machines that the platform lists as live.
-    pub(super) fn take_machine_list(&mut self, machines: Vec<MachineEntry>) {
+    /// Applies the list of machines; only live ones are kept.
+    pub(super) fn apply_machine_list(&mut self, machines: Vec<MachineEntry>) {
         self.machines = machines
             .into_iter()
             .filter(|machine| machine.state == MachineState::Live && machine.node != self.own)
@@ -37,7 +37,7 @@
             .collect();
     }
 
-    /// Every contact, in order.
+    /// All contacts, in order.
     pub(super) fn nodes(&self) -> impl Iterator<Item = NodeId> {
         let only_machines = self
             .machines
@@ -46,8 +46,7 @@
         self.seeds.keys().chain(only_machines).copied()
     }
 
-    /// The address of a contact; the platform's list is newer than the
-    /// settings.
+    /// The address of a contact; the platform's list takes precedence over the settings.
     pub(super) fn address(&self, node: NodeId) -> Option<&Text> {
         self.machines.get(&node).or_else(|| self.seeds.get(&node))
     }
--- a/crates/ledgelead-membership/src/membership/probing.rs
+++ b/crates/ledgelead-membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Whom a node pings in a protocol period.
+//! Probes of a protocol period.
 
 use super::{Membership, PERIOD, SUSPICION_WITH_HINT};
 use crate::members::Entry;
@@ -8,13 +8,14 @@
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 
-/// How long the direct ping may take before others are asked.
+/// Time allowed for the direct ping before other nodes are asked to ping.
 const DIRECT_TIMEOUT: Span = Span::from_millis(200);
-/// How many others are asked to ping.
+/// Number of nodes asked to ping.
 const INDIRECT_PROBES: usize = 2;
-/// Probes of each dead node in a period, by all live nodes together.
+/// Probes of each dead node per period, by all live nodes together.
 const DEAD_PROBES_PER_PERIOD: f64 = 4.0;
-/// Nodes that one node pings in a period for proof of an earlier run's end.
+/// Maximum number of nodes pinged per period for a proof that an earlier incarnation has
+/// ended.
 const MAX_PROOF_PROBES: usize = 8;
 
 impl Membership {
@@ -40,7 +41,8 @@
         self.ask_contacts(live.is_empty());
     }
 
-    /// Suspects the node probed in the period that ends, if nobody reached it.
+    /// Suspects the node probed in the ending period, if neither direct nor indirect pings
+    /// reached it.
     fn conclude_probe(&mut self, now: Time) {
         let Some(probe) = self.probe.take().filter(|probe| !probe.is_answered) else {
             return;
@@ -75,9 +77,9 @@
         }
     }
 
-    /// Pings now and then a node that is thought dead: after a cut somebody
-    /// has to speak first. Seldom enough that a dead node costs all others
-    /// together a few pings a period.
+    /// Occasionally pings a node that is considered dead, because after a partition one side
+    /// has to make contact first. The probability is low enough that all live nodes together
+    /// send a few pings per dead node and period.
     fn probe_dead(&mut self, now: Time, live: usize) {
         let dead: Vec<NodeId> = self.members.dead().collect();
         let chance = DEAD_PROBES_PER_PERIOD * dead.len() as f64 / (live + 1) as f64;
--- a/crates/ledgelead-membership/src/membership/receiving.rs
+++ b/crates/ledgelead-membership/src/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! What the membership does with messages.
+//! Handling of received messages.
 
 use super::{Membership, StateUse};
 use crate::members::Revival;
@@ -14,7 +14,7 @@
         if !is_authentic {
             return;
         }
-        self.take_record(now, &sender);
+        self.apply_record(now, &sender);
         self.note_contradiction(&sender);
         match message {
             MembershipMessage::Ping { nonce, gossip, .. } => {
@@ -23,26 +23,26 @@
             }
             MembershipMessage::Acknowledgement { nonce, gossip, .. } => {
                 self.apply_gossip(now, from, gossip);
-                self.take_acknowledgement(now, &sender, nonce);
+                self.apply_acknowledgement(now, &sender, nonce);
             }
             MembershipMessage::IndirectPing { target, nonce, .. } => {
                 let requester = from;
                 self.ping(now, target, Purpose::Relay { requester, nonce });
             }
             MembershipMessage::IndirectAcknowledgement { target, nonce, .. } => {
-                self.take_record(now, &target);
+                self.apply_record(now, &target);
                 if self.mark_probe_answered(target.member.node, nonce) {
                     self.revive(target.member);
                 }
             }
             MembershipMessage::Join { .. } => self.send_state(from),
-            MembershipMessage::State { records, .. } => self.take_state(now, from, &records),
+            MembershipMessage::State { records, .. } => self.apply_state(now, from, &records),
             MembershipMessage::Notice { .. } => {}
         }
     }
 
-    /// Remembers whether this node holds another run of the sender's process
-    /// than the one that speaks, so that the answer tells it.
+    /// Records whether this node's entry has a different incarnation than the sender, so
+    /// that the answer includes that entry.
     fn note_contradiction(&mut self, sender: &NodeRecord) {
         let node = sender.member.node;
         let held = self.members.get(node);
@@ -55,7 +55,7 @@
 
     fn apply_gossip(&mut self, now: Time, from: NodeId, gossip: Gossip) {
         for record in &gossip.records {
-            self.take_record(now, record);
+            self.apply_record(now, record);
         }
         for observed in &gossip.versions {
             self.members.note_version(observed.node, observed.version);
@@ -63,7 +63,7 @@
         self.compare_live(now, from, gossip.live_hash);
     }
 
-    fn take_acknowledgement(&mut self, now: Time, sender: &NodeRecord, nonce: u64) {
+    fn apply_acknowledgement(&mut self, now: Time, sender: &NodeRecord, nonce: u64) {
         let member = sender.member;
         let Some(SentPing { sent, purpose, .. }) = self.sent.take(member.node, nonce) else {
             return;
@@ -84,7 +84,7 @@
         self.mark_probe_answered(sender.member.node, nonce);
         self.revive(sender.member);
         if was_dead {
-            // The cut may hide others too: ask for all that this node holds.
+            // The partition may hide more nodes, so request the whole state.
             self.request_state_after_partition(now, sender.member.node);
         }
     }
@@ -93,7 +93,7 @@
         self.members.get(node).is_some_and(|entry| entry.is_dead())
     }
 
-    /// Marks the present probe as answered if the nonce is its own.
+    /// Marks the current probe as answered if the nonce matches.
     fn mark_probe_answered(&mut self, node: NodeId, nonce: u64) -> bool {
         let probe = self.probe.as_mut();
         let Some(probe) = probe.filter(|probe| probe.nonce == nonce && probe.target == node) else {
@@ -111,22 +111,22 @@
             Revival::Cleared => {}
             Revival::Returned => self.report(node, true),
         }
-        // The suspicion was this node's own, or is refuted before it spreads.
+        // The suspicion was raised by this node, or is refuted before it spreads.
         self.gossip.remove(node);
     }
 
-    /// Takes in all that another node holds. After a cut, what it holds live
-    /// is live here as well: it could reach nodes while this one could not.
-    fn take_state(&mut self, now: Time, from: NodeId, records: &[NodeRecord]) {
+    /// Applies the whole state of another node. After a partition, nodes that are live for
+    /// it are live here as well, because it could reach nodes that this node could not.
+    fn apply_state(&mut self, now: Time, from: NodeId, records: &[NodeRecord]) {
         let Some(state_use) = self.requested_states.remove(&from) else {
             return;
         };
         for record in records {
             let node = record.member.node;
             let was_known = self.members.get(node).is_some();
-            self.take_record(now, record);
+            self.apply_record(now, record);
             if !was_known {
-                // The others know; the sender passes on what is new.
+                // The other nodes know; the sender gossips what is new.
                 self.gossip.remove(node);
             }
             let is_alive = record.status == NodeStatus::Alive;
--- a/crates/ledgelead-membership/src/membership/sending.rs
+++ b/crates/ledgelead-membership/src/membership/sending.rs
@@ -1,4 +1,4 @@
-//! How the membership's messages are put together.
+//! Construction and sending of messages.
 
 use super::{COMPARISON_INTERVAL, Membership, PERIOD, StateUse};
 use crate::message::{Gossip, MembershipMessage, NodeRecord, NodeStatus, ObservedVersion};
@@ -11,15 +11,15 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// Bytes of records that one message carries at most; with the rest of the
-/// message it fits one datagram.
+/// Maximum size of the records in one message; with the rest of the message they fit into
+/// one datagram.
 const MAX_GOSSIP_BYTES: usize = 1_024;
-/// Configuration versions that one message carries.
+/// Configuration versions per message.
 const VERSIONS_PER_MESSAGE: usize = 2;
-/// Contacts asked at once while this node knows nobody.
+/// Number of contacts asked at once while this node has no live peers.
 const CONTACTS_AT_START: usize = 3;
-/// Periods, on average, after which a contact that is not live is asked while
-/// this node knows others.
+/// Mean number of periods between requests to a contact that is not live, while this node
+/// has live peers.
 const PERIODS_PER_CONTACT: f64 = 10.0;
 
 impl Membership {
@@ -67,8 +67,7 @@
         self.send(to, MembershipMessage::Notice { sender });
     }
 
-    /// Asks a node that was out of reach for all that it holds, at most once
-    /// in a period.
+    /// Requests the whole state of a node that was unreachable, at most once per period.
     pub(super) fn request_state_after_partition(&mut self, now: Time, node: NodeId) {
         if now >= self.next_state_request {
             self.next_state_request = now + PERIOD;
@@ -76,8 +75,8 @@
         }
     }
 
-    /// Asks a node that holds other nodes live for all that it holds, unless
-    /// news is still about.
+    /// Requests the whole state of a node with a different live set, unless changes are
+    /// still being gossiped.
     pub(super) fn compare_live(&mut self, now: Time, node: NodeId, their_hash: u64) {
         let is_due = now >= self.next_comparison && self.gossip.is_empty();
         if is_due && their_hash != self.live_hash() {
@@ -96,7 +95,7 @@
         self.send(to, MembershipMessage::Join { sender });
     }
 
-    /// Asks contacts that are not held live; at once while nobody is.
+    /// Requests the state of contacts that are not live; at once while no peer is live.
     pub(super) fn ask_contacts(&mut self, is_alone: bool) {
         let not_live: Vec<NodeId> = self
             .contacts
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Sends all that this node holds live, and how it holds the asker.
+    /// Sends the records of all live nodes and of the requester.
     pub(super) fn send_state(&mut self, to: NodeId) {
         let records = self
             .members
@@ -129,17 +128,18 @@
         self.send(to, message);
     }
 
-    /// The news for a message: first how this node holds the receiver, if not
-    /// as the live run that it is, so that it can refute; then changes, least often sent first.
+    /// The gossip for a message. The receiver's own record comes first if it does not match
+    /// the live incarnation, so that the receiver can refute it; then changes follow, the
+    /// least transmitted first.
     fn gossip_for(&mut self, to: NodeId) -> Gossip {
         let mut records = Vec::new();
         let mut bytes = 0;
         let is_contradicted = self.contradicted.contains(&to);
-        let unproven = self
+        let disputed = self
             .members
             .get(to)
             .filter(|entry| entry.record.status != NodeStatus::Alive || is_contradicted);
-        if let Some(entry) = unproven {
+        if let Some(entry) = disputed {
             records.push(entry.record.clone());
         }
         for node in self.gossip.order() {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Configuration versions of the next nodes in turn.
+    /// Configuration versions of the next nodes in rotation.
     fn next_versions(&mut self) -> List<ObservedVersion> {
         let mut observed = List::default();
         for _ in 0..VERSIONS_PER_MESSAGE {
--- a/crates/ledgelead-membership/src/message.rs
+++ b/crates/ledgelead-membership/src/message.rs
@@ -3,14 +3,14 @@
 use ledgelead_types::{ConfigurationVersion, List, Member, NodeId, Text, ZoneId};
 use nanoserde::{DeBin, SerBin};
 
-/// Orders what is said of one node. Only the node itself raises it: to refute
-/// a suspicion, to leave, or to replace an earlier run of its process.
+/// Orders the records of a node. Only the node itself raises it: to refute a suspicion, to
+/// leave, or to replace an earlier incarnation of its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub struct StatusVersion(pub u32);
 
 impl StatusVersion {
-    /// Highest version that is believed of others. The node itself can always
-    /// go above it.
+    /// Highest version accepted in records of other nodes. The node itself can always exceed
+    /// it.
     pub const MAX_ACCEPTED: StatusVersion = StatusVersion(u32::MAX / 2);
 
     /// The next version.
@@ -19,23 +19,23 @@
     }
 }
 
-/// What is said of a node. There is no "dead": whoever hears a suspicion waits
-/// for the refutation on its own clock and concludes for itself.
+/// Status of a node. There is no "dead": each node that hears of a suspicion waits for the
+/// refutation on its own clock and draws its own conclusion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum NodeStatus {
-    /// Answers.
+    /// Responds to pings.
     #[default]
     Alive,
-    /// Did not answer somebody; dead unless refuted in time.
+    /// Did not respond to some node; dead unless it refutes this in time.
     Suspect,
-    /// Said itself that it stops.
+    /// Announced that it stops.
     Left,
 }
 
-/// What one node says of another, or of itself.
+/// A record of a node, sent by itself or by another node.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct NodeRecord {
-    /// The node and the run of its process.
+    /// The node and the incarnation of its process.
     pub member: Member,
     /// Orders records of the node.
     pub version: StatusVersion,
@@ -50,8 +50,8 @@
 }
 
 impl NodeRecord {
-    /// Whether this record replaces `held`. At one version the record that
-    /// claims less life wins, so that a suspicion spreads until it is refuted.
+    /// Whether this record replaces `held`. At the same version and incarnation the status
+    /// that is closer to dead wins, so that a suspicion spreads until it is refuted.
     pub fn supersedes(&self, held: &NodeRecord) -> bool {
         self.precedence() > held.precedence()
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// The configuration in force on a node, as somebody heard.
+/// The configuration in force on a node, as observed by the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ObservedVersion {
     /// The node.
@@ -70,71 +70,69 @@
     pub version: ConfigurationVersion,
 }
 
-/// What travels along with probes.
+/// Gossip that is piggybacked on pings and acknowledgements.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct Gossip {
-    /// Changes of nodes, bounded in bytes.
+    /// Changed records of nodes, bounded in size.
     pub records: List<NodeRecord>,
-    /// Hash over the live nodes as the sender holds them, itself among them.
+    /// Hash over the nodes that are live for the sender, including itself.
     pub live_hash: u64,
-    /// Configuration versions of a few nodes in turn.
+    /// Configuration versions of a few nodes, in rotation.
     pub versions: List<ObservedVersion>,
 }
 
-/// A message between the memberships of two nodes. `sender` is the sender's
-/// record of itself.
+/// A message of the membership protocol. `sender` is the sender's record of itself.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum MembershipMessage {
-    /// Asks for an [`MembershipMessage::Acknowledgement`].
+    /// Requests an [`MembershipMessage::Acknowledgement`].
     Ping {
         /// The sender.
         sender: NodeRecord,
-        /// Repeated by the answer.
+        /// Repeated in the acknowledgement.
         nonce: u64,
-        /// News.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Acknowledgement {
         /// The sender.
         sender: NodeRecord,
         /// Nonce of the ping.
         nonce: u64,
-        /// News.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
     /// Asks the receiver to ping `target` on the sender's behalf.
     IndirectPing {
         /// The sender.
         sender: NodeRecord,
-        /// The node in question.
+        /// The node to ping.
         target: NodeId,
-        /// Repeated by the answer.
+        /// Repeated in the acknowledgement.
         nonce: u64,
     },
-    /// Says that the target of an indirect ping answered the sender.
+    /// Reports that the target of an indirect ping answered the sender.
     IndirectAcknowledgement {
         /// The sender.
         sender: NodeRecord,
-        /// What the target said of itself.
+        /// The target's record of itself.
         target: NodeRecord,
         /// Nonce of the indirect ping.
         nonce: u64,
     },
-    /// Asks for everything that the receiver knows.
+    /// Requests the whole state of the receiver.
     Join {
         /// The sender.
         sender: NodeRecord,
     },
-    /// Answers a join.
+    /// Answer to a join.
     State {
         /// The sender.
         sender: NodeRecord,
-        /// Every node that the sender holds live, and the asker as the sender
-        /// holds it.
+        /// Records of all nodes that are live for the sender, and of the requester.
         records: List<NodeRecord>,
     },
-    /// Carries news that should not wait for a probe; a node that leaves.
+    /// A change of the sender that should not wait for a probe, such as leaving.
     Notice {
         /// The sender.
         sender: NodeRecord,
--- a/crates/ledgelead-membership/src/probes.rs
+++ b/crates/ledgelead-membership/src/probes.rs
@@ -1,41 +1,41 @@
-//! Pings on their way, and the order in which nodes are probed.
+//! Pings in flight, and the order in which nodes are probed.
 
 use ledgelead_types::{NodeId, Span, Time};
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// How long the answer to a ping is recognised.
+/// How long the answer to a ping is recognized.
 const PING_TTL: Span = Span::from_seconds(5);
-/// Most pings that are remembered; the oldest is forgotten first.
+/// Maximum number of tracked pings; the oldest is dropped first.
 const MAX_TRACKED_PINGS: usize = 512;
 
-/// For whom a ping was sent.
+/// On whose behalf a ping was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// For this node itself.
+    /// For this node.
     Own,
-    /// For another node's indirect ping.
+    /// For the indirect ping of another node.
     Relay {
-        /// Who asked.
+        /// The node that asked.
         requester: NodeId,
         /// Its nonce.
         nonce: u64,
     },
 }
 
-/// A ping on its way.
+/// A ping in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentPing {
-    /// Whom it asks.
+    /// The node that was pinged.
     pub(crate) target: NodeId,
     /// When it was sent.
     pub(crate) sent: Time,
-    /// For whom.
+    /// On whose behalf it was sent.
     pub(crate) purpose: Purpose,
 }
 
-/// Pings that were sent, by nonce.
+/// Sent pings, by nonce.
 #[derive(Debug, Default)]
 pub(crate) struct SentPings {
     by_nonce: BTreeMap<u64, SentPing>,
@@ -43,8 +43,8 @@
 }
 
 impl SentPings {
-    /// Nonces start at a random number, so that an answer to an earlier run
-    /// of this process is not taken for one to this run.
+    /// Nonces start at a random number, so that an answer to an earlier incarnation of this
+    /// process is not mistaken for one to this incarnation.
     pub(crate) fn starting_at(nonce: u64) -> SentPings {
         SentPings {
             by_nonce: BTreeMap::new(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Notes a ping and returns its nonce.
+    /// Records a ping and returns its nonce.
     pub(crate) fn send(&mut self, now: Time, target: NodeId, purpose: Purpose) -> u64 {
         self.by_nonce
             .retain(|_, ping| now.since(ping.sent) < PING_TTL);
@@ -70,35 +70,35 @@
         nonce
     }
 
-    /// Takes the ping that an answer of `from` belongs to.
+    /// Removes and returns the ping that an answer from `from` belongs to.
     pub(crate) fn take(&mut self, from: NodeId, nonce: u64) -> Option<SentPing> {
         let is_answer = self.by_nonce.get(&nonce)?.target == from;
         is_answer.then(|| self.by_nonce.remove(&nonce))?
     }
 }
 
-/// The probe of the present protocol period.
+/// The probe of the current protocol period.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Probe {
-    /// The node probed.
+    /// The probed node.
     pub(crate) target: NodeId,
-    /// Nonce of the direct ping, used for the indirect ones as well.
+    /// Nonce of the direct ping, also used for the indirect ones.
     pub(crate) nonce: u64,
-    /// When others are asked to ping it; `None` once they are.
+    /// When other nodes are asked to ping it; `None` once they have been asked.
     pub(crate) indirect_at: Option<Time>,
     /// Whether it answered.
     pub(crate) is_answered: bool,
 }
 
-/// Round-robin order over shuffled nodes: bounds the time until a given node
-/// is probed to two rounds (SWIM, section 4.3).
+/// Round-robin order over shuffled nodes, which bounds the time until a given node is probed
+/// to two rounds (SWIM, section 4.3).
 #[derive(Debug, Default)]
 pub(crate) struct ProbeOrder {
     round: Vec<NodeId>,
 }
 
 impl ProbeOrder {
-    /// The next node of those in `live`, if there are any.
+    /// The next of the nodes in `live`, if there are any.
     pub(crate) fn next(&mut self, live: &[NodeId], random: &mut Pcg64Mcg) -> Option<NodeId> {
         loop {
             if self.round.is_empty() {
--- a/crates/ledgelead-membership/tests/common/mod.rs
+++ b/crates/ledgelead-membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes with membership and dissemination only, over a network in virtual
+//! Nodes with membership and dissemination only, connected by a simulated network in virtual
 //! time. Shared by the tests and the cost example.
 #![allow(dead_code)]
 
@@ -11,14 +11,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// A message of either kind.
+/// A membership or dissemination message.
 #[derive(Clone, Debug)]
 pub enum Message {
     Membership(MembershipMessage),
     Dissemination(DisseminationMessage),
 }
 
-enum Occurrence {
+enum NetworkEvent {
     Wake,
     Arrival { from: usize, message: Message },
 }
@@ -40,10 +40,10 @@
     pub now: Time,
     pub loss: f64,
     pub latency: Span,
-    /// Nodes of different sides don't hear each other.
-    pub sides: Vec<u8>,
+    /// Partition of each node; nodes in different partitions can't communicate.
+    pub partitions: Vec<u8>,
     queue: BinaryHeap<Reverse<(Time, u64, usize)>>,
-    occurrences: BTreeMap<u64, Occurrence>,
+    events: BTreeMap<u64, NetworkEvent>,
     sequence: u64,
     random: Pcg64Mcg,
 }
@@ -53,28 +53,28 @@
 }
 
 impl Network {
-    /// `count` nodes in three zones; the first three are everybody's seeds.
+    /// `count` nodes in three zones; the first three are seeds of all nodes.
     pub fn new(count: usize, seed: u64) -> Network {
         let mut network = Network {
             nodes: Vec::new(),
             now: Time(1),
             loss: 0.0,
             latency: Span::from_millis(2),
-            sides: vec![0; count],
+            partitions: vec![0; count],
             queue: BinaryHeap::new(),
-            occurrences: BTreeMap::new(),
+            events: BTreeMap::new(),
             sequence: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
         };
         for index in 0..count {
-            let node = network.fresh_node(index);
+            let node = network.new_node(index);
             network.nodes.push(node);
             network.schedule_wake(index);
         }
         network
     }
 
-    fn fresh_node(&mut self, index: usize) -> Node {
+    fn new_node(&mut self, index: usize) -> Node {
         let seed_of = |seed: usize| SeedAddress {
             node: node_id(seed),
             address: address(seed),
@@ -108,15 +108,15 @@
     pub fn member(&self, index: usize) -> Member {
         let live = self.nodes[index].membership.live_nodes();
         let own = live.iter().find(|node| node.member.node == node_id(index));
-        own.expect("a node holds itself live").member
+        own.expect("a node considers itself live").member
     }
 
     pub fn restart(&mut self, index: usize) {
-        self.nodes[index] = self.fresh_node(index);
+        self.nodes[index] = self.new_node(index);
         self.schedule_wake(index);
     }
 
-    /// Pauses or resumes a process; what arrives meanwhile is lost.
+    /// Pauses or resumes a process; messages that arrive during the pause are lost.
     pub fn set_running(&mut self, index: usize, is_running: bool) {
         self.nodes[index].is_running = is_running;
         self.nodes[index].woken_at = Time(u64::MAX);
@@ -125,12 +125,12 @@
 
     pub fn membership_input(&mut self, index: usize, input: MembershipInput) {
         self.nodes[index].membership.step(self.now, input);
-        self.pass_on(index);
+        self.forward_outputs(index);
     }
 
     pub fn dissemination_input(&mut self, index: usize, input: DisseminationInput) {
         self.nodes[index].dissemination.step(self.now, input);
-        self.pass_on(index);
+        self.forward_outputs(index);
     }
 
     pub fn run(&mut self, span: Span) {
@@ -141,19 +141,19 @@
             }
             self.queue.pop();
             self.now = time;
-            let occurrence = self.occurrences.remove(&sequence);
-            self.take(index, occurrence.expect("every entry has its occurrence"));
+            let event = self.events.remove(&sequence);
+            self.take(index, event.expect("every entry has its event"));
         }
         self.now = end;
     }
 
-    fn take(&mut self, index: usize, occurrence: Occurrence) {
+    fn take(&mut self, index: usize, event: NetworkEvent) {
         let node = &mut self.nodes[index];
         if !node.is_running {
             return;
         }
-        match occurrence {
-            Occurrence::Wake => {
+        match event {
+            NetworkEvent::Wake => {
                 if node.woken_at > self.now {
                     return;
                 }
@@ -161,8 +161,8 @@
                 node.membership.tick(self.now);
                 node.dissemination.tick(self.now);
             }
-            Occurrence::Arrival { from, message } => {
-                if self.sides[from] != self.sides[index] {
+            NetworkEvent::Arrival { from, message } => {
+                if self.partitions[from] != self.partitions[index] {
                     return;
                 }
                 let from = node_id(from);
@@ -176,10 +176,10 @@
                 }
             }
         }
-        self.pass_on(index);
+        self.forward_outputs(index);
     }
 
-    fn pass_on(&mut self, index: usize) {
+    fn forward_outputs(&mut self, index: usize) {
         let outputs = self.nodes[index].membership.take_outputs();
         let is_changed = outputs.contains(&MembershipOutput::Changed);
         for output in outputs {
@@ -216,8 +216,8 @@
         }
         let jitter = Span(self.random.random_range(0..=self.latency.as_micros() / 10));
         let due = self.now + self.latency + jitter;
-        let occurrence = Occurrence::Arrival { from, message };
-        self.schedule(due, to.0 as usize - 1, occurrence);
+        let event = NetworkEvent::Arrival { from, message };
+        self.schedule(due, to.0 as usize - 1, event);
     }
 
     fn schedule_wake(&mut self, index: usize) {
@@ -229,18 +229,17 @@
             .max(self.now);
         if due < node.woken_at {
             self.nodes[index].woken_at = due;
-            self.schedule(due, index, Occurrence::Wake);
+            self.schedule(due, index, NetworkEvent::Wake);
         }
     }
 
-    fn schedule(&mut self, due: Time, index: usize, occurrence: Occurrence) {
+    fn schedule(&mut self, due: Time, index: usize, event: NetworkEvent) {
         self.sequence += 1;
-        self.occurrences.insert(self.sequence, occurrence);
+        self.events.insert(self.sequence, event);
         self.queue.push(Reverse((due, self.sequence, index)));
     }
 
-    /// Pairs of running nodes of which one does not hold the other live, or
-    /// holds a node live that does not run.
+    /// Number of running nodes whose live set differs from the set of running nodes.
     pub fn disagreements(&self) -> usize {
         let running: Vec<Member> = (0..self.nodes.len())
             .filter(|index| self.nodes[*index].is_running)
--- a/crates/ledgelead-membership/tests/dissemination.rs
+++ b/crates/ledgelead-membership/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! News reaches all nodes, late ones catch up, nothing goes back.
+//! New versions reach all nodes, delayed nodes catch up, and versions never decrease.
 
 mod common;
 
@@ -64,21 +64,21 @@
 }
 
 #[gtest]
-fn node_that_was_cut_off_catches_up_within_6_seconds() {
+fn partitioned_node_catches_up_within_6_seconds() {
     for seed in 0..10 {
         let mut network = Network::new(50, seed);
         network.run(Span::from_seconds(20));
-        network.sides[9] = 1;
+        network.partitions[9] = 1;
         network.run(Span::from_seconds(120));
         network.dissemination_input(0, publish(CONFIGURATION, 5, 20_000));
         network.run(Span::from_seconds(5));
-        network.sides[9] = 0;
+        network.partitions[9] = 0;
         network.run(Span::from_seconds(6));
         expect_that!(holding(&network, CONFIGURATION, 5), eq(50), "seed {seed}");
     }
 }
 
-/// Bytes that differ from one revision to the next in a few places.
+/// Content that differs in a few places between consecutive revisions.
 fn changing(revision: u64) -> Bytes {
     let number = |index: u64| {
         if index == revision * 7 % 500 {
@@ -99,10 +99,10 @@
     nodes.map(|node| node.dissemination_bytes as usize).sum()
 }
 
-/// Changes of a large item are sent in place of the whole, also while some
-/// are lost; every node ends with the same bytes.
+/// New versions of large items are sent as differences, even if some are lost, and every
+/// node ends with the same content.
 #[gtest]
-fn changes_of_large_items_are_sent_as_such() {
+fn changes_of_large_items_are_sent_as_differences() {
     for (nodes, loss) in [(6, 0.0), (6, 0.05), (40, 0.05)] {
         let mut network = Network::new(nodes, 3);
         network.run(Span::from_seconds(10));
@@ -136,10 +136,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Versions published anywhere in any order, under loss: no node ever
-    /// goes back, and all end with the highest.
+    /// Versions are published at random nodes in any order and messages are lost: no node
+    /// ever returns to an older version, and all nodes end with the highest.
     #[test]
-    fn versions_never_go_back(
+    fn versions_never_decrease(
         seed: u64,
         published in prop::collection::vec((0_usize..8, 1_u64..30, 0_u64..400), 1..30),
     ) {
@@ -160,9 +160,9 @@
         prop_assert_eq!(holding(&network, CONFIGURATION, highest.unwrap_or(0)), 8);
     }
 
-    /// Hostile bytes are refused or decode to a message; nothing else.
+    /// Arbitrary bytes are rejected or decode to a message.
     #[test]
-    fn hostile_bytes_are_harmless(bytes in prop::collection::vec(any::<u8>(), 0..200), kind in 0_u8..7) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), kind in 0_u8..7) {
         let mut tagged = vec![kind, 0];
         tagged.extend(&bytes);
         for bytes in [&bytes, &tagged] {
@@ -181,7 +181,7 @@
 }
 
 #[gtest]
-fn items_of_removed_groups_are_dropped_and_not_taken_again() {
+fn items_of_removed_groups_are_dropped_and_not_accepted_again() {
     let settings = DisseminationSettings {
         node: node_id(0),
         random_seed: 1,
@@ -203,11 +203,10 @@
     expect_that!(node.get(routes(9)), some(anything()));
 }
 
-/// Changes in quick succession, each a change of the one before: who misses
-/// one, or the answer with the whole, doesn't wait for the comparison of
-/// digests.
+/// Frequent changes, each based on the previous one: a node that misses one, or the reply
+/// with the whole item, does not have to wait for the next digest comparison.
 #[gtest]
-fn quick_changes_under_loss_reach_all_within_300_ms() {
+fn frequent_changes_under_loss_reach_all_nodes_within_300_ms() {
     for nodes in [6, 9, 12, 20] {
         for seed in 0..50 {
             let mut network = Network::new(nodes, seed);
--- a/crates/ledgelead-membership/tests/membership.rs
+++ b/crates/ledgelead-membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Live sets converge through loss, cuts, restarts and pauses.
+//! Live sets converge despite message loss, partitions, restarts and pauses.
 
 mod common;
 
@@ -20,7 +20,7 @@
     network
 }
 
-fn holds_live(network: &Network, index: usize, other: usize) -> bool {
+fn considers_live(network: &Network, index: usize, other: usize) -> bool {
     let live = network.nodes[index].membership.live_nodes();
     live.iter().any(|node| node.member.node == node_id(other))
 }
@@ -33,18 +33,18 @@
         ..ProptestConfig::default()
     })]
 
-    /// Under 5 % loss a random part is cut off for a random time, one node
-    /// dies and one restarts; after healing all agree.
+    /// With 5 % message loss a random part of the nodes is partitioned for a random time,
+    /// one node dies and one restarts. After the partition heals, all nodes agree.
     #[test]
     fn live_sets_converge(seed: u64, cut in 1..NODES - 1, seconds in 1_u64..60) {
         let mut network = joined(NODES, seed);
         prop_assert_eq!(network.disagreements(), 0);
         network.loss = 0.05;
-        (0..cut).for_each(|index| network.sides[index] = 1);
+        (0..cut).for_each(|index| network.partitions[index] = 1);
         network.set_running(NODES - 1, false);
         network.restart(0);
         network.run(Span::from_seconds(seconds));
-        network.sides.fill(0);
+        network.partitions.fill(0);
         network.run(Span::from_seconds(40));
         network.loss = 0.0;
         network.run(Span::from_seconds(20));
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn dead_node_is_found_and_its_run_is_not_proven_dead() {
+fn dead_node_is_detected_but_its_end_is_not_proven() {
     let mut network = joined(NODES, 1);
     let dead = network.member(7);
     network.set_running(7, false);
@@ -63,18 +63,18 @@
 }
 
 #[gtest]
-fn cut_off_node_is_back_soon_after_healing() {
+fn partitioned_node_is_live_again_soon_after_healing() {
     let mut network = joined(NODES, 2);
-    network.sides[9] = 1;
+    network.partitions[9] = 1;
     network.run(Span::from_seconds(60));
-    expect_that!(holds_live(&network, 0, 9), eq(false));
-    network.sides[9] = 0;
+    expect_that!(considers_live(&network, 0, 9), eq(false));
+    network.partitions[9] = 0;
     network.run(Span::from_seconds(3));
     expect_that!(network.nodes[9].membership.live_nodes().len(), eq(NODES));
 }
 
 #[gtest]
-fn run_that_answers_proves_the_earlier_one_dead() {
+fn answer_of_a_new_incarnation_proves_the_end_of_the_earlier_one() {
     let mut network = joined(NODES, 3);
     let before = network.member(7);
     network.restart(7);
@@ -94,9 +94,9 @@
 }
 
 #[gtest]
-fn one_false_source_ejects_nobody() {
+fn false_records_of_one_node_eject_no_other_node() {
     let mut network = joined(NODES, 4);
-    let liar = node_id(5);
+    let faulty = node_id(5);
     for round in 0..40_usize {
         let target = 10 + round % 30;
         let mut record = record_of(&network, target);
@@ -111,7 +111,7 @@
             gossip,
         };
         let input = MembershipInput::Message {
-            from: liar,
+            from: faulty,
             message,
         };
         network.membership_input(round % 4, input);
@@ -136,7 +136,7 @@
 }
 
 #[gtest]
-fn machine_list_is_a_hint_unless_it_says_gone_of_a_silent_node() {
+fn machine_list_only_proves_the_end_of_unresponsive_nodes_listed_as_gone() {
     let mut network = joined(6, 5);
     let (silent, live) = (network.member(4), network.member(5));
     let list = |state| {
@@ -163,7 +163,7 @@
 }
 
 #[gtest]
-fn paused_node_ejects_nobody_when_it_wakes() {
+fn paused_node_ejects_no_other_node_when_resumed() {
     let mut network = joined(NODES, 6);
     network.set_running(8, false);
     network.run(Span::from_seconds(30));
@@ -175,7 +175,7 @@
 }
 
 #[gtest]
-fn leaving_is_told_and_versions_are_seen() {
+fn leaving_and_configuration_versions_are_announced() {
     let mut network = joined(NODES, 7);
     let version = ConfigurationVersion(9);
     network.membership_input(3, MembershipInput::ConfigurationVersion(version));
@@ -192,12 +192,12 @@
     expect_that!(knowing, eq(others.len()));
 }
 
-/// Node 2 as it speaks of itself in one run.
-fn speaker(run: u64, version: u32) -> NodeRecord {
+/// Node 2's record of itself in one incarnation.
+fn record_of_node_2(incarnation: u64, version: u32) -> NodeRecord {
     NodeRecord {
         member: Member {
             node: NodeId(2),
-            incarnation: Incarnation(run),
+            incarnation: Incarnation(incarnation),
         },
         version: StatusVersion(version),
         address: Text::from("10.0.0.2:7001"),
@@ -205,13 +205,13 @@
     }
 }
 
-fn hear(membership: &mut Membership, now: Time, message: MembershipMessage) {
+fn receive(membership: &mut Membership, now: Time, message: MembershipMessage) {
     let from = NodeId(2);
     membership.step(now, MembershipInput::Message { from, message });
 }
 
-/// A node that heard from run 7 of node 2.
-fn listener() -> Membership {
+/// A node that has heard from incarnation 7 of node 2.
+fn membership_with_node_2() -> Membership {
     let settings = MembershipSettings {
         identity: Member {
             node: NodeId(1),
@@ -223,8 +223,8 @@
         random_seed: 1,
     };
     let mut membership = Membership::new(settings, Time(0));
-    let sender = speaker(7, 3);
-    hear(
+    let sender = record_of_node_2(7, 3);
+    receive(
         &mut membership,
         Time(0),
         MembershipMessage::Notice { sender },
@@ -245,11 +245,11 @@
 }
 
 #[gtest]
-fn answer_to_an_earlier_ping_proves_nothing_of_a_run_heard_of_since() {
-    let mut membership = listener();
-    let later_run = speaker(8, 0).member;
+fn answer_to_an_earlier_ping_proves_nothing_about_an_incarnation_seen_later() {
+    let mut membership = membership_with_node_2();
+    let later_incarnation = record_of_node_2(8, 0).member;
     let answer = |nonce| MembershipMessage::Acknowledgement {
-        sender: speaker(7, 3),
+        sender: record_of_node_2(7, 3),
         nonce,
         gossip: Gossip::default(),
     };
@@ -259,28 +259,31 @@
         Time(2),
         MembershipInput::ConfigurationVersion(ConfigurationVersion(1)),
     );
-    expect_that!(membership.is_proven_dead(later_run), eq(false));
-    hear(&mut membership, Time(3), answer(early));
-    expect_that!(membership.is_proven_dead(later_run), eq(false));
+    expect_that!(membership.is_proven_dead(later_incarnation), eq(false));
+    receive(&mut membership, Time(3), answer(early));
+    expect_that!(membership.is_proven_dead(later_incarnation), eq(false));
     membership.tick(Time(4));
     let fresh = nonce_of_ping(&mut membership);
-    hear(&mut membership, Time(5), answer(fresh));
-    expect_that!(membership.is_proven_dead(later_run), eq(true));
+    receive(&mut membership, Time(5), answer(fresh));
+    expect_that!(membership.is_proven_dead(later_incarnation), eq(true));
 }
 
 #[gtest]
-fn restarted_node_is_told_what_is_held_of_its_earlier_run() {
-    let mut membership = listener();
+fn restarted_node_receives_the_record_of_its_earlier_incarnation() {
+    let mut membership = membership_with_node_2();
     let ping = MembershipMessage::Ping {
-        sender: speaker(9, 0),
+        sender: record_of_node_2(9, 0),
         nonce: 5,
         gossip: Gossip::default(),
     };
-    hear(&mut membership, Time(1), ping);
-    let tells = |output: &MembershipOutput| {
+    receive(&mut membership, Time(1), ping);
+    let contains_record = |output: &MembershipOutput| {
         matches!(output, MembershipOutput::Send {
             message: MembershipMessage::Acknowledgement { gossip, .. }, ..
-        } if gossip.records.contains(&speaker(7, 3)))
+        } if gossip.records.contains(&record_of_node_2(7, 3)))
     };
-    expect_that!(membership.take_outputs().iter().any(tells), eq(true));
+    expect_that!(
+        membership.take_outputs().iter().any(contains_record),
+        eq(true)
+    );
 }
