--- a/crates/ledgelead-lab/src/overload/experiment.rs
+++ b/crates/ledgelead-lab/src/overload/experiment.rs
@@ -1,11 +1,11 @@
-//! Runs the deployment at each load and replays its arrivals in the models.
+//! Runs the deployment under each load and replays its arrivals in the models.
 
 use super::Plan;
-use super::models::{Job, Model, Shape, answers};
+use super::models::{Job, Model, ServiceShape, answers};
 use super::report::{Ended, OverloadReport, PERMITS, Row, Window};
 use crate::scenario::{Scenario, ServiceSection};
 use crate::simulation::deployment;
-use crate::simulation::dice::milliseconds;
+use crate::simulation::rng::milliseconds;
 use crate::simulation::{TracedRequest, World};
 use ledgelead_types::assigner::AssignerChoice;
 use ledgelead_types::configuration::Partitioning;
@@ -15,12 +15,12 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Time after the load begins until requests count.
-const SETTLING: Span = Span::from_seconds(5);
-/// The load ends this long before the run; requests count until then.
+/// Time between the start of the load and the start of the measurement.
+const LOAD_SETTLE_TIME: Span = Span::from_seconds(5);
+/// The load and the measurement end this long before the run.
 const LOAD_ENDS_BEFORE: Span = Span::from_seconds(5);
 
-/// Results of one load.
+/// Results of a run with one load.
 struct LoadResult {
     rows: Vec<Row>,
     violations: u64,
@@ -39,7 +39,9 @@
                         return;
                     };
                     let result = run_load(scenario, plan, *load);
-                    let mut results = results.lock().expect("no run panics while it holds this");
+                    let mut results = results
+                        .lock()
+                        .expect("no run panics while holding the lock");
                     results.insert(index, result);
                 }
             });
@@ -64,11 +66,11 @@
             .position(|service| service.name == row.service)
     };
     report.rows.sort_by_key(order);
-    report.judge();
+    report.evaluate_targets();
     report
 }
 
-/// The scenario without faults, under a constant load.
+/// The scenario without faults and under a constant load.
 fn at_load(scenario: &Scenario, plan: &Plan, load: f64) -> Scenario {
     let mut scenario = scenario.clone();
     scenario.faults.clear();
@@ -84,7 +86,7 @@
     let warm = Time::ZERO + Span::from_seconds(scenario.run.warm_up_seconds);
     let end = Time::ZERO + Span::from_seconds(scenario.run.virtual_seconds);
     Window {
-        from: warm + SETTLING,
+        from: warm + LOAD_SETTLE_TIME,
         until: end.before(LOAD_ENDS_BEFORE),
     }
 }
@@ -105,11 +107,11 @@
     for (index, service) in scenario.services.iter().enumerate() {
         let traced: Vec<&TracedRequest> = requests
             .iter()
-            .filter(|request| request.service == index && was_work(request))
+            .filter(|request| request.service == index && used_a_server(request))
             .collect();
         let ended: Vec<Ended> = traced.iter().map(|request| ended(request)).collect();
         rows.push(row(&scenario, service, load, PERMITS, &ended));
-        let first_sent = traced.into_iter().filter(|request| !request.is_repeat);
+        let first_sent = traced.into_iter().filter(|request| !request.is_retry);
         let jobs = jobs(&scenario, index, first_sent.collect());
         for model in models(service) {
             let ended = replay(&scenario, service, model, &jobs);
@@ -141,8 +143,8 @@
     Row::count(label, ended, &tiers, window(scenario), capacity)
 }
 
-/// Round robin and fewest in flight are the same for keys, which have one
-/// owner each.
+/// For keyed services, `RoundRobin` and `LeastInFlight` are the same because each key has one
+/// owner.
 fn models(service: &ServiceSection) -> Vec<Model> {
     if service.partitioning == Partitioning::None {
         vec![Model::RoundRobin, Model::LeastInFlight, Model::Ideal]
@@ -151,25 +153,25 @@
     }
 }
 
-/// A repeat that was never sent to a server was answered with the first answer
-/// or refused: it is no work of its own.
-fn was_work(request: &TracedRequest) -> bool {
-    !request.is_repeat || request.server.is_some()
+/// A retry that was never sent to a server was refused or answered from the first attempt, so
+/// it used no server.
+fn used_a_server(request: &TracedRequest) -> bool {
+    !request.is_retry || request.server.is_some()
 }
 
-/// The end of a request in the run.
+/// The completion of a request in the run.
 fn ended(request: &TracedRequest) -> Ended {
     Ended {
         tier: usize::from(request.tier.0),
         sent: request.sent,
         ended: request.ended,
         outcome: request.outcome,
-        is_repeat: request.is_repeat,
+        is_retry: request.is_retry,
     }
 }
 
-/// The run's requests in the order of their arrival. A key's owner is the
-/// server that its requests were last sent to in the run.
+/// The requests of the run in order of arrival. The owner of a key is the server to which its
+/// requests were last sent in the run.
 fn jobs(scenario: &Scenario, service: usize, mut traced: Vec<&TracedRequest>) -> Vec<Job> {
     traced.sort_by_key(|request| request.sent);
     let first = deployment::servers(scenario)
@@ -205,7 +207,7 @@
 }
 
 fn replay(scenario: &Scenario, service: &ServiceSection, model: Model, jobs: &[Job]) -> Vec<Ended> {
-    let shape = Shape {
+    let shape = ServiceShape {
         servers: service.instances as usize,
         slots: usize::from(service.slots),
         gateways: scenario.zones.len() * scenario.nodes.per_zone as usize,
@@ -218,12 +220,12 @@
         sent: job.arrived,
         ended: answer.unwrap_or(job.deadline),
         outcome: answer.map(|_| Outcome::Answered),
-        is_repeat: false,
+        is_retry: false,
     };
     jobs.iter().zip(ends).map(ended).collect()
 }
 
-/// From a caller through a gateway to a server, on average over the zones.
+/// Mean one-way time from a caller through a gateway to a server, averaged over the zones.
 fn mean_hop(scenario: &Scenario) -> Span {
     let network = &scenario.network;
     let zones = scenario.zones.len() as f64;
--- a/crates/ledgelead-lab/src/simulation/probes.rs
+++ b/crates/ledgelead-lab/src/simulation/probes.rs
@@ -1,16 +1,16 @@
-//! Unavailable time: after a loss, cheap requests for each slice concerned,
-//! until one that was sent after the loss is answered.
+//! Measures unavailability: after a loss, sends cheap requests for each affected slice until
+//! one that was sent after the loss is answered.
 
-use super::dice::seconds;
 use super::event::Event;
+use super::rng::seconds;
 use super::world::World;
 use crate::scenario::FaultKind;
 use ledgelead_types::{Outcome, PositionRange, Span, Time};
 
-/// How often a slice is probed.
+/// Interval between probes of a slice.
 const INTERVAL: Span = Span::from_millis(25);
-/// How long a slice is probed; a slice that is not answered by then counts as
-/// unavailable for this long.
+/// Maximum time for which a slice is probed. A slice that is not answered by then counts as
+/// unavailable for this time.
 const LONGEST: Span = Span::from_seconds(30);
 
 /// A slice that is probed.
@@ -20,12 +20,12 @@
     range: PositionRange,
     lost_at: Time,
     done: bool,
-    /// The kind of loss, unless another one was felt meanwhile.
+    /// The kind of loss, unless another loss overlapped with it.
     single: Option<FaultKind>,
 }
 
 impl World<'_> {
-    /// Probes every slice that a server claims, from now on.
+    /// Starts probing every slice that a server claims.
     pub(super) fn probe_slices_of(&mut self, server: usize) {
         let now = self.now();
         let plan = self.servers[server].plan;
@@ -39,13 +39,13 @@
                 done: false,
                 single,
             });
-            let first = seconds(self.fault_dice.between(0.0, INTERVAL.as_seconds()));
+            let first = seconds(self.fault_rng.between(0.0, INTERVAL.as_seconds()));
             self.after(first, Event::Probe(index));
         }
     }
 
-    /// A loss begins: slices that are not served again yet suffer from two.
-    pub(super) fn note_several_losses(&mut self) {
+    /// A loss begins: slices that are not yet served again are affected by more than one loss.
+    pub(super) fn mark_overlapping_losses(&mut self) {
         for probe in self.probes.iter_mut().filter(|probe| !probe.done) {
             probe.single = None;
         }
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(super) fn probe_told(&mut self, index: usize, outcome: Outcome, sent: Time) {
+    pub(super) fn probe_finished(&mut self, index: usize, outcome: Outcome, sent: Time) {
         let now = self.now();
         let probe = &mut self.probes[index];
         if probe.done || outcome != Outcome::Answered || sent < probe.lost_at {
@@ -77,13 +77,13 @@
         let (service, range) = (probe.service, probe.range);
         let span = now.since(probe.lost_at);
         self.measurements.unavailable(span, probe.single);
-        self.session.note(now, || {
+        self.session.add_line(now, || {
             let service = &self.scenario.services[service].name;
             format!("{service} {range:?} was unavailable for {span:?}")
         });
     }
 
-    /// Counts slices that were never answered.
+    /// Records the slices that were not answered by the end of the run.
     pub(super) fn finish_probes(&mut self) {
         let now = self.now();
         for probe in &self.probes {
--- a/crates/ledgelead-node/src/callers/open_requests.rs
+++ b/crates/ledgelead-node/src/callers/open_requests.rs
@@ -1,9 +1,9 @@
-//! Requests accepted and not yet answered, with what belongs to them outside
-//! the decisions: the caller's connection, the body, servers' answers.
+//! Requests accepted and not yet answered, with the data that the core does not
+//! hold: the caller's connection, the body, the servers' responses.
 
-use super::classify::{CallerRequest, Classified};
-use super::kept_answers::KeptAnswers;
-use crate::servers::exchange::WholeAnswer;
+use super::request_head::{CallerRequest, ParsedRequest};
+use super::response_cache::ResponseCache;
+use crate::servers::exchange::BufferedResponse;
 use ledgelead_types::RequestId;
 use ledgelead_types::request::{AttemptId, RequestArrival};
 use std::collections::HashMap;
@@ -14,11 +14,11 @@
 /// All open requests of one node.
 pub struct OpenRequests {
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
-    kept: Mutex<KeptAnswers>,
+    cached: Mutex<ResponseCache>,
     next: AtomicU64,
-    most: usize,
-    /// The first request after which every answer is the last on its
-    /// connection; the highest number while that is not so.
+    max_open: usize,
+    /// The first identifier from which on each response closes its connection;
+    /// `u64::MAX` while connections stay open.
     closing_from: AtomicU64,
 }
 
@@ -26,53 +26,53 @@
 pub struct OpenRequest {
     /// The caller's connection.
     pub connection: tiny_http::Request,
-    /// What a server gets.
+    /// The request to forward to a server.
     pub request: Arc<CallerRequest>,
     /// The caller's own identifier.
-    pub echo: Option<String>,
-    /// Whether its answer is the last on the connection.
-    pub is_last: bool,
-    /// Whole answers so far, by attempt.
-    answers: Vec<KeptAnswer>,
+    pub caller_request_id: Option<String>,
+    /// Whether the response closes the connection.
+    pub closes_connection: bool,
+    /// Complete responses received so far, by attempt.
+    answers: Vec<AttemptResponse>,
 }
 
-struct KeptAnswer {
+struct AttemptResponse {
     attempt: AttemptId,
-    answer: WholeAnswer,
+    answer: BufferedResponse,
 }
 
-/// The node holds as many requests as it may; the connection comes back.
-pub struct TooMany(pub tiny_http::Request);
+/// The limit of open requests is reached; the connection is handed back.
+pub struct TooManyRequests(pub tiny_http::Request);
 
 impl OpenRequests {
-    /// None yet; at most `most` at once.
-    pub fn new(most: usize) -> OpenRequests {
+    /// An empty set that holds at most `max_open` requests at once.
+    pub fn new(max_open: usize) -> OpenRequests {
         OpenRequests {
             requests: Mutex::default(),
-            kept: Mutex::default(),
+            cached: Mutex::default(),
             next: AtomicU64::new(1),
-            most,
+            max_open,
             closing_from: AtomicU64::new(u64::MAX),
         }
     }
 
-    /// Opens a request under a new identifier.
+    /// Adds a request under a new identifier.
     pub fn open(
         &self,
         connection: tiny_http::Request,
-        classified: Classified,
-    ) -> Result<RequestArrival, Box<TooMany>> {
+        classified: ParsedRequest,
+    ) -> Result<RequestArrival, Box<TooManyRequests>> {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
         let open = OpenRequest {
             connection,
             request: Arc::new(classified.request),
-            echo: classified.echo,
+            caller_request_id: classified.caller_request_id,
             answers: Vec::new(),
-            is_last: false,
+            closes_connection: false,
         };
         let mut requests = self.lock();
-        if requests.len() >= self.most {
-            return Err(Box::new(TooMany(open.connection)));
+        if requests.len() >= self.max_open {
+            return Err(Box::new(TooManyRequests(open.connection)));
         }
         requests.insert(id, open);
         Ok(RequestArrival {
@@ -81,71 +81,72 @@
         })
     }
 
-    /// What a server gets of an open request.
+    /// The part of an open request that is forwarded to a server.
     pub fn request(&self, id: RequestId) -> Option<Arc<CallerRequest>> {
         self.lock().get(&id).map(|open| open.request.clone())
     }
 
-    /// Keeps a server's whole answer until the decisions say which one is
-    /// passed on. Dropped when the request is no longer open.
-    pub fn keep_answer(&self, attempt: AttemptId, answer: WholeAnswer) {
+    /// Stores a server's complete response until the core decides which one is
+    /// forwarded to the caller. Dropped if the request is no longer open.
+    pub fn store_response(&self, attempt: AttemptId, answer: BufferedResponse) {
         if let Some(open) = self.lock().get_mut(&attempt.request) {
-            open.answers.push(KeptAnswer { attempt, answer });
+            open.answers.push(AttemptResponse { attempt, answer });
         }
     }
 
-    /// Holds a copy of an open request's answer beyond the request's end.
-    pub fn hold_answer(&self, attempt: AttemptId) {
+    /// Caches a copy of an open request's response past the end of the request.
+    pub fn cache_response(&self, attempt: AttemptId) {
         let answer = self
             .lock()
             .get(&attempt.request)
             .and_then(|open| open.answer(attempt).cloned());
         if let Some(answer) = answer {
-            self.lock_kept().keep(attempt, answer);
+            self.lock_cache().insert(attempt, answer);
         }
     }
 
-    /// Drops a copy held.
-    pub fn forget_answer(&self, attempt: AttemptId) {
-        self.lock_kept().forget(attempt);
+    /// Drops a cached response.
+    pub fn evict_response(&self, attempt: AttemptId) {
+        self.lock_cache().remove(attempt);
     }
 
-    /// A copy held, if it still is.
-    pub fn held_answer(&self, attempt: AttemptId) -> Option<WholeAnswer> {
-        self.lock_kept().get(attempt)
+    /// A cached response, unless it was evicted.
+    pub fn cached_response(&self, attempt: AttemptId) -> Option<BufferedResponse> {
+        self.lock_cache().get(attempt)
     }
 
-    fn lock_kept(&self) -> MutexGuard<'_, KeptAnswers> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_cache(&self) -> MutexGuard<'_, ResponseCache> {
+        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a request out, to answer its caller.
+    /// Removes a request, so that its caller can be answered.
     pub fn close(&self, id: RequestId) -> Option<OpenRequest> {
         let mut open = self.lock().remove(&id)?;
-        open.is_last = self.is_closing();
+        open.closes_connection = self.is_closing();
         Some(open)
     }
 
-    /// From now on each answer is the last on its connection, and says so.
+    /// From now on each response closes its connection and announces it with
+    /// `Connection: close`.
     pub fn close_connections(&self) {
         let next = self.next.load(Ordering::Acquire);
         self.closing_from.fetch_min(next, Ordering::AcqRel);
     }
 
-    /// Whether answers are the last on their connections.
+    /// Whether responses close their connections.
     pub fn is_closing(&self) -> bool {
         self.closing_from.load(Ordering::Acquire) != u64::MAX
     }
 
-    /// Open requests that came before [`OpenRequests::close_connections`].
-    /// Later ones are refused as they come, so they don't count as unfinished.
+    /// Open requests that arrived before [`OpenRequests::close_connections`].
+    /// Later ones are refused on arrival, so they don't count as unfinished.
     pub fn count_before_closing(&self) -> usize {
         let first = RequestId(self.closing_from.load(Ordering::Acquire));
         self.lock().keys().filter(|id| **id < first).count()
     }
 
-    /// Open requests of one inner connection.
-    pub fn of_connection(&self, address: SocketAddr) -> Vec<RequestId> {
+    /// Open requests of the proxy's connection with this address.
+    pub fn on_connection(&self, address: SocketAddr) -> Vec<RequestId> {
         let mut requests: Vec<RequestId> = self
             .lock()
             .iter()
@@ -161,9 +162,9 @@
         self.lock().len()
     }
 
-    /// Whether as many are open as may be.
+    /// Whether the limit of open requests is reached.
     pub fn is_full(&self) -> bool {
-        self.count() >= self.most
+        self.count() >= self.max_open
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, OpenRequest>> {
@@ -172,24 +173,24 @@
 }
 
 impl OpenRequest {
-    /// The answer of one attempt.
-    fn answer(&self, attempt: AttemptId) -> Option<&WholeAnswer> {
+    /// The response of one attempt.
+    fn answer(&self, attempt: AttemptId) -> Option<&BufferedResponse> {
         let mut answers = self.answers.iter();
-        let kept = answers.find(|kept| kept.attempt == attempt)?;
-        Some(&kept.answer)
+        let cached = answers.find(|cached| cached.attempt == attempt)?;
+        Some(&cached.answer)
     }
 
-    /// Gives it the answer of another request's attempt, to be passed on.
-    pub fn give_answer(&mut self, attempt: AttemptId, answer: WholeAnswer) {
-        self.answers.push(KeptAnswer { attempt, answer });
+    /// Adds the response of another request's attempt, to be sent to the caller.
+    pub fn add_response(&mut self, attempt: AttemptId, answer: BufferedResponse) {
+        self.answers.push(AttemptResponse { attempt, answer });
     }
 
-    /// Takes the answer of one attempt.
-    pub fn take_answer(&mut self, attempt: AttemptId) -> Option<WholeAnswer> {
+    /// Removes and returns the response of one attempt.
+    pub fn take_response(&mut self, attempt: AttemptId) -> Option<BufferedResponse> {
         let index = self
             .answers
             .iter()
-            .position(|kept| kept.attempt == attempt)?;
+            .position(|cached| cached.attempt == attempt)?;
         Some(self.answers.swap_remove(index).answer)
     }
 }
--- a/crates/ledgelead-node/src/node/node_thread.rs
+++ b/crates/ledgelead-node/src/node/node_thread.rs
@@ -1,16 +1,16 @@
-//! The node's thread: the actors, and the poller that wakes them.
+//! The node's thread: runs the actors and the poller that wakes them.
 
 use super::listeners::StartError;
 use crate::InputSink;
 use crate::actor::NodeActor;
 use crate::callers::open_requests::OpenRequests;
-use crate::callers::respond::Ending;
+use crate::callers::respond::CompletedRequest;
 use crate::clock::ProcessClock;
 use crate::handle::{NodeHandle, PendingTickets, Request};
 use crate::logging::thread_name;
 use crate::metrics::Metrics;
 use crate::peer::frame::ClusterKey;
-use crate::peer::{PeerSettings, PeerTransport, Received};
+use crate::peer::{PeerSettings, PeerTransport, ReceivedMessage};
 use crate::platform::{PlatformClient, PlatformSettings};
 use crate::ports::SocketPorts;
 use crate::servers::cancel::Canceller;
@@ -33,23 +33,23 @@
 use std::thread::{self, JoinHandle};
 use std::time::Instant;
 
-/// Events taken from the poller at once.
+/// Events taken from the poller in one call.
 const POLL_EVENTS: usize = 1_024;
-/// Priority of inputs of other threads in the poller.
+/// Priority in the poller of inputs from other threads.
 const WAKER_PRIORITY: u32 = 5;
 
-/// What the node's thread needs.
+/// What the node's thread is created with.
 pub(super) struct ThreadSetup {
     pub(super) node: NodeSettings,
     pub(super) settings: Settings,
     pub(super) metrics: Metrics,
     pub(super) open_requests: Arc<OpenRequests>,
-    pub(super) responders: Arc<WorkPool<Ending>>,
+    pub(super) responders: Arc<WorkPool<CompletedRequest>>,
     pub(super) listener: TcpListener,
     pub(super) stopped: Sender<()>,
 }
 
-/// What the node's thread gives back once it runs.
+/// What the node's thread returns when it has started.
 pub(super) struct Started {
     pub(super) handle: NodeHandle,
     pub(super) forwarder: Arc<Forwarder>,
@@ -94,28 +94,28 @@
 /// The node's thread: one `Stakker`, polled until the node ends.
 fn run_thread(setup: ThreadSetup, report: &SyncSender<io::Result<Started>>) {
     let mut stakker = Stakker::new(Instant::now());
-    let assembled = assemble(&mut stakker, setup);
-    let mut assembly = match assembled {
-        Ok(assembly) => assembly,
+    let runtime = build_runtime(&mut stakker, setup);
+    let mut runtime = match runtime {
+        Ok(runtime) => runtime,
         Err(error) => {
             let _ = report.send(Err(error));
             return;
         }
     };
-    if let Some(started) = assembly.started.take() {
+    if let Some(started) = runtime.started.take() {
         let _ = report.send(Ok(started));
     }
-    if let Err(error) = poll_until_shutdown(&mut stakker, &assembly.poll) {
-        log::error!(target: "node", "polling failed: {error}");
+    if let Err(error) = poll_until_shutdown(&mut stakker, &runtime.poll) {
+        log::error!(target: "node", "the poller failed, the node ends: {error}");
     }
-    // Dropping an actor's owner only queues its end, and with it the end of
-    // its sockets; one more run carries it out.
-    drop(assembly);
+    // Dropping the owner of an actor only queues the actor's termination, which
+    // closes its sockets; one more run executes it.
+    drop(runtime);
     stakker.run(Instant::now(), false);
 }
 
-/// What lives as long as the node's thread.
-struct Assembly {
+/// The values that live as long as the node's thread.
+struct NodeRuntime {
     poll: MioPoll,
     started: Option<Started>,
     _actors: Actors,
@@ -129,8 +129,8 @@
 }
 
 impl NodeActor<SocketPorts> {
-    fn received(&mut self, cx: CX![], received: Received) {
-        let Received { from, message } = received;
+    fn received(&mut self, cx: CX![], received: ReceivedMessage) {
+        let ReceivedMessage { from, message } = received;
         self.input(cx, Input::Peer { from, message });
     }
 
@@ -138,7 +138,7 @@
         match request {
             Request::Input(input) => self.input(cx, input),
             Request::View(answer) => self.inspect(cx, |view| {
-                // Whoever asked may have stopped waiting.
+                // The requester may have stopped waiting.
                 let _ = answer.try_send(view);
             }),
             Request::Kill => cx.shutdown(StopCause::Stopped),
@@ -146,7 +146,7 @@
     }
 }
 
-fn assemble(stakker: &mut Stakker, setup: ThreadSetup) -> io::Result<Assembly> {
+fn build_runtime(stakker: &mut Stakker, setup: ThreadSetup) -> io::Result<NodeRuntime> {
     let poll = MioPoll::new(
         stakker,
         Poll::new()?,
@@ -154,7 +154,7 @@
         WAKER_PRIORITY,
     )?;
     let node = actor_new!(stakker, NodeActor<SocketPorts>, ret_nop!());
-    let received = fwd_to!([node], received() as (Received));
+    let received = fwd_to!([node], received() as (ReceivedMessage));
     let requests = fwd_to!([node], serve() as (Request));
     let (channel, guard) = Channel::new(stakker, requests);
     let pending = Arc::new(PendingTickets::default());
@@ -214,7 +214,7 @@
     };
     let node_settings = setup.node;
     call!([node], <NodeActor<SocketPorts>>::init(node_settings, ports));
-    Ok(Assembly {
+    Ok(NodeRuntime {
         poll,
         started: Some(Started { handle, forwarder }),
         _actors: Actors {
--- a/crates/ledgelead-node/src/peer/incoming.rs
+++ b/crates/ledgelead-node/src/peer/incoming.rs
@@ -1,9 +1,10 @@
-//! A connection from a sender: opens frames, and gives messages on.
+//! A connection from a sender: verifies and decodes frames and delivers their
+//! messages.
 
+use super::close_reason::CloseReason;
 use super::counters::PeerCounters;
-use super::end::CloseReason;
 use super::frame::{self, Challenge, HELLO_BYTES, Session};
-use super::transport::{PeerSettings, Received};
+use super::transport::{PeerSettings, ReceivedMessage};
 use ledgelead_types::codec;
 use stakker::Fwd;
 use stakker_mio::{ReadStatus, TcpStreamBuf};
@@ -16,9 +17,9 @@
 pub(super) struct Incoming {
     pub(super) stream: TcpStreamBuf,
     pub(super) challenge: Challenge,
-    /// `None` until the sender's hello came.
+    /// `None` until the sender's hello was verified.
     pub(super) session: Option<Session>,
-    /// Since when a frame, or the hello, is incomplete.
+    /// Since when a frame or the hello is incomplete.
     pub(super) incomplete_since: Option<Instant>,
 }
 
@@ -36,7 +37,7 @@
         now: Instant,
         settings: &PeerSettings,
         counters: &PeerCounters,
-        received: &Fwd<Received>,
+        received: &Fwd<ReceivedMessage>,
     ) -> Result<(), CloseReason> {
         loop {
             let before = self.stream.wr - self.stream.rd;
@@ -57,7 +58,7 @@
         now: Instant,
         settings: &PeerSettings,
         counters: &PeerCounters,
-        received: &Fwd<Received>,
+        received: &Fwd<ReceivedMessage>,
     ) -> Result<(), CloseReason> {
         let mut progress = false;
         loop {
@@ -80,7 +81,7 @@
             self.stream.rd += opened.consumed;
             progress = true;
             counters.messages_in.inc();
-            received.fwd(Received { from, message });
+            received.fwd(ReceivedMessage { from, message });
         }
         if progress {
             self.incomplete_since = None;
--- a/crates/ledgelead-node/src/peer/mod.rs
+++ b/crates/ledgelead-node/src/peer/mod.rs
@@ -1,11 +1,11 @@
 //! Messages between nodes over TCP.
 
+mod close_reason;
 mod counters;
-mod end;
 pub mod frame;
 mod incoming;
 mod outgoing;
 mod transport;
 
 pub use counters::{KindLabel, PeerCounters};
-pub use transport::{PeerSettings, PeerTransport, Received};
+pub use transport::{PeerSettings, PeerTransport, ReceivedMessage};
--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -190,7 +190,7 @@
                 .supersede(takeover.base, takeover.revision, record)
         {
             let record = self.ownership.record();
-            self.coordination.election.observed(record, now);
+            self.coordination.election.observe_record(record, now);
             self.reconsider_waiting(now, out);
         } else if known < takeover.revision {
             let base = takeover.base;
