--- a/crates/ledgelead-balance/examples/compare/main.rs
+++ b/crates/ledgelead-balance/examples/compare/main.rs
@@ -15,7 +15,7 @@
 use ledgelead_balance::baseline::{Assigner, BoundedLoads, Greedy, StaticHash};
 use ledgelead_types::configuration::BalanceConfiguration;
 use lexopt::{Arg, Parser, ValueExt};
-use run::{Deployment, Measures, run};
+use run::{Deployment, Totals, run};
 
 struct Options {
     first_seed: u64,
@@ -124,7 +124,7 @@
         "assigner", "imbalance", "over floor", "churn %/h", "drain %/h", "moves/h", "slices"
     );
     for (name, assigner) in ASSIGNERS {
-        let mut sum = Measures::default();
+        let mut sum = Totals::default();
         for seed in options.first_seed..options.end_seed {
             sum.add(&run(deployment, assigner().as_mut(), seed));
         }
@@ -132,7 +132,7 @@
     }
 }
 
-fn print_row(name: &str, sum: &Measures) {
+fn print_row(name: &str, sum: &Totals) {
     let hours = sum.seconds / 3_600.0;
     println!(
         "{name:<14} {:>9.3} {:>10.3} {:>9.2} {:>11.2} {:>8.0} {:>7.0}",
--- a/crates/ledgelead-balance/examples/compare/run.rs
+++ b/crates/ledgelead-balance/examples/compare/run.rs
@@ -18,11 +18,11 @@
 const HOT_KEY_INTERVAL: u64 = 10;
 /// Seconds from one loss or planned stop of a server to the next.
 const SERVER_CHANGE_INTERVAL: u64 = 1_200;
-/// Seconds for which a leaving server is drained before it stops.
-const DRAINING: u64 = 60;
-const GONE: u64 = 240;
+/// Seconds for which a leaving server is drained, and then stopped.
+const DRAIN_SECONDS: u64 = 60;
+const STOPPED_SECONDS: u64 = 240;
 /// Seconds for which a restarted server is cold.
-const COLD: u64 = 60;
+const COLD_SECONDS: u64 = 60;
 
 /// Parameters of the simulation.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
 
 /// Sums over a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Measures {
+pub struct Totals {
     pub seconds: f64,
     pub imbalance: f64,
     pub imbalance_over_floor: f64,
@@ -51,8 +51,8 @@
     pub slices: f64,
 }
 
-impl Measures {
-    pub fn add(&mut self, other: &Measures) {
+impl Totals {
+    pub fn add(&mut self, other: &Totals) {
         self.seconds += other.seconds;
         self.imbalance += other.imbalance;
         self.imbalance_over_floor += other.imbalance_over_floor;
@@ -64,7 +64,7 @@
 }
 
 /// Runs an assigner; the workload depends only on the seed.
-pub fn run(deployment: &Deployment, assigner: &mut dyn Assigner, seed: u64) -> Measures {
+pub fn run(deployment: &Deployment, assigner: &mut dyn Assigner, seed: u64) -> Totals {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut simulation = Simulation {
         deployment: *deployment,
@@ -78,7 +78,7 @@
         noise: Pcg64Mcg::seed_from_u64(!seed),
         random,
         absent: BTreeMap::new(),
-        measures: Measures::default(),
+        measures: Totals::default(),
     };
     for second in 0..WARM_UP + deployment.seconds {
         simulation.step(second, assigner);
@@ -95,7 +95,7 @@
     random: Pcg64Mcg,
     noise: Pcg64Mcg,
     absent: BTreeMap<u64, ServerState>,
-    measures: Measures,
+    measures: Totals,
 }
 
 impl Simulation {
@@ -148,12 +148,12 @@
         if phase == WARM_UP && is_planned {
             self.change_server(server, |state| state.accepting = false);
         }
-        if phase == WARM_UP + DRAINING {
+        if phase == WARM_UP + DRAIN_SECONDS {
             let state = self.cluster.servers.iter().find(|s| s.server == server);
             self.absent.extend(state.map(|s| (turn, s.clone())));
             self.cluster.remove_server(server);
         }
-        if phase == WARM_UP + DRAINING + GONE
+        if phase == WARM_UP + DRAIN_SECONDS + STOPPED_SECONDS
             && let Some(state) = self.absent.remove(&turn)
         {
             self.cluster.servers.push(ServerState {
@@ -162,7 +162,7 @@
                 ..state
             });
         }
-        if phase == WARM_UP + DRAINING + GONE + COLD {
+        if phase == WARM_UP + DRAIN_SECONDS + STOPPED_SECONDS + COLD_SECONDS {
             self.change_server(server, |state| state.cold = false);
         }
     }
--- a/crates/ledgelead-balance/examples/compare/workload.rs
+++ b/crates/ledgelead-balance/examples/compare/workload.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 /// Number of top ranks at which hot keys are swapped with cold ones.
-const MOVING_RANKS: usize = 34;
+const SWAPPED_RANKS: usize = 34;
 /// Number of top ranks that are searched for the hottest key of a slice.
-const LISTED_RANKS: usize = 400;
+const SEARCHED_RANKS: usize = 400;
 
 /// The current popularity of each key.
 #[derive(Clone)]
@@ -50,8 +50,8 @@
 
     /// Replaces one of the hottest keys with another key.
     pub fn move_hot_key(&mut self, random: &mut Pcg64Mcg) {
-        let hot = random.random_range(0..MOVING_RANKS);
-        let cold = random.random_range(MOVING_RANKS..self.by_rank.len());
+        let hot = random.random_range(0..SWAPPED_RANKS);
+        let cold = random.random_range(SWAPPED_RANKS..self.by_rank.len());
         self.weights.swap(self.by_rank[hot], self.by_rank[cold]);
         self.by_rank.swap(hot, cold);
         self.index();
@@ -87,7 +87,7 @@
             sum += weight;
             self.cumulated.push(sum);
         }
-        let listed = self.by_rank.iter().take(LISTED_RANKS);
+        let listed = self.by_rank.iter().take(SEARCHED_RANKS);
         self.listed = listed
             .map(|key| (self.positions[*key], self.weights[*key]))
             .collect();
--- a/crates/ledgelead-balance/examples/planner_cost.rs
+++ b/crates/ledgelead-balance/examples/planner_cost.rs
@@ -14,7 +14,7 @@
 const ROUNDS: u64 = 101;
 const SIZES: [u64; 4] = [100, 1_000, 10_000, 100_000];
 /// Number of slices changed per round in the column with a constant number of changes.
-const FEW: usize = 10;
+const CONSTANT_CHANGES: usize = 10;
 
 fn main() {
     println!("{SERVERS} servers, median of {ROUNDS} rounds, microseconds");
@@ -28,7 +28,7 @@
             "{:>8} {:>12.0} {:>12.0} {:>16.0}",
             size,
             median(incremental(size, one_percent)),
-            median(incremental(size, FEW)),
+            median(incremental(size, CONSTANT_CHANGES)),
             median(whole_view(size, one_percent)),
         );
     }
--- a/crates/ledgelead-balance/tests/planner.rs
+++ b/crates/ledgelead-balance/tests/planner.rs
@@ -207,7 +207,7 @@
         let whole = run_scenario(&scenario, |input, now, _| plan(input, &mut memory, now));
         let mut planner = Planner::default();
         let mut known = Vec::new();
-        let told = run_scenario(&scenario, |input, now, _| {
+        let incremental = run_scenario(&scenario, |input, now, _| {
             planner.configure(input.policy);
             planner.set_servers(&input.servers, now);
             for slice in input.slices.iter().filter(|slice| !known.contains(*slice)) {
@@ -216,7 +216,7 @@
             known.clone_from(&input.slices);
             planner.plan(now)
         });
-        prop_assert_eq!(whole, told);
+        prop_assert_eq!(whole, incremental);
     }
 
     /// The baselines plan only valid changes.
@@ -343,11 +343,11 @@
         PlannedChange::Move { range, .. } => Some(*range),
         _ => None,
     });
-    let alone = hot.map(|hot| PositionRange {
+    let isolated = hot.map(|hot| PositionRange {
         first: hot,
         last: hot,
     });
-    expect_that!(first_move, some(any![eq(alone[0]), eq(alone[1])]));
+    expect_that!(first_move, some(any![eq(isolated[0]), eq(isolated[1])]));
 }
 
 #[gtest]
@@ -370,8 +370,8 @@
         let mut input = input.clone();
         let of_server = |server| move |slice: &&mut SliceState| owned_by(slice, server);
         if now > Time::ZERO {
-            let silent = input.slices.iter_mut().filter(of_server(1));
-            silent.for_each(|slice| slice.requests_per_second = UNKNOWN_LOAD);
+            let unreported = input.slices.iter_mut().filter(of_server(1));
+            unreported.for_each(|slice| slice.requests_per_second = UNKNOWN_LOAD);
         }
         plan(&input, &mut memory, now)
     })
@@ -388,12 +388,12 @@
     let mut scenario = static_scenario(4, 32, even_keys(320, 1.0), 40);
     scenario.events[10] = Event::HotKey(100, 17.0);
     scenario.events[11] = Event::HotKey(101, 17.0);
-    let mut alone = PlannerMemory::default();
-    let mut beside = PlannerMemory::default();
-    let expected = run_scenario(&scenario, |input, now, _| plan(input, &mut alone, now)).unwrap();
+    let mut memory = PlannerMemory::default();
+    let mut with_owner_rounds = PlannerMemory::default();
+    let expected = run_scenario(&scenario, |input, now, _| plan(input, &mut memory, now)).unwrap();
     let planned = run_scenario(&scenario, |input, now, _| {
-        plan_owners(input, &mut beside, now);
-        plan(input, &mut beside, now)
+        plan_owners(input, &mut with_owner_rounds, now);
+        plan(input, &mut with_owner_rounds, now)
     });
     expect_that!(expected[1..].iter().flatten().count(), gt(0));
     expect_that!(planned, ok(eq(&expected)));
--- a/crates/ledgelead-membership/examples/gossip_cost.rs
+++ b/crates/ledgelead-membership/examples/gossip_cost.rs
@@ -26,7 +26,7 @@
         network.run(Span::from_seconds(5));
         let before = totals(&network);
         network.run(Span::from_seconds(SECONDS));
-        let calm = totals(&network);
+        let before_changes = totals(&network);
         for round in 0..SECONDS {
             publish(&mut network, 2 + round);
             network.run(Span::from_seconds(1));
@@ -38,9 +38,9 @@
         println!(
             "{count:5}  {:10.0}  {:10.0}  {:13.0}  {:8.0}  {:11}  {:7.0}  {:7.1}",
             rate(0, joined.0),
-            rate(before.0, calm.0),
-            rate(before.1, calm.1),
-            rate(calm.1, changing.1),
+            rate(before.0, before_changes.0),
+            rate(before.1, before_changes.1),
+            rate(before_changes.1, changing.1),
             network.disagreements(),
             spread.as_millis(),
             found.as_seconds(),
--- a/crates/ledgelead-membership/src/membership.rs
+++ b/crates/ledgelead-membership/src/membership.rs
@@ -342,11 +342,11 @@
         self.own.version = self.own.version.next();
         self.probe = None;
         let live: Vec<NodeId> = self.members.live().collect();
-        let told: Vec<NodeId> = live
+        let notified: Vec<NodeId> = live
             .sample(&mut self.random, LEAVE_FANOUT)
             .copied()
             .collect();
-        for node in told {
+        for node in notified {
             self.notify(node);
         }
         self.outputs.push(MembershipOutput::Changed);
--- a/crates/ledgelead-membership/src/membership/probing.rs
+++ b/crates/ledgelead-membership/src/membership/probing.rs
@@ -73,7 +73,7 @@
             .copied()
             .collect();
         for helper in helpers {
-            self.ask_to_ping(helper, target, nonce);
+            self.request_indirect_ping(helper, target, nonce);
         }
     }
 
--- a/crates/ledgelead-membership/src/membership/receiving.rs
+++ b/crates/ledgelead-membership/src/membership/receiving.rs
@@ -80,7 +80,7 @@
     }
 
     fn note_answered(&mut self, now: Time, sender: &NodeRecord, nonce: u64) {
-        let was_dead = self.is_held_dead(sender.member.node);
+        let was_dead = self.is_considered_dead(sender.member.node);
         self.mark_probe_answered(sender.member.node, nonce);
         self.revive(sender.member);
         if was_dead {
@@ -89,7 +89,7 @@
         }
     }
 
-    fn is_held_dead(&self, node: NodeId) -> bool {
+    fn is_considered_dead(&self, node: NodeId) -> bool {
         self.members.get(node).is_some_and(|entry| entry.is_dead())
     }
 
--- a/crates/ledgelead-membership/src/membership/sending.rs
+++ b/crates/ledgelead-membership/src/membership/sending.rs
@@ -44,7 +44,7 @@
         self.send(to, message);
     }
 
-    pub(super) fn ask_to_ping(&mut self, helper: NodeId, target: NodeId, nonce: u64) {
+    pub(super) fn request_indirect_ping(&mut self, helper: NodeId, target: NodeId, nonce: u64) {
         let message = MembershipMessage::IndirectPing {
             sender: self.own.clone(),
             target,
--- a/crates/ledgelead-membership/tests/membership.rs
+++ b/crates/ledgelead-membership/tests/membership.rs
@@ -138,7 +138,7 @@
 #[gtest]
 fn machine_list_only_proves_the_end_of_unresponsive_nodes_listed_as_gone() {
     let mut network = joined(6, 5);
-    let (silent, live) = (network.member(4), network.member(5));
+    let (unresponsive, live) = (network.member(4), network.member(5));
     let list = |state| {
         let entry = |index: usize| MachineEntry {
             node: node_id(index),
@@ -152,11 +152,14 @@
     network.run(Span::from_seconds(10));
     network.membership_input(0, list(MachineState::Leaving));
     expect_that!(
-        network.nodes[0].membership.is_proven_dead(silent),
+        network.nodes[0].membership.is_proven_dead(unresponsive),
         eq(false)
     );
     network.membership_input(0, list(MachineState::Gone));
-    expect_that!(network.nodes[0].membership.is_proven_dead(silent), eq(true));
+    expect_that!(
+        network.nodes[0].membership.is_proven_dead(unresponsive),
+        eq(true)
+    );
     expect_that!(network.nodes[0].membership.is_proven_dead(live), eq(false));
     network.run(Span::from_seconds(10));
     expect_that!(network.disagreements(), eq(0));
--- a/crates/ledgelead-request/src/dispatcher/admission.rs
+++ b/crates/ledgelead-request/src/dispatcher/admission.rs
@@ -101,7 +101,7 @@
             return;
         }
         self.enqueue(key, acquire, arrived, capacity);
-        self.pump(now, queue);
+        self.grant_waiting(now, queue);
     }
 
     fn enqueue(
@@ -218,14 +218,14 @@
         if queue.fair.len() < most {
             return true;
         }
-        let own_crowding =
+        let own_length_per_share =
             (queue.fair.len_of(acquire.tier) + 1) as f64 / self.shares.share(acquire.tier);
-        let Some(victim_tier) = queue.fair.most_crowded(&self.shares) else {
+        let Some(victim_tier) = queue.fair.longest_for_share(&self.shares) else {
             return true;
         };
-        let victim_crowding =
+        let victim_length_per_share =
             queue.fair.len_of(victim_tier) as f64 / self.shares.share(victim_tier);
-        if victim_tier == acquire.tier || victim_crowding <= own_crowding {
+        if victim_tier == acquire.tier || victim_length_per_share <= own_length_per_share {
             return false;
         }
         let Some(victim) = queue.fair.pop_latest(victim_tier) else {
--- a/crates/ledgelead-request/src/dispatcher/fair_queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/fair_queue.rs
@@ -141,14 +141,15 @@
 
     /// The tier whose queue is longest relative to its share, which is the first to lose
     /// work on overload.
-    pub(super) fn most_crowded(&self, shares: &TierShares) -> Option<TierId> {
-        let crowding =
+    pub(super) fn longest_for_share(&self, shares: &TierShares) -> Option<TierId> {
+        let length_per_share =
             |tier: TierId, queue: &TierQueue<K>| queue.entries.len() as f64 / shares.share(tier);
         self.tiers
             .iter()
             .filter(|(_, queue)| !queue.entries.is_empty())
             .max_by(|(left, left_queue), (right, right_queue)| {
-                crowding(**left, left_queue).total_cmp(&crowding(**right, right_queue))
+                length_per_share(**left, left_queue)
+                    .total_cmp(&length_per_share(**right, right_queue))
             })
             .map(|(&tier, _)| tier)
     }
--- a/crates/ledgelead-request/src/dispatcher/grant.rs
+++ b/crates/ledgelead-request/src/dispatcher/grant.rs
@@ -15,7 +15,7 @@
 
 impl Dispatcher {
     /// Grants as many permits as possible.
-    pub(super) fn pump(&mut self, now: Time, queue: QueueKey) {
+    pub(super) fn grant_waiting(&mut self, now: Time, queue: QueueKey) {
         self.grant_all(now, queue);
         let waits = self
             .queues
@@ -55,7 +55,7 @@
                 continue;
             }
             let waited = now.since(waiting.arrived);
-            queue.waited(now, waiting.acquire.tier, waited, slot_time);
+            queue.record_wait(now, waiting.acquire.tier, waited, slot_time);
             let server = self.prefer_untried(now, &waiting, server);
             self.grant(now, key, &waiting, server);
         }
@@ -98,7 +98,7 @@
     fn grant(&mut self, now: Time, key: PermitKey, waiting: &Waiting, server: ServerId) {
         let waited = now.since(waiting.arrived);
         if let Some(state) = self.servers.get_mut(&server) {
-            state.granted(now);
+            state.count_grant(now);
         }
         let uses_records = self.protections.has(Protection::IdempotencyRecord);
         let idempotency_key = waiting.acquire.idempotency_key.filter(|_| uses_records);
--- a/crates/ledgelead-request/src/dispatcher/mod.rs
+++ b/crates/ledgelead-request/src/dispatcher/mod.rs
@@ -142,7 +142,7 @@
                 TimerKey::Permit(key) => self.check_permit(now, key),
                 TimerKey::Linger(key) => self.end_linger(now, key),
                 TimerKey::Record(owner) => self.resend_begin(now, owner),
-                TimerKey::Queue(queue) => self.pump(now, queue),
+                TimerKey::Queue(queue) => self.grant_waiting(now, queue),
             }
         }
     }
--- a/crates/ledgelead-request/src/dispatcher/release.rs
+++ b/crates/ledgelead-request/src/dispatcher/release.rs
@@ -66,16 +66,16 @@
         let Some(state) = self.servers.get_mut(&server) else {
             return;
         };
-        state.freed();
+        state.count_return();
         let group = state.settings.group;
-        self.pump_queues_of(now, server, group);
+        self.grant_waiting_of_server(now, server, group);
     }
 
     /// Grants permits from every queue that the server serves.
-    pub(super) fn pump_queues_of(&mut self, now: Time, server: ServerId, group: GroupId) {
+    pub(super) fn grant_waiting_of_server(&mut self, now: Time, server: ServerId, group: GroupId) {
         for queue in [QueueKey::Server(server), QueueKey::Pool(group)] {
             if self.queues.contains_key(&queue) {
-                self.pump(now, queue);
+                self.grant_waiting(now, queue);
             }
         }
     }
@@ -84,9 +84,9 @@
         let Some(state) = self.servers.get_mut(&server) else {
             return;
         };
-        let deserves_ejection = state.observe(release.end, release.service_time);
+        let should_eject = state.observe(release.end, release.service_time);
         let group = state.settings.group;
-        if deserves_ejection
+        if should_eject
             && self.may_eject_another(now, group)
             && let Some(state) = self.servers.get_mut(&server)
         {
--- a/crates/ledgelead-request/src/dispatcher/server.rs
+++ b/crates/ledgelead-request/src/dispatcher/server.rs
@@ -122,13 +122,13 @@
 
     /// Applies a load report. Requests at the server in excess of this dispatcher's permits
     /// were permitted by the previous dispatcher.
-    pub(super) fn reported(&mut self, report: LoadReport) {
+    pub(super) fn apply_report(&mut self, report: LoadReport) {
         let at_server = u32::from(report.executing) + u32::from(report.waiting);
-        let beyond = at_server.saturating_sub(self.in_use);
+        let excess = at_server.saturating_sub(self.in_use);
         if !self.reported {
-            self.inherited = beyond;
+            self.inherited = excess;
         } else {
-            self.inherited = self.inherited.min(beyond);
+            self.inherited = self.inherited.min(excess);
         }
         self.reported = true;
         self.report = report;
@@ -218,14 +218,14 @@
     }
 
     /// Counts a granted permit.
-    pub(super) fn granted(&mut self, now: Time) {
+    pub(super) fn count_grant(&mut self, now: Time) {
         self.in_use += 1;
         self.last_granted = now;
         self.rate.count(now);
     }
 
     /// Counts a returned permit.
-    pub(super) fn freed(&mut self) {
+    pub(super) fn count_return(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
--- a/crates/ledgelead-request/src/dispatcher/servers.rs
+++ b/crates/ledgelead-request/src/dispatcher/servers.rs
@@ -36,7 +36,7 @@
             self.redirect_all(QueueKey::Pool(group));
         }
         for server in present {
-            self.pump_queues_of(now, server, group);
+            self.grant_waiting_of_server(now, server, group);
         }
     }
 
@@ -46,7 +46,7 @@
             return;
         };
         state.configure(settings, now);
-        self.pump_queues_of(now, settings.server, settings.group);
+        self.grant_waiting_of_server(now, settings.server, settings.group);
     }
 
     /// Removes a server that this node no longer dispatches. Gateways that wait for it are
@@ -113,8 +113,8 @@
         let Some(state) = self.servers.get_mut(&server) else {
             return;
         };
-        state.reported(load);
+        state.apply_report(load);
         let group = state.settings.group;
-        self.pump_queues_of(now, server, group);
+        self.grant_waiting_of_server(now, server, group);
     }
 }
--- a/crates/ledgelead-request/src/dispatcher/standing_queue.rs
+++ b/crates/ledgelead-request/src/dispatcher/standing_queue.rs
@@ -48,7 +48,7 @@
 impl StandingQueue {
     /// Records the wait of a permit request that is now granted. While no service time is
     /// measured the target is zero, and the queue never counts as standing.
-    fn served(&mut self, now: Time, waited: Span, target: Span) {
+    fn record_wait(&mut self, now: Time, waited: Span, target: Span) {
         if waited <= target || target == Span::ZERO {
             self.above_since = None;
             return;
@@ -81,10 +81,16 @@
     }
 
     /// Records how long a permit request that is now granted has waited.
-    pub(super) fn waited(&mut self, now: Time, tier: TierId, waited: Span, service_time: Span) {
+    pub(super) fn record_wait(
+        &mut self,
+        now: Time,
+        tier: TierId,
+        waited: Span,
+        service_time: Span,
+    ) {
         let target = self.target_wait(service_time);
         let standing = self.standing.entry(tier).or_default();
-        standing.served(now, waited, target);
+        standing.record_wait(now, waited, target);
         move_towards(&mut self.excess, -1.0, EXCESS_WEIGHT);
     }
 
--- a/crates/ledgelead-request/src/gateway/accept.rs
+++ b/crates/ledgelead-request/src/gateway/accept.rs
@@ -66,7 +66,7 @@
         }
         match self.classify(now, &arrival) {
             Ok(request) => {
-                self.service_state(request.service).arrived();
+                self.service_state(request.service).count_arrival();
                 self.requests.insert(id, request);
                 self.locate(now, id);
                 self.reschedule(id);
--- a/crates/ledgelead-request/src/gateway/forward.rs
+++ b/crates/ledgelead-request/src/gateway/forward.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use super::evidence::{self, AttemptOutcome};
 use super::interface::GatewayOutput;
-use super::request::{ActiveRequest, Search, SentAttempt, Stage};
+use super::request::{ActiveRequest, PermitSearch, SearchStage, SentAttempt};
 use crate::message::{PermitEnd, ServerSelector};
 use ledgelead_types::protections::Protection;
 use ledgelead_types::request::{AttemptId, Forward};
@@ -16,9 +16,9 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(Search {
+        let Some(PermitSearch {
             number,
-            stage: Stage::Acquiring(acquiring),
+            stage: SearchStage::Acquiring(acquiring),
             ..
         }) = request.search.take()
         else {
@@ -80,7 +80,7 @@
         self.return_permit(now, attempt, &sent_attempt, result);
         if matches!(result, AttemptResult::Answered { failure: false }) {
             let latency = now.since(sent_attempt.sent_at);
-            self.service_state(service).answered(latency);
+            self.service_state(service).record_latency(latency);
         }
         if !self.deliver_mismatched_answer(now, attempt, result) {
             let attempt_outcome = evidence::classify_result(result, repeatable, self.protections);
--- a/crates/ledgelead-request/src/gateway/hedge.rs
+++ b/crates/ledgelead-request/src/gateway/hedge.rs
@@ -2,7 +2,7 @@
 //! not partitioned by key, when the first attempt takes longer than most do.
 
 use super::Gateway;
-use super::request::{Search, Stage, Target};
+use super::request::{PermitSearch, SearchStage, Target};
 use ledgelead_types::{RequestId, Time};
 
 impl Gateway {
@@ -37,10 +37,10 @@
             return;
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.search = Some(Search {
+            request.search = Some(PermitSearch {
                 number: request.last_number,
                 hedge: true,
-                stage: Stage::Waiting {
+                stage: SearchStage::Waiting {
                     retry_at: now,
                     wake_on_routes: false,
                 },
--- a/crates/ledgelead-request/src/gateway/locate.rs
+++ b/crates/ledgelead-request/src/gateway/locate.rs
@@ -2,7 +2,7 @@
 //! new routes.
 
 use super::Gateway;
-use super::request::{ActiveRequest, Search, Stage, Target};
+use super::request::{ActiveRequest, PermitSearch, SearchStage, Target};
 use crate::message::{DispatchRequest, ServerSelector};
 use ledgelead_types::request::OwnershipClaim;
 use ledgelead_types::routes::GroupRoutes;
@@ -128,10 +128,10 @@
         let doubled = MIN_HOLD_WAIT.times(f64::from(1_u32 << request.holds.min(4)));
         request.holds = request.holds.saturating_add(1);
         let wait = doubled.min(MAX_HOLD_WAIT).times(jitter);
-        request.search = Some(Search {
+        request.search = Some(PermitSearch {
             number: request.last_number,
             hedge: false,
-            stage: Stage::Waiting {
+            stage: SearchStage::Waiting {
                 retry_at: now + wait,
                 wake_on_routes: true,
             },
@@ -170,12 +170,12 @@
             return;
         };
         match search.stage {
-            Stage::Waiting { wake_on_routes, .. } => {
+            SearchStage::Waiting { wake_on_routes, .. } => {
                 if wake_on_routes {
                     self.locate(now, id);
                 }
             }
-            Stage::Acquiring(acquiring) => {
+            SearchStage::Acquiring(acquiring) => {
                 let location = Location {
                     group: acquiring.group,
                     dispatcher: acquiring.dispatcher,
@@ -211,9 +211,9 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let Some(Search {
+        let Some(PermitSearch {
             number,
-            stage: Stage::Acquiring(acquiring),
+            stage: SearchStage::Acquiring(acquiring),
             ..
         }) = request.search
         else {
--- a/crates/ledgelead-request/src/gateway/permit.rs
+++ b/crates/ledgelead-request/src/gateway/permit.rs
@@ -2,7 +2,9 @@
 
 use super::Gateway;
 use super::locate::Location;
-use super::request::{Acquiring, ActiveRequest, BegunRecord, HOLD_LIMIT, Search, Stage, Target};
+use super::request::{
+    ActiveRequest, BegunRecord, HOLD_LIMIT, PendingAcquire, PermitSearch, SearchStage, Target,
+};
 use crate::message::{Acquire, DispatchReply, DispatchRequest, PermitEnd, Release};
 use ledgelead_types::dispatch::IdempotencyState;
 use ledgelead_types::request::AttemptId;
@@ -39,10 +41,10 @@
             self.hold_ended(now, id);
             return;
         };
-        request.search = Some(Search {
+        request.search = Some(PermitSearch {
             number,
             hedge,
-            stage: Stage::Acquiring(Acquiring {
+            stage: SearchStage::Acquiring(PendingAcquire {
                 dispatcher: location.dispatcher,
                 group: location.group,
                 selector: location.selector,
@@ -102,12 +104,12 @@
             return;
         };
         match search.stage {
-            Stage::Waiting { retry_at, .. } => {
+            SearchStage::Waiting { retry_at, .. } => {
                 if now >= retry_at {
                     self.locate(now, id);
                 }
             }
-            Stage::Acquiring(acquiring) => {
+            SearchStage::Acquiring(acquiring) => {
                 if now >= acquiring.next_send {
                     self.resend_acquire(now, id, &acquiring);
                 }
@@ -115,7 +117,7 @@
         }
     }
 
-    fn resend_acquire(&mut self, now: Time, id: RequestId, acquiring: &Acquiring) {
+    fn resend_acquire(&mut self, now: Time, id: RequestId, acquiring: &PendingAcquire) {
         let wait = self.reply_wait(acquiring.dispatcher, acquiring.unanswered_sends);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -129,8 +131,8 @@
             self.locate_avoiding(now, id, Some(acquiring.dispatcher));
             return;
         }
-        if let Some(Search {
-            stage: Stage::Acquiring(acquiring),
+        if let Some(PermitSearch {
+            stage: SearchStage::Acquiring(acquiring),
             ..
         }) = &mut request.search
         {
@@ -170,7 +172,7 @@
         }
     }
 
-    fn awaited_permit(&mut self, from: NodeId, attempt: AttemptId) -> Option<&mut Acquiring> {
+    fn awaited_permit(&mut self, from: NodeId, attempt: AttemptId) -> Option<&mut PendingAcquire> {
         self.requests
             .get_mut(&attempt.request)?
             .acquiring(from, attempt.number)
@@ -319,10 +321,10 @@
     }
 }
 
-fn acquiring_of(request: &ActiveRequest) -> Option<(Search, Acquiring)> {
+fn acquiring_of(request: &ActiveRequest) -> Option<(PermitSearch, PendingAcquire)> {
     let search = request.search?;
     match search.stage {
-        Stage::Acquiring(acquiring) => Some((search, acquiring)),
-        Stage::Waiting { .. } => None,
+        SearchStage::Acquiring(acquiring) => Some((search, acquiring)),
+        SearchStage::Waiting { .. } => None,
     }
 }
--- a/crates/ledgelead-request/src/gateway/request.rs
+++ b/crates/ledgelead-request/src/gateway/request.rs
@@ -25,17 +25,17 @@
 
 /// A search for a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Search {
+pub(super) struct PermitSearch {
     /// Number of the attempt that the permit will be for.
     pub(super) number: u8,
     /// Whether this is a hedge, started while another attempt is in progress.
     pub(super) hedge: bool,
-    pub(super) stage: Stage,
+    pub(super) stage: SearchStage,
 }
 
 /// Stages of a search.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Stage {
+pub(super) enum SearchStage {
     /// Waiting until the request is located again.
     Waiting {
         retry_at: Time,
@@ -43,12 +43,12 @@
         wake_on_routes: bool,
     },
     /// A permit has been requested from a dispatcher.
-    Acquiring(Acquiring),
+    Acquiring(PendingAcquire),
 }
 
 /// A permit request that was sent to a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Acquiring {
+pub(super) struct PendingAcquire {
     pub(super) dispatcher: NodeId,
     pub(super) group: GroupId,
     pub(super) selector: ServerSelector,
@@ -96,7 +96,7 @@
     pub(super) sent: u8,
     /// Retries taken from the retry budget.
     pub(super) retries: u8,
-    pub(super) search: Option<Search>,
+    pub(super) search: Option<PermitSearch>,
     pub(super) sent_attempts: Vec<SentAttempt>,
     /// Set once an attempt may have run; "not run" is then no longer a valid outcome.
     pub(super) possibly_run: Option<UnknownReason>,
@@ -139,12 +139,12 @@
     pub(super) fn due(&self) -> Time {
         let search_due = match &self.search {
             None => NEVER,
-            Some(Search {
-                stage: Stage::Waiting { retry_at, .. },
+            Some(PermitSearch {
+                stage: SearchStage::Waiting { retry_at, .. },
                 ..
             }) => (*retry_at).min(self.hold_ends()),
-            Some(Search {
-                stage: Stage::Acquiring(acquiring),
+            Some(PermitSearch {
+                stage: SearchStage::Acquiring(acquiring),
                 ..
             }) => acquiring.next_send.min(self.hold_ends()),
         };
@@ -153,13 +153,13 @@
     }
 
     /// The pending permit request of this attempt at this dispatcher.
-    pub(super) fn acquiring(&mut self, from: NodeId, number: u8) -> Option<&mut Acquiring> {
+    pub(super) fn acquiring(&mut self, from: NodeId, number: u8) -> Option<&mut PendingAcquire> {
         let search = self.search.as_mut()?;
         if search.number != number {
             return None;
         }
         match &mut search.stage {
-            Stage::Acquiring(acquiring) if acquiring.dispatcher == from => Some(acquiring),
+            SearchStage::Acquiring(acquiring) if acquiring.dispatcher == from => Some(acquiring),
             _ => None,
         }
     }
--- a/crates/ledgelead-request/src/gateway/retry.rs
+++ b/crates/ledgelead-request/src/gateway/retry.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use super::evidence::RetryCause;
 use super::interface::GatewayOutput;
-use super::request::{HOLD_LIMIT, Search, Stage, Target};
+use super::request::{HOLD_LIMIT, PermitSearch, SearchStage, Target};
 use ledgelead_types::event::Event;
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{NotRunReason, RequestId, ServerId, Span, Time, UnknownReason};
@@ -107,10 +107,10 @@
             self.finish_not_run(now, id, NotRunReason::DeadlineTooClose, None);
             return;
         }
-        request.search = Some(Search {
+        request.search = Some(PermitSearch {
             number: request.last_number,
             hedge: false,
-            stage: Stage::Waiting {
+            stage: SearchStage::Waiting {
                 retry_at,
                 wake_on_routes: false,
             },
--- a/crates/ledgelead-request/src/gateway/service_state.rs
+++ b/crates/ledgelead-request/src/gateway/service_state.rs
@@ -37,13 +37,13 @@
 
 impl ServiceState {
     /// Counts an arrived request into the budgets.
-    pub(super) fn arrived(&mut self) {
+    pub(super) fn count_arrival(&mut self) {
         self.retries.deposit();
         self.hedges.deposit();
     }
 
     /// Records the latency of an answered attempt.
-    pub(super) fn answered(&mut self, latency: Span) {
+    pub(super) fn record_latency(&mut self, latency: Span) {
         self.latency.add(latency);
     }
 
--- a/crates/ledgelead-request/tests/dispatcher.rs
+++ b/crates/ledgelead-request/tests/dispatcher.rs
@@ -181,10 +181,10 @@
 
 #[gtest]
 fn an_unresponsive_or_lost_gateway_does_not_occupy_slots_forever() {
-    let mut silent = dispatcher();
-    request_permit(&mut silent, Time(10), 1);
-    advance_to(&mut silent, Time::ZERO + Span::from_seconds(3));
-    expect_that!(silent.server_views(Time(0))[0].slots_in_use, eq(0));
+    let mut unresponsive = dispatcher();
+    request_permit(&mut unresponsive, Time(10), 1);
+    advance_to(&mut unresponsive, Time::ZERO + Span::from_seconds(3));
+    expect_that!(unresponsive.server_views(Time(0))[0].slots_in_use, eq(0));
 
     let mut lost = dispatcher();
     for request in 1..=5 {
--- a/crates/ledgelead-request/tests/guarantees.rs
+++ b/crates/ledgelead-request/tests/guarantees.rs
@@ -27,10 +27,10 @@
 
 fn count_violations(world: &World) -> Violations {
     let mut violations = Violations::default();
-    let mut runs_of_key: BTreeMap<String, usize> = BTreeMap::new();
+    let mut executions_of_key: BTreeMap<String, usize> = BTreeMap::new();
     for (key, (_, arrival)) in &world.arrivals {
         let responses = world.responses.get(key).map_or(&[][..], Vec::as_slice);
-        let runs = world.executions.get(key).map_or(0, Vec::len);
+        let executions = world.executions.get(key).map_or(0, Vec::len);
         if responses.len() != 1 {
             violations.not_one_response += 1;
         }
@@ -40,15 +40,18 @@
                 .is_some_and(|attempt| !is_own_or_first(world, *key, attempt));
             violations.wrong_answer += usize::from(wrong);
             let not_run = matches!(response.outcome, Outcome::NotRun(_));
-            violations.ran_after_not_run += usize::from(not_run && runs > 0);
+            violations.ran_after_not_run += usize::from(not_run && executions > 0);
         }
         let once_only = !arrival.repeatable || arrival.idempotency_key.is_some();
-        violations.ran_twice += usize::from(once_only && runs > 1);
+        violations.ran_twice += usize::from(once_only && executions > 1);
         if let Some(once) = &arrival.idempotency_key {
-            *runs_of_key.entry(once.0.clone()).or_default() += runs;
+            *executions_of_key.entry(once.0.clone()).or_default() += executions;
         }
     }
-    violations.ran_twice_under_a_key = runs_of_key.values().filter(|&&runs| runs > 1).count();
+    violations.ran_twice_under_a_key = executions_of_key
+        .values()
+        .filter(|&&executions| executions > 1)
+        .count();
     violations
 }
 
@@ -186,12 +189,12 @@
 fn the_checks_fail_with_a_protection_off() {
     let retried = violations_without(Protection::UnknownNotRetried);
     expect_that!(retried.ran_twice, gt(0));
-    let crossed = violations_without(Protection::AnswerMatch);
-    expect_that!(crossed.wrong_answer, gt(0));
-    let dishonest = violations_without(Protection::AccurateNotRun);
-    expect_that!(dishonest.ran_after_not_run, gt(0));
-    let forgotten = violations_without(Protection::IdempotencyRecord);
-    expect_that!(forgotten.ran_twice_under_a_key, gt(0));
+    let mismatched = violations_without(Protection::AnswerMatch);
+    expect_that!(mismatched.wrong_answer, gt(0));
+    let inaccurate = violations_without(Protection::AccurateNotRun);
+    expect_that!(inaccurate.ran_after_not_run, gt(0));
+    let unrecorded = violations_without(Protection::IdempotencyRecord);
+    expect_that!(unrecorded.ran_twice_under_a_key, gt(0));
 }
 
 #[gtest]
--- a/crates/ledgelead-request/tests/request_lifecycle.rs
+++ b/crates/ledgelead-request/tests/request_lifecycle.rs
@@ -60,9 +60,9 @@
         let mut options = options;
         options.faults.lose_message = 1.0;
         let mut world = World::new(options);
-        let mut patient = request(1);
-        patient.deadline = Some(Span::from_seconds(60));
-        world.arrive(Time(1_000), 0, patient);
+        let mut long_deadline = request(1);
+        long_deadline.deadline = Some(Span::from_seconds(60));
+        world.arrive(Time(1_000), 0, long_deadline);
         world.run(Time::ZERO + Span::from_seconds(3));
         let response = world.response(0, 1);
         let no_server = Outcome::NotRun(NotRunReason::NoServer);
