--- a/crates/ledgelead-balance/examples/compare/main.rs
+++ b/crates/ledgelead-balance/examples/compare/main.rs
@@ -1,10 +1,9 @@
-//! Compares the planner with the baselines on one workload: keys with Zipf
-//! popularity, of which the hottest change within minutes, while servers are
-//! drained, lost and come back. Virtual time; one seed, one run.
+//! Compares the planner with the baselines on one workload: keys with Zipf popularity, of
+//! which the hottest change within minutes, while servers are drained, lost and restarted.
+//! Virtual time; one seed per run.
 //!
-//! `cargo run --release -p ledgelead-balance --example compare -- [--seeds A..B]
-//! [--exponent X] [--minutes N] [--lag SECONDS] [--load FACTOR]
-//! [--slices-per-server N]`
+//! `cargo run --release -p ledgelead-balance --example compare -- [--seeds A..B] [--exponent
+//! X] [--minutes N] [--lag SECONDS] [--load FACTOR] [--slices-per-server N]`
 
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -16,7 +15,7 @@
 use ledgelead_balance::baseline::{Assigner, BoundedLoads, Greedy, StaticHash};
 use ledgelead_types::configuration::BalanceConfiguration;
 use lexopt::{Arg, Parser, ValueExt};
-use run::{Deployment, Measures, run};
+use run::{Deployment, Totals, run};
 
 struct Options {
     first_seed: u64,
@@ -87,7 +86,7 @@
     Ok(options)
 }
 
-/// A service that weighs imbalance, and one that weighs churn.
+/// One service tuned for low imbalance, and one tuned for low churn.
 fn deployments(options: &Options) -> [Deployment; 2] {
     let imbalance_first = Deployment {
         name: "vacantes",
@@ -125,7 +124,7 @@
         "assigner", "imbalance", "over floor", "churn %/h", "drain %/h", "moves/h", "slices"
     );
     for (name, assigner) in ASSIGNERS {
-        let mut sum = Measures::default();
+        let mut sum = Totals::default();
         for seed in options.first_seed..options.end_seed {
             sum.add(&run(deployment, assigner().as_mut(), seed));
         }
@@ -133,7 +132,7 @@
     }
 }
 
-fn print_row(name: &str, sum: &Measures) {
+fn print_row(name: &str, sum: &Totals) {
     let hours = sum.seconds / 3_600.0;
     println!(
         "{name:<14} {:>9.3} {:>10.3} {:>9.2} {:>11.2} {:>8.0} {:>7.0}",
--- a/crates/ledgelead-balance/examples/compare/run.rs
+++ b/crates/ledgelead-balance/examples/compare/run.rs
@@ -1,4 +1,4 @@
-//! One run of one assigner in virtual time.
+//! Runs one assigner in virtual time.
 
 use crate::support::Cluster;
 use crate::workload::Workload;
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 
 const KEYS: usize = 20_000;
-/// Seconds before anything is measured.
+/// Seconds before the measurement starts.
 const WARM_UP: u64 = 300;
 /// Seconds between two changes among the hottest keys.
 const HOT_KEY_INTERVAL: u64 = 10;
-/// Seconds from one loss of a server, or one planned stop, to the next.
+/// Seconds from one loss or planned stop of a server to the next.
 const SERVER_CHANGE_INTERVAL: u64 = 1_200;
-/// Seconds for which a server that leaves is drained, and is then gone.
-const DRAINING: u64 = 60;
-const GONE: u64 = 240;
-/// Seconds for which a server that came back is cold.
-const COLD: u64 = 60;
+/// Seconds for which a leaving server is drained, and then stopped.
+const DRAIN_SECONDS: u64 = 60;
+const STOPPED_SECONDS: u64 = 240;
+/// Seconds for which a restarted server is cold.
+const COLD_SECONDS: u64 = 60;
 
-/// What is simulated.
+/// Parameters of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     pub name: &'static str,
@@ -32,7 +32,7 @@
     pub slots: f64,
     pub requests_per_second: f64,
     pub exponent: f64,
-    /// Seconds by which reported loads are late.
+    /// Delay of reported loads, in seconds.
     pub lag: usize,
     pub slices_per_server: u64,
     pub seconds: u64,
@@ -41,7 +41,7 @@
 
 /// Sums over a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Measures {
+pub struct Totals {
     pub seconds: f64,
     pub imbalance: f64,
     pub imbalance_over_floor: f64,
@@ -51,8 +51,8 @@
     pub slices: f64,
 }
 
-impl Measures {
-    pub fn add(&mut self, other: &Measures) {
+impl Totals {
+    pub fn add(&mut self, other: &Totals) {
         self.seconds += other.seconds;
         self.imbalance += other.imbalance;
         self.imbalance_over_floor += other.imbalance_over_floor;
@@ -63,8 +63,8 @@
     }
 }
 
-/// Runs an assigner; the workload depends on the seed alone.
-pub fn run(deployment: &Deployment, assigner: &mut dyn Assigner, seed: u64) -> Measures {
+/// Runs an assigner; the workload depends only on the seed.
+pub fn run(deployment: &Deployment, assigner: &mut dyn Assigner, seed: u64) -> Totals {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut simulation = Simulation {
         deployment: *deployment,
@@ -78,7 +78,7 @@
         noise: Pcg64Mcg::seed_from_u64(!seed),
         random,
         absent: BTreeMap::new(),
-        measures: Measures::default(),
+        measures: Totals::default(),
     };
     for second in 0..WARM_UP + deployment.seconds {
         simulation.step(second, assigner);
@@ -89,13 +89,13 @@
 struct Simulation {
     deployment: Deployment,
     workload: Rc<Workload>,
-    /// The workload of the last seconds, the latest first.
+    /// The workload of the last seconds, latest first.
     reported: VecDeque<Rc<Workload>>,
     cluster: Cluster,
     random: Pcg64Mcg,
     noise: Pcg64Mcg,
     absent: BTreeMap<u64, ServerState>,
-    measures: Measures,
+    measures: Totals,
 }
 
 impl Simulation {
@@ -117,7 +117,10 @@
         if let Err(error) = self.cluster.apply(&changes) {
             panic!("{}: second {second}: {error}", self.deployment.name);
         }
-        assert!(self.cluster.is_whole(), "second {second}: gap or overlap");
+        assert!(
+            self.cluster.covers_space(),
+            "second {second}: gap or overlap"
+        );
     }
 
     fn complete_moves(&mut self, is_measured: bool) {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// By turns, a server is drained and stopped, or lost; each comes back.
+    /// Alternately drains and stops a server, or loses one; each is restarted later.
     fn change_servers(&mut self, second: u64) {
         let phase = second % SERVER_CHANGE_INTERVAL;
         let turn = second / SERVER_CHANGE_INTERVAL;
@@ -145,12 +148,12 @@
         if phase == WARM_UP && is_planned {
             self.change_server(server, |state| state.accepting = false);
         }
-        if phase == WARM_UP + DRAINING {
+        if phase == WARM_UP + DRAIN_SECONDS {
             let state = self.cluster.servers.iter().find(|s| s.server == server);
             self.absent.extend(state.map(|s| (turn, s.clone())));
-            self.cluster.lose(server);
+            self.cluster.remove_server(server);
         }
-        if phase == WARM_UP + DRAINING + GONE
+        if phase == WARM_UP + DRAIN_SECONDS + STOPPED_SECONDS
             && let Some(state) = self.absent.remove(&turn)
         {
             self.cluster.servers.push(ServerState {
@@ -159,7 +162,7 @@
                 ..state
             });
         }
-        if phase == WARM_UP + DRAINING + GONE + COLD {
+        if phase == WARM_UP + DRAIN_SECONDS + STOPPED_SECONDS + COLD_SECONDS {
             self.change_server(server, |state| state.cold = false);
         }
     }
@@ -171,7 +174,7 @@
         }
     }
 
-    /// One second's counts: Poisson, by its normal approximation.
+    /// Reports the counts of one second, Poisson distributed by normal approximation.
     fn report_loads(&mut self) {
         let rate = self.deployment.requests_per_second;
         let Some(workload) = self.reported.back() else {
--- a/crates/ledgelead-balance/examples/planner_cost.rs
+++ b/crates/ledgelead-balance/examples/planner_cost.rs
@@ -1,4 +1,4 @@
-//! Prints the time of one round of planning against the number of slices.
+//! Prints the duration of a planning round by number of slices.
 //!
 //! `cargo run --release -p ledgelead-balance --example planner_cost`
 
@@ -13,8 +13,8 @@
 const SLOTS: f64 = 2.0;
 const ROUNDS: u64 = 101;
 const SIZES: [u64; 4] = [100, 1_000, 10_000, 100_000];
-/// Slices changed a round in the column where it doesn't grow with the size.
-const FEW: usize = 10;
+/// Number of slices changed per round in the column with a constant number of changes.
+const CONSTANT_CHANGES: usize = 10;
 
 fn main() {
     println!("{SERVERS} servers, median of {ROUNDS} rounds, microseconds");
@@ -28,7 +28,7 @@
             "{:>8} {:>12.0} {:>12.0} {:>16.0}",
             size,
             median(incremental(size, one_percent)),
-            median(incremental(size, FEW)),
+            median(incremental(size, CONSTANT_CHANGES)),
             median(whole_view(size, one_percent)),
         );
     }
--- a/crates/ledgelead-balance/src/lib.rs
+++ b/crates/ledgelead-balance/src/lib.rs
@@ -1,7 +1,7 @@
-//! Placement of slices on servers by load, and sketches of hot keys.
+//! Load-based placement of slices on servers, and sketches that detect hot keys.
 //!
-//! The planner is pure: loads, servers, policy and time go in, changes come
-//! out. See `docs/design/assignment.md`.
+//! The planner is a pure function of loads, servers, policy and time. See
+//! `docs/design/assignment.md`.
 
 pub mod baseline;
 pub mod change;
@@ -18,4 +18,4 @@
 pub use change::PlannedChange;
 pub use input::{PlanInput, ServerState, SliceState, UNKNOWN_LOAD};
 pub use ledgelead_types::dispatch::HotPosition;
-pub use planner::{Planner, PlannerMemory, SMOOTHING, plan, plan_owners};
+pub use planner::{Planner, PlannerMemory, SMOOTHING_TIME_CONSTANT, plan, plan_owners};
--- a/crates/ledgelead-balance/src/planner/candidates.rs
+++ b/crates/ledgelead-balance/src/planner/candidates.rs
@@ -1,4 +1,4 @@
-//! What could be moved off a server, and what each move is worth.
+//! Options for moving load off a server, and their value.
 
 use crate::levels::Level;
 use crate::planner::round::Round;
@@ -6,44 +6,44 @@
 use ledgelead_types::{Position, ServerId};
 use std::collections::BTreeSet;
 
-/// Slices looked at from each end of a server's indexes.
-const LOOKED_AT: usize = 32;
-/// Load of a position, as a part of the mean server's, worth isolating.
+/// Number of slices examined at the end of each of a server's indexes.
+const MAX_EXAMINED: usize = 32;
+/// Load of a position that is worth isolating, relative to the mean server load.
 const ISOLATED_LOAD: f64 = 0.02;
-/// Added to the percentage moved when gains are compared, so that a move that
-/// is nearly free doesn't beat every other for a tiny gain.
+/// Added to the moved percentage when gains are compared, so that an almost free move does
+/// not win with a tiny gain.
 const FIXED_PERCENT: f64 = 0.1;
-/// Narrowest slice that is halved for a finer move, in percent of the mean
+/// Width of the narrowest slice that is halved for a smaller move, in percent of the mean
 /// server's share.
 const MIN_HALVED_PERCENT: f64 = 3.0;
 
-/// A way to move load off a server.
+/// A method to move load off a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Relief {
+pub enum MoveMethod {
     /// Move a whole slice.
     Move,
-    /// Cut the hottest position out; it is moved once it is seen.
+    /// Split off the hottest position; it is moved once the split is observed.
     Isolate(Position),
-    /// Cut the slice in two; one half is moved once it is seen.
+    /// Split the slice in half; one half is moved once the split is observed.
     Halve,
 }
 
-/// A way to move load with its worth.
+/// A possible move and its value.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The slice.
     pub record: SliceRecord,
-    /// What to do with it.
-    pub relief: Relief,
-    /// Load that moves in the end, in requests a second.
+    /// The method.
+    pub method: MoveMethod,
+    /// Load that is eventually moved, in requests per second.
     pub load: f64,
-    /// Positions that move in the end, in percent of the group's.
+    /// Positions that are eventually moved, in percent of the group's positions.
     pub percent: f64,
     score: f64,
 }
 
-/// The candidate that sheds the most imbalance for each share of the position
-/// space that moves from one server to another, among those worth their price.
+/// The candidate that reduces the imbalance most in relation to the share of the position
+/// space that changes servers, among those worth their cost.
 pub fn best(round: &Round, from: ServerId, to: ServerId) -> Option<Candidate> {
     let held = round.planner.slices.held_by(from)?;
     let movable = |first: &Position| {
@@ -51,19 +51,19 @@
             .slice(*first)
             .is_some_and(|record| record.owner == Some(from) && record.is_movable(round.now))
     };
-    let dense = held.by_density().filter(movable).take(LOOKED_AT);
-    let loaded = held.by_load().filter(movable).take(LOOKED_AT);
+    let dense = held.by_density().filter(movable).take(MAX_EXAMINED);
+    let loaded = held.by_load().filter(movable).take(MAX_EXAMINED);
     let firsts: BTreeSet<Position> = dense.chain(loaded).collect();
     let transfer = Transfer::new(round, from, to)?;
     firsts
         .into_iter()
         .filter_map(|first| round.slice(first))
         .flat_map(|record| transfer.candidates(record))
-        .filter(|candidate| transfer.is_worth(candidate))
+        .filter(|candidate| transfer.is_worthwhile(candidate))
         .max_by(|a, b| a.score.total_cmp(&b.score))
 }
 
-/// A pair of servers between which load could move.
+/// A pair of servers between which load could be moved.
 struct Transfer<'a> {
     round: &'a Round<'a>,
     from: Level,
@@ -82,8 +82,8 @@
     fn candidates(&self, record: &SliceRecord) -> Vec<Candidate> {
         let load = record.smoothed.as_per_second();
         let percent = self.round.percent(record);
-        let mut candidates = vec![self.candidate(record, Relief::Move, load, percent)];
-        if record.is_single() || !self.round.may_split() {
+        let mut candidates = vec![self.candidate(record, MoveMethod::Move, load, percent)];
+        if record.is_single() || !self.round.can_split() {
             return candidates;
         }
         let hottest = record.hottest_rate().as_per_second();
@@ -92,11 +92,11 @@
             && record.range.contains(position)
         {
             let one = self.round.levels.percent(1);
-            candidates.push(self.candidate(record, Relief::Isolate(position), hottest, one));
+            candidates.push(self.candidate(record, MoveMethod::Isolate(position), hottest, one));
         }
         let mean_percent = 100.0 / self.round.levels.count() as f64;
         if percent * 100.0 >= MIN_HALVED_PERCENT * mean_percent {
-            candidates.push(self.candidate(record, Relief::Halve, load / 2.0, percent / 2.0));
+            candidates.push(self.candidate(record, MoveMethod::Halve, load / 2.0, percent / 2.0));
         }
         candidates
     }
@@ -104,27 +104,28 @@
     fn candidate(
         &self,
         record: &SliceRecord,
-        relief: Relief,
+        method: MoveMethod,
         load: f64,
         percent: f64,
     ) -> Candidate {
         Candidate {
             record: record.clone(),
-            relief,
+            method,
             load,
             percent,
             score: self.gain(load) / (percent + FIXED_PERCENT),
         }
     }
 
-    /// Imbalance of the fuller of both servers that moving `load` sheds.
+    /// Reduction of the imbalance of the server with the higher utilization when `load`
+    /// moves.
     fn gain(&self, load: f64) -> f64 {
         let from = (self.from.load - load) / self.from.weight;
         let to = (self.to.load + load) / self.to.weight;
         (self.from.utilization() - from.max(to)) / self.round.levels.mean()
     }
 
-    fn is_worth(&self, candidate: &Candidate) -> bool {
+    fn is_worthwhile(&self, candidate: &Candidate) -> bool {
         let policy = &self.round.planner.policy;
         let gain = self.gain(candidate.load);
         let price = policy.churn_price * candidate.percent;
--- a/crates/ledgelead-membership/src/lib.rs
+++ b/crates/ledgelead-membership/src/lib.rs
@@ -1,16 +1,16 @@
-//! Node membership and dissemination of versioned items.
+//! Cluster membership and dissemination of versioned items.
 //!
-//! [`Membership`] tells which nodes are live (SWIM, Das et al. 2002);
-//! [`Dissemination`] brings the newest version of every item to every live
-//! node. Both are pure state machines (`docs/design/membership.md`).
+//! [`Membership`] determines which nodes are live (SWIM, Das et al. 2002); [`Dissemination`]
+//! delivers the newest version of every item to every live node. Both are state machines
+//! without I/O (`docs/design/membership.md`).
 
+mod death_proofs;
 mod dissemination;
+mod gossip_queue;
 mod members;
 mod membership;
 mod message;
-mod news;
 mod probes;
-mod proofs;
 mod settings;
 
 pub use dissemination::{
@@ -18,5 +18,7 @@
     DisseminationSettings, Item, ItemDelta, ItemHeader, ItemKey, ItemVersion,
 };
 pub use membership::Membership;
-pub use message::{MembershipMessage, News, NodeRecord, NodeStatus, StatusVersion, VersionSight};
+pub use message::{
+    Gossip, MembershipMessage, NodeRecord, NodeStatus, ObservedVersion, StatusVersion,
+};
 pub use settings::{MembershipInput, MembershipOutput, MembershipSettings, SeedAddress};
--- a/crates/ledgelead-membership/src/membership/probing.rs
+++ b/crates/ledgelead-membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Whom a node pings in a protocol period.
+//! Probes of a protocol period.
 
 use super::{Membership, PERIOD, SUSPICION_WITH_HINT};
 use crate::members::Entry;
@@ -8,14 +8,15 @@
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 
-/// How long the direct ping may take before others are asked.
+/// Time allowed for the direct ping before other nodes are asked to ping.
 const DIRECT_TIMEOUT: Span = Span::from_millis(200);
-/// How many others are asked to ping.
+/// Number of nodes asked to ping.
 const INDIRECT_PROBES: usize = 2;
-/// Probes of each dead node in a period, by all live nodes together.
+/// Probes of each dead node per period, by all live nodes together.
 const DEAD_PROBES_PER_PERIOD: f64 = 4.0;
-/// Nodes that one node pings in a period for proof of an earlier run's end.
-const DOUBT_PROBES: usize = 8;
+/// Maximum number of nodes pinged per period for a proof that an earlier incarnation has
+/// ended.
+const MAX_PROOF_PROBES: usize = 8;
 
 impl Membership {
     pub(super) fn begin_period(&mut self, now: Time) {
@@ -36,11 +37,12 @@
                 is_answered: false,
             });
         self.probe_dead(now, live.len());
-        self.doubts_due = self.proofs.has_doubts();
+        self.proof_probes_due = self.proofs.has_unproven();
         self.ask_contacts(live.is_empty());
     }
 
-    /// Suspects the node probed in the period that ends, if nobody reached it.
+    /// Suspects the node probed in the ending period, if neither direct nor indirect pings
+    /// reached it.
     fn conclude_probe(&mut self, now: Time) {
         let Some(probe) = self.probe.take().filter(|probe| !probe.is_answered) else {
             return;
@@ -51,7 +53,7 @@
         }
         let size = self.cluster_size();
         if self.members.suspect(probe.target, now + span).is_some() {
-            self.news.push(probe.target, size);
+            self.gossip.push(probe.target, size);
         }
     }
 
@@ -71,13 +73,13 @@
             .copied()
             .collect();
         for helper in helpers {
-            self.ask_to_ping(helper, target, nonce);
+            self.request_indirect_ping(helper, target, nonce);
         }
     }
 
-    /// Pings now and then a node that is thought dead: after a cut somebody
-    /// has to speak first. Seldom enough that a dead node costs all others
-    /// together a few pings a period.
+    /// Occasionally pings a node that is considered dead, because after a partition one side
+    /// has to make contact first. The probability is low enough that all live nodes together
+    /// send a few pings per dead node and period.
     fn probe_dead(&mut self, now: Time, live: usize) {
         let dead: Vec<NodeId> = self.members.dead().collect();
         let chance = DEAD_PROBES_PER_PERIOD * dead.len() as f64 / (live + 1) as f64;
@@ -89,13 +91,13 @@
         }
     }
 
-    pub(super) fn probe_doubted(&mut self, now: Time) {
-        self.doubts_due = false;
+    pub(super) fn probe_unproven(&mut self, now: Time) {
+        self.proof_probes_due = false;
         let members = &self.members;
         self.proofs
-            .keep_doubts(|node| members.get(node).is_some_and(Entry::is_live));
-        let doubted: Vec<NodeId> = self.proofs.doubted().take(DOUBT_PROBES).collect();
-        for node in doubted {
+            .retain_unproven(|node| members.get(node).is_some_and(Entry::is_live));
+        let unproven: Vec<NodeId> = self.proofs.unproven().take(MAX_PROOF_PROBES).collect();
+        for node in unproven {
             self.ping(now, node, Purpose::Own);
         }
     }
--- a/crates/ledgelead-request/src/gateway/accept.rs
+++ b/crates/ledgelead-request/src/gateway/accept.rs
@@ -1,5 +1,5 @@
-//! Accept and classify: service, key, caller and its tier, deadline, whether
-//! the request is repeatable; then the caller's limits.
+//! Accepts and classifies a request: service, key, caller and its tier, deadline, whether
+//! the request is repeatable; then applies the caller's limits.
 
 use super::Gateway;
 use super::directory::{Identity, ServiceEntry};
@@ -14,16 +14,16 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Longest deadline that is kept; a later one counts as this.
+/// Upper bound of a request's deadline; longer ones are reduced to it.
 const MAX_DEADLINE: Span = Span::from_seconds(300);
 
-/// When to try a stopping node's neighbours.
-const STOPPING_RETRY: Span = Span::from_millis(50);
+/// Retry delay for requests to a stopping node, which other nodes can serve.
+const STOPPING_RETRY_AFTER: Span = Span::from_millis(50);
 
-/// When to try a node again that has no configuration yet.
-const UNCONFIGURED_RETRY: Span = Span::from_millis(500);
+/// Retry delay while this node has no configuration yet.
+const UNCONFIGURED_RETRY_AFTER: Span = Span::from_millis(500);
 
-/// Why a request is not accepted.
+/// Why a request is rejected, and what the response and its event state.
 struct Rejection {
     reason: NotRunReason,
     retry_after: Option<Span>,
@@ -58,7 +58,7 @@
 }
 
 impl Gateway {
-    /// Takes a request in, or answers it at once.
+    /// Accepts a request and starts its first attempt, or answers it with the rejection.
     pub(super) fn accept(&mut self, now: Time, arrival: RequestArrival) {
         let id = arrival.request;
         if self.requests.contains_key(&id) {
@@ -66,7 +66,7 @@
         }
         match self.classify(now, &arrival) {
             Ok(request) => {
-                self.service_state(request.service).arrived();
+                self.service_state(request.service).count_arrival();
                 self.requests.insert(id, request);
                 self.locate(now, id);
                 self.reschedule(id);
@@ -100,10 +100,12 @@
         arrival: &RequestArrival,
     ) -> Result<ActiveRequest, Rejection> {
         if self.stopping {
-            return Err(Rejection::new(NotRunReason::Stopping).retry_after(STOPPING_RETRY));
+            return Err(Rejection::new(NotRunReason::Stopping).retry_after(STOPPING_RETRY_AFTER));
         }
         if !self.directory.is_configured() {
-            return Err(Rejection::new(NotRunReason::NoServer).retry_after(UNCONFIGURED_RETRY));
+            return Err(
+                Rejection::new(NotRunReason::NoServer).retry_after(UNCONFIGURED_RETRY_AFTER)
+            );
         }
         let service = self
             .directory
@@ -113,7 +115,7 @@
         let (caller, tier) = match identity {
             Identity::Anonymous(tier) => (None, tier),
             Identity::Caller(caller) => (Some(caller), caller.tier),
-            Identity::Stranger => {
+            Identity::Unknown => {
                 let rejection = Rejection::new(NotRunReason::Unauthorized);
                 return Err(rejection.of(&service, TierId::default()));
             }
@@ -174,18 +176,18 @@
         sent: 0,
         retries: 0,
         search: None,
-        flights: Vec::new(),
-        maybe_ran: None,
+        sent_attempts: Vec::new(),
+        possibly_run: None,
         held_since: None,
         unreachable_since: None,
         holds: 0,
         avoid: None,
         hedge_at: None,
-        once_record: None,
+        idempotency_record: None,
     }
 }
 
-/// Where the request may go.
+/// The servers that may run the request.
 fn target(
     arrival: &RequestArrival,
     service: &ServiceEntry,
@@ -205,9 +207,8 @@
     })
 }
 
-/// Hash of the idempotency key within its caller, service and routing key:
-/// the same words of another caller, or for another routing key, are another
-/// key.
+/// Hash of the idempotency key together with its caller, service and routing key. The same
+/// key from another caller or for another routing key is a different key.
 fn idempotency_key(
     arrival: &RequestArrival,
     service: &ServiceEntry,
--- a/crates/ledgelead-request/src/gateway/finish.rs
+++ b/crates/ledgelead-request/src/gateway/finish.rs
@@ -1,8 +1,9 @@
-//! Finish: the one outcome of a request, and what it leaves behind.
+//! Finishes requests: exactly one outcome each, followed by the cleanup of attempts, limits
+//! and idempotency records.
 
-use super::forward::take_flight;
+use super::forward::take_sent_attempt;
 use super::interface::GatewayOutput;
-use super::request::{ActiveRequest, Flight};
+use super::request::{ActiveRequest, SentAttempt};
 use super::{Gateway, TimerKey};
 use crate::message::PermitEnd;
 use ledgelead_types::event::Event;
@@ -10,26 +11,25 @@
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{NotRunReason, Outcome, RequestId, Span, Time, UnknownReason};
 
-/// How long the end of a cancelled attempt is awaited before its permit is
-/// given back as lost.
-const DETACHED_LIMIT: Span = Span::from_seconds(1);
+/// How long a cancelled attempt is awaited before its permit is released as lost.
+const DETACHED_TIMEOUT: Span = Span::from_seconds(1);
 
-/// When to come back after a refusal for which nothing better is known.
-const DEFAULT_RETRY: Span = Span::from_millis(500);
+/// Retry delay advised when nothing more specific is known.
+const DEFAULT_RETRY_AFTER: Span = Span::from_millis(500);
 
-/// When the caller of a refused request may come back.
-fn advice(outcome: Outcome) -> Option<Span> {
+/// The retry delay advised for an outcome without a more specific one.
+fn default_retry_after(outcome: Outcome) -> Option<Span> {
     match outcome {
         Outcome::NotRun(
             NotRunReason::NoServer | NotRunReason::Overloaded | NotRunReason::DeadlineTooClose,
-        ) => Some(DEFAULT_RETRY),
+        ) => Some(DEFAULT_RETRY_AFTER),
         _ => None,
     }
 }
 
 impl Gateway {
-    /// Answers the caller and forgets the request. Attempts still at servers
-    /// are cancelled; their ends only give permits back.
+    /// Answers the caller and removes the request. Attempts still in progress at servers are
+    /// cancelled; when they end, only their permits are released.
     pub(super) fn finish(
         &mut self,
         now: Time,
@@ -49,17 +49,17 @@
         if let Some(caller) = request.caller {
             self.limits.leave(caller);
         }
-        self.keep_answer(now, &request, outcome, attempt);
+        self.cache_answer(now, &request, outcome, attempt);
         self.outputs.push(GatewayOutput::Respond {
             request: id,
             outcome,
             attempt,
-            retry_after: retry_after.or(advice(outcome)),
+            retry_after: retry_after.or(default_retry_after(outcome)),
         });
-        for flight in &request.flights {
-            self.cancel(now, request.attempt(flight.number), flight);
+        for sent_attempt in &request.sent_attempts {
+            self.cancel(now, request.attempt(sent_attempt.number), sent_attempt);
         }
-        self.end_once(now, &request, outcome);
+        self.end_record(now, &request, outcome);
         self.record(now, &request, outcome);
     }
 
@@ -75,40 +75,40 @@
             }));
     }
 
-    fn cancel(&mut self, now: Time, attempt: AttemptId, flight: &Flight) {
+    fn cancel(&mut self, now: Time, attempt: AttemptId, sent_attempt: &SentAttempt) {
         self.outputs.push(GatewayOutput::Cancel {
             attempt,
-            server: flight.server,
-            address: flight.address.clone(),
+            server: sent_attempt.server,
+            address: sent_attempt.address.clone(),
         });
-        self.detached.insert(attempt, flight.clone());
+        self.detached.insert(attempt, sent_attempt.clone());
         self.timers
-            .set(TimerKey::Detached(attempt), now + DETACHED_LIMIT);
+            .set(TimerKey::Detached(attempt), now + DETACHED_TIMEOUT);
     }
 
-    /// Cancels one attempt of a request that goes on without it.
-    pub(super) fn give_up_attempt(&mut self, now: Time, attempt: AttemptId) {
+    /// Cancels one attempt while the request itself continues.
+    pub(super) fn cancel_attempt(&mut self, now: Time, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&attempt.request) else {
             return;
         };
-        if let Some(flight) = take_flight(request, attempt.number) {
-            self.cancel(now, attempt, &flight);
+        if let Some(sent_attempt) = take_sent_attempt(request, attempt.number) {
+            self.cancel(now, attempt, &sent_attempt);
         }
     }
 
-    pub(super) fn take_detached(&mut self, attempt: AttemptId) -> Option<Flight> {
+    pub(super) fn take_detached(&mut self, attempt: AttemptId) -> Option<SentAttempt> {
         self.timers.clear(TimerKey::Detached(attempt));
         self.detached.remove(&attempt)
     }
 
     pub(super) fn forget_detached(&mut self, now: Time, attempt: AttemptId) {
-        if let Some(flight) = self.detached.remove(&attempt) {
-            let held = now.since(flight.sent_at);
-            self.release(flight.dispatcher, attempt, PermitEnd::Lost, held);
+        if let Some(sent_attempt) = self.detached.remove(&attempt) {
+            let held = now.since(sent_attempt.sent_at);
+            self.release(sent_attempt.dispatcher, attempt, PermitEnd::Lost, held);
         }
     }
 
-    /// "Not run", unless an earlier attempt may have run: then unknown.
+    /// Finishes the request as "not run", or as unknown if an earlier attempt may have run.
     pub(super) fn finish_not_run(
         &mut self,
         now: Time,
@@ -119,15 +119,15 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let outcome = match request.maybe_ran {
-            Some(reason) => self.honest_or_not(reason),
+        let outcome = match request.possibly_run {
+            Some(reason) => self.unknown_outcome(reason),
             None => Outcome::NotRun(reason),
         };
         self.finish(now, id, outcome, None, retry_after);
     }
 
-    /// A search came to nothing: the request ends, unless an attempt beside
-    /// it still runs.
+    /// Ends the search for a permit without one. The request finishes unless another attempt
+    /// is still in progress.
     pub(super) fn end_search_not_run(
         &mut self,
         now: Time,
@@ -139,7 +139,7 @@
             return;
         };
         request.search = None;
-        if request.flights.is_empty() {
+        if request.sent_attempts.is_empty() {
             self.finish_not_run(now, id, reason, retry_after);
         }
     }
@@ -149,7 +149,7 @@
             return;
         };
         let outcome = if request.may_have_run() {
-            self.honest_or_not(UnknownReason::DeadlinePassed)
+            self.unknown_outcome(UnknownReason::DeadlinePassed)
         } else if request.held_since.is_some() {
             Outcome::NotRun(NotRunReason::NoServer)
         } else {
@@ -170,9 +170,9 @@
         self.finish(now, id, outcome, None, None);
     }
 
-    /// What a caller is told of a request that may have run. With
-    /// [`Protection::AccurateNotRun`] off, for the checker's own proof, a lie.
-    pub(super) fn honest_or_not(&self, reason: UnknownReason) -> Outcome {
+    /// The outcome of a request that may have run. With [`Protection::AccurateNotRun`] off
+    /// it wrongly claims "not run", which the simulation's checker has to detect.
+    pub(super) fn unknown_outcome(&self, reason: UnknownReason) -> Outcome {
         if self.protections.has(Protection::AccurateNotRun) {
             Outcome::Unknown(reason)
         } else {
