--- a/crates/ledgelead-query/src/lower/mod.rs
+++ b/crates/ledgelead-query/src/lower/mod.rs
@@ -5,7 +5,7 @@
 
 mod changes;
 mod operations;
-mod placing;
+mod causes;
 mod settings;
 
 use crate::finding::{Finding, Findings};
@@ -147,11 +147,11 @@
             .map(|found| found.range.start)
             .collect();
         for problem in problems {
-            let placed = placing::cause(&problem, &self.changes);
+            let placed = causes::cause(&problem, &self.changes);
             let is_noted =
                 |placed: &PlacedChange| noted.iter().any(|start| placed.statement.contains(start));
             if !placed.is_some_and(is_noted) {
-                self.findings.add(placing::describe(&problem, placed));
+                self.findings.add(causes::describe(&problem, placed));
             }
         }
     }
