--- a/crates/ledgelead-configuration/src/changes.rs
+++ b/crates/ledgelead-configuration/src/changes.rs
@@ -1,7 +1,7 @@
 //! Applies the changes of one command, all or none.
 
 use crate::check::check;
-use crate::finding::{Field, Finding, Place, Problem};
+use crate::finding::{Field, Finding, Location, Problem};
 use ledgelead_types::administration::ConfigurationChange;
 use ledgelead_types::configuration::*;
 use ledgelead_types::{ConfigurationVersion, List, ServerId, ServiceId, TierId, ZoneId};
@@ -24,7 +24,7 @@
     changed.highest_service = highest_service(configuration);
     if command.is_empty() || command.len() > MAX_COMMAND_BYTES {
         let problem = Problem::OutOfRange(Field::CommandIdentifier, "from 1 to 128 bytes");
-        findings.push(finding(Place::Command, problem));
+        findings.push(finding(Location::Command, problem));
     }
     for change in changes {
         if let Err(found) = apply(&mut changed, change) {
@@ -63,8 +63,8 @@
 fn apply(configuration: &mut Configuration, change: &ConfigurationChange) -> Applied {
     match change.clone() {
         ConfigurationChange::CreateZone(zone) => {
-            let place = Place::Zone(zone.id);
-            create(&mut configuration.zones, zone, place, |one, two| {
+            let location = Location::Zone(zone.id);
+            create(&mut configuration.zones, zone, location, |one, two| {
                 one.id == two.id
             })
         }
@@ -73,21 +73,21 @@
         ConfigurationChange::AlterService(service) => alter_service(configuration, service),
         ConfigurationChange::RemoveService(id) => remove_service(configuration, id),
         ConfigurationChange::AddServer(server) => {
-            let place = Place::Server(server.id);
-            create(&mut configuration.servers, server, place, |one, two| {
+            let location = Location::Server(server.id);
+            create(&mut configuration.servers, server, location, |one, two| {
                 one.id == two.id
             })
         }
         ConfigurationChange::RemoveServer(id) => remove_server(configuration, id),
         ConfigurationChange::CreateTier(tier) => {
-            let place = Place::Tier(tier.id);
-            create(&mut configuration.tiers, tier, place, |one, two| {
+            let location = Location::Tier(tier.id);
+            create(&mut configuration.tiers, tier, location, |one, two| {
                 one.id == two.id
             })
         }
         ConfigurationChange::AlterTier(tier) => {
-            let place = Place::Tier(tier.id);
-            replace(&mut configuration.tiers, tier, place, |one, two| {
+            let location = Location::Tier(tier.id);
+            replace(&mut configuration.tiers, tier, location, |one, two| {
                 one.id == two.id
             })
         }
@@ -100,7 +100,7 @@
         }
         ConfigurationChange::RemoveCaller(id) => {
             let callers = &mut configuration.callers;
-            remove(callers, Place::Caller(id), |caller| caller.id == id)
+            remove(callers, Location::Caller(id), |caller| caller.id == id)
         }
         ConfigurationChange::PutOperator(operator) => {
             put(&mut configuration.operators, operator, |one, two| {
@@ -110,35 +110,45 @@
         }
         ConfigurationChange::RemoveOperator(name) => {
             let operators = &mut configuration.operators;
-            let place = Place::Operator(name.clone());
-            remove(operators, place, |operator| operator.name == name)
+            let location = Location::Operator(name.clone());
+            remove(operators, location, |operator| operator.name == name)
         }
     }
 }
 
-fn finding(place: Place, problem: Problem) -> Finding {
-    Finding { place, problem }
+fn finding(location: Location, problem: Problem) -> Finding {
+    Finding { location, problem }
 }
 
-fn refuse(place: Place, problem: Problem) -> Applied {
-    Err(vec![finding(place, problem)])
+fn refuse(location: Location, problem: Problem) -> Applied {
+    Err(vec![finding(location, problem)])
 }
 
-fn create<T>(list: &mut List<T>, item: T, place: Place, same: impl Fn(&T, &T) -> bool) -> Applied {
+fn create<T>(
+    list: &mut List<T>,
+    item: T,
+    location: Location,
+    same: impl Fn(&T, &T) -> bool,
+) -> Applied {
     if list.iter().any(|held| same(held, &item)) {
-        return refuse(place, Problem::Exists);
+        return refuse(location, Problem::Exists);
     }
     list.push(item);
     Ok(())
 }
 
-fn replace<T>(list: &mut List<T>, item: T, place: Place, same: impl Fn(&T, &T) -> bool) -> Applied {
+fn replace<T>(
+    list: &mut List<T>,
+    item: T,
+    location: Location,
+    same: impl Fn(&T, &T) -> bool,
+) -> Applied {
     match list.iter_mut().find(|held| same(held, &item)) {
         Some(held) => {
             *held = item;
             Ok(())
         }
-        None => refuse(place, Problem::Missing),
+        None => refuse(location, Problem::Missing),
     }
 }
 
@@ -149,31 +159,31 @@
     }
 }
 
-fn remove<T>(list: &mut List<T>, place: Place, is_it: impl Fn(&T) -> bool) -> Applied {
+fn remove<T>(list: &mut List<T>, location: Location, is_it: impl Fn(&T) -> bool) -> Applied {
     match list.iter().position(is_it) {
         Some(index) => {
             list.remove(index);
             Ok(())
         }
-        None => refuse(place, Problem::Missing),
+        None => refuse(location, Problem::Missing),
     }
 }
 
 fn remove_zone(configuration: &mut Configuration, id: ZoneId) -> Applied {
-    let place = Place::Zone(id);
+    let location = Location::Zone(id);
     if configuration.servers.iter().any(|server| server.zone == id) {
-        return refuse(place, Problem::InUse);
+        return refuse(location, Problem::InUse);
     }
-    remove(&mut configuration.zones, place, |zone| zone.id == id)
+    remove(&mut configuration.zones, location, |zone| zone.id == id)
 }
 
 fn create_service(configuration: &mut Configuration, service: ServiceConfiguration) -> Applied {
-    let place = Place::Service(service.id);
+    let location = Location::Service(service.id);
     if configuration.service(service.id).is_some() {
-        return refuse(place, Problem::Exists);
+        return refuse(location, Problem::Exists);
     }
     if service.id <= configuration.highest_service {
-        return refuse(place, Problem::IdentifierUsedBefore);
+        return refuse(location, Problem::IdentifierUsedBefore);
     }
     configuration.highest_service = service.id;
     configuration.services.push(service);
@@ -181,49 +191,52 @@
 }
 
 fn alter_service(configuration: &mut Configuration, service: ServiceConfiguration) -> Applied {
-    let place = Place::Service(service.id);
+    let location = Location::Service(service.id);
     let mut findings = Vec::new();
     if let Some(held) = configuration.service(service.id) {
         if held.partitioning != service.partitioning {
-            let problem = Problem::Unchangeable(Field::Partitioning);
-            findings.push(finding(place.clone(), problem));
+            let problem = Problem::Immutable(Field::Partitioning);
+            findings.push(finding(location.clone(), problem));
         }
         if held.groups != service.groups {
-            let problem = Problem::Unchangeable(Field::Groups);
-            findings.push(finding(place.clone(), problem));
+            let problem = Problem::Immutable(Field::Groups);
+            findings.push(finding(location.clone(), problem));
         }
     }
     if !findings.is_empty() {
         return Err(findings);
     }
-    replace(&mut configuration.services, service, place, |one, two| {
-        one.id == two.id
-    })
+    replace(
+        &mut configuration.services,
+        service,
+        location,
+        |one, two| one.id == two.id,
+    )
 }
 
 fn remove_service(configuration: &mut Configuration, id: ServiceId) -> Applied {
-    let place = Place::Service(id);
+    let location = Location::Service(id);
     if configuration
         .servers
         .iter()
         .any(|server| server.service == id)
     {
-        return refuse(place, Problem::InUse);
+        return refuse(location, Problem::InUse);
     }
-    remove(&mut configuration.services, place, |service| {
+    remove(&mut configuration.services, location, |service| {
         service.id == id
     })
 }
 
 fn remove_server(configuration: &mut Configuration, id: ServerId) -> Applied {
     let servers = &mut configuration.servers;
-    remove(servers, Place::Server(id), |server| server.id == id)
+    remove(servers, Location::Server(id), |server| server.id == id)
 }
 
 fn remove_tier(configuration: &mut Configuration, id: TierId) -> Applied {
-    let place = Place::Tier(id);
+    let location = Location::Tier(id);
     if configuration.callers.iter().any(|caller| caller.tier == id) {
-        return refuse(place, Problem::InUse);
+        return refuse(location, Problem::InUse);
     }
-    remove(&mut configuration.tiers, place, |tier| tier.id == id)
+    remove(&mut configuration.tiers, location, |tier| tier.id == id)
 }
--- a/crates/ledgelead-configuration/src/configuration_manager.rs
+++ b/crates/ledgelead-configuration/src/configuration_manager.rs
@@ -36,7 +36,7 @@
 
 /// What the keeper of one node starts from.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperSettings {
+pub struct ConfigurationManagerSettings {
     /// This node.
     pub node: NodeId,
     /// Seed of every random decision.
@@ -45,11 +45,11 @@
 
 /// Something that the keeper hears of.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeeperInput {
+pub enum ConfigurationManagerInput {
     /// The live nodes, this one among them.
     LiveNodes(Vec<LiveNode>),
     /// The newest configuration known on this node.
-    Held(Arc<Configuration>),
+    Current(Arc<Configuration>),
     /// The platform answered a call. Every call is answered once.
     PlatformReplied {
         /// The call.
@@ -68,7 +68,7 @@
 
 /// Something that the keeper wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeeperOutput {
+pub enum ConfigurationManagerOutput {
     /// Call the platform.
     CallPlatform {
         /// Names the answer.
@@ -91,7 +91,7 @@
     MachineList(Vec<MachineEntry>),
     /// The object in the store is not a valid configuration; the one held
     /// stays in force.
-    Refused {
+    InvalidObject {
         /// Version of the object.
         version: ObjectVersion,
         /// What is wrong with it.
@@ -108,7 +108,7 @@
 }
 
 /// Reader and writer of the configuration on one node.
-pub struct ConfigurationKeeper {
+pub struct ConfigurationManager {
     node: NodeId,
     live: Vec<LiveNode>,
     held: Arc<Configuration>,
@@ -123,15 +123,15 @@
     reachable: Option<bool>,
     refused: Option<ObjectVersion>,
     random: Pcg64Mcg,
-    outputs: Vec<KeeperOutput>,
+    outputs: Vec<ConfigurationManagerOutput>,
 }
 
-impl ConfigurationKeeper {
+impl ConfigurationManager {
     /// A keeper that knows no configuration and no other node.
-    pub fn new(settings: KeeperSettings, now: Time) -> ConfigurationKeeper {
+    pub fn new(settings: ConfigurationManagerSettings, now: Time) -> ConfigurationManager {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let orphan_reads_at = now + ORPHAN_DELAY + jitter(&mut random, ORPHAN_JITTER);
-        ConfigurationKeeper {
+        ConfigurationManager {
             node: settings.node,
             live: Vec::new(),
             held: Arc::default(),
@@ -151,16 +151,18 @@
     }
 
     /// Takes in what happened at `now`.
-    pub fn step(&mut self, now: Time, input: KeeperInput) {
+    pub fn step(&mut self, now: Time, input: ConfigurationManagerInput) {
         match input {
-            KeeperInput::LiveNodes(live) => self.take_live_nodes(now, live),
-            KeeperInput::Held(configuration) => {
+            ConfigurationManagerInput::LiveNodes(live) => self.take_live_nodes(now, live),
+            ConfigurationManagerInput::Current(configuration) => {
                 if configuration.version > self.held.version {
                     self.held = configuration;
                 }
             }
-            KeeperInput::PlatformReplied { call, reply } => self.take_reply(now, call, reply),
-            KeeperInput::Command { ticket, command } => {
+            ConfigurationManagerInput::PlatformReplied { call, reply } => {
+                self.take_reply(now, call, reply)
+            }
+            ConfigurationManagerInput::Command { ticket, command } => {
                 let step = self.commands.begin(ticket, command);
                 self.carry_out(ticket, step);
             }
@@ -184,7 +186,7 @@
         }
     }
 
-    /// When [`ConfigurationKeeper::tick`] has to be called next.
+    /// When [`ConfigurationManager::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         let as_reader = self.reads_from.map(|from| {
             let due = self.watch.next_due().min(self.machines.next_due());
@@ -198,7 +200,7 @@
     }
 
     /// What is to be done since the last call, in order.
-    pub fn take_outputs(&mut self) -> Vec<KeeperOutput> {
+    pub fn take_outputs(&mut self) -> Vec<ConfigurationManagerOutput> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -240,7 +242,7 @@
         let call = self.numbers.next();
         self.calls.insert(call, purpose);
         self.outputs
-            .push(KeeperOutput::CallPlatform { call, request });
+            .push(ConfigurationManagerOutput::CallPlatform { call, request });
     }
 
     fn take_reply(&mut self, now: Time, call: u64, reply: Result<PlatformReply, PlatformError>) {
@@ -262,7 +264,7 @@
         if self.reachable != Some(reachable) {
             self.reachable = Some(reachable);
             self.outputs
-                .push(KeeperOutput::PlatformReachable(reachable));
+                .push(ConfigurationManagerOutput::PlatformReachable(reachable));
         }
     }
 
@@ -282,7 +284,7 @@
             Err(findings) => {
                 self.refused = Some(version);
                 self.outputs
-                    .push(KeeperOutput::Refused { version, findings });
+                    .push(ConfigurationManagerOutput::InvalidObject { version, findings });
             }
         }
     }
@@ -291,14 +293,16 @@
         let newest = self.held.version.max(self.newest_published);
         if configuration.version > newest {
             self.newest_published = configuration.version;
-            self.outputs.push(KeeperOutput::Publish(configuration));
+            self.outputs
+                .push(ConfigurationManagerOutput::Publish(configuration));
         }
     }
 
     fn take_machines_reply(&mut self, now: Time, reply: Result<PlatformReply, PlatformError>) {
         self.machines.ended(now);
         if let Ok(PlatformReply::Machines(machines)) = reply {
-            self.outputs.push(KeeperOutput::MachineList(machines.0));
+            self.outputs
+                .push(ConfigurationManagerOutput::MachineList(machines.0));
         }
     }
 
@@ -313,7 +317,7 @@
                     self.publish(configuration);
                 }
                 self.outputs
-                    .push(KeeperOutput::CommandFinished { ticket, result });
+                    .push(ConfigurationManagerOutput::CommandFinished { ticket, result });
             }
         }
     }
--- a/crates/ledgelead-configuration/src/finding.rs
+++ b/crates/ledgelead-configuration/src/finding.rs
@@ -3,18 +3,18 @@
 use ledgelead_types::{CallerId, ServerId, ServiceId, Text, TierId, ZoneId};
 use std::fmt;
 
-/// One problem and its place.
+/// One problem and its location.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What.
     pub problem: Problem,
 }
 
 /// The part of a configuration that a finding is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum Location {
     /// A position in the JSON text, both counted from 1.
     Text {
         /// Line.
@@ -56,7 +56,7 @@
     /// The identifier belonged to a service that was removed.
     IdentifierUsedBefore,
     /// The field can't change after creation.
-    Unchangeable(Field),
+    Immutable(Field),
     /// Something still refers to it.
     InUse,
     /// The field refers to something that does not exist.
@@ -119,22 +119,22 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.place, self.problem)
+        write!(formatter, "{}: {}", self.location, self.problem)
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Text { line, column } => write!(formatter, "line {line}, column {column}"),
-            Place::Zone(id) => write!(formatter, "{id}"),
-            Place::Service(id) => write!(formatter, "{id}"),
-            Place::Server(id) => write!(formatter, "{id}"),
-            Place::Tier(id) => write!(formatter, "{id}"),
-            Place::Tiers => formatter.write_str("tiers"),
-            Place::Caller(id) => write!(formatter, "{id}"),
-            Place::Operator(name) => write!(formatter, "operator {name}"),
-            Place::Command => formatter.write_str("command"),
+            Location::Text { line, column } => write!(formatter, "line {line}, column {column}"),
+            Location::Zone(id) => write!(formatter, "{id}"),
+            Location::Service(id) => write!(formatter, "{id}"),
+            Location::Server(id) => write!(formatter, "{id}"),
+            Location::Tier(id) => write!(formatter, "{id}"),
+            Location::Tiers => formatter.write_str("tiers"),
+            Location::Caller(id) => write!(formatter, "{id}"),
+            Location::Operator(name) => write!(formatter, "operator {name}"),
+            Location::Command => formatter.write_str("command"),
         }
     }
 }
@@ -149,7 +149,7 @@
             Problem::Missing => formatter.write_str("does not exist"),
             Problem::IdentifierUsedBefore => formatter
                 .write_str("the identifier belonged to a service before; take a higher one"),
-            Problem::Unchangeable(field) => {
+            Problem::Immutable(field) => {
                 write!(formatter, "{} can't change after creation", field.name())
             }
             Problem::InUse => formatter.write_str("is still in use"),
--- a/crates/ledgelead-configuration/src/group_manager.rs
+++ b/crates/ledgelead-configuration/src/group_manager.rs
@@ -12,7 +12,7 @@
 
 use crate::readers::is_reader;
 use crate::swap::{CallNumbers, Swap};
-pub use io::{FormerInput, FormerOutput, FormerSettings};
+pub use io::{GroupManagerInput, GroupManagerOutput, GroupManagerSettings};
 use known::KnownGroup;
 use ledgelead_types::codec::decode;
 use ledgelead_types::configuration::Configuration;
@@ -57,7 +57,7 @@
 }
 
 /// Former of groups on one node.
-pub struct GroupFormer {
+pub struct GroupManager {
     node: NodeId,
     live: Vec<LiveNode>,
     live_since: Time,
@@ -74,13 +74,13 @@
     next_poll: Time,
     polled_last: Option<GroupId>,
     random: Pcg64Mcg,
-    outputs: Vec<FormerOutput>,
+    outputs: Vec<GroupManagerOutput>,
 }
 
-impl GroupFormer {
+impl GroupManager {
     /// A former that knows no group and no node.
-    pub fn new(settings: FormerSettings, now: Time) -> GroupFormer {
-        GroupFormer {
+    pub fn new(settings: GroupManagerSettings, now: Time) -> GroupManager {
+        GroupManager {
             node: settings.node,
             live: Vec::new(),
             live_since: now,
@@ -102,11 +102,13 @@
     }
 
     /// Takes in what happened at `now`.
-    pub fn step(&mut self, now: Time, input: FormerInput) {
+    pub fn step(&mut self, now: Time, input: GroupManagerInput) {
         match input {
-            FormerInput::LiveNodes(live) => self.take_live_nodes(now, live),
-            FormerInput::Configuration(configuration) => self.take_configuration(configuration),
-            FormerInput::KnownMembers {
+            GroupManagerInput::LiveNodes(live) => self.take_live_nodes(now, live),
+            GroupManagerInput::Configuration(configuration) => {
+                self.take_configuration(configuration)
+            }
+            GroupManagerInput::KnownMembers {
                 group,
                 epoch,
                 members,
@@ -115,12 +117,12 @@
                 .entry(group)
                 .or_default()
                 .note_members(epoch, members),
-            FormerInput::ProvenDead(members) => {
+            GroupManagerInput::ProvenDead(members) => {
                 self.proven_dead = members;
                 self.look_at_losses(now);
             }
-            FormerInput::PlatformReplied { call, reply } => self.take_reply(now, call, reply),
-            FormerInput::StoreSnapshot { record, revision } => {
+            GroupManagerInput::PlatformReplied { call, reply } => self.take_reply(now, call, reply),
+            GroupManagerInput::StoreSnapshot { record, revision } => {
                 let group = record.group;
                 let step = self.snapshots.store(record, revision);
                 self.carry_out_snapshot(group, step);
@@ -143,7 +145,7 @@
         self.form_where_due(now);
     }
 
-    /// When [`GroupFormer::tick`] has to be called next.
+    /// When [`GroupManager::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         if self.is_reader {
             self.next_look
@@ -153,7 +155,7 @@
     }
 
     /// What is to be done since the last call, in order.
-    pub fn take_outputs(&mut self) -> Vec<FormerOutput> {
+    pub fn take_outputs(&mut self) -> Vec<GroupManagerOutput> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -191,7 +193,7 @@
         let call = self.numbers.next();
         self.calls.insert(call, (group, purpose));
         self.outputs
-            .push(FormerOutput::CallPlatform { call, request });
+            .push(GroupManagerOutput::CallPlatform { call, request });
     }
 
     fn read(&mut self, group: GroupId) {
@@ -297,7 +299,8 @@
         if known.note_record(version, record.as_ref())
             && let Some(record) = &record
         {
-            self.outputs.push(FormerOutput::Publish(record.clone()));
+            self.outputs
+                .push(GroupManagerOutput::Publish(record.clone()));
         }
         record
     }
@@ -308,16 +311,17 @@
             SnapshotStep::Call(request) => self.call(group, Purpose::Snapshot, request),
             SnapshotStep::Stored { revision, next } => {
                 self.outputs
-                    .push(FormerOutput::SnapshotStored { group, revision });
+                    .push(GroupManagerOutput::SnapshotStored { group, revision });
                 self.carry_out_snapshot(group, *next);
             }
             SnapshotStep::Superseded { record } => {
                 let epoch = record.epoch;
                 let known = self.groups.entry(group).or_default();
                 if known.note_record(ObjectVersion(0), Some(&record)) {
-                    self.outputs.push(FormerOutput::Publish(record));
+                    self.outputs.push(GroupManagerOutput::Publish(record));
                 }
-                self.outputs.push(FormerOutput::Superseded { group, epoch });
+                self.outputs
+                    .push(GroupManagerOutput::Superseded { group, epoch });
             }
         }
     }
--- a/crates/ledgelead-configuration/src/group_manager/forming.rs
+++ b/crates/ledgelead-configuration/src/group_manager/forming.rs
@@ -1,8 +1,8 @@
 //! When a group is formed or rebuilt, and with which voters.
 
-use super::io::FormerOutput;
+use super::io::GroupManagerOutput;
 use super::known::KnownGroup;
-use super::{GroupFormer, PROOF_SETTLED, Purpose, SETTLED, SETTLED_WITH_FEW};
+use super::{GroupManager, PROOF_SETTLED, Purpose, SETTLED, SETTLED_WITH_FEW};
 use crate::placement::choose_voters;
 use crate::swap::{Progress, Swap};
 use ledgelead_types::codec::encode;
@@ -12,7 +12,7 @@
 use ledgelead_types::{Bytes, Epoch, GroupId, Member, Time, ZoneId};
 use std::collections::BTreeSet;
 
-impl GroupFormer {
+impl GroupManager {
     pub(super) fn form_where_due(&mut self, now: Time) {
         let due: Vec<GroupId> = self
             .configuration
@@ -155,13 +155,13 @@
             let epoch = record.epoch;
             let known = self.groups.entry(group).or_default();
             known.note_record(version, Some(&record));
-            self.outputs.push(FormerOutput::Publish(record));
+            self.outputs.push(GroupManagerOutput::Publish(record));
             self.report_formed(group, epoch);
         }
     }
 
     fn report_formed(&mut self, group: GroupId, epoch: Epoch) {
         let event = Event::GroupFormed { group, epoch };
-        self.outputs.push(FormerOutput::Event(event));
+        self.outputs.push(GroupManagerOutput::Event(event));
     }
 }
--- a/crates/ledgelead-configuration/src/group_manager/io.rs
+++ b/crates/ledgelead-configuration/src/group_manager/io.rs
@@ -11,7 +11,7 @@
 
 /// What the former of one node starts from.
 #[derive(Clone, Copy, Debug)]
-pub struct FormerSettings {
+pub struct GroupManagerSettings {
     /// This node.
     pub node: NodeId,
     /// Seed of every random decision.
@@ -20,7 +20,7 @@
 
 /// Something that the former hears of.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FormerInput {
+pub enum GroupManagerInput {
     /// The live nodes, this one among them.
     LiveNodes(Vec<LiveNode>),
     /// The configuration in force on this node.
@@ -55,7 +55,7 @@
 
 /// Something that the former wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FormerOutput {
+pub enum GroupManagerOutput {
     /// Call the platform.
     CallPlatform {
         /// Names the answer.
--- a/crates/ledgelead-configuration/src/json.rs
+++ b/crates/ledgelead-configuration/src/json.rs
@@ -1,7 +1,7 @@
 //! The configuration's JSON form, as the platform's store holds it.
 
 use crate::check::check;
-use crate::finding::{Finding, Place, Problem};
+use crate::finding::{Finding, Location, Problem};
 use ledgelead_types::configuration::Configuration;
 use ledgelead_types::platform::ObjectVersion;
 use ledgelead_types::{Bytes, ConfigurationVersion, ServiceId};
@@ -32,7 +32,7 @@
 
 fn malformed(error: &serde_json::Error) -> Finding {
     Finding {
-        place: Place::Text {
+        location: Location::Text {
             line: error.line(),
             column: error.column(),
         },
--- a/crates/ledgelead-configuration/tests/changes.rs
+++ b/crates/ledgelead-configuration/tests/changes.rs
@@ -104,7 +104,10 @@
     expect_that!(decoded, eq(&expected));
     let bad = Bytes(b"{\n \"zonez\": []}".to_vec());
     let findings = decode_configuration(&bad, ObjectVersion(4)).expect_err("misspelt");
-    expect_that!(findings[0].place, eq(&Place::Text { line: 2, column: 8 }));
+    expect_that!(
+        findings[0].location,
+        eq(&Location::Text { line: 2, column: 8 })
+    );
 }
 
 proptest! {
--- a/crates/ledgelead-configuration/tests/configuration_manager.rs
+++ b/crates/ledgelead-configuration/tests/configuration_manager.rs
@@ -13,13 +13,13 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeSet, VecDeque};
 
-fn keeper(node: u32) -> ConfigurationKeeper {
-    let settings = KeeperSettings {
+fn keeper(node: u32) -> ConfigurationManager {
+    let settings = ConfigurationManagerSettings {
         node: NodeId(node),
         random_seed: u64::from(node),
     };
-    let mut keeper = ConfigurationKeeper::new(settings, Time(0));
-    keeper.step(Time(0), KeeperInput::LiveNodes(live(20)));
+    let mut keeper = ConfigurationManager::new(settings, Time(0));
+    keeper.step(Time(0), ConfigurationManagerInput::LiveNodes(live(20)));
     keeper
 }
 
@@ -60,20 +60,22 @@
 
 /// A command in progress, one call at a time.
 struct CommandRun {
-    keeper: ConfigurationKeeper,
+    keeper: ConfigurationManager,
     open: VecDeque<(u64, PlatformCall)>,
     result: Option<CommandResult>,
 }
 
 impl CommandRun {
-    fn begin(keeper: ConfigurationKeeper, command: AdministrationCommand) -> CommandRun {
+    fn begin(keeper: ConfigurationManager, command: AdministrationCommand) -> CommandRun {
         let mut run = CommandRun {
             keeper,
             open: VecDeque::new(),
             result: None,
         };
-        run.keeper
-            .step(Time(1), KeeperInput::Command { ticket: 7, command });
+        run.keeper.step(
+            Time(1),
+            ConfigurationManagerInput::Command { ticket: 7, command },
+        );
         run.collect();
         run
     }
@@ -81,7 +83,7 @@
     fn advance(&mut self, platform: &mut Platform, fate: Fate) {
         let (call, request) = self.open.pop_front().expect("a call is open");
         let reply = platform.answer(&request, fate);
-        let input = KeeperInput::PlatformReplied { call, reply };
+        let input = ConfigurationManagerInput::PlatformReplied { call, reply };
         self.keeper.step(Time(2), input);
         self.collect();
     }
@@ -89,10 +91,12 @@
     fn collect(&mut self) {
         for output in self.keeper.take_outputs() {
             match output {
-                KeeperOutput::CallPlatform { call, request } => {
+                ConfigurationManagerOutput::CallPlatform { call, request } => {
                     self.open.push_back((call, request))
                 }
-                KeeperOutput::CommandFinished { result, .. } => self.result = Some(result),
+                ConfigurationManagerOutput::CommandFinished { result, .. } => {
+                    self.result = Some(result)
+                }
                 _ => {}
             }
         }
@@ -207,11 +211,16 @@
         reader.tick(now);
         for output in reader.take_outputs() {
             match output {
-                KeeperOutput::CallPlatform { call, request } => {
+                ConfigurationManagerOutput::CallPlatform { call, request } => {
                     let reply = platform.answer(&request, Fate::Answered);
-                    reader.step(now, KeeperInput::PlatformReplied { call, reply });
+                    reader.step(
+                        now,
+                        ConfigurationManagerInput::PlatformReplied { call, reply },
+                    );
+                }
+                ConfigurationManagerOutput::Publish(configuration) => {
+                    published.push(configuration.version)
                 }
-                KeeperOutput::Publish(configuration) => published.push(configuration.version),
                 _ => {}
             }
         }
@@ -240,17 +249,23 @@
     reader.tick(Time(0) + Span::from_seconds(1));
     let mut refused = 0;
     for output in reader.take_outputs() {
-        if let KeeperOutput::CallPlatform { call, request } = output {
+        if let ConfigurationManagerOutput::CallPlatform { call, request } = output {
             let reply = platform.answer(&request, Fate::Answered);
             reader.step(
                 Time(2_000_000),
-                KeeperInput::PlatformReplied { call, reply },
+                ConfigurationManagerInput::PlatformReplied { call, reply },
             );
         }
     }
     for output in reader.take_outputs() {
-        expect_that!(matches!(output, KeeperOutput::Publish(_)), eq(false));
-        refused += usize::from(matches!(output, KeeperOutput::Refused { .. }));
+        expect_that!(
+            matches!(output, ConfigurationManagerOutput::Publish(_)),
+            eq(false)
+        );
+        refused += usize::from(matches!(
+            output,
+            ConfigurationManagerOutput::InvalidObject { .. }
+        ));
     }
     expect_that!(refused, eq(1));
 }
--- a/crates/ledgelead-configuration/tests/group_manager.rs
+++ b/crates/ledgelead-configuration/tests/group_manager.rs
@@ -22,9 +22,9 @@
 
 /// A former with its platform's answers given at once.
 struct Formed {
-    former: GroupFormer,
+    former: GroupManager,
     now: Time,
-    outputs: Vec<FormerOutput>,
+    outputs: Vec<GroupManagerOutput>,
 }
 
 impl Formed {
@@ -34,22 +34,22 @@
             .iter()
             .map(|node| node.member.node)
             .find(|node| is_reader(*node, &live));
-        let settings = FormerSettings {
+        let settings = GroupManagerSettings {
             node: reader.unwrap_or(NodeId(1)),
             random_seed: 1,
         };
         let mut formed = Formed {
-            former: GroupFormer::new(settings, Time(0)),
+            former: GroupManager::new(settings, Time(0)),
             now: Time(0),
             outputs: Vec::new(),
         };
         let configuration = Arc::new(configuration());
-        formed.give(FormerInput::LiveNodes(live));
-        formed.give(FormerInput::Configuration(configuration));
+        formed.give(GroupManagerInput::LiveNodes(live));
+        formed.give(GroupManagerInput::Configuration(configuration));
         formed
     }
 
-    fn give(&mut self, input: FormerInput) {
+    fn give(&mut self, input: GroupManagerInput) {
         self.former.step(self.now, input);
     }
 
@@ -65,7 +65,7 @@
     fn next_call(&mut self) -> Option<(u64, PlatformCall)> {
         let outputs = self.former.take_outputs().into_iter();
         let mut calls = outputs.filter_map(|output| match output {
-            FormerOutput::CallPlatform { call, request } => Some((call, request)),
+            GroupManagerOutput::CallPlatform { call, request } => Some((call, request)),
             _ => None,
         });
         calls.next()
@@ -78,10 +78,10 @@
                 return;
             }
             for output in outputs {
-                if let FormerOutput::CallPlatform { call, request } = &output {
+                if let GroupManagerOutput::CallPlatform { call, request } = &output {
                     let reply = platform.answer(request, fate());
                     let call = *call;
-                    self.give(FormerInput::PlatformReplied { call, reply });
+                    self.give(GroupManagerInput::PlatformReplied { call, reply });
                 }
                 self.outputs.push(output);
             }
@@ -134,7 +134,9 @@
     expect_that!(record.members.len(), eq(3));
     expect_that!(zones.len(), eq(3));
     expect_that!(
-        formed.outputs.contains(&FormerOutput::Publish(record)),
+        formed
+            .outputs
+            .contains(&GroupManagerOutput::Publish(record)),
         eq(true)
     );
 }
@@ -154,13 +156,13 @@
     let mut platform = Platform::default();
     store(&mut platform, &record(4, &[1, 2, 3], b"state"));
     let mut formed = Formed::new(live);
-    formed.give(FormerInput::KnownMembers {
+    formed.give(GroupManagerInput::KnownMembers {
         group: GROUP,
         epoch: Epoch(4),
         members: members(heard),
     });
     let dead = members(dead).into_iter().collect();
-    formed.give(FormerInput::ProvenDead(dead));
+    formed.give(GroupManagerInput::ProvenDead(dead));
     formed.run(&mut platform, Span::from_seconds(3), || Fate::Answered);
     stored(&platform)
 }
@@ -206,12 +208,12 @@
     let mut platform = Platform::default();
     store(&mut platform, &record(5, &[4, 5, 6], b"newer"));
     let mut formed = Formed::new(live(9));
-    formed.give(FormerInput::StoreSnapshot {
+    formed.give(GroupManagerInput::StoreSnapshot {
         record: record(4, &[1, 2, 3], b"older"),
         revision: Revision(8),
     });
     formed.run(&mut platform, second(), || Fate::Answered);
-    let superseded = FormerOutput::Superseded {
+    let superseded = GroupManagerOutput::Superseded {
         group: GROUP,
         epoch: Epoch(5),
     };
@@ -224,7 +226,7 @@
     let mut platform = Platform::default();
     store(&mut platform, &record(4, &[1, 2, 3], b"read"));
     let mut formed = Formed::new(live(9));
-    formed.give(FormerInput::StoreSnapshot {
+    formed.give(GroupManagerInput::StoreSnapshot {
         record: record(4, &[1, 2, 3], b"paused"),
         revision: Revision(8),
     });
@@ -235,7 +237,7 @@
             store(&mut platform, &record(4, &[1, 2, 5], b"later"));
         }
         calls += 1;
-        formed.give(FormerInput::PlatformReplied { call, reply });
+        formed.give(GroupManagerInput::PlatformReplied { call, reply });
     }
     expect_that!(calls, eq(3), "read, refused write, read again");
     expect_that!(stored(&platform).snapshot, eq(&Bytes(b"later".to_vec())));
@@ -265,11 +267,11 @@
         let record = stored(&platform);
         prop_assert_eq!(record.epoch, Epoch(1));
         for formed in &formers {
-            let is_other = |output: &&FormerOutput| {
-                matches!(output, FormerOutput::Publish(published) if *published != record)
+            let is_other = |output: &&GroupManagerOutput| {
+                matches!(output, GroupManagerOutput::Publish(published) if *published != record)
             };
             prop_assert_eq!(formed.outputs.iter().find(is_other), None);
-            prop_assert!(formed.outputs.contains(&FormerOutput::Publish(record.clone())));
+            prop_assert!(formed.outputs.contains(&GroupManagerOutput::Publish(record.clone())));
         }
     }
 
@@ -282,7 +284,7 @@
         let mut formed = Formed::new(live(9));
         let mut fates = fates.into_iter();
         for revision in 1..=8_u8 {
-            formed.give(FormerInput::StoreSnapshot {
+            formed.give(GroupManagerInput::StoreSnapshot {
                 record: record(1, &[1, 2, 3], &[revision]),
                 revision: Revision(u64::from(revision)),
             });
@@ -290,7 +292,7 @@
             formed.run(&mut platform, Span::from_millis(100), || fates.next().unwrap_or_default());
             let after = stored(&platform).snapshot;
             prop_assert!(after >= before);
-            let told = FormerOutput::SnapshotStored { group: GROUP, revision: Revision(u64::from(revision)) };
+            let told = GroupManagerOutput::SnapshotStored { group: GROUP, revision: Revision(u64::from(revision)) };
             if formed.outputs.contains(&told) {
                 prop_assert_eq!(after, Bytes(vec![revision]));
             }
--- a/crates/ledgelead-core/src/node_core.rs
+++ b/crates/ledgelead-core/src/node_core.rs
@@ -8,7 +8,8 @@
 use crate::operations::{Asker, OpenOperations};
 use crate::shutdown::Shutdown;
 use ledgelead_configuration::{
-    ConfigurationKeeper, FormerInput, FormerSettings, GroupFormer, KeeperInput, KeeperSettings,
+    ConfigurationManager, ConfigurationManagerInput, ConfigurationManagerSettings, GroupManager,
+    GroupManagerInput, GroupManagerSettings,
 };
 use ledgelead_membership::{
     Dissemination, DisseminationInput, DisseminationSettings, Membership, MembershipInput,
@@ -40,8 +41,8 @@
     pub(crate) settings: NodeSettings,
     pub(crate) membership: Membership,
     pub(crate) dissemination: Dissemination,
-    pub(crate) keeper: ConfigurationKeeper,
-    pub(crate) former: GroupFormer,
+    pub(crate) keeper: ConfigurationManager,
+    pub(crate) former: GroupManager,
     pub(crate) groups: HostedGroups,
     pub(crate) gateway: Gateway,
     pub(crate) dispatcher: Dispatcher,
@@ -75,15 +76,15 @@
                 },
                 now,
             ),
-            keeper: ConfigurationKeeper::new(
-                KeeperSettings {
+            keeper: ConfigurationManager::new(
+                ConfigurationManagerSettings {
                     node: settings.node,
                     random_seed: seed ^ 2,
                 },
                 now,
             ),
-            former: GroupFormer::new(
-                FormerSettings {
+            former: GroupManager::new(
+                GroupManagerSettings {
                     node: settings.node,
                     random_seed: seed ^ 3,
                 },
@@ -314,12 +315,13 @@
         reply: Result<PlatformReply, PlatformError>,
     ) {
         match self.calls.close(call) {
-            Some(CallOwner::Keeper(call)) => self
-                .keeper
-                .step(now, KeeperInput::PlatformReplied { call, reply }),
+            Some(CallOwner::Keeper(call)) => self.keeper.step(
+                now,
+                ConfigurationManagerInput::PlatformReplied { call, reply },
+            ),
             Some(CallOwner::Former(call)) => self
                 .former
-                .step(now, FormerInput::PlatformReplied { call, reply }),
+                .step(now, GroupManagerInput::PlatformReplied { call, reply }),
             Some(CallOwner::Group(..)) | None => {}
         }
     }
@@ -328,7 +330,7 @@
         match command.action {
             AdministrationAction::Configure(_) => self.keeper.step(
                 now,
-                KeeperInput::Command {
+                ConfigurationManagerInput::Command {
                     ticket: ticket.0,
                     command,
                 },
--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -5,7 +5,9 @@
 use crate::io::{Output, TicketId};
 use crate::message::PeerMessage;
 use crate::node_core::NodeCore;
-use ledgelead_configuration::{FormerInput, FormerOutput, KeeperInput, KeeperOutput};
+use ledgelead_configuration::{
+    ConfigurationManagerInput, ConfigurationManagerOutput, GroupManagerInput, GroupManagerOutput,
+};
 use ledgelead_membership::{
     DisseminationInput, DisseminationOutput, ItemKey, MembershipInput, MembershipOutput,
 };
@@ -113,8 +115,10 @@
             .collect();
         self.dissemination
             .step(now, DisseminationInput::Peers(others));
-        self.keeper.step(now, KeeperInput::LiveNodes(live.clone()));
-        self.former.step(now, FormerInput::LiveNodes(live.clone()));
+        self.keeper
+            .step(now, ConfigurationManagerInput::LiveNodes(live.clone()));
+        self.former
+            .step(now, GroupManagerInput::LiveNodes(live.clone()));
         self.groups.take_live_nodes(now, live);
         self.tell_proven_dead(now);
     }
@@ -134,7 +138,7 @@
             .into_iter()
             .filter(|member| self.membership.is_proven_dead(*member))
             .collect();
-        self.former.step(now, FormerInput::ProvenDead(dead));
+        self.former.step(now, GroupManagerInput::ProvenDead(dead));
     }
 
     fn record(&mut self, now: Time, event: Event) {
@@ -196,10 +200,12 @@
                 highest_service: configuration.highest_service,
             },
         );
-        self.keeper
-            .step(now, KeeperInput::Held(configuration.clone()));
+        self.keeper.step(
+            now,
+            ConfigurationManagerInput::Current(configuration.clone()),
+        );
         self.former
-            .step(now, FormerInput::Configuration(configuration.clone()));
+            .step(now, GroupManagerInput::Configuration(configuration.clone()));
         self.groups.take_configuration(now, configuration.clone());
         self.gateway
             .step(now, GatewayInput::Configuration(configuration.clone()));
@@ -214,7 +220,7 @@
     fn take_record(&mut self, now: Time, record: GroupRecord) {
         self.former.step(
             now,
-            FormerInput::KnownMembers {
+            GroupManagerInput::KnownMembers {
                 group: record.group,
                 epoch: record.epoch,
                 members: record.members.0.clone(),
@@ -230,7 +236,7 @@
         let has_same_members = before.is_some_and(|before| before.members == routes.members);
         self.former.step(
             now,
-            FormerInput::KnownMembers {
+            GroupManagerInput::KnownMembers {
                 group: routes.group,
                 epoch: routes.version.epoch,
                 members: routes.members.0.clone(),
@@ -250,29 +256,29 @@
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
-                KeeperOutput::CallPlatform { call, request } => {
+                ConfigurationManagerOutput::CallPlatform { call, request } => {
                     self.call_platform(CallOwner::Keeper(call), request);
                 }
-                KeeperOutput::Publish(configuration) => {
+                ConfigurationManagerOutput::Publish(configuration) => {
                     self.publish_configuration(now, &configuration);
                 }
-                KeeperOutput::CommandFinished { ticket, result } => {
+                ConfigurationManagerOutput::CommandFinished { ticket, result } => {
                     let ticket = TicketId(ticket);
                     self.outputs
                         .push(Output::CommandFinished { ticket, result });
                 }
-                KeeperOutput::PlatformReachable(reachable) => {
+                ConfigurationManagerOutput::PlatformReachable(reachable) => {
                     self.platform_reachable = Some(reachable);
                     let event = Event::PlatformReachable { reachable };
                     self.outputs.push(Output::Record(event));
                 }
-                KeeperOutput::Refused { version, findings } => {
+                ConfigurationManagerOutput::InvalidObject { version, findings } => {
                     let findings = findings.iter().map(ToString::to_string).collect();
                     let version = version.0;
                     let event = Event::ConfigurationRefused { version, findings };
                     self.outputs.push(Output::Record(event));
                 }
-                KeeperOutput::MachineList(machines) => {
+                ConfigurationManagerOutput::MachineList(machines) => {
                     self.membership
                         .step(now, MembershipInput::MachineList(machines));
                     self.tell_proven_dead(now);
@@ -311,18 +317,18 @@
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
-                FormerOutput::CallPlatform { call, request } => {
+                GroupManagerOutput::CallPlatform { call, request } => {
                     self.call_platform(CallOwner::Former(call), request);
                 }
-                FormerOutput::Publish(record) => self.publish_record(now, &record),
-                FormerOutput::SnapshotStored { group, revision } => {
+                GroupManagerOutput::Publish(record) => self.publish_record(now, &record),
+                GroupManagerOutput::SnapshotStored { group, revision } => {
                     self.groups
                         .step(now, group, GroupInput::SnapshotStored { revision });
                 }
-                FormerOutput::Superseded { group, epoch } => {
+                GroupManagerOutput::Superseded { group, epoch } => {
                     self.groups.supersede(group, epoch);
                 }
-                FormerOutput::Event(event) => self.record(now, event),
+                GroupManagerOutput::Event(event) => self.record(now, event),
             }
         }
         any
@@ -386,7 +392,7 @@
             }
             GroupOutput::StoreSnapshot(record, revision) => {
                 self.former
-                    .step(now, FormerInput::StoreSnapshot { record, revision });
+                    .step(now, GroupManagerInput::StoreSnapshot { record, revision });
             }
             GroupOutput::OperationFinished { ticket, result } => {
                 if let Some(asker) = self.operations.close(ticket) {
--- a/crates/ledgelead-node/src/administration/answers.rs
+++ b/crates/ledgelead-node/src/administration/answers.rs
@@ -35,8 +35,8 @@
             .map(|table| table.to_string())
             .collect();
         let mut text = tables.join("\n");
-        if !answer.silent.is_empty() {
-            let silent = names(&answer.silent).join(", ");
+        if !answer.silent_nodes.is_empty() {
+            let silent = names(&answer.silent_nodes).join(", ");
             text += &format!("\nno answer from {silent}: loads known there are missing\n");
         }
         return Reply::text(200, text);
@@ -44,7 +44,7 @@
     let body = json!({
         "version": answer.version.0,
         "tables": answer.tables,
-        "silent_nodes": names(&answer.silent),
+        "silent_nodes": names(&answer.silent_nodes),
     });
     json(200, &body)
 }
@@ -74,7 +74,7 @@
 /// The response to a statement that was not executed.
 pub(super) fn refused(refusal: &Refusal, text: &str) -> Reply {
     match refusal {
-        Refusal::Mistakes(findings) => {
+        Refusal::InvalidText(findings) => {
             let body = json!({"error": {
                 "code": "invalid-statement",
                 "message": findings.render(text, false),
--- a/crates/ledgelead-node/src/administration/statements.rs
+++ b/crates/ledgelead-node/src/administration/statements.rs
@@ -184,7 +184,7 @@
         view.map_err(|failure| NoAnswer(failure.to_string()))
     }
 
-    fn whole_view(&mut self) -> Result<NodeView, NoAnswer> {
+    fn cluster_view(&mut self) -> Result<NodeView, NoAnswer> {
         let view = self.node.inquire(INQUIRY_TIMEOUT);
         view.map_err(|failure| NoAnswer(failure.to_string()))
     }
--- a/crates/ledgelead-query/src/authority.rs
+++ b/crates/ledgelead-query/src/authority.rs
@@ -22,7 +22,7 @@
         service: String,
     },
     /// It concerns all teams, and the operator is of some only.
-    Everybody,
+    AllTeams,
 }
 
 impl Display for Forbidden {
@@ -38,7 +38,7 @@
             Forbidden::Team { service } => {
                 write!(formatter, "service {service} is of another team")
             }
-            Forbidden::Everybody => formatter
+            Forbidden::AllTeams => formatter
                 .write_str("concerns all teams; needs an operator who is not bound to some"),
         }
     }
@@ -159,6 +159,6 @@
             None => Ok(()),
         },
         _ if operator.teams.is_empty() => Ok(()),
-        _ => Err(Forbidden::Everybody),
+        _ => Err(Forbidden::AllTeams),
     }
 }
--- a/crates/ledgelead-query/src/lower/causes.rs
+++ b/crates/ledgelead-query/src/lower/causes.rs
@@ -2,15 +2,15 @@
 
 use super::PlacedChange;
 use crate::finding::Finding;
-use ledgelead_configuration::{Field, Finding as Caused, Place, Problem};
+use ledgelead_configuration::{Field, Finding as Caused, Location, Problem};
 use ledgelead_types::administration::ConfigurationChange;
 
 /// The change that a problem is about: the last one of the same part, or of
 /// the same kind.
 pub(super) fn cause<'a>(problem: &Caused, changes: &'a [PlacedChange]) -> Option<&'a PlacedChange> {
-    let is_about = |placed: &&PlacedChange| match &problem.place {
-        Place::Tiers => matches!(place_of(&placed.change), Place::Tier(_)),
-        place => place_of(&placed.change) == *place,
+    let is_about = |placed: &&PlacedChange| match &problem.location {
+        Location::Tiers => matches!(location_of(&placed.change), Location::Tier(_)),
+        location => location_of(&placed.change) == *location,
     };
     changes.iter().rev().find(is_about)
 }
@@ -28,50 +28,50 @@
     match setting {
         Some((_, range)) => Finding::new(range.clone(), problem.problem.to_string()),
         None => {
-            let kind = kind_name(&problem.place);
+            let kind = kind_name(&problem.location);
             let message = format!("{kind} {}", problem.problem);
             Finding::new(placed.name.clone(), message)
         }
     }
 }
 
-fn place_of(change: &ConfigurationChange) -> Place {
+fn location_of(change: &ConfigurationChange) -> Location {
     match change {
-        ConfigurationChange::CreateZone(zone) => Place::Zone(zone.id),
-        ConfigurationChange::RemoveZone(id) => Place::Zone(*id),
+        ConfigurationChange::CreateZone(zone) => Location::Zone(zone.id),
+        ConfigurationChange::RemoveZone(id) => Location::Zone(*id),
         ConfigurationChange::CreateService(service)
-        | ConfigurationChange::AlterService(service) => Place::Service(service.id),
-        ConfigurationChange::RemoveService(id) => Place::Service(*id),
-        ConfigurationChange::AddServer(server) => Place::Server(server.id),
-        ConfigurationChange::RemoveServer(id) => Place::Server(*id),
+        | ConfigurationChange::AlterService(service) => Location::Service(service.id),
+        ConfigurationChange::RemoveService(id) => Location::Service(*id),
+        ConfigurationChange::AddServer(server) => Location::Server(server.id),
+        ConfigurationChange::RemoveServer(id) => Location::Server(*id),
         ConfigurationChange::CreateTier(tier) | ConfigurationChange::AlterTier(tier) => {
-            Place::Tier(tier.id)
+            Location::Tier(tier.id)
         }
-        ConfigurationChange::RemoveTier(id) => Place::Tier(*id),
-        ConfigurationChange::PutCaller(caller) => Place::Caller(caller.id),
-        ConfigurationChange::RemoveCaller(id) => Place::Caller(*id),
-        ConfigurationChange::PutOperator(operator) => Place::Operator(operator.name.clone()),
-        ConfigurationChange::RemoveOperator(name) => Place::Operator(name.clone()),
+        ConfigurationChange::RemoveTier(id) => Location::Tier(*id),
+        ConfigurationChange::PutCaller(caller) => Location::Caller(caller.id),
+        ConfigurationChange::RemoveCaller(id) => Location::Caller(*id),
+        ConfigurationChange::PutOperator(operator) => Location::Operator(operator.name.clone()),
+        ConfigurationChange::RemoveOperator(name) => Location::Operator(name.clone()),
     }
 }
 
-fn kind_name(place: &Place) -> &'static str {
-    match place {
-        Place::Zone(_) => "zone:",
-        Place::Service(_) => "service:",
-        Place::Server(_) => "server:",
-        Place::Tier(_) => "tier:",
-        Place::Tiers => "tiers:",
-        Place::Caller(_) => "caller:",
-        Place::Operator(_) => "operator:",
-        Place::Text { .. } | Place::Command => "command:",
+fn kind_name(location: &Location) -> &'static str {
+    match location {
+        Location::Zone(_) => "zone:",
+        Location::Service(_) => "service:",
+        Location::Server(_) => "server:",
+        Location::Tier(_) => "tier:",
+        Location::Tiers => "tiers:",
+        Location::Caller(_) => "caller:",
+        Location::Operator(_) => "operator:",
+        Location::Text { .. } | Location::Command => "command:",
     }
 }
 
 fn field_of(problem: &Problem) -> Option<Field> {
     match problem {
         Problem::Duplicate(field)
-        | Problem::Unchangeable(field)
+        | Problem::Immutable(field)
         | Problem::Unknown(field)
         | Problem::OutOfRange(field, _) => Some(*field),
         _ => None,
--- a/crates/ledgelead-query/src/lower/changes.rs
+++ b/crates/ledgelead-query/src/lower/changes.rs
@@ -26,8 +26,16 @@
     /// still does, so that one mistake is not reported at every later mention.
     pub(super) fn change(&mut self, command: &Command, statement: &TextRange) {
         let (change, name, settings) = match command {
-            Command::Create(settled) => (self.create(settled), &settled.name, &*settled.settings),
-            Command::Alter(settled) => (self.alter(settled), &settled.name, &*settled.settings),
+            Command::Create(definition) => (
+                self.create(definition),
+                &definition.name,
+                &*definition.settings,
+            ),
+            Command::Alter(definition) => (
+                self.alter(definition),
+                &definition.name,
+                &*definition.settings,
+            ),
             Command::Remove { kind, name } => (self.remove(*kind, name), name, &[][..]),
             Command::AddServer(server) => {
                 (self.add_server(server), &server.name, &*server.settings)
@@ -87,11 +95,11 @@
         }
     }
 
-    fn create(&mut self, settled: &Settled) -> Option<Change> {
-        let name = Text::from(settled.name.value.as_str());
-        let settings = &settled.settings;
-        self.check_free(settled.kind, &settled.name);
-        Some(match settled.kind {
+    fn create(&mut self, definition: &Definition) -> Option<Change> {
+        let name = Text::from(definition.name.value.as_str());
+        let settings = &definition.settings;
+        self.check_free(definition.kind, &definition.name);
+        Some(match definition.kind {
             Kind::Zone => {
                 let id = ZoneId(unused(self.working.zones.iter().map(|zone| zone.id.0)));
                 let mut zone = ZoneConfiguration {
@@ -129,8 +137,8 @@
                     ..CallerConfiguration::default()
                 };
                 let mut reader = self.reader();
-                reader.require(settings, &settled.name, "tier");
-                reader.require(settings, &settled.name, "credential_sha256");
+                reader.require(settings, &definition.name, "tier");
+                reader.require(settings, &definition.name, "credential_sha256");
                 reader.caller(settings, &mut caller);
                 Change::PutCaller(caller)
             }
@@ -140,7 +148,7 @@
                     ..OperatorConfiguration::default()
                 };
                 let mut reader = self.reader();
-                reader.require(settings, &settled.name, "credential_sha256");
+                reader.require(settings, &definition.name, "credential_sha256");
                 reader.operator(settings, &mut operator);
                 Change::PutOperator(operator)
             }
@@ -163,10 +171,10 @@
         }
     }
 
-    fn alter(&mut self, settled: &Settled) -> Option<Change> {
-        let (name, settings) = (&settled.name, &settled.settings);
+    fn alter(&mut self, definition: &Definition) -> Option<Change> {
+        let (name, settings) = (&definition.name, &definition.settings);
         let findings = &mut self.findings;
-        Some(match settled.kind {
+        Some(match definition.kind {
             Kind::Service => {
                 let mut service = find_service(&self.working, name, findings)?.clone();
                 self.reader().service(settings, &mut service);
--- a/crates/ledgelead-query/src/lower/mod.rs
+++ b/crates/ledgelead-query/src/lower/mod.rs
@@ -3,9 +3,9 @@
 //! Commands of one text see what the ones before them do, so a text can
 //! create a service and add servers to it.
 
+mod causes;
 mod changes;
 mod operations;
-mod causes;
 mod settings;
 
 use crate::finding::{Finding, Findings};
--- a/crates/ledgelead-query/src/parse/command.rs
+++ b/crates/ledgelead-query/src/parse/command.rs
@@ -25,8 +25,8 @@
 
     fn command(&mut self, word: &str) -> Option<Command> {
         match word {
-            "create" => self.settled("with", false).map(Command::Create),
-            "alter" => self.settled("set", true).map(Command::Alter),
+            "create" => self.definition("with", false).map(Command::Create),
+            "alter" => self.definition("set", true).map(Command::Alter),
             "remove" => self.remove(),
             "add" => self.add_server().map(Command::AddServer),
             "move" => self.move_key(),
@@ -42,7 +42,7 @@
         kinds.iter().find(|kind| kind.name() == word).copied()
     }
 
-    fn settled(&mut self, keyword: &'static str, is_needed: bool) -> Option<Settled> {
+    fn definition(&mut self, keyword: &'static str, is_needed: bool) -> Option<Definition> {
         let named: Vec<Kind> = Kind::ALL
             .into_iter()
             .filter(|kind| *kind != Kind::Server && !(is_needed && *kind == Kind::Zone))
@@ -55,7 +55,7 @@
         } else {
             Vec::new()
         };
-        Some(Settled {
+        Some(Definition {
             kind,
             name,
             settings,
--- a/crates/ledgelead-query/src/parse/cursor.rs
+++ b/crates/ledgelead-query/src/parse/cursor.rs
@@ -63,7 +63,7 @@
         self.findings.add(finding);
     }
 
-    /// Place of the next token, or of the end.
+    /// Location of the next token, or of the end.
     pub(super) fn place(&mut self) -> TextRange {
         match self.next() {
             Some(token) => token.range.clone(),
--- a/crates/ledgelead-query/src/print.rs
+++ b/crates/ledgelead-query/src/print.rs
@@ -102,13 +102,13 @@
 impl Display for Command {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Command::Create(settled) => {
-                write!(formatter, "create {settled}")?;
-                write_settings(formatter, "with", &settled.settings)
+            Command::Create(definition) => {
+                write!(formatter, "create {definition}")?;
+                write_settings(formatter, "with", &definition.settings)
             }
-            Command::Alter(settled) => {
-                write!(formatter, "alter {settled}")?;
-                write_settings(formatter, "set", &settled.settings)
+            Command::Alter(definition) => {
+                write!(formatter, "alter {definition}")?;
+                write_settings(formatter, "set", &definition.settings)
             }
             Command::Remove { kind, name } => {
                 write!(formatter, "remove {} {}", kind.name(), Name(&name.value))
@@ -127,7 +127,7 @@
     }
 }
 
-impl Display for Settled {
+impl Display for Definition {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} {}", self.kind.name(), Name(&self.name.value))
     }
--- a/crates/ledgelead-query/src/session.rs
+++ b/crates/ledgelead-query/src/session.rs
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     /// When the node does not answer.
-    fn whole_view(&mut self) -> Result<NodeView, NoAnswer>;
+    fn cluster_view(&mut self) -> Result<NodeView, NoAnswer>;
 
     /// Has a command carried out and waits for its end.
     ///
@@ -70,7 +70,7 @@
     /// One table for each statement.
     pub tables: Vec<Table>,
     /// Nodes whose loads are missing because they did not answer.
-    pub silent: Vec<NodeId>,
+    pub silent_nodes: Vec<NodeId>,
 }
 
 /// A command that took effect.
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
     /// The text is wrong.
-    Mistakes(Findings),
+    InvalidText(Findings),
     /// The command's identifier is empty or too long.
     BadIdentifier,
     /// The operator may not.
@@ -122,7 +122,7 @@
 
 impl From<Findings> for Refusal {
     fn from(findings: Findings) -> Self {
-        Refusal::Mistakes(findings)
+        Refusal::InvalidText(findings)
     }
 }
 
@@ -148,12 +148,12 @@
     deployment: &mut impl Deployment,
 ) -> Result<QueryAnswer, Refusal> {
     may_query(operator)?;
-    let view = deployment.whole_view()?;
+    let view = deployment.cluster_view()?;
     let tables = answer(text, &view)?;
     Ok(QueryAnswer {
         version: view.configuration.version,
         tables,
-        silent: view.silent_nodes,
+        silent_nodes: view.silent_nodes,
     })
 }
 
--- a/crates/ledgelead-query/src/tree.rs
+++ b/crates/ledgelead-query/src/tree.rs
@@ -184,9 +184,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// `create KIND NAME [with ...]`
-    Create(Settled),
+    Create(Definition),
     /// `alter KIND NAME set ...`
-    Alter(Settled),
+    Alter(Definition),
     /// `remove KIND NAME`
     Remove {
         /// What kind.
@@ -218,7 +218,7 @@
 
 /// Something with settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settled {
+pub struct Definition {
     /// What kind.
     pub kind: Kind,
     /// Its name.
--- a/crates/ledgelead-query/tests/language.rs
+++ b/crates/ledgelead-query/tests/language.rs
@@ -82,8 +82,8 @@
         prop::collection::vec(setting, least..3)
     };
     let kinds = |from: usize| prop::sample::select(Kind::ALL[from..5].to_vec());
-    let settled = |from, least| {
-        (kinds(from), name(), given(least)).prop_map(|(kind, name, settings)| Settled {
+    let definition = |from, least| {
+        (kinds(from), name(), given(least)).prop_map(|(kind, name, settings)| Definition {
             kind,
             name,
             settings,
@@ -100,8 +100,8 @@
     );
     let operation = prop::sample::select(ServerOperation::ALL.to_vec());
     prop_oneof![
-        settled(0, 0).prop_map(Command::Create),
-        settled(1, 1).prop_map(Command::Alter),
+        definition(0, 0).prop_map(Command::Create),
+        definition(1, 1).prop_map(Command::Alter),
         (prop::sample::select(Kind::ALL.to_vec()), name())
             .prop_map(|(kind, name)| Command::Remove { kind, name }),
         server.prop_map(Command::AddServer),
--- a/crates/ledgelead-query/tests/sessions.rs
+++ b/crates/ledgelead-query/tests/sessions.rs
@@ -57,7 +57,7 @@
 
 fn told(refusal: &Refusal, text: &str) -> String {
     match refusal {
-        Refusal::Mistakes(findings) => findings.render(text, false),
+        Refusal::InvalidText(findings) => findings.render(text, false),
         other => format!("{other:?}\n"),
     }
 }
--- a/crates/ledgelead-query/tests/support/deployment.rs
+++ b/crates/ledgelead-query/tests/support/deployment.rs
@@ -4,7 +4,8 @@
 
 use super::{operate, view};
 use ledgelead_configuration::{
-    ConfigurationKeeper, KeeperInput, KeeperOutput, KeeperSettings, encode_configuration,
+    ConfigurationManager, ConfigurationManagerInput, ConfigurationManagerOutput,
+    ConfigurationManagerSettings, encode_configuration,
 };
 use ledgelead_query::{Deployment, NoAnswer};
 use ledgelead_types::administration::*;
@@ -40,7 +41,7 @@
     pub held: Vec<Configuration>,
     /// A node that never hears of news.
     pub deaf: Option<usize>,
-    keepers: Vec<ConfigurationKeeper>,
+    keepers: Vec<ConfigurationManager>,
     stored: (ObjectVersion, Bytes),
     operations: Vec<Text>,
     tickets: u64,
@@ -56,14 +57,14 @@
         }
         let configuration = view.configuration.clone();
         let keeper = |node| {
-            let settings = KeeperSettings {
+            let settings = ConfigurationManagerSettings {
                 node: NodeId(node),
                 random_seed: u64::from(node),
             };
-            let mut keeper = ConfigurationKeeper::new(settings, Time::ZERO);
+            let mut keeper = ConfigurationManager::new(settings, Time::ZERO);
             keeper.step(
                 Time::ZERO,
-                KeeperInput::Held(Arc::new(configuration.clone())),
+                ConfigurationManagerInput::Current(Arc::new(configuration.clone())),
             );
             keeper
         };
@@ -141,17 +142,22 @@
     fn configure(&mut self, index: usize, command: AdministrationCommand) -> CommandResult {
         self.tickets += 1;
         let ticket = self.tickets;
-        self.keepers[index].step(Time::ZERO, KeeperInput::Command { ticket, command });
+        self.keepers[index].step(
+            Time::ZERO,
+            ConfigurationManagerInput::Command { ticket, command },
+        );
         loop {
             for output in self.keepers[index].take_outputs() {
                 match output {
-                    KeeperOutput::CallPlatform { call, request } => {
+                    ConfigurationManagerOutput::CallPlatform { call, request } => {
                         let reply = self.answer(&request);
-                        let input = KeeperInput::PlatformReplied { call, reply };
+                        let input = ConfigurationManagerInput::PlatformReplied { call, reply };
                         self.keepers[index].step(Time::ZERO, input);
                     }
-                    KeeperOutput::Publish(configuration) => self.held[index] = configuration,
-                    KeeperOutput::CommandFinished { result, .. } => return result,
+                    ConfigurationManagerOutput::Publish(configuration) => {
+                        self.held[index] = configuration
+                    }
+                    ConfigurationManagerOutput::CommandFinished { result, .. } => return result,
                     _ => {}
                 }
             }
@@ -189,7 +195,7 @@
         Ok(view)
     }
 
-    fn whole_view(&mut self) -> Result<NodeView, NoAnswer> {
+    fn cluster_view(&mut self) -> Result<NodeView, NoAnswer> {
         self.view()
     }
 
