--- a/crates/ledgelead-query/src/lower/mod.rs
+++ b/crates/ledgelead-query/src/lower/mod.rs
@@ -3,9 +3,9 @@
 //! Commands of one text see what the ones before them do, so a text can
 //! create a service and add servers to it.
 
+mod causes;
 mod changes;
 mod operations;
-mod placing;
 mod settings;
 
 use crate::finding::{Finding, Findings};
@@ -147,11 +147,11 @@
             .map(|found| found.range.start)
             .collect();
         for problem in problems {
-            let placed = placing::cause(&problem, &self.changes);
+            let placed = causes::cause(&problem, &self.changes);
             let is_noted =
                 |placed: &PlacedChange| noted.iter().any(|start| placed.statement.contains(start));
             if !placed.is_some_and(is_noted) {
-                self.findings.add(placing::describe(&problem, placed));
+                self.findings.add(causes::describe(&problem, placed));
             }
         }
     }
