--- a/crates/ledgelead-balance/src/planner/rebalance.rs
+++ b/crates/ledgelead-balance/src/planner/rebalance.rs
@@ -1,18 +1,18 @@
-//! Weighted moves: load off servers that are too full, and onto those that
-//! are too empty.
+//! Load-based moves from overloaded servers, and to underfilled ones.
 
-use crate::planner::candidates::{self, Candidate, Relief};
+use crate::planner::candidates::{self, Candidate, MoveMethod};
 use crate::planner::overload;
 use crate::planner::round::Round;
 use ledgelead_types::ServerId;
 
-/// Most moves for the sake of balance in one round.
+/// Maximum number of moves for balance per round.
 const MAX_MOVES: usize = 16;
-/// A server fuller than the mean by this factor may give to an empty one.
-const GIVING_UTILIZATION: f64 = 1.02;
+/// A server whose utilization exceeds the mean by this factor may give load to an
+/// underfilled one.
+const DONOR_UTILIZATION: f64 = 1.02;
 
-/// Moves load off the servers that have been above the target for a while,
-/// the fullest first.
+/// Moves load off servers that have been above the target for some time, highest utilization
+/// first.
 pub fn relieve_overloaded(round: &mut Round) {
     let mut shedding: Vec<ServerId> = round
         .planner
@@ -29,7 +29,7 @@
     let mut moves = 0;
     for server in shedding {
         while moves < MAX_MOVES && overload::is_unsettled(round, server) {
-            if !relieve(round, server, None) {
+            if !move_load(round, server, None) {
                 break;
             }
             moves += 1;
@@ -37,17 +37,16 @@
     }
 }
 
-/// Gives load to servers that have been far below the mean for a while, such
-/// as one that has joined.
+/// Moves load to servers that have been far below the mean for some time, such as new ones.
 pub fn fill_underfilled(round: &mut Round) {
     let servers: Vec<ServerId> = round.levels.iter().map(|(server, _)| server).collect();
     let mut moves = 0;
     for server in servers {
         while moves < MAX_MOVES && overload::is_underfilled(round, server) {
-            let Some(from) = giver(round) else {
+            let Some(from) = donor(round) else {
                 return;
             };
-            if !relieve(round, from, Some(server)) {
+            if !move_load(round, from, Some(server)) {
                 break;
             }
             moves += 1;
@@ -55,14 +54,14 @@
     }
 }
 
-fn giver(round: &Round) -> Option<ServerId> {
+fn donor(round: &Round) -> Option<ServerId> {
     let fullest = round.levels.fullest()?;
     let utilization = round.levels.get(fullest)?.utilization();
-    (utilization > GIVING_UTILIZATION * round.levels.mean()).then_some(fullest)
+    (utilization > DONOR_UTILIZATION * round.levels.mean()).then_some(fullest)
 }
 
-/// Applies the best candidate; whether there was one.
-fn relieve(round: &mut Round, from: ServerId, to: Option<ServerId>) -> bool {
+/// Applies the best candidate; returns whether there was one.
+fn move_load(round: &mut Round, from: ServerId, to: Option<ServerId>) -> bool {
     let target = to.or_else(|| round.levels.emptiest_for(from));
     let Some(to) = target.filter(|to| *to != from) else {
         return false;
@@ -76,16 +75,16 @@
 
 fn apply(round: &mut Round, candidate: &Candidate, from: ServerId, to: ServerId) {
     let record = &candidate.record;
-    match candidate.relief {
-        Relief::Move => {
+    match candidate.method {
+        MoveMethod::Move => {
             round.planner.churn.spend(candidate.percent, round.now);
             round.move_slice(record, to);
         }
-        Relief::Isolate(position) => {
+        MoveMethod::Isolate(position) => {
             round.isolate(record, position);
             round.levels.shift(Some(from), to, candidate.load, 0);
         }
-        Relief::Halve => {
+        MoveMethod::Halve => {
             round.halve(record);
             let width = record.width() / 2;
             round.levels.shift(Some(from), to, candidate.load, width);
--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -1,11 +1,13 @@
-//! Carries what one subsystem puts out to those that take it in, until all
-//! are quiet.
+//! Passes the outputs of each subsystem to the subsystems that consume them, until none has
+//! any left.
 
 use crate::calls::CallOwner;
 use crate::io::{Output, TicketId};
 use crate::message::PeerMessage;
 use crate::node_core::NodeCore;
-use ledgelead_configuration::{FormerInput, FormerOutput, KeeperInput, KeeperOutput};
+use ledgelead_configuration::{
+    ConfigurationManagerInput, ConfigurationManagerOutput, GroupManagerInput, GroupManagerOutput,
+};
 use ledgelead_membership::{
     DisseminationInput, DisseminationOutput, ItemKey, MembershipInput, MembershipOutput,
 };
@@ -24,27 +26,27 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Rounds of passing outputs on within one step. Subsystems answer each other
-/// a few times at most; more means a loop, which must not hang the node.
+/// Maximum number of rounds of passing outputs within one step. Subsystems exchange only a
+/// few outputs per step; more rounds indicate a loop, which must not hang the node.
 const MAX_ROUNDS: usize = 64;
 
 impl NodeCore {
-    /// Passes outputs on until no subsystem has any.
+    /// Passes outputs between subsystems until none has any.
     pub(crate) fn pump(&mut self, now: Time) {
         for _ in 0..MAX_ROUNDS {
-            let passed_on = self.pump_membership(now)
+            let progressed = self.pump_membership(now)
                 | self.pump_dissemination(now)
-                | self.pump_keeper(now)
-                | self.pump_former(now)
+                | self.pump_configuration_manager(now)
+                | self.pump_group_manager(now)
                 | self.pump_groups(now)
                 | self.pump_gateway(now)
                 | self.pump_dispatcher(now);
-            if !passed_on {
+            if !progressed {
                 break;
             }
         }
-        // Looking for roles goes through the routes of all groups: too much
-        // for every step of a node that is not asked to stop.
+        // Checking for roles iterates over the routes of all groups, which is too expensive
+        // for every step of a node that is not stopping.
         if self.shutdown.is_leaving() {
             let holds_roles = self.holds_roles();
             if self.shutdown.completes(now, holds_roles) {
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Whether this node still leads a group, dispatches a server, or votes
-    /// where another could.
+    /// Whether this node still leads a group, dispatches a server, or is a voter that
+    /// should be replaced first.
     fn holds_roles(&self) -> bool {
         let node = self.settings.node;
         let dispatches = self
@@ -66,10 +68,10 @@
         dispatches || leads || self.awaits_replacement()
     }
 
-    /// Whether a group in which this node votes should replace it first: there
-    /// is a node that could, or the others are no majority at present. Without
-    /// the wait the stop of one replica after the loss of another would take
-    /// the quorum.
+    /// Whether a group in which this node votes should replace it first: another live node
+    /// could take its place, or the other voters alone are currently not a majority.
+    /// Without this wait, stopping one replica after the loss of another would lose the
+    /// quorum.
     fn awaits_replacement(&self) -> bool {
         let live = self.membership.live_nodes();
         let own = self.settings.node;
@@ -103,7 +105,7 @@
         any
     }
 
-    /// Tells every subsystem which nodes are live.
+    /// Passes the live nodes to every subsystem.
     pub(crate) fn live_nodes_changed(&mut self, now: Time) {
         let live = self.membership.live_nodes();
         let others = live
@@ -113,14 +115,16 @@
             .collect();
         self.dissemination
             .step(now, DisseminationInput::Peers(others));
-        self.keeper.step(now, KeeperInput::LiveNodes(live.clone()));
-        self.former.step(now, FormerInput::LiveNodes(live.clone()));
-        self.groups.take_live_nodes(now, live);
-        self.tell_proven_dead(now);
+        self.configuration_manager
+            .step(now, ConfigurationManagerInput::LiveNodes(live.clone()));
+        self.group_manager
+            .step(now, GroupManagerInput::LiveNodes(live.clone()));
+        self.groups.set_live_nodes(now, live);
+        self.report_proven_dead(now);
     }
 
-    /// Tells the former which known replicas are dead for certain.
-    fn tell_proven_dead(&mut self, now: Time) {
+    /// Reports to the group manager which known replicas are proven dead.
+    fn report_proven_dead(&mut self, now: Time) {
         let by_records = self
             .groups
             .records()
@@ -134,7 +138,8 @@
             .into_iter()
             .filter(|member| self.membership.is_proven_dead(*member))
             .collect();
-        self.former.step(now, FormerInput::ProvenDead(dead));
+        self.group_manager
+            .step(now, GroupManagerInput::ProvenDead(dead));
     }
 
     fn record(&mut self, now: Time, event: Event) {
@@ -154,36 +159,36 @@
                     self.send(to, PeerMessage::Dissemination(message));
                 }
                 DisseminationOutput::Updated { key, value, .. } => {
-                    self.take_item(now, key, &value.0);
+                    self.apply_item(now, key, &value.0);
                 }
             }
         }
         any
     }
 
-    /// Puts a newer item in force. Bytes that don't decode come from a node
-    /// of another version of the program; they are left alone.
-    fn take_item(&mut self, now: Time, key: ItemKey, value: &[u8]) {
+    /// Applies a newer item. Bytes that can't be decoded come from a node with another
+    /// version of the program and are ignored.
+    fn apply_item(&mut self, now: Time, key: ItemKey, value: &[u8]) {
         match key {
             ItemKey::Configuration => {
                 if let Ok(configuration) = decode::<Configuration>(value) {
-                    self.take_configuration(now, configuration);
+                    self.apply_configuration(now, configuration);
                 }
             }
             ItemKey::GroupRecord(_) => {
                 if let Ok(record) = decode::<GroupRecord>(value) {
-                    self.take_record(now, record);
+                    self.apply_record(now, record);
                 }
             }
             ItemKey::Routes(_) => {
                 if let Ok(routes) = decode::<GroupRoutes>(value) {
-                    self.take_routes(now, routes);
+                    self.apply_routes(now, routes);
                 }
             }
         }
     }
 
-    fn take_configuration(&mut self, now: Time, configuration: Configuration) {
+    fn apply_configuration(&mut self, now: Time, configuration: Configuration) {
         let version = configuration.version;
         let configuration = Arc::new(configuration);
         self.configuration = configuration.clone();
@@ -196,11 +201,13 @@
                 highest_service: configuration.highest_service,
             },
         );
-        self.keeper
-            .step(now, KeeperInput::Held(configuration.clone()));
-        self.former
-            .step(now, FormerInput::Configuration(configuration.clone()));
-        self.groups.take_configuration(now, configuration.clone());
+        self.configuration_manager.step(
+            now,
+            ConfigurationManagerInput::Current(configuration.clone()),
+        );
+        self.group_manager
+            .step(now, GroupManagerInput::Configuration(configuration.clone()));
+        self.groups.apply_configuration(now, configuration.clone());
         self.gateway
             .step(now, GatewayInput::Configuration(configuration.clone()));
         self.dispatcher
@@ -211,26 +218,26 @@
             .push(Output::Record(Event::ConfigurationApplied { version }));
     }
 
-    fn take_record(&mut self, now: Time, record: GroupRecord) {
-        self.former.step(
+    fn apply_record(&mut self, now: Time, record: GroupRecord) {
+        self.group_manager.step(
             now,
-            FormerInput::KnownMembers {
+            GroupManagerInput::KnownMembers {
                 group: record.group,
                 epoch: record.epoch,
                 members: record.members.0.clone(),
             },
         );
-        self.groups.take_record(now, record);
-        self.tell_proven_dead(now);
+        self.groups.apply_record(now, record);
+        self.report_proven_dead(now);
     }
 
-    fn take_routes(&mut self, now: Time, routes: GroupRoutes) {
+    fn apply_routes(&mut self, now: Time, routes: GroupRoutes) {
         let routes = Arc::new(routes);
         let before = self.routes.insert(routes.group, routes.clone());
         let has_same_members = before.is_some_and(|before| before.members == routes.members);
-        self.former.step(
+        self.group_manager.step(
             now,
-            FormerInput::KnownMembers {
+            GroupManagerInput::KnownMembers {
                 group: routes.group,
                 epoch: routes.version.epoch,
                 members: routes.members.0.clone(),
@@ -238,44 +245,44 @@
         );
         self.gateway.step(now, GatewayInput::Routes(routes.clone()));
         self.dispatcher.step(now, DispatcherInput::Routes(routes));
-        // Asking goes through the members of all groups. Most routes change
-        // owners only; news of the nodes themselves ask again by themselves.
+        // This iterates over the members of all groups. Most route changes affect only
+        // owners, and changes of the nodes themselves trigger the report separately.
         if !has_same_members {
-            self.tell_proven_dead(now);
+            self.report_proven_dead(now);
         }
     }
 
-    fn pump_keeper(&mut self, now: Time) -> bool {
-        let outputs = self.keeper.take_outputs();
+    fn pump_configuration_manager(&mut self, now: Time) -> bool {
+        let outputs = self.configuration_manager.take_outputs();
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
-                KeeperOutput::CallPlatform { call, request } => {
-                    self.call_platform(CallOwner::Keeper(call), request);
+                ConfigurationManagerOutput::CallPlatform { call, request } => {
+                    self.call_platform(CallOwner::ConfigurationManager(call), request);
                 }
-                KeeperOutput::Publish(configuration) => {
+                ConfigurationManagerOutput::Publish(configuration) => {
                     self.publish_configuration(now, &configuration);
                 }
-                KeeperOutput::CommandFinished { ticket, result } => {
+                ConfigurationManagerOutput::CommandFinished { ticket, result } => {
                     let ticket = TicketId(ticket);
                     self.outputs
                         .push(Output::CommandFinished { ticket, result });
                 }
-                KeeperOutput::PlatformReachable(reachable) => {
+                ConfigurationManagerOutput::PlatformReachable(reachable) => {
                     self.platform_reachable = Some(reachable);
                     let event = Event::PlatformReachable { reachable };
                     self.outputs.push(Output::Record(event));
                 }
-                KeeperOutput::Refused { version, findings } => {
+                ConfigurationManagerOutput::InvalidObject { version, findings } => {
                     let findings = findings.iter().map(ToString::to_string).collect();
                     let version = version.0;
                     let event = Event::ConfigurationRefused { version, findings };
                     self.outputs.push(Output::Record(event));
                 }
-                KeeperOutput::MachineList(machines) => {
+                ConfigurationManagerOutput::MachineList(machines) => {
                     self.membership
                         .step(now, MembershipInput::MachineList(machines));
-                    self.tell_proven_dead(now);
+                    self.report_proven_dead(now);
                 }
             }
         }
@@ -306,23 +313,23 @@
         self.outputs.push(Output::CallPlatform { call, request });
     }
 
-    fn pump_former(&mut self, now: Time) -> bool {
-        let outputs = self.former.take_outputs();
+    fn pump_group_manager(&mut self, now: Time) -> bool {
+        let outputs = self.group_manager.take_outputs();
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
-                FormerOutput::CallPlatform { call, request } => {
-                    self.call_platform(CallOwner::Former(call), request);
+                GroupManagerOutput::CallPlatform { call, request } => {
+                    self.call_platform(CallOwner::GroupManager(call), request);
                 }
-                FormerOutput::Publish(record) => self.publish_record(now, &record),
-                FormerOutput::SnapshotStored { group, revision } => {
+                GroupManagerOutput::Publish(record) => self.publish_record(now, &record),
+                GroupManagerOutput::SnapshotStored { group, revision } => {
                     self.groups
                         .step(now, group, GroupInput::SnapshotStored { revision });
                 }
-                FormerOutput::Superseded { group, epoch } => {
+                GroupManagerOutput::Superseded { group, epoch } => {
                     self.groups.supersede(group, epoch);
                 }
-                FormerOutput::Event(event) => self.record(now, event),
+                GroupManagerOutput::Event(event) => self.record(now, event),
             }
         }
         any
@@ -350,12 +357,12 @@
         }
         let any = !outputs.is_empty();
         for (group, output) in outputs {
-            self.take_group_output(now, group, output);
+            self.handle_group_output(now, group, output);
         }
         any
     }
 
-    fn take_group_output(&mut self, now: Time, group: GroupId, output: GroupOutput) {
+    fn handle_group_output(&mut self, now: Time, group: GroupId, output: GroupOutput) {
         match output {
             GroupOutput::Send { to, message } => {
                 let message = PeerMessage::Group {
@@ -385,21 +392,21 @@
                 self.publish(now, key, routes.version, encode(&routes));
             }
             GroupOutput::StoreSnapshot(record, revision) => {
-                self.former
-                    .step(now, FormerInput::StoreSnapshot { record, revision });
+                self.group_manager
+                    .step(now, GroupManagerInput::StoreSnapshot { record, revision });
             }
             GroupOutput::OperationFinished { ticket, result } => {
-                if let Some(asker) = self.operations.close(ticket) {
-                    self.answer_operation(asker, result);
+                if let Some(requester) = self.operations.close(ticket) {
+                    self.answer_operation(requester, result);
                 }
             }
-            GroupOutput::OnceDecided {
+            GroupOutput::IdempotencyRecordDecided {
                 owner,
                 key,
                 verdict,
             } => self.dispatcher.step(
                 now,
-                DispatcherInput::OnceDecided {
+                DispatcherInput::IdempotencyRecordDecided {
                     owner,
                     key,
                     verdict,
@@ -482,7 +489,7 @@
         }
     }
 
-    /// Brings a gateway's evidence to the group's leader.
+    /// Sends a gateway's evidence to the group's leader.
     fn send_evidence(&mut self, now: Time, group: GroupId, server: ServerId, failures: u32) {
         let Some(leader) = self.routes.get(&group).map(|routes| routes.leader.node) else {
             return;
@@ -500,23 +507,23 @@
         self.send(leader, message);
     }
 
-    /// Asks the group for an idempotency record. Without a replica here the
-    /// record can't be made, so the request must not run.
-    fn begin_once(
+    /// Requests an idempotency record from the group. Without a replica on this node the
+    /// record can't be created, so the request must not be executed.
+    fn begin_idempotency_record(
         &mut self,
         now: Time,
         group: GroupId,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
     ) {
-        let input = GroupInput::BeginOnce { owner, key };
+        let input = GroupInput::BeginIdempotencyRecord { owner, key };
         if self.groups.step(now, group, input) {
             return;
         }
         let verdict = IdempotencyVerdict::Unavailable;
         self.dispatcher.step(
             now,
-            DispatcherInput::OnceDecided {
+            DispatcherInput::IdempotencyRecordDecided {
                 owner,
                 key,
                 verdict,
@@ -530,18 +537,18 @@
         for output in outputs {
             match output {
                 DispatcherOutput::Reply { to, message } => self.send_to_gateway(now, to, message),
-                DispatcherOutput::BeginOnce { group, owner, key } => {
-                    self.begin_once(now, group, owner, key);
+                DispatcherOutput::BeginIdempotencyRecord { group, owner, key } => {
+                    self.begin_idempotency_record(now, group, owner, key);
                 }
-                DispatcherOutput::EndOnce {
+                DispatcherOutput::EndIdempotencyRecord {
                     group,
                     owner,
                     key,
                     state,
                 } => {
                     let input = match state {
-                        Some(state) => GroupInput::EndOnce { owner, key, state },
-                        None => GroupInput::CancelOnce { owner, key },
+                        Some(state) => GroupInput::EndIdempotencyRecord { owner, key, state },
+                        None => GroupInput::CancelIdempotencyRecord { owner, key },
                     };
                     self.groups.step(now, group, input);
                 }
--- a/crates/ledgelead-ownership/src/message.rs
+++ b/crates/ledgelead-ownership/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between the replicas of a group.
 
-use crate::session::SessionNews;
+use crate::session::SessionStatus;
 use ledgelead_replication::ReplicationMessage;
 use ledgelead_types::administration::{CommandResult, GroupOperation};
 use ledgelead_types::dispatch::{
@@ -13,53 +13,56 @@
 /// A message from one replica of a group to another.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum GroupMessage {
-    /// Elections, heartbeats and the log.
+    /// Elections, heartbeats and log replication.
     Replication(ReplicationMessage),
-    /// A dispatcher tells the leader of its servers.
+    /// A dispatcher's report on its servers to the leader.
     Report(DispatcherReport),
-    /// A replica hands requests to the leader.
-    Ask(List<Asked>),
+    /// Requests of a replica to the leader.
+    Requests(List<NumberedRequest>),
     /// The leader's answers.
-    Answer(List<Answered>),
+    Answers(List<NumberedAnswer>),
 }
 
 impl GroupMessage {
-    /// Whether the message is only there because of callers' requests under
-    /// idempotency keys: the wish to begin one, its end, their replication and
-    /// the answers. A heartbeat that was due anyway is not.
-    pub fn serves_requests(&self) -> bool {
+    /// Whether the message exists only because of callers' requests under idempotency keys:
+    /// to begin or end one, to replicate that, or to answer. A heartbeat that was due
+    /// anyway does not count.
+    pub fn is_idempotency_traffic(&self) -> bool {
         match self {
             GroupMessage::Replication(message) => message.is_lazy(),
             GroupMessage::Report(_) => false,
-            GroupMessage::Ask(asked) => asked
+            GroupMessage::Requests(asked) => asked
                 .iter()
                 .all(|asked| !matches!(asked.request, GroupRequest::Operate { .. })),
-            GroupMessage::Answer(answered) => answered.iter().all(|answered| {
-                matches!(answered.answer, GroupAnswer::Once(_) | GroupAnswer::Ended)
+            GroupMessage::Answers(answered) => answered.iter().all(|answered| {
+                matches!(
+                    answered.answer,
+                    GroupAnswer::Idempotency(_) | GroupAnswer::Ended
+                )
             }),
         }
     }
 }
 
-/// A request on its way to the leader.
+/// A numbered request to the leader.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct Asked {
-    /// Names the answer; counted by the sender.
+pub struct NumberedRequest {
+    /// Number assigned by the sender, which identifies the answer.
     pub number: u64,
     /// The request.
     pub request: GroupRequest,
 }
 
-/// An answer on its way back.
+/// The leader's answer to a numbered request.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct Answered {
-    /// The number asked under.
+pub struct NumberedAnswer {
+    /// The number of the request.
     pub number: u64,
     /// The answer.
     pub answer: GroupAnswer,
 }
 
-/// What a dispatcher tells the leader.
+/// A dispatcher's report to the leader.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct DispatcherReport {
     /// Term in which it was sent; the leader of another one ignores it.
@@ -68,17 +71,17 @@
     pub applied: Revision,
     /// The node is stopping: its servers should go to other dispatchers.
     pub stopping: bool,
-    /// Servers of which there is something to tell.
+    /// Servers with something to report.
     pub servers: List<ServerReport>,
 }
 
-/// What a dispatcher tells of one server.
+/// A dispatcher's report on one server.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ServerReport {
     /// The server.
     pub server: ServerId,
     /// State of the session.
-    pub news: SessionNews,
+    pub status: SessionStatus,
     /// Load, about once a second.
     pub load: Option<ServerLoad>,
 }
@@ -86,9 +89,9 @@
 /// Load of one server.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 pub struct ServerLoad {
-    /// What the server says itself.
+    /// Load reported by the server.
     pub report: LoadReport,
-    /// What the dispatcher counts.
+    /// Load counted by the dispatcher.
     pub slices: List<SliceLoad>,
 }
 
@@ -103,19 +106,19 @@
         operation: GroupOperation,
     },
     /// Begins a request under an idempotency key.
-    BeginOnce {
-        /// Who asks.
+    BeginIdempotencyRecord {
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
     },
-    /// Ends it; `None` when it was not run.
-    EndOnce {
-        /// Who asks.
+    /// Ends a request under an idempotency key.
+    EndIdempotencyRecord {
+        /// The requester.
         owner: IdempotencyOwner,
         /// The key.
         key: IdempotencyKey,
-        /// How it ended.
+        /// How it ended; `None` if it was not executed.
         state: Option<IdempotencyState>,
     },
 }
@@ -125,10 +128,10 @@
 pub enum GroupAnswer {
     /// An operation ended.
     Operated(CommandResult),
-    /// A wish to begin was decided.
-    Once(IdempotencyVerdict),
+    /// A request to begin under an idempotency key was decided.
+    Idempotency(IdempotencyVerdict),
     /// The end of a request was recorded.
     Ended,
-    /// The asked replica doesn't lead; nothing was decided by it.
+    /// The replica is not the leader and made no decision.
     NotLeader,
 }
--- a/crates/ledgelead-replication/src/membership_change.rs
+++ b/crates/ledgelead-replication/src/membership_change.rs
@@ -1,28 +1,28 @@
-//! A leader's changes of the membership, and the transfer of leadership.
+//! Membership changes and leadership transfers by the leader.
 
 use crate::leader_state::Transfer;
 use crate::membership::{MembershipChange, MembershipError};
 use crate::message::{Body, Payload};
-use crate::progress::{Feed, Progress};
+use crate::progress::{Progress, ProgressState};
 use crate::replica::{Replica, State};
 use ledgelead_types::timing::LEADER_LEASE;
 use ledgelead_types::{Member, Revision, Time};
 
-/// Entries that a learner may lack and still be promoted; appends on their
-/// way to it under load.
+/// Entries that a learner may lack and still be promoted. Under load, some appends are
+/// always in flight to it.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 
-/// Why a transfer of leadership was not begun.
+/// Why a leadership transfer was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
         /// The leader, when known.
         leader: Option<Member>,
     },
-    /// Another transfer is under way.
+    /// Another transfer is in progress.
     InProgress,
-    /// The successor is this replica itself, or no voter.
+    /// The successor is this replica itself or not a voter.
     NotAnotherVoter,
 }
 
@@ -30,7 +30,7 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
             TransferError::NotLeader { .. } => "not the leader",
-            TransferError::InProgress => "another transfer is under way",
+            TransferError::InProgress => "another transfer is in progress",
             TransferError::NotAnotherVoter => "the successor must be another voter",
         })
     }
@@ -39,14 +39,14 @@
 impl std::error::Error for TransferError {}
 
 impl Replica {
-    /// Begins a change by one member and returns its position. It takes force
-    /// at once and is final when committed.
+    /// Starts a change of one member and returns its position. It takes effect immediately
+    /// and is final once committed.
     pub fn change_membership(
         &mut self,
         now: Time,
         change: MembershipChange,
     ) -> Result<Revision, MembershipError> {
-        self.observe(now);
+        self.advance_clock(now);
         self.check_change(change)?;
         let membership = self.log.membership().after(change)?;
         let revision = self.append_own(Payload::Membership(membership));
@@ -57,7 +57,7 @@
             leader.progress.insert(member, Progress::new(last));
         }
         if let MembershipChange::Remove(member) = change {
-            self.dismiss(member);
+            self.drop_removed_member(member);
         }
         Ok(revision)
     }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// A voter that lacks much of the log would hold up every commit that
-    /// needs it.
+    /// Checks that a learner is close to the end of the log. A voter that lacks many
+    /// entries would delay every commit that needs it.
     fn check_caught_up(&self, member: Member) -> Result<(), MembershipError> {
         let State::Leader(leader) = &self.state else {
             return Ok(());
@@ -91,19 +91,19 @@
         let Some(progress) = leader.progress.get(&member) else {
             return Err(MembershipError::NotMember);
         };
-        let heard = progress
+        let in_contact = progress
             .last_contact
-            .is_some_and(|heard| self.now.since(heard) <= LEADER_LEASE);
+            .is_some_and(|in_contact| self.now.since(in_contact) <= LEADER_LEASE);
         let near = progress.matched.0 + CAUGHT_UP_ENTRIES >= self.log.last_revision().0;
-        if heard && near && progress.feed == Feed::Replicate {
+        if in_contact && near && progress.state == ProgressState::Replicate {
             return Ok(());
         }
         Err(MembershipError::NotCaughtUp)
     }
 
-    /// Sends a removed member its removal, so that it stops standing for
-    /// election, and forgets it.
-    fn dismiss(&mut self, member: Member) {
+    /// Sends a removed member the entry that removes it, so that it stops starting
+    /// elections, and then drops its progress.
+    fn drop_removed_member(&mut self, member: Member) {
         self.send_appends();
         if let State::Leader(leader) = &mut self.state {
             leader.progress.remove(&member);
@@ -112,11 +112,10 @@
         self.advance_commit();
     }
 
-    /// Hands leadership to another voter once it holds the whole log. New
-    /// proposals are refused meanwhile; the attempt is given up after
-    /// [`LEADER_LEASE`].
+    /// Transfers leadership to another voter once it holds the whole log. New proposals are
+    /// refused meanwhile; the attempt times out after [`LEADER_LEASE`].
     pub fn transfer_leadership(&mut self, now: Time, to: Member) -> Result<(), TransferError> {
-        self.observe(now);
+        self.advance_clock(now);
         let is_voter = self.log.membership().is_voter(to);
         let State::Leader(leader) = &mut self.state else {
             let leader = self.leader;
@@ -131,14 +130,14 @@
         leader.transfer = Some(Transfer {
             to,
             until: self.now + LEADER_LEASE,
-            told: false,
+            notified: false,
         });
-        self.tell_successor();
+        self.notify_successor();
         Ok(())
     }
 
-    /// Tells the successor to stand once it holds the whole log.
-    pub(crate) fn tell_successor(&mut self) {
+    /// Tells the successor to start its election once it holds the whole log.
+    pub(crate) fn notify_successor(&mut self) {
         let last = self.log.last_revision();
         let State::Leader(leader) = &mut self.state else {
             return;
@@ -148,24 +147,24 @@
         };
         let progress = leader.progress.get(&transfer.to);
         let holds_log = progress.is_some_and(|progress| progress.matched == last);
-        if transfer.told || !holds_log {
+        if transfer.notified || !holds_log {
             return;
         }
-        transfer.told = true;
+        transfer.notified = true;
         let to = transfer.to;
-        self.send(to, Body::TransferNow);
+        self.send(to, Body::TimeoutNow);
     }
 
-    pub(crate) fn give_up_transfer(&mut self) {
+    pub(crate) fn abort_overdue_transfer(&mut self) {
         let now = self.now;
         if let State::Leader(leader) = &mut self.state {
             leader.transfer.take_if(|transfer| transfer.until <= now);
         }
     }
 
-    /// A leader that removed itself leads until its removal is committed, then
-    /// names the voter that holds most as successor.
-    pub(crate) fn leave_when_removed(&mut self) {
+    /// Makes a leader that removed itself step down once its removal is committed. It names
+    /// the voter with the longest matching log as its successor.
+    pub(crate) fn step_down_if_removed(&mut self) {
         let removed = !self.log.membership().is_voter(self.identity);
         let final_removal = self.log.membership_revision() <= self.commit;
         let State::Leader(leader) = &self.state else {
@@ -178,7 +177,7 @@
         let voters = &self.log.membership().voters;
         let successor = voters.iter().copied().max_by_key(|voter| matched(voter));
         if let Some(successor) = successor {
-            self.send(successor, Body::TransferNow);
+            self.send(successor, Body::TimeoutNow);
         }
         self.become_follower(self.term, None);
     }
--- a/crates/ledgelead-replication/src/replica.rs
+++ b/crates/ledgelead-replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, and the entry points that its caller steps.
+//! The replica: its state and the entry points for its caller.
 
 use crate::leader_state::LeaderState;
 use crate::log::{Log, Snapshot};
@@ -12,17 +12,17 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A point in time that is never reached.
+/// Wakeup time of a replica with nothing scheduled.
 const NEVER: Time = Time(u64::MAX);
 
-/// What a replica starts from.
+/// Initial settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     /// The group.
     pub group: GroupId,
     /// Generation of the replica set.
     pub epoch: Epoch,
-    /// This run of this node's process.
+    /// This node and the incarnation of its process.
     pub identity: Member,
     /// Voters at the start of the epoch.
     pub voters: Vec<Member>,
@@ -31,30 +31,31 @@
     pub start_state: Vec<u8>,
     /// Seed of the election delays.
     pub random_seed: u64,
-    /// All on, except in a simulation that proves its checker.
+    /// Safety checks. All are on, except in simulations that verify that a checker detects
+    /// a missing one.
     pub protections: Protections,
 }
 
-/// What a replica does at present.
+/// The role of a replica, with the data of that role.
 #[derive(Clone, Debug)]
 pub(crate) enum State {
-    /// Follows, or learns.
+    /// Follower or learner.
     Follower,
-    /// Asks whether it would be voted for (pre-vote).
-    Polling {
-        /// Whether it is the first poll since it followed somebody.
+    /// Collects pre-votes.
+    PreCandidate {
+        /// Whether this is the first pre-vote since it was a follower.
         first: bool,
-        /// Voters that would, itself included.
+        /// Voters that granted the pre-vote, including itself.
         granted: BTreeSet<Member>,
     },
-    /// Stands for election.
+    /// Candidate in an election.
     Candidate {
-        /// Voters that voted for it, itself included.
+        /// Voters that voted for it, including itself.
         granted: BTreeSet<Member>,
-        /// Whether the leader before asked it to.
+        /// Whether the previous leader asked it to.
         transfer: bool,
     },
-    /// Leads.
+    /// Leader.
     Leader(Box<LeaderState>),
 }
 
@@ -66,29 +67,29 @@
     pub(crate) identity: Member,
     pub(crate) protections: Protections,
     pub(crate) random: Pcg64Mcg,
-    /// The latest time that the caller told.
+    /// The latest time passed by the caller.
     pub(crate) now: Time,
     pub(crate) term: Term,
     pub(crate) voted_for: Option<Member>,
     pub(crate) leader: Option<Member>,
     pub(crate) state: State,
-    /// Whether the log starts from the group's state. A replica that isn't
-    /// one of the epoch's first voters has no state until a leader sends it.
+    /// Whether the replica holds the state that the log starts from. A replica that isn't
+    /// one of the epoch's first voters has none until a leader sends it.
     pub(crate) has_state: bool,
     pub(crate) log: Log,
     pub(crate) commit: Revision,
-    /// Last position given to the caller.
-    pub(crate) handed_out: Revision,
-    /// Until when it votes for nobody but the leader that it heard last. It
-    /// only grows, whatever term the replica moves to: the authority that
-    /// rests on it does not end earlier.
+    /// Last position delivered to the caller.
+    pub(crate) delivered: Revision,
+    /// Until when it votes only for the last leader that contacted it. It never decreases,
+    /// even when the term changes, because the authority that depends on the promise does
+    /// not end earlier either.
     pub(crate) promise_until: Time,
-    /// When to stand for election, unless a leader is heard before.
+    /// When to start an election, unless a leader makes contact before.
     pub(crate) election_at: Time,
     /// End of the authority delegated to this follower in this term.
     pub(crate) delegated_until: Time,
-    /// End of the authority that this leader gave to each follower.
-    pub(crate) given: BTreeMap<Member, Time>,
+    /// End of the authority that this leader delegated to each follower.
+    pub(crate) delegated_ends: BTreeMap<Member, Time>,
     pub(crate) former_authority_ends: Time,
     pub(crate) messages: Vec<(Member, ReplicationMessage)>,
     pub(crate) installed: Option<InstalledState>,
@@ -96,11 +97,11 @@
 }
 
 impl Replica {
-    /// A replica at the start of its process. One whose identity isn't among
+    /// Creates a replica at the start of its process. A replica whose identity isn't among
     /// the voters waits as a learner until a leader contacts it.
     ///
-    /// A run of a process makes one replica of a group and epoch at most: a
-    /// second one would have forgotten the votes and promises of the first.
+    /// A process must create at most one replica for each group and epoch: a second one
+    /// would not know the votes and promises of the first.
     pub fn new(settings: ReplicaSettings, now: Time) -> Replica {
         let identity = starting_identity(&settings);
         let has_state = settings.voters.contains(&identity);
@@ -124,11 +125,11 @@
             has_state,
             log: Log::new(snapshot, membership),
             commit: Revision(0),
-            handed_out: Revision(0),
+            delivered: Revision(0),
             promise_until: now,
             election_at: now,
             delegated_until: Time::ZERO,
-            given: BTreeMap::new(),
+            delegated_ends: BTreeMap::new(),
             former_authority_ends: Time::ZERO,
             messages: Vec::new(),
             installed: None,
@@ -139,10 +140,10 @@
         replica
     }
 
-    /// Takes a message of another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: Time, from: Member, message: ReplicationMessage) {
-        self.observe(now);
-        let from = self.known_identity(from);
+        self.advance_clock(now);
+        let from = self.sender_identity(from);
         let for_other_run = message.to != self.identity.incarnation;
         if for_other_run && self.protections.has(Protection::IncarnationCheck) {
             return;
@@ -155,26 +156,25 @@
             Body::Append(append) => self.handle_append(from, term, append),
             Body::Install(install) => self.handle_install(from, term, install),
             Body::AppendReply(reply) => self.handle_append_reply(from, term, reply),
-            Body::Poll(request) => self.handle_poll(from, term, request),
-            Body::PollReply(reply) => self.handle_poll_reply(from, term, reply),
+            Body::PreVote(request) => self.handle_pre_vote(from, term, request),
+            Body::PreVoteReply(reply) => self.handle_pre_vote_reply(from, term, reply),
             Body::Vote(request) => self.handle_vote(from, term, request),
             Body::VoteReply(reply) => self.handle_vote_reply(from, term, reply),
-            Body::TransferNow => self.handle_transfer_now(from, term),
+            Body::TimeoutNow => self.handle_timeout_now(from, term),
         }
     }
 
-    /// Does what is due. Call it at [`Replica::next_wakeup`] or later.
+    /// Performs the actions that are due. Call it at [`Replica::next_wakeup`] or later.
     pub fn tick(&mut self, now: Time) {
-        self.observe(now);
+        self.advance_clock(now);
         match &self.state {
             State::Leader(_) => self.tick_leader(),
-            _ if now >= self.election_at && self.may_stand() => self.start_poll(),
+            _ if now >= self.election_at && self.may_campaign() => self.start_pre_vote(),
             _ => {}
         }
     }
 
-    /// When [`Replica::tick`] has something to do, unless a message comes
-    /// before.
+    /// When to call [`Replica::tick`] next, unless a message arrives before.
     pub fn next_wakeup(&self) -> Time {
         match &self.state {
             State::Leader(leader) => {
@@ -184,24 +184,24 @@
                     .min(self.leadership_ends(leader))
                     .min(transfer_until)
             }
-            _ if self.may_stand() => self.election_at,
+            _ if self.may_campaign() => self.election_at,
             _ => NEVER,
         }
     }
 
-    /// Replaces the log up to an applied position by the state machine's
-    /// state as of it. Members that lack an entry that is gone are sent the
-    /// state. A position that wasn't handed out yet is ignored.
+    /// Replaces the log up to an applied position with the state machine's state at that
+    /// position. Members that need a removed entry are sent the state instead. A position
+    /// that wasn't delivered yet is ignored.
     pub fn compact(&mut self, revision: Revision, state: Vec<u8>) {
-        let applied = revision <= self.handed_out;
+        let applied = revision <= self.delivered;
         if applied && revision > self.log.snapshot().revision {
             self.log.compact(revision, state);
         }
     }
 
-    /// Notes the time, and that a leader which was silent for too long, as
-    /// after a pause of its process, leads no more.
-    pub(crate) fn observe(&mut self, now: Time) {
+    /// Advances the replica's time. A leader whose authority has run out, for instance
+    /// because its process was paused, steps down.
+    pub(crate) fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
         let State::Leader(leader) = &self.state else {
             return;
@@ -228,9 +228,9 @@
         self.messages.push((to, message));
     }
 
-    /// The member that a sender is taken for: itself, unless the check of
-    /// incarnations is switched off and only its node counts.
-    fn known_identity(&self, from: Member) -> Member {
+    /// The member that a message is attributed to: the sender, or with the incarnation
+    /// check disabled any known member on the same node.
+    fn sender_identity(&self, from: Member) -> Member {
         if self.protections.has(Protection::IncarnationCheck) {
             return from;
         }
@@ -240,8 +240,8 @@
     }
 }
 
-/// The member that a starting replica takes itself for: its own run, unless
-/// the check of incarnations is switched off.
+/// The identity of a starting replica: its own, or with the incarnation check disabled that
+/// of the voter on the same node.
 fn starting_identity(settings: &ReplicaSettings) -> Member {
     let identity = settings.identity;
     if settings.protections.has(Protection::IncarnationCheck) {
--- a/crates/ledgelead-request/src/dispatcher/mod.rs
+++ b/crates/ledgelead-request/src/dispatcher/mod.rs
@@ -1,28 +1,29 @@
-//! The dispatcher: hands out the slots of the servers in this node's care, in
-//! priority order over all gateways.
+//! The dispatcher: assigns the slots of the servers dispatched by this node, in priority
+//! order across all gateways.
 //!
-//! A service divided by key has one queue a server; another has one queue a
-//! group over all its servers here. A permit entitles a gateway to send one
-//! attempt to one server.
+//! A service that is partitioned by key has one queue per server, any other service one
+//! queue per group for all servers of the group here. A permit entitles a gateway to send
+//! one attempt to one server.
 
 mod acquire;
 mod admission;
 mod fair_queue;
 mod grant;
+mod idempotency;
 mod interface;
-mod once;
 mod queue;
 mod release;
 mod server;
 mod servers;
 mod slice_load;
-mod standing;
+mod standing_queue;
 mod tiers;
 
 pub use interface::{DispatcherInput, DispatcherOutput, DispatcherSettings, ServerSliceLoads};
 
 use crate::message::{DispatchReply, DispatchRequest};
 use crate::timers::Timers;
+use idempotency::PendingRecord;
 use ledgelead_types::configuration::Configuration;
 use ledgelead_types::dispatch::IdempotencyOwner;
 use ledgelead_types::protections::Protections;
@@ -32,7 +33,6 @@
 use ledgelead_types::{
     ConfigurationVersion, GroupId, Incarnation, Member, NodeId, ServerId, Span, Time,
 };
-use once::PendingOnce;
 use queue::{Queue, QueueKey, Waiting};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -43,29 +43,29 @@
 use std::sync::Arc;
 use tiers::TierShares;
 
-/// Names a wish or permit: an attempt of one run of a gateway.
+/// Identifies a permit or permit request: an attempt of one incarnation of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PermitKey {
     gateway: Member,
     attempt: AttemptId,
 }
 
-/// What a due time belongs to.
+/// What a timer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKey {
-    /// A waiting wish that can't be served in time any more.
+    /// A waiting permit request, at the latest time at which it can be granted.
     Waiting(PermitKey),
-    /// A permit that is out for long.
+    /// A permit that has been in use for long.
     Permit(PermitKey),
     /// A lost attempt that may still occupy its slot.
     Linger(PermitKey),
     /// A record that the group has not begun yet.
-    Once(IdempotencyOwner),
-    /// A queue with work: leases, drains and ejections change with time.
+    Record(IdempotencyOwner),
+    /// A non-empty queue: leases, drains and ejections change with time.
     Queue(QueueKey),
 }
 
-/// All decisions about the slots of the servers in this node's care.
+/// State machine for the slots of the servers dispatched by this node.
 pub struct Dispatcher {
     node: NodeId,
     protections: Protections,
@@ -73,21 +73,21 @@
     configuration_version: Option<ConfigurationVersion>,
     shares: TierShares,
     servers: BTreeMap<ServerId, ServerState>,
-    /// Servers here, by group.
+    /// Servers dispatched here, by group.
     pools: BTreeMap<GroupId, Vec<ServerId>>,
     routes: BTreeMap<GroupId, Arc<GroupRoutes>>,
     queues: BTreeMap<QueueKey, Queue>,
     waiting: BTreeMap<PermitKey, Waiting>,
     permits: BTreeMap<PermitKey, Permit>,
     lingering: BTreeMap<PermitKey, ServerId>,
-    pending_once: BTreeMap<IdempotencyOwner, PendingOnce>,
+    pending_records: BTreeMap<IdempotencyOwner, PendingRecord>,
     slice_loads: SliceLoads,
     timers: Timers<TimerKey>,
     outputs: Vec<DispatcherOutput>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that has no servers yet.
+    /// A dispatcher without servers.
     pub fn new(settings: DispatcherSettings, _now: Time) -> Dispatcher {
         Dispatcher {
             node: settings.node,
@@ -102,7 +102,7 @@
             waiting: BTreeMap::new(),
             permits: BTreeMap::new(),
             lingering: BTreeMap::new(),
-            pending_once: BTreeMap::new(),
+            pending_records: BTreeMap::new(),
             slice_loads: SliceLoads::default(),
             timers: Timers::new(),
             outputs: Vec::new(),
@@ -114,7 +114,7 @@
         self.node
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input at `now`.
     pub fn step(&mut self, now: Time, input: DispatcherInput) {
         match input {
             DispatcherInput::Message { from, message } => self.message(now, from, message),
@@ -125,24 +125,24 @@
             DispatcherInput::Routes(routes) => self.routes_changed(now, routes),
             DispatcherInput::ServerLoad { server, load } => self.server_load(now, server, load),
             DispatcherInput::Configuration(configuration) => self.configure(&configuration),
-            DispatcherInput::OnceDecided {
+            DispatcherInput::IdempotencyRecordDecided {
                 owner,
                 key,
                 verdict,
-            } => self.once_decided(now, owner, key, verdict),
+            } => self.record_decided(now, owner, key, verdict),
             DispatcherInput::GatewayLost(node) => self.gateway_lost(now, node),
         }
     }
 
-    /// Does what has become due by `now`.
+    /// Handles the timers that are due at `now`.
     pub fn tick(&mut self, now: Time) {
         while let Some(key) = self.timers.pop_due(now) {
             match key {
-                TimerKey::Waiting(key) => self.waited_too_long(now, key),
+                TimerKey::Waiting(key) => self.refuse_overdue(now, key),
                 TimerKey::Permit(key) => self.check_permit(now, key),
                 TimerKey::Linger(key) => self.end_linger(now, key),
-                TimerKey::Once(owner) => self.repeat_begin(now, owner),
-                TimerKey::Queue(queue) => self.pump(now, queue),
+                TimerKey::Record(owner) => self.resend_begin(now, owner),
+                TimerKey::Queue(queue) => self.grant_waiting(now, queue),
             }
         }
     }
@@ -152,18 +152,18 @@
         self.timers.next()
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the outputs produced since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<DispatcherOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Load of the slices of the servers here.
+    /// Load of the slices of the servers dispatched here.
     pub fn slice_loads(&self, now: Time) -> Vec<ServerSliceLoads> {
         let is_here = |server| self.servers.contains_key(&server);
         self.slice_loads.loads(now, is_here)
     }
 
-    /// Load of the servers here.
+    /// Load of the servers dispatched here.
     pub fn server_views(&self, now: Time) -> Vec<ServerLoadView> {
         self.servers
             .iter()
@@ -178,7 +178,7 @@
             .collect()
     }
 
-    /// Wishes that wait for this server, or for any of its group.
+    /// Number of permit requests queued for this server or for any server of its group.
     fn queued_for(&self, server: ServerId, group: GroupId) -> u32 {
         let length = |key: QueueKey| self.queues.get(&key).map_or(0, |queue| queue.fair.len());
         let queued = length(QueueKey::Server(server)) + length(QueueKey::Pool(group));
@@ -214,8 +214,10 @@
             DispatchRequest::Withdraw { gateway, attempt } => {
                 self.withdraw(now, key(gateway, attempt));
             }
-            DispatchRequest::Holding { gateway, attempt } => self.holding(key(gateway, attempt)),
-            DispatchRequest::EndOnce {
+            DispatchRequest::PermitInUse { gateway, attempt } => {
+                self.confirm_permit(key(gateway, attempt))
+            }
+            DispatchRequest::EndIdempotencyRecord {
                 gateway,
                 request,
                 group,
@@ -227,7 +229,7 @@
                     incarnation: gateway,
                 };
                 let owner = IdempotencyOwner { gateway, request };
-                self.end_once(now, owner, group, key, state);
+                self.end_record(now, owner, group, key, state);
             }
         }
     }
@@ -239,7 +241,8 @@
         });
     }
 
-    /// Spreads the return of refused callers: up to half as long again.
+    /// Adds up to half of the span at random, so that refused callers don't all retry at
+    /// once.
     fn jittered(&mut self, span: Span) -> Span {
         let factor: f64 = self.random.random_range(1.0..1.5);
         span.times(factor)
--- a/crates/ledgelead-request/src/gateway/forward.rs
+++ b/crates/ledgelead-request/src/gateway/forward.rs
@@ -1,24 +1,24 @@
-//! Forward: the attempt at a server, and what its end leads to.
+//! Sends attempts to servers and handles their results.
 
 use super::Gateway;
-use super::evidence::{self, Verdict};
+use super::evidence::{self, AttemptOutcome};
 use super::interface::GatewayOutput;
-use super::request::{ActiveRequest, Flight, Search, Stage};
-use crate::message::{PermitEnd, Wanted};
+use super::request::{ActiveRequest, PermitSearch, SearchStage, SentAttempt};
+use crate::message::{PermitEnd, ServerSelector};
 use ledgelead_types::protections::Protection;
 use ledgelead_types::request::{AttemptId, Forward};
 use ledgelead_types::server::{AttemptResult, ServerRefusal};
 use ledgelead_types::{Outcome, RequestId, ServerId, Time};
 
 impl Gateway {
-    /// Sends the request to the server that its permit names.
+    /// Sends the request to the server named by its permit.
     pub(super) fn forward(&mut self, now: Time, id: RequestId, server: ServerId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(Search {
+        let Some(PermitSearch {
             number,
-            stage: Stage::Acquiring(acquiring),
+            stage: SearchStage::Acquiring(acquiring),
             ..
         }) = request.search.take()
         else {
@@ -35,9 +35,9 @@
             self.hold(now, id);
             return;
         };
-        let ownership = match acquiring.wanted {
-            Wanted::Owner { claim, .. } => Some(claim),
-            Wanted::Any { .. } => None,
+        let ownership = match acquiring.selector {
+            ServerSelector::Owner { claim, .. } => Some(claim),
+            ServerSelector::Any { .. } => None,
         };
         request.sent = request.sent.saturating_add(1);
         request.avoid = Some(server);
@@ -49,7 +49,7 @@
             deadline: request.deadline.since(now),
             tier: request.tier,
         };
-        request.flights.push(Flight {
+        request.sent_attempts.push(SentAttempt {
             number,
             group: acquiring.group,
             server,
@@ -58,82 +58,94 @@
             sent_at: now,
         });
         self.outputs.push(GatewayOutput::Forward(forward));
-        self.plan_hedge(now, id);
+        self.schedule_hedge(now, id);
     }
 
-    /// Takes the end of an attempt in. The permit goes back; an attempt whose
-    /// request has its outcome, or that is not known, changes nothing else.
+    /// Handles the result of an attempt. The permit is released; if the request is already
+    /// finished or the attempt unknown, nothing else changes.
     pub(super) fn attempt_ended(&mut self, now: Time, attempt: AttemptId, result: AttemptResult) {
-        if let Some(flight) = self.take_detached(attempt) {
-            self.give_permit_back(now, attempt, &flight, result);
-            self.answer_crossed(now, attempt, result);
+        if let Some(sent_attempt) = self.take_detached(attempt) {
+            self.return_permit(now, attempt, &sent_attempt, result);
+            self.deliver_mismatched_answer(now, attempt, result);
             return;
         }
         let Some(request) = self.requests.get_mut(&attempt.request) else {
             return;
         };
-        let Some(flight) = take_flight(request, attempt.number) else {
+        let Some(sent_attempt) = take_sent_attempt(request, attempt.number) else {
             return;
         };
         let (service, repeatable) = (request.service, request.repeatable);
         request.hedge_at = None;
-        self.give_permit_back(now, attempt, &flight, result);
+        self.return_permit(now, attempt, &sent_attempt, result);
         if matches!(result, AttemptResult::Answered { failure: false }) {
-            let latency = now.since(flight.sent_at);
-            self.service_state(service).answered(latency);
+            let latency = now.since(sent_attempt.sent_at);
+            self.service_state(service).record_latency(latency);
         }
-        if !self.answer_crossed(now, attempt, result) {
-            let verdict = evidence::judge(result, repeatable, self.protections);
-            self.follow(now, attempt, verdict);
+        if !self.deliver_mismatched_answer(now, attempt, result) {
+            let attempt_outcome = evidence::classify_result(result, repeatable, self.protections);
+            self.apply_outcome(now, attempt, attempt_outcome);
         }
         self.reschedule(attempt.request);
     }
 
-    fn follow(&mut self, now: Time, attempt: AttemptId, verdict: Verdict) {
+    fn apply_outcome(&mut self, now: Time, attempt: AttemptId, attempt_outcome: AttemptOutcome) {
         let id = attempt.request;
-        match verdict {
-            Verdict::PassOn => self.finish(now, id, Outcome::Answered, Some(attempt), None),
-            Verdict::SendAgain(cause) => self.send_again(now, attempt, cause),
-            Verdict::NotRun(reason) => {
+        match attempt_outcome {
+            AttemptOutcome::ForwardAnswer => {
+                self.finish(now, id, Outcome::Answered, Some(attempt), None)
+            }
+            AttemptOutcome::Retry(cause) => self.retry_request(now, attempt, cause),
+            AttemptOutcome::NotRun(reason) => {
                 self.withdraw(id);
                 self.end_search_not_run(now, id, reason, None);
             }
-            Verdict::Unknown(reason) => {
-                let outcome = self.honest_or_not(reason);
+            AttemptOutcome::Unknown(reason) => {
+                let outcome = self.unknown_outcome(reason);
                 self.finish(now, id, outcome, None, None);
             }
         }
     }
 
-    fn give_permit_back(
+    fn return_permit(
         &mut self,
         now: Time,
         attempt: AttemptId,
-        flight: &Flight,
+        sent_attempt: &SentAttempt,
         result: AttemptResult,
     ) {
-        let service_time = now.since(flight.sent_at);
-        self.release(flight.dispatcher, attempt, permit_end(result), service_time);
+        let service_time = now.since(sent_attempt.sent_at);
+        self.release(
+            sent_attempt.dispatcher,
+            attempt,
+            permit_end(result),
+            service_time,
+        );
         let failed = evidence::is_server_failure(result);
-        let count = self.failure_counts.entry(flight.server).or_default();
+        let count = self.failure_counts.entry(sent_attempt.server).or_default();
         if let Some(failures) = count.observe(now, failed) {
             self.outputs.push(GatewayOutput::Evidence {
-                group: flight.group,
-                server: flight.server,
+                group: sent_attempt.group,
+                server: sent_attempt.server,
                 failures,
             });
         }
     }
 
-    /// Only for the checker's own proof, with [`Protection::AnswerMatch`]
-    /// off: hands an answer to the oldest request in flight, whichever
-    /// attempt it belongs to.
-    fn answer_crossed(&mut self, now: Time, attempt: AttemptId, result: AttemptResult) -> bool {
+    /// With [`Protection::AnswerMatch`] off, hands an answer to the oldest request in
+    /// flight, whichever attempt it belongs to, which the simulation's checker has to
+    /// detect.
+    fn deliver_mismatched_answer(
+        &mut self,
+        now: Time,
+        attempt: AttemptId,
+        result: AttemptResult,
+    ) -> bool {
         let answered = matches!(result, AttemptResult::Answered { .. });
         if self.protections.has(Protection::AnswerMatch) || !answered {
             return false;
         }
-        let in_flight = |request: &&ActiveRequest| !request.flights.is_empty();
+        let in_flight = |request: &&ActiveRequest| !request.sent_attempts.is_empty();
         let Some(oldest) = self.requests.values().find(in_flight) else {
             return false;
         };
@@ -143,16 +155,16 @@
     }
 }
 
-/// Takes an attempt that is at a server out of its request.
-pub(super) fn take_flight(request: &mut ActiveRequest, number: u8) -> Option<Flight> {
+/// Removes a sent attempt from its request.
+pub(super) fn take_sent_attempt(request: &mut ActiveRequest, number: u8) -> Option<SentAttempt> {
     let index = request
-        .flights
+        .sent_attempts
         .iter()
-        .position(|flight| flight.number == number)?;
-    Some(request.flights.remove(index))
+        .position(|sent_attempt| sent_attempt.number == number)?;
+    Some(request.sent_attempts.remove(index))
 }
 
-/// What the dispatcher is told of an attempt's end.
+/// The end of the permit that is reported to the dispatcher.
 fn permit_end(result: AttemptResult) -> PermitEnd {
     match result {
         AttemptResult::Answered { failure: false } => PermitEnd::Answered,
