--- a/crates/ledgelead-router/src/dispatch/mod.rs
+++ b/crates/ledgelead-router/src/dispatch/mod.rs
@@ -2,9 +2,9 @@
 //! many are in flight.
 //!
 //! With sixty nodes and a hundred owners of keys, a node sends an owner one request every few
-//! seconds, and knows of the requests of other nodes only from a digest that is 100 to 400 ms
-//! old. Without coordination, requests meet in the queue of an instance, behind others that
-//! can no longer meet their target. So one node in the instance's zone, its dispatcher, grants
+//! seconds, and knows the requests of other nodes only from a digest that is 100 to 400 ms old.
+//! Without coordination, requests meet in the queue of an instance, behind others that can no
+//! longer meet their target. So one node in the instance's zone, its dispatcher, grants
 //! permits: as many at a time as there are slots, ordered by urgency and time left. Requests
 //! that can't meet their target are refused at once. Each owner of keys has its own queue; the
 //! instances of a zone that serve a service without keys share one. `docs/design/dispatch.md`
--- a/crates/ledgelead-router/src/dispatch/queue.rs
+++ b/crates/ledgelead-router/src/dispatch/queue.rs
@@ -87,8 +87,8 @@
         /// The load reported by the instance, if any.
         load: Option<InstanceLoad>,
     },
-    /// The end tells nothing about the instance: the request was not run, was never sent, or
-    /// its caller left.
+    /// The end says nothing about the instance: the request was not run, was never sent, or its
+    /// caller left.
     NoSample,
     /// The instance rejected the request and wants none from that node for this time.
     BackedOff(Duration),
@@ -106,9 +106,8 @@
     pub waiting: usize,
 }
 
-/// Order of service. Callers that waited as long as they were told come first, then requests
-/// with the usual service time, then those that can meet their target, then the most urgent
-/// ones.
+/// Order of service. Callers that did not return early come first, then requests with the usual
+/// service time, then those that can meet their target, then the most urgent ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Class {
     is_early: bool,
--- a/crates/ledgelead-router/src/dispatch/servers.rs
+++ b/crates/ledgelead-router/src/dispatch/servers.rs
@@ -19,7 +19,7 @@
 /// with idle slots send one more request ahead.
 const EXTRA_PERMIT_STEP: f64 = 0.25;
 /// Ejection rules for instances of a pool. A dispatcher sees all requests of its zone to an
-/// instance, so that two failures in a row tell more than at a node that sends only a few.
+/// instance, so that two failures in a row mean more than at a node that sends only a few.
 const FAILURE_RULES: FailureRules = FailureRules {
     outcome_weight: 0.15,
     eject_after: 2,
@@ -257,7 +257,7 @@
     }
 
     /// Records that an instance wants no requests from some node until then. Other instances
-    /// are preferred for all nodes; the node that was told sends nothing there whatever it is
+    /// are preferred for all nodes; that node itself sends nothing there whatever it is
     /// granted.
     pub(super) fn record_backoff(&mut self, server: u64, until: Timestamp) {
         if let Some(state) = self.states.get_mut(&server) {
--- a/crates/ledgelead-router/src/node/coordination.rs
+++ b/crates/ledgelead-router/src/node/coordination.rs
@@ -346,7 +346,7 @@
         coordinator.and_then(Coordinator::pending_write) == Some(record)
     }
 
-    /// Takes up or gives up the coordinator role after a change of the record.
+    /// Assumes or gives up the coordinator role after a change of the record.
     pub(super) fn reconcile_role(
         &mut self,
         started: Timestamp,
--- a/crates/ledgelead-router/src/node/messaging.rs
+++ b/crates/ledgelead-router/src/node/messaging.rs
@@ -103,8 +103,8 @@
 }
 
 impl Node {
-    /// Sends the heartbeats and reports that are due, and stops following a coordinator that
-    /// is no longer heard.
+    /// Sends the heartbeats and reports that are due, and stops following a coordinator whose
+    /// view is no longer recent.
     pub(super) fn send_due_messages(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.messaging.next_heartbeat <= now {
             self.messaging.next_heartbeat = now + HEARTBEAT_INTERVAL;
@@ -415,7 +415,7 @@
     }
 
     /// Only the first nodes in the order of succession read the record immediately. The others
-    /// hear from the successor, or notice missing heartbeats of the coordinator.
+    /// receive the heartbeats of the successor, or notice that heartbeats are missing.
     fn resignation_announced(&mut self, epoch: u64, now: Timestamp, out: &mut Vec<Action>) {
         let current = epoch >= self.ownership.record().epoch;
         if current && self.campaign_rank() < PROMPT_SUCCESSORS {
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Distribution of instances' rate limits among nodes, and requests for tokens.
+//! Distribution of instances' rate limits among nodes, and messages about tokens.
 //!
 //! A limit applies to all nodes together, but an instance announces it to one node at a time.
 //! So a node reports the limits it finds in responses to the coordinator, which announces them
--- a/crates/ledgelead-router/src/node/relay/gaps.rs
+++ b/crates/ledgelead-router/src/node/relay/gaps.rs
@@ -81,8 +81,8 @@
         RelayedKind::ALL.into_iter().map(of_kind).collect()
     }
 
-    /// Another node knows of a change at this revision. If this node has missed it, it asks
-    /// the coordinator, and after a delay the store.
+    /// Handles the announcement of a revision by another node. If this node lacks changes up to
+    /// it, it asks the coordinator, and after a delay the store.
     pub(in crate::node) fn revision_announced(
         &mut self,
         kind: RelayedKind,
--- a/crates/ledgelead-router/src/node/relay/objects.rs
+++ b/crates/ledgelead-router/src/node/relay/objects.rs
@@ -31,7 +31,7 @@
     /// Announces the changes that the store has reported to this coordinator up to a revision.
     /// The list starts at the last change of the same kind, not at the revision from which the
     /// watch continued. The store's revision also increases with objects of other kinds, which
-    /// the other nodes don't hear of.
+    /// are not part of these lists.
     pub(in crate::node) fn relay_changes(
         &mut self,
         kind: ObjectKind,
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -243,8 +243,8 @@
         nodes.defer(now + election);
     }
 
-    /// A coordinator is heard before this node has listed the nodes. It relays the changes
-    /// after a list that may be stale, so that the list can be made later.
+    /// Defers the list of nodes if a coordinator is heard before this node has made it. The
+    /// list may then be stale, since the coordinator relays the changes after it.
     fn defer_node_list(&mut self, now: Timestamp) {
         let pause = self.cold_start.list;
         let nodes = self.watcher(ObjectKind::Nodes);
@@ -263,7 +263,7 @@
         self.watcher(kind).defer(now + pause);
     }
 
-    /// A coordinator is heard: the deferred pages are requested from other nodes.
+    /// Requests the deferred pages from other nodes, once a coordinator is heard.
     fn resume_large_lists(&mut self, now: Timestamp) {
         for kind in [ObjectKind::Instances, ObjectKind::Nodes] {
             let watcher = self.watcher(kind);
@@ -297,7 +297,7 @@
         &mut self.watchers[kind as usize]
     }
 
-    /// Adjusts the watches when this node takes up or gives up the coordinator role.
+    /// Adjusts the watches when this node assumes or gives up the coordinator role.
     pub(super) fn set_coordinating(&mut self, coordinating: bool, now: Timestamp) {
         self.coordinating = coordinating;
         for watcher in &mut self.watchers {
--- a/crates/ledgelead-router/src/rate_limit/limiter.rs
+++ b/crates/ledgelead-router/src/rate_limit/limiter.rs
@@ -3,7 +3,7 @@
 //!
 //! An overloaded instance may announce a rate far below the number of requests that many nodes
 //! have for it, each of them only a few. A fixed share per node would be a fraction of a
-//! request a second, and mostly unused; so nodes ask for a token per request.
+//! request a second, and mostly unused; so nodes request a token for each request.
 //!
 //! No agreement between nodes is needed. At most two nodes hand out tokens for an instance:
 //! the primary limiter, chosen by rendezvous hashing, at the announced rate, and the secondary
@@ -32,7 +32,7 @@
 const MIN_RATE: f64 = 0.25;
 /// Maximum time after which a refused node asks again.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Added to waits, since messages carry whole milliseconds: a node must not ask just before
+/// Added to waits, since messages carry whole milliseconds: a node must not return just before
 /// its token is available.
 const ROUNDING: Duration = Duration::from_millis(1);
 /// How long an unused bucket is kept.
@@ -72,7 +72,7 @@
     tokens: f64,
     filled_at: Timestamp,
     used_at: Timestamp,
-    /// When refused nodes were told to ask again.
+    /// When each refused node may request a token again.
     retry_at: BTreeMap<SocketAddr, Timestamp>,
 }
 
--- a/crates/ledgelead-router/src/requests/answers.rs
+++ b/crates/ledgelead-router/src/requests/answers.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// Builds the response that tells a client of a refusal, and when to retry.
+/// Builds the response to a refused request, with the time after which to retry.
 pub fn refusal(
     request: &Request,
     reason: Refusal,
--- a/crates/ledgelead-router/src/requests/lifecycle/mod.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/mod.rs
@@ -396,7 +396,7 @@
         self.forget_timers(client, &open);
         self.drop_permit(open.permit.take(), PermitOutcome::NoSample);
         if let Some(attempt) = open.attempt.take() {
-            // A client that disconnects tells nothing about the instance.
+            // The disconnection of a client says nothing about the instance.
             self.end_attempt(&attempt, PermitOutcome::NoSample);
             out.push(Action::Cancel {
                 exchange: attempt.exchange,
--- a/crates/ledgelead-router/src/requests/lifecycle/retries.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/retries.rs
@@ -100,7 +100,7 @@
             return true;
         };
         if cause == Some(RejectionCause::RequestedBackoff) {
-            // The instance gets no requests until its pause ends. The rejection tells nothing
+            // The instance gets no requests until its pause ends. The rejection says nothing
             // about how it would treat another request, and is no failure.
             return false;
         }
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -95,7 +95,7 @@
         };
         let earlier = open.token.take();
         let same = earlier.filter(|token| token.instance == *instance);
-        let asked = match same.map(|token| token.state) {
+        let earlier_request = match same.map(|token| token.state) {
             Some(TokenState::Requested {
                 limiter,
                 requests_sent,
@@ -105,7 +105,8 @@
         };
         let known = context.directory.get(instance);
         let zone = known.map(|instance| instance.record.zone.clone());
-        let in_zone = |zone: &ZoneName| self.limiter_to_ask(instance, zone, asked, context);
+        let in_zone =
+            |zone: &ZoneName| self.limiter_to_ask(instance, zone, earlier_request, context);
         let limiter = zone.as_ref().and_then(in_zone);
         let statement = self.statistics.limits.statement(hash);
         let (Some((limiter, requests_sent)), Some(zone), Some(statement)) =
@@ -145,7 +146,7 @@
         &mut self,
         instance: &InstanceId,
         zone: &ZoneName,
-        asked: Option<(SocketAddr, usize)>,
+        earlier_request: Option<(SocketAddr, usize)>,
         context: &RequestContext<'_>,
     ) -> Option<(SocketAddr, usize)> {
         let own = context.registry.get(context.node).map(|node| node.address);
@@ -153,7 +154,7 @@
             return own.map(|own| (own, 1));
         }
         let candidates = Candidates::of_limit(instance.stable_hash(), zone, context.registry)?;
-        if let Some((limiter, requests_sent)) = asked {
+        if let Some((limiter, requests_sent)) = earlier_request {
             if requests_sent < MAX_REQUESTS_PER_LIMITER {
                 return Some((limiter, requests_sent + 1));
             }
--- a/crates/ledgelead-router/src/requests/permits.rs
+++ b/crates/ledgelead-router/src/requests/permits.rs
@@ -153,7 +153,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PermitCounters {
     /// Permits requested.
-    pub asked: u64,
+    pub requested: u64,
     /// Requests that needed a permit and proceeded without one: no candidate replied or is
     /// known, the wait ended, or the granted instance left. Slow or declining dispatchers
     /// don't count.
@@ -211,7 +211,7 @@
         request: PermitRequest,
         now: Timestamp,
     ) -> PermitHandle {
-        self.counters.asked += 1;
+        self.counters.requested += 1;
         self.next_probe = now + PROBE_INTERVAL;
         self.last_number = self.last_number.wrapping_add(1);
         let number = self.last_number;
--- a/crates/ledgelead-router/tests/identity.rs
+++ b/crates/ledgelead-router/tests/identity.rs
@@ -41,7 +41,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn each_text_names_one_life(
+    fn each_text_names_one_incarnation(
         name in "[a#0-9é]{0,6}",
         born in proptest::option::of(prop_oneof![0u64..20, proptest::num::u64::ANY]),
     ) {
--- a/crates/ledgelead-router/tests/node/arbitrary_input.rs
+++ b/crates/ledgelead-router/tests/node/arbitrary_input.rs
@@ -350,14 +350,14 @@
         (number(), short(), short_list(open)).prop_map(|(incarnation, idle_limit_ms, changes)| {
             PeerMessage::OpenRequestCounts {
                 incarnation,
-                idle_limit_ms: idle_limit_ms,
+                idle_limit_ms,
                 changes,
             }
         }),
         (any::<u8>(), short(), short_list(digest)).prop_map(|(zones, idle_limit_ms, entries)| {
             PeerMessage::LoadDigest {
                 zones,
-                idle_limit_ms: idle_limit_ms,
+                idle_limit_ms,
                 entries,
             }
         }),
@@ -388,15 +388,13 @@
         short_list(aged()),
         short_list(aged()),
     )
-        .prop_map(
-            |(digest, path, ends, acquitted, quarantined)| RequestEntry {
-                digest,
-                path,
-                ends,
-                cleared: acquitted,
-                quarantined,
-            },
-        );
+        .prop_map(|(digest, path, ends, cleared, quarantined)| RequestEntry {
+            digest,
+            path,
+            ends,
+            cleared,
+            quarantined,
+        });
     (any::<bool>(), short_list(aged()), short_list(request)).prop_map(
         |(wants_reply, alive, requests)| PeerMessage::Evidence {
             wants_reply,
--- a/crates/ledgelead-router/tests/node/response_notices.rs
+++ b/crates/ledgelead-router/tests/node/response_notices.rs
@@ -5,7 +5,7 @@
 //! response that it was leaving. Two nodes that had relayed such responses still sent it
 //! requests 2.03 s and 2.37 s later, and none logged `instance_drains` before 20.15 s.
 //!
-//! If a node ignores that a rejection may ask for a pause, it sends requests in vain: four of
+//! If a node ignores that a rejection may request a pause, it sends requests in vain: four of
 //! 14 owners answered 503 with `Retry-After: 3`, and a node sent one of them up to 12 requests
 //! within that time, and each request up to four times (the second time after 62 ms).
 
@@ -31,7 +31,7 @@
     response
 }
 
-/// A rejection that asks for a pause of this many seconds.
+/// A rejection that requests a pause of this many seconds.
 fn pause_response(seconds: &str) -> Response {
     let mut response = Response::new(503, "");
     response.headers.push("not-executed", "1");
--- a/crates/ledgelead-router/tests/node/store_eras.rs
+++ b/crates/ledgelead-router/tests/node/store_eras.rs
@@ -1,9 +1,9 @@
-//! A store that is restored from an older copy: what it has acknowledged since is lost, its
+//! A store that is restored from a backup: what it has acknowledged since is lost, its
 //! revisions are assigned again, and its era increases.
 //!
 //! A coordinator that continued from a lost revision had each of its writes refused. A node
-//! that started took the copy for the latest record, and granted keys that other instances
-//! held.
+//! that started took the restored record for the latest one, and granted keys that other
+//! instances held.
 
 use crate::fixture::{
     Fixture, KEYED, all_keys_of, configuration, ms, node_record, owned_store, store_without_owners,
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -19,7 +19,7 @@
     Duration::from_millis(ms)
 }
 
-fn asker(number: u8) -> SocketAddr {
+fn requester(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
@@ -36,7 +36,7 @@
 ) -> Vec<u64> {
     let asks = span.step_by(5);
     let is_granted = |at: &u64| {
-        let status = limiter.request_token(asker(1), INSTANCE, limit, role, ms(*at));
+        let status = limiter.request_token(requester(1), INSTANCE, limit, role, ms(*at));
         status == TokenStatus::Granted
     };
     asks.filter(is_granted).collect()
@@ -178,7 +178,7 @@
     granted(&mut limiter, limit(5_000), LimiterRole::Primary, 0..4_005);
     let mut wait_of = |number| {
         let role = LimiterRole::Primary;
-        match limiter.request_token(asker(number), INSTANCE, limit(5_000), role, ms(4_010)) {
+        match limiter.request_token(requester(number), INSTANCE, limit(5_000), role, ms(4_010)) {
             TokenStatus::Refused(wait) => wait,
             status => panic!("{status:?}"),
         }
@@ -229,28 +229,44 @@
     expect_that!(limits.is_empty(), eq(true));
 }
 
-/// The state of a limiter in whose place another is asked every 100 ms for this long.
-fn asked_for(failover: &mut LimiterFailover, span: std::ops::Range<u64>) -> FailoverStatus {
-    let standings = span
+/// The status of a limiter in whose place another one gets a request every 100 ms for this
+/// long.
+fn status_after_requests_for(
+    failover: &mut LimiterFailover,
+    span: std::ops::Range<u64>,
+) -> FailoverStatus {
+    let statuses = span
         .step_by(100)
-        .map(|at| failover.record_fallback_request(asker(1), ms(at)));
-    standings.last().expect("an ask")
+        .map(|at| failover.record_fallback_request(requester(1), ms(at)));
+    statuses.last().expect("a request")
 }
 
 #[gtest]
 fn the_secondary_limiter_replaces_a_permanently_lost_primary() {
     let mut failover = LimiterFailover::default();
-    expect_that!(asked_for(&mut failover, 0..9_900).is_lost, eq(false));
-    expect_that!(asked_for(&mut failover, 9_900..10_200).is_lost, eq(true));
-    failover.record_message(asker(1));
-    expect_that!(asked_for(&mut failover, 10_200..19_000).is_lost, eq(false));
+    expect_that!(
+        status_after_requests_for(&mut failover, 0..9_900).is_lost,
+        eq(false)
+    );
+    expect_that!(
+        status_after_requests_for(&mut failover, 9_900..10_200).is_lost,
+        eq(true)
+    );
+    failover.record_message(requester(1));
+    expect_that!(
+        status_after_requests_for(&mut failover, 10_200..19_000).is_lost,
+        eq(false)
+    );
 }
 
 #[gtest]
 fn silence_counts_only_while_the_primary_limiter_is_needed() {
     let mut failover = LimiterFailover::default();
-    asked_for(&mut failover, 0..1_000);
-    expect_that!(asked_for(&mut failover, 11_000..12_000).is_lost, eq(false));
+    status_after_requests_for(&mut failover, 0..1_000);
+    expect_that!(
+        status_after_requests_for(&mut failover, 11_000..12_000).is_lost,
+        eq(false)
+    );
 }
 
 #[gtest]
@@ -259,7 +275,7 @@
     let asks = (0..5_000).step_by(100);
     let probes = asks.filter(|at| {
         failover
-            .record_fallback_request(asker(1), ms(*at))
+            .record_fallback_request(requester(1), ms(*at))
             .is_probed
     });
     expect_that!(probes.count(), eq(5));
--- a/crates/ledgelead-runtime/src/metrics.rs
+++ b/crates/ledgelead-runtime/src/metrics.rs
@@ -324,7 +324,7 @@
         registry,
         "permits_asked",
         "Permits that requests here have asked dispatchers for",
-        status.permits.asked,
+        status.permits.requested,
     );
     counter(
         registry,
