--- a/crates/ledgelead-query/src/answer.rs
+++ b/crates/ledgelead-query/src/answer.rs
@@ -1,4 +1,4 @@
-//! Whole texts: queries to tables, commands to a plan.
+//! Evaluates a text of queries, or plans a text of commands.
 
 use crate::evaluate::{evaluate, owner};
 use crate::explain::explain;
@@ -9,26 +9,26 @@
 use crate::tree::Statement;
 use ledgelead_types::view::NodeView;
 
-/// Queries that one text may have: each looks at the whole view.
-const MOST_QUERIES: usize = 32;
+/// Maximum number of queries in one text; each scans the whole view.
+const MAX_QUERIES: usize = 32;
 
-/// Answers a text of queries: one table for each.
+/// Evaluates a text of queries; returns one table per query.
 ///
 /// # Errors
-/// Everything that is wrong with the text, in the order of its places.
+/// All errors in the text, ordered by position.
 pub fn answer(text: &str, view: &NodeView) -> Result<Vec<Table>, Findings> {
     let parsed = parse(text);
     let mut findings = parsed.findings;
     let mut tables = Vec::new();
-    note_empty(&parsed.statements, text, &mut findings);
-    if let Some(first_too_many) = parsed.statements.get(MOST_QUERIES) {
-        let message = format!("a text has at most {MOST_QUERIES} queries");
-        findings.add(Finding::new(first_too_many.range.clone(), message));
+    report_empty(&parsed.statements, text, &mut findings);
+    if let Some(first_excess) = parsed.statements.get(MAX_QUERIES) {
+        let message = format!("a text has at most {MAX_QUERIES} queries");
+        findings.add(Finding::new(first_excess.range.clone(), message));
         return Err(findings);
     }
     for statement in &parsed.statements {
         let range = statement.range.clone();
-        let answered = match &statement.value {
+        let result = match &statement.value {
             Statement::Show(show) => evaluate(show, view),
             Statement::Owner(key) => owner(key, view),
             Statement::Explain(command) => explain(command, range, view),
@@ -38,7 +38,7 @@
                 Err(Findings(vec![finding.with_help(help)]))
             }
         };
-        match answered {
+        match result {
             Ok(table) => tables.push(table),
             Err(found) => findings.extend(found),
         }
@@ -51,17 +51,17 @@
     }
 }
 
-/// Turns a text of commands into what is to be carried out.
+/// Plans a text of commands.
 ///
 /// # Errors
-/// Everything that is wrong with the text, in the order of its places.
+/// All errors in the text, ordered by position.
 pub fn plan(text: &str, view: &NodeView) -> Result<Plan, Findings> {
     let mut parsed = parse(text);
-    note_empty(&parsed.statements, text, &mut parsed.findings);
+    report_empty(&parsed.statements, text, &mut parsed.findings);
     lower(&parsed, view)
 }
 
-fn note_empty<T>(statements: &[T], text: &str, findings: &mut Findings) {
+fn report_empty<T>(statements: &[T], text: &str, findings: &mut Findings) {
     if statements.is_empty() && findings.is_empty() {
         findings.add(Finding::new(0..text.len(), "there is no statement"));
     }
--- a/crates/ledgelead-query/src/authority.rs
+++ b/crates/ledgelead-query/src/authority.rs
@@ -1,4 +1,4 @@
-//! What an operator may do, by role and team.
+//! Permissions of operators, by role and team.
 
 use crate::lower::Plan;
 use ledgelead_types::ServiceId;
@@ -6,22 +6,22 @@
 use ledgelead_types::configuration::*;
 use std::fmt::{self, Display, Formatter};
 
-/// Why an operator may not do something.
+/// Why an operator lacks a permission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Forbidden {
     /// The operator's role is too low.
     Role {
         /// The operator's role.
         has: OperatorRole,
-        /// The least role that may.
+        /// The lowest role that is permitted.
         needs: OperatorRole,
     },
-    /// It concerns a service of another team.
+    /// The target belongs to a service of another team.
     Team {
         /// The service.
         service: String,
     },
-    /// It concerns all teams, and the operator is of some only.
+    /// The change affects all teams, and the operator is restricted to some.
     AllTeams,
 }
 
@@ -44,27 +44,26 @@
     }
 }
 
-/// Whether an operator may ask queries, `explain` included.
+/// Checks whether an operator may run queries, including `explain`.
 ///
 /// # Errors
-/// Never at present: the lowest role may read all.
+/// Currently never: the lowest role may read everything.
 pub fn may_query(operator: &OperatorConfiguration) -> Result<(), Forbidden> {
-    need_role(operator, OperatorRole::Read)
+    require_role(operator, OperatorRole::Read)
 }
 
-/// Whether an operator may give commands at all; whether a certain one, tells
-/// [`may_command`].
+/// Checks whether an operator may run commands at all; [`may_command`] checks a specific plan.
 ///
 /// # Errors
-/// When the role allows queries only.
+/// If the role permits queries only.
 pub fn may_give_commands(operator: &OperatorConfiguration) -> Result<(), Forbidden> {
-    need_role(operator, OperatorRole::Operate)
+    require_role(operator, OperatorRole::Operate)
 }
 
-/// Whether an operator may have a plan carried out.
+/// Checks whether an operator may execute a plan.
 ///
 /// # Errors
-/// Why not.
+/// If the role is too low or the plan affects a service of another team.
 pub fn may_command(
     operator: &OperatorConfiguration,
     plan: &Plan,
@@ -72,27 +71,30 @@
 ) -> Result<(), Forbidden> {
     match plan {
         Plan::Configure(changes) => {
-            need_role(operator, OperatorRole::Administer)?;
+            require_role(operator, OperatorRole::Administer)?;
             let services = Services::with(configuration, changes);
             for change in changes {
                 may_change(operator, change, configuration, &services)?;
             }
         }
         Plan::Operate(operations) => {
-            need_role(operator, OperatorRole::Operate)?;
+            require_role(operator, OperatorRole::Operate)?;
             let services = Services::with(configuration, &[]);
             for planned in operations {
-                let service = served_by(configuration, planned.operation);
+                let service = service_of_operation(configuration, planned.operation);
                 let service = service.unwrap_or(planned.group.service);
-                need_team(operator, service, &services)?;
+                require_team(operator, service, &services)?;
             }
         }
     }
     Ok(())
 }
 
-/// The service of an operation's server, which decides over the group's.
-fn served_by(configuration: &Configuration, operation: GroupOperation) -> Option<ServiceId> {
+/// Service of the operation's server, which takes precedence over the group's service.
+fn service_of_operation(
+    configuration: &Configuration,
+    operation: GroupOperation,
+) -> Option<ServiceId> {
     let server = match operation {
         GroupOperation::Drain(server)
         | GroupOperation::Activate(server)
@@ -103,7 +105,7 @@
     configuration.server(server).map(|server| server.service)
 }
 
-fn need_role(operator: &OperatorConfiguration, needs: OperatorRole) -> Result<(), Forbidden> {
+fn require_role(operator: &OperatorConfiguration, needs: OperatorRole) -> Result<(), Forbidden> {
     let has = operator.role;
     if has < needs {
         return Err(Forbidden::Role { has, needs });
@@ -111,8 +113,8 @@
     Ok(())
 }
 
-/// Services before and after a plan; a service that changes its team counts
-/// for both.
+/// Services before and after a plan. A service that changes its team must belong to the
+/// operator's teams both before and after.
 struct Services<'a>(Vec<&'a ServiceConfiguration>);
 
 impl<'a> Services<'a> {
@@ -126,7 +128,7 @@
     }
 }
 
-fn need_team(
+fn require_team(
     operator: &OperatorConfiguration,
     id: ServiceId,
     services: &Services<'_>,
@@ -134,8 +136,8 @@
     if operator.teams.is_empty() {
         return Ok(());
     }
-    let mut concerned = services.0.iter().filter(|service| service.id == id);
-    match concerned.find(|service| !operator.teams.contains(&service.team)) {
+    let mut affected = services.0.iter().filter(|service| service.id == id);
+    match affected.find(|service| !operator.teams.contains(&service.team)) {
         Some(service) => Err(Forbidden::Team {
             service: service.name.0.clone(),
         }),
@@ -151,11 +153,13 @@
 ) -> Result<(), Forbidden> {
     match change {
         ConfigurationChange::CreateService(service)
-        | ConfigurationChange::AlterService(service) => need_team(operator, service.id, services),
-        ConfigurationChange::RemoveService(id) => need_team(operator, *id, services),
-        ConfigurationChange::AddServer(server) => need_team(operator, server.service, services),
+        | ConfigurationChange::AlterService(service) => {
+            require_team(operator, service.id, services)
+        }
+        ConfigurationChange::RemoveService(id) => require_team(operator, *id, services),
+        ConfigurationChange::AddServer(server) => require_team(operator, server.service, services),
         ConfigurationChange::RemoveServer(id) => match configuration.server(*id) {
-            Some(server) => need_team(operator, server.service, services),
+            Some(server) => require_team(operator, server.service, services),
             None => Ok(()),
         },
         _ if operator.teams.is_empty() => Ok(()),
--- a/crates/ledgelead-query/src/cell.rs
+++ b/crates/ledgelead-query/src/cell.rs
@@ -5,10 +5,10 @@
 use std::cmp::Ordering;
 use std::fmt::{self, Display, Formatter};
 
-/// The word that stands for a value that is not known or does not exist.
+/// Stands for an unknown or absent value in conditions.
 pub(crate) const NONE: &str = "none";
 
-/// One value of a row.
+/// One cell of a row.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Cell {
@@ -18,19 +18,19 @@
     Number(f64),
     /// A count.
     Count(u64),
-    /// Yes or no.
+    /// A boolean.
     Flag(bool),
-    /// Not known, or there is none.
+    /// Unknown or absent.
     Missing,
 }
 
 impl Cell {
-    /// A text of whatever can be shown.
+    /// A text cell from a value's `Display` output.
     pub(crate) fn text(value: impl Display) -> Cell {
         Cell::Text(value.to_string())
     }
 
-    /// A count.
+    /// A count; missing if it does not fit.
     pub(crate) fn count(value: impl TryInto<u64>) -> Cell {
         value.try_into().map_or(Cell::Missing, Cell::Count)
     }
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Whether the comparison with a written value holds. A missing value
-    /// equals the word `none` and differs from everything else.
-    pub(crate) fn holds(&self, comparison: Comparison, value: &Value) -> bool {
+    /// Whether the comparison with a literal holds. A missing value equals the word `none` and
+    /// differs from everything else.
+    pub(crate) fn matches(&self, comparison: Comparison, value: &Value) -> bool {
         let ordering = match (self, value) {
             (Cell::Missing, Value::Text(text)) if text == NONE => Some(Ordering::Equal),
             (Cell::Text(cell), Value::Text(text)) => Some(cell.as_str().cmp(text)),
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Order of rows, ascending; missing values come first.
-    pub(crate) fn order(&self, other: &Cell) -> Ordering {
+    /// Ascending order of rows; missing values come first.
+    pub(crate) fn compare(&self, other: &Cell) -> Ordering {
         match (self, other) {
             (Cell::Missing, Cell::Missing) => Ordering::Equal,
             (Cell::Missing, _) => Ordering::Less,
--- a/crates/ledgelead-query/src/evaluate/deployment.rs
+++ b/crates/ledgelead-query/src/evaluate/deployment.rs
@@ -1,4 +1,4 @@
-//! Rows of what runs: servers, slices, nodes, groups and leases.
+//! Rows about the running deployment: servers, slices, nodes, groups and leases.
 
 use super::PERCENT;
 use crate::Cell;
@@ -10,8 +10,8 @@
 
 type Rows = Vec<Vec<Cell>>;
 
-/// What a view knows of one server.
-pub(crate) struct ServerFacts<'a> {
+/// A view's data about one server.
+pub(crate) struct ServerSummary<'a> {
     pub(crate) group: GroupId,
     pub(crate) route: Option<&'a ServerRoute>,
     pub(crate) load: Option<&'a ServerLoadView>,
@@ -21,9 +21,9 @@
     pub(crate) share: f64,
 }
 
-impl<'a> ServerFacts<'a> {
-    /// Gathers them.
-    pub(crate) fn of(view: &'a NodeView, server: &ServerConfiguration) -> ServerFacts<'a> {
+impl<'a> ServerSummary<'a> {
+    /// Collects the data of a server from a view.
+    pub(crate) fn of(view: &'a NodeView, server: &ServerConfiguration) -> ServerSummary<'a> {
         let group = group_of_server(&view.configuration, server);
         let routes = routes_of(view, group);
         let owned: Vec<&SliceRoute> = routes
@@ -31,7 +31,7 @@
             .flat_map(|routes| routes.slices.iter())
             .filter(|slice| slice.owner == Some(server.id))
             .collect();
-        ServerFacts {
+        ServerSummary {
             group,
             route: routes.and_then(|routes| routes.server(server.id)),
             load: view.servers.iter().find(|load| load.server == server.id),
@@ -42,14 +42,14 @@
         }
     }
 
-    /// Slots in use over all slots.
+    /// Ratio of slots in use to all slots.
     pub(crate) fn load(&self, server: &ServerConfiguration) -> Option<f64> {
         let load = self.load?;
         Some(f64::from(load.slots_in_use) / f64::from(server.slots.max(1)))
     }
 }
 
-/// The routes of a group, once it has published any.
+/// The routes of a group, if it has published any.
 pub(crate) fn routes_of(view: &NodeView, group: GroupId) -> Option<&GroupRoutes> {
     view.groups
         .iter()
@@ -60,24 +60,27 @@
 pub(super) fn servers(view: &NodeView) -> Rows {
     let configuration = &view.configuration;
     let row = |server: &ServerConfiguration| {
-        let facts = ServerFacts::of(view, server);
+        let summary = ServerSummary::of(view, server);
         vec![
             Cell::text(&server.name),
             service_name(configuration, server.service).into(),
             zone_name(configuration, server.zone).into(),
-            group_name(configuration, facts.group).into(),
-            facts.route.map(|route| status_name(route.status)).into(),
-            Cell::count(facts.slices),
-            Cell::Number(facts.share * PERCENT),
-            facts.load(server).into(),
-            facts.load.map(|load| load.requests_per_second).into(),
-            facts
+            group_name(configuration, summary.group).into(),
+            summary.route.map(|route| status_name(route.status)).into(),
+            Cell::count(summary.slices),
+            Cell::Number(summary.share * PERCENT),
+            summary.load(server).into(),
+            summary.load.map(|load| load.requests_per_second).into(),
+            summary
                 .load
                 .map_or(Cell::Missing, |load| Cell::count(load.queued)),
             Cell::count(server.slots),
             Cell::count(server.max_connections),
-            millis(facts.load.and_then(|load| load.lease_left)),
-            facts.route.map(|route| route.dispatcher.to_string()).into(),
+            millis(summary.load.and_then(|load| load.lease_left)),
+            summary
+                .route
+                .map(|route| route.dispatcher.to_string())
+                .into(),
             Cell::text(&server.address),
         ]
     };
@@ -87,26 +90,29 @@
 pub(super) fn leases(view: &NodeView) -> Rows {
     let configuration = &view.configuration;
     let row = |server: &ServerConfiguration| {
-        let facts = ServerFacts::of(view, server);
-        let left = facts.load.and_then(|load| load.lease_left);
+        let summary = ServerSummary::of(view, server);
+        let remaining = summary.load.and_then(|load| load.lease_left);
         vec![
             Cell::text(&server.name),
             service_name(configuration, server.service).into(),
-            group_name(configuration, facts.group).into(),
-            facts.route.map(|route| route.dispatcher.to_string()).into(),
-            match facts.load {
-                Some(_) if has_leases(view, server) => Cell::Flag(left.is_some()),
+            group_name(configuration, summary.group).into(),
+            summary
+                .route
+                .map(|route| route.dispatcher.to_string())
+                .into(),
+            match summary.load {
+                Some(_) if needs_lease(view, server) => Cell::Flag(remaining.is_some()),
                 _ => Cell::Missing,
             },
-            millis(left),
-            Cell::count(facts.slices),
+            millis(remaining),
+            Cell::count(summary.slices),
         ]
     };
     configuration.servers.iter().map(row).collect()
 }
 
-/// Whether a server needs a lease: only keys are owned.
-fn has_leases(view: &NodeView, server: &ServerConfiguration) -> bool {
+/// Whether a server needs a lease; servers of a service without keys do not.
+fn needs_lease(view: &NodeView, server: &ServerConfiguration) -> bool {
     let service = view.configuration.service(server.service);
     service.is_some_and(|service| service.partitioning != Partitioning::None)
 }
@@ -183,7 +189,7 @@
     span.map(Span::as_millis).into()
 }
 
-/// A status as operators write it.
+/// Name of a status in the language.
 pub(crate) fn status_name(status: ServerStatus) -> &'static str {
     match status {
         ServerStatus::Active => "active",
--- a/crates/ledgelead-query/src/evaluate/mod.rs
+++ b/crates/ledgelead-query/src/evaluate/mod.rs
@@ -1,4 +1,4 @@
-//! Queries against a view.
+//! Evaluates queries against a view.
 
 pub(crate) mod deployment;
 pub(crate) mod settings;
@@ -11,13 +11,13 @@
 use crate::{Cell, cell::NONE};
 use ledgelead_types::view::NodeView;
 
-/// Share of the whole position space as a percentage.
+/// Factor from a share to a percentage.
 pub(crate) const PERCENT: f64 = 100.0;
 
-/// The rows that a query asks for, or everything that is wrong with it.
+/// Evaluates a query.
 ///
 /// # Errors
-/// Names and columns that don't exist, and values of the wrong kind.
+/// All errors in the query: unknown names and columns, and values of the wrong type.
 pub(crate) fn evaluate(show: &Show, view: &NodeView) -> Result<Table, Findings> {
     let findings = check(show, view);
     if !findings.is_empty() {
@@ -25,9 +25,9 @@
     }
     let mut table = all_rows(show.subject.value, view);
     if let Some(service) = &show.service {
-        keep_service(&mut table, &service.value);
+        filter_by_service(&mut table, &service.value);
     }
-    keep_filtered(&mut table, &show.filter);
+    filter_rows(&mut table, &show.filter);
     if let Some(order) = &show.order {
         sort(&mut table, order);
     }
@@ -37,7 +37,7 @@
     Ok(table)
 }
 
-/// Everything that is wrong with a query.
+/// Returns all errors in a query.
 fn check(show: &Show, view: &NodeView) -> Findings {
     let mut findings = Findings::default();
     if let Some(service) = &show.service {
@@ -113,38 +113,38 @@
     table
 }
 
-fn keep_service(table: &mut Table, service: &str) {
+fn filter_by_service(table: &mut Table, service: &str) {
     if let Some(index) = table.column("service") {
-        let wanted = Cell::from(service);
-        table.rows.retain(|row| row[index] == wanted);
+        let service_cell = Cell::from(service);
+        table.rows.retain(|row| row[index] == service_cell);
     }
 }
 
-fn keep_filtered(table: &mut Table, filter: &[Vec<Condition>]) {
+fn filter_rows(table: &mut Table, filter: &[Vec<Condition>]) {
     if filter.is_empty() {
         return;
     }
     let columns = table.columns.clone();
-    let holds = |row: &[Cell], condition: &Condition| {
+    let matches = |row: &[Cell], condition: &Condition| {
         let index = columns
             .iter()
             .position(|column| column.name == condition.field.value);
-        index.is_some_and(|index| row[index].holds(condition.comparison, &condition.value.value))
+        index.is_some_and(|index| row[index].matches(condition.comparison, &condition.value.value))
     };
     table.rows.retain(|row| {
         filter
             .iter()
-            .any(|conditions| conditions.iter().all(|condition| holds(row, condition)))
+            .any(|conditions| conditions.iter().all(|condition| matches(row, condition)))
     });
 }
 
-/// A stable sort, so that equal rows keep the order of the configuration.
+/// The sort is stable, so equal rows keep the order of the configuration.
 fn sort(table: &mut Table, order: &Order) {
     let Some(index) = table.column(&order.field.value) else {
         return;
     };
     table.rows.sort_by(|left, right| {
-        let ordering = left[index].order(&right[index]);
+        let ordering = left[index].compare(&right[index]);
         if order.descending {
             ordering.reverse()
         } else {
@@ -153,10 +153,10 @@
     });
 }
 
-/// The owner of a key.
+/// Looks up the owner of a key.
 ///
 /// # Errors
-/// An unknown service, or one that is not divided by key.
+/// If the service is unknown or not partitioned by key.
 pub(crate) fn owner(key: &KeyInService, view: &NodeView) -> Result<Table, Findings> {
     let configuration = &view.configuration;
     let mut findings = Findings::default();
--- a/crates/ledgelead-query/src/evaluate/settings.rs
+++ b/crates/ledgelead-query/src/evaluate/settings.rs
@@ -1,4 +1,4 @@
-//! Rows of what the configuration says. Credentials are never among them.
+//! Rows about the configuration. Credentials are never included.
 
 use crate::Cell;
 use crate::names::zone_name;
@@ -122,7 +122,7 @@
     ]]
 }
 
-/// A text that may be empty, which means none.
+/// An empty text is shown as missing.
 fn named(text: &str) -> Cell {
     Some(text)
         .filter(|text| !text.is_empty())
@@ -130,7 +130,7 @@
         .into()
 }
 
-/// A limit, where 0 means none.
+/// 0 stands for no limit and is shown as missing.
 fn limit(value: u32) -> Cell {
     if value == 0 {
         return Cell::Missing;
--- a/crates/ledgelead-query/src/explain.rs
+++ b/crates/ledgelead-query/src/explain.rs
@@ -1,4 +1,4 @@
-//! What a command would change; nothing is changed.
+//! Shows what a command would change, without executing it.
 
 mod configuration;
 mod operation;
@@ -11,12 +11,12 @@
 use crate::tree::{Command, Statement};
 use ledgelead_types::view::NodeView;
 
-/// Says what a command would change: for the configuration each setting
-/// before and after, for an operation the share of keys that would move and
-/// the servers' load before and after, estimated from the present loads.
+/// Explains a command. For the configuration: each setting before and after. For an operation:
+/// the share of keys that would move, and the servers' load before and after, estimated from
+/// the current loads.
 ///
 /// # Errors
-/// Everything that is wrong with the command.
+/// All errors in the command.
 pub(crate) fn explain(
     command: &Command,
     range: TextRange,
--- a/crates/ledgelead-query/src/explain/configuration.rs
+++ b/crates/ledgelead-query/src/explain/configuration.rs
@@ -1,4 +1,4 @@
-//! What changes of the configuration would change.
+//! Explains changes of the configuration.
 
 use crate::Cell;
 use crate::schema::{Column, ColumnKind};
@@ -19,23 +19,22 @@
     }
 }
 
-/// Parts of the configuration's stored form that are about commands, not
-/// about the deployment.
-const BOOKKEEPING: [&str; 3] = ["version", "applied_commands", "highest_service"];
-/// Settings whose value is never shown.
-const SECRET: &str = "credential_sha256";
-/// What stands for a value that is not shown.
-const HIDDEN: &str = "(hidden)";
+/// Fields of the stored form that track commands and do not describe the deployment.
+const COMMAND_STATE: [&str; 3] = ["version", "applied_commands", "highest_service"];
+/// Setting whose value is never displayed.
+const SECRET_SETTING: &str = "credential_sha256";
+/// Placeholder for a value that is not displayed.
+const HIDDEN_VALUE: &str = "(hidden)";
 
 /// One row for each setting that would change.
 pub(super) fn explain(changes: &[ConfigurationChange], view: &NodeView) -> Table {
     let before = &view.configuration;
     let mut table = Table::new(COLUMNS);
-    // The changes were tried before, so this does not fail.
+    // The changes were validated when the command was lowered, so this does not fail.
     let Ok(after) = apply_changes(before, changes, "explain") else {
         return table;
     };
-    let (before, after) = (flat(before), flat(&after));
+    let (before, after) = (setting_values(before), setting_values(&after));
     let keys: std::collections::BTreeSet<&Setting> = before.keys().chain(after.keys()).collect();
     for key in keys {
         let (old, new) = (before.get(key), after.get(key));
@@ -43,8 +42,8 @@
             table.rows.push(vec![
                 Cell::from(key.part.as_str()),
                 Cell::from(key.setting.as_str()),
-                shown(key, old),
-                shown(key, new),
+                displayed(key, old),
+                displayed(key, new),
             ]);
         }
     }
@@ -57,16 +56,16 @@
     setting: String,
 }
 
-fn shown(key: &Setting, value: Option<&String>) -> Cell {
+fn displayed(key: &Setting, value: Option<&String>) -> Cell {
     let value = value.map(|value| match key.setting.as_str() {
-        SECRET => HIDDEN.to_owned(),
+        SECRET_SETTING => HIDDEN_VALUE.to_owned(),
         _ => value.clone(),
     });
     value.into()
 }
 
-/// Every setting of the configuration's stored form.
-fn flat(configuration: &Configuration) -> BTreeMap<Setting, String> {
+/// All settings in the configuration's stored form.
+fn setting_values(configuration: &Configuration) -> BTreeMap<Setting, String> {
     let mut settings = BTreeMap::new();
     let Ok(Value::Object(lists)) = serde_json::to_value(configuration) else {
         return settings;
@@ -75,7 +74,7 @@
         let Value::Array(items) = items else {
             continue;
         };
-        if BOOKKEEPING.contains(&list.as_str()) {
+        if COMMAND_STATE.contains(&list.as_str()) {
             continue;
         }
         let kind = list.trim_end_matches('s');
--- a/crates/ledgelead-query/src/explain/operation.rs
+++ b/crates/ledgelead-query/src/explain/operation.rs
@@ -1,7 +1,7 @@
-//! What an operation would change.
+//! Explains operations of groups.
 //!
-//! Where a drain's slices go is the group's decision when it comes to it; the
-//! estimate gives each to the server that then has the least for its slots.
+//! The group decides where a drained server's slices go only when it drains it. The estimate
+//! assigns each slice to the server with the lowest load per slot at that point.
 
 use crate::Cell;
 use crate::evaluate::PERCENT;
@@ -31,7 +31,7 @@
     Column { name, kind }
 }
 
-/// One row for each server whose part changes.
+/// One row for each affected server.
 pub(super) fn explain(operations: &[PlannedOperation], view: &NodeView) -> Table {
     let mut table = Table::new(COLUMNS);
     for planned in operations {
@@ -50,30 +50,29 @@
     table
 }
 
-/// What a server has.
+/// A server's share of the keys and its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Part {
+struct ServerPortion {
     /// Share of the position space.
     share: f64,
-    /// Requests a second, when known.
+    /// Requests per second, if known.
     rate: Option<f64>,
     slots: u16,
-    takes_slices: bool,
+    accepts_slices: bool,
 }
 
 /// The servers of a group before and after an operation.
 struct Estimate {
-    before: BTreeMap<ServerId, Part>,
-    after: BTreeMap<ServerId, Part>,
-    /// Share of the position space that changes owner, counted at whom it
-    /// leaves.
+    before: BTreeMap<ServerId, ServerPortion>,
+    after: BTreeMap<ServerId, ServerPortion>,
+    /// Share of the position space that changes owner, by the server that gives it up.
     moved: BTreeMap<ServerId, f64>,
     effects: BTreeMap<ServerId, String>,
 }
 
 impl Estimate {
     fn of(planned: &PlannedOperation, routes: &GroupRoutes, view: &NodeView) -> Estimate {
-        let before = parts(routes, view);
+        let before = portions(routes, view);
         let mut estimate = Estimate {
             after: before.clone(),
             before,
@@ -83,10 +82,10 @@
         let loads = slice_loads(planned, view);
         match planned.operation {
             GroupOperation::Drain(server) => {
-                estimate.leave(server, "drains: its keys go to others", routes, loads, view);
+                estimate.drain(server, "drains: its keys go to others", routes, loads, view);
             }
             GroupOperation::Retire(server) => {
-                estimate.leave(
+                estimate.drain(
                     server,
                     "retires: drained, then out for good",
                     routes,
@@ -107,7 +106,7 @@
         estimate
     }
 
-    fn leave(
+    fn drain(
         &mut self,
         server: ServerId,
         effect: &str,
@@ -116,10 +115,10 @@
         view: &NodeView,
     ) {
         self.effects.insert(server, effect.to_owned());
-        if let Some(part) = self.after.get_mut(&server) {
-            part.takes_slices = false;
+        if let Some(portion) = self.after.get_mut(&server) {
+            portion.accepts_slices = false;
         }
-        if !self.after.values().any(|part| part.takes_slices) {
+        if !self.after.values().any(|portion| portion.accepts_slices) {
             let effect = "no other server takes its keys: it keeps them until one does";
             self.effects.insert(server, effect.to_owned());
             return;
@@ -127,65 +126,67 @@
         let owned = |slice: &(usize, &SliceRoute)| slice.1.owner == Some(server);
         for (index, slice) in routes.slices.iter().enumerate().filter(owned) {
             if let Some(to) = self.least_loaded() {
-                self.hand_over(slice, loads.get(index).copied(), server, to);
+                self.transfer(slice, loads.get(index).copied(), server, to);
             }
         }
         let service = view.configuration.service(routes.group.service);
         if service.is_some_and(|service| service.partitioning == Partitioning::None) {
-            self.spread(server);
+            self.redistribute(server);
         }
-        if let Some(part) = self.after.get_mut(&server) {
-            // Without keys it has no work, whatever the slices' loads sum up to.
-            part.rate = part.rate.map(|_| 0.0);
+        if let Some(portion) = self.after.get_mut(&server) {
+            // A server without keys has no load, even if the slices' loads do not add up to
+            // its rate.
+            portion.rate = portion.rate.map(|_| 0.0);
         }
     }
 
-    /// Of the servers that take slices, the one with the least for its slots.
+    /// Of the servers that accept slices, the one with the lowest load per slot.
     fn least_loaded(&self) -> Option<ServerId> {
-        let weight = |part: &Part| {
-            let load = part.rate.unwrap_or(part.share);
-            load / f64::from(part.slots.max(1))
+        let weight = |portion: &ServerPortion| {
+            let load = portion.rate.unwrap_or(portion.share);
+            load / f64::from(portion.slots.max(1))
         };
         self.after
             .iter()
-            .filter(|(_, part)| part.takes_slices)
+            .filter(|(_, portion)| portion.accepts_slices)
             .min_by(|left, right| weight(left.1).total_cmp(&weight(right.1)))
             .map(|(server, _)| *server)
     }
 
-    fn hand_over(&mut self, slice: &SliceRoute, load: Option<f64>, from: ServerId, to: ServerId) {
+    fn transfer(&mut self, slice: &SliceRoute, load: Option<f64>, from: ServerId, to: ServerId) {
         if from == to {
             return;
         }
         let share = slice.range.share();
         *self.moved.entry(from).or_default() += share;
-        if let Some(part) = self.after.get_mut(&from) {
-            part.share -= share;
-            part.rate = part
+        if let Some(portion) = self.after.get_mut(&from) {
+            portion.share -= share;
+            portion.rate = portion
                 .rate
                 .zip(load)
                 .map(|(rate, load)| (rate - load).max(0.0));
         }
-        if let Some(part) = self.after.get_mut(&to) {
-            part.share += share;
-            part.rate = part.rate.zip(load).map(|(rate, load)| rate + load);
+        if let Some(portion) = self.after.get_mut(&to) {
+            portion.share += share;
+            portion.rate = portion.rate.zip(load).map(|(rate, load)| rate + load);
         }
     }
 
-    /// Spreads the work of a server without keys over the others' slots.
-    fn spread(&mut self, server: ServerId) {
-        let rate = self.after.get(&server).and_then(|part| part.rate);
+    /// Distributes the load of a server of a service without keys over the other servers by
+    /// their slots.
+    fn redistribute(&mut self, server: ServerId) {
+        let rate = self.after.get(&server).and_then(|portion| portion.rate);
         let others = || {
             self.before
                 .iter()
-                .filter(|(id, part)| **id != server && part.takes_slices)
+                .filter(|(id, portion)| **id != server && portion.accepts_slices)
         };
-        let slots: f64 = others().map(|(_, part)| f64::from(part.slots)).sum();
+        let slots: f64 = others().map(|(_, portion)| f64::from(portion.slots)).sum();
         let ids: Vec<ServerId> = others().map(|(id, _)| *id).collect();
         for id in ids {
-            if let (Some(part), Some(rate)) = (self.after.get_mut(&id), rate) {
-                let gain = rate * f64::from(part.slots) / slots.max(1.0);
-                part.rate = part.rate.map(|own| own + gain);
+            if let (Some(portion), Some(rate)) = (self.after.get_mut(&id), rate) {
+                let gain = rate * f64::from(portion.slots) / slots.max(1.0);
+                portion.rate = portion.rate.map(|own| own + gain);
             }
         }
     }
@@ -197,8 +198,8 @@
         routes: &GroupRoutes,
         loads: &[f64],
     ) {
-        let holds = |slice: &SliceRoute| slice.range.contains(position);
-        let Some(index) = routes.slices.iter().position(holds) else {
+        let contains_position = |slice: &SliceRoute| slice.range.contains(position);
+        let Some(index) = routes.slices.iter().position(contains_position) else {
             return;
         };
         let slice = &routes.slices[index];
@@ -211,7 +212,7 @@
             Some(owner) => {
                 self.effects.insert(owner, format!("gives slice {range}"));
                 self.effects.insert(to, format!("takes slice {range}"));
-                self.hand_over(slice, loads.get(index).copied(), owner, to);
+                self.transfer(slice, loads.get(index).copied(), owner, to);
             }
             None => {
                 self.effects
@@ -220,14 +221,14 @@
         }
     }
 
-    fn split(&mut self, at: Position, isolates: bool, routes: &GroupRoutes) {
+    fn split(&mut self, at: Position, is_isolation: bool, routes: &GroupRoutes) {
         let slice = routes.slice_at(at);
         let Some((slice, owner)) = slice.and_then(|slice| slice.owner.map(|owner| (slice, owner)))
         else {
             return;
         };
         let range = range_text(slice);
-        let effect = if isolates {
+        let effect = if is_isolation {
             format!("slice {range} is cut around {:016x}", at.0)
         } else if slice.range.first == at {
             format!("slice {range} begins there already")
@@ -248,8 +249,8 @@
                 .effects
                 .get(server)
                 .map_or("takes over", String::as_str);
-            let parts = self.before.get(server).zip(self.after.get(server));
-            row(name, effect, self.moved.get(server).copied(), parts)
+            let portions = self.before.get(server).zip(self.after.get(server));
+            row(name, effect, self.moved.get(server).copied(), portions)
         };
         servers.into_iter().map(to_row).collect()
     }
@@ -259,36 +260,36 @@
     server: String,
     effect: &str,
     moved: Option<f64>,
-    parts: Option<(&Part, &Part)>,
+    portions: Option<(&ServerPortion, &ServerPortion)>,
 ) -> Vec<Cell> {
-    let (before, after) = parts.unzip();
+    let (before, after) = portions.unzip();
     vec![
         Cell::from(server),
         Cell::from(effect),
         Cell::Number(moved.unwrap_or_default() * PERCENT),
-        before.map(|part| part.share * PERCENT).into(),
-        after.map(|part| part.share.max(0.0) * PERCENT).into(),
-        before.and_then(|part| part.rate).into(),
-        after.and_then(|part| part.rate).into(),
+        before.map(|portion| portion.share * PERCENT).into(),
+        after.map(|portion| portion.share.max(0.0) * PERCENT).into(),
+        before.and_then(|portion| portion.rate).into(),
+        after.and_then(|portion| portion.rate).into(),
     ]
 }
 
-fn parts(routes: &GroupRoutes, view: &NodeView) -> BTreeMap<ServerId, Part> {
-    let part = |route: &ledgelead_types::routes::ServerRoute| {
+fn portions(routes: &GroupRoutes, view: &NodeView) -> BTreeMap<ServerId, ServerPortion> {
+    let portion = |route: &ledgelead_types::routes::ServerRoute| {
         let owned = routes
             .slices
             .iter()
             .filter(|slice| slice.owner == Some(route.server));
         let load = view.servers.iter().find(|load| load.server == route.server);
-        let part = Part {
+        let portion = ServerPortion {
             share: owned.fold(0.0, |share, slice| share + slice.range.share()),
             rate: load.map(|load| load.requests_per_second),
             slots: route.slots,
-            takes_slices: route.status == ServerStatus::Active,
+            accepts_slices: route.status == ServerStatus::Active,
         };
-        (route.server, part)
+        (route.server, portion)
     };
-    routes.servers.iter().map(part).collect()
+    routes.servers.iter().map(portion).collect()
 }
 
 fn slice_loads<'a>(planned: &PlannedOperation, view: &'a NodeView) -> &'a [f64] {
--- a/crates/ledgelead-query/src/finding.rs
+++ b/crates/ledgelead-query/src/finding.rs
@@ -1,23 +1,23 @@
-//! Everything that is wrong with a text, with its places, reported together.
+//! Errors in a text with their locations, reported together.
 
 use crate::located::TextRange;
 use crate::nearest::nearest;
 use ariadne::{CharSet, Color, Config, IndexType, Label, Report, ReportKind, Source};
 use serde::{Deserialize, Serialize};
 
-/// One mistake.
+/// One error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Where, in bytes of the text.
+    /// Location, in bytes of the text.
     pub range: TextRange,
     /// What is wrong.
     pub message: String,
-    /// What was probably meant, or what is allowed.
+    /// The likely intended word, or the allowed values.
     pub help: Option<String>,
 }
 
 impl Finding {
-    /// A mistake without a suggestion.
+    /// An error without a hint.
     pub fn new(range: TextRange, message: impl Into<String>) -> Finding {
         Finding {
             range,
@@ -26,13 +26,13 @@
         }
     }
 
-    /// The same with what may help.
+    /// Adds a hint.
     pub fn with_help(mut self, help: impl Into<String>) -> Finding {
         self.help = Some(help.into());
         self
     }
 
-    /// A word that is none of the valid ones.
+    /// An unknown word, with the nearest valid one or the list of valid ones.
     pub(crate) fn unknown<'a>(
         range: TextRange,
         what: &str,
@@ -44,60 +44,59 @@
         match nearest(word, valid.iter().copied()) {
             Some(near) => finding.with_help(format!("did you mean `{near}`?")),
             None if valid.is_empty() => finding.with_help(format!("there is no {what} yet")),
-            None => finding.with_help(format!("known: {}", listed(&valid))),
+            None => finding.with_help(format!("known: {}", list_words(&valid))),
         }
     }
 }
 
-/// Mistakes that are told of one text.
-const MOST_FINDINGS: usize = 32;
-/// Most words that a suggestion lists.
-const MOST_LISTED: usize = 16;
+/// Maximum number of errors reported for one text.
+const MAX_FINDINGS: usize = 32;
+/// Maximum number of words that a hint lists.
+const MAX_LISTED_WORDS: usize = 16;
 
-fn listed(words: &[&str]) -> String {
-    let shown = words[..words.len().min(MOST_LISTED)].join(", ");
-    match words.len().saturating_sub(MOST_LISTED) {
+fn list_words(words: &[&str]) -> String {
+    let shown = words[..words.len().min(MAX_LISTED_WORDS)].join(", ");
+    match words.len().saturating_sub(MAX_LISTED_WORDS) {
         0 => shown,
         more => format!("{shown} and {more} more"),
     }
 }
 
-/// All mistakes of one text.
+/// All errors in one text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// Adds one, up to a bound: a text that is no statement at all could have
-    /// one at each character, and each is shown with its line.
+    /// Adds an error, up to a limit: a malformed text can have one at every character, and
+    /// each is displayed with its line.
     pub fn add(&mut self, finding: Finding) {
-        if self.0.len() < MOST_FINDINGS {
+        if self.0.len() < MAX_FINDINGS {
             self.0.push(finding);
-        } else if self.0.len() == MOST_FINDINGS {
+        } else if self.0.len() == MAX_FINDINGS {
             let more = "there are more mistakes; mend these first";
             self.0.push(Finding::new(finding.range, more));
         }
     }
 
-    /// Adds all of another text.
+    /// Adds the errors of another list.
     pub(crate) fn extend(&mut self, others: Findings) {
         for finding in others.0 {
             self.add(finding);
         }
     }
 
-    /// Whether nothing is wrong.
+    /// Whether there are no errors.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// In the order of their places.
+    /// Sorts the errors by their position.
     pub fn sort(&mut self) {
         self.0.sort_by_key(|finding| finding.range.start);
     }
 
-    /// All mistakes for a person, with carets under the text; in colour when
-    /// wanted.
+    /// Formats all errors for display, with carets under the text and optionally in colour.
     pub fn render(&self, text: &str, colour: bool) -> String {
         let mut written = Vec::new();
         for finding in &self.0 {
@@ -112,7 +111,7 @@
     }
 }
 
-/// The name under which reports show the text.
+/// Name of the text in the formatted errors.
 const SOURCE: &str = "statement";
 
 fn report(
@@ -124,8 +123,8 @@
         .with_color(colour)
         .with_char_set(CharSet::Ascii)
         .with_index_type(IndexType::Byte);
-    let range = shown_range(&finding.range, text);
-    // A label without words would have no caret.
+    let range = visible_range(&finding.range, text);
+    // A label without a message would be drawn without a caret.
     let help = finding.help.as_deref().unwrap_or("here");
     let mut label = Label::new((SOURCE, range.clone())).with_message(help);
     if colour {
@@ -138,11 +137,11 @@
         .finish()
 }
 
-/// A range inside the text that shows at least one character, if there is
-/// any: a mistake at the end points at the last one.
-fn shown_range(range: &TextRange, text: &str) -> TextRange {
-    let end = whole_character(text, range.end);
-    let start = whole_character(text, range.start).min(end);
+/// Clamps a range to the text and extends it to at least one character if there is any; an
+/// error at the end points at the last character.
+fn visible_range(range: &TextRange, text: &str) -> TextRange {
+    let end = floor_character_boundary(text, range.end);
+    let start = floor_character_boundary(text, range.start).min(end);
     if start < end {
         return start..end;
     }
@@ -152,9 +151,9 @@
     }
 }
 
-/// The last place, not after `place`, where a character begins or the text
-/// ends. A range may come from another program.
-fn whole_character(text: &str, place: usize) -> usize {
+/// The largest character boundary not after `place`. The range may come from another program
+/// and need not lie on a boundary.
+fn floor_character_boundary(text: &str, place: usize) -> usize {
     let mut place = place.min(text.len());
     while !text.is_char_boundary(place) {
         place -= 1;
--- a/crates/ledgelead-query/src/lexer.rs
+++ b/crates/ledgelead-query/src/lexer.rs
@@ -1,4 +1,4 @@
-//! Text to tokens.
+//! Splits a text into tokens.
 
 use crate::finding::{Finding, Findings};
 use crate::located::TextRange;
@@ -7,10 +7,10 @@
 use winnow::stream::LocatingSlice;
 use winnow::token::{any, none_of, take_till, take_while};
 
-/// What a token is.
+/// Type of a token.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TokenKind {
-    /// A bare word: a keyword or a name.
+    /// An unquoted word: a keyword or a name.
     Word(String),
     /// A quoted text without its quotes.
     Text(String),
@@ -18,11 +18,11 @@
     Number(f64),
     /// `=`, `!=`, `<`, `<=`, `>`, `>=`, `,` or `;`.
     Symbol(&'static str),
-    /// Not a token; a finding was noted.
-    Bad,
+    /// Not a valid token; an error was reported.
+    Invalid,
 }
 
-/// A token and its place.
+/// A token and its source range.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Token {
     pub(crate) kind: TokenKind,
@@ -30,7 +30,7 @@
 }
 
 impl Token {
-    /// The bare word, if it is one.
+    /// The word, if the token is an unquoted word.
     pub(crate) fn word(&self) -> Option<&str> {
         match &self.kind {
             TokenKind::Word(word) => Some(word),
@@ -39,24 +39,24 @@
     }
 }
 
-/// A token as the text has it, before mistakes are noted.
+/// A token before errors are reported.
 enum Lexeme {
     Token(TokenKind),
-    Unclosed,
-    BadNumber,
+    UnterminatedText,
+    InvalidNumber,
     Unexpected(char),
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 type Lexed<T> = winnow::Result<T>;
 
-/// All tokens of a text; what is none becomes a finding.
+/// Splits a text into tokens; reports invalid ones.
 pub(crate) fn lex(text: &str, findings: &mut Findings) -> Vec<Token> {
     let mut input = LocatingSlice::new(text);
     let mut tokens = Vec::new();
     loop {
-        // Blanks may be absent, so this can't fail.
-        let _ = blanks(&mut input);
+        // White space is optional, so this can't fail.
+        let _ = skip_whitespace(&mut input);
         let Ok((lexeme, range)) = lexeme.with_span().parse_next(&mut input) else {
             return tokens;
         };
@@ -69,8 +69,10 @@
     let finding = |message: String| Finding::new(range.clone(), message);
     match lexeme {
         Lexeme::Token(kind) => return kind,
-        Lexeme::Unclosed => findings.add(finding("a text without its closing quote".to_owned())),
-        Lexeme::BadNumber => findings.add(
+        Lexeme::UnterminatedText => {
+            findings.add(finding("a text without its closing quote".to_owned()))
+        }
+        Lexeme::InvalidNumber => findings.add(
             finding("not a number".to_owned())
                 .with_help("names that begin with a digit are written in quotes"),
         ),
@@ -78,14 +80,14 @@
             findings.add(finding(format!("unexpected character {character:?}")));
         }
     }
-    TokenKind::Bad
+    TokenKind::Invalid
 }
 
-/// White space and comments: `#` to the end of the line.
-fn blanks(input: &mut Input<'_>) -> Lexed<()> {
-    let white = take_while(1.., char::is_whitespace).void();
+/// Skips white space and comments, which run from `#` to the end of the line.
+fn skip_whitespace(input: &mut Input<'_>) -> Lexed<()> {
+    let whitespace = take_while(1.., char::is_whitespace).void();
     let comment = ('#', take_till(0.., '\n')).void();
-    repeat(0.., alt((white, comment))).parse_next(input)
+    repeat(0.., alt((whitespace, comment))).parse_next(input)
 }
 
 fn lexeme(input: &mut Input<'_>) -> Lexed<Lexeme> {
@@ -116,7 +118,7 @@
     let closing = opt('"').parse_next(input)?;
     Ok(match closing {
         Some(_) => Lexeme::Token(TokenKind::Text(content)),
-        None => Lexeme::Unclosed,
+        None => Lexeme::UnterminatedText,
     })
 }
 
@@ -139,7 +141,7 @@
     let written = digits.take().parse_next(input)?;
     Ok(match written.parse::<f64>() {
         Ok(number) if number.is_finite() => Lexeme::Token(TokenKind::Number(number)),
-        _ => Lexeme::BadNumber,
+        _ => Lexeme::InvalidNumber,
     })
 }
 
@@ -153,12 +155,12 @@
         .parse_next(input)
 }
 
-/// Whether a bare word can begin with it.
+/// Whether an unquoted word can start with this character.
 pub(crate) fn is_word_start(character: char) -> bool {
     character.is_alphabetic() || character == '_'
 }
 
-/// Whether a bare word can go on with it.
+/// Whether an unquoted word can contain this character after its first.
 pub(crate) fn is_word_character(character: char) -> bool {
     character.is_alphanumeric() || matches!(character, '_' | '-' | '.')
 }
--- a/crates/ledgelead-query/src/lib.rs
+++ b/crates/ledgelead-query/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' query and command language: text to checked trees, queries
-//! to tables, commands to typed actions. Everything here is pure; the node
-//! gives the view and carries the actions out. The grammar is in
-//! `docs/language.md`, the reasons in `docs/design/query-language.md`.
+//! The operators' query and command language. It parses text into syntax trees, evaluates
+//! queries into tables and lowers commands to typed actions. The crate does no I/O: the node
+//! supplies the view and executes the actions. See `docs/language.md` for the grammar and
+//! `docs/design/query-language.md` for the design.
 
 mod answer;
 mod authority;
--- a/crates/ledgelead-query/src/located.rs
+++ b/crates/ledgelead-query/src/located.rs
@@ -1,20 +1,20 @@
-//! Places in a statement's text.
+//! Source ranges of values in a statement's text.
 
 /// A range of bytes in the text.
 pub type TextRange = std::ops::Range<usize>;
 
-/// A value and where it was written. Equality looks at the value alone, so
-/// that trees of differently spaced texts are equal.
+/// A value with its source range. Equality ignores the range, so the syntax trees of texts
+/// that differ in white space are equal.
 #[derive(Clone, Debug)]
 pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// Where it was written.
+    /// Its range in the text.
     pub range: TextRange,
 }
 
 impl<T> Located<T> {
-    /// A value at a place.
+    /// A value with its range.
     pub fn new(value: T, range: TextRange) -> Located<T> {
         Located { value, range }
     }
--- a/crates/ledgelead-query/src/lower/causes.rs
+++ b/crates/ledgelead-query/src/lower/causes.rs
@@ -1,36 +1,42 @@
-//! Where in the text a problem of the changed configuration was caused.
+//! Finds the part of the text that caused an error in the changed configuration.
 
-use super::PlacedChange;
+use super::LocatedChange;
 use crate::finding::Finding;
-use ledgelead_configuration::{Field, Finding as Caused, Location, Problem};
+use ledgelead_configuration::{Field, Finding as ConfigurationFinding, Location, Problem};
 use ledgelead_types::administration::ConfigurationChange;
 
-/// The change that a problem is about: the last one of the same part, or of
-/// the same kind.
-pub(super) fn cause<'a>(problem: &Caused, changes: &'a [PlacedChange]) -> Option<&'a PlacedChange> {
-    let is_about = |placed: &&PlacedChange| match &problem.location {
-        Location::Tiers => matches!(location_of(&placed.change), Location::Tier(_)),
-        location => location_of(&placed.change) == *location,
+/// The last change of the entity that the error is about; for errors about all tiers, the last
+/// change of any tier.
+pub(super) fn find_change<'a>(
+    problem: &ConfigurationFinding,
+    changes: &'a [LocatedChange],
+) -> Option<&'a LocatedChange> {
+    let is_about = |located: &&LocatedChange| match &problem.location {
+        Location::Tiers => matches!(location_of(&located.change), Location::Tier(_)),
+        location => location_of(&located.change) == *location,
     };
     changes.iter().rev().find(is_about)
 }
 
-/// The finding for a problem: at the setting that caused it, else at the name
-/// of what it is about, else at the start of the text.
-pub(super) fn describe(problem: &Caused, placed: Option<&PlacedChange>) -> Finding {
-    let Some(placed) = placed else {
+/// Converts an error of the configuration. It is located at the value of the setting that
+/// caused it, otherwise at the entity's name, otherwise at the start of the text.
+pub(super) fn to_finding(
+    problem: &ConfigurationFinding,
+    located: Option<&LocatedChange>,
+) -> Finding {
+    let Some(located) = located else {
         return Finding::new(0..0, problem.to_string());
     };
     let setting = field_of(&problem.problem).and_then(|field| {
         let name = setting_name(field);
-        placed.settings.iter().find(|(setting, _)| setting == name)
+        located.settings.iter().find(|(setting, _)| setting == name)
     });
     match setting {
         Some((_, range)) => Finding::new(range.clone(), problem.problem.to_string()),
         None => {
             let kind = kind_name(&problem.location);
             let message = format!("{kind} {}", problem.problem);
-            Finding::new(placed.name.clone(), message)
+            Finding::new(located.name.clone(), message)
         }
     }
 }
@@ -78,7 +84,7 @@
     }
 }
 
-/// The setting that writes a field.
+/// Name of the setting that sets a field.
 fn setting_name(field: Field) -> &'static str {
     match field {
         Field::TargetImbalance => "target_imbalance",
--- a/crates/ledgelead-query/src/lower/changes.rs
+++ b/crates/ledgelead-query/src/lower/changes.rs
@@ -1,8 +1,8 @@
-//! Commands that change the configuration.
+//! Lowers commands that change the configuration.
 
-use super::settings::Reader;
-use super::{Lowering, PlacedChange};
-use crate::evaluate::deployment::ServerFacts;
+use super::settings::SettingsReader;
+use super::{LocatedChange, Lowering};
+use crate::evaluate::deployment::ServerSummary;
 use crate::finding::Finding;
 use crate::located::{Located, TextRange};
 use crate::names::{find, find_server, find_service, find_tier, find_zone};
@@ -12,18 +12,19 @@
 use ledgelead_types::routes::ServerStatus;
 use ledgelead_types::{CallerId, List, ServerId, ServiceId, Text, TierId, ZoneId};
 
-/// Weight of a tier that names none.
+/// Default weight of a tier.
 const DEFAULT_WEIGHT: u32 = 1;
-/// Deadline of a service that names none, as in the stored form.
+/// Default deadline of a service, the same as in the stored form.
 const DEFAULT_DEADLINE_MS: u32 = 2_000;
-/// Replicas of a service's groups when it names none.
+/// Default number of replicas of a service's groups.
 const DEFAULT_REPLICAS: u8 = 3;
-/// Slices for each server when a service names none.
+/// Default number of slices per server.
 const DEFAULT_SLICES_PER_SERVER: u16 = 8;
 
 impl Lowering<'_> {
-    /// Lowers a command and lets later ones see its effect. With mistakes it
-    /// still does, so that one mistake is not reported at every later mention.
+    /// Lowers a command and applies its effect for the commands that follow. The effect is
+    /// applied even if the command has errors, so that one error is not reported again at each
+    /// later reference.
     pub(super) fn change(&mut self, command: &Command, statement: &TextRange) {
         let (change, name, settings) = match command {
             Command::Create(definition) => (
@@ -45,32 +46,32 @@
         let Some(change) = change else {
             return;
         };
-        absorb(&mut self.working, &change);
-        let mut places: Vec<(String, TextRange)> = settings
+        apply_unchecked(&mut self.working, &change);
+        let mut setting_ranges: Vec<(String, TextRange)> = settings
             .iter()
             .map(|setting| (setting.field.value.clone(), setting.value.range.clone()))
             .collect();
         if let Command::AddServer(server) = command {
-            places.push(("address".to_owned(), server.address.range.clone()));
+            setting_ranges.push(("address".to_owned(), server.address.range.clone()));
         }
-        self.changes.push(PlacedChange {
+        self.changes.push(LocatedChange {
             change,
             statement: statement.clone(),
             name: name.range.clone(),
-            settings: places,
+            settings: setting_ranges,
         });
     }
 
-    fn reader(&mut self) -> Reader<'_> {
-        Reader {
+    fn reader(&mut self) -> SettingsReader<'_> {
+        SettingsReader {
             configuration: &self.working,
-            is_whole: self.is_whole,
+            is_complete: self.is_complete,
             findings: &mut self.findings,
         }
     }
 
-    /// Notes a name that is taken.
-    fn check_free(&mut self, kind: Kind, name: &Located<String>) {
+    /// Reports a name that is already in use.
+    fn check_name_free(&mut self, kind: Kind, name: &Located<String>) {
         let working = &self.working;
         let is_taken = match kind {
             Kind::Zone => working.zones.iter().any(|zone| *zone.name == name.value),
@@ -98,10 +99,12 @@
     fn create(&mut self, definition: &Definition) -> Option<Change> {
         let name = Text::from(definition.name.value.as_str());
         let settings = &definition.settings;
-        self.check_free(definition.kind, &definition.name);
+        self.check_name_free(definition.kind, &definition.name);
         Some(match definition.kind {
             Kind::Zone => {
-                let id = ZoneId(unused(self.working.zones.iter().map(|zone| zone.id.0)));
+                let id = ZoneId(next_identifier(
+                    self.working.zones.iter().map(|zone| zone.id.0),
+                ));
                 let mut zone = ZoneConfiguration {
                     id,
                     name,
@@ -116,7 +119,9 @@
                 Change::CreateService(service)
             }
             Kind::Tier => {
-                let id = TierId(unused(self.working.tiers.iter().map(|tier| tier.id.0)));
+                let id = TierId(next_identifier(
+                    self.working.tiers.iter().map(|tier| tier.id.0),
+                ));
                 let weight = DEFAULT_WEIGHT;
                 let mut tier = TierConfiguration {
                     id,
@@ -128,7 +133,7 @@
                 Change::CreateTier(tier)
             }
             Kind::Caller => {
-                let id = CallerId(unused(
+                let id = CallerId(next_identifier(
                     self.working.callers.iter().map(|caller| caller.id.0),
                 ));
                 let mut caller = CallerConfiguration {
@@ -152,7 +157,7 @@
                 reader.operator(settings, &mut operator);
                 Change::PutOperator(operator)
             }
-            // The grammar has `add server` instead.
+            // The grammar has `add server` instead of `create server`.
             Kind::Server => return None,
         })
     }
@@ -195,7 +200,7 @@
                 self.reader().operator(settings, &mut operator);
                 Change::PutOperator(operator)
             }
-            // The grammar has no such statement.
+            // The grammar has neither `alter zone` nor `alter server`.
             Kind::Zone | Kind::Server => return None,
         })
     }
@@ -213,8 +218,8 @@
             Kind::Server => {
                 let server = find_server(working, name, findings)?;
                 let id = server.id;
-                let facts = ServerFacts::of(self.view, server);
-                let status = facts.route.map(|route| route.status);
+                let summary = ServerSummary::of(self.view, server);
+                let status = summary.route.map(|route| route.status);
                 if status.is_some_and(|status| status != ServerStatus::Retired) {
                     let message = format!("server `{}` is not retired", name.value);
                     let help = format!(
@@ -229,7 +234,7 @@
     }
 
     fn add_server(&mut self, added: &AddServer) -> Option<Change> {
-        self.check_free(Kind::Server, &added.name);
+        self.check_name_free(Kind::Server, &added.name);
         let findings = &mut self.findings;
         let service = find_service(&self.working, &added.service, findings).map(|found| found.id);
         let zone = find_zone(&self.working, &added.zone, findings).map(|zone| zone.id);
@@ -248,8 +253,8 @@
         Some(Change::AddServer(server))
     }
 
-    /// An identifier above all that are known, also to groups: a group keeps
-    /// a removed server's status for a while.
+    /// An identifier above all known ones, including those in routes: a group keeps a removed
+    /// server's status for a while.
     fn next_server(&self) -> ServerId {
         let configured = self.working.servers.iter().map(|server| server.id);
         let removed = self
@@ -297,9 +302,9 @@
     )
 }
 
-/// The identifier after the highest in use, counted from 1; 0 when there is
-/// none left, which then is found to be a duplicate or is the last free one.
-fn unused<T>(used: impl Iterator<Item = T>) -> T
+/// The identifier after the highest one in use, starting at 1. When the type has no higher
+/// value, 0, which is either still unused or reported as a duplicate by the checks.
+fn next_identifier<T>(used: impl Iterator<Item = T>) -> T
 where
     T: Ord + Default + Copy + TryFrom<u64> + Into<u64>,
 {
@@ -307,8 +312,8 @@
     T::try_from(highest + 1).unwrap_or_default()
 }
 
-/// Applies a change without checks.
-fn absorb(configuration: &mut Configuration, change: &Change) {
+/// Applies a change without checking it.
+fn apply_unchecked(configuration: &mut Configuration, change: &Change) {
     match change.clone() {
         Change::CreateZone(zone) => configuration.zones.push(zone),
         Change::RemoveZone(id) => configuration.zones.retain(|zone| zone.id != id),
@@ -317,7 +322,7 @@
             put(&mut configuration.services, service, |service| service.id);
         }
         Change::RemoveService(id) => {
-            // Its identifier must not be given out again.
+            // Its identifier must not be assigned again.
             configuration.highest_service = configuration.highest_service.max(id);
             configuration.services.retain(|service| service.id != id);
         }
--- a/crates/ledgelead-query/src/lower/mod.rs
+++ b/crates/ledgelead-query/src/lower/mod.rs
@@ -1,7 +1,7 @@
-//! Commands to typed actions, checked against the configuration.
+//! Lowers commands to typed actions and checks them against the configuration.
 //!
-//! Commands of one text see what the ones before them do, so a text can
-//! create a service and add servers to it.
+//! A command sees the effects of the commands before it in the same text, so a text can create
+//! a service and add servers to it.
 
 mod causes;
 mod changes;
@@ -18,15 +18,15 @@
 use ledgelead_types::configuration::{Configuration, OperatorConfiguration, OperatorRole};
 use ledgelead_types::view::NodeView;
 
-/// Command identifier under which changes are tried; never stored.
-const TRIAL: &str = "trial";
+/// Command identifier for validating changes; never stored.
+const VALIDATION_COMMAND: &str = "trial";
 
-/// What a text asks for.
+/// The actions of a text.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Plan {
-    /// Changes of the configuration: one transaction.
+    /// Changes of the configuration, applied as one transaction.
     Configure(Vec<ConfigurationChange>),
-    /// Operations of groups: one after the other.
+    /// Operations of groups, executed one after the other.
     Operate(Vec<PlannedOperation>),
 }
 
@@ -39,10 +39,10 @@
     pub operation: GroupOperation,
 }
 
-/// Checks the commands of a text and turns them into typed actions.
+/// Checks the commands of a text and converts them to typed actions.
 ///
 /// # Errors
-/// Everything that is wrong with them.
+/// All errors in the commands.
 pub(crate) fn lower(parsed: &Parsed, view: &NodeView) -> Result<Plan, Findings> {
     let statements = &parsed.statements;
     let mut lowering = Lowering::new(view, parsed.findings.clone());
@@ -61,8 +61,8 @@
             lowering.change(command, &statement.range);
         }
     }
-    lowering.check_mixture(statements);
-    lowering.check_effect();
+    lowering.check_mixed_commands(statements);
+    lowering.check_combined_changes();
     lowering.check_administrators();
     lowering.findings.sort();
     if !lowering.findings.is_empty() {
@@ -71,37 +71,38 @@
     if operations.is_empty() {
         let changes = lowering.changes.into_iter();
         Ok(Plan::Configure(
-            changes.map(|placed| placed.change).collect(),
+            changes.map(|located| located.change).collect(),
         ))
     } else {
         Ok(Plan::Operate(operations))
     }
 }
 
-/// A change and where it was written.
-struct PlacedChange {
+/// A change and its location in the text.
+struct LocatedChange {
     change: ConfigurationChange,
     statement: TextRange,
     name: TextRange,
-    /// Places of the settings' values, by the settings' names.
+    /// Name of each setting and range of its value.
     settings: Vec<(String, TextRange)>,
 }
 
-/// Commands on their way to actions.
+/// State while the commands of a text are lowered.
 struct Lowering<'a> {
     view: &'a NodeView,
     /// The configuration with the changes so far.
     working: Configuration,
-    changes: Vec<PlacedChange>,
+    changes: Vec<LocatedChange>,
     findings: Findings,
-    /// Whether nothing that was written is missing from the trees.
-    is_whole: bool,
+    /// Whether the parser found no errors. Otherwise parts of the text may be missing from the
+    /// syntax trees.
+    is_complete: bool,
 }
 
 impl<'a> Lowering<'a> {
     fn new(view: &'a NodeView, findings: Findings) -> Lowering<'a> {
         Lowering {
-            is_whole: findings.is_empty(),
+            is_complete: findings.is_empty(),
             view,
             working: view.configuration.clone(),
             changes: Vec::new(),
@@ -109,10 +110,9 @@
         }
     }
 
-    /// A text is one transaction of the configuration, or operations: an
-    /// operation is decided by another authority and can't be undone with
-    /// the rest.
-    fn check_mixture(&mut self, statements: &[Located<Statement>]) {
+    /// A text is either one transaction of the configuration or operations. An operation is
+    /// decided by a group and can't be rolled back with the rest.
+    fn check_mixed_commands(&mut self, statements: &[Located<Statement>]) {
         let is_operation = |statement: &&Located<Statement>| matches!(&statement.value, Statement::Command(command) if command.is_operation());
         let Some(operation) = statements.iter().find(is_operation) else {
             return;
@@ -126,46 +126,50 @@
         }
     }
 
-    /// Tries all changes together. A statement that has mistakes already is
-    /// not tried for more, since they may follow from those.
-    fn check_effect(&mut self) {
+    /// Validates all changes together. Statements that already have errors are skipped, since
+    /// further errors may follow from the first.
+    fn check_combined_changes(&mut self) {
         let changes: Vec<ConfigurationChange> = self
             .changes
             .iter()
-            .map(|placed| placed.change.clone())
+            .map(|located| located.change.clone())
             .collect();
         if changes.is_empty() {
             return;
         }
-        let Err(problems) = apply_changes(&self.view.configuration, &changes, TRIAL) else {
+        let Err(problems) = apply_changes(&self.view.configuration, &changes, VALIDATION_COMMAND)
+        else {
             return;
         };
-        let noted: Vec<usize> = self
+        let reported: Vec<usize> = self
             .findings
             .0
             .iter()
             .map(|found| found.range.start)
             .collect();
         for problem in problems {
-            let placed = causes::cause(&problem, &self.changes);
-            let is_noted =
-                |placed: &PlacedChange| noted.iter().any(|start| placed.statement.contains(start));
-            if !placed.is_some_and(is_noted) {
-                self.findings.add(causes::describe(&problem, placed));
+            let located = causes::find_change(&problem, &self.changes);
+            let is_reported = |located: &LocatedChange| {
+                reported
+                    .iter()
+                    .any(|start| located.statement.contains(start))
+            };
+            if !located.is_some_and(is_reported) {
+                self.findings.add(causes::to_finding(&problem, located));
             }
         }
     }
 
-    /// Somebody has to be left who can make operators; with none at all,
-    /// anybody on a node's machine could.
+    /// At least one operator must remain who can manage operators; with no operators at all,
+    /// anyone on a node's machine could administer the deployment.
     fn check_administrators(&mut self) {
-        let is_about_operators = |placed: &&PlacedChange| {
+        let is_about_operators = |located: &&LocatedChange| {
             matches!(
-                placed.change,
+                located.change,
                 ConfigurationChange::PutOperator(_) | ConfigurationChange::RemoveOperator(_)
             )
         };
-        let Some(placed) = self.changes.iter().rev().find(is_about_operators) else {
+        let Some(located) = self.changes.iter().rev().find(is_about_operators) else {
             return;
         };
         let is_administrator = |operator: &OperatorConfiguration| {
@@ -177,6 +181,6 @@
         let message = "nobody would be left who may administer everything";
         let help = "keep an operator with role = administer and without teams";
         self.findings
-            .add(Finding::new(placed.name.clone(), message).with_help(help));
+            .add(Finding::new(located.name.clone(), message).with_help(help));
     }
 }
--- a/crates/ledgelead-query/src/lower/operations.rs
+++ b/crates/ledgelead-query/src/lower/operations.rs
@@ -1,4 +1,4 @@
-//! Commands that a group decides.
+//! Lowers operations, which groups decide.
 
 use super::{Lowering, PlannedOperation};
 use crate::finding::Finding;
@@ -8,7 +8,6 @@
 use ledgelead_types::administration::GroupOperation;
 
 impl Lowering<'_> {
-    /// Lowers an operation.
     pub(super) fn operation(&mut self, command: &Command) -> Option<PlannedOperation> {
         match command {
             Command::OperateServer { operation, server } => {
@@ -44,7 +43,7 @@
         }
     }
 
-    /// The new owner has to be a server of the key's own group.
+    /// The new owner must be a server of the key's group.
     fn move_key(
         &mut self,
         key: &KeyInService,
--- a/crates/ledgelead-query/src/lower/settings.rs
+++ b/crates/ledgelead-query/src/lower/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of what commands create and alter.
+//! Reads the settings of `create`, `alter` and `add server` commands.
 
 use crate::finding::{Finding, Findings};
 use crate::located::Located;
@@ -8,12 +8,13 @@
 use ledgelead_types::configuration::*;
 use ledgelead_types::{List, Text};
 
-/// Settings of one statement, read one by one.
-pub(super) struct Reader<'a> {
+/// Reader for the settings of one statement.
+pub(super) struct SettingsReader<'a> {
     pub(super) configuration: &'a Configuration,
     pub(super) findings: &'a mut Findings,
-    /// Whether nothing that was written is missing from the trees.
-    pub(super) is_whole: bool,
+    /// Whether the parser found no errors. Otherwise a setting may be missing only because it
+    /// was not parsed.
+    pub(super) is_complete: bool,
 }
 
 const ZONE: &[&str] = &["region"];
@@ -38,15 +39,15 @@
 const OPERATOR: &[&str] = &["role", "teams", "credential_sha256"];
 const SERVER: &[&str] = &["slots", "connections"];
 
-impl Reader<'_> {
+impl SettingsReader<'_> {
     pub(super) fn zone(&mut self, settings: &[Setting], zone: &mut ZoneConfiguration) {
-        for setting in self.known(settings, "zones", ZONE) {
+        for setting in self.valid_settings(settings, "zones", ZONE) {
             self.text(setting, &mut zone.region);
         }
     }
 
     pub(super) fn service(&mut self, settings: &[Setting], service: &mut ServiceConfiguration) {
-        for setting in self.known(settings, "services", SERVICE) {
+        for setting in self.valid_settings(settings, "services", SERVICE) {
             let balance = &mut service.balance;
             match setting.field.value.as_str() {
                 "team" => self.text(setting, &mut service.team),
@@ -63,7 +64,7 @@
     }
 
     pub(super) fn tier(&mut self, settings: &[Setting], tier: &mut TierConfiguration) {
-        for setting in self.known(settings, "tiers", TIER) {
+        for setting in self.valid_settings(settings, "tiers", TIER) {
             match setting.field.value.as_str() {
                 "weight" => self.count(setting, &mut tier.weight),
                 _ => self.count(setting, &mut tier.guaranteed_percent),
@@ -72,7 +73,7 @@
     }
 
     pub(super) fn caller(&mut self, settings: &[Setting], caller: &mut CallerConfiguration) {
-        for setting in self.known(settings, "callers", CALLER) {
+        for setting in self.valid_settings(settings, "callers", CALLER) {
             match setting.field.value.as_str() {
                 "tier" => self.tier_named(setting, caller),
                 "credential_sha256" => self.text(setting, &mut caller.credential_sha256),
@@ -85,7 +86,7 @@
     }
 
     pub(super) fn operator(&mut self, settings: &[Setting], operator: &mut OperatorConfiguration) {
-        for setting in self.known(settings, "operators", OPERATOR) {
+        for setting in self.valid_settings(settings, "operators", OPERATOR) {
             match setting.field.value.as_str() {
                 "role" => self.choice(setting, &ROLES, &mut operator.role),
                 "teams" => self.teams(setting, &mut operator.teams),
@@ -95,7 +96,7 @@
     }
 
     pub(super) fn server(&mut self, settings: &[Setting], server: &mut ServerConfiguration) {
-        for setting in self.known(settings, "servers", SERVER) {
+        for setting in self.valid_settings(settings, "servers", SERVER) {
             match setting.field.value.as_str() {
                 "slots" => self.count(setting, &mut server.slots),
                 _ => self.count(setting, &mut server.max_connections),
@@ -103,21 +104,26 @@
         }
     }
 
-    /// Notes that a setting without a default is missing. A mistyped one is
-    /// noted as such.
+    /// Reports a missing setting that has no default. A misspelled one is reported as unknown
+    /// instead.
     pub(super) fn require(&mut self, settings: &[Setting], name: &Located<String>, field: &str) {
         let is_given = settings
             .iter()
             .any(|setting| nearest(&setting.field.value, [field]).is_some());
-        if self.is_whole && !is_given {
+        if self.is_complete && !is_given {
             let message = format!("needs the setting `{field}`");
             self.findings.add(Finding::new(name.range.clone(), message));
         }
     }
 
-    /// The settings that exist and are given once; notes the others.
-    fn known<'s>(&mut self, settings: &'s [Setting], of: &str, valid: &[&str]) -> Vec<&'s Setting> {
-        let mut known: Vec<&Setting> = Vec::new();
+    /// Returns the settings that are valid and given once; reports the others.
+    fn valid_settings<'s>(
+        &mut self,
+        settings: &'s [Setting],
+        of: &str,
+        valid: &[&str],
+    ) -> Vec<&'s Setting> {
+        let mut accepted: Vec<&Setting> = Vec::new();
         for setting in settings {
             let field = &setting.field;
             if !valid.contains(&field.value.as_str()) {
@@ -125,18 +131,18 @@
                 let valid = valid.iter().copied();
                 let finding = Finding::unknown(field.range.clone(), &what, &field.value, valid);
                 self.findings.add(finding);
-            } else if known.iter().any(|earlier| earlier.field == *field) {
+            } else if accepted.iter().any(|earlier| earlier.field == *field) {
                 let message = format!("`{}` is given twice", field.value);
                 self.findings
                     .add(Finding::new(field.range.clone(), message));
             } else {
-                known.push(setting);
+                accepted.push(setting);
             }
         }
-        known
+        accepted
     }
 
-    fn wrong(&mut self, setting: &Setting, expected: &str) {
+    fn report_invalid_value(&mut self, setting: &Setting, expected: &str) {
         let message = format!("`{}` is {expected}", setting.field.value);
         let range = setting.value.range.clone();
         self.findings.add(Finding::new(range, message));
@@ -145,31 +151,31 @@
     fn text(&mut self, setting: &Setting, target: &mut Text) {
         match &setting.value.value {
             Value::Text(text) => *target = text.as_str().into(),
-            Value::Number(_) => self.wrong(setting, "a text; write it in quotes"),
+            Value::Number(_) => self.report_invalid_value(setting, "a text; write it in quotes"),
         }
     }
 
     fn number(&mut self, setting: &Setting, target: &mut f64) {
         match setting.value.value {
             Value::Number(number) => *target = number,
-            Value::Text(_) => self.wrong(setting, "a number"),
+            Value::Text(_) => self.report_invalid_value(setting, "a number"),
         }
     }
 
-    /// A whole number that fits its type.
+    /// Reads a whole number within the range of its type.
     fn count<T: TryFrom<u64>>(&mut self, setting: &Setting, target: &mut T) {
-        /// Largest whole number that every smaller one can be told from.
+        /// 2^53 - 1: up to here `f64` represents every whole number exactly.
         const LARGEST: f64 = 9_007_199_254_740_991.0;
         let number = match setting.value.value {
             Value::Number(number) => number,
             Value::Text(_) => f64::NAN,
         };
         if number.fract() != 0.0 || !(0.0..=LARGEST).contains(&number) {
-            return self.wrong(setting, "a whole number");
+            return self.report_invalid_value(setting, "a whole number");
         }
         match T::try_from(number as u64) {
             Ok(count) => *target = count,
-            Err(_) => self.wrong(setting, "a smaller number"),
+            Err(_) => self.report_invalid_value(setting, "a smaller number"),
         }
     }
 
@@ -191,7 +197,7 @@
 
     fn tier_named(&mut self, setting: &Setting, caller: &mut CallerConfiguration) {
         let Value::Text(name) = &setting.value.value else {
-            return self.wrong(setting, "the name of a tier");
+            return self.report_invalid_value(setting, "the name of a tier");
         };
         let name = Located::new(name.clone(), setting.value.range.clone());
         if let Some(tier) = find_tier(self.configuration, &name, self.findings) {
@@ -199,10 +205,10 @@
         }
     }
 
-    /// Teams, separated by commas in one text; none for all.
+    /// Reads team names separated by commas; an empty text stands for all teams.
     fn teams(&mut self, setting: &Setting, target: &mut List<Text>) {
         let Value::Text(text) = &setting.value.value else {
-            return self.wrong(setting, "a text of teams separated by commas");
+            return self.report_invalid_value(setting, "a text of teams separated by commas");
         };
         let names = text
             .split(',')
--- a/crates/ledgelead-query/src/names.rs
+++ b/crates/ledgelead-query/src/names.rs
@@ -1,35 +1,35 @@
-//! Names of the configuration's parts, and what they stand for.
+//! Looks up entities of the configuration by name and names by identifier.
 
 use crate::finding::{Finding, Findings};
 use crate::located::Located;
 use ledgelead_types::configuration::*;
 use ledgelead_types::{GroupId, Position, PositionRange, ServerId, ServiceId, ZoneId};
 
-/// The name of a service, or its identifier when it has none here.
+/// The name of a service, or its identifier if the configuration does not have it.
 pub(crate) fn service_name(configuration: &Configuration, id: ServiceId) -> String {
     let service = configuration.service(id);
     service.map_or_else(|| id.to_string(), |service| service.name.0.clone())
 }
 
-/// The name of a zone.
+/// The name of a zone, or its identifier.
 pub(crate) fn zone_name(configuration: &Configuration, id: ZoneId) -> String {
     let zone = configuration.zones.iter().find(|zone| zone.id == id);
     zone.map_or_else(|| id.to_string(), |zone| zone.name.0.clone())
 }
 
-/// The name of a server.
+/// The name of a server, or its identifier.
 pub(crate) fn server_name(configuration: &Configuration, id: ServerId) -> String {
     let server = configuration.server(id);
     server.map_or_else(|| id.to_string(), |server| server.name.0.clone())
 }
 
-/// A group as operators see it: service and part.
+/// The display name of a group: service and part.
 pub(crate) fn group_name(configuration: &Configuration, group: GroupId) -> String {
     let service = service_name(configuration, group.service);
     format!("{service}.{}", group.part)
 }
 
-/// The group that a server falls to.
+/// The group that a server is assigned to.
 pub(crate) fn group_of_server(
     configuration: &Configuration,
     server: &ServerConfiguration,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The group whose part of a service's position space holds a position.
+/// The group whose part of a service's position space contains a position.
 pub(crate) fn group_of_position(service: &ServiceConfiguration, position: Position) -> GroupId {
     let parts = service.groups.max(1);
     let part = (0..parts).find(|part| {
@@ -56,14 +56,14 @@
     }
 }
 
-/// A key of a service, located.
+/// A key's service, position and group.
 pub(crate) struct LocatedKey<'a> {
     pub(crate) service: &'a ServiceConfiguration,
     pub(crate) position: Position,
     pub(crate) group: GroupId,
 }
 
-/// Finds the group of a key; notes what is wrong.
+/// Finds the group of a key; reports errors.
 pub(crate) fn locate_key<'a>(
     configuration: &'a Configuration,
     key: &crate::tree::KeyInService,
@@ -84,7 +84,7 @@
     })
 }
 
-/// Finds something by its name; notes an unknown one with the nearest.
+/// Finds an entity by its name; reports an unknown name with the nearest known one.
 pub(crate) fn find<'a, T>(
     items: &'a [T],
     name_of: impl Fn(&T) -> &str,
@@ -105,7 +105,6 @@
     found
 }
 
-/// Finds a service.
 pub(crate) fn find_service<'a>(
     configuration: &'a Configuration,
     name: &Located<String>,
@@ -120,7 +119,6 @@
     )
 }
 
-/// Finds a server.
 pub(crate) fn find_server<'a>(
     configuration: &'a Configuration,
     name: &Located<String>,
@@ -135,7 +133,6 @@
     )
 }
 
-/// Finds a zone.
 pub(crate) fn find_zone<'a>(
     configuration: &'a Configuration,
     name: &Located<String>,
@@ -150,7 +147,6 @@
     )
 }
 
-/// Finds a tier.
 pub(crate) fn find_tier<'a>(
     configuration: &'a Configuration,
     name: &Located<String>,
--- a/crates/ledgelead-query/src/parse/clauses.rs
+++ b/crates/ledgelead-query/src/parse/clauses.rs
@@ -1,4 +1,4 @@
-//! Parts that several statements share.
+//! Clauses that several statements share.
 
 use super::cursor::Cursor;
 use crate::lexer::TokenKind;
@@ -24,7 +24,7 @@
         Some(KeyInService { key, service })
     }
 
-    /// `FIELD = VALUE, ...`; a setting with a mistake is left out.
+    /// `FIELD = VALUE, ...`; settings with errors are omitted.
     pub(super) fn settings(&mut self) -> Vec<Setting> {
         let mut settings = Vec::new();
         loop {
@@ -41,7 +41,7 @@
     fn setting(&mut self) -> Option<Setting> {
         let field = self.name("the name of a setting")?;
         if !self.accept_symbol("=") {
-            self.note_expected("`=`");
+            self.report_expected("`=`");
             return None;
         }
         let value = self.value()?;
--- a/crates/ledgelead-query/src/parse/command.rs
+++ b/crates/ledgelead-query/src/parse/command.rs
@@ -1,15 +1,15 @@
-//! Commands, and the word that begins a statement.
+//! Parses commands and the keyword of a statement.
 
 use super::cursor::Cursor;
 use crate::tree::*;
 
-/// Words that begin a command.
+/// Keywords of commands.
 const COMMANDS: [&str; 10] = [
     "create", "alter", "remove", "add", "drain", "activate", "retire", "move", "split", "isolate",
 ];
 
 impl Cursor<'_> {
-    /// A whole statement, or nothing that can be guessed.
+    /// Parses a whole statement; `None` if it can't be recovered.
     pub(super) fn statement(&mut self) -> Option<Statement> {
         let mut words = vec!["show", "explain"];
         words.extend(COMMANDS);
@@ -42,14 +42,14 @@
         kinds.iter().find(|kind| kind.name() == word).copied()
     }
 
-    fn definition(&mut self, keyword: &'static str, is_needed: bool) -> Option<Definition> {
-        let named: Vec<Kind> = Kind::ALL
+    fn definition(&mut self, keyword: &'static str, requires_settings: bool) -> Option<Definition> {
+        let kinds: Vec<Kind> = Kind::ALL
             .into_iter()
-            .filter(|kind| *kind != Kind::Server && !(is_needed && *kind == Kind::Zone))
+            .filter(|kind| *kind != Kind::Server && !(requires_settings && *kind == Kind::Zone))
             .collect();
-        let kind = self.kind(&named)?;
+        let kind = self.kind(&kinds)?;
         let name = self.name("a name")?;
-        let settings = if is_needed || self.next().is_some() {
+        let settings = if requires_settings || self.next().is_some() {
             self.expect(keyword)?;
             self.settings()
         } else {
--- a/crates/ledgelead-query/src/parse/cursor.rs
+++ b/crates/ledgelead-query/src/parse/cursor.rs
@@ -1,4 +1,4 @@
-//! Reads the tokens of one statement and notes what is wrong with them.
+//! Reads the tokens of one statement and reports errors.
 
 use crate::finding::{Finding, Findings};
 use crate::lexer::{Token, TokenKind};
@@ -13,7 +13,7 @@
 
 type Tokens<'a> = TokenSlice<'a, Token>;
 
-/// The rest of a statement.
+/// The remaining tokens of a statement.
 pub(super) struct Cursor<'a> {
     tokens: Tokens<'a>,
     end: usize,
@@ -29,73 +29,74 @@
         }
     }
 
-    fn take_if(&mut self, fits: impl Fn(&Token) -> bool) -> Option<&'a Token> {
-        let fitting = any::<Tokens<'a>, ContextError>.verify(|token: &&Token| fits(token));
-        opt(fitting).parse_next(&mut self.tokens).ok().flatten()
+    fn take_if(&mut self, predicate: impl Fn(&Token) -> bool) -> Option<&'a Token> {
+        let matching = any::<Tokens<'a>, ContextError>.verify(|token: &&Token| predicate(token));
+        opt(matching).parse_next(&mut self.tokens).ok().flatten()
     }
 
-    /// The next token, which stays.
+    /// Returns the next token without consuming it.
     pub(super) fn next(&mut self) -> Option<&'a Token> {
         let next = peek(any::<Tokens<'a>, ContextError>);
         opt(next).parse_next(&mut self.tokens).ok().flatten()
     }
 
-    /// Takes this word if it is next.
+    /// Consumes the next token if it is this word.
     pub(super) fn accept(&mut self, word: &str) -> bool {
         self.take_if(|token| token.word() == Some(word)).is_some()
     }
 
-    /// Takes this symbol if it is next.
+    /// Consumes the next token if it is this symbol.
     pub(super) fn accept_symbol(&mut self, symbol: &str) -> bool {
         self.take_if(|token| matches!(token.kind, TokenKind::Symbol(found) if found == symbol))
             .is_some()
     }
 
-    /// Takes tokens until one fits, which stays.
-    pub(super) fn skip_until(&mut self, fits: impl Fn(&Token) -> bool) {
-        let skipped = any::<Tokens<'a>, ContextError>.verify(|token: &&Token| !fits(token));
+    /// Consumes tokens until one matches, which is not consumed.
+    pub(super) fn skip_until(&mut self, predicate: impl Fn(&Token) -> bool) {
+        let skipped = any::<Tokens<'a>, ContextError>.verify(|token: &&Token| !predicate(token));
         let mut skip = repeat::<_, _, (), _, _>(0.., skipped.void());
         let _ = skip.parse_next(&mut self.tokens);
     }
 
-    /// Notes a mistake at a place.
-    pub(super) fn note(&mut self, finding: Finding) {
+    pub(super) fn report(&mut self, finding: Finding) {
         self.findings.add(finding);
     }
 
-    /// Location of the next token, or of the end.
-    pub(super) fn place(&mut self) -> TextRange {
+    /// Range of the next token, or an empty one at the end.
+    pub(super) fn next_range(&mut self) -> TextRange {
         match self.next() {
             Some(token) => token.range.clone(),
             None => self.end..self.end,
         }
     }
 
-    /// Notes that something else was expected here. A token that is noted
-    /// already is not noted twice.
-    pub(super) fn note_expected(&mut self, expected: &str) {
-        let is_noted = self.take_if(|token| token.kind == TokenKind::Bad).is_some();
-        if !is_noted {
-            let range = self.place();
-            self.note(Finding::new(range, format!("expected {expected}")));
+    /// Reports that something else was expected here. An invalid token, for which the lexer
+    /// reported an error, is consumed without a second error.
+    pub(super) fn report_expected(&mut self, expected: &str) {
+        let is_reported = self
+            .take_if(|token| token.kind == TokenKind::Invalid)
+            .is_some();
+        if !is_reported {
+            let range = self.next_range();
+            self.report(Finding::new(range, format!("expected {expected}")));
         }
     }
 
-    /// Takes this word; anything else is a mistake. A word close to it counts
-    /// as a slip and is taken.
+    /// Consumes this word; anything else is an error. A near misspelling is reported and
+    /// consumed.
     pub(super) fn expect(&mut self, word: &'static str) -> Option<()> {
         self.one_of(&[word], &format!("`{word}`")).map(|_| ())
     }
 
-    /// Takes one of these words; a close one counts as a slip and is taken
-    /// for the nearest.
+    /// Consumes one of these words. A near misspelling is reported and consumed as the nearest
+    /// word.
     pub(super) fn one_of(&mut self, words: &[&'static str], what: &str) -> Option<&'static str> {
         let Some(token) = self.next() else {
-            self.note_expected(what);
+            self.report_expected(what);
             return None;
         };
         let Some(word) = token.word() else {
-            self.note_expected(what);
+            self.report_expected(what);
             return None;
         };
         if let Some(exact) = words.iter().find(|valid| **valid == word) {
@@ -105,19 +106,19 @@
         let finding = Finding::new(token.range.clone(), format!("expected {what}"));
         let Some(near) = nearest(word, words.iter().copied()) else {
             let one_of = format!("one of: {}", words.join(", "));
-            self.note(if words.len() > 1 {
+            self.report(if words.len() > 1 {
                 finding.with_help(one_of)
             } else {
                 finding
             });
             return None;
         };
-        self.note(finding.with_help(format!("did you mean `{near}`?")));
+        self.report(finding.with_help(format!("did you mean `{near}`?")));
         self.tokens.next_token();
         words.iter().find(|valid| **valid == near).copied()
     }
 
-    /// Takes a name, bare or quoted.
+    /// Consumes a name, quoted or not.
     pub(super) fn name(&mut self, what: &str) -> Option<Located<String>> {
         let is_name = |token: &Token| match &token.kind {
             TokenKind::Word(word) => !is_reserved(word),
@@ -125,7 +126,7 @@
             _ => false,
         };
         let Some(token) = self.take_if(is_name) else {
-            self.note_expected(what);
+            self.report_expected(what);
             return None;
         };
         match &token.kind {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes a number if one is next.
+    /// Consumes the next token if it is a number.
     pub(super) fn number(&mut self) -> Option<Located<f64>> {
         let token = self.take_if(|token| matches!(token.kind, TokenKind::Number(_)))?;
         match token.kind {
@@ -145,15 +146,15 @@
         }
     }
 
-    /// Notes what is left over.
-    pub(super) fn finish(&mut self) {
-        let place = self.place();
+    /// Reports tokens after the end of the statement.
+    pub(super) fn expect_end(&mut self) {
+        let next_range = self.next_range();
         if self
             .next()
-            .is_some_and(|token| token.kind != TokenKind::Bad)
+            .is_some_and(|token| token.kind != TokenKind::Invalid)
         {
-            let finding = Finding::new(place, "the statement should have ended here");
-            self.note(finding.with_help("statements are separated by `;`"));
+            let finding = Finding::new(next_range, "the statement should have ended here");
+            self.report(finding.with_help("statements are separated by `;`"));
         }
     }
 }
--- a/crates/ledgelead-query/src/parse/mod.rs
+++ b/crates/ledgelead-query/src/parse/mod.rs
@@ -1,5 +1,5 @@
-//! Tokens to trees. A mistake is noted and the parser goes on at the next
-//! clause, so one pass finds them all.
+//! Parses tokens into syntax trees. After an error the parser resumes at the next clause, so
+//! one pass reports all errors.
 
 mod clauses;
 mod command;
@@ -12,24 +12,24 @@
 use crate::tree::Statement;
 use cursor::Cursor;
 
-/// Words that are names only in quotes: those that can follow a name.
+/// Words that must be quoted when used as names, because they can follow a name.
 const RESERVED: [&str; 14] = [
     "of", "where", "and", "or", "order", "by", "asc", "desc", "limit", "with", "set", "to", "in",
     "at",
 ];
 
-/// Whether a word is a name only in quotes.
+/// Whether a word must be quoted when used as a name.
 pub(crate) fn is_reserved(word: &str) -> bool {
     RESERVED.contains(&word)
 }
 
-/// What a text holds.
+/// Result of parsing a text.
 #[derive(Clone, Debug, Default)]
 pub struct Parsed {
-    /// Its statements. With findings these are guesses, good only for
-    /// further checks.
+    /// Syntax trees. If there are errors, these are incomplete and only fit for further
+    /// checks.
     pub statements: Vec<Located<Statement>>,
-    /// Its mistakes.
+    /// Errors in the text.
     pub findings: Findings,
 }
 
@@ -45,7 +45,7 @@
         let range = first.range.start..last.range.end;
         let mut cursor = Cursor::new(tokens, range.end, &mut parsed.findings);
         if let Some(statement) = cursor.statement() {
-            cursor.finish();
+            cursor.expect_end();
             parsed.statements.push(Located::new(statement, range));
         }
     }
--- a/crates/ledgelead-query/src/parse/show.rs
+++ b/crates/ledgelead-query/src/parse/show.rs
@@ -1,4 +1,4 @@
-//! `show`
+//! Parses `show` statements.
 
 use super::cursor::Cursor;
 use crate::finding::Finding;
@@ -7,7 +7,7 @@
 use crate::schema::Subject;
 use crate::tree::*;
 
-/// Words that begin a clause.
+/// Keywords that start a clause.
 const CLAUSES: [&str; 4] = ["of", "where", "order", "limit"];
 
 fn begins_clause(token: &Token) -> bool {
@@ -15,12 +15,12 @@
 }
 
 impl Cursor<'_> {
-    /// What comes after `show`.
+    /// Parses the part after `show`.
     pub(super) fn show(&mut self) -> Option<Statement> {
         let mut words: Vec<&'static str> =
             Subject::ALL.iter().map(|subject| subject.name()).collect();
         words.push("owner");
-        let range = self.place();
+        let range = self.next_range();
         let word = self.one_of(&words, "a subject to show")?;
         if word == "owner" {
             self.expect("of")?;
@@ -43,9 +43,9 @@
     }
 
     fn clause(&mut self, show: &mut Show) {
-        let range = self.place();
+        let range = self.next_range();
         let Some(clause) = self.one_of(&CLAUSES, "`of`, `where`, `order by` or `limit`") else {
-            // The word that begins nothing goes, so that this ends.
+            // Skips the word that starts no clause, so that the loop ends.
             self.skip_until(begins_clause);
             return;
         };
@@ -56,9 +56,9 @@
             _ => show.limit.is_some(),
         };
         if is_repeated {
-            self.note(Finding::new(range, format!("a second `{clause}`")));
+            self.report(Finding::new(range, format!("a second `{clause}`")));
         }
-        let read = match clause {
+        let parsed = match clause {
             "of" => self
                 .name("the name of a service")
                 .map(|name| show.service = Some(name)),
@@ -66,12 +66,12 @@
             "order" => self.order().map(|order| show.order = Some(order)),
             _ => self.limit().map(|limit| show.limit = Some(limit)),
         };
-        if read.is_none() {
+        if parsed.is_none() {
             self.skip_until(begins_clause);
         }
     }
 
-    /// Conditions; one with a mistake is left out.
+    /// Parses conditions; those with errors are omitted.
     fn filter(&mut self) -> Option<Vec<Vec<Condition>>> {
         let mut alternatives = vec![Vec::new()];
         loop {
@@ -119,7 +119,7 @@
             Some(comparison) => {
                 self.accept_symbol(comparison.symbol());
             }
-            None => self.note_expected("one of = != < <= > >="),
+            None => self.report_expected("one of = != < <= > >="),
         }
         comparison
     }
@@ -135,15 +135,15 @@
     }
 
     fn limit(&mut self) -> Option<u32> {
-        let range = self.place();
+        let range = self.next_range();
         let Some(number) = self.number() else {
-            self.note_expected("a number of rows");
+            self.report_expected("a number of rows");
             return None;
         };
         let is_count =
             number.value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&number.value);
         if !is_count {
-            self.note(Finding::new(range, "expected a whole number of rows"));
+            self.report(Finding::new(range, "expected a whole number of rows"));
             return None;
         }
         Some(number.value as u32)
--- a/crates/ledgelead-query/src/print.rs
+++ b/crates/ledgelead-query/src/print.rs
@@ -1,11 +1,11 @@
-//! Trees back to text, in the one form that the documents use.
+//! Prints syntax trees in the canonical form that the documents use.
 
 use crate::lexer::{is_word_character, is_word_start};
 use crate::parse::is_reserved;
 use crate::tree::*;
 use std::fmt::{self, Display, Formatter, Write};
 
-/// A name: bare when that reads back as the same name, quoted otherwise.
+/// A name: unquoted if it parses as the same name, otherwise quoted.
 struct Name<'a>(&'a str);
 
 /// A quoted text.
--- a/crates/ledgelead-query/src/schema.rs
+++ b/crates/ledgelead-query/src/schema.rs
@@ -1,6 +1,6 @@
-//! What can be asked for: subjects and their columns.
+//! Subjects of queries and their columns.
 
-/// What `show` can show.
+/// What `show` can display.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum Subject {
@@ -17,23 +17,23 @@
     Configuration,
 }
 
-/// What a column holds.
+/// Type of a column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColumnKind {
-    /// Texts.
+    /// Text.
     Text,
-    /// Numbers.
+    /// Number.
     Number,
-    /// Yes or no, written `true` and `false`.
+    /// Boolean, written `true` and `false`.
     Flag,
 }
 
 /// A column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Column {
-    /// Its name; a unit is its last part.
+    /// Name, with the unit as its last part.
     pub name: &'static str,
-    /// What it holds.
+    /// Type of its values.
     pub kind: ColumnKind,
 }
 
@@ -188,7 +188,7 @@
 ];
 
 impl Subject {
-    /// All of them.
+    /// All subjects.
     pub const ALL: [Subject; 11] = [
         Subject::Services,
         Subject::Zones,
@@ -203,7 +203,7 @@
         Subject::Configuration,
     ];
 
-    /// As it is written.
+    /// Keyword in the language.
     pub fn name(self) -> &'static str {
         match self {
             Subject::Services => "services",
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Its columns.
+    /// Columns of its table.
     pub fn columns(self) -> &'static [Column] {
         match self {
             Subject::Services => SERVICES,
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Whether its rows belong to services, so that `of SERVICE` fits.
+    /// Whether its rows belong to services, so that `of SERVICE` is allowed.
     pub fn has_services(self) -> bool {
         self.columns().iter().any(|column| column.name == "service")
     }
--- a/crates/ledgelead-query/src/session.rs
+++ b/crates/ledgelead-query/src/session.rs
@@ -1,7 +1,7 @@
-//! What happens between an operator and the deployment, without sockets and
-//! clocks: statements are checked against the present view, commands are sent
-//! under an identifier that makes them safe to repeat, races are settled by
-//! the configuration's version, and an accepted change is waited for.
+//! Runs an operator's queries and commands against a deployment, without I/O or clocks.
+//! Statements are checked against the current view. A command carries an identifier that makes
+//! it safe to retry. Concurrent configuration changes are detected by version. A request can
+//! wait until an accepted change is in force.
 
 use crate::answer::{answer, plan};
 use crate::authority::{Forbidden, may_command, may_give_commands, may_query};
@@ -13,63 +13,64 @@
 use ledgelead_types::view::NodeView;
 use ledgelead_types::{ConfigurationVersion, List, NodeId, Text};
 
-/// How often a command is worked out because another one was faster. Of racing
-/// commands one always wins, so this bounds the operators who race at once.
-const MOST_ATTEMPTS: u32 = 32;
-/// Longest command identifier, in bytes; leaves room for an operation's
+/// Attempts to plan and send a command whose base version another command has replaced. One of
+/// the competing commands always succeeds, so this limits how many operators can compete at
+/// once.
+const MAX_ATTEMPTS: u32 = 32;
+/// Longest command identifier, in bytes; leaves room for the suffix with an operation's
 /// number.
 const MAX_IDENTIFIER_BYTES: usize = 120;
 
-/// Why the node that was asked gave no answer.
+/// Why the node did not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NoAnswer(pub String);
 
-/// The deployment as one node reaches it.
+/// Access to the deployment through one node.
 pub trait Deployment {
     /// What this node knows.
     ///
     /// # Errors
-    /// When the node does not answer.
+    /// If the node does not answer.
     fn view(&mut self) -> Result<NodeView, NoAnswer>;
 
-    /// What all nodes together know, loads included.
+    /// What all nodes together know, including loads.
     ///
     /// # Errors
-    /// When the node does not answer.
+    /// If the node does not answer.
     fn cluster_view(&mut self) -> Result<NodeView, NoAnswer>;
 
-    /// Has a command carried out and waits for its end.
+    /// Executes a command and waits for its result.
     ///
     /// # Errors
-    /// When the end is not known; the command may or may not have taken
-    /// effect.
+    /// If the result is not known; the command may or may not have taken effect.
     fn command(&mut self, command: AdministrationCommand) -> Result<CommandResult, NoAnswer>;
 
-    /// Lets a little time pass; false when the time for this request is over.
+    /// Waits for a short time; returns false once the time allowed for this request has
+    /// elapsed.
     fn pause(&mut self) -> bool;
 }
 
-/// A command as an operator sends it.
+/// A command as sent by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandRequest {
     /// Statements separated by `;`.
     pub text: String,
-    /// Chosen by the operator, the same for a repeat.
+    /// Chosen by the operator; a retry uses the same one.
     pub id: String,
-    /// The configuration version that the operator relies on.
+    /// Configuration version that the command requires.
     pub if_version: Option<ConfigurationVersion>,
     /// Whether to wait until the change is in force at every live node.
     pub wait: bool,
 }
 
-/// Answers of a text of queries.
+/// Result of a text of queries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryAnswer {
-    /// The configuration version that was looked at.
+    /// Configuration version that the queries were evaluated against.
     pub version: ConfigurationVersion,
-    /// One table for each statement.
+    /// One table per statement.
     pub tables: Vec<Table>,
-    /// Nodes whose loads are missing because they did not answer.
+    /// Nodes that did not answer, so that their loads are missing.
     pub silent_nodes: Vec<NodeId>,
 }
 
@@ -78,45 +79,45 @@
 pub enum Accepted {
     /// The configuration was changed.
     Configured {
-        /// The version that contains the change.
+        /// Version that contains the change.
         version: ConfigurationVersion,
-        /// Whether it was in force before this request.
+        /// Whether the change was in force before this request.
         repeated: bool,
-        /// Live nodes that did not report the version in time; `None` when
-        /// they were not waited for or nothing could be heard of them.
+        /// Live nodes that did not report the version in time; `None` if the request did not
+        /// wait or no view could be read while waiting.
         lagging: Option<Vec<NodeId>>,
     },
-    /// Groups decided all operations.
+    /// Groups accepted all operations.
     Operated {
-        /// How many.
+        /// Number of operations.
         operations: usize,
-        /// Whether all were in force before this request.
+        /// Whether all of them were in force before this request.
         repeated: bool,
     },
 }
 
-/// Why a statement was not carried out.
+/// Why a request was refused or has no known result.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
-    /// The text is wrong.
+    /// The text has errors.
     InvalidText(Findings),
     /// The command's identifier is empty or too long.
     BadIdentifier,
-    /// The operator may not.
+    /// The operator lacks the permission.
     Forbidden(Forbidden),
-    /// It was refused. Of several operations the first `done` took effect.
+    /// The command was rejected; the first `done` operations took effect.
     Rejected {
-        /// Why.
+        /// The reason.
         rejection: CommandRejection,
-        /// How many operations took effect before.
+        /// Number of operations that took effect before.
         done: usize,
     },
     /// It may or may not have taken effect.
     Unknown {
-        /// How many operations took effect for certain.
+        /// Number of operations that certainly took effect.
         done: usize,
     },
-    /// The node did not answer; nothing was tried.
+    /// The node did not answer; nothing was sent.
     NoAnswer(NoAnswer),
 }
 
@@ -138,10 +139,10 @@
     }
 }
 
-/// Answers a text of queries.
+/// Evaluates a text of queries.
 ///
 /// # Errors
-/// Why not.
+/// If the operator may not query, the node does not answer or the text has errors.
 pub fn run_query(
     text: &str,
     operator: &OperatorConfiguration,
@@ -157,10 +158,10 @@
     })
 }
 
-/// Carries out a text of commands.
+/// Executes a text of commands.
 ///
 /// # Errors
-/// Why not.
+/// If the command was refused or its result is not known.
 pub fn run_command(
     request: &CommandRequest,
     operator: &OperatorConfiguration,
@@ -186,18 +187,19 @@
 
 impl<D: Deployment> CommandRun<'_, D> {
     fn carry_out(&mut self) -> Result<Accepted, Refusal> {
-        let mut least_version = self.request.if_version;
-        for _ in 0..MOST_ATTEMPTS {
-            let view = self.view_from(least_version)?;
+        let mut min_version = self.request.if_version;
+        for _ in 0..MAX_ATTEMPTS {
+            let view = self.view_at_least(min_version)?;
             let present = view.configuration.version;
             if let Some(version) = view.configuration.version_of_command(&self.request.id) {
-                // What the text says now may be wrong by its own effect.
+                // The text is not planned again: the command's own effect can make it invalid,
+                // for example by a duplicate name.
                 return self.configured(version, true);
             }
             if self
                 .request
                 .if_version
-                .is_some_and(|relied| relied != present)
+                .is_some_and(|expected| expected != present)
             {
                 return Err(rejected(CommandRejection::VersionMismatch { present }));
             }
@@ -209,42 +211,46 @@
             };
             match self.configure(changes, present)? {
                 Configured::Accepted(accepted) => return Ok(accepted),
-                Configured::Overtaken(newer) => least_version = Some(newer),
+                Configured::Conflict(newer) => min_version = Some(newer),
             }
         }
         Err(rejected(CommandRejection::Contention))
     }
 
-    /// This node's view, once it has at least a version; after the time that
-    /// there is, whatever it has.
-    fn view_from(&mut self, least: Option<ConfigurationVersion>) -> Result<NodeView, NoAnswer> {
+    /// Returns this node's view once its configuration has at least `min_version`; when the
+    /// allowed time has elapsed, the view as it is.
+    fn view_at_least(
+        &mut self,
+        min_version: Option<ConfigurationVersion>,
+    ) -> Result<NodeView, NoAnswer> {
         loop {
             let view = self.deployment.view()?;
-            let lags = least.is_some_and(|least| view.configuration.version < least);
+            let lags =
+                min_version.is_some_and(|min_version| view.configuration.version < min_version);
             if !lags || !self.deployment.pause() {
                 return Ok(view);
             }
         }
     }
 
-    /// Sends changes that were worked out against a version and hold only
-    /// for it, so that another operator's change is never undone unseen.
+    /// Sends changes that are valid only for the version they were planned against, so that a
+    /// concurrent change by another operator is never overwritten unnoticed.
     fn configure(
         &mut self,
         changes: Vec<ConfigurationChange>,
-        against: ConfigurationVersion,
+        base_version: ConfigurationVersion,
     ) -> Result<Configured, Refusal> {
         let action = AdministrationAction::Configure(List(changes));
-        let command = self.command(self.request.id.clone(), Some(against), action);
-        let is_bound = self.request.if_version.is_some();
+        let command = self.command(self.request.id.clone(), Some(base_version), action);
+        let is_conditional = self.request.if_version.is_some();
         match self.deployment.command(command) {
             Ok(CommandResult::Configured { version, repeated }) => {
                 self.configured(version, repeated).map(Configured::Accepted)
             }
             Ok(CommandResult::Rejected(CommandRejection::VersionMismatch { present }))
-                if !is_bound =>
+                if !is_conditional =>
             {
-                Ok(Configured::Overtaken(present))
+                Ok(Configured::Conflict(present))
             }
             Ok(CommandResult::Rejected(rejection)) => Err(rejected(rejection)),
             Ok(CommandResult::Operated { .. } | CommandResult::Unknown) | Err(_) => {
@@ -283,12 +289,12 @@
         })
     }
 
-    /// Waits until every live node has a version; gives those that lag when
-    /// the time is over, or nothing when this node never told.
+    /// Waits until every live node has the version. Returns the nodes that lag when the
+    /// allowed time has elapsed, or `None` if this node never answered.
     fn wait_for(&mut self, version: ConfigurationVersion) -> Option<Vec<NodeId>> {
         let mut lagging = None;
         loop {
-            // A node that does not answer is asked again: the change is in.
+            // A failed read is retried, since the change is already in force.
             if let Ok(view) = self.deployment.view() {
                 let lag = lagging_nodes(&view, version);
                 let is_in_force = lag.is_empty();
@@ -303,8 +309,7 @@
         }
     }
 
-    /// Has operations carried out one after the other; the first that fails
-    /// ends it.
+    /// Executes operations one after the other and stops at the first failure.
     fn operate(&mut self, operations: &[PlannedOperation]) -> Result<Accepted, Refusal> {
         let mut all_repeated = true;
         for (done, planned) in operations.iter().enumerate() {
@@ -329,7 +334,7 @@
         })
     }
 
-    /// The same for the same operation of a repeated text.
+    /// A retry of the same text yields the same identifier for each operation.
     fn operation_id(&self, index: usize, count: usize) -> String {
         if count == 1 {
             return self.request.id.clone();
@@ -338,11 +343,11 @@
     }
 }
 
-/// How changes fared.
+/// Result of sending changes.
 enum Configured {
     Accepted(Accepted),
-    /// Another command made this version first.
-    Overtaken(ConfigurationVersion),
+    /// Another command created this version first.
+    Conflict(ConfigurationVersion),
 }
 
 fn rejected(rejection: CommandRejection) -> Refusal {
--- a/crates/ledgelead-query/src/table.rs
+++ b/crates/ledgelead-query/src/table.rs
@@ -1,19 +1,19 @@
-//! Tables: aligned text for people, JSON for programs.
+//! Result tables: aligned text for people, JSON for programs.
 
 use crate::cell::Cell;
 use crate::schema::{Column, ColumnKind};
 use serde::ser::{Serialize, SerializeMap, SerializeStruct, Serializer};
 use std::fmt::{self, Display, Formatter};
 
-/// Blanks between two columns.
-const GAP: &str = "  ";
+/// Spaces between two columns.
+const COLUMN_GAP: &str = "  ";
 
 /// Rows of cells under columns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Table {
     /// The columns.
     pub columns: Vec<Column>,
-    /// The rows; each has a cell for each column.
+    /// The rows, each with one cell per column.
     pub rows: Vec<Vec<Cell>>,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Aligned text; numbers to the right.
+/// Aligned text, with numbers aligned to the right.
 impl Display for Table {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let header: Vec<String> = self
@@ -46,7 +46,7 @@
             .map(|row| row.iter().map(Cell::to_string).collect());
         let lines: Vec<Vec<String>> = std::iter::once(header).chain(rows).collect();
         let widths: Vec<usize> = (0..self.columns.len())
-            .map(|index| widest(&lines, index))
+            .map(|index| max_width(&lines, index))
             .collect();
         for line in &lines {
             writeln!(formatter, "{}", self.aligned(line, &widths))?;
@@ -55,7 +55,7 @@
     }
 }
 
-fn widest(lines: &[Vec<String>], index: usize) -> usize {
+fn max_width(lines: &[Vec<String>], index: usize) -> usize {
     let widths = lines.iter().filter_map(|line| line.get(index));
     widths.map(|text| text.chars().count()).max().unwrap_or(0)
 }
@@ -71,7 +71,7 @@
                 ColumnKind::Text | ColumnKind::Flag => format!("{text:<width$}"),
             })
             .collect();
-        cells.join(GAP).trim_end().to_owned()
+        cells.join(COLUMN_GAP).trim_end().to_owned()
     }
 }
 
--- a/crates/ledgelead-query/src/tree.rs
+++ b/crates/ledgelead-query/src/tree.rs
@@ -1,4 +1,4 @@
-//! The trees of statements.
+//! Syntax trees of statements.
 
 use crate::located::Located;
 use crate::schema::Subject;
@@ -6,29 +6,28 @@
 /// One statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
-    /// Rows of a subject.
+    /// Shows the rows of a subject.
     Show(Show),
-    /// The owner of a key.
+    /// Shows the owner of a key.
     Owner(KeyInService),
-    /// Changes something.
+    /// Executes a command.
     Command(Command),
-    /// Says what a command would change.
+    /// Shows what a command would change.
     Explain(Command),
 }
 
 /// `show SUBJECT [of SERVICE] [where ...] [order by ...] [limit N]`
 #[derive(Clone, Debug, PartialEq)]
 pub struct Show {
-    /// What is shown.
+    /// Subject to show.
     pub subject: Located<Subject>,
-    /// Only of this service.
+    /// Restricts the rows to this service.
     pub service: Option<Located<String>>,
-    /// Alternatives (`or`) of conditions that hold together (`and`); all
-    /// rows when empty.
+    /// Disjunction (`or`) of conjunctions (`and`) of conditions; empty for all rows.
     pub filter: Vec<Vec<Condition>>,
     /// Order of the rows.
     pub order: Option<Order>,
-    /// Most rows.
+    /// Maximum number of rows.
     pub limit: Option<u32>,
 }
 
@@ -37,13 +36,13 @@
 pub struct Condition {
     /// Column.
     pub field: Located<String>,
-    /// How it is compared.
+    /// Comparison operator.
     pub comparison: Comparison,
-    /// With what.
+    /// Value to compare with.
     pub value: Located<Value>,
 }
 
-/// How a column is compared.
+/// Comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Comparison {
@@ -56,7 +55,7 @@
 }
 
 impl Comparison {
-    /// All of them.
+    /// All operators.
     pub const ALL: [Comparison; 6] = [
         Comparison::Equal,
         Comparison::NotEqual,
@@ -66,7 +65,7 @@
         Comparison::AtLeast,
     ];
 
-    /// As it is written.
+    /// Symbol in the language.
     pub fn symbol(self) -> &'static str {
         match self {
             Comparison::Equal => "=",
@@ -79,7 +78,7 @@
     }
 }
 
-/// A value as written; a bare word is a text.
+/// A literal; an unquoted word is a text.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// Text.
@@ -93,7 +92,7 @@
 pub struct Order {
     /// Column.
     pub field: Located<String>,
-    /// Greatest first.
+    /// Whether the greatest comes first.
     pub descending: bool,
 }
 
@@ -106,7 +105,7 @@
     pub service: Located<String>,
 }
 
-/// What commands create, alter and remove.
+/// Kinds of entities that commands create, alter and remove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum Kind {
@@ -119,7 +118,7 @@
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Kind; 6] = [
         Kind::Zone,
         Kind::Service,
@@ -129,7 +128,7 @@
         Kind::Server,
     ];
 
-    /// As it is written.
+    /// Keyword in the language.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Zone => "zone",
@@ -145,32 +144,32 @@
 /// `FIELD = VALUE`
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting {
-    /// Which setting.
+    /// Name of the setting.
     pub field: Located<String>,
     /// Its value.
     pub value: Located<Value>,
 }
 
-/// What is asked of a server's group.
+/// Operation on a server, decided by its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOperation {
-    /// Hand its slices over and take no new work.
+    /// Transfer its slices to other servers and accept no new work.
     Drain,
-    /// Take work again.
+    /// Accept work again.
     Activate,
-    /// Leave for good.
+    /// Drain and leave permanently.
     Retire,
 }
 
 impl ServerOperation {
-    /// All of them.
+    /// All operations.
     pub const ALL: [ServerOperation; 3] = [
         ServerOperation::Drain,
         ServerOperation::Activate,
         ServerOperation::Retire,
     ];
 
-    /// As it is written.
+    /// Keyword in the language.
     pub fn name(self) -> &'static str {
         match self {
             ServerOperation::Drain => "drain",
@@ -189,18 +188,18 @@
     Alter(Definition),
     /// `remove KIND NAME`
     Remove {
-        /// What kind.
+        /// Kind of the entity.
         kind: Kind,
-        /// Which.
+        /// Name of the entity.
         name: Located<String>,
     },
     /// `add server NAME to SERVICE in ZONE at "IP:port" [with ...]`
     AddServer(AddServer),
     /// `drain|activate|retire server NAME`
     OperateServer {
-        /// What.
+        /// The operation.
         operation: ServerOperation,
-        /// Which server.
+        /// Name of the server.
         server: Located<String>,
     },
     /// `move key "K" in SERVICE to SERVER`
@@ -216,10 +215,10 @@
     Isolate(KeyInService),
 }
 
-/// Something with settings.
+/// Entity to create or alter, with its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Definition {
-    /// What kind.
+    /// Kind of the entity.
     pub kind: Kind,
     /// Its name.
     pub name: Located<String>,
@@ -227,7 +226,7 @@
     pub settings: Vec<Setting>,
 }
 
-/// A server to register.
+/// Server to add.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddServer {
     /// Its name.
@@ -238,12 +237,12 @@
     pub zone: Located<String>,
     /// `IP:port`.
     pub address: Located<String>,
-    /// Slots and connections.
+    /// Settings: slots and connections.
     pub settings: Vec<Setting>,
 }
 
 impl Command {
-    /// Whether a group decides it; otherwise it changes the configuration.
+    /// Whether a group executes it; otherwise it changes the configuration.
     pub fn is_operation(&self) -> bool {
         match self {
             Command::OperateServer { .. }
