--- a/crates/ledgelead-query/src/explain/operation.rs
+++ b/crates/ledgelead-query/src/explain/operation.rs
@@ -94,7 +94,7 @@
                 );
             }
             GroupOperation::Activate(server) => {
-                let effect = "takes keys again as balance finds worth it";
+                let effect = "accepts keys again when the balancer assigns some";
                 estimate.effects.insert(server, effect.to_owned());
             }
             GroupOperation::MoveSlice { position, to } => {
@@ -119,7 +119,7 @@
             portion.accepts_slices = false;
         }
         if !self.after.values().any(|portion| portion.accepts_slices) {
-            let effect = "no other server takes its keys: it keeps them until one does";
+            let effect = "no other server accepts keys: it keeps its own until one does";
             self.effects.insert(server, effect.to_owned());
             return;
         }
@@ -134,8 +134,8 @@
             self.redistribute(server);
         }
         if let Some(portion) = self.after.get_mut(&server) {
-            // A server without keys has no load, even if the slices' loads do not add up to
-            // its rate.
+            // A drained server has no keys and so no load, even if the slices' loads do not
+            // add up to its rate.
             portion.rate = portion.rate.map(|_| 0.0);
         }
     }
--- a/crates/ledgelead-query/src/lower/operations.rs
+++ b/crates/ledgelead-query/src/lower/operations.rs
@@ -55,15 +55,15 @@
         let (server, located) = (server?, located?);
         let group = group_of_server(working, server);
         if group != located.group {
-            let serves = group_name(working, group);
-            let holds = group_name(working, located.group);
+            let server_group = group_name(working, group);
+            let key_group = group_name(working, located.group);
             let message = format!(
-                "server `{}` is of group {serves}, the key of {holds}",
+                "server `{}` belongs to group {server_group}, the key to {key_group}",
                 name.value
             );
             let others = working.servers_of(located.group);
             let names: Vec<&str> = others.map(|server| &*server.name).collect();
-            let help = format!("servers of {holds}: {}", names.join(", "));
+            let help = format!("servers of {key_group}: {}", names.join(", "));
             let finding = Finding::new(name.range.clone(), message).with_help(help);
             self.findings.add(finding);
             return None;
--- a/crates/ledgelead-query/tests/answers.rs
+++ b/crates/ledgelead-query/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of queries, and what `explain` tells.
+//! Results of queries and of `explain`.
 
 mod support;
 
@@ -8,18 +8,18 @@
 use ledgelead_types::administration::GroupOperation;
 use ledgelead_types::configuration::{OperatorConfiguration, OperatorRole};
 
-/// Questions and answers, one after the other.
-fn session(questions: &[&str]) -> String {
+/// Transcript of queries and their tables.
+fn session(queries: &[&str]) -> String {
     let view = support::view();
-    let mut written = String::new();
-    for question in questions {
-        let tables = answer(question, &view).map_err(|findings| findings.render(question, false));
-        written += &format!("> {question}\n");
-        for table in tables.expect("a right question") {
-            written += &format!("{table}\n");
+    let mut transcript = String::new();
+    for query in queries {
+        let tables = answer(query, &view).map_err(|findings| findings.render(query, false));
+        transcript += &format!("> {query}\n");
+        for table in tables.expect("a valid query") {
+            transcript += &format!("{table}\n");
         }
     }
-    written
+    transcript
 }
 
 #[gtest]
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn explain_tells_what_would_change() {
+fn explain_shows_what_would_change() {
     insta::assert_snapshot!(session(&[
         "explain alter tier gold set weight = 9",
         "explain create caller crawler with tier = bronze, credential_sha256 = \
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn role_and_team_bound_an_operator() {
+fn role_and_team_restrict_an_operator() {
     let view = support::view();
     let may = |role, teams: &[&str], text: &str| {
         let operator = OperatorConfiguration {
@@ -64,7 +64,7 @@
             teams: teams.iter().map(|team| (*team).into()).collect(),
             ..OperatorConfiguration::default()
         };
-        let plan = plan(text, &view).expect("a right command");
+        let plan = plan(text, &view).expect("a valid command");
         let allowed = may_command(&operator, &plan, &view.configuration);
         allowed.map_err(|forbidden| forbidden.to_string())
     };
@@ -108,7 +108,7 @@
             panic!("{planned:?}");
         };
         expect_that!(part.contains(at), eq(true));
-        // Each group has another server, so that just one can take the key.
+        // Each group has a different server, so exactly one of them can take the key.
         let takes = |name: &str| {
             plan(
                 &format!("move key \"K-{key}\" in vacantes to {name}"),
--- a/crates/ledgelead-query/tests/language.rs
+++ b/crates/ledgelead-query/tests/language.rs
@@ -1,4 +1,4 @@
-//! Properties of the language, and what mistakes look like.
+//! Properties of the language and the display of errors.
 
 mod support;
 
@@ -16,9 +16,8 @@
     }
 }
 
-/// Words and signs of the language in any order, so that much of the parser
-/// is reached.
-fn word_soup() -> impl Strategy<Value = String> {
+/// Words and symbols of the language in random order, to cover much of the parser.
+fn random_words() -> impl Strategy<Value = String> {
     let words = "show explain create alter remove add drain activate retire move split isolate \
         services servers server slices owner of where load and or order by desc limit with set to \
         in at key zone tier weight vacantes v-1 gold = != <= , ; \"K\" \"10.0.0.9:1\" 2 0.8 -1 none \
@@ -77,19 +76,19 @@
 }
 
 fn command() -> impl Strategy<Value = Command> {
-    let given = |least| {
+    let setting_list = |min| {
         let setting = (name(), value()).prop_map(|(field, value)| Setting { field, value });
-        prop::collection::vec(setting, least..3)
+        prop::collection::vec(setting, min..3)
     };
     let kinds = |from: usize| prop::sample::select(Kind::ALL[from..5].to_vec());
-    let definition = |from, least| {
-        (kinds(from), name(), given(least)).prop_map(|(kind, name, settings)| Definition {
+    let definition = |from, min| {
+        (kinds(from), name(), setting_list(min)).prop_map(|(kind, name, settings)| Definition {
             kind,
             name,
             settings,
         })
     };
-    let server = (name(), name(), name(), name(), given(0)).prop_map(
+    let server = (name(), name(), name(), name(), setting_list(0)).prop_map(
         |(name, service, zone, address, settings)| AddServer {
             name,
             service,
@@ -122,11 +121,11 @@
     ]
 }
 
-/// Everything that is done with a text.
-fn use_up(text: &str) {
+/// Runs a text as queries and as commands, and formats the errors.
+fn answer_and_plan(text: &str) {
     let view = support::view();
-    let mistakes = [answer(text, &view).err(), plan(text, &view).err()];
-    for findings in mistakes.into_iter().flatten() {
+    let results = [answer(text, &view).err(), plan(text, &view).err()];
+    for findings in results.into_iter().flatten() {
         assert!(!findings.render(text, false).is_empty());
     }
 }
@@ -135,13 +134,13 @@
     #![proptest_config(settings(2_000))]
 
     #[test]
-    fn no_text_makes_it_panic(text in any::<String>()) {
-        use_up(&text);
+    fn arbitrary_text_never_causes_a_panic(text in any::<String>()) {
+        answer_and_plan(&text);
     }
 
     #[test]
-    fn no_order_of_words_makes_it_panic(text in word_soup()) {
-        use_up(&text);
+    fn random_words_never_cause_a_panic(text in random_words()) {
+        answer_and_plan(&text);
     }
 
     #[test]
@@ -154,8 +153,8 @@
     }
 }
 
-/// Every mistake of a text, as a person sees it.
-fn mistakes(text: &str) -> String {
+/// All errors in a text, as displayed to an operator.
+fn rendered_findings(text: &str) -> String {
     let view = support::view();
     let findings = match parse(text).statements.first().map(|first| &first.value) {
         Some(Statement::Command(_)) => plan(text, &view).err(),
@@ -165,14 +164,14 @@
 }
 
 #[gtest]
-fn all_mistakes_of_a_text_are_reported_together() {
+fn all_errors_of_a_text_are_reported_together() {
     insta::assert_snapshot!(
         "four_mistakes_in_a_query",
-        mistakes("show serverz of vacante where lod > high order by load limit 2.5")
+        rendered_findings("show serverz of vacante where lod > high order by load limit 2.5")
     );
     insta::assert_snapshot!(
         "mistakes_in_commands",
-        mistakes(
+        rendered_findings(
             "alter teir gold set wieght = 0;\n\
              add server v-1 to vacantes in suva at \"here\" with slots = 0, connections = many;\n\
              drain server v-9; create operator ada with role = admin"
@@ -180,7 +179,7 @@
     );
     insta::assert_snapshot!(
         "mistakes_of_the_effect",
-        mistakes(
+        rendered_findings(
             "alter tier gold set weight = 0, guaranteed_percent = 99;\n\
              add server v-5 to vacantes in suba at \"10.0.0.1:8080\" with slots = 0, connections = 1;\n\
              remove zone chapinero; remove server v-2"
@@ -189,11 +188,11 @@
     let digest = "0".repeat(64);
     let first =
         format!("create operator ada with credential_sha256 = \"{digest}\", role = operate");
-    insta::assert_snapshot!("nobody_left_to_administer", mistakes(&first));
+    insta::assert_snapshot!("nobody_left_to_administer", rendered_findings(&first));
 }
 
 #[gtest]
-fn a_text_of_nothing_but_mistakes_costs_little() {
+fn findings_of_a_malformed_text_are_bounded() {
     let view = support::view();
     for text in [
         "@".repeat(100_000),
@@ -207,7 +206,7 @@
 }
 
 #[gtest]
-fn what_a_repeated_command_asks_for_is_in_force_once() {
+fn a_repeated_command_is_in_force_once() {
     let mut view = support::view();
     let text = "create zone usme with region = bogota; alter tier gold set weight = 9";
     let Ok(Plan::Configure(changes)) = plan(text, &view) else {
--- a/crates/ledgelead-query/tests/sessions.rs
+++ b/crates/ledgelead-query/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Whole sessions of operators, as golden files.
+//! Operators' sessions, compared with snapshots.
 
 mod support;
 
@@ -8,34 +8,38 @@
 use ledgelead_types::configuration::{OperatorConfiguration, OperatorRole};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use support::deployment::{Platform, Trial};
+use support::deployment::{Platform, TestDeployment};
 
-/// What operators did and were told.
+/// Transcript of requests and their results.
 struct Session {
-    trial: Trial,
-    written: String,
+    deployment: TestDeployment,
+    transcript: String,
 }
 
 impl Session {
     fn new() -> Session {
         Session {
-            trial: Trial::new(),
-            written: String::new(),
+            deployment: TestDeployment::new(),
+            transcript: String::new(),
         }
     }
 
     fn note(&mut self, line: &str) {
-        self.written += &format!("# {line}\n");
+        self.transcript += &format!("# {line}\n");
     }
 
     fn ask(&mut self, name: &str, node: usize, text: &str) {
-        self.written += &format!("{name} at node-{}> {text}\n", node + 1);
-        let answer = run_query(text, &operator(name), &mut self.trial.through(node));
-        self.written += &match answer {
+        self.transcript += &format!("{name} at node-{}> {text}\n", node + 1);
+        let answer = run_query(
+            text,
+            &operator(name),
+            &mut self.deployment.through_node(node),
+        );
+        self.transcript += &match answer {
             Ok(answer) => answer.tables.iter().map(Table::to_string).collect(),
-            Err(refusal) => told(&refusal, text),
+            Err(refusal) => rendered_refusal(&refusal, text),
         };
-        self.written.push('\n');
+        self.transcript.push('\n');
     }
 
     fn give(&mut self, name: &str, node: usize, id: &str, text: &str) {
@@ -45,17 +49,21 @@
     fn give_as(&mut self, name: &str, node: usize, request: CommandRequest) {
         let node_name = format!("node-{}", node + 1);
         let text = &request.text;
-        self.written += &format!("{name} at {node_name}, {}> {text}\n", request.id);
-        let answer = run_command(&request, &operator(name), &mut self.trial.through(node));
-        self.written += &match answer {
+        self.transcript += &format!("{name} at {node_name}, {}> {text}\n", request.id);
+        let answer = run_command(
+            &request,
+            &operator(name),
+            &mut self.deployment.through_node(node),
+        );
+        self.transcript += &match answer {
             Ok(accepted) => format!("{accepted:?}\n"),
-            Err(refusal) => told(&refusal, text),
+            Err(refusal) => rendered_refusal(&refusal, text),
         };
-        self.written.push('\n');
+        self.transcript.push('\n');
     }
 }
 
-fn told(refusal: &Refusal, text: &str) -> String {
+fn rendered_refusal(refusal: &Refusal, text: &str) -> String {
     match refusal {
         Refusal::InvalidText(findings) => findings.render(text, false),
         other => format!("{other:?}\n"),
@@ -108,7 +116,7 @@
     session.note("mia may operate, for team media only");
     session.give("mia", 0, "c-3", "drain server v-1");
     session.give("mia", 0, "c-4", "alter tier gold set weight = 1");
-    insta::assert_snapshot!(session.written);
+    insta::assert_snapshot!(session.transcript);
 }
 
 #[gtest]
@@ -123,7 +131,7 @@
     session.give("ada", 1, "c-3", "retire server v-2");
     session.give("ada", 0, "c-4", "remove server v-2");
     session.ask("ada", 0, "show servers where server = v-2");
-    insta::assert_snapshot!(session.written);
+    insta::assert_snapshot!(session.transcript);
 }
 
 #[gtest]
@@ -142,46 +150,46 @@
     let relied = request("a-2", "alter tier gold set weight = 1", Some(8), false);
     session.give_as("ada", 0, relied);
     session.note("both create the same");
-    session.trial.spread();
+    session.deployment.propagate();
     session.give("ada", 0, "a-3", "create zone usme");
     session.give("ben", 1, "b-2", "create zone usme");
     session.note("node-3 is cut off: the command is in force, but not there");
-    session.trial.deaf = Some(2);
+    session.deployment.isolated_node = Some(2);
     let waited = request("a-4", "create zone bosa", None, true);
     session.give_as("ada", 0, waited);
-    insta::assert_snapshot!(session.written);
+    insta::assert_snapshot!(session.transcript);
 }
 
 #[gtest]
 fn an_answer_of_the_platform_is_lost() {
     let mut session = Session::new();
     let text = "create zone usme; alter tier gold set weight = 9";
-    session.trial.platform = Platform::LosesAnswer;
+    session.deployment.platform = Platform::LosesAnswer;
     session.give("ada", 0, "c-1", text);
     session.note("the platform is back; the same again, at another node, then at one that knows");
-    session.trial.platform = Platform::Up;
+    session.deployment.platform = Platform::Up;
     session.give("ada", 1, "c-1", text);
-    let once = session.trial.held[1].clone();
+    let once = session.deployment.configurations[1].clone();
     session.give("ada", 1, "c-1", text);
     session.ask(
         "ada",
         1,
         "show zones where zone = usme; show tiers; show configuration",
     );
-    expect_that!(session.trial.held[1], eq(&once));
-    insta::assert_snapshot!(session.written);
+    expect_that!(session.deployment.configurations[1], eq(&once));
+    insta::assert_snapshot!(session.transcript);
 }
 
 #[gtest]
 fn the_platform_is_down() {
     let mut session = Session::new();
-    session.trial.platform = Platform::Down;
+    session.deployment.platform = Platform::Down;
     session.give("ada", 0, "c-1", "alter tier gold set weight = 9");
     session.note("groups decide without it");
     session.give("ada", 0, "c-2", "drain server v-1; drain server v-2");
     session.ask("ada", 2, "show servers where status = draining");
     session.ask("ada", 2, "show owner of key \"V-1182\" in vacantes");
-    insta::assert_snapshot!(session.written);
+    insta::assert_snapshot!(session.transcript);
 }
 
 #[gtest]
@@ -200,11 +208,11 @@
     );
     session.note("nothing was changed");
     session.ask("ada", 0, "show configuration");
-    insta::assert_snapshot!(session.written);
+    insta::assert_snapshot!(session.transcript);
 }
 
-/// One of four commands, given to a node while the platform does something.
-fn asked() -> impl Strategy<Value = (usize, usize, Platform)> {
+/// One of four commands, sent to a node with the given state of the platform.
+fn attempt() -> impl Strategy<Value = (usize, usize, Platform)> {
     let platform = prop::sample::select(vec![Platform::Up, Platform::Down, Platform::LosesAnswer]);
     (0..4_usize, 0..3_usize, platform)
 }
@@ -217,29 +225,29 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is lost and however often a command is given again: in the
-    /// end it is in force once.
+    /// A command that is retried any number of times, with lost answers and an unreachable
+    /// platform, takes effect once.
     #[test]
-    fn a_repeated_command_takes_effect_once(asked in prop::collection::vec(asked(), 1..16)) {
-        let mut trial = Trial::new();
-        let before = trial.held[0].clone();
-        let give = |trial: &mut Trial, command: usize, node: usize| {
+    fn a_repeated_command_takes_effect_once(attempts in prop::collection::vec(attempt(), 1..16)) {
+        let mut deployment = TestDeployment::new();
+        let before = deployment.configurations[0].clone();
+        let give = |deployment: &mut TestDeployment, command: usize, node: usize| {
             let text = format!("create zone new-{command}");
             let request = request(&format!("c-{command}"), &text, None, false);
-            run_command(&request, &operator("ada"), &mut trial.through(node))
+            run_command(&request, &operator("ada"), &mut deployment.through_node(node))
         };
-        for (command, node, platform) in &asked {
-            trial.platform = *platform;
-            // Whether it succeeds is told when it is given again.
-            let _ = give(&mut trial, *command, *node);
+        for (command, node, platform) in &attempts {
+            deployment.platform = *platform;
+            // The outcome is checked by the retry below.
+            let _ = give(&mut deployment, *command, *node);
         }
-        trial.platform = Platform::Up;
-        let commands: std::collections::BTreeSet<usize> = asked.iter().map(|asked| asked.0).collect();
+        deployment.platform = Platform::Up;
+        let commands: std::collections::BTreeSet<usize> = attempts.iter().map(|attempt| attempt.0).collect();
         for command in &commands {
-            let accepted = give(&mut trial, *command, 0);
+            let accepted = give(&mut deployment, *command, 0);
             prop_assert!(accepted.is_ok(), "{accepted:?}");
         }
-        let after = &trial.held[0];
+        let after = &deployment.configurations[0];
         let count = commands.len();
         prop_assert_eq!(after.zones.len(), before.zones.len() + count);
         prop_assert_eq!(after.version.0, before.version.0 + count as u64);
--- a/crates/ledgelead-query/tests/support/deployment.rs
+++ b/crates/ledgelead-query/tests/support/deployment.rs
@@ -1,6 +1,6 @@
-//! Three nodes with the real writer of the configuration over one store, and
-//! a group that applies operations at once. Time passes in pauses: each brings
-//! the newest configuration to one more node.
+//! Three nodes, each with a real `ConfigurationManager`, over one store, and a group that
+//! applies operations at once. Each pause propagates the newest configuration to one more
+//! node.
 
 use super::{operate, view};
 use ledgelead_configuration::{
@@ -15,41 +15,40 @@
 use ledgelead_types::*;
 use std::sync::Arc;
 
-/// Pauses that one request may take.
-const PAUSES: u32 = 5;
+/// Pauses that one request allows.
+const MAX_PAUSES: u32 = 5;
 
-/// What becomes of writes to the store.
+/// How the platform handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Platform {
-    /// They take effect.
+    /// Calls take effect and are answered.
     #[default]
     Up,
-    /// Nothing is answered.
+    /// No call is answered.
     Down,
-    /// The next one takes effect, its answer is lost, and then nothing is
-    /// answered.
+    /// The next write takes effect but its answer is lost, and no later call is answered.
     LosesAnswer,
 }
 
-/// The deployment.
-pub struct Trial {
-    /// What node 1 knows apart from the configuration.
+/// A deployment for tests.
+pub struct TestDeployment {
+    /// The view of node 1, without the configuration.
     pub view: NodeView,
-    /// What the platform does.
+    /// State of the platform.
     pub platform: Platform,
-    /// Configuration at each node.
-    pub held: Vec<Configuration>,
-    /// A node that never hears of news.
-    pub deaf: Option<usize>,
+    /// Configuration of each node.
+    pub configurations: Vec<Configuration>,
+    /// A node that no new configuration reaches.
+    pub isolated_node: Option<usize>,
     keepers: Vec<ConfigurationManager>,
     stored: (ObjectVersion, Bytes),
     operations: Vec<Text>,
     tickets: u64,
 }
 
-impl Trial {
+impl TestDeployment {
     /// A deployment in which all nodes have the same configuration.
-    pub fn new() -> Trial {
+    pub fn new() -> TestDeployment {
         let mut view = view();
         for node in &mut view.nodes {
             node.live = true;
@@ -68,10 +67,10 @@
             );
             keeper
         };
-        Trial {
+        TestDeployment {
             platform: Platform::Up,
-            held: vec![configuration.clone(); 3],
-            deaf: None,
+            configurations: vec![configuration.clone(); 3],
+            isolated_node: None,
             keepers: (1..=3).map(keeper).collect(),
             stored: (
                 ObjectVersion(configuration.version.0),
@@ -83,29 +82,33 @@
         }
     }
 
-    /// The deployment as an operator reaches it through node `index`.
-    pub fn through(&mut self, index: usize) -> Reached<'_> {
-        Reached {
-            trial: self,
+    /// The deployment as seen through the node at `index`.
+    pub fn through_node(&mut self, index: usize) -> NodeDeployment<'_> {
+        NodeDeployment {
+            deployment: self,
             index,
             pauses: 0,
         }
     }
 
-    /// Brings the newest configuration to all nodes that hear.
-    pub fn spread(&mut self) {
-        while self.spread_to_one() {}
+    /// Propagates the newest configuration to all nodes that are not isolated.
+    pub fn propagate(&mut self) {
+        while self.propagate_to_one() {}
     }
 
-    fn spread_to_one(&mut self) -> bool {
-        let newest = self.held.iter().max_by_key(|held| held.version).cloned();
+    fn propagate_to_one(&mut self) -> bool {
+        let newest = self
+            .configurations
+            .iter()
+            .max_by_key(|configuration| configuration.version)
+            .cloned();
         let newest = newest.expect("there are nodes");
-        let deaf = self.deaf;
-        let lags = |(index, held): &(usize, &mut Configuration)| {
-            held.version < newest.version && Some(*index) != deaf
+        let isolated_node = self.isolated_node;
+        let lags = |(index, configuration): &(usize, &mut Configuration)| {
+            configuration.version < newest.version && Some(*index) != isolated_node
         };
-        match self.held.iter_mut().enumerate().find(lags) {
-            Some((_, held)) => *held = newest,
+        match self.configurations.iter_mut().enumerate().find(lags) {
+            Some((_, configuration)) => *configuration = newest,
             None => return false,
         }
         true
@@ -155,7 +158,7 @@
                         self.keepers[index].step(Time::ZERO, input);
                     }
                     ConfigurationManagerOutput::Publish(configuration) => {
-                        self.held[index] = configuration
+                        self.configurations[index] = configuration
                     }
                     ConfigurationManagerOutput::CommandFinished { result, .. } => return result,
                     _ => {}
@@ -164,7 +167,7 @@
         }
     }
 
-    fn decide(
+    fn operate(
         &mut self,
         command: &AdministrationCommand,
         operation: GroupOperation,
@@ -178,19 +181,19 @@
     }
 }
 
-/// The deployment through one node, for one request.
-pub struct Reached<'a> {
-    trial: &'a mut Trial,
+/// The deployment as seen through one node, for one request.
+pub struct NodeDeployment<'a> {
+    deployment: &'a mut TestDeployment,
     index: usize,
     pauses: u32,
 }
 
-impl Deployment for Reached<'_> {
+impl Deployment for NodeDeployment<'_> {
     fn view(&mut self) -> Result<NodeView, NoAnswer> {
-        let mut view = self.trial.view.clone();
-        view.configuration = self.trial.held[self.index].clone();
-        for (node, held) in view.nodes.iter_mut().zip(&self.trial.held) {
-            node.configuration = held.version;
+        let mut view = self.deployment.view.clone();
+        view.configuration = self.deployment.configurations[self.index].clone();
+        for (node, configuration) in view.nodes.iter_mut().zip(&self.deployment.configurations) {
+            node.configuration = configuration.version;
         }
         Ok(view)
     }
@@ -201,16 +204,16 @@
 
     fn command(&mut self, command: AdministrationCommand) -> Result<CommandResult, NoAnswer> {
         Ok(match command.action {
-            AdministrationAction::Configure(_) => self.trial.configure(self.index, command),
+            AdministrationAction::Configure(_) => self.deployment.configure(self.index, command),
             AdministrationAction::Operate { operation, .. } => {
-                self.trial.decide(&command, operation)
+                self.deployment.operate(&command, operation)
             }
         })
     }
 
     fn pause(&mut self) -> bool {
-        self.trial.spread_to_one();
+        self.deployment.propagate_to_one();
         self.pauses += 1;
-        self.pauses <= PAUSES
+        self.pauses <= MAX_PAUSES
     }
 }
--- a/crates/ledgelead-query/tests/support/mod.rs
+++ b/crates/ledgelead-query/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment to ask and to change.
+//! Views and configurations for tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -11,13 +11,14 @@
 use ledgelead_types::view::*;
 use ledgelead_types::*;
 
-/// Servers of the keyed service `vacantes`, with the slots in use of each.
+/// Servers of the service `vacantes`, which is partitioned by key, and the slots in use of
+/// each.
 const SERVERS: [(&str, u16); 4] = [("v-1", 1), ("v-2", 2), ("v-3", 0), ("v-4", 2)];
 
-/// SHA-256 of nothing, for credentials.
+/// SHA-256 of the empty string, used as a credential.
 pub const CREDENTIAL: &str = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
 
-/// Three zones, a keyed and an unkeyed service, two tiers, a caller.
+/// Three zones, one service partitioned by key and one not, two tiers and a caller.
 pub fn configuration() -> Configuration {
     let zone = |(index, name): (usize, &&str)| ZoneConfiguration {
         id: ZoneId(index as u16 + 1),
@@ -84,7 +85,7 @@
     }
 }
 
-/// What node 1 would tell: eight slices in turn at the four servers.
+/// View of node 1: eight slices distributed over four servers in turn.
 pub fn view() -> NodeView {
     let configuration = configuration();
     let node = |number: u32, live, version| NodeStatusView {
@@ -175,7 +176,7 @@
     }
 }
 
-/// Sets the status of a server in all routes, as a group's operation would.
+/// Sets a server's status in all routes, as a group's operation does.
 pub fn operate(view: &mut NodeView, operation: GroupOperation) {
     let (server, status) = match operation {
         GroupOperation::Drain(server) => (server, ServerStatus::Draining),
@@ -192,7 +193,7 @@
     }
 }
 
-/// Applies changes as the store would.
+/// Applies changes as the configuration manager does.
 pub fn configure(view: &mut NodeView, changes: &[ConfigurationChange], id: &str) {
     let changed = ledgelead_configuration::apply_changes(&view.configuration, changes, id);
     view.configuration = changed.expect("the changes were checked");
