--- a/crates/ledgelead-configuration/src/changes.rs
+++ b/crates/ledgelead-configuration/src/changes.rs
@@ -1,4 +1,4 @@
-//! Applies the changes of one command, all or none.
+//! Applies the changes of one command atomically.
 
 use crate::check::check;
 use crate::finding::{Field, Finding, Location, Problem};
@@ -9,11 +9,10 @@
 /// Longest command identifier, in bytes.
 const MAX_COMMAND_BYTES: usize = 128;
 
-/// The configuration with all changes applied, the next version and the
-/// command remembered; or everything that is wrong with them.
+/// Returns the configuration with all changes applied, the next version and the command
+/// recorded, or all errors in the changes.
 ///
-/// Whether a server that is removed is retired is known to its group, not
-/// here.
+/// Does not check whether a removed server is retired, since only its group knows its status.
 pub fn apply_changes(
     configuration: &Configuration,
     changes: &[ConfigurationChange],
@@ -35,17 +34,17 @@
     if !findings.is_empty() {
         return Err(findings);
     }
-    remember(&mut changed, command);
+    record_command(&mut changed, command);
     Ok(changed)
 }
 
-/// Highest service identifier in use or given out before.
+/// Highest service identifier that is or was in use.
 fn highest_service(configuration: &Configuration) -> ServiceId {
     let present = configuration.services.iter().map(|service| service.id);
     present.fold(configuration.highest_service, ServiceId::max)
 }
 
-fn remember(configuration: &mut Configuration, command: &str) {
+fn record_command(configuration: &mut Configuration, command: &str) {
     configuration.version = ConfigurationVersion(configuration.version.0 + 1);
     configuration.applied_commands.push(AppliedCommand {
         id: command.into(),
@@ -120,7 +119,7 @@
     Finding { location, problem }
 }
 
-fn refuse(location: Location, problem: Problem) -> Applied {
+fn reject(location: Location, problem: Problem) -> Applied {
     Err(vec![finding(location, problem)])
 }
 
@@ -130,8 +129,8 @@
     location: Location,
     same: impl Fn(&T, &T) -> bool,
 ) -> Applied {
-    if list.iter().any(|held| same(held, &item)) {
-        return refuse(location, Problem::Exists);
+    if list.iter().any(|existing| same(existing, &item)) {
+        return reject(location, Problem::Exists);
     }
     list.push(item);
     Ok(())
@@ -143,36 +142,36 @@
     location: Location,
     same: impl Fn(&T, &T) -> bool,
 ) -> Applied {
-    match list.iter_mut().find(|held| same(held, &item)) {
-        Some(held) => {
-            *held = item;
+    match list.iter_mut().find(|existing| same(existing, &item)) {
+        Some(existing) => {
+            *existing = item;
             Ok(())
         }
-        None => refuse(location, Problem::Missing),
+        None => reject(location, Problem::Missing),
     }
 }
 
 fn put<T>(list: &mut List<T>, item: T, same: impl Fn(&T, &T) -> bool) {
-    match list.iter_mut().find(|held| same(held, &item)) {
-        Some(held) => *held = item,
+    match list.iter_mut().find(|existing| same(existing, &item)) {
+        Some(existing) => *existing = item,
         None => list.push(item),
     }
 }
 
-fn remove<T>(list: &mut List<T>, location: Location, is_it: impl Fn(&T) -> bool) -> Applied {
-    match list.iter().position(is_it) {
+fn remove<T>(list: &mut List<T>, location: Location, matches: impl Fn(&T) -> bool) -> Applied {
+    match list.iter().position(matches) {
         Some(index) => {
             list.remove(index);
             Ok(())
         }
-        None => refuse(location, Problem::Missing),
+        None => reject(location, Problem::Missing),
     }
 }
 
 fn remove_zone(configuration: &mut Configuration, id: ZoneId) -> Applied {
     let location = Location::Zone(id);
     if configuration.servers.iter().any(|server| server.zone == id) {
-        return refuse(location, Problem::InUse);
+        return reject(location, Problem::InUse);
     }
     remove(&mut configuration.zones, location, |zone| zone.id == id)
 }
@@ -180,10 +179,10 @@
 fn create_service(configuration: &mut Configuration, service: ServiceConfiguration) -> Applied {
     let location = Location::Service(service.id);
     if configuration.service(service.id).is_some() {
-        return refuse(location, Problem::Exists);
+        return reject(location, Problem::Exists);
     }
     if service.id <= configuration.highest_service {
-        return refuse(location, Problem::IdentifierUsedBefore);
+        return reject(location, Problem::IdentifierUsedBefore);
     }
     configuration.highest_service = service.id;
     configuration.services.push(service);
@@ -193,12 +192,12 @@
 fn alter_service(configuration: &mut Configuration, service: ServiceConfiguration) -> Applied {
     let location = Location::Service(service.id);
     let mut findings = Vec::new();
-    if let Some(held) = configuration.service(service.id) {
-        if held.partitioning != service.partitioning {
+    if let Some(existing) = configuration.service(service.id) {
+        if existing.partitioning != service.partitioning {
             let problem = Problem::Immutable(Field::Partitioning);
             findings.push(finding(location.clone(), problem));
         }
-        if held.groups != service.groups {
+        if existing.groups != service.groups {
             let problem = Problem::Immutable(Field::Groups);
             findings.push(finding(location.clone(), problem));
         }
@@ -221,7 +220,7 @@
         .iter()
         .any(|server| server.service == id)
     {
-        return refuse(location, Problem::InUse);
+        return reject(location, Problem::InUse);
     }
     remove(&mut configuration.services, location, |service| {
         service.id == id
@@ -236,7 +235,7 @@
 fn remove_tier(configuration: &mut Configuration, id: TierId) -> Applied {
     let location = Location::Tier(id);
     if configuration.callers.iter().any(|caller| caller.tier == id) {
-        return refuse(location, Problem::InUse);
+        return reject(location, Problem::InUse);
     }
     remove(&mut configuration.tiers, location, |tier| tier.id == id)
 }
--- a/crates/ledgelead-configuration/src/check.rs
+++ b/crates/ledgelead-configuration/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole configuration. All findings are reported, not the first.
+//! Validates a whole configuration and reports all errors.
 
 use crate::finding::{Field, Finding, Location, Problem};
 use ledgelead_types::Text;
@@ -6,12 +6,12 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most groups of one service.
+/// Maximum number of groups of one service.
 const MAX_GROUPS: u16 = 256;
-/// Hexadecimal digits of a SHA-256.
+/// Number of hexadecimal digits of a SHA-256 digest.
 const SHA256_DIGITS: usize = 64;
 
-/// Everything that is wrong with a configuration.
+/// Returns all errors in a configuration.
 pub fn check(configuration: &Configuration) -> Vec<Finding> {
     let mut findings = Findings::default();
     findings.check_zones(configuration);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Notes a value that must not occur twice.
+    /// Reports a value that occurs twice.
     fn unique<T: Ord>(
         &mut self,
         seen: &mut BTreeSet<T>,
--- a/crates/ledgelead-configuration/src/configuration_manager.rs
+++ b/crates/ledgelead-configuration/src/configuration_manager.rs
@@ -1,6 +1,5 @@
-//! Reads the configuration from the platform's store on behalf of all nodes,
-//! when this node is among the readers, and writes the commands of operators
-//! that arrived here.
+//! Reads the configuration from the platform's store for all nodes if this node is a reader,
+//! and writes the operators' commands received by this node.
 
 mod commands;
 mod machines;
@@ -24,82 +23,82 @@
 use std::sync::Arc;
 use watch::Watch;
 
-/// Delay before a node that has become a reader reads: nodes that start
-/// together hear of each other first.
+/// Delay before a new reader's first read, so that nodes that start together first learn of
+/// each other.
 const READER_DELAY: Span = Span::from_millis(300);
 /// Random addition to [`READER_DELAY`].
 const READER_JITTER: Span = Span::from_millis(400);
-/// Delay before a node that got no configuration from anybody reads it itself.
-const ORPHAN_DELAY: Span = Span::from_seconds(5);
-/// Random addition to [`ORPHAN_DELAY`].
-const ORPHAN_JITTER: Span = Span::from_seconds(20);
+/// Delay before a node that has not received any configuration reads it itself.
+const FALLBACK_READ_DELAY: Span = Span::from_seconds(5);
+/// Random addition to [`FALLBACK_READ_DELAY`].
+const FALLBACK_READ_JITTER: Span = Span::from_seconds(20);
 
-/// What the keeper of one node starts from.
+/// Settings of a node's configuration manager.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationManagerSettings {
     /// This node.
     pub node: NodeId,
-    /// Seed of every random decision.
+    /// Seed of all random decisions.
     pub random_seed: u64,
 }
 
-/// Something that the keeper hears of.
+/// Input of the configuration manager.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationManagerInput {
-    /// The live nodes, this one among them.
+    /// The live nodes, including this one.
     LiveNodes(Vec<LiveNode>),
     /// The newest configuration known on this node.
     Current(Arc<Configuration>),
-    /// The platform answered a call. Every call is answered once.
+    /// The platform answered a call. Each call is answered exactly once.
     PlatformReplied {
-        /// The call.
+        /// Identifier of the call.
         call: u64,
         /// Its answer.
         reply: Result<PlatformReply, PlatformError>,
     },
     /// An operator's command that changes the configuration.
     Command {
-        /// Names the command's end.
+        /// Identifies the command's result.
         ticket: u64,
         /// The command.
         command: AdministrationCommand,
     },
 }
 
-/// Something that the keeper wants done.
+/// Output of the configuration manager.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationManagerOutput {
     /// Call the platform.
     CallPlatform {
-        /// Names the answer.
+        /// Identifies the answer.
         call: u64,
         /// The call.
         request: PlatformCall,
     },
-    /// A configuration newer than the one held was read or written.
+    /// A configuration newer than the current one was read or written.
     Publish(Configuration),
     /// A command ended.
     CommandFinished {
-        /// The command.
+        /// Identifies the command.
         ticket: u64,
-        /// How.
+        /// The command's result.
         result: CommandResult,
     },
-    /// The platform stopped or started answering this node.
+    /// The platform became unreachable or reachable for this node.
     PlatformReachable(bool),
-    /// The platform's list of machines, as just read.
+    /// The platform's current list of machines.
     MachineList(Vec<MachineEntry>),
-    /// The object in the store is not a valid configuration; the one held
-    /// stays in force.
+    /// The object in the store is not a valid configuration; the current configuration stays
+    /// in force.
     InvalidObject {
         /// Version of the object.
         version: ObjectVersion,
-        /// What is wrong with it.
+        /// Errors in the object.
         findings: Vec<Finding>,
     },
 }
 
-/// For what a call was made.
+/// Purpose of a call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     Watch,
@@ -107,75 +106,77 @@
     Command { ticket: u64 },
 }
 
-/// Reader and writer of the configuration on one node.
+/// Reads and writes the configuration on one node.
 pub struct ConfigurationManager {
     node: NodeId,
     live: Vec<LiveNode>,
-    held: Arc<Configuration>,
+    current: Arc<Configuration>,
     newest_published: ConfigurationVersion,
-    reads_from: Option<Time>,
-    orphan_reads_at: Time,
+    reads_after: Option<Time>,
+    fallback_read_at: Time,
     watch: Watch,
     machines: MachinePoll,
     commands: Commands,
     calls: BTreeMap<u64, Purpose>,
-    numbers: CallNumbers,
+    call_numbers: CallNumbers,
     reachable: Option<bool>,
-    refused: Option<ObjectVersion>,
+    invalid_object: Option<ObjectVersion>,
     random: Pcg64Mcg,
     outputs: Vec<ConfigurationManagerOutput>,
 }
 
 impl ConfigurationManager {
-    /// A keeper that knows no configuration and no other node.
+    /// A manager without a configuration and without known nodes.
     pub fn new(settings: ConfigurationManagerSettings, now: Time) -> ConfigurationManager {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
-        let orphan_reads_at = now + ORPHAN_DELAY + jitter(&mut random, ORPHAN_JITTER);
+        let fallback_read_at =
+            now + FALLBACK_READ_DELAY + jitter(&mut random, FALLBACK_READ_JITTER);
         ConfigurationManager {
             node: settings.node,
             live: Vec::new(),
-            held: Arc::default(),
+            current: Arc::default(),
             newest_published: ConfigurationVersion(0),
-            reads_from: None,
-            orphan_reads_at,
+            reads_after: None,
+            fallback_read_at,
             watch: Watch::new(now),
             machines: MachinePoll::new(now),
             commands: Commands::default(),
             calls: BTreeMap::new(),
-            numbers: CallNumbers::default(),
+            call_numbers: CallNumbers::default(),
             reachable: None,
-            refused: None,
+            invalid_object: None,
             random,
             outputs: Vec::new(),
         }
     }
 
-    /// Takes in what happened at `now`.
+    /// Processes an input at time `now`.
     pub fn step(&mut self, now: Time, input: ConfigurationManagerInput) {
         match input {
-            ConfigurationManagerInput::LiveNodes(live) => self.take_live_nodes(now, live),
+            ConfigurationManagerInput::LiveNodes(live) => self.handle_live_nodes(now, live),
             ConfigurationManagerInput::Current(configuration) => {
-                if configuration.version > self.held.version {
-                    self.held = configuration;
+                if configuration.version > self.current.version {
+                    self.current = configuration;
                 }
             }
             ConfigurationManagerInput::PlatformReplied { call, reply } => {
-                self.take_reply(now, call, reply)
+                self.handle_reply(now, call, reply)
             }
             ConfigurationManagerInput::Command { ticket, command } => {
                 let step = self.commands.begin(ticket, command);
-                self.carry_out(ticket, step);
+                self.execute_step(ticket, step);
             }
         }
     }
 
-    /// Does what has become due by `now`.
+    /// Performs the actions that are due at time `now`.
     pub fn tick(&mut self, now: Time) {
         if !self.may_read(now) {
             return;
         }
         if self.watch.is_due(now) {
-            self.orphan_reads_at = now + ORPHAN_DELAY + jitter(&mut self.random, ORPHAN_JITTER);
+            self.fallback_read_at =
+                now + FALLBACK_READ_DELAY + jitter(&mut self.random, FALLBACK_READ_JITTER);
             let after = self.newest_seen();
             let request = self.watch.begin(after);
             self.call(Purpose::Watch, request);
@@ -186,81 +187,80 @@
         }
     }
 
-    /// When [`ConfigurationManager::tick`] has to be called next.
+    /// The time at which [`ConfigurationManager::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
-        let as_reader = self.reads_from.map(|from| {
+        let as_reader = self.reads_after.map(|from| {
             let due = self.watch.next_due().min(self.machines.next_due());
             from.max(due)
         });
-        let as_orphan = self
-            .is_orphan()
-            .then(|| self.orphan_reads_at.max(self.watch.next_due()));
-        let dues = as_reader.into_iter().chain(as_orphan);
+        let as_fallback = self
+            .has_no_configuration()
+            .then(|| self.fallback_read_at.max(self.watch.next_due()));
+        let dues = as_reader.into_iter().chain(as_fallback);
         dues.min().unwrap_or(Time(u64::MAX))
     }
 
-    /// What is to be done since the last call, in order.
+    /// Removes and returns the outputs since the previous call, in order.
     pub fn take_outputs(&mut self) -> Vec<ConfigurationManagerOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Whether this node is among the platform's readers.
+    /// Whether this node is a reader of the platform's objects.
     pub fn is_reader(&self) -> bool {
-        self.reads_from.is_some()
+        self.reads_after.is_some()
     }
 
-    fn take_live_nodes(&mut self, now: Time, live: Vec<LiveNode>) {
+    fn handle_live_nodes(&mut self, now: Time, live: Vec<LiveNode>) {
         self.live = live;
         if !is_reader(self.node, &self.live) {
-            self.reads_from = None;
-        } else if self.reads_from.is_none() {
+            self.reads_after = None;
+        } else if self.reads_after.is_none() {
             let delay = READER_DELAY + jitter(&mut self.random, READER_JITTER);
-            self.reads_from = Some(now + delay);
+            self.reads_after = Some(now + delay);
         }
     }
 
     fn is_reading(&self, now: Time) -> bool {
-        self.reads_from.is_some_and(|from| from <= now)
+        self.reads_after.is_some_and(|from| from <= now)
     }
 
-    fn is_orphan(&self) -> bool {
+    fn has_no_configuration(&self) -> bool {
         self.newest_seen() == ObjectVersion(0)
     }
 
     fn may_read(&self, now: Time) -> bool {
-        self.is_reading(now) || (self.is_orphan() && self.orphan_reads_at <= now)
+        self.is_reading(now) || (self.has_no_configuration() && self.fallback_read_at <= now)
     }
 
-    /// Newest version of the object that this node has seen, also when it was
-    /// not valid.
+    /// Newest version of the object seen by this node, including invalid ones.
     fn newest_seen(&self) -> ObjectVersion {
-        let held = self.held.version.max(self.newest_published);
-        ObjectVersion(held.0).max(self.refused.unwrap_or_default())
+        let current = self.current.version.max(self.newest_published);
+        ObjectVersion(current.0).max(self.invalid_object.unwrap_or_default())
     }
 
     fn call(&mut self, purpose: Purpose, request: PlatformCall) {
-        let call = self.numbers.next();
+        let call = self.call_numbers.next();
         self.calls.insert(call, purpose);
         self.outputs
             .push(ConfigurationManagerOutput::CallPlatform { call, request });
     }
 
-    fn take_reply(&mut self, now: Time, call: u64, reply: Result<PlatformReply, PlatformError>) {
+    fn handle_reply(&mut self, now: Time, call: u64, reply: Result<PlatformReply, PlatformError>) {
         let Some(purpose) = self.calls.remove(&call) else {
             return;
         };
-        self.note_reachable(reply.is_ok());
+        self.update_reachable(reply.is_ok());
         match purpose {
-            Purpose::Watch => self.take_watch_reply(now, reply),
-            Purpose::Machines => self.take_machines_reply(now, reply),
+            Purpose::Watch => self.handle_watch_reply(now, reply),
+            Purpose::Machines => self.handle_machines_reply(now, reply),
             Purpose::Command { ticket } => {
-                let step = self.commands.replied(ticket, reply);
-                self.carry_out(ticket, step);
+                let step = self.commands.handle_reply(ticket, reply);
+                self.execute_step(ticket, step);
             }
         }
     }
 
-    fn note_reachable(&mut self, reachable: bool) {
+    fn update_reachable(&mut self, reachable: bool) {
         if self.reachable != Some(reachable) {
             self.reachable = Some(reachable);
             self.outputs
@@ -268,21 +268,21 @@
         }
     }
 
-    fn take_watch_reply(&mut self, now: Time, reply: Result<PlatformReply, PlatformError>) {
+    fn handle_watch_reply(&mut self, now: Time, reply: Result<PlatformReply, PlatformError>) {
         self.watch.ended(now, &reply, &mut self.random);
         if let Ok(PlatformReply::Object { version, value }) = reply {
-            self.take_object(version, &value);
+            self.handle_object(version, &value);
         }
     }
 
-    fn take_object(&mut self, version: ObjectVersion, value: &Bytes) {
+    fn handle_object(&mut self, version: ObjectVersion, value: &Bytes) {
         if version <= self.newest_seen() {
             return;
         }
         match crate::json::decode_configuration(value, version) {
             Ok(configuration) => self.publish(configuration),
             Err(findings) => {
-                self.refused = Some(version);
+                self.invalid_object = Some(version);
                 self.outputs
                     .push(ConfigurationManagerOutput::InvalidObject { version, findings });
             }
@@ -290,7 +290,7 @@
     }
 
     fn publish(&mut self, configuration: Configuration) {
-        let newest = self.held.version.max(self.newest_published);
+        let newest = self.current.version.max(self.newest_published);
         if configuration.version > newest {
             self.newest_published = configuration.version;
             self.outputs
@@ -298,7 +298,7 @@
         }
     }
 
-    fn take_machines_reply(&mut self, now: Time, reply: Result<PlatformReply, PlatformError>) {
+    fn handle_machines_reply(&mut self, now: Time, reply: Result<PlatformReply, PlatformError>) {
         self.machines.ended(now);
         if let Ok(PlatformReply::Machines(machines)) = reply {
             self.outputs
@@ -306,7 +306,7 @@
         }
     }
 
-    fn carry_out(&mut self, ticket: u64, step: CommandStep) {
+    fn execute_step(&mut self, ticket: u64, step: CommandStep) {
         match step {
             CommandStep::Call(request) => self.call(Purpose::Command { ticket }, request),
             CommandStep::Finished {
@@ -323,6 +323,6 @@
     }
 }
 
-fn jitter(random: &mut Pcg64Mcg, most: Span) -> Span {
-    Span(random.random_range(0..=most.as_micros()))
+fn jitter(random: &mut Pcg64Mcg, max: Span) -> Span {
+    Span(random.random_range(0..=max.as_micros()))
 }
--- a/crates/ledgelead-configuration/src/configuration_manager/commands.rs
+++ b/crates/ledgelead-configuration/src/configuration_manager/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators on their way into the store.
+//! Writes operators' commands into the store.
 
 use crate::changes::apply_changes;
 use crate::finding::Finding;
@@ -10,19 +10,19 @@
 use ledgelead_types::{Bytes, ConfigurationVersion, List, Text};
 use std::collections::BTreeMap;
 
-/// Commands that one node carries out at once.
+/// Maximum number of concurrent commands on one node.
 const MAX_COMMANDS: usize = 64;
 
-/// What a command needs next.
+/// Next step of a command.
 #[derive(Debug)]
 pub(super) enum CommandStep {
     /// Call the platform.
     Call(PlatformCall),
     /// The command ended.
     Finished {
-        /// How.
+        /// The command's result.
         result: CommandResult,
-        /// The configuration that was read or written last, when valid.
+        /// The configuration last read or written, if valid.
         configuration: Option<Configuration>,
     },
 }
@@ -41,7 +41,7 @@
 }
 
 impl Commands {
-    /// Begins a command.
+    /// Starts a command.
     pub(super) fn begin(&mut self, ticket: u64, command: AdministrationCommand) -> CommandStep {
         if self.open.len() >= MAX_COMMANDS {
             return rejected(CommandRejection::Contention);
@@ -57,8 +57,8 @@
         CommandStep::Call(call)
     }
 
-    /// Takes in the answer to a command's call.
-    pub(super) fn replied(
+    /// Processes the answer to a command's call.
+    pub(super) fn handle_reply(
         &mut self,
         ticket: u64,
         reply: Result<PlatformReply, PlatformError>,
@@ -66,7 +66,7 @@
         let Some(open) = self.open.get_mut(&ticket) else {
             return rejected(CommandRejection::PlatformUnavailable);
         };
-        let step = open.replied(reply);
+        let step = open.handle_reply(reply);
         if matches!(step, CommandStep::Finished { .. }) {
             self.open.remove(&ticket);
         }
@@ -75,11 +75,11 @@
 }
 
 impl OpenCommand {
-    fn replied(&mut self, reply: Result<PlatformReply, PlatformError>) -> CommandStep {
-        match self.swap.replied(reply) {
+    fn handle_reply(&mut self, reply: Result<PlatformReply, PlatformError>) -> CommandStep {
+        match self.swap.handle_reply(reply) {
             Progress::Call(call) => CommandStep::Call(call),
-            Progress::Read { version, value } => self.decide(version, value.as_ref()),
-            Progress::Written(version) => self.written(version),
+            Progress::Read { version, value } => self.handle_read(version, value.as_ref()),
+            Progress::Written(version) => self.handle_written(version),
             Progress::Unavailable if self.swap.may_have_written() => CommandStep::Finished {
                 result: CommandResult::Unknown,
                 configuration: None,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Looks for the command's own effect first, then tries to make it.
-    fn decide(&mut self, version: ObjectVersion, value: Option<&Bytes>) -> CommandStep {
+    /// Checks whether the command has already been applied; otherwise applies it.
+    fn handle_read(&mut self, version: ObjectVersion, value: Option<&Bytes>) -> CommandStep {
         let present = match value {
             None => Configuration::default(),
             Some(value) => match decode_configuration(value, version) {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn written(&mut self, version: ObjectVersion) -> CommandStep {
+    fn handle_written(&mut self, version: ObjectVersion) -> CommandStep {
         let version = ConfigurationVersion(version.0);
         let configuration = self.written.take().map(|mut configuration| {
             configuration.version = version;
--- a/crates/ledgelead-configuration/src/configuration_manager/machines.rs
+++ b/crates/ledgelead-configuration/src/configuration_manager/machines.rs
@@ -1,12 +1,12 @@
-//! Reads the platform's list of machines now and then.
+//! Reads the platform's list of machines at intervals.
 
 use ledgelead_types::platform::PlatformCall;
 use ledgelead_types::{Span, Time};
 
-/// Time between two reads. The list lags by more than this.
+/// Interval between reads. The list lags behind by more than this.
 const INTERVAL: Span = Span::from_seconds(3);
 
-/// A read that is open or waits for its next turn.
+/// State of the reads: one is open or the next one is scheduled.
 #[derive(Debug)]
 pub(super) struct MachinePoll {
     next: Time,
@@ -14,7 +14,7 @@
 }
 
 impl MachinePoll {
-    /// A read that is due at once.
+    /// Schedules the first read immediately.
     pub(super) fn new(now: Time) -> MachinePoll {
         MachinePoll {
             next: now,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Whether a call should be made.
+    /// Whether the next call is due.
     pub(super) fn is_due(&self, now: Time) -> bool {
         !self.is_open && self.next <= now
     }
 
-    /// When a call should be made, if none is open.
+    /// When the next call is due; never while one is open.
     pub(super) fn next_due(&self) -> Time {
         if self.is_open {
             Time(u64::MAX)
@@ -36,13 +36,13 @@
         }
     }
 
-    /// The call to make.
+    /// Starts a call.
     pub(super) fn begin(&mut self) -> PlatformCall {
         self.is_open = true;
         PlatformCall::ListMachines
     }
 
-    /// The call ended.
+    /// Records the end of the call.
     pub(super) fn ended(&mut self, now: Time) {
         self.is_open = false;
         self.next = now + INTERVAL;
--- a/crates/ledgelead-configuration/src/configuration_manager/watch.rs
+++ b/crates/ledgelead-configuration/src/configuration_manager/watch.rs
@@ -1,4 +1,4 @@
-//! The long poll of the configuration's object.
+//! Long polling of the configuration's object.
 
 use ledgelead_types::platform::{
     CONFIGURATION_OBJECT, ObjectVersion, PlatformCall, PlatformError, PlatformReply,
@@ -7,17 +7,17 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Least time between two watches, should the platform answer at once.
-const LEAST_INTERVAL: Span = Span::from_millis(50);
-/// Time before a missing object is watched again.
+/// Minimum interval between watches, in case the platform answers immediately.
+const MIN_INTERVAL: Span = Span::from_millis(50);
+/// Delay before a missing object is watched again.
 const MISSING_INTERVAL: Span = Span::from_millis(500);
-/// First delay after an error.
-const FIRST_BACKOFF: Span = Span::from_millis(200);
-/// Longest delay after errors. With the relay's second it stays far below the
-/// 6 s in which a configuration has to be in force everywhere.
-const LONGEST_BACKOFF: Span = Span::from_seconds(2);
+/// Delay after the first error.
+const INITIAL_BACKOFF: Span = Span::from_millis(200);
+/// Longest delay after repeated errors. Together with the 1 s for relaying a configuration it
+/// stays far below the 6 s within which a configuration has to be in force on all nodes.
+const MAX_BACKOFF: Span = Span::from_seconds(2);
 
-/// A watch that is open or waits for its next turn.
+/// State of the watch: a call is open or the next one is scheduled.
 #[derive(Debug)]
 pub(super) struct Watch {
     next: Time,
@@ -26,21 +26,21 @@
 }
 
 impl Watch {
-    /// A watch that is due at once.
+    /// Schedules the first call immediately.
     pub(super) fn new(now: Time) -> Watch {
         Watch {
             next: now,
             is_open: false,
-            backoff: FIRST_BACKOFF,
+            backoff: INITIAL_BACKOFF,
         }
     }
 
-    /// Whether a call should be made.
+    /// Whether the next call is due.
     pub(super) fn is_due(&self, now: Time) -> bool {
         !self.is_open && self.next <= now
     }
 
-    /// When a call should be made, if none is open.
+    /// When the next call is due; never while one is open.
     pub(super) fn next_due(&self) -> Time {
         if self.is_open {
             Time(u64::MAX)
@@ -49,14 +49,14 @@
         }
     }
 
-    /// The call to make.
+    /// Starts a call.
     pub(super) fn begin(&mut self, after: ObjectVersion) -> PlatformCall {
         self.is_open = true;
         let name = CONFIGURATION_OBJECT.into();
         PlatformCall::Watch { name, after }
     }
 
-    /// The call ended.
+    /// Records the end of the call.
     pub(super) fn ended(
         &mut self,
         now: Time,
@@ -66,19 +66,20 @@
         self.is_open = false;
         let delay = match reply {
             Ok(PlatformReply::NotFound) => MISSING_INTERVAL,
-            Ok(_) => LEAST_INTERVAL,
+            Ok(_) => MIN_INTERVAL,
             Err(_) => self.next_backoff(random),
         };
         if reply.is_ok() {
-            self.backoff = FIRST_BACKOFF;
+            self.backoff = INITIAL_BACKOFF;
         }
         self.next = now + delay;
     }
 
-    /// Doubles the delay; drawn from its upper half, so that readers part.
+    /// Returns a delay drawn from the upper half of the current backoff, so that readers do
+    /// not retry in step, and doubles the backoff.
     fn next_backoff(&mut self, random: &mut Pcg64Mcg) -> Span {
         let delay = self.backoff.times(random.random_range(0.5..1.0));
-        self.backoff = self.backoff.times(2.0).min(LONGEST_BACKOFF);
+        self.backoff = self.backoff.times(2.0).min(MAX_BACKOFF);
         delay
     }
 }
--- a/crates/ledgelead-configuration/src/finding.rs
+++ b/crates/ledgelead-configuration/src/finding.rs
@@ -1,21 +1,21 @@
-//! What is wrong with a configuration or a change, and where.
+//! Errors in a configuration or a change, with their locations.
 
 use ledgelead_types::{CallerId, ServerId, ServiceId, Text, TierId, ZoneId};
 use std::fmt;
 
-/// One problem and its location.
+/// An error and its location.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// Where.
+    /// Where the error is.
     pub location: Location,
-    /// What.
+    /// What is wrong.
     pub problem: Problem,
 }
 
-/// The part of a configuration that a finding is about.
+/// The part of a configuration that a finding refers to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Location {
-    /// A position in the JSON text, both counted from 1.
+    /// A position in the JSON text; line and column start at 1.
     Text {
         /// Line.
         line: usize,
@@ -30,7 +30,7 @@
     Server(ServerId),
     /// A tier.
     Tier(TierId),
-    /// All tiers together.
+    /// All tiers.
     Tiers,
     /// A caller.
     Caller(CallerId),
@@ -40,28 +40,28 @@
     Command,
 }
 
-/// What is wrong.
+/// Kind of an error.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Problem {
-    /// The text is not a configuration.
+    /// The text can't be parsed as a configuration.
     Malformed(String),
-    /// Another one has this identifier.
+    /// The identifier is used more than once.
     DuplicateIdentifier,
-    /// Another one has this value.
+    /// The field's value is used more than once.
     Duplicate(Field),
-    /// It exists already.
+    /// The entity already exists.
     Exists,
-    /// There is none.
+    /// The entity does not exist.
     Missing,
     /// The identifier belonged to a service that was removed.
     IdentifierUsedBefore,
     /// The field can't change after creation.
     Immutable(Field),
-    /// Something still refers to it.
+    /// Another entity still refers to it.
     InUse,
-    /// The field refers to something that does not exist.
+    /// The field refers to an entity that does not exist.
     Unknown(Field),
-    /// The field has a value outside what is allowed, which is stated.
+    /// The field's value is out of range; the text describes the range.
     OutOfRange(Field, &'static str),
 }
 
--- a/crates/ledgelead-configuration/src/group_manager.rs
+++ b/crates/ledgelead-configuration/src/group_manager.rs
@@ -1,9 +1,8 @@
-//! Forms the groups that the configuration calls for, rebuilds those whose
-//! quorum is proven dead, and stores the leaders' snapshots.
+//! Forms the groups that the configuration requires, rebuilds groups whose quorum is proven
+//! dead, and stores the leaders' snapshots.
 //!
-//! Invariant: a group gets a new epoch only while this node has fresh reason
-//! to believe that the old epoch can't decide any more; see
-//! `docs/design/configuration.md`.
+//! Invariant: a group gets a new epoch only while this node has current evidence that the old
+//! epoch can't make decisions any more; see `docs/design/configuration.md`.
 
 mod forming;
 mod io;
@@ -28,27 +27,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How long the live set must not have changed before a group is formed.
-const SETTLED: Span = Span::from_millis(300);
-/// The same while there are fewer live nodes than replicas: others may be
-/// about to start.
-const SETTLED_WITH_FEW: Span = Span::from_seconds(3);
-/// How long a lost quorum must have been known before the group is rebuilt. A
-/// leader that lives in spite of it has this time to record its present
-/// voters.
-const PROOF_SETTLED: Span = Span::from_millis(500);
-/// One group's object is read again in this time, in turn. News of a higher
-/// epoch comes by dissemination; this finds what was missed. An object holds
-/// a whole snapshot, so it is read seldom.
+/// How long the set of live nodes must be unchanged before a group is formed.
+const LIVE_SET_STABLE_TIME: Span = Span::from_millis(300);
+/// The same while there are fewer live nodes than replicas, since more nodes may be about to
+/// start.
+const LIVE_SET_STABLE_TIME_BELOW_REPLICAS: Span = Span::from_seconds(3);
+/// How long a quorum must be known to be lost before the group is rebuilt. A leader that is
+/// still working has this time to record its current voters.
+const QUORUM_LOSS_DELAY: Span = Span::from_millis(500);
+/// Interval between reads of one group's object; the groups are read in turn. A higher epoch
+/// is announced by dissemination, and these reads find what was missed. They are infrequent
+/// because an object contains a whole snapshot.
 const POLL_INTERVAL: Span = Span::from_seconds(30);
-/// How often unfinished groups are looked at.
-const LOOK_INTERVAL: Span = Span::from_millis(100);
-/// Objects read at the same time.
+/// Interval between checks for groups to read, form or rebuild.
+const CHECK_INTERVAL: Span = Span::from_millis(100);
+/// Maximum number of concurrent reads.
 const MAX_READS: usize = 8;
-/// Delay after an error, at least; half of it is random.
+/// Longest delay after an error. The delay is drawn from the upper half.
 const BACKOFF: Span = Span::from_seconds(1);
 
-/// For what a call was made.
+/// Purpose of a call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     Read,
@@ -56,7 +54,7 @@
     Snapshot,
 }
 
-/// Former of groups on one node.
+/// Forms and rebuilds groups and stores snapshots on one node.
 pub struct GroupManager {
     node: NodeId,
     live: Vec<LiveNode>,
@@ -66,19 +64,19 @@
     proven_dead: BTreeSet<Member>,
     groups: BTreeMap<GroupId, KnownGroup>,
     forming: BTreeMap<GroupId, Swap>,
-    formed: BTreeMap<GroupId, GroupRecord>,
+    proposed: BTreeMap<GroupId, GroupRecord>,
     snapshots: Snapshots,
     calls: BTreeMap<u64, (GroupId, Purpose)>,
-    numbers: CallNumbers,
-    next_look: Time,
+    call_numbers: CallNumbers,
+    next_check: Time,
     next_poll: Time,
-    polled_last: Option<GroupId>,
+    last_polled: Option<GroupId>,
     random: Pcg64Mcg,
     outputs: Vec<GroupManagerOutput>,
 }
 
 impl GroupManager {
-    /// A former that knows no group and no node.
+    /// A manager without known groups and nodes.
     pub fn new(settings: GroupManagerSettings, now: Time) -> GroupManager {
         GroupManager {
             node: settings.node,
@@ -89,24 +87,24 @@
             proven_dead: BTreeSet::new(),
             groups: BTreeMap::new(),
             forming: BTreeMap::new(),
-            formed: BTreeMap::new(),
+            proposed: BTreeMap::new(),
             snapshots: Snapshots::default(),
             calls: BTreeMap::new(),
-            numbers: CallNumbers::default(),
-            next_look: now,
+            call_numbers: CallNumbers::default(),
+            next_check: now,
             next_poll: now,
-            polled_last: None,
+            last_polled: None,
             random: Pcg64Mcg::seed_from_u64(settings.random_seed),
             outputs: Vec::new(),
         }
     }
 
-    /// Takes in what happened at `now`.
+    /// Processes an input at time `now`.
     pub fn step(&mut self, now: Time, input: GroupManagerInput) {
         match input {
-            GroupManagerInput::LiveNodes(live) => self.take_live_nodes(now, live),
+            GroupManagerInput::LiveNodes(live) => self.handle_live_nodes(now, live),
             GroupManagerInput::Configuration(configuration) => {
-                self.take_configuration(configuration)
+                self.handle_configuration(configuration)
             }
             GroupManagerInput::KnownMembers {
                 group,
@@ -116,50 +114,52 @@
                 .groups
                 .entry(group)
                 .or_default()
-                .note_members(epoch, members),
+                .apply_members(epoch, members),
             GroupManagerInput::ProvenDead(members) => {
                 self.proven_dead = members;
-                self.look_at_losses(now);
+                self.update_quorum_losses(now);
+            }
+            GroupManagerInput::PlatformReplied { call, reply } => {
+                self.handle_reply(now, call, reply)
             }
-            GroupManagerInput::PlatformReplied { call, reply } => self.take_reply(now, call, reply),
             GroupManagerInput::StoreSnapshot { record, revision } => {
                 let group = record.group;
                 let step = self.snapshots.store(record, revision);
-                self.carry_out_snapshot(group, step);
+                self.execute_snapshot_step(group, step);
             }
         }
     }
 
-    /// Does what has become due by `now`.
+    /// Performs the actions that are due at time `now`.
     pub fn tick(&mut self, now: Time) {
-        if now < self.next_look {
+        if now < self.next_check {
             return;
         }
-        self.next_look = now + LOOK_INTERVAL;
+        self.next_check = now + CHECK_INTERVAL;
         if !self.is_reader {
             return;
         }
-        self.look_at_losses(now);
+        self.update_quorum_losses(now);
         self.read_unread(now);
         self.poll(now);
-        self.form_where_due(now);
+        self.form_due_groups(now);
     }
 
-    /// When [`GroupManager::tick`] has to be called next.
+    /// The time at which [`GroupManager::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         if self.is_reader {
-            self.next_look
+            self.next_check
         } else {
             Time(u64::MAX)
         }
     }
 
-    /// What is to be done since the last call, in order.
+    /// Removes and returns the outputs since the previous call, in order.
     pub fn take_outputs(&mut self) -> Vec<GroupManagerOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    fn take_live_nodes(&mut self, now: Time, live: Vec<LiveNode>) {
+    fn handle_live_nodes(&mut self, now: Time, live: Vec<LiveNode>) {
         if live != self.live {
             self.is_reader = is_reader(self.node, &live);
             self.live = live;
@@ -167,7 +167,7 @@
         }
     }
 
-    fn take_configuration(&mut self, configuration: Arc<Configuration>) {
+    fn handle_configuration(&mut self, configuration: Arc<Configuration>) {
         if configuration.version < self.configuration.version {
             return;
         }
@@ -176,21 +176,22 @@
         for group in &configured {
             self.groups.entry(*group).or_default();
         }
-        // A service that this node has yet to hear of keeps its groups.
+        // A group of a service newer than this configuration is kept, since a later version
+        // may contain the service.
         let highest = self.configuration.highest_service;
-        let remains = |group: &GroupId| configured.contains(group) || group.service > highest;
-        self.groups.retain(|group, _| remains(group));
-        self.snapshots.retain(remains);
+        let is_kept = |group: &GroupId| configured.contains(group) || group.service > highest;
+        self.groups.retain(|group, _| is_kept(group));
+        self.snapshots.retain(is_kept);
     }
 
-    fn look_at_losses(&mut self, now: Time) {
+    fn update_quorum_losses(&mut self, now: Time) {
         for known in self.groups.values_mut() {
-            known.note_loss(now, &self.proven_dead);
+            known.update_quorum_loss(now, &self.proven_dead);
         }
     }
 
     fn call(&mut self, group: GroupId, purpose: Purpose, request: PlatformCall) {
-        let call = self.numbers.next();
+        let call = self.call_numbers.next();
         self.calls.insert(call, (group, purpose));
         self.outputs
             .push(GroupManagerOutput::CallPlatform { call, request });
@@ -201,13 +202,13 @@
         self.call(group, Purpose::Read, PlatformCall::Get { name });
     }
 
-    fn is_busy(&self, group: GroupId) -> bool {
+    fn has_open_call(&self, group: GroupId) -> bool {
         self.calls
             .values()
             .any(|(other, purpose)| *other == group && *purpose != Purpose::Snapshot)
     }
 
-    /// Reads the objects of configured groups that this node never saw.
+    /// Reads the objects of configured groups that this node has not read yet.
     fn read_unread(&mut self, now: Time) {
         let reads = self.calls.values();
         let open = reads
@@ -216,7 +217,7 @@
         let unread: Vec<GroupId> = self
             .configuration
             .groups()
-            .filter(|group| !self.is_busy(*group))
+            .filter(|group| !self.has_open_call(*group))
             .filter(|group| {
                 self.groups
                     .get(group)
@@ -229,38 +230,38 @@
         }
     }
 
-    /// Reads one group's object in each interval, in turn.
+    /// Reads the object of one group per interval, in turn.
     fn poll(&mut self, now: Time) {
         if now < self.next_poll {
             return;
         }
         self.next_poll = now + POLL_INTERVAL;
         let groups: BTreeSet<GroupId> = self.configuration.groups().collect();
-        let following = groups.iter().find(|group| Some(**group) > self.polled_last);
-        let Some(group) = following.or(groups.first()).copied() else {
+        let next_group = groups.iter().find(|group| Some(**group) > self.last_polled);
+        let Some(group) = next_group.or(groups.first()).copied() else {
             return;
         };
-        self.polled_last = Some(group);
-        if !self.is_busy(group) {
+        self.last_polled = Some(group);
+        if !self.has_open_call(group) {
             self.read(group);
         }
     }
 
-    fn take_reply(&mut self, now: Time, call: u64, reply: Result<PlatformReply, PlatformError>) {
+    fn handle_reply(&mut self, now: Time, call: u64, reply: Result<PlatformReply, PlatformError>) {
         let Some((group, purpose)) = self.calls.remove(&call) else {
             return;
         };
         match purpose {
-            Purpose::Read => self.take_read(now, group, reply),
-            Purpose::Form => self.take_forming(now, group, reply),
+            Purpose::Read => self.handle_read_reply(now, group, reply),
+            Purpose::Form => self.handle_formation_reply(now, group, reply),
             Purpose::Snapshot => {
-                let step = self.snapshots.replied(group, reply);
-                self.carry_out_snapshot(group, step);
+                let step = self.snapshots.handle_reply(group, reply);
+                self.execute_snapshot_step(group, step);
             }
         }
     }
 
-    fn take_read(
+    fn handle_read_reply(
         &mut self,
         now: Time,
         group: GroupId,
@@ -268,10 +269,10 @@
     ) {
         match reply {
             Ok(PlatformReply::Object { version, value }) => {
-                self.take_object(group, version, Some(&value));
+                self.handle_object(group, version, Some(&value));
             }
             Ok(PlatformReply::NotFound) => {
-                self.take_object(group, ObjectVersion(0), None);
+                self.handle_object(group, ObjectVersion(0), None);
             }
             _ => self.back_off(now, group),
         }
@@ -284,8 +285,8 @@
         }
     }
 
-    /// Takes in a group's object; returns its record.
-    fn take_object(
+    /// Processes a group's object and returns its record.
+    fn handle_object(
         &mut self,
         group: GroupId,
         version: ObjectVersion,
@@ -296,7 +297,7 @@
             None => None,
         };
         let known = self.groups.entry(group).or_default();
-        if known.note_record(version, record.as_ref())
+        if known.apply_record(version, record.as_ref())
             && let Some(record) = &record
         {
             self.outputs
@@ -305,19 +306,19 @@
         record
     }
 
-    fn carry_out_snapshot(&mut self, group: GroupId, step: SnapshotStep) {
+    fn execute_snapshot_step(&mut self, group: GroupId, step: SnapshotStep) {
         match step {
             SnapshotStep::Wait => {}
             SnapshotStep::Call(request) => self.call(group, Purpose::Snapshot, request),
             SnapshotStep::Stored { revision, next } => {
                 self.outputs
                     .push(GroupManagerOutput::SnapshotStored { group, revision });
-                self.carry_out_snapshot(group, *next);
+                self.execute_snapshot_step(group, *next);
             }
             SnapshotStep::Superseded { record } => {
                 let epoch = record.epoch;
                 let known = self.groups.entry(group).or_default();
-                if known.note_record(ObjectVersion(0), Some(&record)) {
+                if known.apply_record(ObjectVersion(0), Some(&record)) {
                     self.outputs.push(GroupManagerOutput::Publish(record));
                 }
                 self.outputs
@@ -327,8 +328,8 @@
     }
 }
 
-/// The record in an object. One that can't be read, or is of another group,
-/// is left alone: writing over it could start a second leader.
+/// Decodes a group's record. `None` if it is unreadable or belongs to another group; such an
+/// object is never overwritten, since that could start a second leader.
 fn decode_record(group: GroupId, value: &Bytes) -> Option<GroupRecord> {
     let record = decode::<GroupRecord>(&value.0).ok()?;
     (record.group == group).then_some(record)
--- a/crates/ledgelead-configuration/src/group_manager/forming.rs
+++ b/crates/ledgelead-configuration/src/group_manager/forming.rs
@@ -1,8 +1,11 @@
-//! When a group is formed or rebuilt, and with which voters.
+//! Decides when a group is formed or rebuilt, and with which voters.
 
 use super::io::GroupManagerOutput;
 use super::known::KnownGroup;
-use super::{GroupManager, PROOF_SETTLED, Purpose, SETTLED, SETTLED_WITH_FEW};
+use super::{
+    GroupManager, LIVE_SET_STABLE_TIME, LIVE_SET_STABLE_TIME_BELOW_REPLICAS, Purpose,
+    QUORUM_LOSS_DELAY,
+};
 use crate::placement::choose_voters;
 use crate::swap::{Progress, Swap};
 use ledgelead_types::codec::encode;
@@ -13,11 +16,11 @@
 use std::collections::BTreeSet;
 
 impl GroupManager {
-    pub(super) fn form_where_due(&mut self, now: Time) {
+    pub(super) fn form_due_groups(&mut self, now: Time) {
         let due: Vec<GroupId> = self
             .configuration
             .groups()
-            .filter(|group| !self.is_busy(*group) && self.may_form(now, *group))
+            .filter(|group| !self.has_open_call(*group) && self.may_form(now, *group))
             .collect();
         for group in due {
             let swap = Swap::of(group_object(group));
@@ -34,18 +37,18 @@
         if known.is_backing_off(now) {
             return false;
         }
-        if known.is_absent() {
-            return self.is_settled(now, group);
+        if known.has_no_record() {
+            return self.is_live_set_stable(now, group);
         }
-        known.is_lost_since(now.before(PROOF_SETTLED)) && self.sees_enough(known)
+        known.is_quorum_lost_since(now.before(QUORUM_LOSS_DELAY)) && self.has_sufficient_view(known)
     }
 
-    fn is_settled(&self, now: Time, group: GroupId) -> bool {
+    fn is_live_set_stable(&self, now: Time, group: GroupId) -> bool {
         let has_enough = self.live.len() >= self.replicas(group);
         let span = if has_enough {
-            SETTLED
+            LIVE_SET_STABLE_TIME
         } else {
-            SETTLED_WITH_FEW
+            LIVE_SET_STABLE_TIME_BELOW_REPLICAS
         };
         now.since(self.live_since) >= span
     }
@@ -55,25 +58,25 @@
         service.map_or(0, |service| usize::from(service.replicas))
     }
 
-    /// Whether this node is placed to know that the group can't decide: every
-    /// voter that is not proven dead is live here, so its news has arrived,
-    /// and most zones are in reach. A node that was cut off for long, with
-    /// only the platform in reach, knows voters of the past.
-    fn sees_enough(&self, known: &KnownGroup) -> bool {
+    /// Whether this node has enough information to conclude that the group can't decide: every
+    /// voter that is not proven dead is live in this node's view, so its latest status has
+    /// arrived, and a majority of zones is reachable. A node that was partitioned for long and
+    /// reaches only the platform may know outdated voters.
+    fn has_sufficient_view(&self, known: &KnownGroup) -> bool {
         let live: BTreeSet<Member> = self.live.iter().map(|node| node.member).collect();
-        let accounted =
+        let is_accounted_for =
             |member: &Member| self.proven_dead.contains(member) || live.contains(member);
-        known.voters().all(accounted) && self.sees_most_zones()
+        known.voters().all(is_accounted_for) && self.sees_majority_of_zones()
     }
 
-    fn sees_most_zones(&self) -> bool {
+    fn sees_majority_of_zones(&self) -> bool {
         let live: BTreeSet<ZoneId> = self.live.iter().map(|node| node.zone).collect();
         let zones = &self.configuration.zones;
         let seen = zones.iter().filter(|zone| live.contains(&zone.id)).count();
         seen * 2 > zones.len() || zones.is_empty()
     }
 
-    pub(super) fn take_forming(
+    pub(super) fn handle_formation_reply(
         &mut self,
         now: Time,
         group: GroupId,
@@ -82,10 +85,12 @@
         let Some(swap) = self.forming.get_mut(&group) else {
             return;
         };
-        match swap.replied(reply) {
+        match swap.handle_reply(reply) {
             Progress::Call(request) => self.call(group, Purpose::Form, request),
-            Progress::Read { version, value } => self.decide(now, group, version, value.as_ref()),
-            Progress::Written(version) => self.take_formed(group, version),
+            Progress::Read { version, value } => {
+                self.handle_read(now, group, version, value.as_ref())
+            }
+            Progress::Written(version) => self.handle_formed(group, version),
             Progress::Unavailable => {
                 self.end_forming(group);
                 self.back_off(now, group);
@@ -95,17 +100,23 @@
 
     fn end_forming(&mut self, group: GroupId) -> Option<GroupRecord> {
         self.forming.remove(&group);
-        self.formed.remove(&group)
+        self.proposed.remove(&group)
     }
 
-    /// Decides with the object just read whether the group still has to be
-    /// formed, and writes it.
-    fn decide(&mut self, now: Time, group: GroupId, version: ObjectVersion, value: Option<&Bytes>) {
-        let present = self.take_object(group, version, value);
+    /// Checks with the object just read whether the group still has to be formed, and writes
+    /// the new record.
+    fn handle_read(
+        &mut self,
+        now: Time,
+        group: GroupId,
+        version: ObjectVersion,
+        value: Option<&Bytes>,
+    ) {
+        let present = self.handle_object(group, version, value);
         let is_unreadable = value.is_some() && present.is_none();
-        self.look_at_losses(now);
+        self.update_quorum_losses(now);
         if is_unreadable || !self.may_form(now, group) {
-            self.recognise(group, present.as_ref());
+            self.end_without_write(group, present.as_ref());
             return;
         }
         let Some(record) = self.next_record(group, present) else {
@@ -113,7 +124,7 @@
             return;
         };
         let value = Bytes(encode(&record));
-        self.formed.insert(group, record);
+        self.proposed.insert(group, record);
         let swap = self.forming.get_mut(&group);
         match swap.and_then(|swap| swap.write(version, value)) {
             Some(request) => self.call(group, Purpose::Form, request),
@@ -124,8 +135,10 @@
         }
     }
 
-    /// Ends forming; the record read back may be this node's own.
-    fn recognise(&mut self, group: GroupId, present: Option<&GroupRecord>) {
+    /// Ends forming without a write. If the record in the store is the one that this node
+    /// proposed, an earlier write whose answer was lost took effect, and the group is reported
+    /// as formed.
+    fn end_without_write(&mut self, group: GroupId, present: Option<&GroupRecord>) {
         let own = self.end_forming(group);
         if let Some(own) = own.filter(|own| Some(own) == present) {
             self.report_formed(group, own.epoch);
@@ -150,11 +163,11 @@
         (!record.members.is_empty()).then_some(record)
     }
 
-    fn take_formed(&mut self, group: GroupId, version: ObjectVersion) {
+    fn handle_formed(&mut self, group: GroupId, version: ObjectVersion) {
         if let Some(record) = self.end_forming(group) {
             let epoch = record.epoch;
             let known = self.groups.entry(group).or_default();
-            known.note_record(version, Some(&record));
+            known.apply_record(version, Some(&record));
             self.outputs.push(GroupManagerOutput::Publish(record));
             self.report_formed(group, epoch);
         }
--- a/crates/ledgelead-configuration/src/group_manager/io.rs
+++ b/crates/ledgelead-configuration/src/group_manager/io.rs
@@ -1,4 +1,4 @@
-//! What the former is given and what it wants done.
+//! Inputs and outputs of the group manager.
 
 use ledgelead_types::configuration::Configuration;
 use ledgelead_types::dispatch::LiveNode;
@@ -9,77 +9,77 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What the former of one node starts from.
+/// Settings of a node's group manager.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupManagerSettings {
     /// This node.
     pub node: NodeId,
-    /// Seed of every random decision.
+    /// Seed of all random decisions.
     pub random_seed: u64,
 }
 
-/// Something that the former hears of.
+/// Input of the group manager.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupManagerInput {
-    /// The live nodes, this one among them.
+    /// The live nodes, including this one.
     LiveNodes(Vec<LiveNode>),
     /// The configuration in force on this node.
     Configuration(Arc<Configuration>),
-    /// Voters of a group, as disseminated.
+    /// Voters of a group, received by dissemination.
     KnownMembers {
         /// The group.
         group: GroupId,
-        /// Epoch in which they vote.
+        /// Epoch of these voters.
         epoch: Epoch,
         /// The voters.
         members: Vec<Member>,
     },
-    /// Members that are dead for certain.
+    /// Members that are proven dead.
     ProvenDead(BTreeSet<Member>),
-    /// The platform answered a call. Every call is answered once.
+    /// The platform answered a call. Each call is answered exactly once.
     PlatformReplied {
-        /// The call.
+        /// Identifier of the call.
         call: u64,
         /// Its answer.
         reply: Result<PlatformReply, PlatformError>,
     },
     /// The leader on this node has a snapshot to store.
     StoreSnapshot {
-        /// The group's record with the snapshot and its present voters: whoever
-        /// rebuilds the group later relies on them.
+        /// The group's record with the snapshot and the current voters, on which a later
+        /// rebuild of the group relies.
         record: GroupRecord,
-        /// Log position that the snapshot contains.
+        /// Log position that the snapshot includes.
         revision: Revision,
     },
 }
 
-/// Something that the former wants done.
+/// Output of the group manager.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupManagerOutput {
     /// Call the platform.
     CallPlatform {
-        /// Names the answer.
+        /// Identifies the answer.
         call: u64,
         /// The call.
         request: PlatformCall,
     },
-    /// A group's record with an epoch not published before, whole: its voters
-    /// start from the snapshot in it.
+    /// The full record of a group with an epoch that was not published before; the group's
+    /// voters start from its snapshot.
     Publish(GroupRecord),
-    /// A snapshot is in the store.
+    /// A snapshot was stored.
     SnapshotStored {
         /// The group.
         group: GroupId,
-        /// Log position that it contains.
+        /// Log position that the snapshot includes.
         revision: Revision,
     },
-    /// The store has a higher epoch: the replica on this node is of the past.
+    /// The store has a higher epoch; the replica on this node is outdated.
     Superseded {
         /// The group.
         group: GroupId,
         /// The higher epoch.
         epoch: Epoch,
     },
-    /// Something worth a log line or a metric.
+    /// An event for the log or the metrics.
     Event(Event),
 }
--- a/crates/ledgelead-configuration/src/group_manager/snapshots.rs
+++ b/crates/ledgelead-configuration/src/group_manager/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots of the groups led on this node, on their way into the store. One
-//! write a group at a time; of those that wait only the newest is kept.
+//! Stores snapshots of the groups led on this node. Each group has one write at a time; of the
+//! waiting snapshots only the newest is kept.
 
 use super::decode_record;
 use crate::swap::{Progress, Swap};
@@ -11,23 +11,23 @@
 use ledgelead_types::{Bytes, Epoch, GroupId, Revision};
 use std::collections::BTreeMap;
 
-/// What storing a snapshot needs next.
+/// Next step of storing a snapshot.
 #[derive(Debug)]
 pub(super) enum SnapshotStep {
-    /// Nothing for now.
+    /// No action now.
     Wait,
     /// Call the platform.
     Call(PlatformCall),
-    /// The snapshot is in the store.
+    /// The snapshot was stored.
     Stored {
-        /// Log position that it contains.
+        /// Log position that the snapshot includes.
         revision: Revision,
-        /// What the next one needs.
+        /// Step for the next snapshot.
         next: Box<SnapshotStep>,
     },
     /// The store has a higher epoch.
     Superseded {
-        /// Its record.
+        /// The record in the store.
         record: GroupRecord,
     },
 }
@@ -42,8 +42,8 @@
 struct GroupSnapshots {
     writing: Option<Writing>,
     waiting: Option<(GroupRecord, Revision)>,
-    /// Epoch and version of the object as this node wrote it last. The next
-    /// write expects that version and needs no read.
+    /// Epoch and version of the object after this node's last write. The next write expects
+    /// this version and needs no read.
     stored: Option<(Epoch, ObjectVersion)>,
 }
 
@@ -52,7 +52,7 @@
     swap: Swap,
     record: GroupRecord,
     revision: Revision,
-    /// Version that the last write expected.
+    /// Version expected by the last write.
     expected: Option<ObjectVersion>,
 }
 
@@ -69,33 +69,33 @@
 }
 
 impl Snapshots {
-    /// Stores a snapshot, or keeps it until the present write has ended.
+    /// Stores a snapshot, or queues it until the current write has ended.
     pub(super) fn store(&mut self, record: GroupRecord, revision: Revision) -> SnapshotStep {
         let group = self.groups.entry(record.group).or_default();
         group.waiting = Some((record, revision));
-        group.begin_waiting()
+        group.write_waiting()
     }
 
-    /// Takes in the answer to a group's call.
-    pub(super) fn replied(
+    /// Processes the answer to a group's call.
+    pub(super) fn handle_reply(
         &mut self,
         group: GroupId,
         reply: Result<PlatformReply, PlatformError>,
     ) -> SnapshotStep {
         match self.groups.get_mut(&group) {
-            Some(snapshots) => snapshots.replied(group, reply),
+            Some(snapshots) => snapshots.handle_reply(group, reply),
             None => SnapshotStep::Wait,
         }
     }
 
-    /// Keeps only some groups.
+    /// Keeps only the groups for which `keep` holds.
     pub(super) fn retain(&mut self, keep: impl Fn(&GroupId) -> bool) {
         self.groups.retain(|group, _| keep(group));
     }
 }
 
 impl GroupSnapshots {
-    fn begin_waiting(&mut self) -> SnapshotStep {
+    fn write_waiting(&mut self) -> SnapshotStep {
         if self.writing.is_some() {
             return SnapshotStep::Wait;
         }
@@ -115,7 +115,7 @@
         SnapshotStep::Call(call)
     }
 
-    fn replied(
+    fn handle_reply(
         &mut self,
         group: GroupId,
         reply: Result<PlatformReply, PlatformError>,
@@ -123,15 +123,15 @@
         let Some(writing) = self.writing.as_mut() else {
             return SnapshotStep::Wait;
         };
-        match writing.swap.replied(reply) {
+        match writing.swap.handle_reply(reply) {
             Progress::Call(call) => SnapshotStep::Call(call),
-            Progress::Read { version, value } => self.decide(group, version, value.as_ref()),
+            Progress::Read { version, value } => self.handle_read(group, version, value.as_ref()),
             Progress::Written(version) => self.finish_stored(version),
-            Progress::Unavailable => self.give_up(),
+            Progress::Unavailable => self.drop_snapshot(),
         }
     }
 
-    fn decide(
+    fn handle_read(
         &mut self,
         group: GroupId,
         version: ObjectVersion,
@@ -142,7 +142,7 @@
         };
         let present = value.and_then(|value| decode_record(group, value));
         let Some(present) = present else {
-            return self.give_up();
+            return self.drop_snapshot();
         };
         if present.epoch > writing.record.epoch {
             self.writing = None;
@@ -153,14 +153,14 @@
             return self.finish_stored(version);
         }
         if writing.expected.is_some_and(|expected| expected != version) {
-            // Somebody else wrote under this epoch: a later leader, perhaps,
-            // with a newer snapshot. The next one starts afresh.
-            return self.give_up();
+            // Another node wrote in this epoch, such as a later leader with a newer snapshot.
+            // The next snapshot starts with a read.
+            return self.drop_snapshot();
         }
         writing.expected = Some(version);
         match writing.write(version) {
             Some(call) => SnapshotStep::Call(call),
-            None => self.give_up(),
+            None => self.drop_snapshot(),
         }
     }
 
@@ -170,7 +170,7 @@
             .as_ref()
             .map(|writing| (writing.record.epoch, version));
         let revision = written.map(|writing| writing.revision);
-        let next = self.begin_waiting();
+        let next = self.write_waiting();
         match revision {
             Some(revision) => SnapshotStep::Stored {
                 revision,
@@ -180,9 +180,10 @@
         }
     }
 
-    /// Drops the snapshot. The leader stores another soon; its lag shows.
-    fn give_up(&mut self) -> SnapshotStep {
+    /// Drops the snapshot. The leader stores another one soon; until then the snapshot's lag
+    /// is visible.
+    fn drop_snapshot(&mut self) -> SnapshotStep {
         self.writing = None;
-        self.begin_waiting()
+        self.write_waiting()
     }
 }
--- a/crates/ledgelead-configuration/src/json.rs
+++ b/crates/ledgelead-configuration/src/json.rs
@@ -1,4 +1,4 @@
-//! The configuration's JSON form, as the platform's store holds it.
+//! JSON encoding of the configuration in the platform's store.
 
 use crate::check::check;
 use crate::finding::{Finding, Location, Problem};
@@ -6,7 +6,7 @@
 use ledgelead_types::platform::ObjectVersion;
 use ledgelead_types::{Bytes, ConfigurationVersion, ServiceId};
 
-/// Reads a configuration and checks it. Its version is the object's.
+/// Decodes and validates a configuration. Its version is the object's.
 pub fn decode_configuration(
     value: &Bytes,
     version: ObjectVersion,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Writes a configuration, indented for people.
+/// Encodes a configuration, indented for readability.
 pub fn encode_configuration(configuration: &Configuration) -> Bytes {
     let text = serde_json::to_vec_pretty(configuration);
     Bytes(text.expect("a configuration has no map with keys other than text"))
--- a/crates/ledgelead-configuration/src/lib.rs
+++ b/crates/ledgelead-configuration/src/lib.rs
@@ -1,7 +1,6 @@
-//! Changes of the configuration and their checks, and what reads and writes
-//! the platform's store: [`ConfigurationManager`] for the configuration,
-//! [`GroupManager`] for the groups' records. Options and arithmetic are in
-//! `docs/design/configuration.md`.
+//! Applies and checks changes of the configuration, and reads and writes the platform's store:
+//! [`ConfigurationManager`] handles the configuration, [`GroupManager`] the groups' records.
+//! See `docs/design/configuration.md` for alternatives and calculations.
 
 mod changes;
 mod check;
--- a/crates/ledgelead-configuration/src/placement.rs
+++ b/crates/ledgelead-configuration/src/placement.rs
@@ -1,13 +1,13 @@
-//! Which nodes become voters of a group.
+//! Selects the voters of a group.
 
 use ledgelead_types::dispatch::LiveNode;
 use ledgelead_types::{GroupId, Member, ZoneId};
 use std::collections::BTreeMap;
 
-/// Voters for a group: first those of `keep` that live, in their order, then
-/// live nodes by rendezvous hash, each time from a zone with the fewest voters
-/// so far. Always an odd number: with fewer live nodes than `replicas` the
-/// largest odd number that there is; empty without live nodes.
+/// Returns the voters of a group: first the live members of `keep` in their order, then live
+/// nodes from the zones with the fewest voters so far, ranked by rendezvous hash. The number
+/// is always odd: with fewer live nodes than `replicas`, the largest odd number possible;
+/// empty without live nodes.
 pub fn choose_voters(
     group: GroupId,
     replicas: usize,
--- a/crates/ledgelead-configuration/src/readers.rs
+++ b/crates/ledgelead-configuration/src/readers.rs
@@ -1,20 +1,20 @@
-//! Which nodes read the platform's objects: few, chosen without talking.
+//! Selects the few nodes that read the platform's objects, without communication.
 
 use ledgelead_types::NodeId;
 use ledgelead_types::dispatch::LiveNode;
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Zones that have a reader of their own.
+/// Number of zones with one reader each.
 const READERS: usize = 3;
-/// Readers when all nodes are in one zone.
+/// Number of readers if all nodes are in one zone.
 const READERS_OF_ONE_ZONE: usize = 2;
 
-/// Whether a node is a reader: of three zones the node of lowest rank, by a
-/// hash of the identifiers (rendezvous hashing, Thaler and Ravishankar, 1998).
-/// A zone that is lost, or cut off from the platform, takes one reader with
-/// it. Nodes that see different live sets may choose more readers for a while,
-/// which costs reads and breaks nothing.
+/// Whether a node is a reader: the lowest-ranked node of each of up to three zones, ranked by
+/// a hash of the node identifiers (rendezvous hashing, Thaler and Ravishankar, 1998). A zone
+/// that fails or is partitioned from the platform loses only one reader. Nodes that see
+/// different sets of live nodes may temporarily select more readers, which costs additional
+/// reads and is otherwise harmless.
 pub fn is_reader(node: NodeId, live: &[LiveNode]) -> bool {
     let mut ranked: Vec<&LiveNode> = live.iter().collect();
     ranked.sort_by_key(|node| rank(node.member.node));
--- a/crates/ledgelead-configuration/src/swap.rs
+++ b/crates/ledgelead-configuration/src/swap.rs
@@ -1,18 +1,18 @@
-//! One read-modify-write of an object by compare-and-swap.
+//! Read-modify-write of an object by compare-and-swap.
 //!
-//! Invariant: the effect of a write whose answer was lost is recognised by
-//! reading back, never presumed absent. A write that lands late only lands if
-//! the version is still the one expected, so at most one of all attempts does.
+//! Invariant: if the answer to a write is lost, a read determines whether the write took
+//! effect; it is never assumed to have failed. A delayed write succeeds only if the version is
+//! still the expected one, so at most one of all attempts takes effect.
 
 use ledgelead_types::platform::{ObjectVersion, PlatformCall, PlatformError, PlatformReply};
 use ledgelead_types::{Bytes, Text};
 
-/// Writes that one swap attempts before it gives up.
+/// Maximum number of writes before a swap is abandoned.
 const MAX_WRITES: u32 = 8;
-/// Times that a read after a write is tried before the outcome stays open.
+/// Failed calls after a write with a lost answer before its result is reported as unknown.
 const MAX_READ_ERRORS: u32 = 3;
 
-/// Gives out numbers of calls.
+/// Assigns identifiers to calls.
 #[derive(Debug, Default)]
 pub(crate) struct CallNumbers {
     last: u64,
@@ -26,16 +26,16 @@
     }
 }
 
-/// What a swap needs next, or how it ended.
+/// Next step of a swap, or its result.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Progress {
     /// Make this call.
     Call(PlatformCall),
-    /// The object was read; decide what to write, if anything.
+    /// The object was read; the caller decides what to write, if anything.
     Read {
-        /// Version to expect; 0 when there is no object.
+        /// Version to expect; 0 if the object does not exist.
         version: ObjectVersion,
-        /// Content.
+        /// Content of the object.
         value: Option<Bytes>,
     },
     /// The write took effect.
@@ -55,7 +55,7 @@
 }
 
 impl Swap {
-    /// A swap of the named object, to be begun by [`Swap::read`].
+    /// A swap of the named object, started by [`Swap::read`].
     pub(crate) fn of(name: Text) -> Swap {
         Swap {
             name,
@@ -72,8 +72,7 @@
         PlatformCall::Get { name }
     }
 
-    /// Writes over the version that was read; `None` when this was tried too
-    /// often.
+    /// Replaces the version that was read; `None` after too many attempts.
     pub(crate) fn write(&mut self, expected: ObjectVersion, value: Bytes) -> Option<PlatformCall> {
         if self.writes == MAX_WRITES {
             return None;
@@ -87,13 +86,13 @@
         })
     }
 
-    /// Whether the answer to some write was lost.
+    /// Whether the answer to a write was lost.
     pub(crate) fn may_have_written(&self) -> bool {
         self.may_have_written
     }
 
-    /// Takes in the answer to the call that was made last.
-    pub(crate) fn replied(&mut self, reply: Result<PlatformReply, PlatformError>) -> Progress {
+    /// Processes the answer to the last call.
+    pub(crate) fn handle_reply(&mut self, reply: Result<PlatformReply, PlatformError>) -> Progress {
         let was_writing = std::mem::take(&mut self.is_writing);
         match reply {
             Ok(PlatformReply::Object { version, value }) => Progress::Read {
@@ -106,19 +105,19 @@
             },
             Ok(PlatformReply::Swapped { version }) => Progress::Written(version),
             Ok(PlatformReply::Conflict { .. }) => Progress::Call(self.read()),
-            Err(PlatformError::AnswerLost) if was_writing => self.answer_lost(),
-            Err(PlatformError::AnswerLost) => self.unavailable(),
-            Err(PlatformError::Unavailable) => self.unavailable(),
+            Err(PlatformError::AnswerLost) if was_writing => self.handle_lost_answer(),
+            Err(PlatformError::AnswerLost) => self.handle_unavailable(),
+            Err(PlatformError::Unavailable) => self.handle_unavailable(),
             Ok(PlatformReply::Unchanged | PlatformReply::Machines(_)) => Progress::Unavailable,
         }
     }
 
-    fn answer_lost(&mut self) -> Progress {
+    fn handle_lost_answer(&mut self) -> Progress {
         self.may_have_written = true;
         Progress::Call(self.read())
     }
 
-    fn unavailable(&mut self) -> Progress {
+    fn handle_unavailable(&mut self) -> Progress {
         self.read_errors += 1;
         if self.may_have_written && self.read_errors < MAX_READ_ERRORS {
             return Progress::Call(self.read());
--- a/crates/ledgelead-configuration/tests/changes.rs
+++ b/crates/ledgelead-configuration/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Checks of changes, and the JSON form.
+//! Validation of changes, and the JSON encoding.
 
 mod common;
 
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn all_findings_are_told_with_their_places() {
+fn all_findings_are_reported_with_their_locations() {
     let mut altered = service(1);
     altered.groups = 2;
     altered.partitioning = Partitioning::Ordered;
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn json_keeps_everything_and_tells_the_place_of_an_error() {
+fn json_round_trips_and_errors_have_locations() {
     let encoded = encode_configuration(&configuration());
     let decoded = decode_configuration(&encoded, ObjectVersion(4)).expect("valid");
     let expected = Configuration {
@@ -118,10 +118,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever changes are asked for: the result is valid, or nothing.
+    /// Any sequence of changes results in a valid configuration or is rejected.
     #[test]
-    fn changes_keep_a_configuration_valid(asked in prop::collection::vec((0_u8..9, 0_u8..4), 0..12)) {
-        let changes: Vec<Change> = asked.iter().map(|(kind, id)| change(*kind, *id)).collect();
+    fn changes_keep_a_configuration_valid(generated in prop::collection::vec((0_u8..9, 0_u8..4), 0..12)) {
+        let changes: Vec<Change> = generated.iter().map(|(kind, id)| change(*kind, *id)).collect();
         if let Ok(changed) = apply_changes(&configuration(), &changes, "c") {
             prop_assert_eq!(check(&changed), vec![]);
             prop_assert_eq!(changed.version, ConfigurationVersion(1));
@@ -129,7 +129,7 @@
     }
 
     #[test]
-    fn hostile_json_is_harmless(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn malformed_json_is_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let text = format!("{{\"zones\":{}", String::from_utf8_lossy(&bytes));
         for bytes in [bytes, text.into_bytes()] {
             prop_assert!(decode_configuration(&Bytes(bytes), ObjectVersion(1)).is_err());
--- a/crates/ledgelead-configuration/tests/common/mod.rs
+++ b/crates/ledgelead-configuration/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's store in memory, with faults by turn, and configurations.
+//! An in-memory store with failures per call, and sample configurations.
 #![allow(dead_code)]
 
 use ledgelead_types::configuration::*;
@@ -10,24 +10,24 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// What becomes of one call.
+/// Outcome of one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     #[default]
     Answered,
     Unavailable,
-    /// Takes effect, and the answer is lost.
-    LostAfter,
-    /// Does not take effect, and neither is known.
-    LostBefore,
+    /// The call takes effect, but its answer is lost.
+    AnswerLost,
+    /// The call does not take effect, and the caller can't tell.
+    RequestLost,
 }
 
-pub fn any_fate() -> impl Strategy<Value = Fate> {
+pub fn any_outcome() -> impl Strategy<Value = CallOutcome> {
     prop::sample::select(vec![
-        Fate::Answered,
-        Fate::Unavailable,
-        Fate::LostAfter,
-        Fate::LostBefore,
+        CallOutcome::Answered,
+        CallOutcome::Unavailable,
+        CallOutcome::AnswerLost,
+        CallOutcome::RequestLost,
     ])
 }
 
@@ -40,16 +40,16 @@
     pub fn answer(
         &mut self,
         call: &PlatformCall,
-        fate: Fate,
+        outcome: CallOutcome,
     ) -> Result<PlatformReply, PlatformError> {
         let is_write = matches!(call, PlatformCall::CompareAndSwap { .. });
-        match fate {
-            Fate::Answered => Ok(self.perform(call)),
-            Fate::LostAfter if is_write => {
+        match outcome {
+            CallOutcome::Answered => Ok(self.perform(call)),
+            CallOutcome::AnswerLost if is_write => {
                 self.perform(call);
                 Err(PlatformError::AnswerLost)
             }
-            Fate::LostBefore if is_write => Err(PlatformError::AnswerLost),
+            CallOutcome::RequestLost if is_write => Err(PlatformError::AnswerLost),
             _ => Err(PlatformError::Unavailable),
         }
     }
--- a/crates/ledgelead-configuration/tests/configuration_manager.rs
+++ b/crates/ledgelead-configuration/tests/configuration_manager.rs
@@ -1,4 +1,4 @@
-//! Commands that race or lose their answers, and reading by few.
+//! Competing commands, lost answers and the selection of readers.
 
 mod common;
 
@@ -13,14 +13,14 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeSet, VecDeque};
 
-fn keeper(node: u32) -> ConfigurationManager {
+fn manager(node: u32) -> ConfigurationManager {
     let settings = ConfigurationManagerSettings {
         node: NodeId(node),
         random_seed: u64::from(node),
     };
-    let mut keeper = ConfigurationManager::new(settings, Time(0));
-    keeper.step(Time(0), ConfigurationManagerInput::LiveNodes(live(20)));
-    keeper
+    let mut manager = ConfigurationManager::new(settings, Time(0));
+    manager.step(Time(0), ConfigurationManagerInput::LiveNodes(live(20)));
+    manager
 }
 
 fn store() -> Platform {
@@ -32,7 +32,7 @@
 
 fn stored(platform: &Platform) -> Configuration {
     let (version, value) = &platform.objects[&Text::from(CONFIGURATION_OBJECT)];
-    decode_configuration(value, *version).expect("only valid ones are written")
+    decode_configuration(value, *version).expect("only valid configurations are written")
 }
 
 fn command(id: &str, change: ConfigurationChange) -> AdministrationCommand {
@@ -44,35 +44,35 @@
     }
 }
 
-/// Carries one command out, each call with its fate.
-fn carry_out(
+/// Executes a command, with an outcome for each call.
+fn execute(
     platform: &mut Platform,
     command: AdministrationCommand,
-    fates: &[Fate],
+    outcomes: &[CallOutcome],
 ) -> CommandResult {
-    let mut run = CommandRun::begin(keeper(1), command);
-    let mut fates = fates.iter().copied();
+    let mut run = CommandRun::begin(manager(1), command);
+    let mut outcomes = outcomes.iter().copied();
     while run.result.is_none() {
-        run.advance(platform, fates.next().unwrap_or_default());
+        run.advance(platform, outcomes.next().unwrap_or_default());
     }
-    run.result.expect("it has ended")
+    run.result.expect("the command has ended")
 }
 
 /// A command in progress, one call at a time.
 struct CommandRun {
-    keeper: ConfigurationManager,
+    manager: ConfigurationManager,
     open: VecDeque<(u64, PlatformCall)>,
     result: Option<CommandResult>,
 }
 
 impl CommandRun {
-    fn begin(keeper: ConfigurationManager, command: AdministrationCommand) -> CommandRun {
+    fn begin(manager: ConfigurationManager, command: AdministrationCommand) -> CommandRun {
         let mut run = CommandRun {
-            keeper,
+            manager,
             open: VecDeque::new(),
             result: None,
         };
-        run.keeper.step(
+        run.manager.step(
             Time(1),
             ConfigurationManagerInput::Command { ticket: 7, command },
         );
@@ -80,16 +80,16 @@
         run
     }
 
-    fn advance(&mut self, platform: &mut Platform, fate: Fate) {
+    fn advance(&mut self, platform: &mut Platform, outcome: CallOutcome) {
         let (call, request) = self.open.pop_front().expect("a call is open");
-        let reply = platform.answer(&request, fate);
+        let reply = platform.answer(&request, outcome);
         let input = ConfigurationManagerInput::PlatformReplied { call, reply };
-        self.keeper.step(Time(2), input);
+        self.manager.step(Time(2), input);
         self.collect();
     }
 
     fn collect(&mut self) {
-        for output in self.keeper.take_outputs() {
+        for output in self.manager.take_outputs() {
             match output {
                 ConfigurationManagerOutput::CallPlatform { call, request } => {
                     self.open.push_back((call, request))
@@ -104,19 +104,19 @@
 }
 
 #[gtest]
-fn racing_operators_one_is_accepted_and_the_other_told_why() {
+fn of_two_racing_commands_one_is_rejected_with_the_present_version() {
     let mut platform = store();
     let relying = |id: &str, zone_id: u16| AdministrationCommand {
         if_version: Some(ConfigurationVersion(1)),
         ..command(id, ConfigurationChange::CreateZone(zone(zone_id)))
     };
-    let mut one = CommandRun::begin(keeper(1), relying("a", 8));
-    let mut two = CommandRun::begin(keeper(2), relying("b", 9));
+    let mut one = CommandRun::begin(manager(1), relying("a", 8));
+    let mut two = CommandRun::begin(manager(2), relying("b", 9));
     for _ in 0..2 {
-        one.advance(&mut platform, Fate::Answered);
-        two.advance(&mut platform, Fate::Answered);
+        one.advance(&mut platform, CallOutcome::Answered);
+        two.advance(&mut platform, CallOutcome::Answered);
     }
-    two.advance(&mut platform, Fate::Answered);
+    two.advance(&mut platform, CallOutcome::Answered);
     let accepted = CommandResult::Configured {
         version: ConfigurationVersion(2),
         repeated: false,
@@ -132,8 +132,8 @@
 fn repeated_command_takes_effect_once() {
     let mut platform = store();
     let wanted = command("a", ConfigurationChange::CreateZone(zone(8)));
-    carry_out(&mut platform, wanted.clone(), &[]);
-    let result = carry_out(&mut platform, wanted, &[]);
+    execute(&mut platform, wanted.clone(), &[]);
+    let result = execute(&mut platform, wanted, &[]);
     let repeated = CommandResult::Configured {
         version: ConfigurationVersion(2),
         repeated: true,
@@ -142,9 +142,9 @@
 }
 
 #[gtest]
-fn platform_down_is_told_at_once() {
+fn platform_outage_is_reported_at_once() {
     let wanted = command("a", ConfigurationChange::CreateZone(zone(8)));
-    let result = carry_out(&mut store(), wanted, &[Fate::Unavailable]);
+    let result = execute(&mut store(), wanted, &[CallOutcome::Unavailable]);
     let rejection = CommandRejection::PlatformUnavailable;
     expect_that!(result, eq(&CommandResult::Rejected(rejection)));
 }
@@ -157,33 +157,33 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two commands, their calls interleaved and failing at random: what each
-    /// is told is true of the store, and each takes effect at most once.
+    /// Two commands run with interleaved calls and random failures. Each result matches the
+    /// store, and each command takes effect at most once.
     #[test]
-    fn what_operators_are_told_is_true(
-        schedule in prop::collection::vec((any::<bool>(), any_fate()), 0..24),
+    fn reported_results_match_the_store(
+        schedule in prop::collection::vec((any::<bool>(), any_outcome()), 0..24),
     ) {
         let mut platform = store();
         let wanted = |id: &str, zone_id| command(id, ConfigurationChange::CreateZone(zone(zone_id)));
         let mut runs = [
-            CommandRun::begin(keeper(1), wanted("a", 8)),
-            CommandRun::begin(keeper(2), wanted("b", 9)),
+            CommandRun::begin(manager(1), wanted("a", 8)),
+            CommandRun::begin(manager(2), wanted("b", 9)),
         ];
-        for (second, fate) in schedule {
+        for (second, outcome) in schedule {
             let run = &mut runs[usize::from(second)];
             if run.result.is_none() {
-                run.advance(&mut platform, fate);
+                run.advance(&mut platform, outcome);
             }
         }
         for run in &mut runs {
             while run.result.is_none() {
-                run.advance(&mut platform, Fate::Answered);
+                run.advance(&mut platform, CallOutcome::Answered);
             }
         }
         let stored = stored(&platform);
         for (run, id) in runs.iter().zip(["a", "b"]) {
             let effects = stored.applied_commands.iter().filter(|applied| &*applied.id == id).count();
-            match run.result.as_ref().expect("it has ended") {
+            match run.result.as_ref().expect("the command has ended") {
                 CommandResult::Configured { version, .. } => {
                     prop_assert_eq!(effects, 1);
                     prop_assert_eq!(stored.version_of_command(id), Some(*version));
@@ -203,7 +203,7 @@
     let zones: BTreeSet<_> = readers.iter().map(|node| live_node(*node).zone).collect();
     expect_that!((readers.len(), zones.len()), eq((3, 3)));
     let mut platform = store();
-    let mut reader = keeper(readers[0]);
+    let mut reader = manager(readers[0]);
     let mut published = Vec::new();
     let mut now = Time(0);
     for _ in 0..40 {
@@ -212,7 +212,7 @@
         for output in reader.take_outputs() {
             match output {
                 ConfigurationManagerOutput::CallPlatform { call, request } => {
-                    let reply = platform.answer(&request, Fate::Answered);
+                    let reply = platform.answer(&request, CallOutcome::Answered);
                     reader.step(
                         now,
                         ConfigurationManagerInput::PlatformReplied { call, reply },
@@ -226,13 +226,13 @@
         }
         if published.len() == 1 && stored(&platform).version.0 == 1 {
             let wanted = command("a", ConfigurationChange::CreateZone(zone(8)));
-            carry_out(&mut platform, wanted, &[]);
+            execute(&mut platform, wanted, &[]);
         }
     }
     let versions = vec![ConfigurationVersion(1), ConfigurationVersion(2)];
     expect_that!(published, eq(&versions));
     let other = (1..=20).find(|node| !readers.contains(node));
-    let mut other = keeper(other.expect("seventeen nodes don't read"));
+    let mut other = manager(other.expect("seventeen nodes don't read"));
     other.tick(Time(0) + Span::from_seconds(4));
     expect_that!(other.take_outputs().len(), eq(0));
 }
@@ -245,12 +245,12 @@
         .objects
         .insert(Text::from(CONFIGURATION_OBJECT), bad);
     let reader = (1..=20).find(|node| is_reader(NodeId(*node), &live(20)));
-    let mut reader = keeper(reader.expect("there are three"));
+    let mut reader = manager(reader.expect("there are three readers"));
     reader.tick(Time(0) + Span::from_seconds(1));
     let mut refused = 0;
     for output in reader.take_outputs() {
         if let ConfigurationManagerOutput::CallPlatform { call, request } = output {
-            let reply = platform.answer(&request, Fate::Answered);
+            let reply = platform.answer(&request, CallOutcome::Answered);
             reader.step(
                 Time(2_000_000),
                 ConfigurationManagerInput::PlatformReplied { call, reply },
--- a/crates/ledgelead-configuration/tests/group_manager.rs
+++ b/crates/ledgelead-configuration/tests/group_manager.rs
@@ -1,4 +1,4 @@
-//! Groups are formed once, rebuilt only on proof, and snapshots stay in order.
+//! Groups are formed once and rebuilt only with proof, and snapshots stay in order.
 
 mod common;
 
@@ -20,16 +20,16 @@
     part: 0,
 };
 
-/// A former with its platform's answers given at once.
-struct Formed {
-    former: GroupManager,
+/// A group manager whose calls are answered immediately.
+struct GroupManagerRun {
+    manager: GroupManager,
     now: Time,
     outputs: Vec<GroupManagerOutput>,
 }
 
-impl Formed {
-    /// The former of a reader.
-    fn new(live: Vec<LiveNode>) -> Formed {
+impl GroupManagerRun {
+    /// The group manager of a reader.
+    fn new(live: Vec<LiveNode>) -> GroupManagerRun {
         let reader = live
             .iter()
             .map(|node| node.member.node)
@@ -38,32 +38,37 @@
             node: reader.unwrap_or(NodeId(1)),
             random_seed: 1,
         };
-        let mut formed = Formed {
-            former: GroupManager::new(settings, Time(0)),
+        let mut run = GroupManagerRun {
+            manager: GroupManager::new(settings, Time(0)),
             now: Time(0),
             outputs: Vec::new(),
         };
         let configuration = Arc::new(configuration());
-        formed.give(GroupManagerInput::LiveNodes(live));
-        formed.give(GroupManagerInput::Configuration(configuration));
-        formed
+        run.step(GroupManagerInput::LiveNodes(live));
+        run.step(GroupManagerInput::Configuration(configuration));
+        run
     }
 
-    fn give(&mut self, input: GroupManagerInput) {
-        self.former.step(self.now, input);
+    fn step(&mut self, input: GroupManagerInput) {
+        self.manager.step(self.now, input);
     }
 
-    fn run(&mut self, platform: &mut Platform, span: Span, mut fate: impl FnMut() -> Fate) {
+    fn advance(
+        &mut self,
+        platform: &mut Platform,
+        span: Span,
+        mut outcome: impl FnMut() -> CallOutcome,
+    ) {
         let end = self.now + span;
         while self.now < end {
-            self.former.tick(self.now);
-            self.answer_all(platform, &mut fate);
+            self.manager.tick(self.now);
+            self.answer_all(platform, &mut outcome);
             self.now = self.now + Span::from_millis(50);
         }
     }
 
     fn next_call(&mut self) -> Option<(u64, PlatformCall)> {
-        let outputs = self.former.take_outputs().into_iter();
+        let outputs = self.manager.take_outputs().into_iter();
         let mut calls = outputs.filter_map(|output| match output {
             GroupManagerOutput::CallPlatform { call, request } => Some((call, request)),
             _ => None,
@@ -71,17 +76,17 @@
         calls.next()
     }
 
-    fn answer_all(&mut self, platform: &mut Platform, fate: &mut impl FnMut() -> Fate) {
+    fn answer_all(&mut self, platform: &mut Platform, outcome: &mut impl FnMut() -> CallOutcome) {
         loop {
-            let outputs = self.former.take_outputs();
+            let outputs = self.manager.take_outputs();
             if outputs.is_empty() {
                 return;
             }
             for output in outputs {
                 if let GroupManagerOutput::CallPlatform { call, request } = &output {
-                    let reply = platform.answer(request, fate());
+                    let reply = platform.answer(request, outcome());
                     let call = *call;
-                    self.give(GroupManagerInput::PlatformReplied { call, reply });
+                    self.step(GroupManagerInput::PlatformReplied { call, reply });
                 }
                 self.outputs.push(output);
             }
@@ -122,8 +127,8 @@
 #[gtest]
 fn absent_group_is_formed_over_all_zones() {
     let mut platform = Platform::default();
-    let mut formed = Formed::new(live(9));
-    formed.run(&mut platform, second(), || Fate::Answered);
+    let mut run = GroupManagerRun::new(live(9));
+    run.advance(&mut platform, second(), || CallOutcome::Answered);
     let record = stored(&platform);
     let zones: BTreeSet<_> = record
         .members
@@ -134,9 +139,7 @@
     expect_that!(record.members.len(), eq(3));
     expect_that!(zones.len(), eq(3));
     expect_that!(
-        formed
-            .outputs
-            .contains(&GroupManagerOutput::Publish(record)),
+        run.outputs.contains(&GroupManagerOutput::Publish(record)),
         eq(true)
     );
 }
@@ -144,26 +147,31 @@
 #[gtest]
 fn few_live_nodes_give_an_odd_number_of_voters_after_a_wait() {
     let mut platform = Platform::default();
-    let mut formed = Formed::new(live(2));
-    formed.run(&mut platform, second(), || Fate::Answered);
+    let mut run = GroupManagerRun::new(live(2));
+    run.advance(&mut platform, second(), || CallOutcome::Answered);
     expect_that!(platform.objects.len(), eq(0));
-    formed.run(&mut platform, Span::from_seconds(4), || Fate::Answered);
+    run.advance(&mut platform, Span::from_seconds(4), || {
+        CallOutcome::Answered
+    });
     expect_that!(stored(&platform).members.len(), eq(1));
 }
 
-/// Voters 1, 2 and 3 in three zones; some are proven dead, some are live.
-fn after_loss(heard: &[u32], dead: &[u32], live: Vec<LiveNode>) -> GroupRecord {
+/// The record after voters 1, 2 and 3, in three zones, were partly proven dead while the nodes
+/// in `live` are alive.
+fn record_after_loss(disseminated: &[u32], dead: &[u32], live: Vec<LiveNode>) -> GroupRecord {
     let mut platform = Platform::default();
     store(&mut platform, &record(4, &[1, 2, 3], b"state"));
-    let mut formed = Formed::new(live);
-    formed.give(GroupManagerInput::KnownMembers {
+    let mut run = GroupManagerRun::new(live);
+    run.step(GroupManagerInput::KnownMembers {
         group: GROUP,
         epoch: Epoch(4),
-        members: members(heard),
+        members: members(disseminated),
     });
     let dead = members(dead).into_iter().collect();
-    formed.give(GroupManagerInput::ProvenDead(dead));
-    formed.run(&mut platform, Span::from_seconds(3), || Fate::Answered);
+    run.step(GroupManagerInput::ProvenDead(dead));
+    run.advance(&mut platform, Span::from_seconds(3), || {
+        CallOutcome::Answered
+    });
     stored(&platform)
 }
 
@@ -174,7 +182,7 @@
 
 #[gtest]
 fn proven_loss_of_the_quorum_gives_a_new_epoch_with_survivor_and_snapshot() {
-    let rebuilt = after_loss(&[1, 2, 3], &[1, 2], live_without(&[1, 2]));
+    let rebuilt = record_after_loss(&[1, 2, 3], &[1, 2], live_without(&[1, 2]));
     expect_that!(rebuilt.epoch, eq(Epoch(5)));
     expect_that!(rebuilt.snapshot, eq(&Bytes(b"state".to_vec())));
     expect_that!(rebuilt.members.first(), some(eq(&members(&[3])[0])));
@@ -182,24 +190,32 @@
 }
 
 #[gtest]
-fn group_is_left_alone_without_proof_and_full_sight() {
-    let one_dead = after_loss(&[1, 2, 3], &[1], live_without(&[1, 2]));
+fn group_is_not_rebuilt_without_proof_and_a_sufficient_view() {
+    let one_dead = record_after_loss(&[1, 2, 3], &[1], live_without(&[1, 2]));
     expect_that!(
         one_dead.epoch,
         eq(Epoch(4)),
-        "one proof of three is no majority"
+        "one dead voter of three is no majority"
+    );
+    let hidden = record_after_loss(&[1, 2, 3], &[1, 2], live_without(&[1, 2, 3]));
+    expect_that!(
+        hidden.epoch,
+        eq(Epoch(4)),
+        "voter 3 may be alive behind a network partition"
+    );
+    let replaced = record_after_loss(&[3, 4, 5], &[1, 2], live_without(&[1, 2]));
+    expect_that!(
+        replaced.epoch,
+        eq(Epoch(4)),
+        "the dead voters were replaced"
     );
-    let hidden = after_loss(&[1, 2, 3], &[1, 2], live_without(&[1, 2, 3]));
-    expect_that!(hidden.epoch, eq(Epoch(4)), "voter 3 may live behind a cut");
-    let replaced = after_loss(&[3, 4, 5], &[1, 2], live_without(&[1, 2]));
-    expect_that!(replaced.epoch, eq(Epoch(4)), "the dead were replaced");
     let mut one_zone = live(9);
     one_zone.retain(|node| node.zone == live_node(3).zone);
-    let cut_off = after_loss(&[1, 2, 3], &[1, 2], one_zone);
+    let only_one_zone = record_after_loss(&[1, 2, 3], &[1, 2], one_zone);
     expect_that!(
-        cut_off.epoch,
+        only_one_zone.epoch,
         eq(Epoch(4)),
-        "one zone of three may be cut off"
+        "one zone of three may be partitioned"
     );
 }
 
@@ -207,17 +223,17 @@
 fn snapshot_of_a_past_epoch_is_refused() {
     let mut platform = Platform::default();
     store(&mut platform, &record(5, &[4, 5, 6], b"newer"));
-    let mut formed = Formed::new(live(9));
-    formed.give(GroupManagerInput::StoreSnapshot {
+    let mut run = GroupManagerRun::new(live(9));
+    run.step(GroupManagerInput::StoreSnapshot {
         record: record(4, &[1, 2, 3], b"older"),
         revision: Revision(8),
     });
-    formed.run(&mut platform, second(), || Fate::Answered);
+    run.advance(&mut platform, second(), || CallOutcome::Answered);
     let superseded = GroupManagerOutput::Superseded {
         group: GROUP,
         epoch: Epoch(5),
     };
-    expect_that!(formed.outputs.contains(&superseded), eq(true));
+    expect_that!(run.outputs.contains(&superseded), eq(true));
     expect_that!(stored(&platform).snapshot, eq(&Bytes(b"newer".to_vec())));
 }
 
@@ -225,21 +241,21 @@
 fn snapshot_overtaken_by_a_later_leader_is_dropped() {
     let mut platform = Platform::default();
     store(&mut platform, &record(4, &[1, 2, 3], b"read"));
-    let mut formed = Formed::new(live(9));
-    formed.give(GroupManagerInput::StoreSnapshot {
+    let mut run = GroupManagerRun::new(live(9));
+    run.step(GroupManagerInput::StoreSnapshot {
         record: record(4, &[1, 2, 3], b"paused"),
         revision: Revision(8),
     });
     let mut calls = 0;
-    while let Some((call, request)) = formed.next_call() {
-        let reply = platform.answer(&request, Fate::Answered);
+    while let Some((call, request)) = run.next_call() {
+        let reply = platform.answer(&request, CallOutcome::Answered);
         if calls == 0 {
             store(&mut platform, &record(4, &[1, 2, 5], b"later"));
         }
         calls += 1;
-        formed.give(GroupManagerInput::PlatformReplied { call, reply });
+        run.step(GroupManagerInput::PlatformReplied { call, reply });
     }
-    expect_that!(calls, eq(3), "read, refused write, read again");
+    expect_that!(calls, eq(3), "read, rejected write, read again");
     expect_that!(stored(&platform).snapshot, eq(&Bytes(b"later".to_vec())));
 }
 
@@ -251,49 +267,49 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two readers form one group over a failing platform: one epoch results,
-    /// and whatever is published is what the store holds.
+    /// Two readers form a group on a failing platform. The result is one epoch, and every
+    /// published record is the one in the store.
     #[test]
-    fn racing_formers_agree(fates in prop::collection::vec(any_fate(), 0..16)) {
+    fn racing_managers_form_one_group(outcomes in prop::collection::vec(any_outcome(), 0..16)) {
         let mut platform = Platform::default();
-        let mut formers = [Formed::new(live(9)), Formed::new(live(8))];
-        let mut fates = fates.into_iter();
-        // Sixteen faults, each with a delay of a second at most, then quiet.
+        let mut runs = [GroupManagerRun::new(live(9)), GroupManagerRun::new(live(8))];
+        let mut outcomes = outcomes.into_iter();
+        // Sixteen failures, each followed by a delay of at most one second, then no failures.
         for _ in 0..70 {
-            for formed in &mut formers {
-                formed.run(&mut platform, Span::from_millis(300), || fates.next().unwrap_or_default());
+            for run in &mut runs {
+                run.advance(&mut platform, Span::from_millis(300), || outcomes.next().unwrap_or_default());
             }
         }
         let record = stored(&platform);
         prop_assert_eq!(record.epoch, Epoch(1));
-        for formed in &formers {
+        for run in &runs {
             let is_other = |output: &&GroupManagerOutput| {
                 matches!(output, GroupManagerOutput::Publish(published) if *published != record)
             };
-            prop_assert_eq!(formed.outputs.iter().find(is_other), None);
-            prop_assert!(formed.outputs.contains(&GroupManagerOutput::Publish(record.clone())));
+            prop_assert_eq!(run.outputs.iter().find(is_other), None);
+            prop_assert!(run.outputs.contains(&GroupManagerOutput::Publish(record.clone())));
         }
     }
 
-    /// Snapshots through a failing platform: one that is told as stored was in
-    /// the store, and the store never goes back.
+    /// Snapshots are stored on a failing platform. A snapshot reported as stored was in the
+    /// store, and the store never returns to an older one.
     #[test]
-    fn snapshots_are_told_truly(fates in prop::collection::vec(any_fate(), 0..24)) {
+    fn snapshots_reported_as_stored_are_in_the_store(outcomes in prop::collection::vec(any_outcome(), 0..24)) {
         let mut platform = Platform::default();
         store(&mut platform, &record(1, &[1, 2, 3], &[0]));
-        let mut formed = Formed::new(live(9));
-        let mut fates = fates.into_iter();
+        let mut run = GroupManagerRun::new(live(9));
+        let mut outcomes = outcomes.into_iter();
         for revision in 1..=8_u8 {
-            formed.give(GroupManagerInput::StoreSnapshot {
+            run.step(GroupManagerInput::StoreSnapshot {
                 record: record(1, &[1, 2, 3], &[revision]),
                 revision: Revision(u64::from(revision)),
             });
             let before = stored(&platform).snapshot;
-            formed.run(&mut platform, Span::from_millis(100), || fates.next().unwrap_or_default());
+            run.advance(&mut platform, Span::from_millis(100), || outcomes.next().unwrap_or_default());
             let after = stored(&platform).snapshot;
             prop_assert!(after >= before);
-            let told = GroupManagerOutput::SnapshotStored { group: GROUP, revision: Revision(u64::from(revision)) };
-            if formed.outputs.contains(&told) {
+            let reported = GroupManagerOutput::SnapshotStored { group: GROUP, revision: Revision(u64::from(revision)) };
+            if run.outputs.contains(&reported) {
                 prop_assert_eq!(after, Bytes(vec![revision]));
             }
         }
--- a/crates/ledgelead-query/src/lower/mod.rs
+++ b/crates/ledgelead-query/src/lower/mod.rs
@@ -161,7 +161,7 @@
     }
 
     /// At least one operator must remain who can manage operators; with no operators at all,
-    /// anyone on a node's machine could administer the deployment.
+    /// anyone on a node's machine could create operators.
     fn check_administrators(&mut self) {
         let is_about_operators = |located: &&LocatedChange| {
             matches!(
--- a/crates/ledgelead-query/src/nearest.rs
+++ b/crates/ledgelead-query/src/nearest.rs
@@ -6,8 +6,8 @@
 const MIN_PREFIX_LENGTH: usize = 3;
 
 /// The word in `words` with the smallest edit distance, if at most a third of the letters
-/// differ; one difference is always allowed. Otherwise the first word that starts with `word`.
-/// Of equally near words the first is returned.
+/// differ; one difference is always allowed. Otherwise the first word that starts with
+/// `word`, if `word` has at least three bytes. Of equally near words the first is returned.
 pub fn nearest<'a>(word: &str, words: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let max_distance = (word.chars().count() / 3).max(1);
     let mut best: Option<(usize, &str)> = None;
--- a/crates/ledgelead-query/tests/language.rs
+++ b/crates/ledgelead-query/tests/language.rs
@@ -199,7 +199,7 @@
         "show nodes;".repeat(10_000),
         "x".repeat(100_000),
     ] {
-        let findings = answer(&text, &view).expect_err("mistakes");
+        let findings = answer(&text, &view).expect_err("the text has errors");
         expect_that!(findings.0.len(), le(33));
         expect_that!(plan(&text, &view).is_err(), eq(true));
     }
--- a/crates/ledgelead-query/tests/support/deployment.rs
+++ b/crates/ledgelead-query/tests/support/deployment.rs
@@ -40,7 +40,7 @@
     pub configurations: Vec<Configuration>,
     /// A node that no new configuration reaches.
     pub isolated_node: Option<usize>,
-    keepers: Vec<ConfigurationManager>,
+    managers: Vec<ConfigurationManager>,
     stored: (ObjectVersion, Bytes),
     operations: Vec<Text>,
     tickets: u64,
@@ -55,23 +55,23 @@
             node.configuration = view.configuration.version;
         }
         let configuration = view.configuration.clone();
-        let keeper = |node| {
+        let manager = |node| {
             let settings = ConfigurationManagerSettings {
                 node: NodeId(node),
                 random_seed: u64::from(node),
             };
-            let mut keeper = ConfigurationManager::new(settings, Time::ZERO);
-            keeper.step(
+            let mut manager = ConfigurationManager::new(settings, Time::ZERO);
+            manager.step(
                 Time::ZERO,
                 ConfigurationManagerInput::Current(Arc::new(configuration.clone())),
             );
-            keeper
+            manager
         };
         TestDeployment {
             platform: Platform::Up,
             configurations: vec![configuration.clone(); 3],
             isolated_node: None,
-            keepers: (1..=3).map(keeper).collect(),
+            managers: (1..=3).map(manager).collect(),
             stored: (
                 ObjectVersion(configuration.version.0),
                 encode_configuration(&configuration),
@@ -145,17 +145,17 @@
     fn configure(&mut self, index: usize, command: AdministrationCommand) -> CommandResult {
         self.tickets += 1;
         let ticket = self.tickets;
-        self.keepers[index].step(
+        self.managers[index].step(
             Time::ZERO,
             ConfigurationManagerInput::Command { ticket, command },
         );
         loop {
-            for output in self.keepers[index].take_outputs() {
+            for output in self.managers[index].take_outputs() {
                 match output {
                     ConfigurationManagerOutput::CallPlatform { call, request } => {
                         let reply = self.answer(&request);
                         let input = ConfigurationManagerInput::PlatformReplied { call, reply };
-                        self.keepers[index].step(Time::ZERO, input);
+                        self.managers[index].step(Time::ZERO, input);
                     }
                     ConfigurationManagerOutput::Publish(configuration) => {
                         self.configurations[index] = configuration
