--- a/crates/ledgelead-core/src/node_core.rs
+++ b/crates/ledgelead-core/src/node_core.rs
@@ -1,11 +1,11 @@
-//! Composition of the subsystems: which input goes to which of them.
+//! Composition of the subsystems and routing of inputs to them.
 
 use crate::calls::{CallOwner, OpenCalls};
 use crate::groups::HostedGroups;
 use crate::inquiries::OpenInquiries;
 use crate::io::{CallId, Input, NodeSettings, Output, TicketId};
 use crate::message::PeerMessage;
-use crate::operations::{Asker, OpenOperations};
+use crate::operations::{OpenOperations, Requester};
 use crate::shutdown::Shutdown;
 use ledgelead_configuration::{
     ConfigurationManager, ConfigurationManagerInput, ConfigurationManagerSettings, GroupManager,
@@ -33,16 +33,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often the dispatcher's counts of load go to the groups.
+/// Interval at which the dispatcher's load counts are passed to the groups.
 const SLICE_LOAD_INTERVAL: Span = Span::from_seconds(1);
 
-/// All decisions of one node.
+/// The core of one node, which makes all of its decisions.
 pub struct NodeCore {
     pub(crate) settings: NodeSettings,
     pub(crate) membership: Membership,
     pub(crate) dissemination: Dissemination,
-    pub(crate) keeper: ConfigurationManager,
-    pub(crate) former: GroupManager,
+    pub(crate) configuration_manager: ConfigurationManager,
+    pub(crate) group_manager: GroupManager,
     pub(crate) groups: HostedGroups,
     pub(crate) gateway: Gateway,
     pub(crate) dispatcher: Dispatcher,
@@ -58,7 +58,7 @@
 }
 
 impl NodeCore {
-    /// A node that has just started at `now` and knows only its settings.
+    /// Creates a node that starts at `now` with only its settings.
     pub fn new(settings: NodeSettings, now: Time) -> NodeCore {
         let identity = Member {
             node: settings.node,
@@ -76,14 +76,14 @@
                 },
                 now,
             ),
-            keeper: ConfigurationManager::new(
+            configuration_manager: ConfigurationManager::new(
                 ConfigurationManagerSettings {
                     node: settings.node,
                     random_seed: seed ^ 2,
                 },
                 now,
             ),
-            former: GroupManager::new(
+            group_manager: GroupManager::new(
                 GroupManagerSettings {
                     node: settings.node,
                     random_seed: seed ^ 3,
@@ -124,16 +124,16 @@
         core
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input that arrived at `now`.
     pub fn step(&mut self, now: Time, input: Input) {
         match input {
-            Input::Peer { from, message } => self.take_message(now, from, message),
+            Input::Peer { from, message } => self.handle_message(now, from, message),
             Input::ServerReplied {
                 call,
                 server,
                 reply,
-            } => self.take_renewal_reply(now, call, server, reply),
-            Input::PlatformReplied { call, reply } => self.take_platform_reply(now, call, reply),
+            } => self.handle_renewal_reply(now, call, server, reply),
+            Input::PlatformReplied { call, reply } => self.handle_platform_reply(now, call, reply),
             Input::RequestArrived(arrival) => {
                 self.gateway.step(now, GatewayInput::Arrived(arrival));
             }
@@ -149,22 +149,22 @@
                     load,
                 },
             ),
-            Input::CallerLeft(request) => {
+            Input::CallerDisconnected(request) => {
                 self.gateway.step(now, GatewayInput::CallerLeft(request));
             }
-            Input::Command { ticket, command } => self.take_command(now, ticket, command),
+            Input::Command { ticket, command } => self.handle_command(now, ticket, command),
             Input::Inquire(ticket) => self.inquire(now, ticket),
             Input::Stop => self.begin_shutdown(now),
         }
         self.pump(now);
     }
 
-    /// Does what has become due by `now`.
+    /// Performs what is due at `now`.
     pub fn tick(&mut self, now: Time) {
         self.membership.tick(now);
         self.dissemination.tick(now);
-        self.keeper.tick(now);
-        self.former.tick(now);
+        self.configuration_manager.tick(now);
+        self.group_manager.tick(now);
         for (_, replica) in self.groups.iter_mut() {
             replica.tick(now);
         }
@@ -172,20 +172,19 @@
         self.dispatcher.tick(now);
         self.report_slice_loads(now);
         self.finish_inquiries(now);
-        for (asker, result) in self.operations.expire(now) {
-            self.answer_operation(asker, result);
+        for (requester, result) in self.operations.expire(now) {
+            self.answer_operation(requester, result);
         }
         self.pump(now);
     }
 
-    /// When [`NodeCore::tick`] has to be called next, if nothing happens
-    /// before.
+    /// When [`NodeCore::tick`] has to be called next, unless there is an input before.
     pub fn next_wakeup(&self) -> Time {
         let fixed = [
             self.membership.next_wakeup(),
             self.dissemination.next_wakeup(),
-            self.keeper.next_wakeup(),
-            self.former.next_wakeup(),
+            self.configuration_manager.next_wakeup(),
+            self.group_manager.next_wakeup(),
             self.gateway.next_wakeup(),
             self.dispatcher.next_wakeup(),
             self.next_slice_loads,
@@ -201,27 +200,27 @@
             .expect("the list is not empty")
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the actions to perform since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The configuration in force on this node.
+    /// The active configuration of this node.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// Version of the configuration in force on this node.
+    /// Version of the active configuration of this node.
     pub fn configuration_version(&self) -> ConfigurationVersion {
         self.configuration.version
     }
 
-    /// Version of the group's routes in force on this node.
+    /// Version of the group's active routes on this node.
     pub fn routes_version(&self, group: GroupId) -> Option<FencingToken> {
         self.routes.get(&group).map(|routes| routes.version)
     }
 
-    fn take_message(&mut self, now: Time, from: NodeId, message: PeerMessage) {
+    fn handle_message(&mut self, now: Time, from: NodeId, message: PeerMessage) {
         match message {
             PeerMessage::Membership(message) => self
                 .membership
@@ -266,26 +265,26 @@
                 group,
                 operation,
             } => {
-                let asker = Asker::Node { node: from, ticket };
-                self.operate(now, asker, command, group, operation);
+                let requester = Requester::Node { node: from, ticket };
+                self.operate(now, requester, command, group, operation);
             }
             PeerMessage::Inquire { inquiry } => {
                 let loads = self.load_view(now);
                 self.send(from, PeerMessage::Inquired { inquiry, loads });
             }
             PeerMessage::Inquired { inquiry, loads } => {
-                self.inquiries.take_answer(inquiry, from, loads);
+                self.inquiries.record_answer(inquiry, from, loads);
                 self.finish_inquiries(now);
             }
             PeerMessage::Operated { ticket, result } => {
-                if let Some(asker) = self.operations.close(ticket) {
-                    self.answer_operation(asker, result);
+                if let Some(requester) = self.operations.close(ticket) {
+                    self.answer_operation(requester, result);
                 }
             }
         }
     }
 
-    fn take_renewal_reply(
+    fn handle_renewal_reply(
         &mut self,
         now: Time,
         call: CallId,
@@ -308,27 +307,27 @@
         self.groups.step(now, group, input);
     }
 
-    fn take_platform_reply(
+    fn handle_platform_reply(
         &mut self,
         now: Time,
         call: CallId,
         reply: Result<PlatformReply, PlatformError>,
     ) {
         match self.calls.close(call) {
-            Some(CallOwner::Keeper(call)) => self.keeper.step(
+            Some(CallOwner::ConfigurationManager(call)) => self.configuration_manager.step(
                 now,
                 ConfigurationManagerInput::PlatformReplied { call, reply },
             ),
-            Some(CallOwner::Former(call)) => self
-                .former
+            Some(CallOwner::GroupManager(call)) => self
+                .group_manager
                 .step(now, GroupManagerInput::PlatformReplied { call, reply }),
             Some(CallOwner::Group(..)) | None => {}
         }
     }
 
-    fn take_command(&mut self, now: Time, ticket: TicketId, command: AdministrationCommand) {
+    fn handle_command(&mut self, now: Time, ticket: TicketId, command: AdministrationCommand) {
         match command.action {
-            AdministrationAction::Configure(_) => self.keeper.step(
+            AdministrationAction::Configure(_) => self.configuration_manager.step(
                 now,
                 ConfigurationManagerInput::Command {
                     ticket: ticket.0,
@@ -336,23 +335,23 @@
                 },
             ),
             AdministrationAction::Operate { group, operation } => {
-                let asker = Asker::Operator(ticket);
-                self.operate(now, asker, command.id, group, operation);
+                let requester = Requester::Operator(ticket);
+                self.operate(now, requester, command.id, group, operation);
             }
         }
     }
 
-    /// Gives an operation to the local replica, or passes an operator's on to
-    /// a node that has one. A command passed on once is not passed on again.
+    /// Passes an operation to the local replica, or forwards an operator's command to a
+    /// node that has one. A forwarded command is not forwarded again.
     fn operate(
         &mut self,
         now: Time,
-        asker: Asker,
+        requester: Requester,
         command: Text,
         group: GroupId,
         operation: GroupOperation,
     ) {
-        let ticket = self.operations.open(now, asker);
+        let ticket = self.operations.open(now, requester);
         let input = GroupInput::Operate {
             ticket,
             command_id: command.clone(),
@@ -361,9 +360,9 @@
         if self.groups.step(now, group, input) {
             return;
         }
-        let replica = match asker {
-            Asker::Operator(_) => self.replica_of(group),
-            Asker::Node { .. } => None,
+        let replica = match requester {
+            Requester::Operator(_) => self.replica_of(group),
+            Requester::Node { .. } => None,
         };
         match replica {
             Some(node) => self.send(
@@ -378,13 +377,13 @@
             None => {
                 self.operations.close(ticket);
                 let result = CommandResult::Rejected(CommandRejection::NoLeader);
-                self.answer_operation(asker, result);
+                self.answer_operation(requester, result);
             }
         }
     }
 
-    /// A node with a replica of the group: its leader as last published, or
-    /// a voter of its record.
+    /// A node with a replica of the group: the leader from the latest routes, or else a
+    /// voter from its record.
     fn replica_of(&self, group: GroupId) -> Option<NodeId> {
         let by_routes = self.routes.get(&group).map(|routes| routes.leader.node);
         by_routes.or_else(|| {
@@ -393,13 +392,13 @@
         })
     }
 
-    pub(crate) fn answer_operation(&mut self, asker: Asker, result: CommandResult) {
-        match asker {
-            Asker::Operator(ticket) => {
+    pub(crate) fn answer_operation(&mut self, requester: Requester, result: CommandResult) {
+        match requester {
+            Requester::Operator(ticket) => {
                 self.outputs
                     .push(Output::CommandFinished { ticket, result });
             }
-            Asker::Node { node, ticket } => {
+            Requester::Node { node, ticket } => {
                 self.send(node, PeerMessage::Operated { ticket, result });
             }
         }
--- a/crates/ledgelead-membership/src/membership.rs
+++ b/crates/ledgelead-membership/src/membership.rs
@@ -1,19 +1,19 @@
-//! The state machine of one node's membership, after SWIM (Das, Gupta,
-//! Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002), with two differences stated in
-//! `docs/design/membership.md`: no node tells another that a third is dead,
-//! and a run of a process replaces an earlier one by raising its version.
+//! State machine of the membership of one node, after SWIM (Das, Gupta, Motivala: "SWIM:
+//! Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002),
+//! with two differences described in `docs/design/membership.md`: no node tells another that
+//! a third one is dead, and a new incarnation of a process replaces the previous one by
+//! raising its version.
 
 mod contacts;
 mod probing;
 mod receiving;
 mod sending;
 
+use crate::death_proofs::DeathProofs;
+use crate::gossip_queue::GossipQueue;
 use crate::members::{Members, Merge};
 use crate::message::{NodeRecord, NodeStatus, StatusVersion};
-use crate::news::NewsQueue;
 use crate::probes::{Probe, ProbeOrder, SentPings};
-use crate::proofs::DeathProofs;
 use crate::settings::{MembershipInput, MembershipOutput, MembershipSettings};
 use contacts::Contacts;
 use ledgelead_types::dispatch::LiveNode;
@@ -27,61 +27,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One probe a node in this time (SWIM's protocol period).
+/// Interval in which one node is probed (SWIM's protocol period).
 pub(crate) const PERIOD: Span = Span::from_millis(500);
-/// Periods for which a suspicion lasts at least.
+/// Minimum duration of a suspicion, in periods.
 const SUSPICION_PERIODS: f64 = 3.0;
-/// Further periods for every tenfold size of the cluster, because the
-/// refutation needs time to spread.
+/// Additional periods for each factor of ten in cluster size, because the refutation needs
+/// time to spread.
 const SUSPICION_PERIODS_PER_DECADE: f64 = 2.0;
-/// What is left of a suspicion when the platform says as well that the
-/// machine leaves.
+/// Factor for the duration of a suspicion when the platform also reports that the machine is
+/// leaving.
 const SUSPICION_WITH_HINT: f64 = 0.5;
-/// A node that was not run for this long was paused; what it missed meanwhile
-/// is no evidence against others.
-const PAUSE: Span = Span::from_seconds(1);
-/// Least time between two comparisons of the whole state.
+/// If the process was not run for longer than this, it was paused; messages missed in the
+/// meantime are no evidence against other nodes.
+const PAUSE_THRESHOLD: Span = Span::from_seconds(1);
+/// Minimum time between two comparisons of the whole state.
 pub(crate) const COMPARISON_INTERVAL: Span = Span::from_seconds(5);
-/// Nodes told directly by one that leaves; gossip tells the others.
+/// Number of nodes notified directly by a leaving node; gossip reaches the others.
 const LEAVE_FANOUT: usize = 8;
 
-/// What another node's whole state is asked for.
+/// Why another node's whole state was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StateUse {
-    /// This node was cut off or has just started: what the other holds live is
-    /// live.
+    /// This node was partitioned or has just started: nodes that are live for the other node
+    /// are live.
     Heal,
-    /// The two hold different nodes live although there is no news: learn of
+    /// The live sets of both nodes differ although there is nothing left to gossip: learn of
     /// nodes that gossip missed.
     Compare,
 }
 
-/// One node's view of which nodes are live.
+/// One node's view of the live nodes.
 pub struct Membership {
     own: NodeRecord,
     members: Members,
-    news: NewsQueue,
+    gossip: GossipQueue,
     proofs: DeathProofs,
     sent: SentPings,
     order: ProbeOrder,
     probe: Option<Probe>,
     contacts: Contacts,
-    told_addresses: BTreeMap<NodeId, Text>,
-    asked_for_state: BTreeMap<NodeId, StateUse>,
+    announced_addresses: BTreeMap<NodeId, Text>,
+    requested_states: BTreeMap<NodeId, StateUse>,
     contradicted: BTreeSet<NodeId>,
     leaving_machines: BTreeSet<NodeId>,
     version_cursor: Option<NodeId>,
     next_period: Time,
     next_state_request: Time,
     next_comparison: Time,
-    doubts_due: bool,
-    last_run: Time,
+    proof_probes_due: bool,
+    last_call: Time,
     random: Pcg64Mcg,
     outputs: Vec<MembershipOutput>,
 }
 
 impl Membership {
-    /// A node that has heard of nobody. It asks its seeds at the first tick.
+    /// A node that knows no other nodes. It contacts its seeds at the first tick.
     pub fn new(settings: MembershipSettings, now: Time) -> Membership {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let first_nonce = random.next_u64();
@@ -96,45 +96,45 @@
                 configuration: ConfigurationVersion(0),
             },
             members: Members::default(),
-            news: NewsQueue::default(),
+            gossip: GossipQueue::default(),
             proofs: DeathProofs::default(),
             sent: SentPings::starting_at(first_nonce),
             order: ProbeOrder::default(),
             probe: None,
             contacts: Contacts::new(node, settings.seeds),
-            told_addresses: BTreeMap::new(),
-            asked_for_state: BTreeMap::new(),
+            announced_addresses: BTreeMap::new(),
+            requested_states: BTreeMap::new(),
             contradicted: BTreeSet::new(),
             leaving_machines: BTreeSet::new(),
             version_cursor: None,
             next_period: now,
             next_state_request: now,
             next_comparison: now + COMPARISON_INTERVAL,
-            doubts_due: false,
-            last_run: now,
+            proof_probes_due: false,
+            last_call: now,
             random,
             outputs: Vec::new(),
         }
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles an input at `now`.
     pub fn step(&mut self, now: Time, input: MembershipInput) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match input {
             MembershipInput::Message { from, message } => self.receive(now, from, message),
-            MembershipInput::MachineList(machines) => self.take_machine_list(now, machines),
+            MembershipInput::MachineList(machines) => self.apply_machine_list(now, machines),
             MembershipInput::ConfigurationVersion(version) => self.own.configuration = version,
             MembershipInput::Leave => self.leave(),
         }
     }
 
-    /// Does what has become due by `now`.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Time) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.expire_suspicions(now);
         self.probe_indirectly(now);
-        if self.doubts_due {
-            self.probe_doubted(now);
+        if self.proof_probes_due {
+            self.probe_unproven(now);
         }
         if now >= self.next_period {
             self.begin_period(now);
@@ -144,20 +144,20 @@
     /// When [`Membership::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         let indirect = self.probe.and_then(|probe| probe.indirect_at);
-        let doubts = self.doubts_due.then_some(self.last_run);
+        let proof_probes = self.proof_probes_due.then_some(self.last_call);
         let soonest = self.next_period.min(self.members.next_expiry());
-        [indirect, doubts]
+        [indirect, proof_probes]
             .into_iter()
             .flatten()
             .fold(soonest, Time::min)
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the outputs produced since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<MembershipOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Live nodes, this one among them, in the order of their identifiers.
+    /// Live nodes including this one, ordered by identifier.
     pub fn live_nodes(&self) -> Vec<LiveNode> {
         let own = (self.own.status == NodeStatus::Alive).then_some(&self.own);
         let others = self.members.iter().filter(|(_, entry)| entry.is_live());
@@ -173,7 +173,7 @@
         nodes
     }
 
-    /// Every node that is known, this one among them.
+    /// All known nodes including this one.
     pub fn nodes(&self) -> Vec<NodeStatusView> {
         let own = (&self.own, self.own.status == NodeStatus::Alive);
         let others = self.members.iter();
@@ -186,7 +186,7 @@
         nodes
     }
 
-    /// The run of a node's process, as last heard.
+    /// The last known incarnation of a node's process.
     pub fn incarnation_of(&self, node: NodeId) -> Option<Incarnation> {
         if node == self.own.member.node {
             return Some(self.own.member.incarnation);
@@ -195,38 +195,38 @@
         Some(entry.record.member.incarnation)
     }
 
-    /// Whether this run of a node's process is over for certain: a later run
-    /// answered this node itself, or the platform lists the machine as gone.
-    /// Asking about a run that others say is replaced makes this node ping
-    /// the successor; [`MembershipOutput::Changed`] tells when it is proven.
+    /// Whether this incarnation of a node's process has certainly ended: a later incarnation
+    /// answered this node directly, or the platform lists the machine as gone. A query about
+    /// an incarnation that is reported as replaced makes this node ping the successor;
+    /// [`MembershipOutput::Changed`] is sent when the end is proven.
     pub fn is_proven_dead(&mut self, member: Member) -> bool {
         if member.node == self.own.member.node {
             return member.incarnation != self.own.member.incarnation;
         }
-        if self.proofs.is_over(member) {
+        if self.proofs.has_ended(member) {
             return true;
         }
-        self.proofs.note(self.last_run, member);
+        self.proofs.note(self.last_call, member);
         let held = self.members.get(member.node);
         if held.is_some_and(|entry| entry.is_live() && entry.record.member != member) {
-            self.proofs.doubt(member.node);
-            self.doubts_due = true;
+            self.proofs.request_proof(member.node);
+            self.proof_probes_due = true;
         }
         false
     }
 
-    /// After a pause every deadline is put off by its length: answers that
-    /// arrived meanwhile are still to be read.
-    fn notice_pause(&mut self, now: Time) {
-        let gap = now.since(self.last_run);
-        self.last_run = self.last_run.max(now);
-        if gap > PAUSE {
+    /// After a pause all suspicions are extended by its length, since answers that arrived
+    /// in the meantime have not been read yet.
+    fn detect_pause(&mut self, now: Time) {
+        let gap = now.since(self.last_call);
+        self.last_call = self.last_call.max(now);
+        if gap > PAUSE_THRESHOLD {
             self.members.postpone_suspicions(gap);
             self.probe = None;
         }
     }
 
-    /// Hash over the live nodes and their runs; independent of their order.
+    /// Hash over the live nodes and their incarnations, independent of their order.
     fn live_hash(&self) -> u64 {
         let own = (self.own.status == NodeStatus::Alive).then_some(self.own.member);
         let others = self.members.iter().filter(|(_, entry)| entry.is_live());
@@ -248,7 +248,7 @@
     fn expire_suspicions(&mut self, now: Time) {
         let died = self.members.expire(now);
         for node in died {
-            self.news.remove(node);
+            self.gossip.remove(node);
             self.report(node, false);
         }
     }
@@ -262,8 +262,8 @@
         self.outputs.push(MembershipOutput::Changed);
     }
 
-    /// Takes in what somebody says of another node.
-    fn take_record(&mut self, now: Time, record: &NodeRecord) {
+    /// Applies a received record of any node.
+    fn apply_record(&mut self, now: Time, record: &NodeRecord) {
         if record.member.node == self.own.member.node {
             self.refute(record);
             return;
@@ -275,9 +275,9 @@
         let size = self.cluster_size();
         match self.members.merge(now, record, until) {
             Merge::Older => {}
-            Merge::Same => self.news.count(node),
-            Merge::News { visible } => {
-                self.news.push(node, size);
+            Merge::Same => self.gossip.count(node),
+            Merge::Newer { visible } => {
+                self.gossip.push(node, size);
                 self.report_change(node, was_live, visible);
             }
         }
@@ -292,15 +292,15 @@
         }
     }
 
-    /// Raises the own version above what others say, if that is not that this
-    /// run lives.
-    fn refute(&mut self, said: &NodeRecord) {
-        let is_right = said.member == self.own.member && said.status == self.own.status;
-        if is_right || said.version < self.own.version {
+    /// Raises this node's version above the claimed one, unless the claim is that this
+    /// incarnation has its actual status.
+    fn refute(&mut self, claimed: &NodeRecord) {
+        let is_accurate = claimed.member == self.own.member && claimed.status == self.own.status;
+        if is_accurate || claimed.version < self.own.version {
             return;
         }
-        if said.version <= StatusVersion::MAX_BELIEVED {
-            self.own.version = said.version.next();
+        if claimed.version <= StatusVersion::MAX_ACCEPTED {
+            self.own.version = claimed.version.next();
         }
     }
 
@@ -308,7 +308,7 @@
         self.members.get(node).is_some_and(|entry| entry.is_live())
     }
 
-    fn take_machine_list(&mut self, now: Time, machines: Vec<MachineEntry>) {
+    fn apply_machine_list(&mut self, now: Time, machines: Vec<MachineEntry>) {
         self.leaving_machines = machines
             .iter()
             .filter(|machine| machine.state != MachineState::Live)
@@ -319,15 +319,15 @@
             let is_live = self.is_live(machine.node);
             match machine.state {
                 MachineState::Live => {}
-                MachineState::Leaving => self.members.hasten(machine.node, soon),
-                MachineState::Gone if is_live => self.members.hasten(machine.node, soon),
-                MachineState::Gone => self.take_machine_gone(now, machine.node),
+                MachineState::Leaving => self.members.shorten_suspicion(machine.node, soon),
+                MachineState::Gone if is_live => self.members.shorten_suspicion(machine.node, soon),
+                MachineState::Gone => self.apply_machine_gone(now, machine.node),
             }
         }
-        self.contacts.take_machine_list(machines);
+        self.contacts.apply_machine_list(machines);
     }
 
-    fn take_machine_gone(&mut self, now: Time, node: NodeId) {
+    fn apply_machine_gone(&mut self, now: Time, node: NodeId) {
         let is_other = node != self.own.member.node;
         if is_other && self.proofs.machine_gone(now, node) {
             self.outputs.push(MembershipOutput::Changed);
@@ -342,11 +342,11 @@
         self.own.version = self.own.version.next();
         self.probe = None;
         let live: Vec<NodeId> = self.members.live().collect();
-        let told: Vec<NodeId> = live
+        let notified: Vec<NodeId> = live
             .sample(&mut self.random, LEAVE_FANOUT)
             .copied()
             .collect();
-        for node in told {
+        for node in notified {
             self.notify(node);
         }
         self.outputs.push(MembershipOutput::Changed);
--- a/crates/ledgelead-membership/src/membership/sending.rs
+++ b/crates/ledgelead-membership/src/membership/sending.rs
@@ -1,7 +1,7 @@
-//! How the membership's messages are put together.
+//! Construction and sending of messages.
 
 use super::{COMPARISON_INTERVAL, Membership, PERIOD, StateUse};
-use crate::message::{MembershipMessage, News, NodeRecord, NodeStatus, VersionSight};
+use crate::message::{Gossip, MembershipMessage, NodeRecord, NodeStatus, ObservedVersion};
 use crate::probes::Purpose;
 use crate::settings::MembershipOutput;
 use ledgelead_types::codec::encode;
@@ -11,15 +11,15 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// Bytes of records that one message carries at most; with the rest of the
-/// message it fits one datagram.
-const NEWS_BYTES: usize = 1_024;
-/// Configuration versions that one message carries.
+/// Maximum size of the records in one message; with the rest of the message they fit into
+/// one datagram.
+const MAX_GOSSIP_BYTES: usize = 1_024;
+/// Configuration versions per message.
 const VERSIONS_PER_MESSAGE: usize = 2;
-/// Contacts asked at once while this node knows nobody.
+/// Number of contacts asked at once while this node has no live peers.
 const CONTACTS_AT_START: usize = 3;
-/// Periods, on average, after which a contact that is not live is asked while
-/// this node knows others.
+/// Mean number of periods between requests to a contact that is not live, while this node
+/// has live peers.
 const PERIODS_PER_CONTACT: f64 = 10.0;
 
 impl Membership {
@@ -29,7 +29,7 @@
         let message = MembershipMessage::Ping {
             sender: self.own.clone(),
             nonce,
-            news: self.news_for(to),
+            gossip: self.gossip_for(to),
         };
         self.send(to, message);
         nonce
@@ -39,12 +39,12 @@
         let message = MembershipMessage::Acknowledgement {
             sender: self.own.clone(),
             nonce,
-            news: self.news_for(to),
+            gossip: self.gossip_for(to),
         };
         self.send(to, message);
     }
 
-    pub(super) fn ask_to_ping(&mut self, helper: NodeId, target: NodeId, nonce: u64) {
+    pub(super) fn request_indirect_ping(&mut self, helper: NodeId, target: NodeId, nonce: u64) {
         let message = MembershipMessage::IndirectPing {
             sender: self.own.clone(),
             target,
@@ -53,7 +53,7 @@
         self.send(helper, message);
     }
 
-    pub(super) fn pass_on(&mut self, to: NodeId, target: &NodeRecord, nonce: u64) {
+    pub(super) fn relay_acknowledgement(&mut self, to: NodeId, target: &NodeRecord, nonce: u64) {
         let message = MembershipMessage::IndirectAcknowledgement {
             sender: self.own.clone(),
             target: target.clone(),
@@ -67,19 +67,18 @@
         self.send(to, MembershipMessage::Notice { sender });
     }
 
-    /// Asks a node that was out of reach for all that it holds, at most once
-    /// in a period.
-    pub(super) fn ask_after_cut(&mut self, now: Time, node: NodeId) {
+    /// Requests the whole state of a node that was unreachable, at most once per period.
+    pub(super) fn request_state_after_partition(&mut self, now: Time, node: NodeId) {
         if now >= self.next_state_request {
             self.next_state_request = now + PERIOD;
             self.send_join(node, StateUse::Heal);
         }
     }
 
-    /// Asks a node that holds other nodes live for all that it holds, unless
-    /// news is still about.
+    /// Requests the whole state of a node with a different live set, unless changes are
+    /// still being gossiped.
     pub(super) fn compare_live(&mut self, now: Time, node: NodeId, their_hash: u64) {
-        let is_due = now >= self.next_comparison && self.news.is_empty();
+        let is_due = now >= self.next_comparison && self.gossip.is_empty();
         if is_due && their_hash != self.live_hash() {
             let jitter = Span(
                 self.random
@@ -91,14 +90,14 @@
     }
 
     fn send_join(&mut self, to: NodeId, state_use: StateUse) {
-        self.asked_for_state.insert(to, state_use);
+        self.requested_states.insert(to, state_use);
         let sender = self.own.clone();
         self.send(to, MembershipMessage::Join { sender });
     }
 
-    /// Asks contacts that are not held live; at once while nobody is.
+    /// Requests the state of contacts that are not live; at once while no peer is live.
     pub(super) fn ask_contacts(&mut self, is_alone: bool) {
-        let silent: Vec<NodeId> = self
+        let not_live: Vec<NodeId> = self
             .contacts
             .nodes()
             .filter(|node| !self.is_live(*node))
@@ -108,13 +107,13 @@
             return;
         }
         let count = if is_alone { CONTACTS_AT_START } else { 1 };
-        let asked: BTreeSet<NodeId> = silent.sample(&mut self.random, count).copied().collect();
+        let asked: BTreeSet<NodeId> = not_live.sample(&mut self.random, count).copied().collect();
         for node in asked {
             self.send_join(node, StateUse::Heal);
         }
     }
 
-    /// Sends all that this node holds live, and how it holds the asker.
+    /// Sends the records of all live nodes and of the requester.
     pub(super) fn send_state(&mut self, to: NodeId) {
         let records = self
             .members
@@ -129,40 +128,41 @@
         self.send(to, message);
     }
 
-    /// The news for a message: first how this node holds the receiver, if not
-    /// as the live run that it is, so that it can refute; then changes, least often sent first.
-    fn news_for(&mut self, to: NodeId) -> News {
+    /// The gossip for a message. The receiver's own record comes first if it does not match
+    /// the live incarnation, so that the receiver can refute it; then changes follow, the
+    /// least transmitted first.
+    fn gossip_for(&mut self, to: NodeId) -> Gossip {
         let mut records = Vec::new();
         let mut bytes = 0;
         let is_contradicted = self.contradicted.contains(&to);
-        let doubted = self
+        let disputed = self
             .members
             .get(to)
             .filter(|entry| entry.record.status != NodeStatus::Alive || is_contradicted);
-        if let Some(entry) = doubted {
+        if let Some(entry) = disputed {
             records.push(entry.record.clone());
         }
-        for node in self.news.order() {
+        for node in self.gossip.order() {
             let Some(entry) = self.members.get(node).filter(|_| node != to) else {
                 continue;
             };
             bytes += encode(&entry.record).len();
-            if bytes > NEWS_BYTES {
+            if bytes > MAX_GOSSIP_BYTES {
                 break;
             }
             records.push(entry.record.clone());
-            self.news.count(node);
+            self.gossip.count(node);
         }
-        News {
+        Gossip {
             records: List(records),
             live_hash: self.live_hash(),
             versions: self.next_versions(),
         }
     }
 
-    /// Configuration versions of the next nodes in turn.
-    fn next_versions(&mut self) -> List<VersionSight> {
-        let mut sights = List::default();
+    /// Configuration versions of the next nodes in rotation.
+    fn next_versions(&mut self) -> List<ObservedVersion> {
+        let mut observed = List::default();
         for _ in 0..VERSIONS_PER_MESSAGE {
             let start = self
                 .version_cursor
@@ -170,20 +170,20 @@
             let next = self.members.next_live(start);
             self.version_cursor = next.map(|record| record.member.node);
             if let Some(record) = next {
-                sights.push(VersionSight {
+                observed.push(ObservedVersion {
                     node: record.member.node,
                     version: record.configuration,
                 });
             }
         }
-        sights
+        observed
     }
 
     fn send(&mut self, to: NodeId, message: MembershipMessage) {
         if let Some(address) = self.address_of(to)
-            && self.told_addresses.get(&to) != Some(&address)
+            && self.announced_addresses.get(&to) != Some(&address)
         {
-            self.told_addresses.insert(to, address.clone());
+            self.announced_addresses.insert(to, address.clone());
             self.outputs
                 .push(MembershipOutput::Address { node: to, address });
         }
--- a/crates/ledgelead-node/src/node/serving.rs
+++ b/crates/ledgelead-node/src/node/serving.rs
@@ -84,7 +84,7 @@
     let handle = handle.clone();
     Box::new(move |connection| {
         for request in open_requests.on_connection(connection) {
-            handle.input(Input::CallerLeft(request));
+            handle.input(Input::CallerDisconnected(request));
         }
     })
 }
--- a/crates/ledgelead-ownership/src/group/applying.rs
+++ b/crates/ledgelead-ownership/src/group/applying.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the replicated log hands over.
+//! Applying the output of the replicated log.
 
 use super::GroupReplica;
 use super::unavailable::UnavailableSlices;
@@ -14,15 +14,15 @@
 use ledgelead_types::protections::Protection;
 use ledgelead_types::*;
 
-/// Entries behind the latest compaction after which the log is compacted.
+/// Number of entries after the latest compaction at which the log is compacted again.
 const COMPACTION_ENTRIES: u64 = 8_192;
 
 impl GroupReplica {
-    /// Takes what the log has ready: state, entries, messages.
+    /// Applies what the log has ready: state, entries, messages.
     pub(super) fn apply_ready(&mut self, now: Time) {
         let ready: Ready = self.replica.take_ready();
         if let Some(installed) = ready.install {
-            // Only replicas of this group encode such states.
+            // The state was encoded by a replica of this group, so decoding does not fail.
             if let Ok(state) = GroupState::restore(&installed.state) {
                 self.state = state;
                 self.state.applied = installed.revision;
@@ -40,10 +40,10 @@
         if self.state.term != term {
             self.dispatcher.leader_changed();
         }
-        if std::mem::take(&mut self.duties_outdated) {
+        if std::mem::take(&mut self.duties_stale) {
             self.dispatcher.state_changed();
             if let Some(leader) = &mut self.leader {
-                leader.follow(&self.state);
+                leader.observe_state(&self.state);
             }
         }
         for (to, message) in ready.messages {
@@ -55,7 +55,7 @@
 
     fn note_ownership_change(&mut self) {
         self.ownership_changed = true;
-        self.duties_outdated = true;
+        self.duties_stale = true;
     }
 
     fn change_role(&mut self, now: Time, role: Role) {
@@ -79,10 +79,10 @@
             lease_wait,
             self.assigner,
         ));
-        self.duties_outdated = true;
+        self.duties_stale = true;
         self.snapshots = Default::default();
         self.snapshots.members_changed(now);
-        self.next_turn = now;
+        self.next_reconcile = now;
         let epoch = self.state.epoch;
         self.event(Event::LeaderElected { group, epoch, term });
     }
@@ -107,16 +107,17 @@
     }
 
     fn apply_command(&mut self, now: Time, revision: Revision, term: Term, bytes: &[u8]) {
-        // Every replica skips the same undecodable entry; none is written.
+        // An entry that can't be decoded is skipped, as on every other replica. No replica
+        // writes such entries.
         let Ok(commands) = decode::<List<GroupCommand>>(bytes) else {
             return;
         };
-        if commands.iter().all(concerns_records) {
+        if commands.iter().all(is_record_command) {
             self.snapshots.records_changed(now);
         } else {
             self.note_ownership_change();
             self.snapshots.ownership_changed(now);
-            self.next_turn = now;
+            self.next_reconcile = now;
         }
         let decisions = self.state.apply(revision, term, &commands);
         let origins = self.requests.applied(revision);
@@ -126,15 +127,15 @@
             self.answer(now, answers);
         }
         for decision in decisions {
-            self.tell_decision(decision);
+            self.emit_decision_event(decision);
         }
     }
 
-    fn tell_decision(&mut self, decision: Decision) {
+    fn emit_decision_event(&mut self, decision: Decision) {
         let group = self.group;
-        self.note_unavailable(self.now, &decision);
+        self.track_unavailability(self.now, &decision);
         let event = match decision {
-            Decision::Operated(_) | Decision::Once { .. } => return,
+            Decision::Operated(_) | Decision::Idempotency { .. } => return,
             Decision::OwnerChanged {
                 range,
                 from,
@@ -158,7 +159,7 @@
         }
     }
 
-    fn note_unavailable(&mut self, now: Time, decision: &Decision) {
+    fn track_unavailability(&mut self, now: Time, decision: &Decision) {
         let Decision::OwnerChanged {
             range,
             from,
@@ -170,9 +171,9 @@
             return;
         };
         match (from, to) {
-            (Some(owner), None) if after_loss => self.unavailable.lost(range, owner),
+            (Some(owner), None) if after_loss => self.unavailable.record_loss(range, owner),
             (None, Some(_)) => {
-                let regained = self.unavailable.regained(now, range);
+                let regained = self.unavailable.record_regained(now, range);
                 if let Some(unavailable) = regained.filter(|_| self.leader.is_some()) {
                     let group = self.group;
                     self.event(Event::SliceRegained {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Replaces the log by the state as applied.
+    /// Replaces the log with the applied state.
     pub(super) fn compact_log(&mut self) {
         let applied = self.state.applied;
         self.replica.compact(applied, self.state.snapshot());
@@ -204,8 +205,8 @@
     }
 }
 
-/// The answer to each request of an entry. A command decides one thing at
-/// most that is asked for, and the decisions are in the commands' order.
+/// The answer to each request of an entry. Each command produces at most one decision that
+/// is an answer, and the decisions are in the order of the commands.
 fn answers(
     commands: &[GroupCommand],
     origins: Vec<Origin>,
@@ -213,12 +214,12 @@
 ) -> Vec<(Origin, GroupAnswer)> {
     let mut asked_for = decisions.iter().filter_map(|decision| match decision {
         Decision::Operated(result) => Some(GroupAnswer::Operated(result.clone())),
-        Decision::Once { verdict, .. } => Some(GroupAnswer::Once(*verdict)),
+        Decision::Idempotency { verdict, .. } => Some(GroupAnswer::Idempotency(*verdict)),
         Decision::OwnerChanged { .. } | Decision::StatusChanged { .. } => None,
     });
     let answer = |(command, origin): (&GroupCommand, Origin)| {
         let answer = match command {
-            GroupCommand::EndOnce { .. } => Some(GroupAnswer::Ended),
+            GroupCommand::EndIdempotencyRecord { .. } => Some(GroupAnswer::Ended),
             _ => asked_for.next(),
         };
         answer.map(|answer| (origin, answer))
@@ -226,12 +227,12 @@
     commands.iter().zip(origins).filter_map(answer).collect()
 }
 
-fn concerns_records(command: &GroupCommand) -> bool {
+fn is_record_command(command: &GroupCommand) -> bool {
     matches!(
         command,
-        GroupCommand::BeginOnce { .. }
-            | GroupCommand::EndOnce { .. }
+        GroupCommand::BeginIdempotencyRecord { .. }
+            | GroupCommand::EndIdempotencyRecord { .. }
             | GroupCommand::ExpireRecords { .. }
-            | GroupCommand::TrustRecords
+            | GroupCommand::AssumeRecordsComplete
     )
 }
--- a/crates/ledgelead-ownership/src/state/apply.rs
+++ b/crates/ledgelead-ownership/src/state/apply.rs
@@ -6,8 +6,8 @@
 use ledgelead_types::*;
 
 impl GroupState {
-    /// Applies one entry of the log and returns what it decided. It depends
-    /// on nothing but the state and its arguments.
+    /// Applies one entry of the log and returns its decisions. The result depends only on
+    /// the state and the arguments.
     pub fn apply(
         &mut self,
         revision: Revision,
@@ -56,21 +56,21 @@
                 token: held_under,
             } => self.released(*range, *held_under, token, decisions),
             GroupCommand::Split { at } => {
-                // A split that was overtaken by a move changes nothing.
+                // A split of a slice that is being moved has no effect.
                 let _ = self.split_at(*at, token);
             }
             GroupCommand::Merge { first, second } => self.merge(*first, *second, token),
             GroupCommand::Recover { space, claims } => self.recover(*space, claims, token),
-            GroupCommand::TrustRecords => self.records_in_doubt = false,
-            GroupCommand::BeginOnce { owner, key } => {
-                let verdict = self.begin_once(*owner, *key, token.revision);
-                decisions.push(Decision::Once {
+            GroupCommand::AssumeRecordsComplete => self.records_may_be_missing = false,
+            GroupCommand::BeginIdempotencyRecord { owner, key } => {
+                let verdict = self.begin_idempotency_record(*owner, *key, token.revision);
+                decisions.push(Decision::Idempotency {
                     owner: *owner,
                     key: *key,
                     verdict,
                 });
             }
-            GroupCommand::EndOnce { owner, key, state } => {
+            GroupCommand::EndIdempotencyRecord { owner, key, state } => {
                 self.records.end(*owner, *key, *state);
             }
             GroupCommand::ExpireRecords { through } => self.records.expire(*through),
@@ -150,7 +150,7 @@
         }
     }
 
-    /// A restarted server has forgotten that it wanted to leave.
+    /// A restarted server no longer wants to leave.
     fn end_drain_by_server(&mut self, id: ServerId, decisions: &mut Vec<Decision>) {
         if self.servers[&id].drain == Some(DrainCause::Server) {
             self.activate(id, decisions);
@@ -174,7 +174,8 @@
         self.free_all(id, token, true, decisions);
     }
 
-    /// Starts a drain; a lost server is only marked.
+    /// Starts a drain. A lost server is only marked: the drain takes effect when it is
+    /// admitted again, unless the server itself had requested it.
     pub(super) fn drain(&mut self, id: ServerId, cause: DrainCause, decisions: &mut Vec<Decision>) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Takes a drain back; a lost server stays lost until it answers.
+    /// Cancels a drain; a lost server remains lost until it responds.
     pub(super) fn activate(&mut self, id: ServerId, decisions: &mut Vec<Decision>) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -217,8 +218,8 @@
         decisions.push(Decision::StatusChanged { server: id, status });
     }
 
-    /// Takes every slice from a server that holds no lease any more. One that
-    /// it was giving up goes to the next owner: the move was acknowledged.
+    /// Takes all slices from a server that no longer holds a lease. A slice that it was
+    /// releasing goes to its next owner, because the move was acknowledged.
     fn free_all(
         &mut self,
         id: ServerId,
@@ -227,7 +228,7 @@
         decisions: &mut Vec<Decision>,
     ) {
         let held = |slice: &&Slice| slice.phase.holder() == Some(id);
-        let held: Vec<Slice> = self.slices.concerning(id).filter(held).cloned().collect();
+        let held: Vec<Slice> = self.slices.of_server(id).filter(held).cloned().collect();
         for slice in held {
             if let Some(next) = self.next_owner(&slice) {
                 self.assign(slice.range, next, token, after_loss, decisions);
@@ -245,7 +246,7 @@
         self.mark_changed(Some(id), token);
     }
 
-    /// The next owner of a slice that is being moved, if it may have it now.
+    /// The next owner of a slice that is being moved, if it may get the slice now.
     fn next_owner(&self, slice: &Slice) -> Option<ServerId> {
         let accepts = |next: &ServerId| self.servers.get(next).is_some_and(Server::accepts);
         let next = slice.phase.next_owner().filter(accepts);
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Gives a slice to a server under a new token.
+    /// Assigns a slice to a server under a new token.
     pub(super) fn assign(
         &mut self,
         range: PositionRange,
@@ -313,8 +314,8 @@
         }
     }
 
-    /// Ends a planned move; a next owner that takes no slices any more leaves
-    /// the slice ownerless.
+    /// Completes a planned move. If the next owner no longer accepts slices, the slice has
+    /// no owner.
     fn released(
         &mut self,
         range: PositionRange,
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Notes that a server's slice set changed.
+    /// Records that a server's slice set changed.
     pub(super) fn mark_changed(&mut self, server: Option<ServerId>, token: FencingToken) {
         let server = server.and_then(|id| self.servers.get_mut(&id));
         if let Some(server) = server {
--- a/crates/ledgelead-replication/src/following.rs
+++ b/crates/ledgelead-replication/src/following.rs
@@ -1,4 +1,4 @@
-//! What a replica does with its leader's messages.
+//! The follower: handling of the leader's messages.
 
 use crate::log::{Log, Snapshot};
 use crate::message::*;
@@ -9,11 +9,11 @@
 
 impl Replica {
     pub(crate) fn handle_append(&mut self, from: Member, term: Term, append: Append) {
-        if !self.hear_leader(from, term, append.sent) {
+        if !self.accept_leader(from, term, append.sent) {
             return;
         }
         if let Some(delegation) = append.delegation {
-            self.take_delegation(delegation);
+            self.record_delegation(delegation);
         }
         let reply = AppendReply {
             sent: append.sent,
@@ -25,28 +25,28 @@
     }
 
     pub(crate) fn handle_install(&mut self, from: Member, term: Term, install: Install) {
-        if !self.hear_leader(from, term, install.sent) {
+        if !self.accept_leader(from, term, install.sent) {
             return;
         }
         let sent = install.sent;
         let agrees = self.log.term_at(install.revision) == Some(install.revision_term);
         if self.has_state && agrees {
-            // The entries behind may be acknowledged already: a snapshot that
-            // was delayed must not drop them.
+            // The entries after the snapshot may be acknowledged already, so a delayed
+            // snapshot must not drop them.
             self.commit_to(install.revision);
         } else if !self.has_state || install.revision > self.commit {
             self.install(install);
         }
         let revision = self.commit;
         let outcome = AppendOutcome::Matched(Matched { revision });
-        self.answer(from, sent, outcome);
+        self.send_append_reply(from, sent, outcome);
     }
 
-    /// Takes the sender for the leader of its term, unless the term has
-    /// passed, and renews the promise to it. Returns whether it leads.
-    fn hear_leader(&mut self, from: Member, term: Term, sent: Time) -> bool {
+    /// Follows the sender as the leader of its term and renews the promise to it, unless
+    /// the term is stale. Returns whether the sender is the leader.
+    fn accept_leader(&mut self, from: Member, term: Term, sent: Time) -> bool {
         if term < self.term {
-            self.answer(from, sent, AppendOutcome::TermPassed);
+            self.send_append_reply(from, sent, AppendOutcome::StaleTerm);
             return false;
         }
         let leads_itself = matches!(self.state, State::Leader(_)) && term == self.term;
@@ -64,9 +64,9 @@
         true
     }
 
-    /// The delegation runs from this replica's own stamp. No honest leader's
-    /// authority reaches further than a promise from now.
-    fn take_delegation(&mut self, delegation: Delegation) {
+    /// Records a delegation. It counts from a timestamp of this replica's own clock. The
+    /// authority of a correct leader never extends beyond [`LEADER_LEASE`] from now.
+    fn record_delegation(&mut self, delegation: Delegation) {
         if delegation.stamp > self.now {
             return;
         }
@@ -75,7 +75,7 @@
         self.delegated_until = self.delegated_until.max(until);
     }
 
-    fn answer(&mut self, leader: Member, sent: Time, outcome: AppendOutcome) {
+    fn send_append_reply(&mut self, leader: Member, sent: Time, outcome: AppendOutcome) {
         let stamp = self.now;
         let reply = AppendReply {
             sent,
@@ -94,8 +94,8 @@
         let snapshot = self.log.snapshot().revision;
         let agrees = self.log.agreement_at(previous) == Some(append.previous_term);
         if !agrees && previous == Revision(0) && self.log.last_revision() == previous {
-            // This replica started from another state than its leader, as one
-            // does that came to know its epoch late.
+            // This replica started from a different state than its leader. This happens
+            // when it learns of its epoch late, with a later snapshot.
             self.has_state = false;
             return AppendOutcome::NeedsSnapshot;
         }
@@ -105,7 +105,7 @@
         let mut revision = previous;
         for entry in append.entries {
             revision = Revision(revision.0.saturating_add(1));
-            if !self.take_entry(revision, entry) {
+            if !self.store_entry(revision, entry) {
                 return self.mismatch(previous);
             }
         }
@@ -114,9 +114,9 @@
         AppendOutcome::Matched(Matched { revision: agreed })
     }
 
-    /// Puts one entry in its place and drops what conflicts with it. Returns
-    /// whether it is in place.
-    fn take_entry(&mut self, revision: Revision, entry: Entry) -> bool {
+    /// Stores an entry at its position and drops conflicting entries. Returns whether the
+    /// log now holds the entry.
+    fn store_entry(&mut self, revision: Revision, entry: Entry) -> bool {
         if revision <= self.log.snapshot().revision {
             return true;
         }
@@ -131,8 +131,8 @@
         self.log.append(entry) == revision
     }
 
-    /// Names the last position that may agree: before the whole run of the
-    /// conflicting term, but not before what is committed.
+    /// Reports the last position that may agree: just before the consecutive entries of the
+    /// conflicting term, but not before the commit position.
     fn mismatch(&self, previous: Revision) -> AppendOutcome {
         let last = self.log.last_revision();
         let hint = if previous > last {
@@ -152,7 +152,7 @@
         self.log = Log::new(snapshot, install.membership.clone());
         self.has_state = true;
         self.commit = install.revision;
-        self.handed_out = install.revision;
+        self.delivered = install.revision;
         self.installed = Some(InstalledState {
             revision: install.revision,
             membership: install.membership,
@@ -160,7 +160,7 @@
         });
     }
 
-    /// Moves the commit position forward.
+    /// Advances the commit position.
     pub(crate) fn commit_to(&mut self, revision: Revision) {
         self.commit = self.commit.max(revision.min(self.log.last_revision()));
     }
--- a/crates/ledgelead-request/src/dispatcher/acquire.rs
+++ b/crates/ledgelead-request/src/dispatcher/acquire.rs
@@ -1,40 +1,41 @@
-//! A gateway's wish for a permit: repeats, changed ownership, records of
-//! idempotency keys, then admission.
+//! Handles a gateway's permit request: resends, changed ownership, idempotency records, then
+//! admission.
 
 use super::queue::QueueKey;
 use super::{Dispatcher, PermitKey};
-use crate::message::{Acquire, DispatchReply, Wanted};
+use crate::message::{Acquire, DispatchReply, ServerSelector};
 use ledgelead_types::protections::Protection;
 use ledgelead_types::{NotRunReason, Span, Time};
 
 impl Dispatcher {
     pub(super) fn acquire(&mut self, now: Time, key: PermitKey, acquire: Acquire) {
-        if self.repeat_reply(key) {
+        if self.reply_again(key) {
             return;
         }
-        if !self.is_in_care(&acquire) {
+        if !self.is_dispatched_here(&acquire) {
             self.reply_moved(key);
             return;
         }
-        if let Wanted::Owner { claim, .. } = acquire.wanted {
+        if let ServerSelector::Owner { claim, .. } = acquire.selector {
             self.slice_loads.count(acquire.group, claim.position, now);
         }
-        match acquire.once {
-            Some(once) if self.protections.has(Protection::IdempotencyRecord) => {
-                self.begin_once(now, key, acquire, once);
+        match acquire.idempotency_key {
+            Some(idempotency_key) if self.protections.has(Protection::IdempotencyRecord) => {
+                self.begin_record(now, key, acquire, idempotency_key);
             }
             _ => self.admit(now, key, acquire, now),
         }
     }
 
-    /// Answers a wish that is known already as before.
-    fn repeat_reply(&mut self, key: PermitKey) -> bool {
+    /// Repeats the reply to a permit request that is already known; returns whether it was
+    /// known.
+    fn reply_again(&mut self, key: PermitKey) -> bool {
         if let Some(permit) = self.permits.get(&key) {
             let (server, waited) = (permit.server, permit.waited);
             self.reply_permit(key, server, waited);
             return true;
         }
-        let waits = self.waiting.contains_key(&key) || self.begins(key);
+        let waits = self.waiting.contains_key(&key) || self.awaits_record(key);
         if waits {
             self.reply(
                 key.gateway,
@@ -47,15 +48,15 @@
         waits
     }
 
-    /// Whether the server is dispatched here and, as far as this node knows,
-    /// still owns the slice.
-    pub(super) fn is_in_care(&self, acquire: &Acquire) -> bool {
-        match acquire.wanted {
-            Wanted::Any { .. } => self
+    /// Whether this node dispatches the server and, as far as it knows, the server still
+    /// owns the slice.
+    pub(super) fn is_dispatched_here(&self, acquire: &Acquire) -> bool {
+        match acquire.selector {
+            ServerSelector::Any { .. } => self
                 .pools
                 .get(&acquire.group)
                 .is_some_and(|servers| !servers.is_empty()),
-            Wanted::Owner { server, claim } => {
+            ServerSelector::Owner { server, claim } => {
                 let here = self
                     .servers
                     .get(&server)
@@ -114,7 +115,7 @@
         );
     }
 
-    /// Takes a waiting wish out, if it waits.
+    /// Removes a waiting permit request from its queue, if it is waiting.
     pub(super) fn take_waiting(&mut self, key: PermitKey) -> Option<QueueKey> {
         let waiting = self.waiting.remove(&key)?;
         self.timers.clear(super::TimerKey::Waiting(key));
--- a/crates/ledgelead-request/src/gateway/evidence.rs
+++ b/crates/ledgelead-request/src/gateway/evidence.rs
@@ -1,26 +1,25 @@
-//! What the end of an attempt proves, and what may be done then.
+//! Derives from the result of an attempt whether the request was run, and what may follow.
 //!
-//! Invariant: a request that may not be repeated is sent again only after
-//! evidence that it was not run. Without this rule a lost answer makes an
-//! application or a commission run twice.
+//! Invariant: a request that is not repeatable is retried only after evidence that it was
+//! not run. Otherwise a lost answer would run its side effects twice.
 
 use ledgelead_types::protections::{Protection, Protections};
 use ledgelead_types::server::{AttemptResult, ServerRefusal};
 use ledgelead_types::{NotRunReason, Span, Time, UnknownReason};
 
-/// Failures in a row from which a server is reported.
-const FAILURES_REPORTED: u32 = 3;
+/// Consecutive failures after which a server is reported.
+const FAILURES_BEFORE_REPORT: u32 = 3;
 
-/// Least time between two reports of the same server.
+/// Minimum time between two reports of the same server.
 pub const EVIDENCE_INTERVAL: Span = Span::from_millis(100);
 
-/// Why a request is sent again.
+/// Why a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryCause {
-    /// The server refused because ownership or its status has changed: wait
-    /// for new routes. Takes nothing from the retry budget.
+    /// The server refused because ownership or its status has changed: wait for new routes.
+    /// Does not use the retry budget.
     Relocate,
-    /// The server had no room, or no connection came about.
+    /// The server had no free slot, or no connection could be established.
     NotStarted(NotRunReason),
     /// The attempt may have run; the request is repeatable.
     MaybeRun(UnknownReason),
@@ -28,54 +27,62 @@
 
 /// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// Pass the answer on whole.
-    PassOn,
-    /// Send the request again, while budget and deadline allow.
-    SendAgain(RetryCause),
-    /// It was not run, and sending it again is of no use.
+pub(super) enum AttemptOutcome {
+    /// Deliver the answer to the caller.
+    ForwardAnswer,
+    /// Retry the request while budget and deadline allow it.
+    Retry(RetryCause),
+    /// The request was not run, and a retry would not help.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
-/// The evidence rule: what an attempt's end proves of a request.
-pub(super) fn judge(result: AttemptResult, repeatable: bool, protections: Protections) -> Verdict {
+/// Decides what follows from an attempt's result.
+pub(super) fn classify_result(
+    result: AttemptResult,
+    repeatable: bool,
+    protections: Protections,
+) -> AttemptOutcome {
     match result {
-        AttemptResult::Answered { .. } => Verdict::PassOn,
+        AttemptResult::Answered { .. } => AttemptOutcome::ForwardAnswer,
         AttemptResult::NotSent => {
-            Verdict::SendAgain(RetryCause::NotStarted(NotRunReason::NoServer))
+            AttemptOutcome::Retry(RetryCause::NotStarted(NotRunReason::NoServer))
         }
-        AttemptResult::Refused(refusal) => judge_refusal(refusal),
+        AttemptResult::Refused(refusal) => classify_refusal(refusal),
         AttemptResult::Lost => {
-            judge_maybe_run(UnknownReason::ConnectionLost, repeatable, protections)
+            classify_possibly_run(UnknownReason::ConnectionLost, repeatable, protections)
         }
         AttemptResult::BadAnswer => {
-            judge_maybe_run(UnknownReason::BadAnswer, repeatable, protections)
+            classify_possibly_run(UnknownReason::BadAnswer, repeatable, protections)
         }
     }
 }
 
-fn judge_refusal(refusal: ServerRefusal) -> Verdict {
+fn classify_refusal(refusal: ServerRefusal) -> AttemptOutcome {
     match refusal {
         ServerRefusal::NotOwner | ServerRefusal::LeaseExpired | ServerRefusal::Draining => {
-            Verdict::SendAgain(RetryCause::Relocate)
+            AttemptOutcome::Retry(RetryCause::Relocate)
         }
         ServerRefusal::Busy | ServerRefusal::Cancelled => {
-            Verdict::SendAgain(RetryCause::NotStarted(NotRunReason::Overloaded))
+            AttemptOutcome::Retry(RetryCause::NotStarted(NotRunReason::Overloaded))
         }
-        ServerRefusal::DeadlinePassed => Verdict::NotRun(NotRunReason::DeadlineTooClose),
+        ServerRefusal::DeadlinePassed => AttemptOutcome::NotRun(NotRunReason::DeadlineTooClose),
     }
 }
 
-fn judge_maybe_run(reason: UnknownReason, repeatable: bool, protections: Protections) -> Verdict {
+fn classify_possibly_run(
+    reason: UnknownReason,
+    repeatable: bool,
+    protections: Protections,
+) -> AttemptOutcome {
     if repeatable || !protections.has(Protection::UnknownNotRetried) {
-        return Verdict::SendAgain(RetryCause::MaybeRun(reason));
+        return AttemptOutcome::Retry(RetryCause::MaybeRun(reason));
     }
-    Verdict::Unknown(reason)
+    AttemptOutcome::Unknown(reason)
 }
 
-/// Whether the end of an attempt speaks against its server.
+/// Whether the result counts as a failure of the server.
 pub(super) fn is_server_failure(result: AttemptResult) -> bool {
     match result {
         AttemptResult::Answered { failure } => failure,
@@ -84,7 +91,7 @@
     }
 }
 
-/// A server's failures in a row, as this gateway saw them.
+/// Consecutive failures of a server, as observed by this gateway.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FailureCount {
     failures: u32,
@@ -92,17 +99,17 @@
 }
 
 impl FailureCount {
-    /// Takes an attempt's end in; the failures to be reported, if any.
+    /// Records an attempt's result; returns the number of failures if a report is due.
     pub(super) fn observe(&mut self, now: Time, failed: bool) -> Option<u32> {
         if !failed {
             self.failures = 0;
             return None;
         }
         self.failures = self.failures.saturating_add(1);
-        let lately = self
+        let reported_recently = self
             .reported
             .is_some_and(|reported| now.since(reported) < EVIDENCE_INTERVAL);
-        if self.failures < FAILURES_REPORTED || lately {
+        if self.failures < FAILURES_BEFORE_REPORT || reported_recently {
             return None;
         }
         self.reported = Some(now);
--- a/crates/ledgelead-request/src/gateway/locate.rs
+++ b/crates/ledgelead-request/src/gateway/locate.rs
@@ -1,58 +1,61 @@
-//! Locate: group, slice, owner, token and dispatcher of a request; and what
-//! new routes change.
+//! Determines group, slice, owner, fencing token and dispatcher of a request, and reacts to
+//! new routes.
 
 use super::Gateway;
-use super::request::{ActiveRequest, Search, Stage, Target};
-use crate::message::{DispatchRequest, Wanted};
+use super::request::{ActiveRequest, PermitSearch, SearchStage, Target};
+use crate::message::{DispatchRequest, ServerSelector};
 use ledgelead_types::request::OwnershipClaim;
 use ledgelead_types::routes::GroupRoutes;
 use ledgelead_types::{GroupId, NodeId, RequestId, Span, Time};
 use rand::RngExt;
 use std::sync::Arc;
 
-/// First and longest wait between two attempts to locate a held request. New
-/// routes end the wait, so it matters only when a refusal came before them.
-const FIRST_HOLD_WAIT: Span = Span::from_millis(10);
-const LONGEST_HOLD_WAIT: Span = Span::from_millis(100);
+/// First and longest delay between two attempts to locate a held request. New routes end the
+/// delay early, so it only matters when a refusal arrives before the routes it refers to.
+const MIN_HOLD_WAIT: Span = Span::from_millis(10);
+const MAX_HOLD_WAIT: Span = Span::from_millis(100);
 
-/// Where to ask for a permit.
+/// The dispatcher to ask for a permit, and the servers to ask for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Location {
     pub(super) group: GroupId,
     pub(super) dispatcher: NodeId,
-    pub(super) wanted: Wanted,
+    pub(super) selector: ServerSelector,
 }
 
 impl Gateway {
-    /// Starts a search, or takes a waiting one up again.
+    /// Starts a search for a permit, or continues a waiting one.
     pub(super) fn locate(&mut self, now: Time, id: RequestId) {
         self.locate_avoiding(now, id, None);
     }
 
-    /// As [`Gateway::locate`], away from a dispatcher that is silent.
-    pub(super) fn locate_avoiding(&mut self, now: Time, id: RequestId, silent: Option<NodeId>) {
+    /// Like [`Gateway::locate`], but avoids a dispatcher that does not reply.
+    pub(super) fn locate_avoiding(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        avoid_dispatcher: Option<NodeId>,
+    ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let (target, service, avoid) = (request.target, request.service, request.avoid);
         let location = match target {
             Target::Key { group, position } => self.locate_owner(group, position),
-            Target::Group(group) => {
-                self.choose_dispatcher(service, Some(group), silent)
-                    .map(|(group, dispatcher)| Location {
-                        group,
-                        dispatcher,
-                        wanted: Wanted::Any { avoid },
-                    })
-            }
-            Target::Service => {
-                self.choose_dispatcher(service, None, silent)
-                    .map(|(group, dispatcher)| Location {
-                        group,
-                        dispatcher,
-                        wanted: Wanted::Any { avoid },
-                    })
-            }
+            Target::Group(group) => self
+                .choose_dispatcher(service, Some(group), avoid_dispatcher)
+                .map(|(group, dispatcher)| Location {
+                    group,
+                    dispatcher,
+                    selector: ServerSelector::Any { avoid },
+                }),
+            Target::Service => self.choose_dispatcher(service, None, avoid_dispatcher).map(
+                |(group, dispatcher)| Location {
+                    group,
+                    dispatcher,
+                    selector: ServerSelector::Any { avoid },
+                },
+            ),
         };
         match location {
             Some(location) => self.acquire(now, id, location),
@@ -71,7 +74,7 @@
         Some(Location {
             group,
             dispatcher: route.dispatcher,
-            wanted: Wanted::Owner {
+            selector: ServerSelector::Owner {
                 server,
                 claim: OwnershipClaim {
                     position,
@@ -81,13 +84,13 @@
         })
     }
 
-    /// A dispatcher in proportion to the active servers in its care. With one
-    /// dispatcher for the group there is no choice to make.
+    /// Picks a dispatcher with a probability proportional to its active servers. A group
+    /// with a single dispatcher leaves no choice.
     fn choose_dispatcher(
         &mut self,
         service: ledgelead_types::ServiceId,
         group: Option<GroupId>,
-        silent: Option<NodeId>,
+        avoid_dispatcher: Option<NodeId>,
     ) -> Option<(GroupId, NodeId)> {
         let candidates = self.directory.candidates(service);
         if candidates.is_empty() {
@@ -100,9 +103,9 @@
         };
         let mut fitting = in_order.filter(fits);
         let first = fitting.next()?;
-        let chosen = if Some(first.dispatcher) == silent {
+        let chosen = if Some(first.dispatcher) == avoid_dispatcher {
             fitting
-                .find(|candidate| Some(candidate.dispatcher) != silent)
+                .find(|candidate| Some(candidate.dispatcher) != avoid_dispatcher)
                 .unwrap_or(first)
         } else {
             first
@@ -110,8 +113,8 @@
         Some((chosen.group, chosen.dispatcher))
     }
 
-    /// Waits, for a bounded time, for an owner, a dispatcher or a server that
-    /// takes the request.
+    /// Holds the request, for a bounded time, until an owner, a dispatcher or a server can
+    /// take it.
     pub(super) fn hold(&mut self, now: Time, id: RequestId) {
         let jitter: f64 = self.random.random_range(0.5..1.0);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -122,20 +125,20 @@
             return;
         }
         request.held_since.get_or_insert(now);
-        let doubled = FIRST_HOLD_WAIT.times(f64::from(1_u32 << request.holds.min(4)));
+        let doubled = MIN_HOLD_WAIT.times(f64::from(1_u32 << request.holds.min(4)));
         request.holds = request.holds.saturating_add(1);
-        let wait = doubled.min(LONGEST_HOLD_WAIT).times(jitter);
-        request.search = Some(Search {
+        let wait = doubled.min(MAX_HOLD_WAIT).times(jitter);
+        request.search = Some(PermitSearch {
             number: request.last_number,
             hedge: false,
-            stage: Stage::Waiting {
+            stage: SearchStage::Waiting {
                 retry_at: now + wait,
                 wake_on_routes: true,
             },
         });
     }
 
-    /// Takes new routes and sends the searches that they concern elsewhere.
+    /// Applies new routes and redirects the searches that they affect.
     pub(super) fn routes_changed(&mut self, now: Time, routes: Arc<GroupRoutes>) {
         let group = routes.group;
         let service = group.service;
@@ -167,18 +170,18 @@
             return;
         };
         match search.stage {
-            Stage::Waiting { wake_on_routes, .. } => {
+            SearchStage::Waiting { wake_on_routes, .. } => {
                 if wake_on_routes {
                     self.locate(now, id);
                 }
             }
-            Stage::Acquiring(acquiring) => {
-                let asked = Location {
+            SearchStage::Acquiring(acquiring) => {
+                let location = Location {
                     group: acquiring.group,
                     dispatcher: acquiring.dispatcher,
-                    wanted: acquiring.wanted,
+                    selector: acquiring.selector,
                 };
-                if self.is_current(request, &asked) {
+                if self.is_current(request, &location) {
                     return;
                 }
                 self.withdraw(id);
@@ -187,30 +190,30 @@
         }
     }
 
-    /// Whether the routes still lead where the request was sent.
-    fn is_current(&self, request: &ActiveRequest, asked: &Location) -> bool {
+    /// Whether the current routes still lead to the location that was asked.
+    fn is_current(&self, request: &ActiveRequest, location: &Location) -> bool {
         match request.target {
             Target::Key { group, position } => {
-                self.locate_owner(group, position).as_ref() == Some(asked)
+                self.locate_owner(group, position).as_ref() == Some(location)
             }
             Target::Group(_) | Target::Service => self
                 .directory
                 .candidates(request.service)
                 .iter()
                 .any(|candidate| {
-                    candidate.group == asked.group && candidate.dispatcher == asked.dispatcher
+                    candidate.group == location.group && candidate.dispatcher == location.dispatcher
                 }),
         }
     }
 
-    /// Takes back the wish that a search has sent.
+    /// Withdraws the permit request that a search has sent.
     pub(super) fn withdraw(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let Some(Search {
+        let Some(PermitSearch {
             number,
-            stage: Stage::Acquiring(acquiring),
+            stage: SearchStage::Acquiring(acquiring),
             ..
         }) = request.search
         else {
