--- a/crates/ledgelead-configuration/tests/common/mod.rs
+++ b/crates/ledgelead-configuration/tests/common/mod.rs
@@ -79,8 +79,8 @@
     }
 
     fn swap(&mut self, name: &Text, expected: ObjectVersion, value: &Bytes) -> PlatformReply {
-        let held = self.objects.get(name).map(|(version, _)| *version);
-        let version = held.unwrap_or_default();
+        let existing = self.objects.get(name).map(|(version, _)| *version);
+        let version = existing.unwrap_or_default();
         if version != expected {
             return PlatformReply::Conflict { version };
         }
--- a/crates/ledgelead-configuration/tests/configuration_manager.rs
+++ b/crates/ledgelead-configuration/tests/configuration_manager.rs
@@ -25,8 +25,8 @@
 
 fn store() -> Platform {
     let mut platform = Platform::default();
-    let held = (ObjectVersion(1), encode_configuration(&configuration()));
-    platform.objects.insert(CONFIGURATION_OBJECT.into(), held);
+    let object = (ObjectVersion(1), encode_configuration(&configuration()));
+    platform.objects.insert(CONFIGURATION_OBJECT.into(), object);
     platform
 }
 
@@ -106,34 +106,34 @@
 #[gtest]
 fn of_two_racing_commands_one_is_rejected_with_the_present_version() {
     let mut platform = store();
-    let relying = |id: &str, zone_id: u16| AdministrationCommand {
+    let conditional = |id: &str, zone_id: u16| AdministrationCommand {
         if_version: Some(ConfigurationVersion(1)),
         ..command(id, ConfigurationChange::CreateZone(zone(zone_id)))
     };
-    let mut one = CommandRun::begin(manager(1), relying("a", 8));
-    let mut two = CommandRun::begin(manager(2), relying("b", 9));
+    let mut first = CommandRun::begin(manager(1), conditional("a", 8));
+    let mut second = CommandRun::begin(manager(2), conditional("b", 9));
     for _ in 0..2 {
-        one.advance(&mut platform, CallOutcome::Answered);
-        two.advance(&mut platform, CallOutcome::Answered);
+        first.advance(&mut platform, CallOutcome::Answered);
+        second.advance(&mut platform, CallOutcome::Answered);
     }
-    two.advance(&mut platform, CallOutcome::Answered);
+    second.advance(&mut platform, CallOutcome::Answered);
     let accepted = CommandResult::Configured {
         version: ConfigurationVersion(2),
         repeated: false,
     };
     let present = ConfigurationVersion(2);
     let refused = CommandResult::Rejected(CommandRejection::VersionMismatch { present });
-    expect_that!(one.result, some(eq(&accepted)));
-    expect_that!(two.result, some(eq(&refused)));
+    expect_that!(first.result, some(eq(&accepted)));
+    expect_that!(second.result, some(eq(&refused)));
     expect_that!(stored(&platform).zones.len(), eq(4));
 }
 
 #[gtest]
 fn repeated_command_takes_effect_once() {
     let mut platform = store();
-    let wanted = command("a", ConfigurationChange::CreateZone(zone(8)));
-    execute(&mut platform, wanted.clone(), &[]);
-    let result = execute(&mut platform, wanted, &[]);
+    let create_zone = command("a", ConfigurationChange::CreateZone(zone(8)));
+    execute(&mut platform, create_zone.clone(), &[]);
+    let result = execute(&mut platform, create_zone, &[]);
     let repeated = CommandResult::Configured {
         version: ConfigurationVersion(2),
         repeated: true,
@@ -143,8 +143,8 @@
 
 #[gtest]
 fn platform_outage_is_reported_at_once() {
-    let wanted = command("a", ConfigurationChange::CreateZone(zone(8)));
-    let result = execute(&mut store(), wanted, &[CallOutcome::Unavailable]);
+    let create_zone = command("a", ConfigurationChange::CreateZone(zone(8)));
+    let result = execute(&mut store(), create_zone, &[CallOutcome::Unavailable]);
     let rejection = CommandRejection::PlatformUnavailable;
     expect_that!(result, eq(&CommandResult::Rejected(rejection)));
 }
@@ -164,10 +164,10 @@
         schedule in prop::collection::vec((any::<bool>(), any_outcome()), 0..24),
     ) {
         let mut platform = store();
-        let wanted = |id: &str, zone_id| command(id, ConfigurationChange::CreateZone(zone(zone_id)));
+        let create_zone = |id: &str, zone_id| command(id, ConfigurationChange::CreateZone(zone(zone_id)));
         let mut runs = [
-            CommandRun::begin(manager(1), wanted("a", 8)),
-            CommandRun::begin(manager(2), wanted("b", 9)),
+            CommandRun::begin(manager(1), create_zone("a", 8)),
+            CommandRun::begin(manager(2), create_zone("b", 9)),
         ];
         for (second, outcome) in schedule {
             let run = &mut runs[usize::from(second)];
@@ -225,8 +225,8 @@
             }
         }
         if published.len() == 1 && stored(&platform).version.0 == 1 {
-            let wanted = command("a", ConfigurationChange::CreateZone(zone(8)));
-            execute(&mut platform, wanted, &[]);
+            let create_zone = command("a", ConfigurationChange::CreateZone(zone(8)));
+            execute(&mut platform, create_zone, &[]);
         }
     }
     let versions = vec![ConfigurationVersion(1), ConfigurationVersion(2)];
@@ -238,7 +238,7 @@
 }
 
 #[gtest]
-fn invalid_object_is_refused_and_the_held_one_stays() {
+fn invalid_object_is_rejected_and_the_current_one_stays() {
     let mut platform = store();
     let bad = (ObjectVersion(9), ledgelead_types::Bytes(b"{}x".to_vec()));
     platform
--- a/crates/ledgelead-configuration/tests/group_manager.rs
+++ b/crates/ledgelead-configuration/tests/group_manager.rs
@@ -101,8 +101,8 @@
 
 fn store(platform: &mut Platform, record: &GroupRecord) {
     let name = group_object(GROUP);
-    let held = platform.objects.get(&name);
-    let version = ObjectVersion(held.map_or(1, |held| held.0.0 + 1));
+    let existing = platform.objects.get(&name);
+    let version = ObjectVersion(existing.map_or(1, |existing| existing.0.0 + 1));
     let value = Bytes(encode(record));
     platform.objects.insert(name, (version, value));
 }
--- a/crates/ledgelead-query/src/authority.rs
+++ b/crates/ledgelead-query/src/authority.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// If the role permits queries only.
-pub fn may_give_commands(operator: &OperatorConfiguration) -> Result<(), Forbidden> {
+pub fn may_run_commands(operator: &OperatorConfiguration) -> Result<(), Forbidden> {
     require_role(operator, OperatorRole::Operate)
 }
 
--- a/crates/ledgelead-query/src/explain/operation.rs
+++ b/crates/ledgelead-query/src/explain/operation.rs
@@ -140,16 +140,17 @@
         }
     }
 
-    /// Of the servers that accept slices, the one with the lowest load per slot.
+    /// Of the servers that accept slices, the one with the lowest load per slot. For a
+    /// server without a known load its share of the keys is used.
     fn least_loaded(&self) -> Option<ServerId> {
-        let weight = |portion: &ServerPortion| {
+        let relative_load = |portion: &ServerPortion| {
             let load = portion.rate.unwrap_or(portion.share);
             load / f64::from(portion.slots.max(1))
         };
         self.after
             .iter()
             .filter(|(_, portion)| portion.accepts_slices)
-            .min_by(|left, right| weight(left.1).total_cmp(&weight(right.1)))
+            .min_by(|left, right| relative_load(left.1).total_cmp(&relative_load(right.1)))
             .map(|(server, _)| *server)
     }
 
--- a/crates/ledgelead-query/src/lib.rs
+++ b/crates/ledgelead-query/src/lib.rs
@@ -22,7 +22,7 @@
 mod tree;
 
 pub use answer::{answer, plan};
-pub use authority::{Forbidden, may_command, may_give_commands, may_query};
+pub use authority::{Forbidden, may_command, may_query, may_run_commands};
 pub use cell::Cell;
 pub use finding::{Finding, Findings};
 pub use located::{Located, TextRange};
--- a/crates/ledgelead-query/src/session.rs
+++ b/crates/ledgelead-query/src/session.rs
@@ -4,7 +4,7 @@
 //! wait until an accepted change is in force.
 
 use crate::answer::{answer, plan};
-use crate::authority::{Forbidden, may_command, may_give_commands, may_query};
+use crate::authority::{Forbidden, may_command, may_query, may_run_commands};
 use crate::finding::Findings;
 use crate::lower::{Plan, PlannedOperation};
 use crate::table::Table;
@@ -170,13 +170,13 @@
     if request.id.is_empty() || request.id.len() > MAX_IDENTIFIER_BYTES {
         return Err(Refusal::BadIdentifier);
     }
-    may_give_commands(operator)?;
+    may_run_commands(operator)?;
     let mut run = CommandRun {
         request,
         operator,
         deployment,
     };
-    run.carry_out()
+    run.execute()
 }
 
 struct CommandRun<'a, D> {
@@ -186,7 +186,7 @@
 }
 
 impl<D: Deployment> CommandRun<'_, D> {
-    fn carry_out(&mut self) -> Result<Accepted, Refusal> {
+    fn execute(&mut self) -> Result<Accepted, Refusal> {
         let mut min_version = self.request.if_version;
         for _ in 0..MAX_ATTEMPTS {
             let view = self.view_at_least(min_version)?;
