--- a/crates/ledgelead-router/tests/change_lists.rs
+++ b/crates/ledgelead-router/tests/change_lists.rs
@@ -32,9 +32,9 @@
 enum Step {
     /// An entry of the store is written.
     Write(u16, Entry),
-    /// The coordinator sends all changes of this many revisions.
+    /// The coordinator sends the changes of the last revisions, this many.
     SendChanges(u64),
-    /// A part in transit arrives; the number selects one.
+    /// One of the parts in transit arrives, selected by this number.
     Arrive(usize),
     /// A part in transit is lost.
     Lose(usize),
@@ -53,7 +53,7 @@
         Just(Entry::Draining)
     ];
     prop_oneof![
-        4 => (0..INSTANCES, entry).prop_map(|(place, entry)| Step::Write(place, entry)),
+        4 => (0..INSTANCES, entry).prop_map(|(number, entry)| Step::Write(number, entry)),
         3 => (1..6u64).prop_map(Step::SendChanges),
         6 => (0..100usize).prop_map(Step::Arrive),
         1 => (0..100usize).prop_map(Step::Lose),
@@ -115,15 +115,15 @@
     }
 }
 
-fn id(place: u16) -> InstanceId {
-    InstanceId::from(format!("i-{place}").as_str())
+fn id(number: u16) -> InstanceId {
+    InstanceId::from(format!("i-{number}").as_str())
 }
 
-fn record((place, entry): Change) -> InstanceRecord {
+fn record((number, entry): Change) -> InstanceRecord {
     InstanceRecord {
-        id: id(place),
+        id: id(number),
         service: ServiceName::from("s"),
-        address: ([10, 0, 0, 1], 100 + place).into(),
+        address: ([10, 0, 0, 1], 100 + number).into(),
         zone: ZoneName::from("z"),
         slots: 2,
         draining: entry == Entry::Draining,
@@ -191,7 +191,7 @@
             }
             WatchChange::Events(events) => {
                 for event in events {
-                    let place = event.object.name[2..]
+                    let number = event.object.name[2..]
                         .parse()
                         .expect("an instance's number");
                     let entry = match event.object.content {
@@ -199,14 +199,14 @@
                         Ok(ObjectContent::Instance(record)) if record.draining => Entry::Draining,
                         _ => Entry::Serving,
                     };
-                    self.apply((place, entry), now);
+                    self.apply((number, entry), now);
                 }
             }
         }
     }
 
-    fn entry(&self, place: u16) -> Entry {
-        match self.directory.get(&id(place)).map(|known| known.presence) {
+    fn entry(&self, number: u16) -> Entry {
+        match self.directory.get(&id(number)).map(|known| known.presence) {
             Some(Presence::Serving) => Entry::Serving,
             Some(Presence::Draining { .. }) => Entry::Draining,
             Some(Presence::Gone { .. }) | None => Entry::Gone,
@@ -249,7 +249,7 @@
         for step in steps {
             now += Duration::from_millis(1_500);
             match step {
-                Step::Write(place, entry) => store.history.push((place, entry)),
+                Step::Write(number, entry) => store.history.push((number, entry)),
                 Step::SendChanges(back) => {
                     let revision = store.revision();
                     let base = revision.saturating_sub(back);
@@ -278,17 +278,17 @@
                 Step::CompactHistory => store.compacted = store.revision(),
             }
             if let Some(known) = view.watcher.revision() {
-                let held = store.entries_at(known);
-                for place in 0..INSTANCES {
-                    let expected = held.get(&place).copied().unwrap_or(Entry::Gone);
-                    prop_assert_eq!(view.entry(place), expected, "instance {} at {}", place, known);
+                let stored = store.entries_at(known);
+                for number in 0..INSTANCES {
+                    let expected = stored.get(&number).copied().unwrap_or(Entry::Gone);
+                    prop_assert_eq!(view.entry(number), expected, "instance {} at {}", number, known);
                 }
             }
         }
     }
 
     #[test]
-    fn a_list_is_whole_or_nothing(
+    fn a_list_is_assembled_only_from_all_of_its_parts(
         count in 1..12u8,
         order in proptest::collection::vec(0..12u8, 0..40),
     ) {
@@ -302,8 +302,8 @@
                 continue;
             }
             arrived.insert(part);
-            let whole = arrived.len() == usize::from(count);
-            prop_assert_eq!(list.is_some(), whole);
+            let is_complete = arrived.len() == usize::from(count);
+            prop_assert_eq!(list.is_some(), is_complete);
             if let Some(list) = list {
                 prop_assert_eq!(list.into_changes(), (0..count).collect::<Vec<_>>());
                 arrived.clear();
--- a/crates/ledgelead-router/tests/cold_start.rs
+++ b/crates/ledgelead-router/tests/cold_start.rs
@@ -14,7 +14,7 @@
 const RATE: f64 = 4.2;
 /// Maximum number of requests to one cold instance in a second, over all nodes: `RATE` times
 /// the allowed overage, plus the slack.
-const MOST: usize = 14;
+const MAX_PER_SECOND: usize = 14;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -113,7 +113,7 @@
     sent
 }
 
-fn most_in_a_second(sent: &[Duration]) -> usize {
+fn max_in_a_second(sent: &[Duration]) -> usize {
     let within = |from: &Duration| {
         let in_span = |at: &&Duration| *from <= **at && **at < *from + ms(1_000);
         sent.iter().filter(in_span).count()
@@ -140,7 +140,7 @@
         let misses = |node: usize, other: usize| (node * 31 + other * 17 + salt).is_multiple_of(7);
         let mut senders = senders(nodes, zones, misses);
         let sent = sent_in_three_seconds(&mut senders, instance);
-        prop_assert!(most_in_a_second(&sent) <= MOST);
+        prop_assert!(max_in_a_second(&sent) <= MAX_PER_SECOND);
     }
 }
 
@@ -150,12 +150,12 @@
     let instance = directory.get(&InstanceId::from("i")).expect("known");
     let mut all = senders(74, 3, |_, _| false);
     let sent = sent_in_three_seconds(&mut all, instance);
-    expect_that!(most_in_a_second(&sent), eq(6));
-    let who = all.iter().filter(|sender| {
+    expect_that!(max_in_a_second(&sent), eq(6));
+    let admitting = all.iter().filter(|sender| {
         let configuration = configuration(Some(RATE));
         sender.gate(&configuration).admits(instance, ms(2_999))
     });
-    let zones: Vec<u64> = who
+    let zones: Vec<u64> = admitting
         .filter_map(|sender| sender.registry.get(&sender.name))
         .map(|record| record.zone.stable_hash())
         .collect();
--- a/crates/ledgelead-router/tests/dispatch/load.rs
+++ b/crates/ledgelead-router/tests/dispatch/load.rs
@@ -1,7 +1,7 @@
 //! Simulates callers and one owner in virtual time, with and without a dispatcher.
 //!
 //! The owner has slots and a short queue of its own. Callers arrive at random at a given rate,
-//! and some of them retry at once. There is no network: messages take no time.
+//! and some of them retry almost at once. There is no network: messages take no time.
 
 use ledgelead_router::dispatch::{
     Admission, DispatchRequest, Dispatcher, PermitId, PermitOutcome, QueueKind, Server,
@@ -19,8 +19,8 @@
 const QUEUE_CAPACITY: usize = 8;
 /// Mean service time of a request.
 pub const SERVICE_TIME: Duration = Duration::from_millis(76);
-/// Duration of a slow moment of a machine.
-const SLOW_MOMENT: Duration = Duration::from_millis(400);
+/// Duration of a period in which a machine is slow.
+const SLOW_PERIOD: Duration = Duration::from_millis(400);
 /// Retries of a caller.
 const RETRIES: u32 = 2;
 
@@ -45,8 +45,8 @@
 pub struct Load {
     /// Requests per second over time, as a multiple of the owner's capacity.
     pub factor: fn(Duration) -> f64,
-    /// Share of callers that retry at once, whatever they are told.
-    pub impatient: f64,
+    /// Share of callers that retry almost at once, whatever retry time they were given.
+    pub impatient_share: f64,
     /// Duration of the load.
     pub length: Duration,
     /// The kinds of requests.
@@ -61,8 +61,8 @@
 /// Results of the requests of one kind in one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// Callers.
-    pub asked: u32,
+    /// Number of callers.
+    pub callers: u32,
     /// Answered within the target of their first submission.
     pub in_time: u32,
     /// Answered later.
@@ -71,9 +71,9 @@
 
 impl Outcome {
     /// The sum of two results.
-    pub fn and(self, other: Outcome) -> Outcome {
+    pub fn plus(self, other: Outcome) -> Outcome {
         Outcome {
-            asked: self.asked + other.asked,
+            callers: self.callers + other.callers,
             in_time: self.in_time + other.in_time,
             late: self.late + other.late,
         }
@@ -81,7 +81,7 @@
 
     /// The share of callers answered in time.
     pub fn share_in_time(self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+        f64::from(self.in_time) / f64::from(self.callers.max(1))
     }
 
     /// The share of responses that are late.
@@ -95,15 +95,15 @@
     kind: usize,
     first_submitted: Duration,
     retries: u32,
-    impatient: bool,
+    is_impatient: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    Try(u64),
-    Done(u64),
-    Due,
+    Submit(u64),
+    ServiceEnds(u64),
+    QueueDeadline,
 }
 
 /// One simulation run.
@@ -119,7 +119,7 @@
     queue: VecDeque<u64>,
     dispatcher: Dispatcher,
     slow_until: Duration,
-    next_moment: Duration,
+    next_slow_check: Duration,
     /// Results by kind and by the second in which the caller first arrived.
     pub outcomes: Vec<Vec<Outcome>>,
     sent: HashMap<u64, Duration>,
@@ -142,7 +142,7 @@
             queue: VecDeque::new(),
             dispatcher: Dispatcher::default(),
             slow_until: Duration::ZERO,
-            next_moment: Duration::ZERO,
+            next_slow_check: Duration::ZERO,
             outcomes: vec![vec![Outcome::default(); kinds]; seconds],
             sent: HashMap::new(),
         };
@@ -157,13 +157,13 @@
     /// Results of all kinds for callers that arrived between two seconds.
     pub fn total(&self, from: usize, to: usize) -> Outcome {
         let seconds = self.outcomes[from..to].iter().flatten();
-        seconds.fold(Outcome::default(), |sum, one| sum.and(*one))
+        seconds.fold(Outcome::default(), |sum, one| sum.plus(*one))
     }
 
-    /// The same for one kind.
+    /// Results of one kind for callers that arrived between two seconds.
     pub fn of_kind(&self, kind: usize, from: usize, to: usize) -> Outcome {
         let seconds = self.outcomes[from..to].iter().map(|kinds| kinds[kind]);
-        seconds.fold(Outcome::default(), Outcome::and)
+        seconds.fold(Outcome::default(), Outcome::plus)
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
@@ -174,9 +174,9 @@
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrive(),
-            Event::Try(caller) => self.submit(caller),
-            Event::Done(caller) => self.finish_service(caller),
-            Event::Due => {
+            Event::Submit(caller) => self.submit(caller),
+            Event::ServiceEnds(caller) => self.finish_service(caller),
+            Event::QueueDeadline => {
                 let decided = self.dispatcher.deadline(self.now);
                 self.apply_decisions(
                     decided
@@ -187,7 +187,7 @@
             }
         }
         if let Some(at) = self.dispatcher.next_deadline() {
-            self.schedule(at.max(self.now), Event::Due);
+            self.schedule(at.max(self.now), Event::QueueDeadline);
             // One such event is enough; those for earlier deadlines have no effect.
         }
     }
@@ -202,13 +202,13 @@
             self.now + Duration::from_secs(1).mul_f64(pause),
             Event::Arrival,
         );
-        let drawn: f64 = self.rng.random_range(0.0..1.0);
+        let draw: f64 = self.rng.random_range(0.0..1.0);
         let mut sum = 0.0;
         let mut kinds = self.load.kinds.iter();
         let kind = kinds
             .position(|kind| {
                 sum += kind.share;
-                drawn < sum
+                draw < sum
             })
             .unwrap_or(0);
         self.last_caller += 1;
@@ -216,10 +216,10 @@
             kind,
             first_submitted: self.now,
             retries: 0,
-            impatient: self.rng.random_bool(self.load.impatient),
+            is_impatient: self.rng.random_bool(self.load.impatient_share),
         };
         self.callers.insert(self.last_caller, caller);
-        self.outcome(self.last_caller).asked += 1;
+        self.outcome(self.last_caller).callers += 1;
         self.submit(self.last_caller);
     }
 
@@ -304,15 +304,18 @@
         if self.is_slow() {
             factor *= 3.0;
         }
-        self.schedule(self.now + SERVICE_TIME.mul_f64(factor), Event::Done(caller));
+        self.schedule(
+            self.now + SERVICE_TIME.mul_f64(factor),
+            Event::ServiceEnds(caller),
+        );
     }
 
     /// Whether the machine is currently slow.
     fn is_slow(&mut self) -> bool {
-        if self.now >= self.next_moment {
-            self.next_moment = self.now + SLOW_MOMENT;
+        if self.now >= self.next_slow_check {
+            self.next_slow_check = self.now + SLOW_PERIOD;
             if self.rng.random_bool(self.load.slow_share) {
-                self.slow_until = self.next_moment;
+                self.slow_until = self.next_slow_check;
             }
         }
         self.now < self.slow_until
@@ -338,11 +341,14 @@
                 node: SocketAddr::from(([10, 0, 0, 1], 7_000)),
                 number: caller * 10 + u64::from(retries),
             };
-            let took = self.now - self.sent[&caller];
+            let duration = self.now - self.sent[&caller];
             let decided = self.dispatcher.returned(
                 1,
                 requester,
-                PermitOutcome::Answered { took, load: None },
+                PermitOutcome::Answered {
+                    took: duration,
+                    load: None,
+                },
                 self.now,
             );
             self.apply_decisions(
@@ -355,16 +361,16 @@
     }
 
     fn refused(&mut self, caller: u64, retry_after: Duration) {
-        let known = self.callers.get_mut(&caller).expect("a caller");
-        if known.retries >= RETRIES {
+        let caller_state = self.callers.get_mut(&caller).expect("a caller");
+        if caller_state.retries >= RETRIES {
             return;
         }
-        known.retries += 1;
-        let pause = match known.impatient {
+        caller_state.retries += 1;
+        let pause = match caller_state.is_impatient {
             true => Duration::from_millis(2),
-            // Waits as told, up to a third of its time left.
+            // Waits for the retry time, up to a third of the caller's remaining time.
             false => retry_after.min(Duration::from_millis(800)),
         };
-        self.schedule(self.now + pause, Event::Try(caller));
+        self.schedule(self.now + pause, Event::Submit(caller));
     }
 }
--- a/crates/ledgelead-router/tests/dispatch/queue.rs
+++ b/crates/ledgelead-router/tests/dispatch/queue.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn ask(number: u64, urgency: u8, to_target: u64) -> AdmissionRequest {
+fn admission_request(number: u64, urgency: u8, to_target: u64) -> AdmissionRequest {
     AdmissionRequest {
         requester: requester(number),
         urgency,
@@ -62,7 +62,7 @@
 fn full_queue() -> PermitQueue {
     let mut queue = queue();
     for number in 0..3 {
-        let verdict = queue.ask(ask(1_000 + number, 0, 5_000), Duration::ZERO);
+        let verdict = queue.ask(admission_request(1_000 + number, 0, 5_000), Duration::ZERO);
         assert_eq!(verdict, Admission::Granted(OWNER));
     }
     queue
@@ -90,11 +90,14 @@
     let mut queue = queue();
     for number in 0..3 {
         expect_that!(
-            queue.ask(ask(number, 1, 400), ms(0)),
+            queue.ask(admission_request(number, 1, 400), ms(0)),
             eq(Admission::Granted(OWNER))
         );
     }
-    expect_that!(queue.ask(ask(3, 1, 400), ms(0)), eq(Admission::Queued));
+    expect_that!(
+        queue.ask(admission_request(3, 1, 400), ms(0)),
+        eq(Admission::Queued)
+    );
     expect_that!(queue.outstanding(), eq(3));
     queue.returned(requester(0), answered(SERVICE_TIME), ms(90));
     expect_that!(
@@ -106,9 +109,9 @@
 #[gtest]
 fn most_urgent_goes_first_then_nearest_target() {
     let mut queue = full_queue();
-    queue.ask(ask(1, 1, 2_000), ms(0));
-    queue.ask(ask(2, 1, 1_500), ms(0));
-    queue.ask(ask(3, 0, 3_000), ms(0));
+    queue.ask(admission_request(1, 1, 2_000), ms(0));
+    queue.ask(admission_request(2, 1, 1_500), ms(0));
+    queue.ask(admission_request(3, 0, 3_000), ms(0));
     expect_that!(grants(&mut queue, 3), eq(&vec![3, 2, 1]));
 }
 
@@ -116,8 +119,8 @@
 fn less_urgent_requests_get_at_least_a_sixth_of_the_permits() {
     let mut queue = full_queue();
     for number in 0..40 {
-        queue.ask(ask(number, 0, 60_000), ms(0));
-        queue.ask(ask(100 + number, 2, 60_000), ms(0));
+        queue.ask(admission_request(number, 0, 60_000), ms(0));
+        queue.ask(admission_request(100 + number, 2, 60_000), ms(0));
     }
     let granted = grants(&mut queue, 36);
     let less_urgent = granted.iter().filter(|number| **number >= 100).count();
@@ -131,24 +134,39 @@
     let mut queue = full_queue();
     // Three are outstanding at two slots: this one would take 1.5 + 0.5 times the service
     // time.
-    expect_that!(queue.ask(ask(1, 1, 200), ms(0)), eq(Admission::Refused));
-    expect_that!(queue.ask(ask(2, 1, 300), ms(0)), eq(Admission::Queued));
+    expect_that!(
+        queue.ask(admission_request(1, 1, 200), ms(0)),
+        eq(Admission::Refused)
+    );
+    expect_that!(
+        queue.ask(admission_request(2, 1, 300), ms(0)),
+        eq(Admission::Queued)
+    );
 }
 
 #[gtest]
 fn late_request_only_gets_an_idle_slot() {
     let mut queue = queue();
     expect_that!(
-        queue.ask(ask(1, 1, 0), ms(0)),
+        queue.ask(admission_request(1, 1, 0), ms(0)),
         eq(Admission::Granted(OWNER))
     );
     expect_that!(
-        queue.ask(ask(2, 1, 10), ms(0)),
+        queue.ask(admission_request(2, 1, 10), ms(0)),
         eq(Admission::Granted(OWNER))
     );
-    expect_that!(queue.ask(ask(3, 1, 10), ms(0)), eq(Admission::Refused));
-    expect_that!(queue.ask(ask(4, 1, 0), ms(0)), eq(Admission::Queued));
-    expect_that!(queue.ask(ask(5, 1, 900), ms(0)), eq(Admission::Queued));
+    expect_that!(
+        queue.ask(admission_request(3, 1, 10), ms(0)),
+        eq(Admission::Refused)
+    );
+    expect_that!(
+        queue.ask(admission_request(4, 1, 0), ms(0)),
+        eq(Admission::Queued)
+    );
+    expect_that!(
+        queue.ask(admission_request(5, 1, 900), ms(0)),
+        eq(Admission::Queued)
+    );
     queue.returned(requester(1), answered(SERVICE_TIME), ms(50));
     let granted = queue.advance(ms(50));
     expect_that!(
@@ -166,7 +184,7 @@
 #[gtest]
 fn waiting_request_is_refused_while_its_caller_can_still_retry() {
     let mut queue = full_queue();
-    queue.ask(ask(1, 1, 300), ms(0));
+    queue.ask(admission_request(1, 1, 300), ms(0));
     let at = queue.next_deadline().expect("a deadline");
     expect_that!(at, eq(ms(240)));
     expect_that!(
@@ -181,10 +199,10 @@
     let mut queue = full_queue();
     let early = AdmissionRequest {
         is_early: true,
-        ..ask(1, 0, 2_000)
+        ..admission_request(1, 0, 2_000)
     };
     queue.ask(early, ms(0));
-    queue.ask(ask(2, 3, 3_000), ms(0));
+    queue.ask(admission_request(2, 3, 3_000), ms(0));
     expect_that!(grants(&mut queue, 2), eq(&vec![2, 1]));
 }
 
@@ -192,7 +210,7 @@
 fn extra_permits_grow_with_idle_slots_and_shrink_with_waiting_requests() {
     let mut queue = full_queue();
     for number in 0..20 {
-        queue.ask(ask(number, 0, 60_000), ms(0));
+        queue.ask(admission_request(number, 0, 60_000), ms(0));
     }
     let mut outstanding: Vec<u64> = (1_000..1_003).collect();
     let mut end_one = |queue: &mut PermitQueue, running, waiting| {
@@ -205,10 +223,10 @@
         outstanding.extend(queue.advance(ms(1)).iter().map(|(next, _)| next.number));
         outstanding.len()
     };
-    let idle: Vec<usize> = (0..8).map(|_| end_one(&mut queue, 1, 0)).collect();
-    expect_that!(idle.last(), some(eq(&4)));
-    let waits: Vec<usize> = (0..4).map(|_| end_one(&mut queue, 2, 2)).collect();
-    expect_that!(waits.last(), some(eq(&3)));
+    let with_idle_slots: Vec<usize> = (0..8).map(|_| end_one(&mut queue, 1, 0)).collect();
+    expect_that!(with_idle_slots.last(), some(eq(&4)));
+    let with_waiting: Vec<usize> = (0..4).map(|_| end_one(&mut queue, 2, 2)).collect();
+    expect_that!(with_waiting.last(), some(eq(&3)));
 }
 
 #[gtest]
@@ -216,18 +234,21 @@
     let mut queue = queue();
     let cold = |number| AdmissionRequest {
         is_cold: true,
-        ..ask(number, 0, 5_000)
+        ..admission_request(number, 0, 5_000)
     };
     expect_that!(queue.ask(cold(1), ms(0)), eq(Admission::Granted(OWNER)));
     expect_that!(queue.ask(cold(2), ms(0)), eq(Admission::Granted(OWNER)));
-    // They get free slots, and none beyond the slots.
+    // Such requests get free slots, but no permit beyond the slots.
     expect_that!(queue.ask(cold(3), ms(0)), eq(Admission::Queued));
-    expect_that!(queue.ask(ask(4, 2, 900), ms(0)), eq(Admission::Queued));
+    expect_that!(
+        queue.ask(admission_request(4, 2, 900), ms(0)),
+        eq(Admission::Queued)
+    );
     expect_that!(
         queue.advance(ms(0)),
         elements_are![eq(&(requester(4), Admission::Granted(OWNER)))]
     );
-    // Their service time doesn't count for other requests.
+    // Their service time does not count towards the estimate for other requests.
     queue.returned(requester(1), answered(ms(390)), ms(390));
     expect_that!(queue.service_time(), eq(SERVICE_TIME));
 }
@@ -235,11 +256,17 @@
 #[gtest]
 fn resent_permit_request_is_not_queued_twice() {
     let mut queue = full_queue();
-    expect_that!(queue.ask(ask(1, 1, 900), ms(0)), eq(Admission::Queued));
-    expect_that!(queue.ask(ask(1, 1, 900), ms(1)), eq(Admission::Queued));
+    expect_that!(
+        queue.ask(admission_request(1, 1, 900), ms(0)),
+        eq(Admission::Queued)
+    );
+    expect_that!(
+        queue.ask(admission_request(1, 1, 900), ms(1)),
+        eq(Admission::Queued)
+    );
     expect_that!(queue.waiting(), eq(1));
     expect_that!(
-        queue.ask(ask(1_000, 1, 900), ms(1)),
+        queue.ask(admission_request(1_000, 1, 900), ms(1)),
         eq(Admission::Granted(OWNER))
     );
     expect_that!(queue.outstanding(), eq(3));
@@ -248,7 +275,7 @@
 #[gtest]
 fn permit_that_is_not_returned_is_granted_again() {
     let mut queue = full_queue();
-    queue.ask(ask(1, 1, 2_000), ms(0));
+    queue.ask(admission_request(1, 1, 2_000), ms(0));
     // The node that holds the permits is lost.
     expect_that!(queue.advance(ms(999)), is_empty());
     expect_that!(
@@ -276,14 +303,14 @@
     let mut dispatcher = Dispatcher::default();
     let late = DispatchRequest {
         to_target: ms(0),
-        ..owner_ask(3, 1)
+        ..dispatch_request(3, 1)
     };
-    dispatcher.ask(&owner_ask(1, 1), owner, ms(0));
-    dispatcher.ask(&owner_ask(2, 1), owner, ms(0));
+    dispatcher.ask(&dispatch_request(1, 1), owner, ms(0));
+    dispatcher.ask(&dispatch_request(2, 1), owner, ms(0));
     dispatcher.ask(&late, owner, ms(0));
     let urgent = DispatchRequest {
         to_target: ms(900),
-        ..owner_ask(4, 0)
+        ..dispatch_request(4, 0)
     };
     let decided = dispatcher.ask(&urgent, owner, ms(0)).expect("decisions");
     let last = decided.last().expect("a decision");
@@ -295,8 +322,8 @@
 fn pool_instance_that_does_not_answer_is_ejected() {
     let mut queue = PermitQueue::of_pool(ms(0));
     queue.replace_servers([server(1), server(2), server(3)]);
-    let mut fails = |number: u64, at: u64| {
-        let Admission::Granted(to) = queue.ask(ask(number, 1, 400), ms(at)) else {
+    let mut run_next = |number: u64, at: u64| {
+        let Admission::Granted(to) = queue.ask(admission_request(number, 1, 400), ms(at)) else {
             panic!("no permit");
         };
         let outcome = if to == 1 {
@@ -307,9 +334,9 @@
         queue.returned(requester(number), outcome, ms(at));
         to
     };
-    let first: Vec<u64> = (0..10).map(|number| fails(number, number)).collect();
+    let first: Vec<u64> = (0..10).map(|number| run_next(number, number)).collect();
     expect_that!(first.iter().filter(|to| **to == 1).count(), eq(2));
-    expect_that!(fails(20, 600), eq(1));
+    expect_that!(run_next(20, 600), eq(1));
 }
 
 #[gtest]
@@ -319,7 +346,7 @@
     let mut sent = 0;
     for number in 0..200 {
         let at = ms(number * 5);
-        let Admission::Granted(to) = queue.ask(ask(number, 1, 400), at) else {
+        let Admission::Granted(to) = queue.ask(admission_request(number, 1, 400), at) else {
             panic!("no permit");
         };
         sent += u64::from(to == 1);
@@ -352,7 +379,7 @@
     expect_that!(callers.take(7, ms(0)), none());
 }
 
-fn owner_ask(number: u64, urgency: u8) -> DispatchRequest {
+fn dispatch_request(number: u64, urgency: u8) -> DispatchRequest {
     DispatchRequest {
         queue: OWNER,
         kind: QueueKind::Owner,
@@ -374,10 +401,10 @@
 fn urgent_callers_may_retry_first_and_early_retries_are_recognized() {
     let mut dispatcher = Dispatcher::default();
     for number in 0..2 {
-        dispatcher.ask(&owner_ask(number, 1), owner, ms(0));
+        dispatcher.ask(&dispatch_request(number, 1), owner, ms(0));
     }
     let mut refused = |number, urgency| {
-        let decided = dispatcher.ask(&owner_ask(number, urgency), owner, ms(1));
+        let decided = dispatcher.ask(&dispatch_request(number, urgency), owner, ms(1));
         let decided = decided.expect("a decision")[0];
         assert_eq!(decided.verdict, Admission::Refused);
         decided.retry_after
@@ -386,17 +413,17 @@
     let urgent = refused(11, 0);
     expect_that!(urgent, lt(less_urgent));
     expect_that!(urgent, ge(ms(150)));
-    dispatcher.ask(&owner_ask(11, 0), owner, ms(10));
+    dispatcher.ask(&dispatch_request(11, 0), owner, ms(10));
     expect_that!(dispatcher.counters().early, eq(1));
     // The retry delay exceeds what the caller can wait: a third of its time left is enough.
-    dispatcher.ask(&owner_ask(10, 2), owner, ms(900));
+    dispatcher.ask(&dispatch_request(10, 2), owner, ms(900));
     expect_that!(dispatcher.counters().early, eq(1));
 }
 
 #[gtest]
 fn unused_queues_are_dropped() {
     let mut dispatcher = Dispatcher::default();
-    dispatcher.ask(&owner_ask(1, 1), owner, ms(0));
+    dispatcher.ask(&dispatch_request(1, 1), owner, ms(0));
     dispatcher.returned(OWNER, requester(1), answered(SERVICE_TIME), ms(100));
     dispatcher.expire(ms(5_000));
     expect_that!(dispatcher.next_deadline(), none());
@@ -418,7 +445,7 @@
         position: usize,
         ran: bool,
     },
-    Lost {
+    Lose {
         position: usize,
     },
     Advance {
@@ -432,7 +459,7 @@
             .prop_map(|(urgency, to_target, early)| Message::Ask { urgency, to_target, early }),
         3 => (0usize..8, proptest::bool::ANY)
             .prop_map(|(position, ran)| Message::Return { position, ran }),
-        1 => (0usize..8).prop_map(|position| Message::Lost { position }),
+        1 => (0usize..8).prop_map(|position| Message::Lose { position }),
         3 => (0u64..200).prop_map(|ms| Message::Advance { ms }),
     ]
 }
@@ -465,8 +492,8 @@
                         0 => queue.service_time() * 2,
                         _ => ms(to_target),
                     };
-                    let permit = AdmissionRequest { is_early, ..ask(number, urgency, to_target) };
-                    match queue.ask(permit, now) {
+                    let request = AdmissionRequest { is_early, ..admission_request(number, urgency, to_target) };
+                    match queue.ask(request, now) {
                         Admission::Granted(_) => outstanding.push(number),
                         Admission::Queued => {
                             waiting.insert((now + limit, number));
@@ -479,13 +506,14 @@
                     let outcome = if ran { answered(SERVICE_TIME) } else { PermitOutcome::NoSample };
                     queue.returned(requester(ended), outcome, now);
                 }
-                Message::Lost { position } if !outstanding.is_empty() => {
+                Message::Lose { position } if !outstanding.is_empty() => {
                     outstanding.remove(position % outstanding.len());
                 }
-                Message::Return { .. } | Message::Lost { .. } => {}
+                Message::Return { .. } | Message::Lose { .. } => {}
                 Message::Advance { ms: passed } => {
                     now += ms(passed);
-                    // Long outstanding permits have expired; their holders may proceed.
+                    // Permits expire after some time without being returned; their holders may still use
+                    // them.
                     if passed > 150 {
                         outstanding.truncate(SLOTS + 1);
                     }
@@ -513,13 +541,13 @@
 fn pool_instance_that_asked_for_a_pause_is_selected_last() {
     let mut queue = PermitQueue::of_pool(Duration::ZERO);
     queue.replace_servers([server(1), server(2)]);
-    let first = queue.ask(ask(0, 0, 5_000), ms(0));
+    let first = queue.ask(admission_request(0, 0, 5_000), ms(0));
     let Admission::Granted(paused) = first else {
         panic!("{first:?}");
     };
     queue.returned(requester(0), PermitOutcome::BackedOff(ms(500)), ms(1));
     let granted = |queue: &mut PermitQueue, number: u64, at: u64| {
-        let verdict = queue.ask(ask(number, 0, 5_000), ms(at));
+        let verdict = queue.ask(admission_request(number, 0, 5_000), ms(at));
         queue.returned(requester(number), PermitOutcome::NoSample, ms(at));
         verdict
     };
--- a/crates/ledgelead-router/tests/dispatch/replay.rs
+++ b/crates/ledgelead-router/tests/dispatch/replay.rs
@@ -24,21 +24,21 @@
 /// Twelve independent owners.
 const OWNERS: u64 = 12;
 
-fn simulate(factor: fn(Duration) -> f64, impatient: f64, permits: bool) -> Runs {
-    simulate_slow(factor, impatient, permits, 0.0)
+fn simulate(factor: fn(Duration) -> f64, impatient_share: f64, permits: bool) -> Runs {
+    simulate_slow(factor, impatient_share, permits, 0.0)
 }
 
 /// The same with owners whose machines are slow for this share of the time.
 fn simulate_slow(
     factor: fn(Duration) -> f64,
-    impatient: f64,
+    impatient_share: f64,
     permits: bool,
     slow_share: f64,
 ) -> Runs {
     let load = Load {
         slow_share,
         factor,
-        impatient,
+        impatient_share,
         length: Duration::from_secs(60),
         kinds: kinds(),
         permits,
@@ -56,13 +56,13 @@
     /// Results for callers that arrived between two seconds.
     fn total(&self, from: usize, to: usize) -> Outcome {
         let each = self.0.iter().map(|run| run.total(from, to));
-        each.fold(Outcome::default(), Outcome::and)
+        each.fold(Outcome::default(), Outcome::plus)
     }
 
-    /// The same for one kind.
+    /// Results of one kind for callers that arrived between two seconds.
     fn of_kind(&self, kind: usize, from: usize, to: usize) -> Outcome {
         let each = self.0.iter().map(|run| run.of_kind(kind, from, to));
-        each.fold(Outcome::default(), Outcome::and)
+        each.fold(Outcome::default(), Outcome::plus)
     }
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// The same with twice the capacity.
+/// 0.7 of the capacity, and twice the capacity from 20 to 40 s.
 fn overload_by_two(at: Duration) -> f64 {
     if (20..40).contains(&at.as_secs()) {
         2.0
@@ -111,16 +111,19 @@
         let before = goodput(&simulate(factor, 0.33, false));
         let run = simulate(factor, 0.33, true);
         let after = goodput(&run);
-        let back: Outcome = run.total(42, 60);
+        let recovered: Outcome = run.total(42, 60);
         let undisturbed = run.total(5, 20);
         println!(
-            "goodput before {before:.3} after {after:.3}, back {:.3} of {:.3}",
-            back.share_in_time(),
+            "goodput before {before:.3} after {after:.3}, recovered {:.3} of {:.3}",
+            recovered.share_in_time(),
             undisturbed.share_in_time()
         );
         expect_that!(after, ge(0.9));
         expect_that!(after, gt(before));
-        expect_that!(back.share_in_time(), ge(undisturbed.share_in_time() - 0.03));
+        expect_that!(
+            recovered.share_in_time(),
+            ge(undisturbed.share_in_time() - 0.03)
+        );
     }
 }
 
@@ -136,8 +139,9 @@
 }
 
 #[gtest]
-fn permits_also_help_owners_with_slow_moments() {
-    let worth = |outcome: Outcome| f64::from(outcome.in_time) + 0.3 * f64::from(outcome.late);
+fn permits_also_help_owners_with_slow_periods() {
+    let weighted_responses =
+        |outcome: Outcome| f64::from(outcome.in_time) + 0.3 * f64::from(outcome.late);
     for (name, factor) in [
         ("wave", wave as fn(Duration) -> f64),
         ("half more", overload_by_half),
@@ -146,10 +150,10 @@
         let after = simulate_slow(factor, 0.33, true, 0.2).total(0, 60);
         println!(
             "slow {name}: before {before:?} {:.0} after {after:?} {:.0}",
-            worth(before),
-            worth(after)
+            weighted_responses(before),
+            weighted_responses(after)
         );
-        expect_that!(worth(after), gt(worth(before)));
+        expect_that!(weighted_responses(after), gt(weighted_responses(before)));
         expect_that!(after.in_time, gt(before.in_time));
     }
 }
--- a/crates/ledgelead-router/tests/identity.rs
+++ b/crates/ledgelead-router/tests/identity.rs
@@ -1,4 +1,4 @@
-//! The texts of instance ids.
+//! Text form of instance ids: parsing, formatting and comparison.
 
 use googletest::prelude::*;
 use ledgelead_router::identity::InstanceId;
@@ -41,7 +41,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn each_text_names_one_life(
+    fn each_text_identifies_one_incarnation(
         name in "[a#0-9é]{0,6}",
         born in proptest::option::of(prop_oneof![0u64..20, proptest::num::u64::ANY]),
     ) {
@@ -49,17 +49,17 @@
             Some(born) => InstanceId::with_start_time(&name, born),
             None => InstanceId::from(name.as_str()),
         };
-        let read = InstanceId::parse(id.as_str());
-        prop_assert_eq!(read.name(), name.as_str());
-        prop_assert_eq!(read.start_ms(), born);
-        prop_assert_eq!(&read, &id);
+        let parsed = InstanceId::parse(id.as_str());
+        prop_assert_eq!(parsed.name(), name.as_str());
+        prop_assert_eq!(parsed.start_ms(), born);
+        prop_assert_eq!(&parsed, &id);
         let stored = serde_json::to_string(&id).expect("a text");
         prop_assert_eq!(serde_json::from_str::<InstanceId>(&stored).expect("an instance id"), id);
     }
 
     /// Texts from other nodes are parsed before they are compared.
     #[test]
-    fn any_two_texts_are_equal_as_they_are_ordered(
+    fn parsed_texts_are_equal_only_if_they_are_ordered_as_equal(
         first in "[a#01]{0,5}",
         second in "[a#01]{0,5}",
     ) {
@@ -71,8 +71,11 @@
 /// A text of many separators is parsed without recursion.
 #[gtest]
 fn a_text_of_separators_only_is_a_name() {
-    let marks = "#".repeat(60_000);
-    expect_that!(InstanceId::parse(&marks).name(), eq(marks.as_str()));
+    let separators = "#".repeat(60_000);
+    expect_that!(
+        InstanceId::parse(&separators).name(),
+        eq(separators.as_str())
+    );
     expect_that!(InstanceId::parse("a#").name(), eq("a#"));
     expect_that!(InstanceId::parse("a#").start_ms(), none());
 }
--- a/crates/ledgelead-router/tests/incarnations.rs
+++ b/crates/ledgelead-router/tests/incarnations.rs
@@ -22,9 +22,9 @@
     Duration::from_millis(ms)
 }
 
-fn incarnation(name: &str, born: u64) -> InstanceRecord {
+fn incarnation(name: &str, start_ms: u64) -> InstanceRecord {
     InstanceRecord {
-        id: InstanceId::with_start_time(name, born),
+        id: InstanceId::with_start_time(name, start_ms),
         service: ServiceName::from("s"),
         address: ([10, 0, 0, u8::from(name == "a")], 80).into(),
         zone: ZoneName::from("z"),
@@ -34,8 +34,8 @@
     }
 }
 
-fn known(directory: &Directory, born: u64) -> (bool, bool) {
-    let id = InstanceId::with_start_time("a", born);
+fn state_of(directory: &Directory, start_ms: u64) -> (bool, bool) {
+    let id = InstanceId::with_start_time("a", start_ms);
     let instance = directory.get(&id);
     let serves = instance.is_some_and(|instance| instance.serves());
     (serves, directory.has_ended(&id))
@@ -51,16 +51,16 @@
     directory.replace_all(vec![Entry::at(1, incarnation("a", 10))], ms(0));
     // An entry with another start time, then one without.
     directory.upsert(Entry::at(2, incarnation("a", 99)), ms(100));
-    expect_that!(known(&directory, 10), eq(ENDED));
+    expect_that!(state_of(&directory, 10), eq(ENDED));
     directory.upsert(Entry::at(3, incarnation("a", 10)), ms(200));
-    expect_that!(known(&directory, 10), eq(SERVES));
+    expect_that!(state_of(&directory, 10), eq(SERVES));
     let without_start = InstanceRecord {
         id: InstanceId::from("a"),
         ..incarnation("a", 10)
     };
     directory.upsert(Entry::at(4, without_start), ms(300));
     // It gets no new requests, but no incarnation is proved to have ended.
-    expect_that!(known(&directory, 10), eq(UNKNOWN));
+    expect_that!(state_of(&directory, 10), eq(UNKNOWN));
     expect_that!(
         directory
             .later_incarnation(&InstanceId::with_start_time("a", 10))
@@ -68,7 +68,7 @@
         eq(true)
     );
     directory.upsert(Entry::at(5, incarnation("a", 10)), ms(400));
-    expect_that!(known(&directory, 10), eq(SERVES));
+    expect_that!(state_of(&directory, 10), eq(SERVES));
 }
 
 #[gtest]
@@ -80,8 +80,8 @@
         ..incarnation("a", 20)
     };
     directory.upsert(moved, ms(1_000));
-    expect_that!(known(&directory, 10), eq(ENDED));
-    expect_that!(known(&directory, 20), eq(SERVES));
+    expect_that!(state_of(&directory, 10), eq(ENDED));
+    expect_that!(state_of(&directory, 20), eq(SERVES));
     let gone = directory.get(&InstanceId::with_start_time("a", 10));
     expect_that!(gone.is_some_and(|gone| gone.is_gone()), eq(true));
 }
@@ -91,11 +91,11 @@
     let mut directory = Directory::default();
     directory.replace_all(vec![incarnation("a", 20)], ms(0));
     directory.upsert(incarnation("a", 10), ms(1_000));
-    expect_that!(known(&directory, 10), eq(UNKNOWN));
-    expect_that!(known(&directory, 20), eq(SERVES));
+    expect_that!(state_of(&directory, 10), eq(UNKNOWN));
+    expect_that!(state_of(&directory, 20), eq(SERVES));
     // A delayed list still contains an entry of that name, so that none is missing.
     directory.replace_all(vec![incarnation("a", 10)], ms(2_000));
-    expect_that!(known(&directory, 20), eq(SERVES));
+    expect_that!(state_of(&directory, 20), eq(SERVES));
 }
 
 #[gtest]
@@ -105,8 +105,8 @@
     directory.upsert(incarnation("a", 20), ms(1_000));
     directory.remove("a", ms(2_000));
     directory.upsert(incarnation("a", 10), ms(3_000));
-    expect_that!(known(&directory, 10), eq(ENDED));
-    expect_that!(known(&directory, 20), eq(UNKNOWN));
+    expect_that!(state_of(&directory, 10), eq(ENDED));
+    expect_that!(state_of(&directory, 20), eq(UNKNOWN));
 }
 
 #[gtest]
@@ -114,10 +114,10 @@
     let mut directory = Directory::default();
     directory.replace_all(vec![Entry::at(5, incarnation("a", 20))], ms(0));
     directory.upsert(Entry::at(8, incarnation("a", 10)), ms(1_000));
-    expect_that!(known(&directory, 20), eq(ENDED));
-    expect_that!(known(&directory, 10), eq(SERVES));
+    expect_that!(state_of(&directory, 20), eq(ENDED));
+    expect_that!(state_of(&directory, 10), eq(SERVES));
     directory.upsert(Entry::at(5, incarnation("a", 20)), ms(2_000));
-    expect_that!(known(&directory, 10), eq(SERVES));
+    expect_that!(state_of(&directory, 10), eq(SERVES));
 }
 
 #[gtest]
@@ -125,7 +125,7 @@
     let mut directory = Directory::default();
     directory.replace_all(vec![Entry::at(5, incarnation("a", 20))], ms(0));
     directory.upsert(Entry::at(8, incarnation("a", 20)), ms(1_000));
-    expect_that!(known(&directory, 20), eq(SERVES));
+    expect_that!(state_of(&directory, 20), eq(SERVES));
 }
 
 #[gtest]
@@ -134,7 +134,7 @@
     directory.replace_all(vec![incarnation("a", 10), incarnation("b", 1)], ms(0));
     directory.upsert(incarnation("a", 20), ms(1_000));
     directory.replace_all(vec![incarnation("b", 1)], ms(2_000));
-    expect_that!(known(&directory, 20), eq(UNKNOWN));
+    expect_that!(state_of(&directory, 20), eq(UNKNOWN));
 }
 
 /// A coordinator with one range that `a` owns with token 5, started at 10, and with a second
@@ -219,8 +219,8 @@
         let mut now = from;
         while now <= to {
             if let Some(record) = self.step(now).write {
-                let given = &record.assignments[0];
-                return Some((now, given.owner.clone(), given.fence));
+                let assignment = &record.assignments[0];
+                return Some((now, assignment.owner.clone(), assignment.fence));
             }
             now += ms(10);
         }
@@ -295,17 +295,17 @@
     // The answered grant of the earlier incarnation may have been received by the later one.
     let end = ms(10_005) + longest_hold();
     let mut now = ms(10_200);
-    let mut given = None;
-    while given.is_none() && now <= end + ms(1_000) {
+    let mut written = None;
+    while written.is_none() && now <= end + ms(1_000) {
         let commands = fixture.step(now);
         for order in commands.orders {
             let failed = Err(ExchangeFailure::NotConnected);
             fixture.coordinator.order_ended(order.exchange, failed, now);
         }
-        given = commands.write.map(|record| (now, record));
+        written = commands.write.map(|record| (now, record));
         now += ms(10);
     }
-    let (at, record) = given.expect("another owner");
+    let (at, record) = written.expect("another owner");
     expect_that!(at, ge(end));
     expect_that!(
         record.assignments[0].owner,
@@ -347,15 +347,15 @@
 #[gtest]
 fn an_answer_proves_an_incarnation_alive_only_after_a_later_one_would_be_known() {
     let id = InstanceId::with_start_time("a", 10);
-    let mut signs = UnconfirmedAnswers::default();
-    signs.answered(&id, ms(1_000), ms(1_100));
+    let mut unconfirmed = UnconfirmedAnswers::default();
+    unconfirmed.answered(&id, ms(1_000), ms(1_100));
     // Further answers do not extend the wait.
-    signs.answered(&id, ms(2_000), ms(2_100));
-    expect_that!(signs.next_due(), some(eq(ms(3_100))));
-    expect_that!(signs.take_due(ms(3_000)), is_empty());
+    unconfirmed.answered(&id, ms(2_000), ms(2_100));
+    expect_that!(unconfirmed.next_due(), some(eq(ms(3_100))));
+    expect_that!(unconfirmed.take_due(ms(3_000)), is_empty());
     expect_that!(
-        signs.take_due(ms(3_100)),
+        unconfirmed.take_due(ms(3_100)),
         elements_are![eq(&(id, ms(1_000)))]
     );
-    expect_that!(signs.next_due(), none());
+    expect_that!(unconfirmed.next_due(), none());
 }
--- a/crates/ledgelead-router/tests/leaving.rs
+++ b/crates/ledgelead-router/tests/leaving.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 /// Start time of the leaving incarnation.
-const STARTED_MS: u64 = 1_000;
+const START_MS: u64 = 1_000;
 
 fn at(ms: u64) -> Timestamp {
     Duration::from_millis(ms)
 }
 
-fn incarnation(born: u64) -> InstanceId {
-    InstanceId::with_start_time("i-1", born)
+fn incarnation(start_ms: u64) -> InstanceId {
+    InstanceId::with_start_time("i-1", start_ms)
 }
 
 fn record(id: InstanceId, draining: bool) -> InstanceRecord {
@@ -44,7 +44,7 @@
     /// The store was unavailable, so that missing entries prove nothing.
     StoreLost,
     /// Another of its answers announced leaving, or another node reported one.
-    SaidAgain { ago_ms: u64 },
+    AnnouncedAgain { ago_ms: u64 },
     /// Time passes.
     Expired,
 }
@@ -56,13 +56,13 @@
         proptest::option::of(0..100_u64).prop_map(Report::Listed),
         Just(Report::Removed),
         Just(Report::StoreLost),
-        (0..5_000_u64).prop_map(|ago_ms| Report::SaidAgain { ago_ms }),
+        (0..5_000_u64).prop_map(|ago_ms| Report::AnnouncedAgain { ago_ms }),
         Just(Report::Expired),
     ]
 }
 
 fn apply(directory: &mut Directory, report: &Report, now: Timestamp) {
-    let entry = |draining, revision| Entry::at(revision, record(incarnation(STARTED_MS), draining));
+    let entry = |draining, revision| Entry::at(revision, record(incarnation(START_MS), draining));
     match report {
         Report::Entry { draining, revision } => directory.upsert(entry(*draining, *revision), now),
         Report::Listed(revision) => {
@@ -71,8 +71,8 @@
         }
         Report::Removed => directory.remove("i-1", now),
         Report::StoreLost => directory.note_store_outage(now),
-        Report::SaidAgain { ago_ms } => {
-            directory.mark_leaving(&incarnation(STARTED_MS), now.saturating_sub(at(*ago_ms)));
+        Report::AnnouncedAgain { ago_ms } => {
+            directory.mark_leaving(&incarnation(START_MS), now.saturating_sub(at(*ago_ms)));
         }
         Report::Expired => directory.expire(now),
     }
@@ -81,10 +81,10 @@
 fn leaving_directory() -> Directory {
     let mut directory = Directory::new(Protections::default());
     directory.replace_all(
-        vec![Entry::at(7, record(incarnation(STARTED_MS), false))],
+        vec![Entry::at(7, record(incarnation(START_MS), false))],
         at(10_000),
     );
-    directory.mark_leaving(&incarnation(STARTED_MS), at(10_000));
+    directory.mark_leaving(&incarnation(START_MS), at(10_000));
     directory
 }
 
@@ -99,7 +99,7 @@
             // Shorter than the time after which gone instances are removed.
             now += pause;
             apply(&mut directory, &report, at(now));
-            if let Some(known) = directory.get(&incarnation(STARTED_MS)) {
+            if let Some(known) = directory.get(&incarnation(START_MS)) {
                 prop_assert!(!known.serves(), "after {report:?}");
                 let since = known.leaving_since().expect("it leaves");
                 prop_assert!(since <= at(10_000), "after {report:?}: since {since:?}");
@@ -111,7 +111,7 @@
 #[test]
 fn a_later_incarnation_of_the_same_name_is_used() {
     let mut directory = leaving_directory();
-    let later = incarnation(STARTED_MS + 1);
+    let later = incarnation(START_MS + 1);
     directory.upsert(Entry::at(8, record(later.clone(), false)), at(11_000));
     assert!(directory.get(&later).expect("it is known").serves());
 }
@@ -120,23 +120,23 @@
 fn the_earlier_announcement_by_answer_or_entry_counts() {
     let mut directory = Directory::new(Protections::default());
     directory.replace_all(
-        vec![Entry::at(7, record(incarnation(STARTED_MS), false))],
+        vec![Entry::at(7, record(incarnation(START_MS), false))],
         at(1_000),
     );
     directory.note_current(at(10_000));
     directory.upsert(
-        Entry::at(8, record(incarnation(STARTED_MS), true)),
+        Entry::at(8, record(incarnation(START_MS), true)),
         at(10_100),
     );
     let since = |directory: &Directory| {
         directory
-            .get(&incarnation(STARTED_MS))
+            .get(&incarnation(START_MS))
             .unwrap()
             .leaving_since()
     };
     assert_eq!(since(&directory), Some(at(10_000)));
-    directory.mark_leaving(&incarnation(STARTED_MS), at(10_500));
+    directory.mark_leaving(&incarnation(START_MS), at(10_500));
     assert_eq!(since(&directory), Some(at(10_000)));
-    directory.mark_leaving(&incarnation(STARTED_MS), at(9_000));
+    directory.mark_leaving(&incarnation(START_MS), at(9_000));
     assert_eq!(since(&directory), Some(at(9_000)));
 }
--- a/crates/ledgelead-router/tests/local_view.rs
+++ b/crates/ledgelead-router/tests/local_view.rs
@@ -94,8 +94,8 @@
     directory.upsert(leaving("a", 1), ms(9_000));
     directory.remove("b", ms(9_000));
     directory.note_current(ms(9_500));
-    // It ends; its entry reappears as leaving and disappears again. It has been leaving all
-    // the time.
+    // Instance a ends; its entry reappears as leaving and is removed again. It counts as
+    // leaving all the time.
     directory.remove("a", ms(10_000));
     directory.upsert(leaving("a", 1), ms(10_500));
     directory.remove("a", ms(11_000));
@@ -117,10 +117,10 @@
     directory.note_store_outage(ms(10_000));
     let before = directory.changes();
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(10_000));
-    let doubted = directory.changes();
-    expect_that!(doubted, gt(before));
+    let after = directory.changes();
+    expect_that!(after, gt(before));
     directory.replace_all(Vec::<InstanceRecord>::new(), ms(10_500));
-    expect_that!(directory.changes(), eq(doubted));
+    expect_that!(directory.changes(), eq(after));
 }
 
 #[gtest]
@@ -139,17 +139,19 @@
         draining: true,
         ..record("a", 1)
     };
-    let mut known_late = Directory::default();
-    known_late.replace_all(vec![leaving.clone()], ms(9_000));
-    let presence = known_late
+    let mut listed_late = Directory::default();
+    listed_late.replace_all(vec![leaving.clone()], ms(9_000));
+    let presence = listed_late
         .get(&leaving.id)
         .map(|instance| instance.presence);
     expect_that!(presence, some(eq(Presence::Draining { since: ms(0) })));
-    let mut seen = directory(vec![record("a", 1)]);
-    seen.note_current(ms(9_000));
-    seen.upsert(leaving.clone(), ms(9_000));
-    seen.upsert(leaving.clone(), ms(9_500));
-    let presence = seen.get(&leaving.id).map(|instance| instance.presence);
+    let mut seen_serving = directory(vec![record("a", 1)]);
+    seen_serving.note_current(ms(9_000));
+    seen_serving.upsert(leaving.clone(), ms(9_000));
+    seen_serving.upsert(leaving.clone(), ms(9_500));
+    let presence = seen_serving
+        .get(&leaving.id)
+        .map(|instance| instance.presence);
     expect_that!(presence, some(eq(Presence::Draining { since: ms(9_000) })));
 }
 
@@ -404,7 +406,7 @@
 }
 
 #[gtest]
-fn a_watch_knows_until_when_it_is_complete() {
+fn a_watch_reports_until_when_it_is_complete() {
     let mut watcher = watcher();
     watcher.set_first_may_be_stale(false);
     watcher.take_call(ms(0));
@@ -500,7 +502,7 @@
 /// A store that is unavailable at times and loses all entries meanwhile.
 #[derive(Clone, Debug)]
 struct Outages {
-    /// Start and end of each outage, and when the entries have reappeared after it.
+    /// Start and end of each outage, and the time at which the entries have reappeared.
     times: Vec<(Duration, Duration, Duration)>,
 }
 
@@ -509,10 +511,10 @@
     fn new(drawn: &[(u64, u64, u64)]) -> Outages {
         let mut times = Vec::new();
         let mut at = Duration::ZERO;
-        for (pause, length, back) in drawn {
+        for (pause, length, reappears) in drawn {
             let begin = at + ms(*pause);
             at = begin + ms(*length);
-            times.push((begin, at, at + ms(*back)));
+            times.push((begin, at, at + ms(*reappears)));
         }
         Outages { times }
     }
@@ -528,7 +530,7 @@
         !self
             .times
             .iter()
-            .any(|(from, _, back)| *from <= now && now < *back)
+            .any(|(from, _, reappears)| *from <= now && now < *reappears)
     }
 }
 
@@ -539,9 +541,9 @@
     })]
 
     /// Whatever calls are in flight when the store becomes unavailable and recovers, including
-    /// one that waits through the outage, a living instance stays in use.
+    /// one that waits through the outage, a running instance stays in use.
     #[test]
-    fn a_living_instance_is_never_considered_gone(
+    fn a_running_instance_is_never_considered_gone(
         outages in proptest::collection::vec((5_000u64..9_000, 2_000u64..6_000, 0u64..2_000), 1..4),
         short in proptest::collection::vec((1u64..150, 1u64..50), 400),
         long in proptest::collection::vec((1u64..300, 500u64..10_000), 40),
--- a/crates/ledgelead-router/tests/quarantine.rs
+++ b/crates/ledgelead-router/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Evidence about requests that crash instances: the order in which it is learned does not
-//! matter.
+//! Evidence about requests that crash instances. Nodes that receive the same evidence in a
+//! different order reach the same verdict.
 
 use googletest::prelude::*;
 use ledgelead_http::Request;
@@ -183,7 +183,7 @@
 enum Fact {
     Ended { by: u8, instance: u64, at: u64 },
     Answered { by: u8, at: u64 },
-    Lives { instance: u64 },
+    Alive { instance: u64 },
 }
 
 fn fact() -> impl Strategy<Value = Fact> {
@@ -191,7 +191,7 @@
     prop_oneof![
         5 => ended.prop_map(|(by, instance, at)| Fact::Ended { by, instance, at: at * 500 }),
         1 => (1..3_u8, 0..40_u64).prop_map(|(by, at)| Fact::Answered { by, at: at * 500 }),
-        1 => (1..6_u64).prop_map(|instance| Fact::Lives { instance }),
+        1 => (1..6_u64).prop_map(|instance| Fact::Alive { instance }),
     ]
 }
 
@@ -206,7 +206,7 @@
             Fact::Answered { by, at } => {
                 entry.cleared.insert(caller(*by), ms(*at));
             }
-            Fact::Lives { instance } => {
+            Fact::Alive { instance } => {
                 evidence.record_alive(*instance, now);
                 continue;
             }
@@ -230,7 +230,7 @@
     #[test]
     fn the_order_of_messages_does_not_matter(
         facts in prop::collection::vec(fact(), 1..12),
-        turn in 0..12_usize,
+        rotation in 0..12_usize,
     ) {
         // The same end is the same fact, even if two nodes saw it at different times.
         let mut facts = facts;
@@ -238,13 +238,13 @@
         facts.retain(|fact| match fact {
             Fact::Ended { by, instance, .. } => seen.insert((0, u64::from(*by), *instance)),
             Fact::Answered { by, .. } => seen.insert((1, u64::from(*by), 0)),
-            Fact::Lives { .. } => true,
+            Fact::Alive { .. } => true,
         });
-        let mut turned = facts.clone();
-        let length = turned.len();
-        turned.rotate_left(turn % length);
-        turned.extend(facts.iter().cloned());
-        let (mut one, mut other) = (received(&facts), received(&turned));
+        let mut reordered = facts.clone();
+        let length = reordered.len();
+        reordered.rotate_left(rotation % length);
+        reordered.extend(facts.iter().cloned());
+        let (mut one, mut other) = (received(&facts), received(&reordered));
         review(&mut one);
         review(&mut other);
         prop_assert_eq!(one.checksum(), other.checksum());
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -19,7 +19,7 @@
     Duration::from_millis(ms)
 }
 
-fn asker(number: u8) -> SocketAddr {
+fn requester(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
@@ -34,16 +34,16 @@
     role: LimiterRole,
     span: std::ops::Range<u64>,
 ) -> Vec<u64> {
-    let asks = span.step_by(5);
+    let request_times = span.step_by(5);
     let is_granted = |at: &u64| {
-        let verdict = limiter.request_token(asker(1), INSTANCE, limit, role, ms(*at));
+        let verdict = limiter.request_token(requester(1), INSTANCE, limit, role, ms(*at));
         verdict == TokenStatus::Granted
     };
-    asks.filter(is_granted).collect()
+    request_times.filter(is_granted).collect()
 }
 
 /// The maximum number of these times within about 4 s.
-fn most_in_a_window(times: &[u64]) -> usize {
+fn max_in_a_window(times: &[u64]) -> usize {
     let in_window = |from: u64| {
         let window = from..from + 4_000;
         times.iter().filter(|at| window.contains(at)).count()
@@ -60,7 +60,7 @@
     RateNotice::of(&InstanceId::from("a"), &response, &headers())
 }
 
-fn named(values: &[&str]) -> RateNotice {
+fn with_limits(values: &[&str]) -> RateNotice {
     let fields: Vec<(&str, &str)> = values.iter().map(|value| ("rate-limit", *value)).collect();
     notice(200, &fields)
 }
@@ -71,24 +71,27 @@
 
 #[gtest]
 fn a_rate_limit_is_a_plain_decimal_number_and_the_lowest_one_counts() {
-    expect_that!(named(&["6.5"]), eq(limited(6_500)));
-    expect_that!(named(&["1.8"]), eq(limited(1_800)));
-    expect_that!(named(&[" 7 "]), eq(limited(7_000)));
-    expect_that!(named(&["0"]), eq(limited(0)));
-    expect_that!(named(&["99999999999999999999"]), eq(limited(u32::MAX)));
-    expect_that!(named(&["8", "2", "5"]), eq(limited(2_000)));
-    expect_that!(named(&["soon", "2"]), eq(limited(2_000)));
-    expect_that!(named(&["2", "soon"]), eq(limited(2_000)));
+    expect_that!(with_limits(&["6.5"]), eq(limited(6_500)));
+    expect_that!(with_limits(&["1.8"]), eq(limited(1_800)));
+    expect_that!(with_limits(&[" 7 "]), eq(limited(7_000)));
+    expect_that!(with_limits(&["0"]), eq(limited(0)));
+    expect_that!(
+        with_limits(&["99999999999999999999"]),
+        eq(limited(u32::MAX))
+    );
+    expect_that!(with_limits(&["8", "2", "5"]), eq(limited(2_000)));
+    expect_that!(with_limits(&["soon", "2"]), eq(limited(2_000)));
+    expect_that!(with_limits(&["2", "soon"]), eq(limited(2_000)));
     for text in ["-1", "", "soon", "inf", "NaN", "1e3", "+3", "1,5", "1.2.3"] {
-        expect_that!(named(&[text]), eq(RateNotice::Unreadable), "{text}");
+        expect_that!(with_limits(&[text]), eq(RateNotice::Unreadable), "{text}");
     }
 }
 
 #[gtest]
 fn every_complete_answer_of_the_target_instance_counts() {
     for status in [200, 404, 429, 500, 503] {
-        let named = notice(status, &[("rate-limit", "3")]);
-        expect_that!(named, eq(limited(3_000)));
+        let limited_answer = notice(status, &[("rate-limit", "3")]);
+        expect_that!(limited_answer, eq(limited(3_000)));
         expect_that!(notice(status, &[]), eq(RateNotice::Unlimited));
     }
     let other = [("rate-limit", "3"), ("instance", "b")];
@@ -101,7 +104,7 @@
 }
 
 #[gtest]
-fn a_limiter_hands_out_the_announced_rate() {
+fn a_limiter_grants_tokens_at_the_announced_rate() {
     let mut limiter = Limiter::default();
     granted(&mut limiter, limit(6_500), LimiterRole::Primary, 0..5_000);
     let steady = granted(
@@ -124,13 +127,13 @@
 fn unused_tokens_allow_only_a_small_burst() {
     let mut limiter = Limiter::default();
     granted(&mut limiter, limit(6_000), LimiterRole::Primary, 0..5_000);
-    let after_silence = granted(
+    let after_idle_time = granted(
         &mut limiter,
         limit(6_000),
         LimiterRole::Primary,
         60_000..60_005,
     );
-    expect_that!(after_silence, len(eq(1)));
+    expect_that!(after_idle_time, len(eq(1)));
     let all = granted(
         &mut limiter,
         limit(6_000),
@@ -145,19 +148,19 @@
     for millis_per_s in [0, 200, 1_800, 6_500, 40_000] {
         let mut first = Limiter::default();
         let mut second = Limiter::default();
-        let named = limit(millis_per_s);
-        let mut times = granted(&mut first, named, LimiterRole::Primary, 0..30_000);
+        let rate_limit = limit(millis_per_s);
+        let mut times = granted(&mut first, rate_limit, LimiterRole::Primary, 0..30_000);
         // Unused for long, so that its burst falls into the same window.
-        granted(&mut second, named, LimiterRole::Secondary, 0..10_000);
+        granted(&mut second, rate_limit, LimiterRole::Secondary, 0..10_000);
         times.extend(granted(
             &mut second,
-            named,
+            rate_limit,
             LimiterRole::Secondary,
             20_000..30_000,
         ));
         let allowed = (f64::from(millis_per_s) / 1_000.0 * 4.0).mul_add(1.5, 5.0);
         expect_that!(
-            most_in_a_window(&times) as f64,
+            max_in_a_window(&times) as f64,
             le(allowed),
             "{millis_per_s}"
         );
@@ -176,33 +179,33 @@
 fn refused_nodes_are_given_the_times_of_different_tokens() {
     let mut limiter = Limiter::default();
     granted(&mut limiter, limit(5_000), LimiterRole::Primary, 0..4_005);
-    let mut wait_of = |number| {
+    let mut wait_for_token = |number| {
         let role = LimiterRole::Primary;
-        match limiter.request_token(asker(number), INSTANCE, limit(5_000), role, ms(4_010)) {
+        match limiter.request_token(requester(number), INSTANCE, limit(5_000), role, ms(4_010)) {
             TokenStatus::Refused(wait) => wait,
             verdict => panic!("{verdict:?}"),
         }
     };
-    let first = wait_of(1);
-    expect_that!(wait_of(2) - first, all!(ge(ms(199)), le(ms(201))));
+    let first = wait_for_token(1);
+    expect_that!(wait_for_token(2) - first, all!(ge(ms(199)), le(ms(201))));
     // Several requests of a node wait for the same token.
-    expect_that!(wait_of(1), eq(first));
+    expect_that!(wait_for_token(1), eq(first));
 }
 
 #[gtest]
 fn the_later_statement_counts_in_any_order_of_arrival() {
     let mut limits = KnownLimits::default();
-    let said = |millis_per_s, at| LimitStatement {
+    let statement = |millis_per_s, at| LimitStatement {
         limit: Some(limit(millis_per_s)),
         at: ms(at),
     };
-    limits.record_from_peer(INSTANCE, said(2_000, 500));
-    limits.record_from_peer(INSTANCE, said(8_000, 400));
+    limits.record_from_peer(INSTANCE, statement(2_000, 500));
+    limits.record_from_peer(INSTANCE, statement(8_000, 400));
     expect_that!(limits.limit(INSTANCE), some(eq(limit(2_000))));
-    limits.record_from_peer(INSTANCE, said(8_000, 600));
+    limits.record_from_peer(INSTANCE, statement(8_000, 600));
     expect_that!(limits.limit(INSTANCE), some(eq(limit(8_000))));
     limits.record_from_answer(INSTANCE, None, ms(700));
-    limits.record_from_peer(INSTANCE, said(8_000, 650));
+    limits.record_from_peer(INSTANCE, statement(8_000, 650));
     expect_that!(limits.limit(INSTANCE), none());
 }
 
@@ -229,34 +232,51 @@
     expect_that!(limits.is_empty(), eq(true));
 }
 
-/// The state of a limiter in whose place another is asked every 100 ms for this long.
-fn asked_for(failover: &mut LimiterFailover, span: std::ops::Range<u64>) -> FailoverStatus {
-    let standings = span
+/// The status of the primary limiter after this span, in which tokens are requested from the
+/// secondary one every 100 ms.
+fn status_after_requests(
+    failover: &mut LimiterFailover,
+    span: std::ops::Range<u64>,
+) -> FailoverStatus {
+    let statuses = span
         .step_by(100)
-        .map(|at| failover.asked_in_place_of(asker(1), ms(at)));
-    standings.last().expect("an ask")
+        .map(|at| failover.asked_in_place_of(requester(1), ms(at)));
+    statuses.last().expect("a request")
 }
 
 #[gtest]
 fn the_secondary_limiter_replaces_a_permanently_lost_primary() {
     let mut failover = LimiterFailover::default();
-    expect_that!(asked_for(&mut failover, 0..9_900).is_lost, eq(false));
-    expect_that!(asked_for(&mut failover, 9_900..10_200).is_lost, eq(true));
-    failover.record_message(asker(1));
-    expect_that!(asked_for(&mut failover, 10_200..19_000).is_lost, eq(false));
+    expect_that!(
+        status_after_requests(&mut failover, 0..9_900).is_lost,
+        eq(false)
+    );
+    expect_that!(
+        status_after_requests(&mut failover, 9_900..10_200).is_lost,
+        eq(true)
+    );
+    failover.record_message(requester(1));
+    expect_that!(
+        status_after_requests(&mut failover, 10_200..19_000).is_lost,
+        eq(false)
+    );
 }
 
 #[gtest]
-fn silence_counts_only_while_the_primary_limiter_is_needed() {
+fn the_primary_limiter_is_not_lost_while_no_tokens_are_requested() {
     let mut failover = LimiterFailover::default();
-    asked_for(&mut failover, 0..1_000);
-    expect_that!(asked_for(&mut failover, 11_000..12_000).is_lost, eq(false));
+    status_after_requests(&mut failover, 0..1_000);
+    expect_that!(
+        status_after_requests(&mut failover, 11_000..12_000).is_lost,
+        eq(false)
+    );
 }
 
 #[gtest]
 fn the_primary_limiter_is_probed_every_second() {
     let mut failover = LimiterFailover::default();
-    let asks = (0..5_000).step_by(100);
-    let probes = asks.filter(|at| failover.asked_in_place_of(asker(1), ms(*at)).is_probed);
+    let request_times = (0..5_000).step_by(100);
+    let probes =
+        request_times.filter(|at| failover.asked_in_place_of(requester(1), ms(*at)).is_probed);
     expect_that!(probes.count(), eq(5));
 }
--- a/crates/ledgelead-router/tests/repeats/replay.rs
+++ b/crates/ledgelead-router/tests/repeats/replay.rs
@@ -1,4 +1,4 @@
-//! A load replayed without a network: all instances of a service reject two in five requests
+//! A simulated load without a network: all instances of a service reject two in five requests
 //! for 8 s, half of the clients use a fifth of the nodes, and some nodes crash.
 
 use crate::checker::{Arrivals, WINDOW};
@@ -66,8 +66,9 @@
     kind: usize,
     began: Timestamp,
     node: usize,
-    /// Attempts in this submission, in which the request may have run.
+    /// Attempts in this submission.
     attempts: u32,
+    /// Whether the request may have run in one of them.
     may_have_run: bool,
     /// Client submissions left.
     submissions: u32,
@@ -75,11 +76,11 @@
 
 #[derive(Default)]
 struct Outcome {
-    asked: [f64; 3],
+    requested: [f64; 3],
     served: [f64; 3],
     credit: f64,
-    /// Minimum remaining difference to the limit.
-    left: f64,
+    /// Minimum difference between the limit and the retries.
+    margin: f64,
     retries: usize,
 }
 
@@ -87,16 +88,16 @@
     /// Combines the results of several replays.
     fn add(&mut self, other: &Outcome) {
         for kind in 0..DEMAND.len() {
-            self.asked[kind] += other.asked[kind];
+            self.requested[kind] += other.requested[kind];
             self.served[kind] += other.served[kind];
         }
         self.credit += other.credit;
-        self.left = self.left.min(other.left);
+        self.margin = self.margin.min(other.margin);
         self.retries += other.retries;
     }
 
     fn served_share(&self, kind: usize) -> f64 {
-        self.served[kind] / self.asked[kind]
+        self.served[kind] / self.requested[kind]
     }
 }
 
@@ -104,7 +105,7 @@
     rng: Pcg64Mcg,
     by_value: bool,
     nodes: Vec<Option<Node>>,
-    asked: Vec<PendingRequest>,
+    pending: Vec<PendingRequest>,
     arrivals: Arrivals,
     outcome: Outcome,
 }
@@ -115,7 +116,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             by_value,
             nodes: (0..NODES).map(|_| None).collect(),
-            asked: Vec::new(),
+            pending: Vec::new(),
             arrivals: Arrivals::default(),
             outcome: Outcome::default(),
         };
@@ -159,7 +160,7 @@
             let expected = demand * STEP.as_secs_f64();
             let more = self.rng.random_bool(expected.fract());
             for _ in 0..expected as usize + usize::from(more) {
-                self.outcome.asked[kind] += f64::from(u8::from(is_failing(now)));
+                self.outcome.requested[kind] += f64::from(u8::from(is_failing(now)));
                 let (node, submissions) = (self.node(), self.rng.random_range(1..=2));
                 self.submit(
                     PendingRequest {
@@ -178,68 +179,71 @@
     }
 
     /// A client submits the request, for the first time or again.
-    fn submit(&mut self, asked: PendingRequest, now: Timestamp) {
+    fn submit(&mut self, request: PendingRequest, now: Timestamp) {
         self.arrivals.requests.push(now);
-        if let Some(node) = self.nodes[asked.node].as_mut() {
+        if let Some(node) = self.nodes[request.node].as_mut() {
             node.budget.record_request(&service(), now);
         }
-        self.attempt(asked, now);
+        self.attempt(request, now);
     }
 
-    fn attempt(&mut self, mut asked: PendingRequest, now: Timestamp) {
-        asked.attempts += 1;
+    fn attempt(&mut self, mut request: PendingRequest, now: Timestamp) {
+        request.attempts += 1;
         let drawn = self.rng.random_range(0.0..1.0);
         let rejected = is_failing(now) && drawn < REJECTED;
-        if let Some(node) = self.nodes[asked.node].as_mut() {
+        if let Some(node) = self.nodes[request.node].as_mut() {
             node.rejections.received(&service(), now);
             if rejected {
                 node.rejections.refused(&service(), now);
             }
         }
         if rejected {
-            asked.at = now + REJECTION_TIME;
+            request.at = now + REJECTION_TIME;
         } else if is_failing(now) && drawn < REJECTED + LOST {
-            asked.at = now + RESPONSE_TIME;
-            asked.may_have_run = true;
+            request.at = now + RESPONSE_TIME;
+            request.may_have_run = true;
         } else {
-            self.serve(&asked, now + RESPONSE_TIME);
+            self.serve(&request, now + RESPONSE_TIME);
             return;
         }
-        self.asked.push(asked);
+        self.pending.push(request);
     }
 
-    fn serve(&mut self, asked: &PendingRequest, now: Timestamp) {
-        if !is_failing(asked.began) || now > asked.began + CLIENT_TIMEOUT {
+    fn serve(&mut self, request: &PendingRequest, now: Timestamp) {
+        if !is_failing(request.began) || now > request.began + CLIENT_TIMEOUT {
             return;
         }
-        self.outcome.served[asked.kind] += 1.0;
-        let late = now > asked.began + TARGET;
+        self.outcome.served[request.kind] += 1.0;
+        let late = now > request.began + TARGET;
         self.outcome.credit += if late { LATE_CREDIT } else { 1.0 };
     }
 
     fn process_due(&mut self, now: Timestamp) {
-        let due: Vec<PendingRequest> = self.asked.extract_if(.., |asked| asked.at <= now).collect();
-        for asked in due {
-            if asked.attempts == 0 {
-                self.submit(asked, now);
-            } else if asked.attempts < 2 && self.is_retry_granted(&asked, now) {
+        let due: Vec<PendingRequest> = self
+            .pending
+            .extract_if(.., |request| request.at <= now)
+            .collect();
+        for request in due {
+            if request.attempts == 0 {
+                self.submit(request, now);
+            } else if request.attempts < 2 && self.is_retry_granted(&request, now) {
                 self.arrivals.retries.push(now);
-                self.attempt(asked, now);
+                self.attempt(request, now);
             } else {
-                self.refuse(asked, now);
+                self.refuse(request, now);
             }
         }
     }
 
-    fn is_retry_granted(&mut self, asked: &PendingRequest, now: Timestamp) -> bool {
+    fn is_retry_granted(&mut self, request: &PendingRequest, now: Timestamp) -> bool {
         let alive = self.nodes.iter().flatten().count();
-        let Some(node) = self.nodes[asked.node].as_mut() else {
+        let Some(node) = self.nodes[request.node].as_mut() else {
             return false;
         };
         let candidate = RetryCandidate {
-            rank: u32::try_from(asked.kind).unwrap_or(u32::MAX),
-            meets_target: now + RESPONSE_TIME <= asked.began + TARGET,
-            not_run: !asked.may_have_run,
+            rank: u32::try_from(request.kind).unwrap_or(u32::MAX),
+            meets_target: now + RESPONSE_TIME <= request.began + TARGET,
+            not_run: !request.may_have_run,
             acceptance: 1.0 - node.rejections.share(&service(), now),
         };
         if self.by_value {
@@ -251,22 +255,22 @@
         }
     }
 
-    /// The client retries as told, if it has submissions left.
-    fn refuse(&mut self, mut asked: PendingRequest, now: Timestamp) {
-        if asked.submissions == 0 {
+    /// The client submits the request again after the retry time, if it has submissions left.
+    fn refuse(&mut self, mut request: PendingRequest, now: Timestamp) {
+        if request.submissions == 0 {
             return;
         }
-        let share = match self.nodes[asked.node].as_mut() {
+        let share = match self.nodes[request.node].as_mut() {
             Some(node) => node.rejections.share(&service(), now),
             None => 0.0,
         };
         let jitter = self.rng.random_range(1.0..1.7);
-        asked.at = now + retry_after(share).mul_f64(jitter);
-        asked.node = self.node();
-        asked.submissions -= 1;
-        asked.attempts = 0;
-        asked.may_have_run = false;
-        self.asked.push(asked);
+        request.at = now + retry_after(share).mul_f64(jitter);
+        request.node = self.node();
+        request.submissions -= 1;
+        request.attempts = 0;
+        request.may_have_run = false;
+        self.pending.push(request);
     }
 
     fn run(mut self) -> Outcome {
@@ -288,15 +292,16 @@
             self.process_due(now);
         }
         self.outcome.retries = self.arrivals.retries.len();
-        self.outcome.left = -self.arrivals.excess(RATIO, SLACK);
+        self.outcome.margin = -self.arrivals.excess(RATIO, SLACK);
         self.outcome
     }
 }
 
-/// Runs several replays, with or without valuing retries.
+/// The combined results of several replays. With `by_value` the budget is spent on the most
+/// valuable retries, else in order of arrival.
 fn replays(by_value: bool) -> Outcome {
     let mut all = Outcome {
-        left: f64::INFINITY,
+        margin: f64::INFINITY,
         ..Outcome::default()
     };
     for seed in 0..SEEDS {
@@ -313,9 +318,9 @@
         let shares = [0, 1, 2].map(|kind| outcome.served_share(kind));
         println!(
             "credit {:.0}, served {shares:.3?}, repeats {}, left of the bound {:.0}",
-            outcome.credit, outcome.retries, outcome.left
+            outcome.credit, outcome.retries, outcome.margin
         );
-        expect_that!(outcome.left, ge(0.0));
+        expect_that!(outcome.margin, ge(0.0));
     }
     let shares = [0, 1, 2].map(|kind| by_value.served_share(kind));
     expect_that!(shares[0], ge(shares[1]));
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -73,8 +73,11 @@
     );
     // A 503 without the header proves nothing: an instance has executed the request and
     // failed. It must not be reported as refused.
-    let silent = verdict(Ok(answer(503, &[("signature", "s")])));
-    expect_that!(matches!(silent, AttemptOutcome::Failed(_)), eq(true));
+    let without_header = verdict(Ok(answer(503, &[("signature", "s")])));
+    expect_that!(
+        matches!(without_header, AttemptOutcome::Failed(_)),
+        eq(true)
+    );
     let unsigned = verdict(Ok(answer(200, &[])));
     expect_that!(matches!(unsigned, AttemptOutcome::Unknown { .. }), eq(true));
     let signed = verdict(Ok(answer(200, &[("signature", "s")])));
@@ -303,13 +306,13 @@
         fence: 14,
     };
     let at = |id: &str| Misdirection::at(&InstanceId::from(id), Some(&assignment), Some(ms(60)));
-    // The request was in the queue of the previous owner; the next one gets it at once.
+    // The previous owner had the request in its queue; the new owner is sent it at once.
     expect_that!(at("a"), none());
-    let held = Misdirection {
+    let delayed = Misdirection {
         fence: 14,
         retry_at: Some(ms(60)),
     };
-    expect_that!(at("b"), some(eq(&held)));
+    expect_that!(at("b"), some(eq(&delayed)));
     let unowned = Misdirection::at(&InstanceId::from("a"), None, None);
     expect_that!(unowned, none());
 }
@@ -335,10 +338,10 @@
     for seed in 0..100 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let chosen = fixture.select_with(&[], &mut rng).expect("an instance");
-        let place = ["a", "b", "c"]
+        let position = ["a", "b", "c"]
             .iter()
             .position(|id| chosen.id.as_str() == *id);
-        counts[place.expect("a known one")] += 1;
+        counts[position.expect("one of the three")] += 1;
     }
     counts
 }
@@ -506,7 +509,7 @@
 
 #[gtest]
 fn a_requested_pause_is_in_seconds_and_the_longest_counts() {
-    let asked = |values: &[&str]| {
+    let notice_with = |values: &[&str]| {
         let fields: Vec<(&str, &str)> =
             values.iter().map(|value| ("retry-after", *value)).collect();
         notice(503, &fields)
@@ -515,14 +518,14 @@
         backoff: Some(time),
         ..Notice::default()
     };
-    expect_that!(asked(&["3"]), eq(pause(ms(3_000))));
-    expect_that!(asked(&["0.25"]), eq(pause(ms(250))));
-    expect_that!(asked(&[" 2 "]), eq(pause(ms(2_000))));
-    expect_that!(asked(&["1", "4", "2"]), eq(pause(ms(4_000))));
-    let day = Duration::from_secs(86_400);
-    expect_that!(asked(&["99999999999999999999"]), eq(pause(day)));
-    expect_that!(asked(&["0"]), eq(Notice::default()));
-    expect_that!(asked(&[]), eq(Notice::default()));
+    expect_that!(notice_with(&["3"]), eq(pause(ms(3_000))));
+    expect_that!(notice_with(&["0.25"]), eq(pause(ms(250))));
+    expect_that!(notice_with(&[" 2 "]), eq(pause(ms(2_000))));
+    expect_that!(notice_with(&["1", "4", "2"]), eq(pause(ms(4_000))));
+    let one_day = Duration::from_secs(86_400);
+    expect_that!(notice_with(&["99999999999999999999"]), eq(pause(one_day)));
+    expect_that!(notice_with(&["0"]), eq(Notice::default()));
+    expect_that!(notice_with(&[]), eq(Notice::default()));
     let unreadable = Notice {
         is_unreadable: true,
         ..Notice::default()
@@ -537,13 +540,13 @@
         "+3",
         "Thu, 03 Dec 2026 05:00:00 GMT",
     ] {
-        expect_that!(asked(&[text]), eq(unreadable), "{text}");
+        expect_that!(notice_with(&[text]), eq(unreadable), "{text}");
     }
-    let beside = Notice {
+    let partly_unreadable = Notice {
         is_unreadable: true,
         ..pause(ms(2_000))
     };
-    expect_that!(asked(&["soon", "2"]), eq(beside));
+    expect_that!(notice_with(&["soon", "2"]), eq(partly_unreadable));
 }
 
 #[gtest]
--- a/crates/ledgelead-router/tests/scale.rs
+++ b/crates/ledgelead-router/tests/scale.rs
@@ -67,11 +67,11 @@
 /// A record in which each instance owns an equal range.
 fn record(owners: usize) -> OwnershipRecord {
     let keys = KeyRange::ALL.len() as usize;
-    let edge = |index: usize| u16::try_from(index * keys / owners);
+    let boundary = |index: usize| u16::try_from(index * keys / owners);
     let assignment = |index: usize| Assignment {
         service: service(),
-        first: edge(index).expect("a key"),
-        last: edge(index + 1).map_or(u16::MAX, |next| next - 1),
+        first: boundary(index).expect("a key"),
+        last: boundary(index + 1).map_or(u16::MAX, |next| next - 1),
         owner: instance(index).id,
         fence: index as u64 + 1,
     };
@@ -90,12 +90,12 @@
     configuration: Configuration,
     exchanges: ExchangeIds,
     now: Timestamp,
-    out: Vec<(Timestamp, OutgoingOrder)>,
-    writing: Option<Timestamp>,
+    unanswered: Vec<(Timestamp, OutgoingOrder)>,
+    write_done_at: Option<Timestamp>,
     /// Grants and writes, with the times at which they were sent.
     grants: Vec<(Timestamp, InstanceId)>,
     writes: Vec<Timestamp>,
-    most_out: usize,
+    max_unanswered: usize,
 }
 
 impl Run {
@@ -114,11 +114,11 @@
             configuration: configuration(),
             exchanges: ExchangeIds::default(),
             now: Duration::ZERO,
-            out: Vec::new(),
-            writing: None,
+            unanswered: Vec::new(),
+            write_done_at: None,
             grants: Vec::new(),
             writes: Vec::new(),
-            most_out: 0,
+            max_unanswered: 0,
         }
     }
 
@@ -139,28 +139,28 @@
                 if matches!(order.order, Order::Grant { .. }) {
                     self.grants.push((self.now, order.instance.clone()));
                 }
-                self.out.push((self.now + ROUND_TRIP, order));
+                self.unanswered.push((self.now + ROUND_TRIP, order));
             }
             if commands.write.is_some() {
                 self.writes.push(self.now);
-                self.writing = Some(self.now + ms(20));
+                self.write_done_at = Some(self.now + ms(20));
             }
-            self.most_out = self.most_out.max(self.out.len());
+            self.max_unanswered = self.max_unanswered.max(self.unanswered.len());
             self.now += ms(10);
         }
     }
 
     fn answer(&mut self) {
         let now = self.now;
-        let (ended, out) = std::mem::take(&mut self.out)
+        let (ended, unanswered) = std::mem::take(&mut self.unanswered)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.out = out;
+        self.unanswered = unanswered;
         for (_, order) in ended as Vec<(Timestamp, OutgoingOrder)> {
             let done = Ok(OrderAnswer::Done { handover: None });
             self.coordinator.order_ended(order.exchange, done, now);
         }
-        if self.writing.take_if(|at| *at <= now).is_some() {
+        if self.write_done_at.take_if(|at| *at <= now).is_some() {
             self.coordinator.record_written(now);
         }
     }
@@ -181,7 +181,7 @@
 fn a_takeover_sends_few_grants_at_once_and_reaches_every_owner() {
     let mut run = Run::new(1_200);
     run.run_until(ms(1_500));
-    expect_that!(run.most_out, le(MAX_UNANSWERED));
+    expect_that!(run.max_unanswered, le(MAX_UNANSWERED));
     let mut granted: Vec<&InstanceId> = run.grants.iter().map(|(_, owner)| owner).collect();
     granted.sort();
     granted.dedup();
@@ -251,7 +251,7 @@
             first: change.first,
             last: change.last,
         };
-        let left = |old: &Assignment| -> Vec<Assignment> {
+        let remaining = |old: &Assignment| -> Vec<Assignment> {
             let parts = match old.service == change.service {
                 true => old.range().without(range),
                 false => vec![old.range()],
@@ -263,7 +263,7 @@
             };
             parts.into_iter().map(part).collect()
         };
-        all = all.iter().flat_map(left).collect();
+        all = all.iter().flat_map(remaining).collect();
         all.push(change.clone());
     }
     all.sort_by(|left, right| (&left.service, left.first).cmp(&(&right.service, right.first)));
@@ -282,7 +282,7 @@
 
 proptest! {
     #[test]
-    fn assignments_lie_over_others_in_their_order(
+    fn later_assignments_replace_overlapping_earlier_ones(
         before in prop::collection::vec(any_assignment(), 0..20),
         changes in prop::collection::vec(any_assignment(), 0..20),
     ) {
