--- a/crates/ledgelead-lab/src/demo/demonstration.rs
+++ b/crates/ledgelead-lab/src/demo/demonstration.rs
@@ -446,11 +446,11 @@
             let in_slice = record.position.is_some_and(|at| slice.range.contains(at));
             in_slice && record.due >= kill.departure.at
         };
-        let asked = records.iter().filter(since_kill).collect::<Vec<_>>();
-        if asked.is_empty() {
+        let requests = records.iter().filter(since_kill).collect::<Vec<_>>();
+        if requests.is_empty() {
             continue;
         }
-        let answered = asked.iter().filter(|record| record.is_answered());
+        let answered = requests.iter().filter(|record| record.is_answered());
         let first = answered.map(|record| record.finished).min();
         result.not_recovered += usize::from(first.is_none());
         let until = first.unwrap_or(end);
--- a/crates/ledgelead-lab/src/demo/deployment.rs
+++ b/crates/ledgelead-lab/src/demo/deployment.rs
@@ -78,7 +78,8 @@
 
     /// Waits until every key has an owner and every node answers for both services.
     ///
-    /// # Errors Returns what is still missing after the time limit.
+    /// # Errors
+    /// Returns what is still missing after the time limit.
     pub fn wait_until_ready(&self) -> Result<Span, String> {
         let client = Client::new(&self.node_targets());
         let started = self.clock.now();
--- a/crates/ledgelead-lab/src/fleet/command.rs
+++ b/crates/ledgelead-lab/src/fleet/command.rs
@@ -278,7 +278,8 @@
 
 /// Runs the command.
 ///
-/// # Errors Returns an error if the command line is invalid.
+/// # Errors
+/// Returns an error if the command line is invalid.
 pub fn run(parser: &mut lexopt::Parser) -> Result<ExitCode, lexopt::Error> {
     let mut seeds = 1..=20;
     let mut nodes = NODES;
--- a/crates/ledgelead-lab/src/fleet/crashing.rs
+++ b/crates/ledgelead-lab/src/fleet/crashing.rs
@@ -107,10 +107,10 @@
             return;
         }
         let index = ready[self.crash_rng.random_range(0..ready.len())];
-        let (attempt, mut request) = self.next_try(number, "");
+        let (attempt, mut request) = self.next_attempt(number, "");
         request.headers.push(CRASHES, number.to_string());
         self.report.crashing_tries += 1;
-        self.send_try(index, attempt, crashing_caller(number), request);
+        self.send_attempt(index, attempt, crashing_caller(number), request);
         self.send_similar_harmless_request(number, &ready);
     }
 
@@ -122,15 +122,15 @@
             _ => return,
         };
         let index = ready[self.crash_rng.random_range(0..ready.len())];
-        let (attempt, request) = self.next_try(number, query);
+        let (attempt, request) = self.next_attempt(number, query);
         let caller = (index, self.nodes[index].incarnation);
         let once = self.settings.crashing[number].service == CrashedService::Once;
         self.clients.expect(caller, attempt, once);
-        self.send_try(index, attempt, source, request);
+        self.send_attempt(index, attempt, source, request);
     }
 
     /// Builds the next attempt of a request with this path.
-    fn next_try(&mut self, number: usize, query: &str) -> (u64, Request) {
+    fn next_attempt(&mut self, number: usize, query: &str) -> (u64, Request) {
         self.crashing_tries += 1;
         let attempt = FIRST_ATTEMPT + self.crashing_tries;
         let crashing = self.settings.crashing[number];
@@ -150,7 +150,7 @@
         (attempt, request)
     }
 
-    fn send_try(&mut self, index: usize, attempt: u64, source: IpAddr, request: Request) {
+    fn send_attempt(&mut self, index: usize, attempt: u64, source: IpAddr, request: Request) {
         let caller = (index, self.nodes[index].incarnation);
         let input = Input::Request {
             client: ClientId(attempt),
--- a/crates/ledgelead-lab/src/fleet/eras.rs
+++ b/crates/ledgelead-lab/src/fleet/eras.rs
@@ -77,9 +77,10 @@
         self.snapshots.by_time.insert(self.now, snapshot);
     }
 
-    /// Restores the store from the newest snapshot that is at least `age` older than `went`.
-    pub(super) fn restore_store(&mut self, went: Duration, age: Duration) {
-        let until = went.saturating_sub(age);
+    /// Restores the store from the newest snapshot that is at least `age` older than
+    /// `outage_began`.
+    pub(super) fn restore_store(&mut self, outage_began: Duration, age: Duration) {
+        let until = outage_began.saturating_sub(age);
         let Some((_, snapshot)) = self.snapshots.by_time.range(..=until).next_back() else {
             return;
         };
--- a/crates/ledgelead-lab/src/fleet/limits.rs
+++ b/crates/ledgelead-lab/src/fleet/limits.rs
@@ -140,7 +140,7 @@
         let now = self.now;
         let node = &self.nodes[caller.0];
         let disturbed_at = node.thawed_at.max(node.healed_at);
-        let is_cut = self.network.cut_from_nodes.contains(&caller.0);
+        let is_partitioned = self.network.cut_from_nodes.contains(&caller.0);
         let Some(announced) = self.limits.announced.get_mut(&index) else {
             return;
         };
@@ -151,7 +151,7 @@
             return;
         };
         // A node that was partitioned or frozen may not know what the others know.
-        let is_exempt = is_cut
+        let is_exempt = is_partitioned
             || (disturbed_at > Duration::ZERO && now < disturbed_at + GRACE_AFTER_DISTURBANCE);
         if is_exempt || now < *notified + NODE_BINDS_AFTER {
             return;
--- a/crates/ledgelead-lab/src/fleet/notices.rs
+++ b/crates/ledgelead-lab/src/fleet/notices.rs
@@ -32,7 +32,7 @@
 /// A pause that an instance requested from a node.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
-    asked: Duration,
+    requested_at: Duration,
     until: Duration,
     reached: u32,
 }
@@ -107,7 +107,7 @@
     }
 
     /// The store accepted the entry of an instance. A leaving instance ends some time later.
-    pub(super) fn entry_taken(&mut self, index: usize) {
+    pub(super) fn entry_accepted(&mut self, index: usize) {
         if self.instances[index].record.draining && !self.leaving.contains_key(&index) {
             self.leaving.insert(index, self.now);
             self.schedule(DRAIN_BOUND + END_AFTER_LEAVE, Event::InstanceEnds(index));
@@ -129,7 +129,7 @@
         }
         let backoff = Duration::from_millis(self.notice_rng.random_range(BACKOFF_MS));
         let pause = Pause {
-            asked: self.now,
+            requested_at: self.now,
             until: self.now + backoff,
             reached: 0,
         };
@@ -182,21 +182,23 @@
         let now = self.now;
         let node = &self.nodes[caller.0];
         let disturbed_at = node.thawed_at.max(node.healed_at);
-        let is_cut = self.network.cut_from_nodes.contains(&caller.0);
+        let is_partitioned = self.network.cut_from_nodes.contains(&caller.0);
         let Some(pauses) = self.notices.pauses.get_mut(&(caller, index)) else {
             return;
         };
         pauses.retain(|pause| pause.until > now);
-        let mut most = 0;
+        let mut max_reached = 0;
         for pause in pauses {
-            let is_checked =
-                pause.asked + IN_FLIGHT_ALLOWANCE < now && disturbed_at <= pause.asked && !is_cut;
+            let is_checked = pause.requested_at + IN_FLIGHT_ALLOWANCE < now
+                && disturbed_at <= pause.requested_at
+                && !is_partitioned;
             pause.reached += u32::from(is_checked);
-            most = most.max(pause.reached);
+            max_reached = max_reached.max(pause.reached);
         }
-        if most > ALLOWED_IN_PAUSE {
+        if max_reached > ALLOWED_IN_PAUSE {
             let paused = &self.instances[index];
-            self.checker.requests_in_pause(caller, paused, most, now);
+            self.checker
+                .requests_in_pause(caller, paused, max_reached, now);
         }
     }
 }
--- a/crates/ledgelead-lab/src/fleet/orders.rs
+++ b/crates/ledgelead-lab/src/fleet/orders.rs
@@ -372,9 +372,13 @@
                 (0..self.nodes.len()).for_each(|index| self.kill_node(index))
             }
             FaultKind::CrashInstance(index) => self.crash(self.sharded_instance_at(*index)),
-            FaultKind::SilenceInstance(index) => self.silence(self.sharded_instance_at(*index)),
-            FaultKind::CutInstance(index) => self.cut_instance(self.sharded_instance_at(*index)),
-            FaultKind::CutFromInstances(target) => self.cut_from_instances(*target),
+            FaultKind::SilenceInstance(index) => {
+                self.make_unresponsive(self.sharded_instance_at(*index))
+            }
+            FaultKind::CutInstance(index) => {
+                self.partition_instance(self.sharded_instance_at(*index))
+            }
+            FaultKind::CutFromInstances(target) => self.partition_from_instances(*target),
             FaultKind::IsolateWithCoordinator(position) => {
                 self.isolate(self.sharded_instance_at(*position))
             }
@@ -416,7 +420,7 @@
     pub(super) fn end_fault(&mut self, kind: &FaultKind) {
         self.trace(|| format!("{kind:?} ends"));
         match kind {
-            FaultKind::KillNode(_) | FaultKind::KillAllNodes => self.start_dead_nodes(),
+            FaultKind::KillNode(_) | FaultKind::KillAllNodes => self.start_stopped_nodes(),
             FaultKind::StopNode(_) => {
                 let stopping: Vec<usize> = (0..self.nodes.len())
                     .filter(|index| {
@@ -515,7 +519,7 @@
             .unwrap_or(0)
     }
 
-    fn start_dead_nodes(&mut self) {
+    fn start_stopped_nodes(&mut self) {
         for index in 0..self.nodes.len() {
             if self.nodes[index].node.is_none() {
                 self.start_node(index);
@@ -528,7 +532,7 @@
         self.end_instance(index);
     }
 
-    fn silence(&mut self, index: usize) {
+    fn make_unresponsive(&mut self, index: usize) {
         self.track_lost_keys(index);
         self.instances[index].unresponsive = true;
         self.instances[index].running.clear();
@@ -537,7 +541,7 @@
 
     fn track_lost_keys(&mut self, index: usize) {
         let now = self.now;
-        let followed: Vec<u16> = self.instances[index]
+        let tracked: Vec<u16> = self.instances[index]
             .held_ranges
             .iter()
             .filter(|hold| hold.until > now)
@@ -547,7 +551,7 @@
             })
             .collect();
         let loss = |key| LostKey { at: now, key };
-        self.lost_keys.extend(followed.into_iter().map(loss));
+        self.lost_keys.extend(tracked.into_iter().map(loss));
     }
 
     fn end_instance(&mut self, index: usize) {
@@ -568,7 +572,7 @@
         self.instances[last].record.address = address;
     }
 
-    fn cut_instance(&mut self, index: usize) {
+    fn partition_instance(&mut self, index: usize) {
         self.instances[index].heartbeats = false;
         let coordinator = self.target(Target::Coordinator);
         for node in 0..self.nodes.len() {
@@ -579,7 +583,7 @@
     }
 
     /// Partitions a node from about a third of the instances.
-    fn cut_from_instances(&mut self, target: Target) {
+    fn partition_from_instances(&mut self, target: Target) {
         let node = self.target(target);
         for instance in 0..self.instances.len() {
             if self.rng.random_range(0..3) == 0 {
@@ -630,15 +634,15 @@
         };
         let node = &self.nodes[caller.0];
         let disturbed_at = node.healed_at.max(node.thawed_at).max(node.started_at);
-        let known_from = (unregistered_since + DRAIN_BOUND)
+        let known_since = (unregistered_since + DRAIN_BOUND)
             .max(disturbed_at + CONTACT_TIME)
             .max(self.store_faults.recovered_at + CONTACT_TIME);
-        let cut = self.network.cut_from_store.contains(&caller.0);
+        let is_partitioned = self.network.cut_from_store.contains(&caller.0);
         let outage = self.store_faults.silent
             + self.store_faults.refusing
             + self.store_faults.losing_answers
             > 0;
-        if self.now > known_from + LEAVE_SLACK && !cut && !outage {
+        if self.now > known_since + LEAVE_SLACK && !is_partitioned && !outage {
             let leaving = &self.instances[instance];
             self.checker
                 .request_to_leaving(caller, leaving, unregistered_since, self.now);
--- a/crates/ledgelead-lab/src/fleet/store_traffic.rs
+++ b/crates/ledgelead-lab/src/fleet/store_traffic.rs
@@ -116,7 +116,7 @@
             self.last_heartbeat.insert(index, self.now);
             self.registered.entry(index).or_insert(self.now);
             self.store.register(instance.record.clone());
-            self.entry_taken(index);
+            self.entry_accepted(index);
             self.answer_watches();
         }
     }
--- a/crates/ledgelead-lab/src/fleet/transfers.rs
+++ b/crates/ledgelead-lab/src/fleet/transfers.rs
@@ -22,7 +22,7 @@
 
 impl World {
     /// Sends a request from one node to another.
-    pub(super) fn ask_node(
+    pub(super) fn send_node_request(
         &mut self,
         caller: Caller,
         exchange: ExchangeId,
--- a/crates/ledgelead-lab/src/fleet/transport.rs
+++ b/crates/ledgelead-lab/src/fleet/transport.rs
@@ -60,40 +60,44 @@
 
 impl World {
     /// Schedules the next retransmission, if any is left.
-    pub(super) fn schedule_retransmission(&mut self, held: BlockedOrder) {
-        let next = RETRANSMISSION_TIMES.iter().map(|after| held.sent + *after);
+    pub(super) fn schedule_retransmission(&mut self, blocked: BlockedOrder) {
+        let next = RETRANSMISSION_TIMES
+            .iter()
+            .map(|after| blocked.sent + *after);
         if let Some(at) = next.into_iter().find(|at| *at > self.now) {
-            self.schedule_at(at, Event::BlockedOrder(Box::new(held)));
+            self.schedule_at(at, Event::BlockedOrder(Box::new(blocked)));
         }
     }
 
-    pub(super) fn retransmit_order(&mut self, held: BlockedOrder) {
+    pub(super) fn retransmit_order(&mut self, blocked: BlockedOrder) {
         let transport = self.settings.transport;
-        let (index, incarnation) = held.caller;
+        let (index, incarnation) = blocked.caller;
         let is_running =
             self.nodes[index].incarnation == incarnation && self.nodes[index].node.is_some();
-        let is_open = self.pending.contains_key(&(held.caller, held.exchange));
+        let is_open = self
+            .pending
+            .contains_key(&(blocked.caller, blocked.exchange));
         // Only a running process can reset its connections.
         let was_reset = transport.resets && is_running && !is_open;
-        let is_over = |limit: Duration| held.sent + limit <= self.now;
+        let is_over = |limit: Duration| blocked.sent + limit <= self.now;
         if was_reset || transport.user_timeout.is_some_and(is_over) {
             return;
         }
         if !self
             .network
-            .instance_connected(index, self.current_incarnation(held.instance))
+            .instance_connected(index, self.current_incarnation(blocked.instance))
         {
-            self.schedule_retransmission(held);
+            self.schedule_retransmission(blocked);
             return;
         }
-        let exchange = Some(held.exchange);
-        let instance = self.current_incarnation(held.instance);
+        let exchange = Some(blocked.exchange);
+        let instance = self.current_incarnation(blocked.instance);
         self.order_arrives(
-            (held.caller, held.sent),
+            (blocked.caller, blocked.sent),
             exchange,
             instance,
-            &held.intended,
-            held.order,
+            &blocked.intended,
+            blocked.order,
         );
     }
 }
--- a/crates/ledgelead-lab/src/fleet/versions.rs
+++ b/crates/ledgelead-lab/src/fleet/versions.rs
@@ -133,7 +133,7 @@
             .as_ref()
             .is_some_and(|node| !node.is_stopping());
         let store_faults = &self.store_faults;
-        let is_cut = self.network.cut_from_store.contains(&index)
+        let is_partitioned = self.network.cut_from_store.contains(&index)
             || self.network.cut_from_nodes.contains(&index)
             || self.network.refused_by_store.contains(&index);
         let disturbed_until = [
@@ -147,7 +147,7 @@
         let is_undisturbed = disturbed_until
             .into_iter()
             .all(|until| until + CONTACT_TIME <= self.now);
-        runs && !is_cut
+        runs && !is_partitioned
             && is_undisturbed
             && store_faults.silent + store_faults.refusing + store_faults.losing_answers == 0
     }
--- a/crates/ledgelead-lab/src/fleet/world.rs
+++ b/crates/ledgelead-lab/src/fleet/world.rs
@@ -472,8 +472,8 @@
             return;
         }
         if simulated.frozen_until > self.now {
-            let thaw = simulated.frozen_until;
-            self.schedule_at(thaw, Event::Input(caller, input));
+            let resumes_at = simulated.frozen_until;
+            self.schedule_at(resumes_at, Event::Input(caller, input));
             return;
         }
         let Some(node) = &mut simulated.node else {
@@ -495,8 +495,8 @@
             self.now,
             node.next_deadlines()
         );
-        let sooner = simulated.deadline.is_none_or(|known| deadline < known);
-        if sooner {
+        let is_earlier = simulated.deadline.is_none_or(|known| deadline < known);
+        if is_earlier {
             simulated.deadline = Some(deadline);
             self.schedule_at(deadline, Event::Deadline(caller));
         }
@@ -588,7 +588,7 @@
             return;
         }
         if let Some(receiver) = self.node_at(address) {
-            self.ask_node(caller, exchange, receiver, request);
+            self.send_node_request(caller, exchange, receiver, request);
             return;
         }
         let instance = self.running_instance_at(address);
--- a/crates/ledgelead-lab/src/hollow/phases.rs
+++ b/crates/ledgelead-lab/src/hollow/phases.rs
@@ -105,7 +105,8 @@
 
 /// Runs all phases.
 ///
-/// # Errors Returns an error if the memory usage of the process can't be read.
+/// # Errors
+/// Returns an error if the memory usage of the process can't be read.
 pub fn run_all(world: &mut World) -> io::Result<Vec<Phase>> {
     world.start_up();
     let length = Span::from_seconds(world.options.seconds);
--- a/crates/ledgelead-lab/src/overload/mod.rs
+++ b/crates/ledgelead-lab/src/overload/mod.rs
@@ -46,7 +46,8 @@
 
 /// Runs `overload` with its command line arguments.
 ///
-/// # Errors Returns an error if the command line is invalid or the scenario can't be read.
+/// # Errors
+/// Returns an error if the command line is invalid or the scenario can't be read.
 pub fn run(parser: &mut lexopt::Parser) -> Result<ExitCode, SimulateError> {
     let mut plan = Plan::default();
     let mut scenario = None;
--- a/crates/ledgelead-lab/src/scenario/parse.rs
+++ b/crates/ledgelead-lab/src/scenario/parse.rs
@@ -31,7 +31,8 @@
 
 /// Reads a scenario.
 ///
-/// # Errors Returns all errors found. A syntax error is reported alone; otherwise every
+/// # Errors
+/// Returns all errors found. A syntax error is reported alone; otherwise every
 /// section is read and then checked against the others.
 pub fn parse(text: &str) -> Result<Scenario, Vec<Finding>> {
     let mut sections = Sections {
--- a/crates/ledgelead-lab/src/simulation/command.rs
+++ b/crates/ledgelead-lab/src/simulation/command.rs
@@ -82,7 +82,8 @@
 
 /// Runs `simulate` with its command line arguments.
 ///
-/// # Errors Returns an error if the command line is invalid or the scenario can't be read.
+/// # Errors
+/// Returns an error if the command line is invalid or the scenario can't be read.
 pub fn simulate(parser: &mut lexopt::Parser) -> Result<ExitCode, SimulateError> {
     let arguments = read_arguments(parser)?;
     let scenario = read_scenario(&arguments.scenario)?;
@@ -175,7 +176,8 @@
 
 /// Reads a scenario file.
 ///
-/// # Errors Returns an error if the file can't be read or has errors.
+/// # Errors
+/// Returns an error if the file can't be read or has errors.
 pub fn read_scenario(path: &PathBuf) -> Result<Scenario, SimulateError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| SimulateError::File(path.clone(), error))?;
--- a/crates/ledgelead-lab/src/simulation/page.rs
+++ b/crates/ledgelead-lab/src/simulation/page.rs
@@ -26,7 +26,8 @@
 /// Writes the page into a directory, which is created if it does not exist, and returns its
 /// path.
 ///
-/// # Errors Returns an error if the directory or the file can't be written.
+/// # Errors
+/// Returns an error if the directory or the file can't be written.
 pub fn write(
     directory: &Path,
     scenario: &Scenario,
--- a/crates/ledgelead-lab/src/simulation/report.rs
+++ b/crates/ledgelead-lab/src/simulation/report.rs
@@ -30,9 +30,9 @@
     pub requests: u64,
     /// Of these, answered.
     pub answered: u64,
-    /// Of these, with an unknown outcome.
+    /// Of these, not run.
     pub not_run: u64,
-    /// Of these, unknown.
+    /// Of these, with an unknown outcome.
     pub unknown: u64,
     /// Violations by name.
     pub violations: BTreeMap<&'static str, u64>,
--- a/crates/ledgelead-router/tests/dispatch/queue.rs
+++ b/crates/ledgelead-router/tests/dispatch/queue.rs
@@ -512,8 +512,8 @@
                 Message::Return { .. } | Message::Lose { .. } => {}
                 Message::Advance { ms: passed } => {
                     now += ms(passed);
-                    // Permits expire after some time without being returned; their holders may still use
-                    // them.
+                    // Permits that are not returned for long have expired, although their holders may
+                    // still proceed.
                     if passed > 150 {
                         outstanding.truncate(SLOTS + 1);
                     }
--- a/crates/ledgelead-router/tests/node/configuration.rs
+++ b/crates/ledgelead-router/tests/node/configuration.rs
@@ -127,12 +127,12 @@
         let message = heartbeat(&fixture, 8);
         fixture.receive(node_address(COORDINATOR), &message);
         if round == 0 {
-            let wanted = fixture.datagrams.iter().filter(|(_, to, message)| {
+            let resync_requests = fixture.datagrams.iter().filter(|(_, to, message)| {
                 let kind = RelayedKind::Configuration;
                 *to == node_address(COORDINATOR)
                     && *message == PeerMessage::ResyncRequest { kind, since: 5 }
             });
-            expect_that!(wanted.count(), eq(1));
+            expect_that!(resync_requests.count(), eq(1));
             expect_that!(lists_of_configuration(&fixture), eq(before));
         }
         fixture.run_until(fixture.now + ms(200));
@@ -188,14 +188,14 @@
     let mut fixture = coordinator();
     let mut large = next_version(8);
     let template = Route::clone(&large.routes[0]);
-    let more = (0..2_000).map(|number| {
+    let added_routes = (0..2_000).map(|number| {
         Arc::new(Route {
             name: format!("more-{number}"),
             prefix: format!("/more-{number}/"),
             ..template.clone()
         })
     });
-    large.routes.extend(more);
+    large.routes.extend(added_routes);
     fixture.store.put_configuration(large);
     fixture.answer_watch_with_changes(ObjectKind::Configuration);
     expect_that!(fixture.node.status().configuration, some(eq(8)));
--- a/crates/ledgelead-router/tests/node/evacuation.rs
+++ b/crates/ledgelead-router/tests/node/evacuation.rs
@@ -162,18 +162,21 @@
 #[gtest]
 fn evacuations_never_revert_to_an_earlier_revision() {
     let zone = ZoneName::from("a");
-    let mut known = Evacuations::default();
-    expect_that!(known.apply_list(std::slice::from_ref(&zone), 8), eq(true));
-    expect_that!(known.apply_list(&[], 7), eq(false));
-    expect_that!(known.zones().len(), eq(1));
-    expect_that!(known.apply_change(&zone, false, 9), eq(true));
+    let mut evacuations = Evacuations::default();
     expect_that!(
-        known.apply_heartbeat(&EvacuationsEntry {
+        evacuations.apply_list(std::slice::from_ref(&zone), 8),
+        eq(true)
+    );
+    expect_that!(evacuations.apply_list(&[], 7), eq(false));
+    expect_that!(evacuations.zones().len(), eq(1));
+    expect_that!(evacuations.apply_change(&zone, false, 9), eq(true));
+    expect_that!(
+        evacuations.apply_heartbeat(&EvacuationsEntry {
             revision: 8,
             zones: List(vec![1])
         }),
         eq(false)
     );
-    expect_that!(known.zones().len(), eq(0));
-    expect_that!(known.revision(), eq(9));
+    expect_that!(evacuations.zones().len(), eq(0));
+    expect_that!(evacuations.revision(), eq(9));
 }
--- a/crates/ledgelead-router/tests/node/fixture.rs
+++ b/crates/ledgelead-router/tests/node/fixture.rs
@@ -1,5 +1,5 @@
 //! A single node with a simulated store, which answers lists and writes immediately, and
-//! simulated instances, which answer when the test says so.
+//! simulated instances, whose answers each test gives itself.
 
 use crate::support::headers;
 use googletest::prelude::*;
@@ -62,7 +62,7 @@
     pub refuses_calls: bool,
     /// Whether answers are held back until `Fixture::deliver_answers`.
     pub is_slow: bool,
-    /// Whether the history of changes is lost.
+    /// Whether the history of changes before the current revision is lost.
     pub has_lost_history: bool,
     /// Whether a watch is answered immediately if there are changes.
     pub answers_changes: bool,
@@ -239,8 +239,8 @@
             }
             StoreCall::Watch { .. } => None,
             StoreCall::Create { name, content } => {
-                let known = self.objects.contains_key(&(content.kind(), name.clone()));
-                Some(if known {
+                let exists = self.objects.contains_key(&(content.kind(), name.clone()));
+                Some(if exists {
                     StoreAnswer::Conflict
                 } else {
                     self.write(name, content)
@@ -251,8 +251,8 @@
                 revision,
                 content,
             } => {
-                let known = self.objects.get(&(content.kind(), name.clone()));
-                Some(match known {
+                let current = self.objects.get(&(content.kind(), name.clone()));
+                Some(match current {
                     None => StoreAnswer::Missing,
                     Some(object) if revision.is_some_and(|wanted| wanted != object.revision) => {
                         StoreAnswer::Conflict
@@ -630,8 +630,8 @@
         self.end(exchange, Ok(self.store.response_with(number)));
     }
 
-    /// Tells the latest watch of a kind that the history is lost, and answers the list that
-    /// follows.
+    /// Answers the latest watch of a kind that the history is lost, and then answers the list
+    /// that follows.
     pub fn lose_history(&mut self, kind: ObjectKind) {
         let position = self.watches.iter().rposition(
             |(_, _, call)| matches!(call, StoreCall::Watch { kind: watched, .. } if *watched == kind),
@@ -667,9 +667,9 @@
     }
 
     /// Delivers the answers that a slow store has held back, except for some calls.
-    pub fn deliver_answers_except(&mut self, stays: impl Fn(&StoreCall) -> bool) {
+    pub fn deliver_answers_except(&mut self, is_held_back: impl Fn(&StoreCall) -> bool) {
         for (call, input) in std::mem::take(&mut self.in_flight) {
-            if stays(&call) {
+            if is_held_back(&call) {
                 self.in_flight.push((call, input));
             } else {
                 self.step(input);
--- a/crates/ledgelead-router/tests/node/former_coordinator.rs
+++ b/crates/ledgelead-router/tests/node/former_coordinator.rs
@@ -2,14 +2,15 @@
 //!
 //! The store refuses the coordinator's calls and serves other nodes, so another node is
 //! elected after a second. The former coordinator can't read that from the store, and
-//! continues to send heartbeats for six seconds. A follower that measures how long it has
-//! missed changes announced by "the coordinator", whichever was heard last, starts the time at
-//! the successor's heartbeat and ends it 100 ms later at that of the former one, which knows
-//! no more than the follower. Versions too large for datagrams are read from the store only
-//! after 250 ms of missing, which are never reached. So nine followers were six seconds late
-//! without a single call to the store; the ownership record was late in the same way, and half
-//! of the keyed requests were refused. The follower caught up (configuration 17 after 10,
-//! missing for 401 ms) only once the former coordinator, of epoch 2, had stepped down.
+//! continues to send heartbeats for six seconds. A follower must not take the heartbeats of
+//! both for those of one coordinator. The successor's heartbeat announces a version that the
+//! follower lacks; 100 ms later that of the former coordinator, which knows no more than the
+//! follower, announces none. A version too large for datagrams is read from the store only
+//! once it has been missing for 250 ms. If the former coordinator's heartbeat ends that time,
+//! the 250 ms are never reached. Nine followers were six seconds late in this way without a
+//! single call to the store; the ownership record was late in the same way, and half of the
+//! keyed requests were refused. A follower caught up (with configuration 17 after 10, missing
+//! for 401 ms) only once the former coordinator, of epoch 2, had stepped down.
 
 use crate::fixture::{
     Fixture, KEYED, SERVICE, Store, configuration, instance, ms, node_address, node_record,
@@ -175,7 +176,7 @@
 #[gtest]
 fn reports_are_sent_only_to_the_successor() {
     let (mut fixture, former) = follower_of_former();
-    // So that the former coordinator is heard last before each report.
+    // The last heartbeat before each report is that of the former coordinator.
     fixture.run_until(ms(250));
     receive_from_both(&mut fixture, &former, ms(200));
     fixture.datagrams.clear();
@@ -200,7 +201,7 @@
 }
 
 #[gtest]
-fn coordinator_steps_down_when_it_hears_a_later_epoch() {
+fn coordinator_steps_down_after_a_heartbeat_of_a_later_epoch() {
     let mut fixture = Fixture::coordinating(store_without_coordinator());
     let epoch = fixture.node.status().epoch;
     fixture.store.refuses_calls = true;
@@ -259,8 +260,8 @@
     expect_that!(fixture.node.status().configuration, some(eq(8)));
 }
 
-/// Which coordinator is heard next, the time after it in milliseconds, and whether a new
-/// version is written before.
+/// Which coordinator sends the next heartbeat, the time after it in milliseconds, and whether
+/// a new version is written before it.
 #[derive(Clone, Debug)]
 struct Announcement {
     after_ms: u64,
@@ -288,8 +289,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Three coordinators of different epochs are heard in any order. The latest one knows the
-    /// state of the store, the others what they had read before it was elected.
+    /// Heartbeats of three coordinators of different epochs arrive in any order. The latest
+    /// coordinator knows the state of the store, the others only what they had read before it
+    /// was elected.
     #[test]
     fn announcements_of_the_latest_coordinator_are_applied_in_time(
         announcements in proptest::collection::vec(arbitrary_announcement(), 20..80),
--- a/crates/ledgelead-router/tests/node/incomplete_requests.rs
+++ b/crates/ledgelead-router/tests/node/incomplete_requests.rs
@@ -10,14 +10,14 @@
 /// A node with two instances of the service without keys and an owner of all keys. Requests
 /// may run at most once.
 fn node() -> Fixture {
-    let mut once = configuration(1);
-    for route in &mut once.routes {
+    let mut configuration = configuration(1);
+    for route in &mut configuration.routes {
         *route = Arc::new(Route {
             repeatability: Repeatability::Once,
             ..(**route).clone()
         });
     }
-    let mut fixture = Fixture::new(owned_store(once));
+    let mut fixture = Fixture::new(owned_store(configuration));
     fixture.run_until(ms(900));
     fixture.attempts.clear();
     fixture
--- a/crates/ledgelead-router/tests/node/leaving.rs
+++ b/crates/ledgelead-router/tests/node/leaving.rs
@@ -1,4 +1,4 @@
-//! Exchange of announcements, made by instances in responses, that they are leaving.
+//! How nodes pass on that an instance has announced in a response that it is leaving.
 
 use crate::fixture::{
     Fixture, KEYED, SERVICE, configuration, instance, ms, node_address, owned_store,
@@ -17,16 +17,16 @@
     response
 }
 
-/// Hashes of the ids of all instances named as leaving in messages so far.
+/// Hashes of the ids of all instances reported as leaving in messages so far.
 fn reported_as_leaving(fixture: &Fixture) -> Vec<u64> {
     let messages = fixture.datagrams.iter().map(|(_, _, message)| message);
-    let named = messages.filter_map(|message| match message {
+    let reported = messages.filter_map(|message| match message {
         PeerMessage::LeavingInstances { instances } => {
             Some(instances.iter().map(|entry| entry.subject))
         }
         _ => None,
     });
-    named.flatten().collect()
+    reported.flatten().collect()
 }
 
 fn hash(number: u8) -> u64 {
--- a/crates/ledgelead-router/tests/node/open_requests.rs
+++ b/crates/ledgelead-router/tests/node/open_requests.rs
@@ -154,11 +154,11 @@
     };
     fixture.receive(reporters[0], &open(3));
     fixture.receive(reporters[1], &open(4));
-    let own = fixture
+    let own_attempts = fixture
         .attempts
         .iter()
         .filter(|sent| sent.address == instance(1, SERVICE).address);
-    let own = u16::try_from(own.count()).expect("few");
+    let own = u16::try_from(own_attempts.count()).expect("few");
     fixture.datagrams.clear();
     fixture.run_until(fixture.now + ms(120));
     for reporter in reporters {
--- a/crates/ledgelead-router/tests/node/rate_limits.rs
+++ b/crates/ledgelead-router/tests/node/rate_limits.rs
@@ -97,8 +97,8 @@
     let mut attempts = Vec::new();
     let end = fixture.now + ms(duration_ms);
     while fixture.now < end {
-        let named = |_| limit.map_or_else(success, response_with_limit);
-        let times = send_requests_for(fixture, (KEYED, Some(7)), 15, named);
+        let respond = |_| limit.map_or_else(success, response_with_limit);
+        let times = send_requests_for(fixture, (KEYED, Some(7)), 15, respond);
         attempts.extend(times.into_iter().map(|(at, _)| at));
         fixture.run_until(fixture.now + ms(35));
     }
@@ -109,9 +109,12 @@
 fn requests_before_a_limit_count_in_its_first_window() {
     let mut fixture = single_node();
     let mut attempts = send_slowly(&mut fixture, 5_000, None);
-    let named_at = fixture.now;
+    let limited_since = fixture.now;
     attempts.extend(send_slowly(&mut fixture, 8_000, Some("6.5")));
-    for end in (3_000..8_000).step_by(50).map(|after| named_at + ms(after)) {
+    for end in (3_000..8_000)
+        .step_by(50)
+        .map(|after| limited_since + ms(after))
+    {
         let window = end - ms(WINDOW_MS)..end;
         let arrived = attempts.iter().filter(|at| window.contains(at)).count();
         expect_that!(arrived, le(44));
--- a/crates/ledgelead-router/tests/node/registration.rs
+++ b/crates/ledgelead-router/tests/node/registration.rs
@@ -63,7 +63,7 @@
     let mut store = store_with_earlier_incarnation();
     store.put_ownership(record_of(Some(node_record(1).identity)));
     let mut fixture = Fixture::new(store);
-    // The coordinator gets time to be heard.
+    // The coordinator has time to send a heartbeat.
     fixture.run_until(ms(900));
     expect_that!(writes(&fixture, ObjectKind::Nodes), is_empty());
     fixture.run_until(ms(4_000));
--- a/crates/ledgelead-router/tests/node/response_notices.rs
+++ b/crates/ledgelead-router/tests/node/response_notices.rs
@@ -67,9 +67,9 @@
     while fixture.now < end {
         fixture.request(service, key);
         receivers.extend(answer_all(fixture, &answer));
-        let pause_over = fixture.now + ms(100);
-        while fixture.now < pause_over {
-            fixture.run_until((fixture.now + ms(10)).min(pause_over));
+        let next_request_at = fixture.now + ms(100);
+        while fixture.now < next_request_at {
+            fixture.run_until((fixture.now + ms(10)).min(next_request_at));
             receivers.extend(answer_all(fixture, &answer));
         }
     }
--- a/crates/ledgelead-router/tests/node/startup.rs
+++ b/crates/ledgelead-router/tests/node/startup.rs
@@ -2,9 +2,9 @@
 //!
 //! A first list may be a few seconds old, and the first watch follows only 1.2 s later. After
 //! the loss of all nodes at 28.070 s, an instance began to drain at 28.463 s and the nodes
-//! started at 31.109 s. Their first lists were from before the drain, and no coordinator could
-//! tell them. So three of them sent the instance requests at 31.142 s, 0.68 s after its bound
-//! of 2 s.
+//! started at 31.109 s. Their first lists were from before the drain, and there was no
+//! coordinator to announce it. So three of them sent the instance requests at 31.142 s, 0.68 s
+//! after its bound of 2 s.
 
 use crate::fixture::{Fixture, SERVICE, Store, configuration, instance, ms, node_record, success};
 use googletest::prelude::*;
@@ -42,9 +42,9 @@
     store.clear_coordinator();
     store.answers_changes = true;
     store.freeze_stale_lists();
-    let mut drains = instance(1, SERVICE);
-    drains.draining = true;
-    store.add_instance(drains);
+    let mut leaving = instance(1, SERVICE);
+    leaving.draining = true;
+    store.add_instance(leaving);
     store
 }
 
--- a/crates/ledgelead-router/tests/node/store_outage.rs
+++ b/crates/ledgelead-router/tests/node/store_outage.rs
@@ -110,8 +110,8 @@
     }
     // The coordinator is silent, the store serves again, and an instance has left.
     fixture.store.refuses_calls = false;
-    let gone = (ObjectKind::Instances, "i-1".to_owned());
-    fixture.store.objects.remove(&gone);
+    let removed = (ObjectKind::Instances, "i-1".to_owned());
+    fixture.store.objects.remove(&removed);
     fixture.store.revision += 1;
     fixture.store.has_lost_history = true;
     fixture.run_until(fixture.now + ms(2_000));
@@ -248,7 +248,7 @@
     let mut fixture = refused_node();
     let known = fixture.store.revision;
     fixture.receive(node_address(1), &heartbeat(&fixture, known));
-    let gone = PeerMessage::InstancesChanged {
+    let removal = PeerMessage::InstancesChanged {
         span: ChangeSpan {
             base: known,
             revision: known + 1,
@@ -261,7 +261,7 @@
             entry: None,
         }]),
     };
-    fixture.receive(node_address(1), &gone);
+    fixture.receive(node_address(1), &removal);
     expect_that!(sent_for_service(&mut fixture), eq(1));
     fixture.run_until(fixture.now + ms(2_100));
     expect_that!(sent_for_service(&mut fixture), eq(0));
--- a/crates/ledgelead-router/tests/node/transfer.rs
+++ b/crates/ledgelead-router/tests/node/transfer.rs
@@ -81,12 +81,12 @@
 /// Receives a heartbeat through the relay.
 fn relay_heartbeat(fixture: &mut Fixture) {
     let message = heartbeat(fixture);
-    let passed_on = PeerMessage::Forwarded {
+    let forwarded = PeerMessage::Forwarded {
         origin: PeerAddress::new(node_address(COORDINATOR)).expect("IPv4"),
         to_zone: false,
         message: Bytes(encode(&message).bytes.to_vec()),
     };
-    fixture.receive(node_address(RELAY), &passed_on);
+    fixture.receive(node_address(RELAY), &forwarded);
 }
 
 /// Receives heartbeats through the relay for this time.
@@ -167,8 +167,8 @@
     Response::new(200, codec::encode(&TransferAnswer::Redirect { nodes }))
 }
 
-/// A node that has read one page and hears a coordinator.
-fn following() -> Fixture {
+/// A node that has read one page and receives the heartbeats of a coordinator.
+fn follower() -> Fixture {
     let mut fixture = Fixture::new(paged_store());
     fixture.run_until(ms(50));
     relay_heartbeats_for(&mut fixture, 100);
@@ -177,7 +177,7 @@
 
 #[gtest]
 fn starting_node_reads_one_page_and_asks_the_relay_of_heartbeats() {
-    let mut fixture = following();
+    let mut fixture = follower();
     expect_that!(pages(&fixture), eq(1));
     let requests = take_requests(&mut fixture);
     expect_that!(requests, len(eq(1)));
@@ -206,7 +206,7 @@
 
 #[gtest]
 fn node_is_referred_to_sources_of_the_list() {
-    let mut fixture = following();
+    let mut fixture = follower();
     let first = take_requests(&mut fixture).pop().expect("a request");
     fixture.answer(first.exchange, referral(&[node_address(3)]));
     relay_heartbeats_for(&mut fixture, 100);
@@ -220,7 +220,7 @@
 
 #[gtest]
 fn node_without_a_source_reads_the_store() {
-    let mut fixture = following();
+    let mut fixture = follower();
     let end = fixture.now + ms(13_000);
     while fixture.now < end && !fixture.node.is_ready() {
         for request in take_requests(&mut fixture) {
@@ -350,16 +350,18 @@
     let mut fixture = Fixture::new(paged_store());
     fixture.run_until(ms(50));
     relay_heartbeats_for(&mut fixture, 100);
-    let waits = request(&mut fixture, 3, 1_000);
-    let leaves = request(&mut fixture, 2, 1_000);
-    fixture.step(Input::ClientDisconnected { client: leaves });
+    let waiting = request(&mut fixture, 3, 1_000);
+    let disconnected = request(&mut fixture, 2, 1_000);
+    fixture.step(Input::ClientDisconnected {
+        client: disconnected,
+    });
     relay_heartbeats_for(&mut fixture, 200);
     expect_that!(fixture.answers, is_empty());
-    let own = take_requests(&mut fixture).pop().expect("a request");
-    fixture.answer(own.exchange, all_instances());
+    let own_request = take_requests(&mut fixture).pop().expect("a request");
+    fixture.answer(own_request.exchange, all_instances());
     relay_heartbeats_for(&mut fixture, 100);
     let (sent, _) = outcomes(&fixture);
-    expect_that!(sent, elements_are![eq(&waits)]);
+    expect_that!(sent, elements_are![eq(&waiting)]);
 }
 
 #[gtest]
--- a/crates/ledgelead-router/tests/node/unreadable_objects.rs
+++ b/crates/ledgelead-router/tests/node/unreadable_objects.rs
@@ -159,11 +159,11 @@
                 _ => None,
             });
         let announced: Vec<ChangedInstance> = announced.flatten().collect();
-        let gone = ChangedInstance {
+        let removal = ChangedInstance {
             id: Text("i-1".to_owned()),
             entry: None,
         };
-        expect_that!(announced, eq(&[gone]), "lists: {lists}");
+        expect_that!(announced, eq(&[removal]), "lists: {lists}");
     }
 }
 
--- a/crates/ledgelead-router/tests/node/zone_relay.rs
+++ b/crates/ledgelead-router/tests/node/zone_relay.rs
@@ -59,11 +59,11 @@
     while fixture.now < end {
         fixture.run_until(fixture.now + ms(50));
     }
-    let other = |number: &u8| {
+    let is_receiver = |number: &u8| {
         let address = node_address(*number);
         fixture.datagrams.iter().any(|(_, to, _)| *to == address)
     };
-    OTHERS.filter(other).collect()
+    OTHERS.filter(is_receiver).collect()
 }
 
 fn reporting_receivers(fixture: &mut Fixture, reporting: &[u8], nodes: u64) -> BTreeSet<u8> {
@@ -86,12 +86,12 @@
     let mut fixture = coordinator();
     let all: BTreeSet<u8> = OTHERS.collect();
     expect_that!(receivers(&mut fixture), eq(&all));
-    let one = reporting_receivers(&mut fixture, &[12, STRONGEST, 13], 1_000);
-    expect_that!(one, eq(&BTreeSet::from([STRONGEST])));
+    let relays = reporting_receivers(&mut fixture, &[12, STRONGEST, 13], 1_000);
+    expect_that!(relays, eq(&BTreeSet::from([STRONGEST])));
     // The relay is silent: another node replaces it, or each node gets the messages directly.
     fixture.run_until(fixture.now + ms(400));
-    let one = reporting_receivers(&mut fixture, &[12, 13], 1_000);
-    expect_that!(one, eq(&BTreeSet::from([12])));
+    let relays = reporting_receivers(&mut fixture, &[12, 13], 1_000);
+    expect_that!(relays, eq(&BTreeSet::from([12])));
     fixture.run_until(fixture.now + ms(400));
     expect_that!(receivers(&mut fixture), eq(&all));
 }
@@ -118,7 +118,8 @@
     fixture.answer_watch_with_changes(ObjectKind::Instances);
     fixture.run_until(fixture.now + ms(300));
     expect_that!(fixture.sent("instances"), lt(TOO_MANY_DATAGRAMS));
-    // The other nodes learn of the changes by heartbeats, and of short lists as before.
+    // The other nodes learn from heartbeats that there are changes; short lists are still
+    // broadcast.
     expect_that!(fixture.sent("heartbeat"), ge(129));
     fixture.store.remove(ObjectKind::Instances, "i-7");
     fixture.answer_watch_with_changes(ObjectKind::Instances);
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -18,7 +18,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-const ALL_ON: fn() -> Protections = Protections::default;
+const ALL_PROTECTIONS: fn() -> Protections = Protections::default;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -226,7 +226,7 @@
         fences in proptest::collection::vec(0u64..1_000, 1..40)
     ) {
         let before = record_of(&fences);
-        let after = before.taken_over_by(&identity("n"), 0, ALL_ON());
+        let after = before.taken_over_by(&identity("n"), 0, ALL_PROTECTIONS());
         prop_assert!(after.is_consistent());
         prop_assert_eq!(after.epoch, before.epoch + 1);
         let highest = fences.iter().max().copied().unwrap_or(0);
@@ -283,22 +283,22 @@
 fn a_lease_expires_only_when_no_grant_can_be_held_or_arrive() {
     let mut lease = Lease::fresh(ms(0), None);
     lease.granting(ExchangeId(1));
-    expect_that!(lease.has_expired(ALL_ON(), ms(1)), eq(false));
+    expect_that!(lease.has_expired(ALL_PROTECTIONS(), ms(1)), eq(false));
     lease.granted(RENEWAL_INTERVAL, ms(10));
     expect_that!(
-        lease.has_expired(ALL_ON(), ms(10) + longest_hold() - ms(1)),
+        lease.has_expired(ALL_PROTECTIONS(), ms(10) + longest_hold() - ms(1)),
         eq(false)
     );
     expect_that!(
-        lease.has_expired(ALL_ON(), ms(10) + longest_hold()),
+        lease.has_expired(ALL_PROTECTIONS(), ms(10) + longest_hold()),
         eq(true)
     );
     lease.granting(ExchangeId(2));
-    expect_that!(lease.has_expired(ALL_ON(), ms(9_000)), eq(false));
+    expect_that!(lease.has_expired(ALL_PROTECTIONS(), ms(9_000)), eq(false));
     lease.unanswered(true, ms(9_000));
-    expect_that!(lease.has_expired(ALL_ON(), ms(9_001)), eq(false));
+    expect_that!(lease.has_expired(ALL_PROTECTIONS(), ms(9_001)), eq(false));
     expect_that!(
-        lease.has_expired(ALL_ON(), ms(9_000) + longest_hold()),
+        lease.has_expired(ALL_PROTECTIONS(), ms(9_000) + longest_hold()),
         eq(true)
     );
 }
@@ -312,7 +312,10 @@
         lease.granting(ExchangeId(attempt));
         lease.unanswered(false, ms(250 * attempt));
     }
-    expect_that!(lease.has_expired(ALL_ON(), longest_hold()), eq(true));
+    expect_that!(
+        lease.has_expired(ALL_PROTECTIONS(), longest_hold()),
+        eq(true)
+    );
 }
 
 #[gtest]
@@ -320,8 +323,8 @@
     let lease = Lease::inherited(ms(5), ms(10_000));
     // Its last grant may have been in transit when it was killed.
     let end = ms(10_000) + ORDER_TRANSIT + longest_hold();
-    expect_that!(lease.has_expired(ALL_ON(), end - ms(1)), eq(false));
-    expect_that!(lease.has_expired(ALL_ON(), end), eq(true));
+    expect_that!(lease.has_expired(ALL_PROTECTIONS(), end - ms(1)), eq(false));
+    expect_that!(lease.has_expired(ALL_PROTECTIONS(), end), eq(true));
 }
 
 fn node_record(name: &str, millicores: u32) -> NodeRecord {
@@ -424,7 +427,7 @@
 }
 
 #[gtest]
-fn nodes_try_in_the_order_of_rank_and_at_once_after_a_resignation() {
+fn nodes_campaign_in_the_order_of_rank_and_at_once_after_a_resignation() {
     let nodes = ["a", "b", "c"].map(|name| node_record(name, 200));
     let of = |node: &str, leader: Option<&NodeIdentity>| {
         rank(&NodeName::from(node), leader, nodes.iter())
@@ -447,7 +450,7 @@
 
 proptest! {
     #[test]
-    fn changes_laid_over_a_record_give_the_next_one(
+    fn changes_applied_to_a_record_give_the_next_one(
         keys in proptest::collection::vec(0u16..900, 0..200),
         fences in proptest::collection::vec(0u64..9, 1..9),
         first in 0u16..880,
@@ -486,7 +489,7 @@
 }
 
 #[gtest]
-fn after_an_outage_lower_ranks_get_time_to_try_first() {
+fn after_an_outage_better_ranked_nodes_campaign_first() {
     // The coordinator was lost long ago, while the store served no node.
     let election = Election::default();
     let record = OwnershipRecord {
@@ -498,10 +501,10 @@
         ..OwnershipRecord::default()
     };
     expect_that!(election.due(&record, 0, ms(9_000)), eq(ms(9_000)));
-    let strong = election.due(&record, 3, ms(9_000));
-    let weak = election.due(&record, 200, ms(9_000));
-    expect_that!(strong, all!(gt(ms(9_000)), lt(ms(9_500))));
-    expect_that!(weak, ge(ms(10_300)));
+    let better_ranked = election.due(&record, 3, ms(9_000));
+    let worse_ranked = election.due(&record, 200, ms(9_000));
+    expect_that!(better_ranked, all!(gt(ms(9_000)), lt(ms(9_500))));
+    expect_that!(worse_ranked, ge(ms(10_300)));
 }
 
 #[gtest]
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -19,7 +19,7 @@
     Duration::from_millis(ms)
 }
 
-fn requester(number: u8) -> SocketAddr {
+fn node_address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
@@ -36,7 +36,7 @@
 ) -> Vec<u64> {
     let request_times = span.step_by(5);
     let is_granted = |at: &u64| {
-        let verdict = limiter.request_token(requester(1), INSTANCE, limit, role, ms(*at));
+        let verdict = limiter.request_token(node_address(1), INSTANCE, limit, role, ms(*at));
         verdict == TokenStatus::Granted
     };
     request_times.filter(is_granted).collect()
@@ -181,7 +181,13 @@
     granted(&mut limiter, limit(5_000), LimiterRole::Primary, 0..4_005);
     let mut wait_for_token = |number| {
         let role = LimiterRole::Primary;
-        match limiter.request_token(requester(number), INSTANCE, limit(5_000), role, ms(4_010)) {
+        match limiter.request_token(
+            node_address(number),
+            INSTANCE,
+            limit(5_000),
+            role,
+            ms(4_010),
+        ) {
             TokenStatus::Refused(wait) => wait,
             verdict => panic!("{verdict:?}"),
         }
@@ -240,7 +246,7 @@
 ) -> FailoverStatus {
     let statuses = span
         .step_by(100)
-        .map(|at| failover.asked_in_place_of(requester(1), ms(at)));
+        .map(|at| failover.asked_in_place_of(node_address(1), ms(at)));
     statuses.last().expect("a request")
 }
 
@@ -255,7 +261,7 @@
         status_after_requests(&mut failover, 9_900..10_200).is_lost,
         eq(true)
     );
-    failover.record_message(requester(1));
+    failover.record_message(node_address(1));
     expect_that!(
         status_after_requests(&mut failover, 10_200..19_000).is_lost,
         eq(false)
@@ -276,7 +282,10 @@
 fn the_primary_limiter_is_probed_every_second() {
     let mut failover = LimiterFailover::default();
     let request_times = (0..5_000).step_by(100);
-    let probes =
-        request_times.filter(|at| failover.asked_in_place_of(requester(1), ms(*at)).is_probed);
+    let probes = request_times.filter(|at| {
+        failover
+            .asked_in_place_of(node_address(1), ms(*at))
+            .is_probed
+    });
     expect_that!(probes.count(), eq(5));
 }
