--- a/crates/ledgelead-ownership/src/group/requesting.rs
+++ b/crates/ledgelead-ownership/src/group/requesting.rs
@@ -1,11 +1,11 @@
-//! Operations and idempotency records: handed to the leader, proposed by it,
-//! answered back.
+//! Requests about operations and idempotency records: sending them to the leader, proposing
+//! them there, and answering them.
 
 use super::GroupReplica;
 use crate::command::GroupCommand;
 use crate::io::{GroupInput, GroupOutput};
-use crate::message::{Answered, Asked, GroupAnswer, GroupMessage, GroupRequest};
-use crate::requests::{Ended, Origin, Waiter, unanswered};
+use crate::message::{GroupAnswer, GroupMessage, GroupRequest, NumberedAnswer, NumberedRequest};
+use crate::requests::{FinishedRequest, Origin, Waiter, timeout_answer};
 use ledgelead_types::codec::encode;
 use ledgelead_types::dispatch::{IdempotencyOwner, IdempotencyVerdict};
 use ledgelead_types::protections::Protection;
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 
 impl GroupReplica {
-    /// Takes a request of this node.
-    pub(super) fn take_request(&mut self, now: Time, input: GroupInput) {
+    /// Starts a request of this node.
+    pub(super) fn start_request(&mut self, now: Time, input: GroupInput) {
         let (request, waiter) = match input {
             GroupInput::Operate {
                 ticket,
@@ -27,26 +27,31 @@
                 };
                 (request, Waiter::Operation(ticket))
             }
-            GroupInput::BeginOnce { owner, key } => {
+            GroupInput::BeginIdempotencyRecord { owner, key } => {
                 if !self.protections.has(Protection::IdempotencyRecord) {
-                    self.once_decided(owner, key, IdempotencyVerdict::Fresh);
+                    self.idempotency_record_decided(owner, key, IdempotencyVerdict::Fresh);
                     return;
                 }
-                (GroupRequest::BeginOnce { owner, key }, Waiter::Once)
+                (
+                    GroupRequest::BeginIdempotencyRecord { owner, key },
+                    Waiter::Idempotency,
+                )
             }
-            GroupInput::EndOnce { owner, key, state } => {
+            GroupInput::EndIdempotencyRecord { owner, key, state } => {
                 let state = Some(state);
-                let request = GroupRequest::EndOnce { owner, key, state };
+                let request = GroupRequest::EndIdempotencyRecord { owner, key, state };
                 (request, Waiter::Nobody)
             }
-            GroupInput::CancelOnce { owner, key } => (cancel(owner, key), Waiter::Nobody),
+            GroupInput::CancelIdempotencyRecord { owner, key } => {
+                (cancel(owner, key), Waiter::Nobody)
+            }
             _ => return,
         };
         if !self.requests.add(now, request.clone(), waiter) {
-            let answer = unanswered(&request, false);
+            let answer = timeout_answer(&request, false);
             self.end(
                 now,
-                Ended {
+                FinishedRequest {
                     request,
                     waiter,
                     answer,
@@ -55,95 +60,101 @@
         }
     }
 
-    /// Hands the waiting requests to the leader. Returns whether something
-    /// was proposed here.
-    pub(super) fn hand_over_requests(&mut self, now: Time) -> bool {
+    /// Sends the pending requests to the leader. Returns whether something was proposed on
+    /// this replica.
+    pub(super) fn forward_requests(&mut self, now: Time) -> bool {
         let Some(leader) = self.replica.leader() else {
             return false;
         };
         let due = self.requests.due(now);
         if leader != self.identity {
-            self.ask(leader, due);
+            self.send_requests(leader, due);
             return false;
         }
         let mut proposed = false;
         for asked in due {
-            let origin = Origin::Here(asked.number);
-            proposed |= self.take_over(now, origin, asked.request);
+            let origin = Origin::Local(asked.number);
+            proposed |= self.accept_request(now, origin, asked.request);
         }
         proposed
     }
 
-    /// Operations go apart from requests, so that each message has one
-    /// purpose.
-    fn ask(&mut self, leader: Member, due: Vec<Asked>) {
-        let is_operation = |asked: &Asked| matches!(asked.request, GroupRequest::Operate { .. });
-        let (operations, records): (Vec<Asked>, Vec<Asked>) =
+    /// Operations and requests about records are sent in separate messages, so that each
+    /// message has one purpose.
+    fn send_requests(&mut self, leader: Member, due: Vec<NumberedRequest>) {
+        let is_operation =
+            |asked: &NumberedRequest| matches!(asked.request, GroupRequest::Operate { .. });
+        let (operations, records): (Vec<NumberedRequest>, Vec<NumberedRequest>) =
             due.into_iter().partition(is_operation);
         for asked in [operations, records] {
             if !asked.is_empty() {
                 self.outputs.push(GroupOutput::Send {
                     to: leader,
-                    message: GroupMessage::Ask(List(asked)),
+                    message: GroupMessage::Requests(List(asked)),
                 });
             }
         }
     }
 
-    /// Another replica hands over requests.
-    pub(super) fn take_asked(&mut self, now: Time, from: Member, asked: List<Asked>) {
+    /// Handles requests from another replica.
+    pub(super) fn handle_requests(
+        &mut self,
+        now: Time,
+        from: Member,
+        asked: List<NumberedRequest>,
+    ) {
         let mut refused = Vec::new();
         for asked in asked {
             let origin = Origin::Replica(from, asked.number);
-            if !self.take_over(now, origin, asked.request) {
+            if !self.accept_request(now, origin, asked.request) {
                 refused.push((origin, GroupAnswer::NotLeader));
             }
         }
         self.answer(now, refused);
     }
 
-    /// Another replica answered.
-    pub(super) fn take_answer(&mut self, now: Time, number: u64, answer: GroupAnswer) {
+    /// Handles an answer from another replica.
+    pub(super) fn handle_answer(&mut self, now: Time, number: u64, answer: GroupAnswer) {
         if let Some(ended) = self.requests.answered(now, number, answer) {
             self.end(now, ended);
         }
     }
 
-    /// Gives up on requests whose time is up.
+    /// Ends requests that have timed out.
     ///
-    /// A wish to begin that no leader answered may still have begun the
-    /// record. It is not removed here: the owner may have begun it through
-    /// another replica meanwhile and be running. Only the owner says that it
-    /// was not run.
+    /// A request to begin that no leader answered may still have created the record. The
+    /// record is not removed here, because the owner may have begun it through another
+    /// replica in the meantime and be executing. Only the owner can tell that it was not
+    /// executed.
     pub(super) fn expire_requests(&mut self, now: Time) {
         for ended in self.requests.expire(now) {
             self.end(now, ended);
         }
     }
 
-    /// Answers requests, those of one replica together.
+    /// Sends answers, with all answers for one replica in one message.
     pub(super) fn answer(&mut self, now: Time, answers: Vec<(Origin, GroupAnswer)>) {
-        let mut by_replica: BTreeMap<Member, Vec<Answered>> = BTreeMap::new();
+        let mut by_replica: BTreeMap<Member, Vec<NumberedAnswer>> = BTreeMap::new();
         for (origin, answer) in answers {
             match origin {
-                Origin::Here(number) => self.take_answer(now, number, answer),
+                Origin::Local(number) => self.handle_answer(now, number, answer),
                 Origin::Replica(to, number) => by_replica
                     .entry(to)
                     .or_default()
-                    .push(Answered { number, answer }),
+                    .push(NumberedAnswer { number, answer }),
             }
         }
         for (to, answered) in by_replica {
-            let message = GroupMessage::Answer(List(answered));
+            let message = GroupMessage::Answers(List(answered));
             self.outputs.push(GroupOutput::Send { to, message });
         }
     }
 
-    /// Proposes a request, or gathers it with others of its kind. Returns
-    /// whether this replica leads and can decide it now. Operations wait until
-    /// a rebuilt group has heard the servers' claims: what its snapshot says of
-    /// slices may be of the past.
-    fn take_over(&mut self, now: Time, origin: Origin, request: GroupRequest) -> bool {
+    /// Proposes a request or adds it to the batch of records. Returns whether this replica
+    /// is the leader and can decide it now. Operations are refused until a rebuilt group
+    /// has received the servers' claims, because the slices in its snapshot may be
+    /// outdated.
+    fn accept_request(&mut self, now: Time, origin: Origin, request: GroupRequest) -> bool {
         let started = self
             .leader
             .as_ref()
@@ -164,15 +175,15 @@
         true
     }
 
-    /// Proposes the gathered commands on records when they are due. Returns
-    /// whether something was proposed.
+    /// Proposes the batched commands on records when they are due. Returns whether
+    /// something was proposed.
     pub(super) fn propose_records(&mut self, now: Time) -> bool {
         let Some((commands, origins)) = self.record_batch.take_due(now) else {
             return false;
         };
         let payload = encode(&List(commands));
         let Ok(revision) = self.replica.propose_lazy(now, payload) else {
-            // It leads no more; whoever asked asks again.
+            // This replica is no longer the leader; the requesters will retry.
             let refused = origins.into_iter();
             let refused = refused.map(|origin| (origin, GroupAnswer::NotLeader));
             self.answer(now, refused.collect());
@@ -182,15 +193,17 @@
         true
     }
 
-    fn end(&mut self, now: Time, ended: Ended) {
+    fn end(&mut self, now: Time, ended: FinishedRequest) {
         match (ended.waiter, ended.answer, ended.request) {
             (Waiter::Operation(ticket), GroupAnswer::Operated(result), _) => {
                 self.outputs
                     .push(GroupOutput::OperationFinished { ticket, result });
             }
-            (Waiter::Once, GroupAnswer::Once(verdict), GroupRequest::BeginOnce { owner, key }) => {
-                self.once_decided(owner, key, verdict)
-            }
+            (
+                Waiter::Idempotency,
+                GroupAnswer::Idempotency(verdict),
+                GroupRequest::BeginIdempotencyRecord { owner, key },
+            ) => self.idempotency_record_decided(owner, key, verdict),
             (Waiter::Nobody, _, _) => {}
             (waiter, answer, request) => {
                 debug_assert!(false, "{waiter:?}: {answer:?} to {request:?} at {now:?}");
@@ -198,13 +211,13 @@
         }
     }
 
-    fn once_decided(
+    fn idempotency_record_decided(
         &mut self,
         owner: IdempotencyOwner,
         key: IdempotencyKey,
         verdict: IdempotencyVerdict,
     ) {
-        self.outputs.push(GroupOutput::OnceDecided {
+        self.outputs.push(GroupOutput::IdempotencyRecordDecided {
             owner,
             key,
             verdict,
@@ -213,7 +226,7 @@
 }
 
 fn cancel(owner: IdempotencyOwner, key: IdempotencyKey) -> GroupRequest {
-    GroupRequest::EndOnce {
+    GroupRequest::EndIdempotencyRecord {
         owner,
         key,
         state: None,
@@ -229,7 +242,11 @@
             command_id,
             operation,
         },
-        GroupRequest::BeginOnce { owner, key } => GroupCommand::BeginOnce { owner, key },
-        GroupRequest::EndOnce { owner, key, state } => GroupCommand::EndOnce { owner, key, state },
+        GroupRequest::BeginIdempotencyRecord { owner, key } => {
+            GroupCommand::BeginIdempotencyRecord { owner, key }
+        }
+        GroupRequest::EndIdempotencyRecord { owner, key, state } => {
+            GroupCommand::EndIdempotencyRecord { owner, key, state }
+        }
     }
 }
--- a/crates/ledgelead-ownership/src/leader/dispatchers.rs
+++ b/crates/ledgelead-ownership/src/leader/dispatchers.rs
@@ -1,75 +1,80 @@
-//! Which replica is the dispatcher of which server.
+//! Assignment of servers to dispatchers.
 //!
-//! Followers take the servers, evenly; the leader only when it is alone. All
-//! servers of a service that is not divided by key have one dispatcher, which
-//! sees the whole queue.
+//! Servers are spread evenly over the followers, and assigned to the leader only if no
+//! follower is usable. All servers of a service that is not partitioned by key have the
+//! same dispatcher, which sees the whole queue.
 
-use super::{Leader, MemberContact, Turn};
+use super::{Leader, LeaderContext, MemberContact};
 use crate::command::GroupCommand;
 use crate::state::Server;
 use ledgelead_types::routes::ServerStatus;
 use ledgelead_types::*;
 use std::collections::BTreeMap;
 
-/// A replica that has not answered for this long is no dispatcher. It is
-/// longer than two heartbeats, so one lost message changes nothing.
-const DISPATCHER_SILENCE: Span = Span::from_millis(180);
-/// Interval between moves that only even out the dispatchers.
+/// A replica that has not replied for this long can't be a dispatcher. Longer than two
+/// heartbeats, so one lost message has no effect.
+const DISPATCHER_TIMEOUT: Span = Span::from_millis(180);
+/// Interval between reassignments that only balance the dispatchers.
 const SPREAD_INTERVAL: Span = Span::from_seconds(1);
 
 impl Leader {
-    /// Puts servers without a usable dispatcher into another's care, and
-    /// evens the numbers out slowly.
-    pub(super) fn place_dispatchers(&mut self, turn: &Turn, commands: &mut Vec<GroupCommand>) {
-        let candidates = self.candidates(turn);
+    /// Assigns servers without a usable dispatcher to another one, and gradually balances
+    /// the numbers of servers.
+    pub(super) fn place_dispatchers(
+        &mut self,
+        context: &LeaderContext,
+        commands: &mut Vec<GroupCommand>,
+    ) {
+        let candidates = self.candidates(context);
         if candidates.is_empty() {
             return;
         }
         let mut counts: BTreeMap<Member, usize> =
             candidates.iter().map(|member| (*member, 0)).collect();
-        for server in turn.state.servers.values() {
+        for server in context.state.servers.values() {
             if let Some(count) = server.dispatcher.and_then(|held| counts.get_mut(&held)) {
                 *count += 1;
             }
         }
-        for (id, server) in &turn.state.servers {
-            if server.status == ServerStatus::Retired || is_served(server, &candidates) {
+        for (id, server) in &context.state.servers {
+            if server.status == ServerStatus::Retired || has_usable_dispatcher(server, &candidates)
+            {
                 continue;
             }
-            let least = least_busy(&counts, turn.partitioned());
+            let least = least_busy(&counts, context.partitioned());
             *counts.get_mut(&least).expect("a candidate") += 1;
             commands.push(set(*id, least));
         }
-        self.even_out(turn, &counts, commands);
+        self.rebalance(context, &counts, commands);
     }
 
     /// Replicas that may be dispatchers now.
-    fn candidates(&self, turn: &Turn) -> Vec<Member> {
-        let lately = |heard| turn.now.since(heard) < DISPATCHER_SILENCE;
+    fn candidates(&self, context: &LeaderContext) -> Vec<Member> {
+        let is_recent = |last_contact| context.now.since(last_contact) < DISPATCHER_TIMEOUT;
         let usable = |contact: &&MemberContact| {
-            let other = contact.member != turn.identity;
+            let other = contact.member != context.identity;
             let stopping = self.stopping.contains(&contact.member);
-            other && !stopping && contact.heard.is_some_and(lately)
+            other && !stopping && contact.last_contact.is_some_and(is_recent)
         };
-        let followers = turn.dispatchable_members().filter(usable);
+        let followers = context.dispatchable_members().filter(usable);
         let followers: Vec<Member> = followers.map(|contact| contact.member).collect();
         if followers.is_empty() {
-            vec![turn.identity]
+            vec![context.identity]
         } else {
             followers
         }
     }
 
-    fn even_out(
+    fn rebalance(
         &mut self,
-        turn: &Turn,
+        context: &LeaderContext,
         counts: &BTreeMap<Member, usize>,
         commands: &mut Vec<GroupCommand>,
     ) {
-        if turn.now < self.next_spread || !turn.partitioned() {
+        if context.now < self.next_spread || !context.partitioned() {
             return;
         }
-        self.next_spread = turn.now + SPREAD_INTERVAL;
+        self.next_spread = context.now + SPREAD_INTERVAL;
         let busiest = counts.iter().max_by_key(|(_, count)| **count);
         let idlest = counts.iter().min_by_key(|(_, count)| **count);
         let (Some((busiest, most)), Some((idlest, fewest))) = (busiest, idlest) else {
@@ -78,7 +83,7 @@
         if *most < fewest + 2 {
             return;
         }
-        let moved = turn
+        let moved = context
             .state
             .servers
             .iter()
@@ -89,14 +94,14 @@
     }
 }
 
-fn is_served(server: &Server, candidates: &[Member]) -> bool {
+fn has_usable_dispatcher(server: &Server, candidates: &[Member]) -> bool {
     server
         .dispatcher
         .is_some_and(|dispatcher| candidates.contains(&dispatcher))
 }
 
-/// The least busy candidate; for an undivided service the one that has the
-/// others already.
+/// The candidate with the fewest servers; for a service that is not partitioned, the one
+/// that already has the other servers.
 fn least_busy(counts: &BTreeMap<Member, usize>, partitioned: bool) -> Member {
     let entry = if partitioned {
         counts.iter().min_by_key(|(_, count)| **count)
--- a/crates/ledgelead-ownership/src/state/records.rs
+++ b/crates/ledgelead-ownership/src/state/records.rs
@@ -1,14 +1,14 @@
-//! Idempotency records: which keys have a request begun under them.
+//! Idempotency records: the keys under which a request was begun.
 //!
-//! Their number is bounded. The oldest record that has ended goes first; when
-//! all records are of requests that may be running, no new one is begun.
+//! Their number is bounded. The oldest ended record is removed first; if all records belong
+//! to requests that may still be executing, no new request can begin.
 
 use ledgelead_types::dispatch::{IdempotencyOwner, IdempotencyState, IdempotencyVerdict};
 use ledgelead_types::{IdempotencyKey, Revision};
 use nanoserde::{DeBin, SerBin};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most records that a group keeps.
+/// Maximum number of records that a group keeps.
 pub const MAXIMUM_RECORDS: usize = 65_536;
 
 /// One record.
@@ -18,9 +18,9 @@
     pub key: IdempotencyKey,
     /// The request that began it.
     pub owner: IdempotencyOwner,
-    /// How far it is.
+    /// The state of the request.
     pub state: IdempotencyState,
-    /// Log position of its beginning.
+    /// Log position at which it was begun.
     pub begun: Revision,
 }
 
@@ -65,8 +65,8 @@
         self.by_age.first().map(|(begun, _)| *begun)
     }
 
-    /// Decides the wish to begin. The same owner may ask again, because its
-    /// first answer may have been lost.
+    /// Decides a request to begin. The same owner may repeat it, because the first answer
+    /// may have been lost.
     pub fn begin(
         &mut self,
         owner: IdempotencyOwner,
@@ -74,8 +74,8 @@
         revision: Revision,
     ) -> IdempotencyVerdict {
         if let Some(record) = self.by_key.get(&key) {
-            let asked_again = record.owner == owner && record.state == IdempotencyState::Begun;
-            return if asked_again {
+            let is_retry = record.owner == owner && record.state == IdempotencyState::Begun;
+            return if is_retry {
                 IdempotencyVerdict::Fresh
             } else {
                 IdempotencyVerdict::Duplicate(record.state)
@@ -93,10 +93,10 @@
         IdempotencyVerdict::Fresh
     }
 
-    /// Notes how the owner's request ended; `None` when it was not run. A
-    /// record that has ended stays: a wish that was given up by a replica
-    /// which was paused takes itself back late, after another wish of the same
-    /// request was granted and the request was run.
+    /// Records how the owner's request ended; `None` if it was not executed. A record that
+    /// has ended is kept even then, because the cancellation may be late: a paused replica
+    /// may cancel its request to begin after the same owner was granted another one and its
+    /// request was executed.
     pub fn end(
         &mut self,
         owner: IdempotencyOwner,
@@ -116,16 +116,16 @@
             return;
         };
         record.state = state;
-        let place = (record.begun, key);
+        let age_key = (record.begun, key);
         if state == IdempotencyState::Begun {
-            self.ended.remove(&place);
+            self.ended.remove(&age_key);
         } else {
-            self.ended.insert(place);
+            self.ended.insert(age_key);
         }
     }
 
-    /// Dates all records to the start of a new epoch, whose log positions
-    /// start again.
+    /// Resets the age of all records to the start of a new epoch, because log positions
+    /// restart there.
     pub fn restart_ages(&mut self) {
         let records = std::mem::take(&mut self.by_key).into_values();
         *self = records
@@ -136,7 +136,7 @@
             .collect();
     }
 
-    /// Forgets the records begun at or before a revision.
+    /// Removes the records begun at or before a revision.
     pub fn expire(&mut self, through: Revision) {
         while let Some(&(begun, key)) = self.by_age.first() {
             if begun > through {
@@ -158,19 +158,19 @@
     }
 
     fn insert(&mut self, record: IdempotencyRecord) {
-        let place = (record.begun, record.key);
-        self.by_age.insert(place);
+        let age_key = (record.begun, record.key);
+        self.by_age.insert(age_key);
         if record.state != IdempotencyState::Begun {
-            self.ended.insert(place);
+            self.ended.insert(age_key);
         }
         self.by_key.insert(record.key, record);
     }
 
     fn remove(&mut self, key: IdempotencyKey) {
         if let Some(record) = self.by_key.remove(&key) {
-            let place = (record.begun, key);
-            self.by_age.remove(&place);
-            self.ended.remove(&place);
+            let age_key = (record.begun, key);
+            self.by_age.remove(&age_key);
+            self.ended.remove(&age_key);
         }
     }
 }
--- a/crates/ledgelead-ownership/src/state/recovery.rs
+++ b/crates/ledgelead-ownership/src/state/recovery.rs
@@ -1,8 +1,8 @@
-//! Rebuilding the table of slices from what servers say they hold.
+//! Rebuild of the slice table from the servers' claims.
 //!
-//! After the loss of a quorum the snapshot may be older than the last
-//! assignments. Of two claims to a position the one with the higher token is
-//! the later assignment; what nobody claims is ownerless.
+//! After the loss of a quorum, the snapshot may be older than the last assignments. Of two
+//! claims to a position, the one with the higher token is the later assignment. Positions
+//! without a claim have no owner.
 
 use super::{GroupState, Server, Slice, SlicePhase, SliceTable};
 use crate::command::ServerClaim;
@@ -44,7 +44,7 @@
         self.slices.iter().filter_map(moving).collect()
     }
 
-    /// Slices that their former owner has given up go to the next one: the
+    /// Assigns slices that their former owner has released to the next owner, because the
     /// moves were acknowledged.
     fn finish_moves(&mut self, moves: &[(PositionRange, ServerId)], token: FencingToken) {
         for (range, to) in moves {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The claims of known servers that no claim of a higher token overlaps.
+    /// The claims of known servers, without those that overlap a claim with a higher token.
     fn adopt(&self, space: PositionRange, claims: &[ServerClaim]) -> Vec<Slice> {
         let mut candidates: Vec<Slice> = Vec::new();
         for claim in claims {
@@ -77,10 +77,10 @@
         let mut adopted: Vec<Slice> = Vec::new();
         for candidate in candidates {
             let inside = space.covers(&candidate.range);
-            let taken = adopted
+            let claimed = adopted
                 .iter()
                 .any(|slice| slice.range.overlaps(&candidate.range));
-            if inside && !taken {
+            if inside && !claimed {
                 adopted.push(candidate);
             }
         }
@@ -90,15 +90,16 @@
 }
 
 impl GroupState {
-    /// A planned move that the snapshot knows goes on: it was acknowledged.
+    /// The phase of a claimed slice. A planned move in the snapshot continues, because it
+    /// was acknowledged.
     fn phase_of_claim(&self, owner: ServerId, held: &GrantedSlice) -> SlicePhase {
         let known = self.slices.exact(held.range);
         let known = known.filter(|slice| slice.token == held.token);
         let moving = known.map(|slice| slice.phase).filter(|phase| {
-            let goes_on = phase
+            let continues = phase
                 .next_owner()
                 .is_some_and(|next| self.servers.contains_key(&next));
-            phase.holder() == Some(owner) && goes_on
+            phase.holder() == Some(owner) && continues
         });
         moving.unwrap_or(SlicePhase::Held { owner })
     }
@@ -116,41 +117,37 @@
     }
 }
 
-/// Puts ownerless slices, cut at the former bounds, where nobody claimed.
+/// Fills the gaps between claims with ownerless slices, split at the former boundaries.
 fn fill_gaps(adopted: Vec<Slice>, former: &SliceTable, space: PositionRange) -> SliceTable {
     if adopted.is_empty() && former.is_empty() {
         return SliceTable::default();
     }
-    let undivided = SliceTable::undivided(space);
-    let former = if former.is_empty() {
-        &undivided
-    } else {
-        former
-    };
-    let mut whole = adopted.clone();
+    let single = SliceTable::single(space);
+    let former = if former.is_empty() { &single } else { former };
+    let mut table = adopted.clone();
     for old in former.iter() {
         let mut next = Some(old.range.first);
         for slice in adopted
             .iter()
             .filter(|slice| slice.range.overlaps(&old.range))
         {
-            push_free(&mut whole, next, slice.range.first, old);
+            push_free(&mut table, next, slice.range.first, old);
             next = slice.range.last.0.checked_add(1).map(Position);
         }
         if let Some(first) = next
             && first <= old.range.last
         {
-            whole.push(free(first, old.range.last, old));
+            table.push(free(first, old.range.last, old));
         }
     }
-    whole.into_iter().collect()
+    table.into_iter().collect()
 }
 
-fn push_free(whole: &mut Vec<Slice>, from: Option<Position>, until: Position, old: &Slice) {
+fn push_free(table: &mut Vec<Slice>, from: Option<Position>, until: Position, old: &Slice) {
     if let Some(first) = from
         && first < until
     {
-        whole.push(free(first, Position(until.0 - 1), old));
+        table.push(free(first, Position(until.0 - 1), old));
     }
 }
 
--- a/crates/ledgelead-request/src/dispatcher/grant.rs
+++ b/crates/ledgelead-request/src/dispatcher/grant.rs
@@ -1,21 +1,21 @@
-//! Grants: free slots go to the waiting wishes in fair order.
+//! Grants free slots to the waiting permit requests in fair order.
 
-use super::admission::{NO_SERVER_RETRY, UNUSABLE_HOLD};
+use super::admission::{NO_SERVER_RETRY_AFTER, UNUSABLE_TIMEOUT};
 use super::queue::{QueueKey, Waiting};
 use super::release::Permit;
 use super::server::ServerState;
 use super::{Dispatcher, PermitKey, TimerKey};
-use crate::message::Wanted;
+use crate::message::ServerSelector;
 use ledgelead_types::protections::Protection;
 use ledgelead_types::{NotRunReason, ServerId, Span, Time};
 
-/// How often a queue with work is looked at again: leases, drains, ejections
-/// and cautious starts end with time alone.
+/// How often a non-empty queue is checked again, because leases, drains, ejections and the
+/// reduced limits after a takeover end by time alone.
 const QUEUE_RECHECK: Span = Span::from_millis(100);
 
 impl Dispatcher {
-    /// Grants what can be granted.
-    pub(super) fn pump(&mut self, now: Time, queue: QueueKey) {
+    /// Grants as many permits as possible.
+    pub(super) fn grant_waiting(&mut self, now: Time, queue: QueueKey) {
         self.grant_all(now, queue);
         let waits = self
             .queues
@@ -26,7 +26,7 @@
             return;
         }
         let unusable_since = self.refresh_usability(now, queue);
-        if unusable_since.is_some_and(|since| now >= since + UNUSABLE_HOLD) {
+        if unusable_since.is_some_and(|since| now >= since + UNUSABLE_TIMEOUT) {
             self.refuse_all(queue, NotRunReason::NoServer);
             return;
         }
@@ -51,34 +51,34 @@
             };
             if waiting.deadline <= now {
                 queue.fair.refund(waiting.acquire.tier, &self.shares);
-                self.refuse(key, NotRunReason::DeadlineTooClose, NO_SERVER_RETRY);
+                self.refuse(key, NotRunReason::DeadlineTooClose, NO_SERVER_RETRY_AFTER);
                 continue;
             }
             let waited = now.since(waiting.arrived);
-            queue.waited(now, waiting.acquire.tier, waited, slot_time);
-            let server = self.other_than_tried(now, &waiting, server);
+            queue.record_wait(now, waiting.acquire.tier, waited, slot_time);
+            let server = self.prefer_untried(now, &waiting, server);
             self.grant(now, key, &waiting, server);
         }
     }
 
-    /// Prefers a server that the request has not tried.
-    fn other_than_tried(&self, now: Time, waiting: &Waiting, chosen: ServerId) -> ServerId {
-        match waiting.acquire.wanted {
-            Wanted::Any { avoid: Some(tried) } if tried == chosen => self
+    /// Prefers a server that the request has not tried yet.
+    fn prefer_untried(&self, now: Time, waiting: &Waiting, chosen: ServerId) -> ServerId {
+        match waiting.acquire.selector {
+            ServerSelector::Any { avoid: Some(tried) } if tried == chosen => self
                 .choose_server(now, waiting.queue, Some(tried))
                 .unwrap_or(chosen),
             _ => chosen,
         }
     }
 
-    /// The best server with room, if any.
+    /// The preferred server with a free permit, if any.
     fn choose_server(
         &self,
         now: Time,
         queue: QueueKey,
         avoid: Option<ServerId>,
     ) -> Option<ServerId> {
-        self.servers_behind(queue)
+        self.servers_of(queue)
             .filter(|state| Some(state.settings.server) != avoid)
             .filter(|state| self.may_serve(state, now, queue))
             .filter(|state| state.has_room(now, queue.work()))
@@ -86,7 +86,7 @@
             .map(|state| state.settings.server)
     }
 
-    /// Whether a server may get work of this queue.
+    /// Whether a server may be given work of this queue.
     pub(super) fn may_serve(&self, state: &ServerState, now: Time, queue: QueueKey) -> bool {
         let ejected = match queue {
             QueueKey::Server(_) => false,
@@ -98,30 +98,30 @@
     fn grant(&mut self, now: Time, key: PermitKey, waiting: &Waiting, server: ServerId) {
         let waited = now.since(waiting.arrived);
         if let Some(state) = self.servers.get_mut(&server) {
-            state.granted(now);
+            state.count_grant(now);
         }
-        let records = self.protections.has(Protection::IdempotencyRecord);
-        let once = waiting.acquire.once.filter(|_| records);
+        let uses_records = self.protections.has(Protection::IdempotencyRecord);
+        let idempotency_key = waiting.acquire.idempotency_key.filter(|_| uses_records);
         let permit = Permit {
             server,
             waited,
             deadline: waiting.deadline,
-            once: once.map(|once| (waiting.acquire.group, once)),
+            idempotency_record: idempotency_key.map(|key| (waiting.acquire.group, key)),
             unanswered_checks: 0,
         };
         self.permits.insert(key, permit);
-        self.plan_check(now, key, server);
+        self.schedule_check(now, key, server);
         self.reply_permit(key, server, waited);
     }
 
-    /// Refuses everything in a queue.
+    /// Refuses all permit requests of a queue.
     pub(super) fn refuse_all(&mut self, queue: QueueKey, reason: NotRunReason) {
         for key in self.take_all(queue) {
-            self.refuse(key, reason, NO_SERVER_RETRY);
+            self.refuse(key, reason, NO_SERVER_RETRY_AFTER);
         }
     }
 
-    /// Takes everything out of a queue.
+    /// Removes all permit requests of a queue.
     pub(super) fn take_all(&mut self, queue: QueueKey) -> Vec<PermitKey> {
         let keys: Vec<PermitKey> = self
             .queues
--- a/crates/ledgelead-request/src/dispatcher/servers.rs
+++ b/crates/ledgelead-request/src/dispatcher/servers.rs
@@ -1,4 +1,4 @@
-//! The servers in this node's care, as they come, change and go.
+//! Tracks the servers dispatched by this node as they are added, changed and removed.
 
 use super::queue::QueueKey;
 use super::server::ServerState;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// Takes the whole set of a group's servers here.
+    /// Applies the complete set of a group's servers dispatched here.
     pub(super) fn servers_changed(
         &mut self,
         now: Time,
@@ -33,27 +33,27 @@
         let left_empty = present.is_empty();
         self.pools.insert(group, present.clone());
         if left_empty {
-            self.move_all(QueueKey::Pool(group));
+            self.redirect_all(QueueKey::Pool(group));
         }
         for server in present {
-            self.pump_behind(now, server, group);
+            self.grant_waiting_of_server(now, server, group);
         }
     }
 
-    /// Takes what changed of one server here.
+    /// Applies changes of one server dispatched here.
     pub(super) fn server_changed(&mut self, now: Time, settings: DispatchedServer) {
         let Some(state) = self.servers.get_mut(&settings.server) else {
             return;
         };
         state.configure(settings, now);
-        self.pump_behind(now, settings.server, settings.group);
+        self.grant_waiting_of_server(now, settings.server, settings.group);
     }
 
-    /// A server that left this node's care: who waits for it is sent back to
-    /// the routes, and its permits are the next dispatcher's to count.
+    /// Removes a server that this node no longer dispatches. Gateways that wait for it are
+    /// redirected to their routes, and its permits are counted by the next dispatcher.
     fn forget_server(&mut self, server: ServerId) {
         self.servers.remove(&server);
-        self.move_all(QueueKey::Server(server));
+        self.redirect_all(QueueKey::Server(server));
         let permits: Vec<PermitKey> = self
             .permits
             .iter()
@@ -76,7 +76,7 @@
         }
     }
 
-    fn move_all(&mut self, queue: QueueKey) {
+    fn redirect_all(&mut self, queue: QueueKey) {
         for key in self.take_all(queue) {
             self.reply_moved(key);
         }
@@ -84,8 +84,8 @@
         self.timers.clear(TimerKey::Queue(queue));
     }
 
-    /// Takes new routes; who waits for a slice that has another owner now is
-    /// sent back to the routes.
+    /// Applies new routes. Permit requests for slices with a new owner are redirected to the
+    /// routes.
     pub(super) fn routes_changed(&mut self, now: Time, routes: Arc<GroupRoutes>) {
         let group = routes.group;
         if let Some(present) = self.routes.get(&group)
@@ -99,7 +99,7 @@
             .waiting
             .iter()
             .filter(|(_, waiting)| waiting.acquire.group == group)
-            .filter(|(_, waiting)| !self.is_in_care(&waiting.acquire))
+            .filter(|(_, waiting)| !self.is_dispatched_here(&waiting.acquire))
             .map(|(&key, _)| key)
             .collect();
         for key in superseded {
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Takes a server's own report in.
+    /// Applies a load report of a server.
     pub(super) fn server_load(&mut self, now: Time, server: ServerId, load: LoadReport) {
         let Some(state) = self.servers.get_mut(&server) else {
             return;
         };
-        state.reported(load);
+        state.apply_report(load);
         let group = state.settings.group;
-        self.pump_behind(now, server, group);
+        self.grant_waiting_of_server(now, server, group);
     }
 }
--- a/crates/ledgelead-request/src/gateway/retry.rs
+++ b/crates/ledgelead-request/src/gateway/retry.rs
@@ -1,36 +1,35 @@
-//! Sending a request again: budget, backoff with full jitter, bounded
-//! attempts.
+//! Retries: budget, backoff with full jitter, and a maximum number of attempts.
 
 use super::Gateway;
 use super::evidence::RetryCause;
 use super::interface::GatewayOutput;
-use super::request::{HOLD_LIMIT, Search, Stage, Target};
+use super::request::{HOLD_LIMIT, PermitSearch, SearchStage, Target};
 use ledgelead_types::event::Event;
 use ledgelead_types::request::AttemptId;
 use ledgelead_types::{NotRunReason, RequestId, ServerId, Span, Time, UnknownReason};
 use rand::RngExt;
 
-/// Retries of one request at most, beyond its first attempt.
+/// Maximum number of retries after the first attempt of a request.
 const MAX_RETRIES: u8 = 3;
 
-/// First and longest backoff; the wait is drawn between zero and it.
+/// First and longest backoff; the actual delay is random between zero and the backoff.
 const FIRST_BACKOFF: Span = Span::from_millis(10);
-const LONGEST_BACKOFF: Span = Span::from_millis(200);
+const MAX_BACKOFF: Span = Span::from_millis(200);
 
-/// When to come back after the retries are used up.
-const EXHAUSTED_RETRY: Span = Span::from_millis(500);
+/// Retry delay advised to the caller when the retries are exhausted.
+const EXHAUSTED_RETRY_AFTER: Span = Span::from_millis(500);
 
 impl Gateway {
-    /// Sends the request again after an attempt, if it may.
-    pub(super) fn send_again(&mut self, now: Time, attempt: AttemptId, cause: RetryCause) {
+    /// Retries the request after an attempt, if allowed.
+    pub(super) fn retry_request(&mut self, now: Time, attempt: AttemptId, cause: RetryCause) {
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         if let RetryCause::MaybeRun(reason) = cause {
-            request.maybe_ran = Some(reason);
+            request.possibly_run = Some(reason);
         }
-        if !request.flights.is_empty() {
+        if !request.sent_attempts.is_empty() {
             return;
         }
         self.withdraw(id);
@@ -40,53 +39,53 @@
                 self.record_retry(attempt);
             }
             RetryCause::NotStarted(NotRunReason::NoServer) if self.has_owner(id) => {
-                self.await_owner(now, attempt);
+                self.wait_for_owner(now, attempt);
             }
             RetryCause::NotStarted(reason) => self.back_off(now, attempt, reason),
             RetryCause::MaybeRun(_) => self.back_off(now, attempt, NotRunReason::NoServer),
         }
     }
 
-    /// A server was found lost: repeatable requests that are at it are sent
-    /// elsewhere. The others wait for an answer until their deadline; sending
-    /// them again could run them twice.
+    /// A server was found lost: repeatable requests in progress there are retried elsewhere.
+    /// Other requests wait for an answer until their deadline, because a retry could run
+    /// them twice.
     pub(super) fn server_lost(&mut self, now: Time, server: ServerId) {
         let attempts: Vec<AttemptId> = self
             .requests
             .values()
             .filter(|request| request.repeatable)
             .flat_map(|request| {
-                let at_server = request.flights.iter();
+                let at_server = request.sent_attempts.iter();
                 at_server
-                    .filter(|flight| flight.server == server)
-                    .map(|flight| request.attempt(flight.number))
+                    .filter(|sent_attempt| sent_attempt.server == server)
+                    .map(|sent_attempt| request.attempt(sent_attempt.number))
             })
             .collect();
         for attempt in attempts {
-            self.give_up_attempt(now, attempt);
+            self.cancel_attempt(now, attempt);
             let cause = RetryCause::MaybeRun(UnknownReason::ConnectionLost);
-            self.send_again(now, attempt, cause);
+            self.retry_request(now, attempt, cause);
             self.reschedule(attempt.request);
         }
     }
 
-    /// Whether only the owner of the request's key may run it.
+    /// Whether only the owner of a key may run the request.
     fn has_owner(&self, id: RequestId) -> bool {
         let target = self.requests.get(&id).map(|request| request.target);
         matches!(target, Some(Target::Key { .. }))
     }
 
-    /// The owner of the request's key can't be reached. Retries after a few
-    /// milliseconds would all end before its lease has, so the request waits
-    /// for new routes, for as long as a loss may take to heal.
-    fn await_owner(&mut self, now: Time, attempt: AttemptId) {
+    /// The owner of the request's key is unreachable. Retries within milliseconds would all
+    /// end before its lease expires, so the request is held for new routes for as long as
+    /// recovery from the loss may take.
+    fn wait_for_owner(&mut self, now: Time, attempt: AttemptId) {
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         let since = *request.unreachable_since.get_or_insert(now);
         if now.since(since) >= HOLD_LIMIT {
-            self.finish_not_run(now, id, NotRunReason::NoServer, Some(EXHAUSTED_RETRY));
+            self.finish_not_run(now, id, NotRunReason::NoServer, Some(EXHAUSTED_RETRY_AFTER));
             return;
         }
         self.hold(now, id);
@@ -96,7 +95,7 @@
     fn back_off(&mut self, now: Time, attempt: AttemptId, reason: NotRunReason) {
         let id = attempt.request;
         let Some(wait) = self.backoff(id) else {
-            self.finish_not_run(now, id, reason, Some(EXHAUSTED_RETRY));
+            self.finish_not_run(now, id, reason, Some(EXHAUSTED_RETRY_AFTER));
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
@@ -108,10 +107,10 @@
             self.finish_not_run(now, id, NotRunReason::DeadlineTooClose, None);
             return;
         }
-        request.search = Some(Search {
+        request.search = Some(PermitSearch {
             number: request.last_number,
             hedge: false,
-            stage: Stage::Waiting {
+            stage: SearchStage::Waiting {
                 retry_at,
                 wake_on_routes: false,
             },
@@ -119,7 +118,7 @@
         self.record_retry(attempt);
     }
 
-    /// The wait before the next retry; `None` when there is none left.
+    /// The delay before the next retry; `None` when retries or budget are exhausted.
     fn backoff(&mut self, id: RequestId) -> Option<Span> {
         let request = self.requests.get_mut(&id)?;
         if request.retries >= MAX_RETRIES {
@@ -127,7 +126,7 @@
         }
         let longest = FIRST_BACKOFF
             .times(f64::from(1_u32 << request.retries))
-            .min(LONGEST_BACKOFF);
+            .min(MAX_BACKOFF);
         request.retries += 1;
         let service = request.service;
         if !self.service_state(service).retries.take() {
