--- a/crates/ledgelead-router/src/directory/mod.rs
+++ b/crates/ledgelead-router/src/directory/mod.rs
@@ -133,7 +133,7 @@
 
     /// Records that everything that the store acknowledged before `at` is known here. Anything
     /// learned later has happened since.
-    pub fn record_current(&mut self, at: Timestamp) {
+    pub fn advance_current_at(&mut self, at: Timestamp) {
         self.current_at = self.current_at.max(at);
     }
 
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -193,7 +193,7 @@
     fn confirm_instances(&mut self, revision: u64, age: Duration, now: Timestamp) {
         let known = self.store.revision_of(ObjectKind::Instances);
         if known.is_some_and(|known| known >= revision) {
-            self.directory.record_current(now.saturating_sub(age));
+            self.directory.advance_current_at(now.saturating_sub(age));
         }
     }
 
--- a/crates/ledgelead-router/src/node/registration.rs
+++ b/crates/ledgelead-router/src/node/registration.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records that the nodes were listed.
-    pub(super) fn record_list(&mut self) {
+    pub(super) fn record_nodes_listed(&mut self) {
         self.needs_list = false;
     }
 }
--- a/crates/ledgelead-router/src/node/store_answers.rs
+++ b/crates/ledgelead-router/src/node/store_answers.rs
@@ -171,7 +171,7 @@
             && let Some(as_of) = self.store.watcher(kind).as_of()
         {
             let was_confirmed = self.directory.is_confirmed();
-            self.directory.record_current(as_of);
+            self.directory.advance_current_at(as_of);
             if !was_confirmed {
                 self.reconsider_waiting(now, out);
             }
--- a/crates/ledgelead-router/src/node/store_objects.rs
+++ b/crates/ledgelead-router/src/node/store_objects.rs
@@ -100,7 +100,7 @@
 
     /// Records that the nodes were listed completely; `is_first` marks the first such list.
     pub(super) fn nodes_listed(&mut self, is_first: bool, now: Timestamp) {
-        self.store.registration.record_list();
+        self.store.registration.record_nodes_listed();
         if is_first {
             self.coordination.election.nodes_listed(now);
         }
--- a/crates/ledgelead-router/src/node/transfer/mod.rs
+++ b/crates/ledgelead-router/src/node/transfer/mod.rs
@@ -414,7 +414,7 @@
         let entries: Vec<Entry> = records.map(|record| Entry::at(revision, record)).collect();
         self.directory.replace_all(entries, now);
         if let Some(as_of) = as_of {
-            self.directory.record_current(as_of);
+            self.directory.advance_current_at(as_of);
         }
         self.list_received(ObjectKind::Instances, revision, now);
     }
--- a/crates/ledgelead-router/tests/leaving.rs
+++ b/crates/ledgelead-router/tests/leaving.rs
@@ -123,7 +123,7 @@
         vec![Entry::at(7, record(incarnation(START_MS), false))],
         at(1_000),
     );
-    directory.record_current(at(10_000));
+    directory.advance_current_at(at(10_000));
     directory.upsert(
         Entry::at(8, record(incarnation(START_MS), true)),
         at(10_100),
--- a/crates/ledgelead-router/tests/local_view.rs
+++ b/crates/ledgelead-router/tests/local_view.rs
@@ -85,15 +85,15 @@
 #[gtest]
 fn leaving_counts_from_the_last_time_at_which_the_instance_was_known_to_serve() {
     let mut directory = directory(vec![record("a", 1), record("b", 2)]);
-    directory.record_current(ms(8_300));
-    directory.record_current(ms(7_000));
+    directory.advance_current_at(ms(8_300));
+    directory.advance_current_at(ms(7_000));
     let leaving = |id, port| InstanceRecord {
         draining: true,
         ..record(id, port)
     };
     directory.upsert(leaving("a", 1), ms(9_000));
     directory.remove("b", ms(9_000));
-    directory.record_current(ms(9_500));
+    directory.advance_current_at(ms(9_500));
     // Instance a ends; its entry reappears as leaving and is removed again. It counts as
     // leaving all the time.
     directory.remove("a", ms(10_000));
@@ -146,7 +146,7 @@
         .map(|instance| instance.presence);
     expect_that!(presence, some(eq(Presence::Draining { since: ms(0) })));
     let mut seen_serving = directory(vec![record("a", 1)]);
-    seen_serving.record_current(ms(9_000));
+    seen_serving.advance_current_at(ms(9_000));
     seen_serving.upsert(leaving.clone(), ms(9_000));
     seen_serving.upsert(leaving.clone(), ms(9_500));
     let presence = seen_serving
--- a/crates/ledgelead-router/tests/ownership.rs
+++ b/crates/ledgelead-router/tests/ownership.rs
@@ -58,7 +58,7 @@
 #[gtest]
 fn hot_neighboring_keys_are_split_between_instances() {
     let (low, high) = halves();
-    // 40 requests within the counting window of a second, on ten neighbouring keys.
+    // 40 requests within the counting window of a second, on ten neighboring keys.
     let load = loaded((0..40).map(|index| 100 + index % 10));
     let moves = plan(
         vec![candidate("a", vec![low]), candidate("b", vec![high])],
