--- a/crates/ledgelead-query/src/answer.rs
+++ b/crates/ledgelead-query/src/answer.rs
@@ -34,7 +34,7 @@
             Statement::Explain(command) => explain(command, range, view),
             Statement::Command(_) => {
                 let finding = Finding::new(range, "this is a command, not a query");
-                let help = "run it with `ledgelead command`, or put `explain` before it";
+                let help = "give it with `ledgelead command`, or put `explain` before it";
                 Err(Findings(vec![finding.with_help(help)]))
             }
         };
--- a/crates/ledgelead-query/src/authority.rs
+++ b/crates/ledgelead-query/src/authority.rs
@@ -31,15 +31,15 @@
         match self {
             Forbidden::Role { has, needs } => write!(
                 formatter,
-                "requires the role {}, has {}",
+                "needs the role {}, has {}",
                 role_name(*needs),
                 role_name(*has)
             ),
             Forbidden::Team { service } => {
-                write!(formatter, "service {service} belongs to another team")
+                write!(formatter, "service {service} is of another team")
             }
             Forbidden::AllTeams => formatter
-                .write_str("affects all teams; requires an operator who is not restricted to some"),
+                .write_str("concerns all teams; needs an operator who is not bound to some"),
         }
     }
 }
--- a/crates/ledgelead-query/src/explain/operation.rs
+++ b/crates/ledgelead-query/src/explain/operation.rs
@@ -94,7 +94,7 @@
                 );
             }
             GroupOperation::Activate(server) => {
-                let effect = "accepts keys again when the balancer assigns some";
+                let effect = "takes keys again as balance finds worth it";
                 estimate.effects.insert(server, effect.to_owned());
             }
             GroupOperation::MoveSlice { position, to } => {
@@ -119,7 +119,7 @@
             portion.accepts_slices = false;
         }
         if !self.after.values().any(|portion| portion.accepts_slices) {
-            let effect = "no other server accepts keys: it keeps its own until one does";
+            let effect = "no other server takes its keys: it keeps them until one does";
             self.effects.insert(server, effect.to_owned());
             return;
         }
--- a/crates/ledgelead-query/src/finding.rs
+++ b/crates/ledgelead-query/src/finding.rs
@@ -74,7 +74,7 @@
         if self.0.len() < MAX_FINDINGS {
             self.0.push(finding);
         } else if self.0.len() == MAX_FINDINGS {
-            let more = "there are more errors; fix these first";
+            let more = "there are more mistakes; mend these first";
             self.0.push(Finding::new(finding.range, more));
         }
     }
--- a/crates/ledgelead-query/src/lexer.rs
+++ b/crates/ledgelead-query/src/lexer.rs
@@ -70,7 +70,7 @@
     match lexeme {
         Lexeme::Token(kind) => return kind,
         Lexeme::UnterminatedText => {
-            findings.add(finding("a text without a closing quote".to_owned()))
+            findings.add(finding("a text without its closing quote".to_owned()))
         }
         Lexeme::InvalidNumber => findings.add(
             finding("not a number".to_owned())
--- a/crates/ledgelead-query/src/lower/operations.rs
+++ b/crates/ledgelead-query/src/lower/operations.rs
@@ -58,7 +58,7 @@
             let server_group = group_name(working, group);
             let key_group = group_name(working, located.group);
             let message = format!(
-                "server `{}` belongs to group {server_group}, the key to {key_group}",
+                "server `{}` is of group {server_group}, the key of {key_group}",
                 name.value
             );
             let others = working.servers_of(located.group);
--- a/crates/ledgelead-query/src/names.rs
+++ b/crates/ledgelead-query/src/names.rs
@@ -71,8 +71,8 @@
 ) -> Option<LocatedKey<'a>> {
     let service = find_service(configuration, &key.service, findings)?;
     if service.partitioning == Partitioning::None {
-        let message = format!("{} is not partitioned by key", service.name);
-        let help = "any of its servers accepts any request";
+        let message = format!("{} is not divided by key", service.name);
+        let help = "any of its servers takes any request";
         findings.add(Finding::new(key.service.range.clone(), message).with_help(help));
         return None;
     }
--- a/crates/ledgelead-query/src/parse/cursor.rs
+++ b/crates/ledgelead-query/src/parse/cursor.rs
@@ -153,7 +153,7 @@
             .next()
             .is_some_and(|token| token.kind != TokenKind::Invalid)
         {
-            let finding = Finding::new(next_range, "expected the end of the statement");
+            let finding = Finding::new(next_range, "the statement should have ended here");
             self.report(finding.with_help("statements are separated by `;`"));
         }
     }
