--- a/crates/ledgelead-lab/src/overload/models.rs
+++ b/crates/ledgelead-lab/src/overload/models.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whether the model knows tiers and drops requests that can't finish in time.
+    /// Whether the model distinguishes tiers and drops requests that can't finish in time.
     fn is_ideal(self) -> bool {
         matches!(self, Model::IdealByOwner | Model::Ideal)
     }
--- a/crates/ledgelead-lab/src/simulation/servers.rs
+++ b/crates/ledgelead-lab/src/simulation/servers.rs
@@ -38,7 +38,7 @@
     pub started_in_window: u64,
     /// When it asked to be drained.
     pub leaving_since: Option<Time>,
-    /// Whether a node has been told that it wants to leave.
+    /// Whether a node has been informed that it is leaving.
     pub leaving_reported: bool,
     max_connections: u32,
     frozen: bool,
--- a/crates/ledgelead-lab/src/standin/execution.rs
+++ b/crates/ledgelead-lab/src/standin/execution.rs
@@ -56,7 +56,7 @@
         /// Duration of the execution.
         duration: Span,
     },
-    /// An attempt ended; its sender must be told.
+    /// An attempt ended; its result must be delivered to its sender.
     Ended {
         /// The attempt.
         key: AttemptKey,
--- a/crates/ledgelead-lab/tests/checker.rs
+++ b/crates/ledgelead-lab/tests/checker.rs
@@ -122,7 +122,7 @@
 
 #[gtest]
 fn acknowledged_move_that_never_reaches_its_server_is_found_unless_it_died() {
-    for (dies, expected) in [(false, 1), (true, 0)] {
+    for (has_died, expected) in [(false, 1), (true, 0)] {
         let mut violations = Violations::default();
         let mut checker = OwnershipChecker::default();
         checker.acknowledged(AcknowledgedMove {
@@ -131,7 +131,7 @@
             to: ServerId(2),
             at: at(1),
         });
-        if dies {
+        if has_died {
             checker.died(ServerId(2));
         }
         checker.finish(at(30), &mut violations);
--- a/crates/ledgelead-lab/tests/fleet_versions.rs
+++ b/crates/ledgelead-lab/tests/fleet_versions.rs
@@ -94,8 +94,8 @@
     // node 2 replaces it only at 25.88 s. An instance announces at 23.0 s that it is leaving.
     // Until 25.74 s, when node 1 sends it a request, nothing could have informed node 1. A
     // node that the store refuses is not connected to it, so the checker ignores it. Node 1
-    // has what it lacked 0.8 s after it hears node 2: all instances, since no node's log
-    // reaches back far enough (`node/snapshot.rs` of the router's own tests).
+    // has what it lacked 0.8 s after the first heartbeat of node 2: all instances, since no
+    // node's log reaches back far enough (`node/snapshot.rs` of the router's own tests).
     let (_, lines) = run_seeds(
         drawn_versions,
         127..=127,
--- a/crates/ledgelead-router/tests/identity.rs
+++ b/crates/ledgelead-router/tests/identity.rs
@@ -43,15 +43,15 @@
     #[test]
     fn each_text_identifies_one_incarnation(
         name in "[a#0-9é]{0,6}",
-        born in proptest::option::of(prop_oneof![0u64..20, proptest::num::u64::ANY]),
+        start_ms in proptest::option::of(prop_oneof![0u64..20, proptest::num::u64::ANY]),
     ) {
-        let id = match born {
-            Some(born) => InstanceId::with_start_time(&name, born),
+        let id = match start_ms {
+            Some(start_ms) => InstanceId::with_start_time(&name, start_ms),
             None => InstanceId::from(name.as_str()),
         };
         let parsed = InstanceId::parse(id.as_str());
         prop_assert_eq!(parsed.name(), name.as_str());
-        prop_assert_eq!(parsed.start_ms(), born);
+        prop_assert_eq!(parsed.start_ms(), start_ms);
         prop_assert_eq!(&parsed, &id);
         let stored = serde_json::to_string(&id).expect("a text");
         prop_assert_eq!(serde_json::from_str::<InstanceId>(&stored).expect("an instance id"), id);
--- a/crates/ledgelead-router/tests/quarantine.rs
+++ b/crates/ledgelead-router/tests/quarantine.rs
@@ -23,9 +23,9 @@
     CallerId::new([10, 0, 0, last].into())
 }
 
-fn end(by: u8, instance: u64, at: u64) -> InstanceEnd {
+fn end(caller_number: u8, instance: u64, at: u64) -> InstanceEnd {
     InstanceEnd {
-        caller: caller(by),
+        caller: caller(caller_number),
         instance,
         at: ms(at),
         settled: false,
@@ -46,8 +46,8 @@
     evidence.review(Timestamp::from_secs(100));
 }
 
-fn is_quarantined_for(evidence: &Evidence, by: u8) -> bool {
-    evidence.is_quarantined_for(&request("/a"), caller(by))
+fn is_quarantined_for(evidence: &Evidence, caller_number: u8) -> bool {
+    evidence.is_quarantined_for(&request("/a"), caller(caller_number))
 }
 
 #[gtest]
@@ -181,16 +181,25 @@
 /// A fact that a node learns.
 #[derive(Clone, Debug)]
 enum Fact {
-    Ended { by: u8, instance: u64, at: u64 },
-    Answered { by: u8, at: u64 },
-    Alive { instance: u64 },
+    Ended {
+        caller_number: u8,
+        instance: u64,
+        at: u64,
+    },
+    Answered {
+        caller_number: u8,
+        at: u64,
+    },
+    Alive {
+        instance: u64,
+    },
 }
 
 fn fact() -> impl Strategy<Value = Fact> {
     let ended = (1..3_u8, 1..6_u64, 0..40_u64);
     prop_oneof![
-        5 => ended.prop_map(|(by, instance, at)| Fact::Ended { by, instance, at: at * 500 }),
-        1 => (1..3_u8, 0..40_u64).prop_map(|(by, at)| Fact::Answered { by, at: at * 500 }),
+        5 => ended.prop_map(|(caller_number, instance, at)| Fact::Ended { caller_number, instance, at: at * 500 }),
+        1 => (1..3_u8, 0..40_u64).prop_map(|(caller_number, at)| Fact::Answered { caller_number, at: at * 500 }),
         1 => (1..6_u64).prop_map(|instance| Fact::Alive { instance }),
     ]
 }
@@ -202,9 +211,13 @@
     for fact in facts {
         let mut entry = Entry::default();
         match fact {
-            Fact::Ended { by, instance, at } => entry.ends.push(end(*by, *instance, *at)),
-            Fact::Answered { by, at } => {
-                entry.cleared.insert(caller(*by), ms(*at));
+            Fact::Ended {
+                caller_number,
+                instance,
+                at,
+            } => entry.ends.push(end(*caller_number, *instance, *at)),
+            Fact::Answered { caller_number, at } => {
+                entry.cleared.insert(caller(*caller_number), ms(*at));
             }
             Fact::Alive { instance } => {
                 evidence.record_alive(*instance, now);
@@ -232,12 +245,12 @@
         facts in prop::collection::vec(fact(), 1..12),
         rotation in 0..12_usize,
     ) {
-        // The same end is the same fact, even if two nodes saw it at different times.
+        // An end is reported once, even if two nodes saw it at different times.
         let mut facts = facts;
         let mut seen = std::collections::BTreeSet::new();
         facts.retain(|fact| match fact {
-            Fact::Ended { by, instance, .. } => seen.insert((0, u64::from(*by), *instance)),
-            Fact::Answered { by, .. } => seen.insert((1, u64::from(*by), 0)),
+            Fact::Ended { caller_number, instance, .. } => seen.insert((0, u64::from(*caller_number), *instance)),
+            Fact::Answered { caller_number, .. } => seen.insert((1, u64::from(*caller_number), 0)),
             Fact::Alive { .. } => true,
         });
         let mut reordered = facts.clone();
@@ -248,8 +261,8 @@
         review(&mut one);
         review(&mut other);
         prop_assert_eq!(one.checksum(), other.checksum());
-        for by in 1..4 {
-            prop_assert_eq!(is_quarantined_for(&one, by), is_quarantined_for(&other, by));
+        for caller_number in 1..4 {
+            prop_assert_eq!(is_quarantined_for(&one, caller_number), is_quarantined_for(&other, caller_number));
         }
     }
 }
--- a/crates/ledgelead-router/tests/requests.rs
+++ b/crates/ledgelead-router/tests/requests.rs
@@ -365,10 +365,11 @@
         &[("a", 12, 100), ("b", 12, 100), ("c", 1, 100)],
     );
     expect_that!(choices(&fixture), eq([0, 0, 100]));
-    // Traffic between zones is expensive: fewer free slots alone are no reason.
+    // Traffic between zones is expensive: a few more free slots in another zone are no reason
+    // to send requests there.
     digest(&mut fixture, &[("a", 3, 100), ("b", 3, 100), ("c", 0, 100)]);
     expect_that!(choices(&fixture)[2], eq(0));
-    // Without any free slots, the least loaded of the drawn instances.
+    // Without any free slots, the least loaded of the drawn instances is chosen.
     digest(
         &mut fixture,
         &[("a", 12, 100), ("b", 12, 100), ("c", 6, 100)],
--- a/crates/ledgelead-router/tests/split.rs
+++ b/crates/ledgelead-router/tests/split.rs
@@ -84,7 +84,7 @@
                 .collect();
             let chosen = in_zone[self.rng.random_range(0..in_zone.len())];
             let body_bytes = size(&mut self.rng);
-            let local = self.owned[from];
+            let local_share = self.owned[from];
             let (_, splits, rng) = &mut self.nodes[chosen];
             let request = SplitRequest {
                 route: "uploads",
@@ -95,7 +95,7 @@
             };
             let is_keyed = match draws_evenly {
                 true => rng.random_range(0.0..1.0) < share,
-                false => splits.draw(&request, || local, Duration::ZERO, rng),
+                false => splits.draw(&request, || local_share, Duration::ZERO, rng),
             };
             outcome.sharded += usize::from(is_keyed);
             if is_keyed && from != owner {
