--- a/crates/ledgelead-core/src/node_core.rs
+++ b/crates/ledgelead-core/src/node_core.rs
@@ -8,7 +8,8 @@
 use crate::operations::{OpenOperations, Requester};
 use crate::shutdown::Shutdown;
 use ledgelead_configuration::{
-    ConfigurationKeeper, FormerInput, FormerSettings, GroupFormer, KeeperInput, KeeperSettings,
+    ConfigurationManager, ConfigurationManagerInput, ConfigurationManagerSettings, GroupManager,
+    GroupManagerInput, GroupManagerSettings,
 };
 use ledgelead_membership::{
     Dissemination, DisseminationInput, DisseminationSettings, Membership, MembershipInput,
@@ -40,8 +41,8 @@
     pub(crate) settings: NodeSettings,
     pub(crate) membership: Membership,
     pub(crate) dissemination: Dissemination,
-    pub(crate) configuration_manager: ConfigurationKeeper,
-    pub(crate) group_manager: GroupFormer,
+    pub(crate) configuration_manager: ConfigurationManager,
+    pub(crate) group_manager: GroupManager,
     pub(crate) groups: HostedGroups,
     pub(crate) gateway: Gateway,
     pub(crate) dispatcher: Dispatcher,
@@ -75,15 +76,15 @@
                 },
                 now,
             ),
-            configuration_manager: ConfigurationKeeper::new(
-                KeeperSettings {
+            configuration_manager: ConfigurationManager::new(
+                ConfigurationManagerSettings {
                     node: settings.node,
                     random_seed: seed ^ 2,
                 },
                 now,
             ),
-            group_manager: GroupFormer::new(
-                FormerSettings {
+            group_manager: GroupManager::new(
+                GroupManagerSettings {
                     node: settings.node,
                     random_seed: seed ^ 3,
                 },
@@ -313,12 +314,13 @@
         reply: Result<PlatformReply, PlatformError>,
     ) {
         match self.calls.close(call) {
-            Some(CallOwner::ConfigurationManager(call)) => self
-                .configuration_manager
-                .step(now, KeeperInput::PlatformReplied { call, reply }),
+            Some(CallOwner::ConfigurationManager(call)) => self.configuration_manager.step(
+                now,
+                ConfigurationManagerInput::PlatformReplied { call, reply },
+            ),
             Some(CallOwner::GroupManager(call)) => self
                 .group_manager
-                .step(now, FormerInput::PlatformReplied { call, reply }),
+                .step(now, GroupManagerInput::PlatformReplied { call, reply }),
             Some(CallOwner::Group(..)) | None => {}
         }
     }
@@ -327,7 +329,7 @@
         match command.action {
             AdministrationAction::Configure(_) => self.configuration_manager.step(
                 now,
-                KeeperInput::Command {
+                ConfigurationManagerInput::Command {
                     ticket: ticket.0,
                     command,
                 },
