--- a/crates/ledgelead-router/src/node/relay/ownership.rs
+++ b/crates/ledgelead-router/src/node/relay/ownership.rs
@@ -1,7 +1,7 @@
 //! Announcement of the owners of keys.
 
 use super::entries::changed_assignment;
-use super::{RelayState, parts};
+use super::{RelayState, part_datagrams};
 use crate::Timestamp;
 use crate::events::Event;
 use crate::identity::{InstanceId, NodeIdentity, ServiceName};
@@ -109,7 +109,7 @@
         let follows = self.coordination.coordinator().is_none();
         let before = self.record_before_change();
         if follows && self.ownership.apply_changes(base, revision, assignments) {
-            self.note_cold_keys(before, now);
+            self.record_cold_keys(before, now);
             self.reconsider_waiting(now, out);
         }
     }
@@ -211,7 +211,7 @@
     }
     let changed: Vec<ChangedAssignment> = changes.items.iter().map(changed_assignment).collect();
     let message = |span, changes| PeerMessage::OwnershipChanged { span, changes };
-    parts(
+    part_datagrams(
         changes.base,
         changes.revision,
         &changed,
--- a/crates/ledgelead-router/src/node/store_calls.rs
+++ b/crates/ledgelead-router/src/node/store_calls.rs
@@ -29,12 +29,12 @@
 /// Minimum interval between reads of the record caused by rejected keys.
 const REJECTION_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time in which a starting node hears a coordinator. Heartbeats are sent every 200 ms and
-/// carry the evacuations, so that the node need not list them.
+/// Delay before a starting node lists the evacuations. A coordinator sends them with its
+/// heartbeats every 200 ms, so that the list is not needed if one is heard by then.
 const FIRST_EVACUATIONS_PAUSE: Duration = Duration::from_millis(400);
-/// Time in which a starting node hears a coordinator, even one that is elected only then.
-/// Together with a list it stays below the 3 s within which a node must know the quarantined
-/// requests.
+/// Delay before a starting node lists the quarantined requests. The list is not needed if a
+/// coordinator is heard by then, even one that is elected only after the start. Together with a
+/// list the delay stays below the 3 s within which a node must know the quarantined requests.
 const FIRST_QUARANTINE_PAUSE: Duration = Duration::from_millis(2_500);
 /// Minimum interval between probes of a failing store caused by gaps. Together with a list and
 /// the pause before the other watches (0.25 s) it stays below the configuration bound of 2 s.
@@ -243,8 +243,8 @@
         nodes.defer(now + election);
     }
 
-    /// A coordinator is heard before this node has listed the nodes. It relays the changes
-    /// after a list that may be stale, so that the list can be made later.
+    /// Defers the list of nodes if a coordinator is heard before this node has made it. The
+    /// list may then be stale, since the coordinator relays the changes after it.
     fn defer_node_list(&mut self, now: Timestamp) {
         let pause = self.cold_start.list;
         let nodes = self.watcher(ObjectKind::Nodes);
@@ -263,7 +263,7 @@
         self.watcher(kind).defer(now + pause);
     }
 
-    /// A coordinator is heard: the deferred pages are requested from other nodes.
+    /// Requests the deferred pages from other nodes, once a coordinator is heard.
     fn resume_large_lists(&mut self, now: Timestamp) {
         for kind in [ObjectKind::Instances, ObjectKind::Nodes] {
             let watcher = self.watcher(kind);
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Another node reports that the store has recovered: the probe is sent again.
+    /// Sends the probe again, since another node reports that the store has recovered.
     pub(super) fn probe_again(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let before = now.saturating_sub(PROBE_PAUSE);
         self.interrupt(ObjectKind::Instances, before, now, out);
@@ -297,7 +297,7 @@
         &mut self.watchers[kind as usize]
     }
 
-    /// Adjusts the watches when this node takes up or gives up the coordinator role.
+    /// Adjusts the watches when this node assumes or gives up the coordinator role.
     pub(super) fn set_coordinating(&mut self, coordinating: bool, now: Timestamp) {
         self.coordinating = coordinating;
         for watcher in &mut self.watchers {
@@ -405,7 +405,7 @@
     }
 
     /// A write of the record has confirmed the coordinator role.
-    pub(super) fn role_confirmed(&mut self, now: Timestamp) {
+    pub(super) fn defer_role_confirmation(&mut self, now: Timestamp) {
         let watcher = self.watcher(ObjectKind::Ownership);
         watcher.defer(now + CONFIRM_INTERVAL);
     }
@@ -428,7 +428,7 @@
         if let Some(exchange) = found {
             self.pending.remove(&exchange);
             out.push(Action::Cancel { exchange });
-            self.watcher(kind).interrupt(now);
+            self.watcher(kind).record_cancellation(now);
         }
     }
 }
--- a/crates/ledgelead-router/src/rate_limit/limiter.rs
+++ b/crates/ledgelead-router/src/rate_limit/limiter.rs
@@ -3,7 +3,7 @@
 //!
 //! An overloaded instance may announce a rate far below the number of requests that many nodes
 //! have for it, each of them only a few. A fixed share per node would be a fraction of a
-//! request a second, and mostly unused; so nodes ask for a token per request.
+//! request a second, and mostly unused; so nodes request a token for each request.
 //!
 //! No agreement between nodes is needed. At most two nodes hand out tokens for an instance:
 //! the primary limiter, chosen by rendezvous hashing, at the announced rate, and the secondary
@@ -27,12 +27,12 @@
 const MIN_BURST: f64 = 1.0;
 /// Requests that may be sent at once after an idle period, as time at the announced rate.
 const BURST: Duration = Duration::from_millis(500);
-/// Least rate, in requests a second: an instance that gets no requests could not announce a
+/// Minimum rate, in requests a second: an instance that gets no requests could not announce a
 /// higher limit.
 const MIN_RATE: f64 = 0.25;
-/// Longest time after which a refused node asks again.
+/// Maximum time after which a refused node asks again.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Added to waits, since messages carry whole milliseconds: a node must not ask just before
+/// Added to waits, since messages carry whole milliseconds: a node must not return just before
 /// its token is available.
 const ROUNDING: Duration = Duration::from_millis(1);
 /// How long an unused bucket is kept.
@@ -47,7 +47,7 @@
     Secondary,
 }
 
-/// The decision about a request for a token.
+/// The decision on a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenStatus {
     /// One request may be sent.
@@ -72,7 +72,7 @@
     tokens: f64,
     filled_at: Timestamp,
     used_at: Timestamp,
-    /// When refused nodes were told to ask again.
+    /// When each refused node may request a token again.
     retry_at: BTreeMap<SocketAddr, Timestamp>,
 }
 
@@ -90,7 +90,7 @@
         self.counters
     }
 
-    /// Decides about a token for one request to an instance with this limit.
+    /// Decides on a token for one request to an instance with this limit.
     pub fn request_token(
         &mut self,
         requester: SocketAddr,
--- a/crates/ledgelead-router/src/requests/answers.rs
+++ b/crates/ledgelead-router/src/requests/answers.rs
@@ -33,7 +33,7 @@
     NoInstance,
     /// Instances rejected the request without running it.
     Rejected,
-    /// Every instance that could run the request has asked this node for a pause.
+    /// Every instance that could run the request has requested a pause from this node.
     BackedOff,
     /// Every instance that could run the request has reached its rate limit.
     RateLimited,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Builds the response that tells a client of a refusal, and when to retry.
+/// Builds the response to a refused request, with the time after which to retry.
 pub fn refusal(
     request: &Request,
     reason: Refusal,
--- a/crates/ledgelead-router/src/requests/refusal_share.rs
+++ b/crates/ledgelead-router/src/requests/refusal_share.rs
@@ -8,8 +8,8 @@
 
 /// Half-life of the counts; bursts last for seconds.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// Retry delay when hardly any request is refused: the service time of one request, after
-/// which a slot is free.
+/// Retry delay when hardly any request is refused: the service time of one request, after which
+/// a slot becomes free.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Additional delay when all requests are refused. A burst beyond a service's capacity lasts
 /// at least that long.
@@ -25,13 +25,13 @@
 
 impl RefusalShare {
     /// Records a request.
-    pub fn received(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.decay(now);
         self.received += 1.0;
     }
 
     /// Records a request that was refused for lack of capacity.
-    pub fn refused(&mut self, now: Timestamp) {
+    pub fn record_refusal(&mut self, now: Timestamp) {
         self.decay(now);
         self.refused += 1.0;
     }
@@ -62,13 +62,13 @@
 
 impl RefusalShares {
     /// Records a request.
-    pub fn received(&mut self, service: &ServiceName, now: Timestamp) {
-        self.of(service).received(now);
+    pub fn record_request(&mut self, service: &ServiceName, now: Timestamp) {
+        self.of(service).record_request(now);
     }
 
     /// Records a request that was refused for lack of capacity.
-    pub fn refused(&mut self, service: &ServiceName, now: Timestamp) {
-        self.of(service).refused(now);
+    pub fn record_refusal(&mut self, service: &ServiceName, now: Timestamp) {
+        self.of(service).record_refusal(now);
     }
 
     /// The share of refused requests, 0 to 1.
--- a/crates/ledgelead-router/tests/rate_limit.rs
+++ b/crates/ledgelead-router/tests/rate_limit.rs
@@ -36,8 +36,8 @@
 ) -> Vec<u64> {
     let request_times = span.step_by(5);
     let is_granted = |at: &u64| {
-        let verdict = limiter.request_token(node_address(1), INSTANCE, limit, role, ms(*at));
-        verdict == TokenStatus::Granted
+        let status = limiter.request_token(node_address(1), INSTANCE, limit, role, ms(*at));
+        status == TokenStatus::Granted
     };
     request_times.filter(is_granted).collect()
 }
@@ -189,7 +189,7 @@
             ms(4_010),
         ) {
             TokenStatus::Refused(wait) => wait,
-            verdict => panic!("{verdict:?}"),
+            status => panic!("{status:?}"),
         }
     };
     let first = wait_for_token(1);
@@ -210,7 +210,7 @@
     expect_that!(limits.limit(INSTANCE), some(eq(limit(2_000))));
     limits.record_from_peer(INSTANCE, statement(8_000, 600));
     expect_that!(limits.limit(INSTANCE), some(eq(limit(8_000))));
-    limits.record_from_answer(INSTANCE, None, ms(700));
+    limits.record_from_response(INSTANCE, None, ms(700));
     limits.record_from_peer(INSTANCE, statement(8_000, 650));
     expect_that!(limits.limit(INSTANCE), none());
 }
@@ -218,20 +218,20 @@
 #[gtest]
 fn a_limit_in_an_answer_is_reported_until_the_coordinator_knows_it() {
     let mut limits = KnownLimits::default();
-    limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
+    limits.record_from_response(INSTANCE, Some(limit(2_000)), ms(100));
     expect_that!(limits.unreported().count(), eq(1));
     limits.mark_reported(INSTANCE, Some(limit(9_000)));
     expect_that!(limits.unreported().count(), eq(1));
     limits.mark_reported(INSTANCE, Some(limit(2_000)));
     expect_that!(limits.unreported().count(), eq(0));
-    limits.record_from_answer(INSTANCE, None, ms(300));
+    limits.record_from_response(INSTANCE, None, ms(300));
     expect_that!(limits.unreported().count(), eq(1));
 }
 
 #[gtest]
 fn limits_of_gone_instances_are_removed() {
     let mut limits = KnownLimits::default();
-    limits.record_from_answer(INSTANCE, Some(limit(2_000)), ms(100));
+    limits.record_from_response(INSTANCE, Some(limit(2_000)), ms(100));
     limits.expire(|_| true, ms(100_000));
     expect_that!(limits.is_empty(), eq(false));
     limits.expire(|_| false, ms(100_000));
@@ -246,7 +246,7 @@
 ) -> FailoverStatus {
     let statuses = span
         .step_by(100)
-        .map(|at| failover.asked_in_place_of(node_address(1), ms(at)));
+        .map(|at| failover.record_fallback_request(node_address(1), ms(at)));
     statuses.last().expect("a request")
 }
 
@@ -284,7 +284,7 @@
     let request_times = (0..5_000).step_by(100);
     let probes = request_times.filter(|at| {
         failover
-            .asked_in_place_of(node_address(1), ms(*at))
+            .record_fallback_request(node_address(1), ms(*at))
             .is_probed
     });
     expect_that!(probes.count(), eq(5));
