--- a/crates/ledgelead-core/src/pump.rs
+++ b/crates/ledgelead-core/src/pump.rs
@@ -5,7 +5,9 @@
 use crate::io::{Output, TicketId};
 use crate::message::PeerMessage;
 use crate::node_core::NodeCore;
-use ledgelead_configuration::{FormerInput, FormerOutput, KeeperInput, KeeperOutput};
+use ledgelead_configuration::{
+    ConfigurationManagerInput, ConfigurationManagerOutput, GroupManagerInput, GroupManagerOutput,
+};
 use ledgelead_membership::{
     DisseminationInput, DisseminationOutput, ItemKey, MembershipInput, MembershipOutput,
 };
@@ -114,9 +116,9 @@
         self.dissemination
             .step(now, DisseminationInput::Peers(others));
         self.configuration_manager
-            .step(now, KeeperInput::LiveNodes(live.clone()));
+            .step(now, ConfigurationManagerInput::LiveNodes(live.clone()));
         self.group_manager
-            .step(now, FormerInput::LiveNodes(live.clone()));
+            .step(now, GroupManagerInput::LiveNodes(live.clone()));
         self.groups.set_live_nodes(now, live);
         self.report_proven_dead(now);
     }
@@ -136,7 +138,8 @@
             .into_iter()
             .filter(|member| self.membership.is_proven_dead(*member))
             .collect();
-        self.group_manager.step(now, FormerInput::ProvenDead(dead));
+        self.group_manager
+            .step(now, GroupManagerInput::ProvenDead(dead));
     }
 
     fn record(&mut self, now: Time, event: Event) {
@@ -198,10 +201,12 @@
                 highest_service: configuration.highest_service,
             },
         );
-        self.configuration_manager
-            .step(now, KeeperInput::Held(configuration.clone()));
+        self.configuration_manager.step(
+            now,
+            ConfigurationManagerInput::Current(configuration.clone()),
+        );
         self.group_manager
-            .step(now, FormerInput::Configuration(configuration.clone()));
+            .step(now, GroupManagerInput::Configuration(configuration.clone()));
         self.groups.apply_configuration(now, configuration.clone());
         self.gateway
             .step(now, GatewayInput::Configuration(configuration.clone()));
@@ -216,7 +221,7 @@
     fn apply_record(&mut self, now: Time, record: GroupRecord) {
         self.group_manager.step(
             now,
-            FormerInput::KnownMembers {
+            GroupManagerInput::KnownMembers {
                 group: record.group,
                 epoch: record.epoch,
                 members: record.members.0.clone(),
@@ -232,7 +237,7 @@
         let has_same_members = before.is_some_and(|before| before.members == routes.members);
         self.group_manager.step(
             now,
-            FormerInput::KnownMembers {
+            GroupManagerInput::KnownMembers {
                 group: routes.group,
                 epoch: routes.version.epoch,
                 members: routes.members.0.clone(),
@@ -252,29 +257,29 @@
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
-                KeeperOutput::CallPlatform { call, request } => {
+                ConfigurationManagerOutput::CallPlatform { call, request } => {
                     self.call_platform(CallOwner::ConfigurationManager(call), request);
                 }
-                KeeperOutput::Publish(configuration) => {
+                ConfigurationManagerOutput::Publish(configuration) => {
                     self.publish_configuration(now, &configuration);
                 }
-                KeeperOutput::CommandFinished { ticket, result } => {
+                ConfigurationManagerOutput::CommandFinished { ticket, result } => {
                     let ticket = TicketId(ticket);
                     self.outputs
                         .push(Output::CommandFinished { ticket, result });
                 }
-                KeeperOutput::PlatformReachable(reachable) => {
+                ConfigurationManagerOutput::PlatformReachable(reachable) => {
                     self.platform_reachable = Some(reachable);
                     let event = Event::PlatformReachable { reachable };
                     self.outputs.push(Output::Record(event));
                 }
-                KeeperOutput::Refused { version, findings } => {
+                ConfigurationManagerOutput::InvalidObject { version, findings } => {
                     let findings = findings.iter().map(ToString::to_string).collect();
                     let version = version.0;
                     let event = Event::ConfigurationRefused { version, findings };
                     self.outputs.push(Output::Record(event));
                 }
-                KeeperOutput::MachineList(machines) => {
+                ConfigurationManagerOutput::MachineList(machines) => {
                     self.membership
                         .step(now, MembershipInput::MachineList(machines));
                     self.report_proven_dead(now);
@@ -313,18 +318,18 @@
         let any = !outputs.is_empty();
         for output in outputs {
             match output {
-                FormerOutput::CallPlatform { call, request } => {
+                GroupManagerOutput::CallPlatform { call, request } => {
                     self.call_platform(CallOwner::GroupManager(call), request);
                 }
-                FormerOutput::Publish(record) => self.publish_record(now, &record),
-                FormerOutput::SnapshotStored { group, revision } => {
+                GroupManagerOutput::Publish(record) => self.publish_record(now, &record),
+                GroupManagerOutput::SnapshotStored { group, revision } => {
                     self.groups
                         .step(now, group, GroupInput::SnapshotStored { revision });
                 }
-                FormerOutput::Superseded { group, epoch } => {
+                GroupManagerOutput::Superseded { group, epoch } => {
                     self.groups.supersede(group, epoch);
                 }
-                FormerOutput::Event(event) => self.record(now, event),
+                GroupManagerOutput::Event(event) => self.record(now, event),
             }
         }
         any
@@ -388,7 +393,7 @@
             }
             GroupOutput::StoreSnapshot(record, revision) => {
                 self.group_manager
-                    .step(now, FormerInput::StoreSnapshot { record, revision });
+                    .step(now, GroupManagerInput::StoreSnapshot { record, revision });
             }
             GroupOutput::OperationFinished { ticket, result } => {
                 if let Some(requester) = self.operations.close(ticket) {
