--- a/crates/ledgelead-query/src/lib.rs
+++ b/crates/ledgelead-query/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' query and command language: text to checked trees, queries
-//! to tables, commands to typed actions. Everything here is pure; the node
-//! gives the view and carries the actions out. The grammar is in
-//! `docs/language.md`, the reasons in `docs/design/query-language.md`.
+//! The operators' query and command language. It parses text into syntax trees, evaluates
+//! queries into tables and lowers commands to typed actions. The crate does no I/O: the node
+//! supplies the view and executes the actions. See `docs/language.md` for the grammar and
+//! `docs/design/query-language.md` for the design.
 
 mod answer;
 mod authority;
@@ -22,7 +22,7 @@
 mod tree;
 
 pub use answer::{answer, plan};
-pub use authority::{Forbidden, may_command, may_give_commands, may_query};
+pub use authority::{Forbidden, may_command, may_query, may_run_commands};
 pub use cell::Cell;
 pub use finding::{Finding, Findings};
 pub use located::{Located, TextRange};
--- a/crates/ledgelead-query/src/lower/operations.rs
+++ b/crates/ledgelead-query/src/lower/operations.rs
@@ -1,4 +1,4 @@
-//! Commands that a group decides.
+//! Lowers operations, which groups decide.
 
 use super::{Lowering, PlannedOperation};
 use crate::finding::Finding;
@@ -8,7 +8,6 @@
 use ledgelead_types::administration::GroupOperation;
 
 impl Lowering<'_> {
-    /// Lowers an operation.
     pub(super) fn operation(&mut self, command: &Command) -> Option<PlannedOperation> {
         match command {
             Command::OperateServer { operation, server } => {
@@ -44,7 +43,7 @@
         }
     }
 
-    /// The new owner has to be a server of the key's own group.
+    /// The new owner must be a server of the key's group.
     fn move_key(
         &mut self,
         key: &KeyInService,
@@ -56,15 +55,15 @@
         let (server, located) = (server?, located?);
         let group = group_of_server(working, server);
         if group != located.group {
-            let serves = group_name(working, group);
-            let holds = group_name(working, located.group);
+            let server_group = group_name(working, group);
+            let key_group = group_name(working, located.group);
             let message = format!(
-                "server `{}` is of group {serves}, the key of {holds}",
+                "server `{}` is of group {server_group}, the key of {key_group}",
                 name.value
             );
             let others = working.servers_of(located.group);
             let names: Vec<&str> = others.map(|server| &*server.name).collect();
-            let help = format!("servers of {holds}: {}", names.join(", "));
+            let help = format!("servers of {key_group}: {}", names.join(", "));
             let finding = Finding::new(name.range.clone(), message).with_help(help);
             self.findings.add(finding);
             return None;
--- a/crates/ledgelead-router/src/dispatch/servers.rs
+++ b/crates/ledgelead-router/src/dispatch/servers.rs
@@ -19,7 +19,7 @@
 /// with idle slots send one more request ahead.
 const EXTRA_PERMIT_STEP: f64 = 0.25;
 /// Ejection rules for instances of a pool. A dispatcher sees all requests of its zone to an
-/// instance, so that two failures in a row tell more than at a node that sends only a few.
+/// instance, so that two failures in a row mean more than at a node that sends only a few.
 const FAILURE_RULES: FailureRules = FailureRules {
     outcome_weight: 0.15,
     eject_after: 2,
@@ -68,7 +68,7 @@
         (self.outstanding + 1) as f64 / self.usable_slots().max(1) as f64
     }
 
-    fn sample(&mut self, service_time: Duration) {
+    fn add_sample(&mut self, service_time: Duration) {
         let smoothed = match self.service_time {
             Some(earlier) => {
                 earlier.mul_f64(1.0 - SAMPLE_WEIGHT) + service_time.mul_f64(SAMPLE_WEIGHT)
@@ -224,11 +224,16 @@
     }
 
     /// Records a response, and its service time if it is representative.
-    pub(super) fn answered(&mut self, server: u64, service_time: Option<Duration>, now: Timestamp) {
+    pub(super) fn record_success(
+        &mut self,
+        server: u64,
+        service_time: Option<Duration>,
+        now: Timestamp,
+    ) {
         if let Some(state) = self.states.get_mut(&server) {
-            state.failures.answered(&FAILURE_RULES, now);
+            state.failures.record_success(&FAILURE_RULES, now);
             if let Some(service_time) = service_time {
-                state.sample(service_time);
+                state.add_sample(service_time);
             }
         }
     }
@@ -252,18 +257,18 @@
     }
 
     /// Records that an instance wants no requests from some node until then. Other instances
-    /// are preferred for all nodes; the node that was told sends nothing there whatever it is
+    /// are preferred for all nodes; that node itself sends nothing there whatever it is
     /// granted.
-    pub(super) fn backed_off(&mut self, server: u64, until: Timestamp) {
+    pub(super) fn record_backoff(&mut self, server: u64, until: Timestamp) {
         if let Some(state) = self.states.get_mut(&server) {
             state.backoff_until = state.backoff_until.max(until);
         }
     }
 
     /// Records that a request there was aborted, or its response was lost.
-    pub(super) fn failed(&mut self, server: u64, now: Timestamp) {
+    pub(super) fn record_failure(&mut self, server: u64, now: Timestamp) {
         if let Some(state) = self.states.get_mut(&server) {
-            state.failures.failed(&FAILURE_RULES, now);
+            state.failures.record_failure(&FAILURE_RULES, now);
         }
     }
 }
--- a/crates/ledgelead-router/src/node/relay/objects.rs
+++ b/crates/ledgelead-router/src/node/relay/objects.rs
@@ -3,7 +3,7 @@
 use super::entries::{
     changed_instance, changed_node, instance_record, listed_instance, registration,
 };
-use super::parts;
+use super::part_datagrams;
 use crate::Timestamp;
 use crate::dialect::{Object, ObjectContent, ObjectEvent, ObjectKind};
 use crate::directory::{Directory, Entry, Presence};
@@ -31,8 +31,8 @@
     /// Announces the changes that the store has reported to this coordinator up to a revision.
     /// The list starts at the last change of the same kind, not at the revision from which the
     /// watch continued. The store's revision also increases with objects of other kinds, which
-    /// the other nodes don't hear of.
-    pub(in crate::node) fn relay(
+    /// are not part of these lists.
+    pub(in crate::node) fn relay_changes(
         &mut self,
         kind: ObjectKind,
         revision: u64,
@@ -134,7 +134,7 @@
                 Some(entry) => {
                     if let Some(registration) = registration(name, entry) {
                         self.registry.upsert(registration);
-                        self.note_earlier_incarnation();
+                        self.record_earlier_incarnation();
                     }
                 }
             }
@@ -145,7 +145,7 @@
     /// Records that all changes of a kind up to this revision are known.
     fn list_applied(&mut self, kind: ObjectKind, revision: u64) {
         self.store.advance(kind, revision);
-        self.messaging.relay.note_change(kind, revision);
+        self.messaging.relay.record_change(kind, revision);
     }
 
     /// Returns the list if it is complete, new, and no list before it is missing. If this
@@ -224,7 +224,7 @@
         unconfirmed_ms: u16::try_from(unconfirmed.as_millis()).unwrap_or(u16::MAX),
         changes,
     };
-    parts(
+    part_datagrams(
         changes.base,
         changes.revision,
         &changed,
@@ -249,7 +249,7 @@
         unconfirmed_ms: u16::try_from(unconfirmed.as_millis()).unwrap_or(u16::MAX),
         instances,
     };
-    parts(0, revision, &present, INSTANCES_PER_PART, message)
+    part_datagrams(0, revision, &present, INSTANCES_PER_PART, message)
 }
 
 /// The datagrams for changed node registrations.
@@ -262,7 +262,7 @@
     let events = last_events(read).into_iter();
     let changed: Vec<ChangedNode> = events.map(changed_node).collect();
     let message = |span, changes| PeerMessage::NodesChanged { span, changes };
-    parts(
+    part_datagrams(
         changes.base,
         changes.revision,
         &changed,
--- a/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/tokens.rs
@@ -18,7 +18,7 @@
 /// may stall for most of it.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 /// Number of times a limiter is asked before it counts as unresponsive.
-const MAX_ASKS_PER_LIMITER: usize = 2;
+const MAX_REQUESTS_PER_LIMITER: usize = 2;
 /// How long an unresponsive limiter isn't asked: about the time that nodes need to learn of
 /// the loss of another node.
 const UNRESPONSIVE_TTL: Duration = Duration::from_secs(1);
@@ -42,13 +42,13 @@
         let is_held =
             |token: &Token| token.instance == *instance && token.state == TokenState::Held;
         let has_token = open.token.as_ref().is_some_and(is_held);
-        (!has_token).then(|| Step::AskToken(instance.clone()))
+        (!has_token).then(|| Step::RequestToken(instance.clone()))
     }
 
     /// The wait for a requested token, if a limiter may still decide.
     pub(super) fn awaited_token(open: &OpenRequest, now: Timestamp) -> Option<Step> {
         match open.token.as_ref()?.state {
-            TokenState::Asked { check_at, .. } if check_at > now => {
+            TokenState::Requested { check_at, .. } if check_at > now => {
                 Some(Step::AwaitToken(check_at))
             }
             _ => None,
@@ -81,7 +81,7 @@
 
     /// Requests a token from a limiter of the instance. If no limiter responds, the instance
     /// counts as without tokens for a short time.
-    pub(super) fn ask_token(
+    pub(super) fn request_token(
         &mut self,
         client: ClientId,
         instance: &InstanceId,
@@ -95,20 +95,21 @@
         };
         let earlier = open.token.take();
         let same = earlier.filter(|token| token.instance == *instance);
-        let asked = match same.map(|token| token.state) {
-            Some(TokenState::Asked {
+        let earlier_request = match same.map(|token| token.state) {
+            Some(TokenState::Requested {
                 limiter,
-                times_asked,
+                requests_sent,
                 ..
-            }) => Some((limiter, times_asked)),
+            }) => Some((limiter, requests_sent)),
             _ => None,
         };
         let known = context.directory.get(instance);
         let zone = known.map(|instance| instance.record.zone.clone());
-        let in_zone = |zone: &ZoneName| self.limiter_to_ask(instance, zone, asked, context);
+        let in_zone =
+            |zone: &ZoneName| self.limiter_to_ask(instance, zone, earlier_request, context);
         let limiter = zone.as_ref().and_then(in_zone);
         let statement = self.statistics.limits.statement(hash);
-        let (Some((limiter, times_asked)), Some(zone), Some(statement)) =
+        let (Some((limiter, requests_sent)), Some(zone), Some(statement)) =
             (limiter, zone, statement)
         else {
             self.statistics
@@ -119,20 +120,20 @@
         };
         let number = self.tokens.assign_number(client);
         let check_at = now + REPLY_TIMEOUT;
-        let ask = TokenRequest {
+        let token_request = TokenRequest {
             number,
             instance: hash,
             zone,
             statement,
         };
-        self.tokens.outbox.push((limiter, ask));
+        self.tokens.outbox.push((limiter, token_request));
         if let Some(open) = self.open.get_mut(&client) {
             open.token = Some(Token {
                 instance: instance.clone(),
                 number,
-                state: TokenState::Asked {
+                state: TokenState::Requested {
                     limiter,
-                    times_asked,
+                    requests_sent,
                     check_at,
                 },
             });
@@ -140,12 +141,12 @@
         self.await_token(client, check_at);
     }
 
-    /// The limiter to ask next, and how often it has been asked then.
+    /// The limiter to ask next, and the number of requests sent to it including the next one.
     fn limiter_to_ask(
         &mut self,
         instance: &InstanceId,
         zone: &ZoneName,
-        asked: Option<(SocketAddr, usize)>,
+        earlier_request: Option<(SocketAddr, usize)>,
         context: &RequestContext<'_>,
     ) -> Option<(SocketAddr, usize)> {
         let own = context.registry.get(context.node).map(|node| node.address);
@@ -153,9 +154,9 @@
             return own.map(|own| (own, 1));
         }
         let candidates = Candidates::of_limit(instance.stable_hash(), zone, context.registry)?;
-        if let Some((limiter, times_asked)) = asked {
-            if times_asked < MAX_ASKS_PER_LIMITER {
-                return Some((limiter, times_asked + 1));
+        if let Some((limiter, requests_sent)) = earlier_request {
+            if requests_sent < MAX_REQUESTS_PER_LIMITER {
+                return Some((limiter, requests_sent + 1));
             }
             self.tokens
                 .unresponsive
@@ -187,7 +188,7 @@
     ) {
         self.tokens.unresponsive.remove(&from);
         let now = context.now;
-        match decision.verdict {
+        match decision.status {
             TokenStatus::Granted => {}
             TokenStatus::Refused(wait) => {
                 self.statistics
@@ -217,7 +218,7 @@
         else {
             return;
         };
-        match decision.verdict {
+        match decision.status {
             TokenStatus::Granted => token.state = TokenState::Held,
             TokenStatus::Refused(_) | TokenStatus::Unlimited => open.token = None,
         }
