--- a/crates/ledgelead-router/src/node/store_timing.rs
+++ b/crates/ledgelead-router/src/node/store_timing.rs
@@ -124,8 +124,9 @@
 /// Longest pause after failed calls per node of the fleet, for the same reason.
 const MAX_PAUSE_PER_NODE: Duration = Duration::from_millis(6);
 /// Maximum of the longest pause. A node notices the recovery of the store after this pause,
-/// its random extension, a list (0.3 s) and the pause before the other watches (0.25 s): 2.6
-/// s, within the 3 s after which callers consider nodes out of touch.
+/// its random extension, a list (0.3 s) and the pause before the other watches (0.25 s). These
+/// total 2.6 s, so the node is connected again before the operator expects it to be, which is
+/// 3 s after the recovery.
 const MAX_PAUSE: Duration = Duration::from_millis(1_700);
 
 /// Backoff of a node whose own calls fail while it follows a coordinator that the store
