--- a/crates/ledgelead-router/src/dispatch/dispatcher.rs
+++ b/crates/ledgelead-router/src/dispatch/dispatcher.rs
@@ -25,7 +25,7 @@
 /// differences between clocks and for the time that the response takes to reach the caller.
 const MIN_WAITED_SHARE: f64 = 0.8;
 /// Share of a caller's time left for which it is expected to wait. If it waited longer, its
-/// next attempt could no longer be answered.
+/// next submission could no longer be answered.
 const MAX_DELAY_SHARE: f64 = 0.33;
 
 /// A dispatcher's decision on a permit request.
--- a/crates/ledgelead-router/src/dispatch/queue.rs
+++ b/crates/ledgelead-router/src/dispatch/queue.rs
@@ -165,15 +165,15 @@
 }
 
 impl PermitQueue {
-    /// Creates the queue of an owner of keys. It always has at least one more permit
-    /// outstanding than the owner has slots, so that the next request is already on its way
-    /// when one ends and no slot stays idle.
+    /// Creates the queue of an owner of keys. The limit of outstanding permits exceeds the
+    /// owner's slots by at least one, so that the next request is already on its way when one
+    /// ends and no slot stays idle.
     pub fn of_owner(now: Timestamp) -> PermitQueue {
         PermitQueue::new(Servers::single_owner(), now)
     }
 
-    /// Creates the queue of the instances in a zone. It has as many permits outstanding as
-    /// they have slots, and more if slots are idle nevertheless.
+    /// Creates the queue of the instances in a zone. The limit of outstanding permits is the
+    /// number of their slots, and higher if slots are idle nevertheless.
     pub fn of_pool(now: Timestamp) -> PermitQueue {
         PermitQueue::new(Servers::pool(), now)
     }
--- a/crates/ledgelead-router/src/dispatch/refused.rs
+++ b/crates/ledgelead-router/src/dispatch/refused.rs
@@ -17,7 +17,7 @@
 /// What is remembered of a refused caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusedCaller {
-    /// The earliest time at which it may retry.
+    /// The earliest time at which its return doesn't count as early.
     pub not_before: Timestamp,
     /// The target of its first submission.
     pub target: Timestamp,
--- a/crates/ledgelead-router/src/node/heartbeat.rs
+++ b/crates/ledgelead-router/src/node/heartbeat.rs
@@ -20,8 +20,8 @@
 /// node's own, so that it learns of a leaving instance and of a configuration within the bound
 /// even if the coordinator has lost the store.
 const VIEW_TTL_SHARE: f64 = 0.7;
-/// Silence of the coordinator after which this node assumes that it was disconnected: three
-/// heartbeat intervals plus some delay.
+/// Silence of the coordinator after which hearing it again shows that this node was
+/// disconnected: three heartbeat intervals plus some delay.
 const COORDINATOR_SILENCE: Duration = Duration::from_millis(700);
 
 impl Node {
--- a/crates/ledgelead-router/src/node/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/node/quarantine/mod.rs
@@ -235,7 +235,8 @@
             let end = InstanceEnd {
                 caller: lost_attempt.caller,
                 instance: instance.stable_hash(),
-                // Not earlier than the time at which the other nodes learn of the loss.
+                // The time of the loss, not of its proof: ends at nearly the same time count
+                // as having a common cause.
                 at: lost_attempt.at.min(now),
                 settled: false,
             };
--- a/crates/ledgelead-router/src/node/rate_limits.rs
+++ b/crates/ledgelead-router/src/node/rate_limits.rs
@@ -117,7 +117,7 @@
     }
 
     /// This node's role among an instance's limiters, by its own view of the nodes. Two nodes
-    /// act as the primary limiter at the same time only as long as their views differ.
+    /// both count themselves as the first limiter only as long as their views differ.
     fn limiter_role(
         &mut self,
         token_request: &TokenRequest,
@@ -193,7 +193,8 @@
     }
 }
 
-/// Answers the probe of another limiter.
+/// Handles a probe of another limiter, which is answered, or the reply to a probe, which needs
+/// no answer.
 pub(super) fn limiter_probed(from: SocketAddr, is_reply: bool, out: &mut Vec<Action>) {
     if !is_reply {
         let reply = PeerMessage::LimiterProbe { is_reply: true };
--- a/crates/ledgelead-router/src/requests/lifecycle/endings.rs
+++ b/crates/ledgelead-router/src/requests/lifecycle/endings.rs
@@ -22,9 +22,9 @@
 const RETRY_AFTER_JITTER: f64 = 0.7;
 
 /// `Retry-After` for a request that was rejected by instances with free slots. The next
-/// attempt is as likely to be accepted at once as later, and a target latency is a few hundred
-/// milliseconds, so this is only the time that a client needs to receive the response and to
-/// connect again.
+/// submission is as likely to be accepted at once as later, and a target latency is a few
+/// hundred milliseconds, so this is only the time that a client needs to receive the response
+/// and to connect again.
 const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(30);
 
 /// `Retry-After` for a request that crashes instances. The quarantine doesn't change by itself
--- a/crates/ledgelead-router/src/requests/selection.rs
+++ b/crates/ledgelead-router/src/requests/selection.rs
@@ -95,8 +95,8 @@
 }
 
 impl SelectionContext<'_> {
-    /// Selects the best instance that was not tried yet, if there is any. `time_left` is how
-    /// long a response is still useful.
+    /// Selects the best instance that was not tried yet, if there is any. `time_left` is the
+    /// time until the target latency, or until the deadline once that has passed.
     pub fn select(
         &self,
         service: &ServiceName,
