--- a/crates/ledgelead-lab/src/demo/caller.rs
+++ b/crates/ledgelead-lab/src/demo/caller.rs
@@ -28,7 +28,8 @@
 const IDEMPOTENCY_HEADER: &str = "Idempotency-Key";
 /// Deadline of every request.
 const DEADLINE: Span = Span::from_millis(2_000);
-/// How long a caller waits for a response from a node, beyond the deadline of the request.
+/// How long a caller waits for a response from a node. It exceeds `DEADLINE`, so that the node
+/// can still report an outcome after the deadline.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/ledgelead-lab/src/simulation/event.rs
+++ b/crates/ledgelead-lab/src/simulation/event.rs
@@ -26,7 +26,7 @@
     StartNode(usize),
     /// A paused node resumes.
     ResumeNode(usize),
-    /// The time for a node's planned stop is over.
+    /// The time for a node's planned stop is over: it is killed if it has not finished.
     StopTimeout(NodeRun),
     /// An event reaches a node.
     ToNode(NodeRun, ToNode),
--- a/crates/ledgelead-lab/src/simulation/servers.rs
+++ b/crates/ledgelead-lab/src/simulation/servers.rs
@@ -362,7 +362,7 @@
         }
     }
 
-    /// A server asks to be drained and stops when it is.
+    /// A server asks to be drained, and stops when it is or when `LEAVING_GRACE` has passed.
     pub(super) fn server_leaves(&mut self, index: usize) {
         let now = self.now();
         let server = &mut self.servers[index];
--- a/crates/ledgelead-lab/tests/fleet.rs
+++ b/crates/ledgelead-lab/tests/fleet.rs
@@ -169,8 +169,8 @@
 
 #[gtest]
 fn partitioned_owner_keeps_its_keys_until_its_lease_expires() {
-    // Partitioned from the store and all other nodes, the coordinator keeps renewing this
-    // owner.
+    // Partitioned from the store and from all nodes but the coordinator, which is killed half a
+    // second later, the owner keeps holding its keys.
     let schedule = Schedule::one(
         seconds(15.0),
         seconds(20.0),
--- a/crates/ledgelead-router/tests/node/response_notices.rs
+++ b/crates/ledgelead-router/tests/node/response_notices.rs
@@ -3,7 +3,8 @@
 //! If a node learns of leaving instances only from the store, an outage hides them: while the
 //! store was silent from 4.9 s to 20.0 s, an owner of keys announced from 7.5 s on in each
 //! response that it was leaving. Two nodes that had relayed such responses still sent it
-//! requests 2.03 s and 2.37 s later, and none logged `instance_drains` before 20.15 s.
+//! requests 2.03 s and 2.37 s later, and none logged `instance_drains` before 20.15 s,
+//! although all of them had received such responses.
 //!
 //! If a node ignores that a rejection may request a pause, it sends requests in vain: four of
 //! 14 owners answered 503 with `Retry-After: 3`, and a node sent one of them up to 12 requests
--- a/crates/ledgelead-router/tests/split.rs
+++ b/crates/ledgelead-router/tests/split.rs
@@ -146,8 +146,8 @@
     }
 }
 
-/// Each node sees five requests and makes five decisions per round. No split by single nodes
-/// can be exact, but their errors must not be biased.
+/// Each node sees about five requests and has to round its share of them to whole decisions,
+/// so no split that each node makes alone can be exact. Their errors must not be biased.
 #[gtest]
 fn shares_of_many_nodes_are_unbiased_from_the_start() {
     for share in [0.1, 0.5, 0.9] {
