--- a/crates/ledgelead-core/src/io.rs
+++ b/crates/ledgelead-core/src/io.rs
@@ -116,7 +116,7 @@
         /// The message.
         message: PeerMessage,
     },
-    /// The address of another node, as `IP:port`, has changed.
+    /// From now on another node is reached at this `IP:port`.
     PeerAddress {
         /// The node.
         node: NodeId,
--- a/crates/ledgelead-node/src/node/mod.rs
+++ b/crates/ledgelead-node/src/node/mod.rs
@@ -139,9 +139,9 @@
         &self.metrics
     }
 
-    /// Stops the node gracefully: new connections are refused, requests in flight are
-    /// finished, and roles are handed over. Returns when that is done or the stop time
-    /// of the settings has passed; true if everything was finished.
+    /// Stops the node gracefully: new connections and requests are refused, requests in
+    /// flight are finished, and roles are handed over. Returns when that is done or the
+    /// stop time of the settings has passed; true if everything was finished.
     pub fn stop(mut self) -> bool {
         self.parts.proxy.refuse_new();
         self.parts.open_requests.close_connections();
--- a/crates/ledgelead-node/src/servers/cancel.rs
+++ b/crates/ledgelead-node/src/servers/cancel.rs
@@ -21,7 +21,7 @@
 /// Longest response to a cancellation, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024;
 
-/// An attempt to cancel.
+/// An attempt of a request that is to be cancelled.
 pub struct Cancellation {
     /// The attempt's name at the server.
     pub name: String,
--- a/crates/ledgelead-ownership/src/group/requesting.rs
+++ b/crates/ledgelead-ownership/src/group/requesting.rs
@@ -151,9 +151,9 @@
     }
 
     /// Proposes a request or adds it to the batch of records. Returns whether this replica
-    /// is the leader and can decide it now. Operations are refused until a rebuilt group
-    /// has received the servers' claims, because the slices in its snapshot may be
-    /// outdated.
+    /// is the leader and can decide it now. Operations are not accepted, and are sent again,
+    /// until a rebuilt group has received the servers' claims, because the slices in its
+    /// snapshot may be outdated.
     fn accept_request(&mut self, now: Time, origin: Origin, request: GroupRequest) -> bool {
         let started = self
             .leader
--- a/crates/ledgelead-ownership/src/leader/leases.rs
+++ b/crates/ledgelead-ownership/src/leader/leases.rs
@@ -15,13 +15,13 @@
     since: Revision,
     /// Position at or before which the assignment ended.
     closed: Option<Revision>,
-    /// When its leases have ended; known once it reported that it grants no more.
+    /// Time by which its leases have ended; known once it reported that it grants no more.
     ends: Option<Time>,
 }
 
 /// Bounds of the leases of all servers of the group.
 pub struct LeaseBounds {
-    /// When the leases of earlier terms have ended.
+    /// Time by which the leases of earlier terms have ended.
     former_ends: Time,
     grantors: BTreeMap<ServerId, BTreeMap<Member, Grantor>>,
 }
--- a/crates/ledgelead-replication/src/authority.rs
+++ b/crates/ledgelead-replication/src/authority.rs
@@ -37,8 +37,8 @@
         })
     }
 
-    /// For a leader, on its clock: when all authority that it delegated to the member in
-    /// this term has ended; [`Time::ZERO`] if it delegated none.
+    /// For a leader, on its clock: the time by which all authority that it delegated to the
+    /// member in this term has ended; [`Time::ZERO`] if it delegated none.
     pub fn delegated_authority_until(&self, member: Member) -> Time {
         self.delegated_ends
             .get(&member)
@@ -46,10 +46,10 @@
             .unwrap_or(Time::ZERO)
     }
 
-    /// For a leader: when the authority of every earlier leader of this epoch, and of its
-    /// delegates, has ended. Normally this is the time of the election, because the voters'
-    /// promises had run out by then; it is later after a transfer, which does not wait for
-    /// promises.
+    /// For a leader: the time by which the authority of every earlier leader of this epoch,
+    /// and of its delegates, has ended. Normally this is the time of the election, because
+    /// the voters' promises had run out by then; it is later after a transfer, which does
+    /// not wait for promises.
     pub fn former_authority_ends(&self) -> Time {
         self.former_authority_ends
     }
--- a/crates/ledgelead-replication/src/leading.rs
+++ b/crates/ledgelead-replication/src/leading.rs
@@ -44,8 +44,8 @@
 
 impl Replica {
     /// Appends a command and returns its position. The next [`Replica::take_ready`] sends
-    /// it, and a later one delivers it once committed. Until then another leader may still
-    /// discard it.
+    /// it; it is delivered there, too, once it is committed. Until then another leader may
+    /// still discard it.
     pub fn propose(&mut self, now: Time, command: Vec<u8>) -> Result<Revision, ProposeError> {
         self.propose_payload(now, Payload::Command(Bytes(command)))
     }
--- a/crates/ledgelead-replication/src/replica.rs
+++ b/crates/ledgelead-replication/src/replica.rs
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Advances the replica's time. A leader whose authority has run out, for instance
-    /// because its process was paused, steps down.
+    /// Advances the replica's time. A leader that is past [`Replica::leadership_ends`], for
+    /// instance because its process was paused, steps down.
     pub(crate) fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
         let State::Leader(leader) = &self.state else {
