--- a/crates/ledgelead-balance/src/lib.rs
+++ b/crates/ledgelead-balance/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load-based placement of slices on servers, and sketches that detect hot keys.
 //!
-//! The planner is a pure function of loads, servers, policy and time. See
-//! `docs/design/assignment.md`.
+//! The planner is a state machine without I/O: it takes loads, servers, policy and time, and
+//! returns changes. See `docs/design/assignment.md`.
 
 pub mod baseline;
 pub mod change;
--- a/crates/ledgelead-balance/src/planner/reshape.rs
+++ b/crates/ledgelead-balance/src/planner/reshape.rs
@@ -111,7 +111,8 @@
 }
 
 /// Whether the slice has no pending change, has kept its bounds for some time, and belongs
-/// to a server that is not shedding load, which may need the slice as it is.
+/// to a server that is not shedding load. A server that sheds load may need the slice as it
+/// is.
 fn is_reshapable(round: &Round, record: &SliceRecord) -> bool {
     let owner = record
         .owner
--- a/crates/ledgelead-balance/src/server_table.rs
+++ b/crates/ledgelead-balance/src/server_table.rs
@@ -9,7 +9,7 @@
 const COLD_START_PART: f64 = 0.25;
 /// Time until the weight of a cold server reaches its full capacity.
 const COLD_RAMP: Span = Span::from_seconds(60);
-/// Minimum capacity, which avoids a division by zero.
+/// Minimum capacity, so that a server that reports none causes no division by zero.
 const MIN_CAPACITY: f64 = 0.01;
 
 /// State kept for one server.
--- a/crates/ledgelead-balance/src/slice_table.rs
+++ b/crates/ledgelead-balance/src/slice_table.rs
@@ -15,8 +15,8 @@
 /// so smoothing rarely updates the indexes.
 const ORDERING_SHIFT: u32 = 49;
 
-/// How long a slice that changed owner may not be moved for balance. This includes moves
-/// requested by an operator.
+/// How long a slice that changed owner may not be moved for balance. It also applies after a
+/// move that an operator requested.
 pub const COOLDOWN: Span = Span::from_seconds(60);
 
 /// Maximum ratio of two loads that the indexes may have in the wrong order.
--- a/crates/ledgelead-configuration/src/configuration_manager.rs
+++ b/crates/ledgelead-configuration/src/configuration_manager.rs
@@ -86,7 +86,7 @@
     },
     /// The platform became unreachable or reachable for this node.
     PlatformReachable(bool),
-    /// The platform's current list of machines.
+    /// The platform's list of machines, as just read.
     MachineList(Vec<MachineEntry>),
     /// The object in the store is not a valid configuration; the current configuration stays
     /// in force.
--- a/crates/ledgelead-configuration/src/group_manager.rs
+++ b/crates/ledgelead-configuration/src/group_manager.rs
@@ -35,8 +35,8 @@
 /// How long a quorum must be known to be lost before the group is rebuilt. A leader that is
 /// still working has this time to record its current voters.
 const QUORUM_LOSS_DELAY: Span = Span::from_millis(500);
-/// Interval between reads of one group's object; the groups are read in turn. A higher epoch
-/// is announced by dissemination, and these reads find what was missed. They are infrequent
+/// Interval at which the object of the next group, in turn, is read again. A higher epoch is
+/// announced by dissemination, and these reads find what was missed. They are infrequent
 /// because an object contains a whole snapshot.
 const POLL_INTERVAL: Span = Span::from_seconds(30);
 /// Interval between checks for groups to read, form or rebuild.
--- a/crates/ledgelead-configuration/src/group_manager/forming.rs
+++ b/crates/ledgelead-configuration/src/group_manager/forming.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether this node has enough information to conclude that the group can't decide: every
-    /// voter that is not proven dead is live in this node's view, so its latest status has
+    /// voter that is not proven dead is live in this node's view, so what it disseminated has
     /// arrived, and a majority of zones is reachable. A node that was partitioned for long and
     /// reaches only the platform may know outdated voters.
     fn has_sufficient_view(&self, known: &KnownGroup) -> bool {
--- a/crates/ledgelead-membership/src/dissemination/mod.rs
+++ b/crates/ledgelead-membership/src/dissemination/mod.rs
@@ -30,8 +30,8 @@
 
 /// Number of random nodes that receive each round of a rumor.
 const FANOUT: usize = 4;
-/// Up to this number of peers, the node that has the new version first sends it to all of
-/// them. The others only offer it to a few nodes, in case that node or its messages were
+/// Up to this number of peers, the first node to have a new version sends it to all of them
+/// at once. The others only offer it to a few nodes, in case that node or its messages were
 /// lost.
 const MAX_FULL_FANOUT_PEERS: usize = 8;
 /// Number of nodes to which the item is offered by a node that received it together with all
@@ -320,7 +320,7 @@
         is_pushed.then(|| delta.clone())
     }
 
-    /// Whether the publisher of the item announces it to every node itself.
+    /// Whether another node published the item and announces it to every node itself.
     fn is_announced_to_all(&self, key: ItemKey) -> bool {
         self.peers.len() <= MAX_FULL_FANOUT_PEERS && !self.published_here.contains(&key)
     }
--- a/crates/ledgelead-membership/src/members.rs
+++ b/crates/ledgelead-membership/src/members.rs
@@ -233,7 +233,7 @@
         });
     }
 
-    /// Shortens a suspicion to end at `until`.
+    /// Shortens a suspicion to end at `until` at the latest.
     pub(crate) fn shorten_suspicion(&mut self, node: NodeId, until: Time) {
         if let Some(entry) = self.entries.get_mut(&node)
             && let Conclusion::Suspect { until: held } = &mut entry.conclusion
--- a/crates/ledgelead-query/src/authority.rs
+++ b/crates/ledgelead-query/src/authority.rs
@@ -63,7 +63,8 @@
 /// Checks whether an operator may execute a plan.
 ///
 /// # Errors
-/// If the role is too low or the plan affects a service of another team.
+/// If the role is too low, if the plan affects a service of another team, or if it affects all
+/// teams and the operator is restricted to some.
 pub fn may_command(
     operator: &OperatorConfiguration,
     plan: &Plan,
--- a/crates/ledgelead-query/src/session.rs
+++ b/crates/ledgelead-query/src/session.rs
@@ -294,7 +294,7 @@
     fn wait_for(&mut self, version: ConfigurationVersion) -> Option<Vec<NodeId>> {
         let mut lagging = None;
         loop {
-            // A failed read is retried, since the change is already in force.
+            // A failed read is retried, since the change has already been stored.
             if let Ok(view) = self.deployment.view() {
                 let lag = lagging_nodes(&view, version);
                 let is_in_force = lag.is_empty();
--- a/crates/ledgelead-request/src/dispatcher/admission.rs
+++ b/crates/ledgelead-request/src/dispatcher/admission.rs
@@ -1,5 +1,5 @@
 //! Admission: a permit request that can't be served by its deadline is refused at once, and
-//! a full queue drops work of the tier that exceeds its share the most.
+//! a full queue drops work of the tier whose queue is longest for its share.
 
 use super::queue::{Queue, QueueKey, Waiting};
 use super::server::ServerState;
--- a/crates/ledgelead-request/src/gateway/evidence.rs
+++ b/crates/ledgelead-request/src/gateway/evidence.rs
@@ -1,7 +1,7 @@
 //! Derives from the result of an attempt whether the request was run, and what may follow.
 //!
 //! Invariant: a request that is not repeatable is retried only after evidence that it was
-//! not run. Otherwise a lost answer would run its side effects twice.
+//! not run. Otherwise a retry after a lost answer could run its side effects twice.
 
 use ledgelead_types::protections::{Protection, Protections};
 use ledgelead_types::server::{AttemptResult, ServerRefusal};
