--- a/crates/ledgelead-router/src/events.rs
+++ b/crates/ledgelead-router/src/events.rs
@@ -17,7 +17,7 @@
     AttemptEnded {
         /// The client's id of its request.
         request: &'a str,
-        /// Identical for all attempts of the request at all nodes.
+        /// Identical for all submissions of the request at all nodes.
         digest: RequestDigest,
         /// The service.
         service: &'a ServiceName,
@@ -40,7 +40,7 @@
     Answered {
         /// The client's id of its request.
         request: &'a str,
-        /// Identical for all attempts of the request at all nodes.
+        /// Identical for all submissions of the request at all nodes.
         digest: RequestDigest,
         /// The service.
         service: &'a ServiceName,
@@ -61,7 +61,8 @@
         /// The version of the current configuration.
         configuration: u64,
     },
-    /// The router answered a request that matches no route.
+    /// The router refused a request before it accepted it for a service: for lack of a
+    /// configuration, a route, a valid key or memory.
     Unrouted {
         /// The client's id of its request.
         request: &'a str,
--- a/crates/ledgelead-router/src/io.rs
+++ b/crates/ledgelead-router/src/io.rs
@@ -54,7 +54,8 @@
 /// Parameters of an exchange.
 #[derive(Clone, Debug)]
 pub struct ExchangeOptions {
-    /// A header and its expected value; responses with another value are rejected.
+    /// A header and its expected value. A response without this value is not the answer to the
+    /// request.
     pub match_header: Option<(Box<str>, Box<[u8]>)>,
     /// A pooled connection may be reused if it was idle for less than this.
     pub reuse_idle_below: Duration,
--- a/crates/ledgelead-router/src/ownership/cold_keys.rs
+++ b/crates/ledgelead-router/src/ownership/cold_keys.rs
@@ -11,8 +11,8 @@
 use crate::identity::{InstanceId, ServiceName};
 use std::time::Duration;
 
-/// How long such requests take longer: instances load the state of requested keys within some
-/// seconds.
+/// How long requests for keys without their state take longer: instances load the state of
+/// requested keys within some seconds.
 const WARMUP: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
--- a/crates/ledgelead-router/src/ownership/coordinator/mod.rs
+++ b/crates/ledgelead-router/src/ownership/coordinator/mod.rs
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Adds a node's report about an owner.
+    /// Adds the work that an owner did for one node's requests.
     pub fn record_work(&mut self, instance: u64, work: WorkSample) {
         self.work.record(instance, work);
         self.long_window_work.record(instance, work);
--- a/crates/ledgelead-router/src/ownership/lease.rs
+++ b/crates/ledgelead-router/src/ownership/lease.rs
@@ -19,8 +19,10 @@
 /// The state of a grant.
 ///
 /// Invariant: the owner cannot hold the keys by an order of this or an earlier coordinator
-/// after `possible_until`, except by orders that the platform itself executes late. It only
-/// moves forward while grants are sent, and moves back only by an answered release.
+/// after `possible_until`, except by orders that the platform itself executes late. It
+/// moves forward while grants are sent. It moves back only on proof that the hold ends earlier:
+/// an answered release or grant, another instance at the owner's address, or the end of the
+/// owner or of the previous coordinator.
 #[derive(Clone, Debug)]
 pub struct Lease {
     /// The latest end of a hold that any sent order can have started.
--- a/crates/ledgelead-router/src/ownership/next_owner.rs
+++ b/crates/ledgelead-router/src/ownership/next_owner.rs
@@ -83,7 +83,8 @@
 
     /// Assigns a free range to the least utilized instances, in parts if it exceeds the spare
     /// capacity of one. The remainder stays free until there is spare capacity. A single key
-    /// that exceeds the spare capacity of every instance goes to the least utilized one.
+    /// that exceeds the spare capacity of every instance goes to the least utilized one, unless
+    /// that has less than `MIN_SPARE_SHARE` of its capacity to spare.
     pub fn assign(&mut self, range: KeyRange) -> Vec<RangePlacement> {
         let mut parts = Vec::new();
         let mut left = Some(range);
--- a/crates/ledgelead-router/src/peers/evidence.rs
+++ b/crates/ledgelead-router/src/peers/evidence.rs
@@ -15,7 +15,7 @@
 /// Maximum number of instance ends that are sent per request; three lead to a quarantine.
 const MAX_ENDS: usize = 24;
 
-/// An instance that ended while it processed a caller's request.
+/// An instance that ended while a caller's request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct EndEntry {
     /// The caller.
@@ -33,7 +33,7 @@
 pub struct AgedEntry {
     /// The caller, or the stable hash of the instance's id.
     pub subject: u64,
-    /// How long ago the fact became known, in milliseconds.
+    /// How long ago the fact began to hold, in milliseconds.
     pub age_ms: u32,
 }
 
--- a/crates/ledgelead-router/src/peers/message.rs
+++ b/crates/ledgelead-router/src/peers/message.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Maximum size of a received datagram, in bytes: an Ethernet frame holds a relayed message of
-/// 1,400 bytes with this.
+/// Maximum size of a received datagram, in bytes. It fits an Ethernet frame, and leaves room
+/// for a message of 1,400 bytes that another node relays.
 const MAX_BYTES: usize = 1_440;
 
 /// Keys of the requests that a node has received since its last report.
--- a/crates/ledgelead-router/src/quarantine/entry.rs
+++ b/crates/ledgelead-router/src/quarantine/entry.rs
@@ -25,7 +25,7 @@
 impl CallerId {
     /// All callers.
     pub const ALL: CallerId = CallerId(0);
-    /// Any caller other than those whose requests are suspected.
+    /// Stands for some caller other than those whose requests are suspected.
     pub const SOME_OTHER: CallerId = CallerId(1);
 
     /// The caller with this address.
@@ -35,7 +35,7 @@
     }
 }
 
-/// An instance that ended while it processed a caller's request.
+/// An instance that ended while a caller's request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceEnd {
     /// The caller.
--- a/crates/ledgelead-router/src/quarantine/evidence.rs
+++ b/crates/ledgelead-router/src/quarantine/evidence.rs
@@ -266,7 +266,7 @@
     }
 }
 
-/// Whether an instance that was not processing the request ended at the same moment.
+/// Whether an instance at which the request was not in flight ended at the same moment.
 fn ended_with_others(
     ended: &BTreeMap<u64, Timestamp>,
     alive: &BTreeMap<u64, Timestamp>,
--- a/crates/ledgelead-router/src/quarantine/mod.rs
+++ b/crates/ledgelead-router/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Detects requests that crash the instances which process them, across attempts and nodes.
+//! Detects requests that crash the instances which process them, across submissions and nodes.
 //!
 //! When a node loses an attempt, it suspects the requests that were in flight at the instance
 //! ([`lost_attempts`]) until the instance is shown to have ended or to be alive. The findings
--- a/crates/ledgelead-router/src/store/watcher.rs
+++ b/crates/ledgelead-router/src/store/watcher.rs
@@ -92,7 +92,8 @@
     paused: bool,
     /// Whether a single call is due although the watch is paused.
     catch_up_requested: bool,
-    /// Whether the next call uses a short wait.
+    /// Whether the next call waits only `SHORT_WAIT` for a change, so that its answer shows the
+    /// current state at once.
     uses_short_wait: bool,
     /// Whether the next call has to confirm a first list that may be stale, while requests
     /// wait.
@@ -214,7 +215,7 @@
         self.next_call = self.next_call.max(until);
     }
 
-    /// The last known revision, once a list has been completed.
+    /// The revision after which changes are watched; none while a list is due or being read.
     pub fn revision(&self) -> Option<u64> {
         match self.position {
             Position::Watching { revision } => Some(revision),
@@ -234,7 +235,8 @@
         self.paused
     }
 
-    /// Requests one call while the watch is paused, to read missed changes.
+    /// Requests a call while the watch is paused, to read missed changes. A failed call is
+    /// repeated until the store has answered.
     pub fn request_catch_up(&mut self, now: Timestamp) {
         let was_idle = self.is_idle();
         let already = self.catch_up_requested;
--- a/crates/ledgelead-runtime/src/explain.rs
+++ b/crates/ledgelead-runtime/src/explain.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether a line is about an attempt of the same request.
+    /// Whether a line is about a submission of the same request.
     fn is_same_request(&self, line: &LogLine) -> bool {
         self.digest.is_some() && line.text("digest") == self.digest.as_deref()
     }
